--- a/src/main/java/postbeam/migration/Comparison.java
+++ b/src/main/java/postbeam/migration/Comparison.java
@@ -123,7 +123,7 @@
         }
         open.remove(range);
         if (range.size() <= Math.max(1, limits.finest()) || open.size() + PIECES > ASKED_MOST) {
-            differ.put(range, range + ": " + here.rows() + " rows at " + source + ", " + there.rows() + " at " + target);
+            differ.put(range, text(range) + ": " + here.rows() + " rows at " + source + ", " + there.rows() + " at " + target);
         } else {
             cut(range).forEach(piece -> open.put(piece, new Doubt()));
         }
@@ -149,11 +149,16 @@
     /** Over all that agreed. */
     String digest() {
         MessageDigest sum = sha256();
-        agreed.forEach((range, said) -> sum.update((range + " " + said.rows() + " " + said.digest() + "\n")
+        agreed.forEach((range, said) -> sum.update((text(range) + " " + said.rows() + " " + said.digest() + "\n")
                 .getBytes(StandardCharsets.UTF_8)));
         return HexFormat.of().formatHex(sum.digest());
     }
 
+    /** As it stands in digests on disk and in texts for operators. */
+    private static String text(KeyRange range) {
+        return range.from() + "-" + range.to();
+    }
+
     static MessageDigest sha256() {
         try {
             return MessageDigest.getInstance("SHA-256");
--- a/src/main/java/postbeam/migration/Migration.java
+++ b/src/main/java/postbeam/migration/Migration.java
@@ -97,9 +97,14 @@
         return made;
     }
 
+    /** One line for operators, which the layout service answers to their orders. */
+    public String summary() {
+        return "migration " + id + " of " + member + " " + stage.wireName() + (paused() ? ", paused: " + pausedWhy : "")
+                + (rollbackWhy == null ? "" : ", back: " + rollbackWhy);
+    }
+
     @Override
     public String toString() {
-        return "migration " + id + " of " + member + " " + stage + (paused() ? ", paused: " + pausedWhy : "")
-                + (rollbackWhy == null ? "" : ", back: " + rollbackWhy);
+        return summary();
     }
 }
--- a/src/main/java/postbeam/migration/MigrationError.java
+++ b/src/main/java/postbeam/migration/MigrationError.java
@@ -31,7 +31,7 @@
     record NoCheckpoint(long id, Stage stage) implements MigrationError {
         @Override
         public String happened() {
-            return "no checkpoint of migration " + id + " is open, it stands at " + stage;
+            return "no checkpoint of migration " + id + " is open, it stands at " + stage.wireName();
         }
 
         @Override
@@ -106,7 +106,7 @@
     record TooLate(long id, Stage stage) implements MigrationError {
         @Override
         public String happened() {
-            return "migration " + id + " can't be rolled back, it stands at " + stage;
+            return "migration " + id + " can't be rolled back, it stands at " + stage.wireName();
         }
 
         @Override
--- a/src/main/java/postbeam/migration/Migrations.java
+++ b/src/main/java/postbeam/migration/Migrations.java
@@ -569,8 +569,11 @@
 
     private static String digest(Migration one) {
         MessageDigest sum = Comparison.sha256();
+        // The form stays: digests are on disk, and operators name them.
+        String verified = one.verified.entrySet().stream().map(entry -> entry.getKey() + "=" + entry.getValue())
+                .collect(Collectors.joining(", ", "{", "}"));
         // With the count of openings, so that an order for one that was open before is stale.
-        sum.update((one.id + " " + one.openings() + " " + one.verified).getBytes(StandardCharsets.UTF_8));
+        sum.update((one.id + " " + one.openings() + " " + verified).getBytes(StandardCharsets.UTF_8));
         return HexFormat.of().formatHex(sum.digest());
     }
 
--- a/src/main/java/postbeam/pages/CursorSeal.java
+++ b/src/main/java/postbeam/pages/CursorSeal.java
@@ -13,6 +13,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.stream.Collectors;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
 import postbeam.errors.ExplainedException;
@@ -70,13 +71,19 @@
 
     /** What marks a query: it is the same for each page of a chain. */
     public static long digest(String vertical, String owner, byte[] text, Order order) {
-        String head = vertical + "\n" + owner + "\n" + order.keys() + "\n";
+        String head = vertical + "\n" + owner + "\n" + text(order) + "\n";
         byte[] first = head.getBytes(StandardCharsets.UTF_8);
         byte[] all = Arrays.copyOf(first, first.length + text.length);
         System.arraycopy(text, 0, all, first.length, text.length);
         return ByteBuffer.wrap(digest("SHA-256", all)).getLong();
     }
 
+    /** The order as it stands in digests, which cursors carry: its form stays. */
+    private static String text(Order order) {
+        return order.keys().stream().map(key -> key.by() + (key.descending() ? " descending" : " ascending")
+                + (key.missingFirst() ? ", missing first" : ", missing last")).collect(Collectors.joining(", ", "[", "]"));
+    }
+
     private byte[] signature(SecretKeySpec key, byte[] bytes, int length) {
         try {
             Mac mac = Mac.getInstance(HMAC);
--- a/src/main/java/postbeam/rig/MigrationWorld.java
+++ b/src/main/java/postbeam/rig/MigrationWorld.java
@@ -360,18 +360,32 @@
             }
         }
         if (record instanceof Noted.Entered entered) {
-            count("entered " + entered.stage());
+            count("entered " + entered.stage().wireName());
         } else if (record instanceof Noted.Paused paused) {
-            count("paused " + paused.cause());
+            count("paused " + paused.cause().wireName());
         }
     }
 
     private static String kind(Logged record) {
-        return record instanceof Noted.Entered entered ? "Entered " + entered.stage()
+        return record instanceof Noted migration ? kind(migration)
                 : record instanceof Logged.Advanced advanced ? "Advanced " + advanced.state()
                 : record.getClass().getSimpleName();
     }
 
+    /** As it stands in what the trials count, whatever the types are called. */
+    private static String kind(Noted record) {
+        if (record instanceof Noted.Entered entered) {
+            return "Entered " + entered.stage().wireName();
+        }
+        return record instanceof Noted.Opened ? "Opened"
+                : record instanceof Noted.Verified ? "Verified"
+                : record instanceof Noted.Opening ? "Opening"
+                : record instanceof Noted.Passed ? "Passed"
+                : record instanceof Noted.Paused ? "Paused"
+                : record instanceof Noted.Resumed ? "Resumed"
+                : record instanceof Noted.RollingBack ? "RollingBack" : "Standing";
+    }
+
     /** The coordinator dies at this record; in turn a router or a source dies along with it. */
     void killedAtRecord(Logged record) {
         diedAt.add(kind(record));
@@ -530,7 +544,7 @@
             breaks("progress: " + move + " does not end");
         }
         for (Migration one : migrations.all()) {
-            count("ended " + one.stage());
+            count("ended " + one.stage().wireName());
             for (Hop hop : one.hops) {
                 Slice slice = layout.slice(hop.slice());
                 boolean old = slice.heldBy(hop.from()) && !slice.heldBy(hop.to());
--- a/src/test/java/postbeam/migration/MigrationRunFixture.java
+++ b/src/test/java/postbeam/migration/MigrationRunFixture.java
@@ -139,7 +139,7 @@
                     .map(hop -> hop.slice() + ":" + hop.from() + ">" + hop.to()).toList() + " version " + one.version()
                     + " utility " + one.utility() + " at " + one.at().toMillis();
         } else if (noted instanceof Noted.Entered one) {
-            return "entered " + one.id() + " " + one.stage().name() + " at " + one.at().toMillis();
+            return "entered " + one.id() + " " + one.stage().wireName() + " at " + one.at().toMillis();
         } else if (noted instanceof Noted.Verified one) {
             return "verified " + one.id() + " move " + one.move() + " digest " + one.digest();
         } else if (noted instanceof Noted.Opening one) {
@@ -148,7 +148,7 @@
         } else if (noted instanceof Noted.Passed one) {
             return "passed " + one.id() + " at " + one.at().toMillis();
         } else if (noted instanceof Noted.Paused one) {
-            return "paused " + one.id() + " " + one.cause().name() + " at " + one.at().toMillis() + ": " + one.why();
+            return "paused " + one.id() + " " + one.cause().wireName() + " at " + one.at().toMillis() + ": " + one.why();
         } else if (noted instanceof Noted.Resumed one) {
             return "resumed " + one.id() + " at " + one.at().toMillis();
         } else if (noted instanceof Noted.RollingBack one) {
