--- /dev/null
+++ b/src/test/java/postbeam/clients/HttpSamplesTest.java
@@ -0,0 +1,205 @@
+package postbeam.clients;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.ConcurrentHashMap;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import org.xnio.OptionMap;
+import org.xnio.Options;
+import org.xnio.Xnio;
+import org.xnio.XnioWorker;
+import postbeam.errors.Explained;
+import postbeam.pages.Mark;
+import postbeam.pages.Page;
+import postbeam.pages.PageAsked;
+import postbeam.pages.PageGiven;
+import postbeam.pages.Row;
+import postbeam.router.Asked;
+import postbeam.router.Decisions;
+import postbeam.router.OpenQuery;
+import postbeam.router.Step;
+import postbeam.samples.SampleFile;
+import postbeam.setup.Info;
+import postbeam.setup.Json;
+import postbeam.slices.KeyRange;
+import postbeam.slices.Unroutable;
+
+/** Requests of clients and what they are answered, as bytes that an earlier build read and wrote. */
+@Timeout(30)
+class HttpSamplesTest {
+    private static final String SETTINGS = "{\"zone\":\"a\",\"nInstances\":1,\"domain\":{\"cells\":1,\"reach\":1},"
+            + "\"caps\":{\"maxAttempts\":1},\"classes\":[{\"name\":\"search\",\"promise\":9000000}]}";
+    private static final byte[] VALUE = "5be2a07c19f04d63".getBytes(StandardCharsets.UTF_8);
+    /** How queries end, by id. */
+    private static final Map<String, Step> ENDS = new HashMap<>();
+
+    static {
+        List<Step.Value> values = List.of(new Step.Value(3, VALUE, null), new Step.Value(9, VALUE, null));
+        ENDS.put("total", new Step.Answer(true, values, 0, null));
+        ENDS.put("partial", new Step.Answer(false, values.subList(0, 1), 0, null));
+        ENDS.put("slices", new Step.Answer(true,
+                List.of(new Step.Value(0, VALUE, new Step.Cover(0, KeyRange.KEYS / 2, List.of(0, 1)))), 12, null));
+        Row first = new Row(new Mark(Arrays.asList(7L, "tea", null), 5, 1), "first \u00e4");
+        Row second = new Row(new Mark(Arrays.asList(8L, "", null), 6, 2), "");
+        ENDS.put("page", new Step.Answer(true, List.of(new Step.Value(0, null, new Step.Cover(0, KeyRange.KEYS, List.of()))),
+                12, new PageGiven(new Page(List.of(first, second), List.of(), List.of(), false, 2), "Y3Vyc29y")));
+        ENDS.put("page-last", new Step.Answer(false, List.of(), 12, new PageGiven(
+                new Page(List.of(first), List.of(new KeyRange(1, 9)), List.of(), true, 1), null)));
+        ENDS.put("rejected", new Step.Reject(Duration.ZERO));
+        ENDS.put("rejected-retry-after", new Step.Reject(Duration.ofMillis(350)));
+        ENDS.put("aborted", new Step.Abort());
+        ENDS.put("refused", new Step.Refused(new Explained() {
+            @Override
+            public String happened() {
+                return "the page ended";
+            }
+
+            @Override
+            public String advice() {
+                return "ask for it again";
+            }
+        }));
+    }
+
+    private final Map<String, Asked> asked = new ConcurrentHashMap<>();
+    private volatile boolean ready = true;
+    private XnioWorker worker;
+    private ClientDoor door;
+
+    @BeforeEach
+    void open() throws IOException {
+        worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
+        Decisions decisions = new Decisions(new Info(Json.object(SETTINGS.getBytes(StandardCharsets.UTF_8)), ""), 1,
+                16, Duration.ofMillis(50), null);
+        door = new ClientDoor(worker, new InetSocketAddress("127.0.0.1", 0), new ClientDoor.Queries() {
+            private final Map<OpenQuery, String> ids = new ConcurrentHashMap<>();
+
+            @Override
+            public OpenQuery take(Asked query, Duration age) throws Unroutable {
+                asked.put(query.id(), query);
+                switch (query.id()) {
+                    case "duplicate" -> {
+                        return null;
+                    }
+                    case "layout-too-old" -> throw new Unroutable(Unroutable.Reason.NO_LONGER_KEPT, "layout 1 is gone");
+                    case "layout-too-new" -> throw new Unroutable(Unroutable.Reason.NOT_KNOWN_YET, "layout 9 is to come");
+                    case "layout-unknown-slice" -> throw new Unroutable(Unroutable.Reason.NO_SUCH_SLICE, "no slice 7");
+                    default -> { }
+                }
+                OpenQuery open = decisions.take(new Asked(query.id(), "search", null, Duration.ofSeconds(9),
+                        query.parts(), query.text()), Duration.ZERO);
+                ids.put(open, query.id());
+                return open;
+            }
+
+            @Override
+            public Step serve(OpenQuery q) {
+                return ENDS.get(ids.get(q));
+            }
+
+            @Override
+            public void left(OpenQuery q) { }
+
+            @Override
+            public boolean ready() {
+                return ready;
+            }
+        }, Map.of("search", Duration.ofSeconds(9)), Set.of("acme"), 16, 8);
+        door.pages(100);
+        door.form("/form", body -> {
+            if (body.length == 0) {
+                throw new IOException("nothing was told");
+            }
+            return body;
+        });
+        door.start();
+    }
+
+    @AfterEach
+    void giveBack() {
+        door.stop();
+        worker.shutdownNow();
+    }
+
+    /** The answer's bytes, whose length is stated, or all until the connection ends. */
+    private byte[] answer(byte[] request) throws IOException {
+        try (Socket client = new Socket("127.0.0.1", Integer.parseInt(door.address().replaceAll(".*:", "")))) {
+            client.getOutputStream().write(request);
+            StringBuilder answer = new StringBuilder();
+            int next;
+            while (!answer.toString().contains("\r\n\r\n") && (next = client.getInputStream().read()) >= 0) {
+                answer.append((char) next);
+            }
+            int length = Integer.parseInt(answer.toString().replaceAll("(?s).*Content-Length: ([0-9]+).*", "$1"));
+            byte[] body = client.getInputStream().readNBytes(length);
+            return (answer + new String(body, StandardCharsets.ISO_8859_1)).getBytes(StandardCharsets.ISO_8859_1);
+        }
+    }
+
+    private void assertAnswered(String sample) throws IOException {
+        SampleFile.assertSame("http/" + sample + ".response", answer(SampleFile.bytes("http/" + sample + ".request")));
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"total", "partial", "slices", "page", "page-last", "rejected", "rejected-retry-after",
+        "aborted", "refused", "duplicate", "layout-too-old", "layout-too-new", "layout-unknown-slice", "ready", "form",
+        "form-refused", "no-id", "unknown-tenant", "bad-deadline", "bad-layout", "bad-ranges", "bad-portions",
+        "bad-order", "bad-page", "no-vertical", "get", "too-large"})
+    void requestIsAnsweredAsInTheSample(String sample) throws IOException {
+        assertAnswered(sample);
+    }
+
+    @Test
+    void healthCheckOfARouterThatIsNotReadyIsAnsweredAsInTheSample() throws IOException {
+        ready = false;
+        assertAnswered("not-ready");
+    }
+
+    @Test
+    void everyHeaderAndMemberOfAQueryIsRead() throws IOException {
+        answer(SampleFile.bytes("http/total.request"));
+        Asked query = asked.get("total");
+        assertEquals("search", query.vertical());
+        assertEquals("acme", query.owner());
+        assertEquals(Duration.ofMillis(480), query.patience());
+        assertEquals(List.of(new Asked.AskedPart(3, 0.5, Duration.ofMillis(9)), new Asked.AskedPart(9, 0.5, null)),
+                query.parts());
+        assertArrayEquals("c41e77d0".getBytes(StandardCharsets.UTF_8), query.text());
+        assertEquals(0, query.layout());
+        assertNull(query.page());
+    }
+
+    @Test
+    void layoutRetryPageOrderAndCursorOfAQueryAreRead() throws IOException {
+        answer(SampleFile.bytes("http/page.request"));
+        Asked query = asked.get("page");
+        assertEquals(11, query.layout());
+        assertTrue(query.repeat());
+        PageAsked page = query.page();
+        assertEquals(20, page.rows());
+        assertEquals("[price descending, missing first, name ascending, missing last]", page.order().keys().toString());
+        assertNull(page.cursor());
+        answer(SampleFile.bytes("http/page-last.request"));
+        assertEquals("Y3Vyc29y", asked.get("page-last").page().cursor());
+        assertEquals(Duration.ofSeconds(9), asked.get("page-last").patience());
+        assertEquals(List.of(), asked.get("page-last").parts());
+    }
+}
