--- a/src/main/java/postbeam/setup/OwnSettings.java
+++ b/src/main/java/postbeam/setup/OwnSettings.java
@@ -27,7 +27,7 @@
  * unknown key with the nearest known one. Loaded only where a flag names the file.
  */
 public final class OwnSettings {
-    private static final String SCHEMA = "settings.schema.json";
+    private static final String SCHEMA = "/postbeam/config/settings.schema.json";
     private static final JsonFactory JSON5 = JsonFactory.builder()
             .enable(JsonReadFeature.ALLOW_JAVA_COMMENTS).enable(JsonReadFeature.ALLOW_UNQUOTED_FIELD_NAMES)
             .enable(JsonReadFeature.ALLOW_SINGLE_QUOTES).enable(JsonReadFeature.ALLOW_TRAILING_COMMA)
--- a/src/test/java/postbeam/DiscoveryPacingTest.java
+++ b/src/test/java/postbeam/DiscoveryPacingTest.java
@@ -5,7 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static postbeam.Given.ms;
 
 import java.time.Duration;
 import java.util.Random;
@@ -14,6 +13,10 @@
 import postbeam.roster.DiscoveryPacing;
 
 class DiscoveryPacingTest {
+    private static Duration ms(long millis) {
+        return Duration.ofMillis(millis);
+    }
+
     private final DiscoveryPacing asking = new DiscoveryPacing(true, ms(10_000), new Random(1));
 
     @Test
--- a/src/test/java/postbeam/RosterTest.java
+++ b/src/test/java/postbeam/RosterTest.java
@@ -4,20 +4,28 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertSame;
 
+import java.lang.reflect.Proxy;
 import java.time.Duration;
 import java.util.List;
+import java.util.Random;
 import org.junit.jupiter.api.Test;
 import postbeam.roster.Entry;
 import postbeam.roster.Roster;
+import postbeam.setup.Assembly;
+import postbeam.setup.Info;
 import postbeam.state.DataNode;
+import postbeam.state.Fleet;
 import postbeam.state.Readiness;
 
 class RosterTest {
-    private final Given given = new Given(0, true);
+    /** No query comes, so that none of what the decisions want done is looked at. */
+    private final Host host = (Host) Proxy.newProxyInstance(Host.class.getClassLoader(), new Class<?>[] {Host.class},
+            (proxy, method, arguments) -> null);
+    private final Decide decide = Assembly.decide(host, new Random(1), new Fleet(1, 1), new Info());
     private final Roster roster = new Roster("a");
 
     private void listed(String name, Readiness readiness, boolean whole) {
-        roster.listed(Duration.ZERO, List.of(new Entry(name, "a", 0, 0, readiness)), whole, micros -> Duration.ZERO, given.decide);
+        roster.listed(Duration.ZERO, List.of(new Entry(name, "a", 0, 0, readiness)), whole, micros -> Duration.ZERO, decide);
     }
 
     @Test
