--- /dev/null
+++ b/src/test/java/postbeam/layouts/Samples.java
@@ -0,0 +1,39 @@
+package postbeam.layouts;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.UncheckedIOException;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+
+/** Stored data and messages as earlier versions wrote them, kept under {@code samples/layoutservice}. */
+final class Samples {
+    private Samples() {}
+
+    static byte[] bytes(String name) {
+        try (InputStream in = Samples.class.getResourceAsStream("/samples/layoutservice/" + name)) {
+            return in.readAllBytes();
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+
+    static List<String> lines(String name) {
+        return new String(bytes(name), StandardCharsets.UTF_8).lines().toList();
+    }
+
+    /** Fails at the first line that differs. */
+    static void assertSameLines(String name, List<String> actual) {
+        assertEquals(String.join("\n", lines(name)), String.join("\n", actual));
+    }
+
+    static void assertSameBytes(String name, byte[] actual) {
+        // As text first: a difference can be read then.
+        assertEquals(new String(bytes(name), StandardCharsets.ISO_8859_1),
+                new String(actual, StandardCharsets.ISO_8859_1));
+        assertArrayEquals(bytes(name), actual);
+    }
+}
