--- a/src/main/java/postbeam/layouts/LayoutService.java
+++ b/src/main/java/postbeam/layouts/LayoutService.java
@@ -539,7 +539,7 @@
         json.writeStartObject();
         json.writeNumberField("move", move.id);
         json.writeStringField("change", move.change.toString());
-        json.writeStringField("state", move.state.name());
+        json.writeStringField("state", RecordForm.STATES.of(move.state));
         json.writeNumberField("for_ms", Math.max(0, now().minus(move.since).toMillis()));
         if (move.why != null) {
             json.writeStringField("why", move.why);
--- a/src/main/java/postbeam/layouts/MigrationDesk.java
+++ b/src/main/java/postbeam/layouts/MigrationDesk.java
@@ -53,7 +53,7 @@
             case "POST /v1/rollback" -> migrations.rollBack(id, "by an operator", now);
             default -> migrations.pass(id, new Checkpoint(number(asked, "version"), text(asked, "digest")), now);
         };
-        return new Answer(doings, () -> String.valueOf(migrations.book().of(id)));
+        return new Answer(doings, () -> text(migrations.book().of(id)));
     }
 
     private Answer migrate(byte[] body, Duration now) throws ExplainedException {
@@ -70,7 +70,14 @@
             throw new ExplainedException(new MigrationError.BadOrder("a member of " + member.length() + " letters"));
         }
         long id = migrations.book().next();
-        return new Answer(migrations.open(member, hops, now), () -> String.valueOf(migrations.book().of(id)));
+        return new Answer(migrations.open(member, hops, now), () -> text(migrations.book().of(id)));
+    }
+
+    /** One migration in a line, as operators read it. */
+    private static String text(Migration one) {
+        return one == null ? "null" : "migration " + one.id + " of " + one.member + " "
+                + NotedForm.STAGES.of(one.stage()) + (one.paused() ? ", paused: " + one.pausedWhy() : "")
+                + (one.rollbackWhy() == null ? "" : ", back: " + one.rollbackWhy());
     }
 
     /** One JSON object: each migration with its stage, its pause, its checkpoint, and who is behind. */
@@ -82,7 +89,7 @@
                 json.writeStartObject();
                 json.writeNumberField("migration", one.id);
                 json.writeStringField("member", one.member);
-                json.writeStringField("stage", one.stage().name());
+                json.writeStringField("stage", NotedForm.STAGES.of(one.stage()));
                 json.writeNumberField("for_ms", Math.max(0, now.minus(one.since()).toMillis()));
                 json.writeNumberField("hops", one.hops.size());
                 json.writeNumberField("moved", one.hops.stream().filter(hop -> {
@@ -90,7 +97,7 @@
                     return slice != null && slice.heldBy(hop.to());
                 }).count());
                 if (one.paused()) {
-                    json.writeStringField("cause", one.cause().name());
+                    json.writeStringField("cause", NotedForm.CAUSES.of(one.cause()));
                     json.writeStringField("paused", one.pausedWhy());
                 }
                 NotedForm.checkpoint(json, "checkpoint", one.open());
--- a/src/main/java/postbeam/layouts/NodeOrders.java
+++ b/src/main/java/postbeam/layouts/NodeOrders.java
@@ -1,5 +1,7 @@
 package postbeam.layouts;
 
+import static java.util.Map.entry;
+
 import java.io.Closeable;
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -21,7 +23,6 @@
 import postbeam.setup.Json;
 import postbeam.setup.Startup;
 import postbeam.slices.Act;
-import postbeam.slices.KeyRange;
 import postbeam.slices.Order;
 
 /**
@@ -43,6 +44,10 @@
     /** Asks a node what it has: this, a number, the slice and ranges; answered with this, both, and JSON. */
     private static final String SAY = "SAY";
 
+    private static final WireNames<Order> ORDERS = WireNames.of(Order.class, "an unknown order",
+            entry(Order.COPY, "COPY"), entry(Order.HOLD, "HOLD"), entry(Order.FENCE, "FENCE"),
+            entry(Order.SERVE, "SERVE"), entry(Order.DROP, "DROP"));
+
     /** Hears which orders were done. */
     interface Done {
         void done(long move, String node, Order order, int slice);
@@ -97,14 +102,15 @@
     synchronized void ask(Doing.Ask ask) {
         String address = addresses.get(ask.node());
         if (address != null) {
+            String ranges = ask.ranges().stream().map(keys -> keys.from() + "-" + keys.to())
+                    .collect(Collectors.joining(","));
             workers.computeIfAbsent(ask.node(), node -> new Worker(node, address)).waiting.offer(new Asked(null, ask,
-                    SAY + " " + ask.number() + " " + ask.slice() + " " + ask.ranges().stream().map(KeyRange::toString)
-                            .collect(Collectors.joining(","))));
+                    SAY + " " + ask.number() + " " + ask.slice() + " " + ranges));
         }
     }
 
     private static String line(Act.Tell tell, String source) {
-        return tell.order() + " " + tell.move() + " " + tell.slice() + " " + tell.keys().from() + " "
+        return ORDERS.of(tell.order()) + " " + tell.move() + " " + tell.slice() + " " + tell.keys().from() + " "
                 + tell.keys().to() + " " + tell.version() + " " + source;
     }
 
@@ -162,7 +168,7 @@
                 }
                 String[] answer = read(new DataInputStream(socket.getInputStream()), ANSWER_LONGEST).split(" ");
                 Act.Tell tell = asked.tell;
-                if (answer.length < 4 || !answer[0].equals("" + ORDER + tell.order())
+                if (answer.length < 4 || !answer[0].equals(ORDER + ORDERS.of(tell.order()))
                         || !answer[1].equals(String.valueOf(tell.move()))
                         || !answer[2].equals(String.valueOf(tell.slice()))) {
                     throw new IOException("an answer to no order: " + String.join(" ", answer));
--- a/src/main/java/postbeam/layouts/NotedForm.java
+++ b/src/main/java/postbeam/layouts/NotedForm.java
@@ -1,5 +1,7 @@
 package postbeam.layouts;
 
+import static java.util.Map.entry;
+
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.time.Duration;
@@ -17,6 +19,19 @@
 
 /** The records of migrations in JSON, one object each, and an operator's plan of one; an IOException says what is wrong. */
 final class NotedForm {
+    static final WireNames<Stage> STAGES = WireNames.of(Stage.class, "an unknown Stage",
+            entry(Stage.PLANNED, "PLANNED"), entry(Stage.COPYING, "COPYING"), entry(Stage.CAUGHT_UP, "CAUGHT_UP"),
+            entry(Stage.VERIFYING, "VERIFYING"), entry(Stage.CHECKPOINT, "CHECKPOINT"),
+            entry(Stage.SWITCHING, "SWITCHING"), entry(Stage.WATCHED, "WATCHED"),
+            entry(Stage.LAST_CHECKPOINT, "LAST_CHECKPOINT"), entry(Stage.RETIRING, "RETIRING"),
+            entry(Stage.RETIRED, "RETIRED"), entry(Stage.ROLLING_BACK, "ROLLING_BACK"),
+            entry(Stage.ROLLED_BACK, "ROLLED_BACK"));
+    static final WireNames<Cause> CAUSES = WireNames.of(Cause.class, "an unknown Cause",
+            entry(Cause.OPERATOR, "OPERATOR"), entry(Cause.TARGET_COLD, "TARGET_COLD"),
+            entry(Cause.SHARD_THIN, "SHARD_THIN"), entry(Cause.UTILITY_FELL, "UTILITY_FELL"),
+            entry(Cause.STARVED, "STARVED"), entry(Cause.DIFFERS, "DIFFERS"),
+            entry(Cause.MOVE_FAILED, "MOVE_FAILED"));
+
     private NotedForm() {}
 
     static void write(JsonGenerator json, Noted noted) throws IOException {
@@ -30,7 +45,7 @@
             json.writeNumberField("utility", one.utility());
         } else if (noted instanceof Noted.Entered one) {
             start(json, "entered", one.at());
-            json.writeStringField("stage", one.stage().name());
+            json.writeStringField("stage", STAGES.of(one.stage()));
         } else if (noted instanceof Noted.Verified one) {
             json.writeStringField("what", "verified");
             json.writeNumberField("move", one.move());
@@ -42,7 +57,7 @@
             start(json, "passed", one.at());
         } else if (noted instanceof Noted.Paused one) {
             start(json, "paused", one.at());
-            json.writeStringField("cause", one.cause().name());
+            json.writeStringField("cause", CAUSES.of(one.cause()));
             json.writeStringField("why", one.why());
         } else if (noted instanceof Noted.Resumed one) {
             start(json, "resumed", one.at());
@@ -55,10 +70,10 @@
             hops(json, one.hops());
             json.writeNumberField("version", one.version());
             json.writeNumberField("utility", one.utility());
-            json.writeStringField("stage", one.stage().name());
+            json.writeStringField("stage", STAGES.of(one.stage()));
             json.writeNumberField("openings", one.openings());
             if (one.cause() != null) {
-                json.writeStringField("cause", one.cause().name());
+                json.writeStringField("cause", CAUSES.of(one.cause()));
                 json.writeStringField("pausedWhy", one.pausedWhy());
             }
             if (one.rollbackWhy() != null) {
@@ -114,12 +129,12 @@
             case "opened" -> new Noted.Opened(id, text(object, "member"), hops(object),
                     LayoutForm.number(object, "version"), Json.member(object, "utility", Number.class).doubleValue(),
                     at(object));
-            case "entered" -> new Noted.Entered(id, named(Stage.class, text(object, "stage")), at(object));
+            case "entered" -> new Noted.Entered(id, STAGES.constant(text(object, "stage")), at(object));
             case "verified" -> new Noted.Verified(id, LayoutForm.number(object, "move"), text(object, "digest"));
             case "opening" -> new Noted.Opening(id, LayoutForm.number(object, "version"), text(object, "digest"),
                     at(object));
             case "passed" -> new Noted.Passed(id, at(object));
-            case "paused" -> new Noted.Paused(id, named(Cause.class, text(object, "cause")), text(object, "why"),
+            case "paused" -> new Noted.Paused(id, CAUSES.constant(text(object, "cause")), text(object, "why"),
                     at(object));
             case "resumed" -> new Noted.Resumed(id, at(object));
             case "rollingBack" -> new Noted.RollingBack(id, text(object, "why"), at(object));
@@ -135,8 +150,8 @@
         }
         return new Noted.Standing(id, text(object, "member"), hops(object), LayoutForm.number(object, "version"),
                 Json.member(object, "utility", Number.class).doubleValue(),
-                named(Stage.class, text(object, "stage")), at(object),
-                object.containsKey("cause") ? named(Cause.class, text(object, "cause")) : null,
+                STAGES.constant(text(object, "stage")), at(object),
+                object.containsKey("cause") ? CAUSES.constant(text(object, "cause")) : null,
                 object.containsKey("pausedWhy") ? text(object, "pausedWhy") : null, verified,
                 (int) LayoutForm.number(object, "openings"), checkpoint(object, "open"), checkpoint(object, "passed"),
                 object.containsKey("rollbackWhy") ? text(object, "rollbackWhy") : null);
@@ -170,14 +185,6 @@
         return said;
     }
 
-    private static <E extends Enum<E>> E named(Class<E> kind, String name) throws IOException {
-        try {
-            return Enum.valueOf(kind, name);
-        } catch (IllegalArgumentException e) {
-            throw new IOException("an unknown " + kind.getSimpleName() + ": " + name, e);
-        }
-    }
-
     private static String text(Map<?, ?> object, String name) throws IOException {
         return Json.member(object, name, String.class);
     }
--- a/src/main/java/postbeam/layouts/RecordForm.java
+++ b/src/main/java/postbeam/layouts/RecordForm.java
@@ -1,5 +1,7 @@
 package postbeam.layouts;
 
+import static java.util.Map.entry;
+
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.time.Duration;
@@ -14,6 +16,12 @@
 
 /** The records of the log of moves in JSON, one object each, named by "kind". */
 public final class RecordForm {
+    static final WireNames<MoveState> STATES = WireNames.of(MoveState.class, "a move in an unknown state",
+            entry(MoveState.PLANNED, "PLANNED"), entry(MoveState.COPYING, "COPYING"),
+            entry(MoveState.HOLDING_BOTH, "HOLDING_BOTH"), entry(MoveState.FENCED, "FENCED"),
+            entry(MoveState.CUT_OVER, "CUT_OVER"), entry(MoveState.FORGOTTEN, "FORGOTTEN"),
+            entry(MoveState.ABANDONING, "ABANDONING"), entry(MoveState.ABANDONED, "ABANDONED"));
+
     private RecordForm() {}
 
     public static byte[] write(Logged record) {
@@ -71,7 +79,7 @@
             }
         } else if (record instanceof Logged.Advanced advanced) {
             start(json, "advanced", advanced.id(), advanced.at());
-            json.writeStringField("state", advanced.state().name());
+            json.writeStringField("state", STATES.of(advanced.state()));
         } else if (record instanceof Logged.CutOver cut) {
             start(json, "cutOver", cut.id(), cut.at());
             json.writeNumberField("version", cut.version());
@@ -145,7 +153,7 @@
         }
         json.writeEndArray();
         json.writeNumberField("planned_ms", move.plannedAt().toMillis());
-        json.writeStringField("state", move.state().name());
+        json.writeStringField("state", STATES.of(move.state()));
         json.writeNumberField("since_ms", move.since().toMillis());
         if (move.why() != null) {
             json.writeStringField("why", move.why());
@@ -189,12 +197,7 @@
     }
 
     private static MoveState state(Map<?, ?> object) throws IOException {
-        String state = Json.member(object, "state", String.class);
-        try {
-            return MoveState.valueOf(state);
-        } catch (IllegalArgumentException e) {
-            throw new IOException("a move in an unknown state: " + state, e);
-        }
+        return STATES.constant(Json.member(object, "state", String.class));
     }
 
     @SuppressWarnings("unchecked")
--- a/src/main/java/postbeam/slices/Move.java
+++ b/src/main/java/postbeam/slices/Move.java
@@ -90,7 +90,7 @@
 
     @Override
     public String toString() {
-        return "move " + id + " (" + change + ") " + state.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ')
+        return "move " + id + " (" + change + ") " + state.text()
                 + (why == null ? "" : ", " + why);
     }
 }
--- a/src/main/java/postbeam/slices/MoveState.java
+++ b/src/main/java/postbeam/slices/MoveState.java
@@ -3,21 +3,32 @@
 /** Where a move stands. Up to FENCED the old layout is in force; from CUT_OVER on the new one is. */
 public enum MoveState {
     /** Waits until its nodes and the limits allow it to begin. */
-    PLANNED,
+    PLANNED("planned"),
     /** Those who gain a slice copy its data. */
-    COPYING,
+    COPYING("copying"),
     /** Those who gain hold all of it and are kept up to date; the old holders still serve. */
-    HOLDING_BOTH,
+    HOLDING_BOTH("holding both"),
     /** The old holders take nothing new for it and finish what they have; then the new ones are let serve. */
-    FENCED,
+    FENCED("fenced"),
     /** The new layout is told; the old holders let go. */
-    CUT_OVER,
+    CUT_OVER("cut over"),
     /** All is done. */
-    FORGOTTEN,
+    FORGOTTEN("forgotten"),
     /** On the way back to the old layout. */
-    ABANDONING,
+    ABANDONING("abandoning"),
     /** Back under a higher version. */
-    ABANDONED;
+    ABANDONED("abandoned");
+
+    private final String text;
+
+    MoveState(String text) {
+        this.text = text;
+    }
+
+    /** As operators and logs read it; it stays when a constant is renamed. */
+    public String text() {
+        return text;
+    }
 
     public boolean over() {
         return this == FORGOTTEN || this == ABANDONED;
