--- a/src/main/java/postbeam/together/Together.java
+++ b/src/main/java/postbeam/together/Together.java
@@ -92,8 +92,7 @@
         this.place = place;
         this.self = new Who(place.name(), System.currentTimeMillis());
         List<String> names = List.copyOf(new TreeMap<>(place.routers()).keySet());
-        this.digest = digest(names + " " + place.stripes() + " " + place.leases() + " " + place.offices() + " "
-                + place.ramp());
+        this.digest = digest(terms(names, place));
         this.stripes = Stripes.of(place.stripes(), self, names, place.leases(), place.offices(), this::now,
                 new Random(self.incarnation() ^ self.name().hashCode()));
         place.routers().keySet().forEach(name -> {
@@ -107,6 +106,21 @@
         return Duration.ofNanos(System.nanoTime() - begun);
     }
 
+    /** The text that the digest is taken of: peers of all versions must write the same, whatever types are called. */
+    private static String terms(List<String> names, Place place) {
+        LeaseTerms leases = place.leases();
+        OfficeTerms offices = place.offices();
+        Ramp ramp = place.ramp();
+        return names + " " + place.stripes()
+                + " LeaseTerms[use=" + leases.use() + ", window=" + leases.window() + ", drift=" + leases.drift()
+                + ", reserved=" + leases.reserved() + ", underWay=" + leases.underWay()
+                + ", shares=" + leases.shares() + ", callMost=" + leases.callMost() + "]"
+                + " OfficeTerms[office=" + offices.office() + ", longest=" + offices.longest()
+                + ", drift=" + offices.drift() + "]"
+                + " Ramp[first=" + ramp.first() + ", risesTo=" + ramp.risesTo() + ", length=" + ramp.length()
+                + ", window=" + ramp.window() + "]";
+    }
+
     private static String digest(String text) {
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256")
