--- a/src/main/java/postbeam/clients/ClientDoor.java
+++ b/src/main/java/postbeam/clients/ClientDoor.java
@@ -38,9 +38,9 @@
 import org.xnio.channels.Channels;
 import org.xnio.channels.StreamSourceChannel;
 import org.xnio.conduits.StreamSourceConduit;
+import postbeam.dispatch.PendingQuery;
 import postbeam.errors.ExplainedException;
 import postbeam.router.Asked;
-import postbeam.router.OpenQuery;
 import postbeam.router.Step;
 import postbeam.slices.Unroutable;
 
@@ -78,12 +78,7 @@
     /** What stands behind the door. */
     public interface Queries {
         /** Takes a query so long after its first byte; null where one of its id is open. */
-        OpenQuery take(Asked asked, Duration age) throws Unroutable;
-
-        /** Serves it to its end, on the calling thread. */
-        Step serve(OpenQuery q) throws InterruptedException;
-
-        void left(OpenQuery q);
+        PendingQuery take(Asked asked, Duration age) throws Unroutable;
 
         boolean ready();
     }
@@ -388,7 +383,7 @@
             // What is still open when the program is ended would be lost.
             asked = asked.within(Duration.ofNanos(Math.max(0, leaveAt - begun)));
         }
-        OpenQuery q;
+        PendingQuery q;
         try {
             q = queries.take(asked, Duration.ofNanos(System.nanoTime() - begun));
         } catch (Unroutable e) {
@@ -403,7 +398,7 @@
         q.clientCheck(() -> {
             if (connection.hasLeft()) {
                 connection.cut();
-                queries.left(q);
+                q.clientLeft();
             }
         });
         // Once this event is over: until then Undertow sets up and stops reading by itself. And before the query's end
@@ -425,13 +420,13 @@
     }
 
     /** Notices that the client closes its connection while its query is served. */
-    private void watch(HttpServerExchange exchange, OpenQuery q) {
+    private void watch(HttpServerExchange exchange, PendingQuery q) {
         HttpServerConnection connection = (HttpServerConnection) exchange.getConnection();
         if (exchange.isComplete()) {
             return;
         }
         if (!connection.isOpen()) {
-            queries.left(q);
+            q.clientLeft();
             return;
         }
         // The socket itself: the channel over it ends with the request's body, and then tells no more.
@@ -442,19 +437,19 @@
             if (client.hasLeft()) {
                 socket.suspendReads();
                 client.cut();
-                queries.left(q);
+                q.clientLeft();
             }
         });
         socket.resumeReads();
     }
 
-    private void serve(HttpServerExchange exchange, OpenQuery q) {
+    private void serve(HttpServerExchange exchange, PendingQuery q) {
         Step last;
         try {
-            last = queries.serve(q);
+            last = q.serve();
         } catch (InterruptedException | RuntimeException | Error e) {
             LOG.log(System.Logger.Level.ERROR, "serving a query failed", e);
-            queries.left(q);
+            q.clientLeft();
             last = new Step.Abort();
         }
         Step end = last;
--- a/src/main/java/postbeam/datanodes/DataNodes.java
+++ b/src/main/java/postbeam/datanodes/DataNodes.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.xnio.XnioIoThread;
+import postbeam.dispatch.AttemptListener;
 import postbeam.router.Call;
-import postbeam.router.Decisions;
 import postbeam.router.Ending;
 import postbeam.setup.Startup;
 import postbeam.state.Outcome;
@@ -22,7 +22,7 @@
     private static final System.Logger LOG = System.getLogger(DataNodes.class.getName());
 
     private final XnioIoThread io;
-    private final Decisions decisions;
+    private final AttemptListener listener;
     private final int partsAConnection;
     private final Duration connectWithin;
     private final Duration idleMost;
@@ -33,10 +33,10 @@
     private final Map<Call, NodeConnection> carriers = new IdentityHashMap<>();
     private int connections;
 
-    public DataNodes(XnioIoThread io, Decisions decisions, int partsAConnection, Duration connectWithin,
+    public DataNodes(XnioIoThread io, AttemptListener listener, int partsAConnection, Duration connectWithin,
             Duration idleMost, int connectionsMost, boolean loadReports) {
         this.io = io;
-        this.decisions = decisions;
+        this.listener = listener;
         this.partsAConnection = partsAConnection;
         this.connectWithin = connectWithin;
         this.idleMost = idleMost;
@@ -50,7 +50,7 @@
         io.execute(() -> {
             NodeConnection connection = connection(address, calls.size());
             if (connection == null) {
-                decisions.report(calls.stream().map(call -> new Ending(call, Outcome.UNREACHABLE)).toList());
+                listener.report(calls.stream().map(call -> new Ending(call, Outcome.UNREACHABLE)).toList());
             } else {
                 connection.send(calls);
             }
@@ -72,7 +72,7 @@
         io.execute(() -> {
             NodeConnection connection = connection(address, 0);
             if (connection == null) {
-                decisions.probed(node, false);
+                listener.probed(node, false);
             } else {
                 connection.probe(node, probeLetter);
             }
@@ -91,7 +91,7 @@
                     connectionsMost);
             return null;
         }
-        NodeConnection connection = new NodeConnection(this, decisions, address, connectWithin, idleMost);
+        NodeConnection connection = new NodeConnection(this, listener, address, connectWithin, idleMost);
         try {
             connection.open(io, Startup.socketAddress(address));
         } catch (RuntimeException e) {
--- a/src/main/java/postbeam/datanodes/NodeConnection.java
+++ b/src/main/java/postbeam/datanodes/NodeConnection.java
@@ -24,8 +24,8 @@
 import org.xnio.XnioIoThread;
 import org.xnio.conduits.ConduitStreamSinkChannel;
 import org.xnio.conduits.ConduitStreamSourceChannel;
+import postbeam.dispatch.AttemptListener;
 import postbeam.router.Call;
-import postbeam.router.Decisions;
 import postbeam.router.Ending;
 import postbeam.state.Outcome;
 
@@ -56,7 +56,7 @@
 
     final String address;
     private final DataNodes owner;
-    private final Decisions decisions;
+    private final AttemptListener listener;
     private final Duration connectWithin;
     private final Duration idleMost;
     private final Deque<Waiting> waiting = new ArrayDeque<>();
@@ -78,9 +78,9 @@
     private boolean doubtful;
     private boolean closed;
 
-    NodeConnection(DataNodes owner, Decisions decisions, String address, Duration connectWithin, Duration idleMost) {
+    NodeConnection(DataNodes owner, AttemptListener listener, String address, Duration connectWithin, Duration idleMost) {
         this.owner = owner;
-        this.decisions = decisions;
+        this.listener = listener;
         this.address = address;
         this.connectWithin = connectWithin;
         this.idleMost = idleMost;
@@ -241,7 +241,7 @@
                 }
             }
             if (!endings.isEmpty()) {
-                decisions.report(endings);
+                listener.report(endings);
             }
             if (!live.isEmpty()) {
                 writing = Frames.call(live);
@@ -282,7 +282,7 @@
             broken = "read failed: " + e;
         }
         if (!endings.isEmpty()) {
-            decisions.report(endings);
+            listener.report(endings);
         }
         if (broken != null) {
             close(broken, spoilt);
@@ -353,7 +353,7 @@
                 if (node == null) {
                     throw new Frames.BadFrame("an answer to no probe");
                 }
-                decisions.probed(node, !"bad".equals(new String(rest, StandardCharsets.UTF_8)));
+                listener.probed(node, !"bad".equals(new String(rest, StandardCharsets.UTF_8)));
             }
             case Frames.UNUSABLE -> throw new Frames.BadFrame("the node could not use a frame: "
                     + new String(rest, StandardCharsets.UTF_8));
@@ -407,8 +407,8 @@
                     endings.size());
         }
         if (!endings.isEmpty()) {
-            decisions.report(endings);
+            listener.report(endings);
         }
-        probes.forEach(node -> decisions.probed(node, false));
+        probes.forEach(node -> listener.probed(node, false));
     }
 }
--- a/src/main/java/postbeam/router/Asked.java
+++ b/src/main/java/postbeam/router/Asked.java
@@ -19,7 +19,7 @@
     public record AskedPart(int shard, double weight, Duration work) { }
 
     /** The same under an id of its own, which no client's can be: asking again for its page. */
-    Asked again(int round) {
+    public Asked again(int round) {
         return new Asked(id + "." + round, vertical, owner, patience, parts, text, layout, repeat, page);
     }
 
--- a/src/main/java/postbeam/router/Call.java
+++ b/src/main/java/postbeam/router/Call.java
@@ -4,13 +4,13 @@
 import java.util.Collection;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import postbeam.pages.Partial;
+import postbeam.dispatch.ClientPresence;
 import postbeam.state.LeafCall;
 import postbeam.state.Outcome;
 
 /** A leaf call as the network sees it. */
-public final class Call {
-    final LeafCall leaf;
+public class Call {
+    public final LeafCall leaf;
     /** Its part's id, the shard and the text to carry. */
     public final String id;
     public final int shard;
@@ -18,29 +18,25 @@
     /** What a data node is told beside how long is waited; empty but where slices move. */
     private final String more;
     private final long untilNanos;
-    private final OpenQuery query;
+    private final ClientPresence client;
     private volatile boolean over;
     /** How it ends where it is not written by then; null: it may be written at any time. */
     private volatile Limit limit;
-    /** Reads what comes for a page; null where none was asked for. */
-    final Paged paged;
-    /** What was read of it. */
-    Partial rows;
 
     private record Limit(long nanos, Outcome outcome) { }
 
-    Call(OpenQuery query, LeafCall leaf, String id, String more, byte[] text, long untilNanos, Paged paged) {
-        this.query = query;
+    public Call(ClientPresence client, LeafCall leaf, String id, String more, byte[] text, long untilNanos) {
+        this.client = client;
         this.leaf = leaf;
         this.shard = leaf.part.shard;
         this.id = id;
         this.more = more;
         this.text = text;
         this.untilNanos = untilNanos;
-        this.paged = paged;
     }
 
-    void end() {
+    /** Nobody waits for it from here on. */
+    public void end() {
         over = true;
     }
 
@@ -50,7 +46,7 @@
     }
 
     /** It is not to be written after this; where it is not by then it ends so. */
-    void notAfter(long nanos, Outcome outcome) {
+    public void notAfter(long nanos, Outcome outcome) {
         Limit held = limit;
         if (held == null || held.nanos - nanos > 0) {
             limit = new Limit(nanos, outcome);
@@ -70,13 +66,13 @@
      * late. It costs a read that finds nothing for each query.
      */
     public static void checkClients(Collection<Call> calls) {
-        Set<OpenQuery> queries = new LinkedHashSet<>();
+        Set<ClientPresence> clients = new LinkedHashSet<>();
         for (Call call : calls) {
             if (!call.over) {
-                queries.add(call.query);
+                clients.add(call.client);
             }
         }
-        queries.forEach(OpenQuery::checkClient);
+        clients.forEach(ClientPresence::check);
     }
 
     /** How long its answer will be waited for; at least 1. */
--- a/src/main/java/postbeam/router/Decisions.java
+++ b/src/main/java/postbeam/router/Decisions.java
@@ -15,6 +15,7 @@
 import java.util.concurrent.locks.ReentrantLock;
 import postbeam.Decide;
 import postbeam.Host;
+import postbeam.dispatch.AttemptListener;
 import postbeam.pages.Ask;
 import postbeam.roster.Roster;
 import postbeam.roster.Told;
@@ -42,7 +43,7 @@
  * next thing to do, {@link #report} tells how leaf calls ended, {@link #tick} does what time brings. Sole
  * owner of Decide and of its lock, under which nothing waits for a peer.
  */
-public final class Decisions implements Host {
+public final class Decisions implements Host, AttemptListener {
     private static final System.Logger LOG = System.getLogger(Decisions.class.getName());
 
     /** Times what deciding took, until it is done again: it then takes a quarter of the core at most. */
@@ -292,8 +293,10 @@
      * Tells how leaf calls ended, each once; one that has ended otherwise meanwhile is passed over. Spoilt rows are an
      * error of the node, and the part may go to another.
      */
+    @Override
     public void report(List<Ending> told) {
-        List<Ending> endings = paging == null ? told : told.stream().map(Decisions::read).toList();
+        // Before the lock is taken: it may be much to read.
+        List<Ending> endings = paging == null ? told : told.stream().map(PagedCall::read).toList();
         lock.lock();
         try {
             Duration now = now();
@@ -303,16 +306,7 @@
         }
     }
 
-    /** Before the lock is taken: it may be much to read. */
-    private static Ending read(Ending ending) {
-        Call call = ending.call();
-        if (call.paged == null || ending.outcome() != Outcome.MERGED) {
-            return ending;
-        }
-        call.rows = call.paged.read(call.id, ((Piece) call.leaf.part).keys, ending.value());
-        return new Ending(call, call.rows == null ? Outcome.ERROR : Outcome.MERGED);
-    }
-
+    @Override
     public void probed(String node, boolean answered) {
         lock.lock();
         try {
@@ -596,7 +590,7 @@
             if (q.paged == null) {
                 q.values.putIfAbsent(leaf.part, ending.value());
             } else {
-                q.rows.putIfAbsent(leaf.part, ending.call().rows);
+                q.rows.putIfAbsent(leaf.part, PagedCall.rows(ending.call()));
             }
         }
         tried(q, () -> ended(now, leaf, ending.outcome()));
@@ -658,8 +652,9 @@
             id += "-" + Long.toHexString(keys.from());
             more = ",v=" + slicing.held().version + ",k=" + keys + (q.paged == null ? "" : ",p=" + q.paged.askBytes);
         }
-        Call call = new Call(q, leaf, id, more, q.paged == null ? q.asked.text() : q.paged.text,
-                startNanos + until.toNanos(), q.paged);
+        long untilNanos = startNanos + until.toNanos();
+        Call call = q.paged == null ? new Call(q, leaf, id, more, q.asked.text(), untilNanos)
+                : q.paged.call(q, leaf, id, more, untilNanos);
         if (leaf.sendBy != null) {
             call.notAfter(startNanos + leaf.sendBy.toNanos(), Outcome.NEVER_SENT);
         }
--- a/src/main/java/postbeam/router/OpenQuery.java
+++ b/src/main/java/postbeam/router/OpenQuery.java
@@ -7,12 +7,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.locks.Condition;
+import postbeam.dispatch.ClientPresence;
 import postbeam.pages.Partial;
 import postbeam.state.Part;
 import postbeam.state.Query;
 
 /** A query that is being served: what its thread has to do next, and the values that are in. */
-public final class OpenQuery {
+public final class OpenQuery implements ClientPresence {
     final Asked asked;
     final Query query;
     final Condition changed;
@@ -53,7 +54,8 @@
         clientCheck = first.clientCheck;
     }
 
-    void checkClient() {
+    @Override
+    public void check() {
         clientCheck.run();
     }
 
--- a/src/main/java/postbeam/router/Paged.java
+++ b/src/main/java/postbeam/router/Paged.java
@@ -17,6 +17,7 @@
 import postbeam.pages.RowForm;
 import postbeam.slices.KeyRange;
 import postbeam.slices.Pin;
+import postbeam.state.LeafCall;
 
 /**
  * One page on its way: what its parts are asked, what they gave, and the page at the end. A further ask is one of its
@@ -47,6 +48,11 @@
         System.arraycopy(ask, 0, text, queryText.length, ask.length);
     }
 
+    /** An attempt whose answer is rows of this page. */
+    Call call(OpenQuery query, LeafCall leaf, String id, String more, long untilNanos) {
+        return new PagedCall(query, leaf, id, more, untilNanos, this);
+    }
+
     /** A further ask of the same page, with the text of the query itself. */
     Paged further(List<Ask> next, long heldVersion, List<Pin.Named> names) {
         return new Paged(assembly, next, heldVersion, names, Arrays.copyOf(text, text.length - askBytes));
--- a/src/main/java/postbeam/router/Rehearsal.java
+++ b/src/main/java/postbeam/router/Rehearsal.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import postbeam.clients.ClientDoor;
+import postbeam.dispatch.PendingQuery;
 import postbeam.roster.Entry;
 import postbeam.roster.Told;
 import postbeam.slices.Unroutable;
@@ -65,7 +66,7 @@
             for (int part = 0; part < count; part++) {
                 parts.add(new Asked.AskedPart((i + part) % shards, 1.0 / count, null));
             }
-            OpenQuery q = take(new Asked("r" + i, verticals.get(i % verticals.size()), owner, PATIENCE, parts, VALUE),
+            OpenQuery q = takeOpen(new Asked("r" + i, verticals.get(i % verticals.size()), owner, PATIENCE, parts, VALUE),
                     Duration.ZERO);
             if (q != null) {
                 open.add(q);
@@ -120,7 +121,12 @@
     }
 
     @Override
-    public OpenQuery take(Asked asked, Duration age) {
+    public PendingQuery take(Asked asked, Duration age) {
+        OpenQuery q = takeOpen(asked, age);
+        return q == null ? null : new RehearsedQuery(q);
+    }
+
+    private OpenQuery takeOpen(Asked asked, Duration age) {
         try {
             return decisions.take(asked, age);
         } catch (Unroutable e) {
@@ -128,18 +134,32 @@
         }
     }
 
-    @Override
-    public Step serve(OpenQuery q) throws InterruptedException {
-        Step last;
-        while ((last = advance(q)) == null) {
-            Thread.sleep(1);
+    /** A query as the rehearsed client connection sees it. */
+    private final class RehearsedQuery implements PendingQuery {
+        private final OpenQuery query;
+
+        RehearsedQuery(OpenQuery query) {
+            this.query = query;
         }
-        return last;
-    }
 
-    @Override
-    public void left(OpenQuery q) {
-        decisions.left(q);
+        @Override
+        public Step serve() throws InterruptedException {
+            Step last;
+            while ((last = advance(query)) == null) {
+                Thread.sleep(1);
+            }
+            return last;
+        }
+
+        @Override
+        public void clientLeft() {
+            decisions.left(query);
+        }
+
+        @Override
+        public void clientCheck(Runnable check) {
+            query.clientCheck(check);
+        }
     }
 
     @Override
--- a/src/main/java/postbeam/router/Router.java
+++ b/src/main/java/postbeam/router/Router.java
@@ -21,6 +21,7 @@
 import postbeam.discovery.ListForm;
 import postbeam.discovery.LongPoll;
 import postbeam.discovery.Watch;
+import postbeam.dispatch.PendingQuery;
 import postbeam.layouts.LayoutWatch;
 import postbeam.pages.Ask;
 import postbeam.roster.DiscoveryPacing;
@@ -301,12 +302,36 @@
     }
 
     @Override
-    public OpenQuery take(Asked asked, Duration age) throws Unroutable {
-        return decisions.take(asked, age);
+    public PendingQuery take(Asked asked, Duration age) throws Unroutable {
+        OpenQuery q = decisions.take(asked, age);
+        return q == null ? null : new ServedQuery(q);
     }
 
-    @Override
-    public Step serve(OpenQuery q) throws InterruptedException {
+    /** A query as its client's connection sees it. */
+    private final class ServedQuery implements PendingQuery {
+        private final OpenQuery query;
+
+        ServedQuery(OpenQuery query) {
+            this.query = query;
+        }
+
+        @Override
+        public Step serve() throws InterruptedException {
+            return Router.this.serve(query);
+        }
+
+        @Override
+        public void clientLeft() {
+            decisions.left(query);
+        }
+
+        @Override
+        public void clientCheck(Runnable check) {
+            query.clientCheck(check);
+        }
+    }
+
+    private Step serve(OpenQuery q) throws InterruptedException {
         Step last = served(q);
         return q.paged != null && last instanceof Step.Answer answer
                 ? paging.given(q, answer, asks -> further(q, asks)) : last;
@@ -337,11 +362,6 @@
         }
     }
 
-    @Override
-    public void left(OpenQuery q) {
-        decisions.left(q);
-    }
-
     @Override
     public boolean ready() {
         return ready;
--- a/src/main/java/postbeam/router/Step.java
+++ b/src/main/java/postbeam/router/Step.java
@@ -21,7 +21,7 @@
      * null where none was asked for.
      */
     record Answer(boolean whole, List<Value> values, long layout, PageGiven page) implements Step {
-        Answer(boolean whole, List<Value> values, long layout) {
+        public Answer(boolean whole, List<Value> values, long layout) {
             this(whole, values, layout, null);
         }
     }
--- a/src/test/java/postbeam/clients/ClientDoorTest.java
+++ b/src/test/java/postbeam/clients/ClientDoorTest.java
@@ -24,9 +24,8 @@
 import org.xnio.Options;
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
+import postbeam.dispatch.PendingQuery;
 import postbeam.router.Asked;
-import postbeam.router.OpenQuery;
-import postbeam.router.Step;
 
 @Timeout(30)
 class ClientDoorTest {
@@ -40,18 +39,10 @@
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         door = new ClientDoor(worker, new InetSocketAddress("127.0.0.1", 0), new ClientDoor.Queries() {
             @Override
-            public OpenQuery take(Asked asked, Duration age) {
+            public PendingQuery take(Asked asked, Duration age) {
                 throw new UnsupportedOperationException();
             }
 
-            @Override
-            public Step serve(OpenQuery q) {
-                throw new UnsupportedOperationException();
-            }
-
-            @Override
-            public void left(OpenQuery q) { }
-
             @Override
             public boolean ready() {
                 return true;
--- a/src/test/java/postbeam/router/DecisionsTest.java
+++ b/src/test/java/postbeam/router/DecisionsTest.java
@@ -27,6 +27,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 import postbeam.clients.ClientDoor;
+import postbeam.dispatch.PendingQuery;
 import postbeam.roster.Entry;
 import postbeam.roster.Told;
 import postbeam.setup.Info;
@@ -237,21 +238,11 @@
         AtomicInteger taken = new AtomicInteger();
         ClientDoor door = new ClientDoor(worker, null, new ClientDoor.Queries() {
             @Override
-            public OpenQuery take(Asked asked, Duration age) {
+            public PendingQuery take(Asked asked, Duration age) {
                 taken.incrementAndGet();
                 return rehearsal.take(asked, age);
             }
 
-            @Override
-            public Step serve(OpenQuery q) throws InterruptedException {
-                return rehearsal.serve(q);
-            }
-
-            @Override
-            public void left(OpenQuery q) {
-                rehearsal.left(q);
-            }
-
             @Override
             public boolean ready() {
                 return false;
