--- /dev/null
+++ b/src/test/java/postbeam/benchlink/RecordedSessionTest.java
@@ -0,0 +1,72 @@
+package postbeam.benchlink;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+
+import java.io.ByteArrayInputStream;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.zip.GZIPInputStream;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Feeds recorded simulator sessions to the simulator's wire and compares what comes out byte for byte. A refactoring
+ * of the routing policy must not change a single decision; a change of the policy itself needs new recordings.
+ */
+class RecordedSessionTest {
+    /** Tenants' quotas, deduplicated and two-step queries, a stopped and restarted instance, unreachable nodes. */
+    @Test
+    void tenantsAndRestartAreDecidedAsRecorded() throws IOException {
+        assertSessionAsRecorded("tenants-and-restart");
+    }
+
+    /** Queries with side effects, no duplicates allowed, nodes that reject for lack of capacity, aborted queries. */
+    @Test
+    void sideEffectsAndFullNodesAreDecidedAsRecorded() throws IOException {
+        assertSessionAsRecorded("side-effects-and-full-nodes");
+    }
+
+    /** Hedged requests within a retry budget, resets, timeouts, health probes. */
+    @Test
+    void hedgedRequestsAndResetsAreDecidedAsRecorded() throws IOException {
+        assertSessionAsRecorded("hedged-requests-and-resets");
+    }
+
+    /** Queries that crash nodes, clients that leave early, partial answers, rejections. */
+    @Test
+    void partialAnswersAndLostClientsAreDecidedAsRecorded() throws IOException {
+        assertSessionAsRecorded("partial-answers-and-lost-clients");
+    }
+
+    private static void assertSessionAsRecorded(String session) throws IOException {
+        byte[] input = recorded(session + ".in.gz");
+        byte[] expected = recorded(session + ".out.gz");
+        ByteArrayOutputStream actual = new ByteArrayOutputStream();
+        new Door(new ByteArrayInputStream(input), actual).run();
+        assertSameLines(expected, actual.toByteArray());
+        assertArrayEquals(expected, actual.toByteArray());
+    }
+
+    /** Names the first line that differs, which says more than a difference of thousands of lines. */
+    private static void assertSameLines(byte[] expected, byte[] actual) {
+        List<String> expectedLines = new String(expected, StandardCharsets.UTF_8).lines().toList();
+        List<String> actualLines = new String(actual, StandardCharsets.UTF_8).lines().toList();
+        for (int i = 0; i < Math.min(expectedLines.size(), actualLines.size()); i++) {
+            assertEquals(expectedLines.get(i), actualLines.get(i), "output line " + (i + 1));
+        }
+        assertEquals(expectedLines.size(), actualLines.size(), "output lines");
+    }
+
+    private static byte[] recorded(String file) throws IOException {
+        try (InputStream packed = RecordedSessionTest.class.getResourceAsStream("/samples/simulator/" + file)) {
+            assertNotNull(packed, file);
+            try (GZIPInputStream unpacked = new GZIPInputStream(packed)) {
+                return unpacked.readAllBytes();
+            }
+        }
+    }
+}
