--- a/src/main/java/postbeam/Decide.java
+++ b/src/main/java/postbeam/Decide.java
@@ -129,6 +129,11 @@
         }
     }
 
+    /** Whether the node is left alone for now, as it lately failed. */
+    public boolean isEjected(DataNode node) {
+        return node.avoidUntil != null;
+    }
+
     // ---- what can happen
     public void nodeListed(Duration now, DataNode node, Readiness readiness, Duration startedAt) {
         boolean fresh = node.workSent == null;
@@ -141,21 +146,20 @@
         }
         if (readiness == Readiness.GONE) {
             fleet.remove(node);
-        } else if (fresh || node.readiness == Readiness.GONE) {
+        } else if (fresh || node.readiness() == Readiness.GONE) {
             fleet.add(node);
         }
-        if (!fresh && node.readiness == Readiness.READY && (readiness == Readiness.GONE
-                || startedAt != null && !startedAt.equals(node.startedAt))) {
+        if (!fresh && node.readiness() == Readiness.READY && (readiness == Readiness.GONE
+                || startedAt != null && !startedAt.equals(node.startedAt()))) {
             crashes.add(now, 1);
         }
-        if (startedAt != null && !startedAt.equals(node.startedAt)) {
+        if (startedAt != null && !startedAt.equals(node.startedAt())) {
             node.slowness = 0;
             node.strikes = 0;
             node.avoidUntil = null;
             node.probing = false;
         }
-        node.readiness = readiness;
-        node.startedAt = startedAt;
+        node.update(readiness, startedAt);
         if (startedAt != null && node.downAt != null && node.downAt.compareTo(startedAt) < 0) {
             node.downAt = null;
         }
@@ -164,8 +168,10 @@
     public void queryArrived(Duration now, Query q) {
         open.add(q);
         further.taken().add(now, 1);
-        dateBack(q.vertical, q, q.deadline.minus(now));
-        q.overShare = held.beyondShare(now, q.customer);
+        dateBack(q.queryClass(), q, q.deadline.minus(now));
+        if (held.beyondShare(now, q.customer)) {
+            q.markOverQuota();
+        }
     }
 
     /**
@@ -174,12 +180,12 @@
      * where clients give their repeats less time for reasons of their own.
      */
     private static void dateBack(Vertical v, Query q, Duration wait) {
-        if (!q.repeat) {
+        if (!q.isClientRetry()) {
             v.firstWait = v.firstWait == null || wait.compareTo(v.firstWait) < 0 ? wait
                     : v.firstWait.plus(times(wait.minus(v.firstWait), SMOOTHING));
         } else if (v.allWait != null && v.firstWait != null
                 && wait.plus(LAST_WORD).compareTo(v.firstWait) < 0) {
-            q.askedAt = q.deadline.minus(v.allWait);
+            q.backdateTo(q.deadline.minus(v.allWait));
         }
     }
 
@@ -203,19 +209,23 @@
         }
         learn(now, call, outcome, took);
         call.node.downAt = outcome == Outcome.UNREACHABLE ? now : call.node.downAt;
-        q.resets += outcome == Outcome.RESET ? 1 : 0;
-        q.poisoned |= outcome == Outcome.RESET && call.scout;
-        if (outcome == Outcome.MERGED && !q.ended && !part.merged) {
-            part.merged = true;
+        if (outcome == Outcome.RESET) {
+            q.recordReset();
+            if (call.isCanary()) {
+                q.markPoisoned();
+            }
+        }
+        if (outcome == Outcome.MERGED && !q.hasEnded() && !part.isAnswered()) {
+            part.markAnswered();
             // Guards against a wide window while every node is slow, which no rejection tells: late parts
             // narrow it where the usual node is slow too. It grows only in use.
-            Duration limit = times(q.vertical.sloTime, LATE_SHARE);
-            boolean late = took.compareTo(limit) > 0 && usualTime(now, q.vertical, 2).compareTo(limit) > 0;
+            Duration limit = times(q.queryClass().sloTime, LATE_SHARE);
+            boolean late = took.compareTo(limit) > 0 && usualTime(now, q.queryClass(), 2).compareTo(limit) > 0;
             window = Math.max(leastWindow(), late ? window - LATE_STEP
                     : inFlight + 1 >= window * IN_USE_SHARE ? window + 1 : window);
             cancelAll(part);
         } else if (outcome == Outcome.NEVER_SENT || partOver) {
-            part.closed = true;
+            part.close();
         }
     }
 
@@ -254,14 +264,14 @@
     // ---- when to answer, and when to give up
     private void settle(Duration now, Query q) {
         double in = q.mergedWeight();
-        double possible = q.weightOf(part -> part.merged || !part.out.isEmpty() || mayStillSend(now, part));
+        double possible = q.weightOf(part -> part.isAnswered() || !part.out.isEmpty() || mayStillSend(now, part));
         Duration left = q.deadline.minus(now);
         boolean coming = q.parts.isEmpty(); // a second step's parts come a turn after the first is answered
-        if (!coming && in + ROUNDING >= q.vertical.need) {
+        if (!coming && in + ROUNDING >= q.queryClass().need) {
             answerWhole(q);
-        } else if (left.compareTo(LAST_WORD) <= 0 || q.poisoned || partialIsBest(now, q, in)
-                || !coming && possible + ROUNDING < q.vertical.need
-                && (in + ROUNDING >= possible || possible + ROUNDING < q.vertical.floor)
+        } else if (left.compareTo(LAST_WORD) <= 0 || q.isPoisoned() || partialIsBest(now, q, in)
+                || !coming && possible + ROUNDING < q.queryClass().need
+                && (in + ROUNDING >= possible || possible + ROUNDING < q.queryClass().floor)
                 || lateForGood(now, q) || q.untouched() && noLongerBegun(now, q)) {
             giveUp(now, q);
         }
@@ -269,7 +279,7 @@
 
     /** The answer to all that was asked so far: the final one, or what brings the second step's parts. */
     private void answerWhole(Query q) {
-        if (q.vertical.second == null) {
+        if (q.queryClass().second == null) {
             end(q);
         } else {
             q.parts.forEach(this::cancelAll);
@@ -280,19 +290,19 @@
 
     /** What is only late may still come: throwing it away would feed an overload. */
     private boolean lateForGood(Duration now, Query q) {
-        return tooLate(now, q, 1) && (q.vertical.lateUtility == 0 || crowded && (q.alpha() > q.out()
-                || now.minus(q.sloAt()).compareTo(times(q.vertical.sloTime, STUCK_SHARE)) > 0));
+        return tooLate(now, q, 1) && (q.queryClass().lateUtility == 0 || crowded && (q.alpha() > q.out()
+                || now.minus(q.sloAt()).compareTo(times(q.queryClass().sloTime, STUCK_SHARE)) > 0));
     }
 
     /** Guards against overload of any cause: what can't begin soon is told so while its client can act. */
     private boolean noLongerBegun(Duration now, Query q) {
-        double waited = seconds(now.minus(q.arrivedAt)) / seconds(q.vertical.sloTime);
+        double waited = seconds(now.minus(q.arrivedAt)) / seconds(q.queryClass().sloTime);
         return hopeless(now, q) || waited > START_SHARE || waited > START_SHARE_LITTLE && worthLittle(now, q);
     }
 
     /** The SLO time is about to pass, and what is in is worth more now than a whole answer after it. */
     private static boolean partialIsBest(Duration now, Query q, double in) {
-        Vertical v = q.vertical;
+        Vertical v = q.queryClass();
         return v.second == null && v.floor < v.need && in + ROUNDING >= v.floor
                 && v.shortUtility * in / v.need > v.lateUtility
                 && now.plus(LAST_WORD).compareTo(q.sloAt()) >= 0;
@@ -300,8 +310,8 @@
 
     /** Its SLO time is over, or so many usual times for what is unsent last past its end. */
     private boolean tooLate(Duration now, Query q, double rounds) {
-        Duration done = q.alpha() > q.out() ? now.plus(usualTime(now, q.vertical, rounds)) : now;
-        done = q.vertical.second == null ? done : done.plus(usualTime(now, q.vertical.second, 1));
+        Duration done = q.alpha() > q.out() ? now.plus(usualTime(now, q.queryClass(), rounds)) : now;
+        done = q.queryClass().second == null ? done : done.plus(usualTime(now, q.queryClass().second, 1));
         return done.compareTo(q.sloAt()) >= 0;
     }
 
@@ -310,18 +320,18 @@
      * While nothing else is out it is tried: what was learnt may be out of date.
      */
     private boolean hopeless(Duration now, Query q) {
-        double slowest = q.vertical.anyN() || q.parts.size() == 1 ? 1
-                : Math.max(SLOWEST_TIMES, q.vertical.floor * q.parts.size() / window);
+        double slowest = q.queryClass().anyN() || q.parts.size() == 1 ? 1
+                : Math.max(SLOWEST_TIMES, q.queryClass().floor * q.parts.size() / window);
         Duration left = min(q.sloAt(), q.deadline.minus(LAST_WORD)).minus(now);
-        Vertical second = q.vertical.second;
+        Vertical second = q.queryClass().second;
         left = second == null ? left : left.minus(usualTime(now, second, slowest));
-        return inFlight > 0 && q.vertical.quietTime != null
-                && left.compareTo(usualTime(now, q.vertical, slowest)) < 0;
+        return inFlight > 0 && q.queryClass().quietTime != null
+                && left.compareTo(usualTime(now, q.queryClass(), slowest)) < 0;
     }
 
     /** What the window as it is would bring too late only comes last: the window grows in use. */
     private boolean worthLittle(Duration now, Query q) {
-        return q.overShare || tooLate(now, q, 1 + q.alpha() / window) || q.untouched() && !placeable(now, q);
+        return q.isOverQuota() || tooLate(now, q, 1 + q.alpha() / window) || q.untouched() && !placeable(now, q);
     }
 
     /**
@@ -332,17 +342,17 @@
         chooseOffset(now, q);
         return q.alpha() <= q.count(part -> {
             DataNode node = chooseNode(now, part);
-            return node != null && !suspect(now, node, q.vertical);
+            return node != null && !suspect(now, node, q.queryClass());
         });
     }
 
     /** The final answer at once: from what is in where the floor allows it, else rejected where harmless. */
     private void giveUp(Duration now, Query q) {
         double in = q.mergedWeight();
-        boolean harmless = q.vertical.effect == Effect.REPEATABLE || q.firstStep.isEmpty()
-                && q.count(part -> part.mayHaveRunSince != null || !part.out.isEmpty()) == 0;
+        boolean harmless = q.queryClass().effect == Effect.REPEATABLE || q.firstStep.isEmpty()
+                && q.count(part -> part.mayHaveExecutedSince() != null || !part.out.isEmpty()) == 0;
         end(q);
-        if (in > 0 && in + ROUNDING >= q.vertical.floor && q.vertical.second == null) {
+        if (in > 0 && in + ROUNDING >= q.queryClass().floor && q.queryClass().second == null) {
             host.answer(q, false);
         } else if (harmless) {
             host.reject(q, held.comeBack(crowded));
@@ -352,7 +362,7 @@
     }
 
     private void end(Query q) {
-        q.ended = true;
+        q.end();
         open.remove(q);
         crowded = held.crowded(open);
         q.parts.forEach(this::cancelAll);
@@ -360,8 +370,8 @@
 
     private void cancelAll(Part part) {
         for (LeafCall call : part.out) {
-            if (calls.mayCancel && !call.cancelAsked) {
-                call.cancelAsked = true;
+            if (calls.mayCancel && !call.isCancellationRequested()) {
+                call.requestCancellation();
                 host.cancel(call);
             }
         }
@@ -375,8 +385,8 @@
 
     private boolean counted(Duration now, Part part) {
         for (LeafCall call : part.out) {
-            if (!call.cancelAsked && !lost(now, call)) {
-                return !part.merged;
+            if (!call.isCancellationRequested() && !lost(now, call)) {
+                return !part.isAnswered();
             }
         }
         return false;
@@ -417,7 +427,7 @@
 
     /** Sends the query's next part; false where none. In a narrow window a spare lengthens the wait. */
     private boolean sendNext(Duration now, Query q, int value) {
-        boolean anyN = q.vertical.anyN();
+        boolean anyN = q.queryClass().anyN();
         if (value <= 0 && (!anyN || window < WINDOW_START || spares + 1 > SPARE_SHARE * (inFlight + 1))
                 || anyN && q.out() > q.alpha() || scouted(now, q) && delta(now, q) > 0) {
             return false;
@@ -427,7 +437,7 @@
         DataNode bestNode = null;
         double bestRank = Double.MAX_VALUE;
         for (Part part : q.parts) {
-            DataNode node = part.merged || counted(now, part) || !maySendNow(now, part) ? null
+            DataNode node = part.isAnswered() || counted(now, part) || !maySendNow(now, part) ? null
                     : chooseNode(now, part);
             if (node == null) {
                 continue;
@@ -435,8 +445,8 @@
             // First parts before copies. Where any n will do, those whose nodes have least to do; where less
             // than all will do, the quickest: what a few popular shards jam is left for the end.
             double rank = (part.out.isEmpty() ? 0 : 1000) + (anyN ? node.callsOut()
-                    + (suspect(now, node, q.vertical) ? SUSPECT_CALLS : 0)
-                    : q.vertical.floor < 1 ? (1 + node.out.size()) * beside(now, node) : 0);
+                    + (suspect(now, node, q.queryClass()) ? SUSPECT_CALLS : 0)
+                    : q.queryClass().floor < 1 ? (1 + node.out.size()) * beside(now, node) : 0);
             if (rank < bestRank) {
                 bestPart = part;
                 bestNode = node;
@@ -456,20 +466,23 @@
      * the time of a part, and could hurt where nodes crash for other reasons and time is short.
      */
     private boolean scouted(Duration now, Query q) {
-        return q.count(part -> part.merged) == 0
-                && (q.resets > 0 || crashes.atLeast(now, CRASH_MEMORY) >= CRASHES_LEAST);
+        return q.count(part -> part.isAnswered()) == 0
+                && (q.resetCount() > 0 || crashes.atLeast(now, CRASH_MEMORY) >= CRASHES_LEAST);
     }
 
     private void send(Duration now, Part part, DataNode node) {
         if (!part.calls.isEmpty()) {
             further.sent().add(now, 1);
         }
-        cold.sent(now, node, fleet.tookAt(part.shard, node), cold.work(part, quiet(part.query.vertical)));
+        cold.sent(now, node, fleet.tookAt(part.shard, node), cold.work(part, quiet(part.query.queryClass())));
         LeafCall call = new LeafCall(part, node, now, timeout(now, part.query));
-        call.scout = scouted(now, part.query);
+        if (scouted(now, part.query)) {
+            call.markCanary();
+        }
         // What is decided on in the window may wait for a connection past its end.
-        call.sendBy = part.query.vertical.effect != Effect.DEDUPLICATED || part.mayHaveRunSince == null ? null
-                : part.mayHaveRunSince.plus(part.query.vertical.repeatWindow).minus(LOOK);
+        if (part.query.queryClass().effect == Effect.DEDUPLICATED && part.mayHaveExecutedSince() != null) {
+            call.limitSendTime(part.mayHaveExecutedSince().plus(part.query.queryClass().repeatWindow).minus(LOOK));
+        }
         node.zone.trial = node.zone.strikes > 0 && !shunned(now, node.zone) ? call : node.zone.trial;
         inFlight++;
         host.send(call);
@@ -477,8 +490,8 @@
 
     /** A leaf call runs as long as its answer is of use; a side-effecting one as long as its client waits. */
     private static Duration timeout(Duration now, Query q) {
-        Duration useful = (q.vertical.lateUtility > 0 ? q.deadline : q.sloAt()).minus(now);
-        return q.vertical.effect == Effect.SIDE_EFFECTING ? null : Collections.max(List.of(LOOK, useful));
+        Duration useful = (q.queryClass().lateUtility > 0 ? q.deadline : q.sloAt()).minus(now);
+        return q.queryClass().effect == Effect.SIDE_EFFECTING ? null : Collections.max(List.of(LOOK, useful));
     }
 
     /**
@@ -487,12 +500,12 @@
      * wait their turn: when all nodes are slow that feeds the overload.
      */
     private void callBack(Duration now, Query q) {
-        Vertical v = q.vertical;
-        if (calls.mayDuplicate && (!q.vertical.anyN() || q.out() <= q.alpha())) {
+        Vertical v = q.queryClass();
+        if (calls.mayDuplicate && (!q.queryClass().anyN() || q.out() <= q.alpha())) {
             return;
         }
         for (Part part : q.parts) {
-            if (part.out.isEmpty() || part.merged || !mayStillSend(now, part)) {
+            if (part.out.isEmpty() || part.isAnswered() || !mayStillSend(now, part)) {
                 continue;
             }
             LeafCall call = part.out.get(0);
@@ -513,7 +526,7 @@
     // ---- which replica
     /** The offset whose nodes have fewest of our parts out; then the one that crosses zones least. */
     private void chooseOffset(Duration now, Query q) {
-        if (q.offset >= 0) {
+        if (q.hasReplicaOffset()) {
             return;
         }
         int most = q.parts.stream().mapToInt(part -> fleet.replicas(part.shard).size()).reduce(1, Math::max);
@@ -530,7 +543,7 @@
                     DataNode node = replicas.get(offset % replicas.size());
                     cost += node.zone.ours ? 0 : 0.01;
                     if (nodes.add(node) || !calls.shared) {
-                        cost += node.callsOut() + (suspect(now, node, q.vertical) ? SUSPECT_CALLS : 0);
+                        cost += node.callsOut() + (suspect(now, node, q.queryClass()) ? SUSPECT_CALLS : 0);
                     }
                 }
             }
@@ -539,7 +552,7 @@
                 best = offset;
             }
         }
-        q.offset = best;
+        q.chooseReplicaOffset(best);
     }
 
     /**
@@ -551,22 +564,22 @@
         DataNode best = null;
         double bestRank = Double.MAX_VALUE;
         for (int i = 0; i < replicas.size(); i++) {
-            DataNode node = replicas.get((part.query.offset + i) % replicas.size());
+            DataNode node = replicas.get((part.query.replicaOffset() + i) % replicas.size());
             // Guards against light parts alone passing, of which each router has some: they count as usual.
             Duration work = Collections.max(List.of(quiet(part.vertical), cold.work(part, Duration.ZERO)));
-            if (node.readiness != Readiness.READY || !cold.allows(now, node, fleet.tookAt(part.shard, node),
+            if (node.readiness() != Readiness.READY || !cold.allows(now, node, fleet.tookAt(part.shard, node),
                     work)) {
                 continue;
             }
             // What can't be sent again is no trial of a node that failed: one that hangs may answer probes.
-            double rank = suspect(now, node, part.query.vertical) ? 2
-                    : node.strikes > 0 && part.query.vertical.effect == Effect.SIDE_EFFECTING ? 1 : 0;
+            double rank = suspect(now, node, part.query.queryClass()) ? 2
+                    : node.strikes > 0 && part.query.queryClass().effect == Effect.SIDE_EFFECTING ? 1 : 0;
             // Guards against a part's few calls spent within a round trip on holders that are all down: one
             // that failed it gets it again once no longer left alone. It could hurt where it is back unseen.
             boolean here = false;
             for (LeafCall call : part.calls) {
                 rank += call.node == node ? 1 : 0;
-                here |= call.node == node && (!call.ended || node.avoidUntil != null);
+                here |= call.node == node && (!call.hasEnded() || node.avoidUntil != null);
             }
             double load = calls.shared ? 0 : (1 + node.out.size()) * beside(now, node);
             if (!here && (part.out.isEmpty() || rank == 0) && 100 * rank + load < bestRank) {
@@ -659,7 +672,7 @@
     }
 
     private boolean shunned(Duration now, Zone zone) {
-        boolean onTrial = zone.trial != null && !zone.trial.ended;
+        boolean onTrial = zone.trial != null && !zone.trial.hasEnded();
         return zone.strikes > 0 && (onTrial || now.compareTo(zone.avoidUntil) < 0)
                 && zones.stream().anyMatch(other -> other.strikes == 0);
     }
@@ -682,10 +695,10 @@
      */
     private void lookAfter(Duration now) {
         for (DataNode node : List.copyOf(resting)) {
-            if (node.avoidUntil == null || node.readiness == Readiness.GONE) {
+            if (node.avoidUntil == null || node.readiness() == Readiness.GONE) {
                 resting.remove(node);
             } else if (now.compareTo(node.avoidUntil) >= 0 && !node.probing) {
-                if (calls.mayProbe && node.readiness == Readiness.READY) {
+                if (calls.mayProbe && node.readiness() == Readiness.READY) {
                     node.probing = true;
                     host.probe(node);
                 } else {
@@ -740,20 +753,20 @@
     // ---- which further leaf calls are allowed
     /** Whether the part may get a leaf call now or later, as far as its past tells. */
     private boolean mayStillSend(Duration now, Part part) {
-        if (part.closed || part.calls.size() >= calls.most) {
+        if (part.isClosed() || part.calls.size() >= calls.most) {
             return false;
         }
-        Vertical v = part.query.vertical;
+        Vertical v = part.query.queryClass();
         return switch (v.effect) {
             case REPEATABLE -> true;
-            case DEDUPLICATED -> part.mayHaveRunSince == null
-                    || inWindow(now.plus(LOOK), part.mayHaveRunSince, v);
-            case SIDE_EFFECTING -> part.mayHaveRunSince == null;
+            case DEDUPLICATED -> part.mayHaveExecutedSince() == null
+                    || inWindow(now.plus(LOOK), part.mayHaveExecutedSince(), v);
+            case SIDE_EFFECTING -> part.mayHaveExecutedSince() == null;
         };
     }
 
     private boolean maySendNow(Duration now, Part part) {
-        boolean copy = calls.mayDuplicate && part.query.vertical.effect == Effect.REPEATABLE;
+        boolean copy = calls.mayDuplicate && part.query.queryClass().effect == Effect.REPEATABLE;
         return (part.out.isEmpty() || copy && part.out.size() < 2) && mayStillSend(now, part)
                 && (part.calls.isEmpty() || further.allowed(now));
     }
--- a/src/main/java/postbeam/benchlink/Instance.java
+++ b/src/main/java/postbeam/benchlink/Instance.java
@@ -111,7 +111,9 @@
                 throw new IllegalArgumentException("a vertical that the settings lack");
             }
             Query query = new Query(vertical, customers.get(group), now, now.plus(left));
-            query.repeat = (attrs & REPEAT) != 0;
+            if ((attrs & REPEAT) != 0) {
+                query.markClientRetry();
+            }
             queries.put(job, query);
             byNumber.put(number, query);
             numbers.put(query, number);
@@ -137,7 +139,7 @@
         boolean over = "1".equals(in.field());
         Duration took = Duration.ofNanos(in.number(0) * 1000);
         Part part = parts.get(job);
-        if (part == null || hop >= part.calls.size() || part.calls.get(hop).ended) {
+        if (part == null || hop >= part.calls.size() || part.calls.get(hop).hasEnded()) {
             return;
         }
         decide.leafCallEnded(now, part.calls.get(hop), outcome, took, over);
@@ -146,7 +148,7 @@
 
     void abandoned(Duration now, Lines in) {
         Query query = queries.get(in.text());
-        if (query != null && !query.ended) {
+        if (query != null && !query.hasEnded()) {
             decide.clientLeft(now, query);
             forgetIfDone(query);
         }
@@ -176,7 +178,7 @@
 
     /** An ended query is forgotten once the last of its leaf calls has reported back. */
     private void forgetIfDone(Query query) {
-        if (!query.ended) {
+        if (!query.hasEnded()) {
             return;
         }
         String job = ids.get(query);
--- a/src/main/java/postbeam/rig/PlantedSlicing.java
+++ b/src/main/java/postbeam/rig/PlantedSlicing.java
@@ -55,7 +55,7 @@
 
     @Override
     public Pin pinOf(Query query) {
-        return query.counting instanceof Mixed mixed ? mixed.pin : super.pinOf(query);
+        return query.completenessRule() instanceof Mixed mixed ? mixed.pin : super.pinOf(query);
     }
 
     private record Mixed(Pin pin) implements Counting {
--- a/src/main/java/postbeam/rig/VirtualRouter.java
+++ b/src/main/java/postbeam/rig/VirtualRouter.java
@@ -129,7 +129,7 @@
         if (q != null && outcome == Outcome.MERGED) {
             q.values.putIfAbsent(call.part, value);
         }
-        decide.leafCallEnded(world.now(), call, outcome, world.now().minus(call.sentAt), call.part.query.ended);
+        decide.leafCallEnded(world.now(), call, outcome, world.now().minus(call.sentAt), call.part.query.hasEnded());
         if (outcome == Outcome.MOVED) {
             slicing.left(call.part, call.node);
             world.after(Slicing.LEFT_FOR, () -> {
@@ -163,7 +163,7 @@
         long version = slicing.held().version;
         String part = query + "." + piece.shard + "-" + Long.toHexString(piece.keys.from()) + "#" + call.number;
         KeyRange keys = piece.keys;
-        boolean dropped = piece.query.vertical.effect == Effect.DEDUPLICATED;
+        boolean dropped = piece.query.queryClass().effect == Effect.DEDUPLICATED;
         world.hop(() -> node.called(query, part, piece.shard, keys, version, dropped, (outcome, value) -> {
             ended(call, outcome, value);
             turnEnded();
--- a/src/main/java/postbeam/roster/Roster.java
+++ b/src/main/java/postbeam/roster/Roster.java
@@ -66,7 +66,7 @@
             for (Map.Entry<String, DataNode> known : new ArrayList<>(nodes.entrySet())) {
                 if (!seen.contains(known.getKey())) {
                     DataNode node = known.getValue();
-                    listed(now, node, Readiness.GONE, node.startedAt, decide);
+                    listed(now, node, Readiness.GONE, node.startedAt(), decide);
                 }
             }
         }
--- a/src/main/java/postbeam/router/Decisions.java
+++ b/src/main/java/postbeam/router/Decisions.java
@@ -156,7 +156,9 @@
             Duration now = now();
             Query query = new Query(verticals.get(asked.vertical()), customers.get(asked.owner()), now,
                     now.plus(asked.patience()).minus(age));
-            query.repeat = asked.repeat();
+            if (asked.repeat()) {
+                query.markClientRetry();
+            }
             if (paged != null) {
                 slicing.takeKeys(query, paged.version, paged.named);
             } else if (slicing != null) {
@@ -195,8 +197,8 @@
             if (first.left || until.compareTo(now) <= 0 || open.containsKey(asked.id())) {
                 return null;
             }
-            Query query = new Query(old.vertical, old.customer, old.arrivedAt, until);
-            query.askedAt = old.askedAt;
+            Query query = new Query(old.queryClass(), old.customer, old.arrivedAt, until);
+            query.backdateTo(old.firstRequestedAt());
             Layout held = slicing.held();
             Paged paged = first.paged.further(asks, held.version, Paging.asked(held, asks));
             try {
@@ -336,7 +338,7 @@
                 addresses.keySet().removeIf(node -> roster.name(node) == null);
                 // What is decided on and still waits for its connection would go after the node's grace.
                 out.forEach((leaf, sent) -> {
-                    if (leaf.node.readiness != Readiness.READY) {
+                    if (leaf.node.readiness() != Readiness.READY) {
                         sent.call().notAfter(startNanos + now.toNanos(), Outcome.UNREACHABLE);
                     }
                 });
@@ -432,8 +434,8 @@
             int alone = 0;
             for (DataNode node : roster.nodes()) {
                 byNodes += node.out.size();
-                listed += node.readiness == Readiness.GONE ? 0 : 1;
-                alone += node.readiness != Readiness.GONE && node.avoidUntil != null ? 1 : 0;
+                listed += node.readiness() == Readiness.GONE ? 0 : 1;
+                alone += node.readiness() != Readiness.GONE && decide.isEjected(node) ? 1 : 0;
             }
             return String.format("%d queries open, %d calls out, %d by their nodes; of %d nodes listed %d left alone",
                     open.size(), out.size(), byNodes, listed, alone);
@@ -586,7 +588,7 @@
     private void ended(Duration now, Ending ending) {
         LeafCall leaf = ending.call().leaf;
         OpenQuery q = byQuery.get(leaf.part.query);
-        if (q != null && !leaf.ended && ending.outcome() == Outcome.MERGED) {
+        if (q != null && !leaf.hasEnded() && ending.outcome() == Outcome.MERGED) {
             if (q.paged == null) {
                 q.values.putIfAbsent(leaf.part, ending.value());
             } else {
@@ -602,7 +604,7 @@
             // Its client may have named a time of many hours: nothing is kept for that long.
             timers.remove(ended.timer());
             ended.call().end();
-            decide.leafCallEnded(now, leaf, outcome, now.minus(leaf.sentAt), leaf.part.query.ended);
+            decide.leafCallEnded(now, leaf, outcome, now.minus(leaf.sentAt), leaf.part.query.hasEnded());
             if (slicing != null) {
                 recut(leaf, outcome);
             }
@@ -655,8 +657,8 @@
         long untilNanos = startNanos + until.toNanos();
         Call call = q.paged == null ? new Call(q, leaf, id, more, q.asked.text(), untilNanos)
                 : q.paged.call(q, leaf, id, more, untilNanos);
-        if (leaf.sendBy != null) {
-            call.notAfter(startNanos + leaf.sendBy.toNanos(), Outcome.NEVER_SENT);
+        if (leaf.sendDeadline() != null) {
+            call.notAfter(startNanos + leaf.sendDeadline().toNanos(), Outcome.NEVER_SENT);
         }
         q.calls.add(call);
         sends.computeIfAbsent(leaf.node, node -> new ArrayList<>()).add(call);
@@ -691,7 +693,7 @@
             return;
         }
         for (Part part : query.parts) {
-            if (part.merged) {
+            if (part.isAnswered()) {
                 values.add(new Step.Value(part.shard, q.values.get(part), null));
             }
         }
--- a/src/main/java/postbeam/slices/Pin.java
+++ b/src/main/java/postbeam/slices/Pin.java
@@ -80,7 +80,7 @@
 
     /** What of the merged parts goes into an answer. */
     public Counted counted(Query query) {
-        Predicate<Part> merged = part -> part.merged;
+        Predicate<Part> merged = Part::isAnswered;
         if (!recut) {
             return new Counted(version, query.parts.stream().filter(merged).map(Piece.class::cast).toList());
         }
--- a/src/main/java/postbeam/slices/Slicing.java
+++ b/src/main/java/postbeam/slices/Slicing.java
@@ -116,7 +116,7 @@
     /** Gives the query its parts: these keys, which are apart, cut and joined to the slices in force. */
     public final void takeKeys(Query query, long version, List<Pin.Named> names) throws Unroutable {
         // Guards what runs once against a layout long past; hurts where the layout service is away for longer.
-        if (lease != null && query.vertical.effect == Effect.SIDE_EFFECTING
+        if (lease != null && query.queryClass().effect == Effect.SIDE_EFFECTING
                 && query.arrivedAt.compareTo(leaseUntil) >= 0) {
             throw new Unroutable(Unroutable.Reason.NOT_KNOWN_YET, "the lease of layout " + held.version + " is over");
         }
@@ -131,7 +131,7 @@
             return slice != null && slice.keys().equals(one.keys());
         });
         Pin pin = new Pin(version, names, this::held, !same);
-        query.counting = pin(pin);
+        query.useCompletenessRule(pin(pin));
         fragments.forEach(one -> piece(query, pin, one));
     }
 
@@ -146,7 +146,7 @@
 
     /** What the query is held against. */
     public Pin pinOf(Query query) {
-        return (Pin) query.counting;
+        return (Pin) query.completenessRule();
     }
 
     // ---- what has happened meanwhile
@@ -168,7 +168,7 @@
     public final boolean recut(Query query) {
         List<Piece> stale = new ArrayList<>();
         for (Part part : query.parts) {
-            if (!part.merged && part.out.isEmpty() && held.slice(part.shard) == null) {
+            if (!part.isAnswered() && part.out.isEmpty() && held.slice(part.shard) == null) {
                 stale.add((Piece) part);
             }
         }
@@ -182,7 +182,7 @@
         Map<Part, List<Fragment>> touched = new LinkedHashMap<>();
         for (Piece old : stale) {
             List<Fragment> cut = Fragment.cut(held, old.keys);
-            if (old.calls.isEmpty() && !old.closed) {
+            if (old.calls.isEmpty() && !old.isClosed()) {
                 fresh.addAll(cut);
             } else {
                 touched.put(old, cut);
--- a/src/main/java/postbeam/state/DataNode.java
+++ b/src/main/java/postbeam/state/DataNode.java
@@ -8,9 +8,8 @@
 public final class DataNode extends Health {
     public final int cell;
     public final Zone zone;
-    public Readiness readiness = Readiness.READY;
-    /** When it last started; null: not known, or long ago. */
-    public Duration startedAt;
+    private Readiness readiness = Readiness.READY;
+    private Duration startedAt;
     /** When it last could not be reached, unless it is known to have started since; null: never. */
     public Duration downAt;
     /** The leaf calls without an outcome yet, oldest first. */
@@ -37,6 +36,22 @@
         this.zone = zone;
     }
 
+    /** What the endpoint list says of it. */
+    public Readiness readiness() {
+        return readiness;
+    }
+
+    /** When it last started, by the endpoint list; null: not known, or long ago. */
+    public Duration startedAt() {
+        return startedAt;
+    }
+
+    /** The endpoint list says this of it. */
+    public void update(Readiness readiness, Duration startedAt) {
+        this.readiness = readiness;
+        this.startedAt = startedAt;
+    }
+
     /** From when on it may have been cold: the list tells of a start late. Null: not known, or long ago. */
     public Duration coldSince() {
         return downAt == null || startedAt != null && startedAt.compareTo(downAt) > 0 ? startedAt : downAt;
--- a/src/main/java/postbeam/state/Part.java
+++ b/src/main/java/postbeam/state/Part.java
@@ -16,34 +16,59 @@
     public final List<LeafCall> calls = new ArrayList<>();
     /** The leaf calls without an outcome yet, oldest first. */
     public final List<LeafCall> out = new ArrayList<>();
-    public boolean merged;
+    private boolean answered;
     /** No further leaf call is taken for it. */
-    public boolean closed;
+    private boolean closed;
     /** When the first leaf call that may have run was sent; null while none may. */
-    public Duration mayHaveRunSince;
+    private Duration mayHaveExecutedSince;
 
     public Part(Query query, int shard, double weight, Duration work) {
         this.query = query;
-        this.vertical = query.vertical;
+        this.vertical = query.queryClass();
         this.shard = shard;
         this.weight = weight;
         this.work = work;
         query.parts.add(this);
     }
 
+    /** Whether an attempt has brought its answer. */
+    public boolean isAnswered() {
+        return answered;
+    }
+
+    /** An attempt has brought its answer. */
+    public void markAnswered() {
+        answered = true;
+    }
+
+    /** Whether no further attempt is allowed. */
+    public boolean isClosed() {
+        return closed;
+    }
+
+    /** No further attempt is allowed. */
+    public void close() {
+        closed = true;
+    }
+
+    /** When the first attempt that may have been executed was sent; null while none may have been. */
+    public Duration mayHaveExecutedSince() {
+        return mayHaveExecutedSince;
+    }
+
     /** This part stands for keys of the other, which is over: what may have run there may have run here. */
     public void inherit(Part other) {
         calls.addAll(other.calls);
         closed |= other.closed;
-        if (other.mayHaveRunSince != null) {
-            mayHaveRun(other.mayHaveRunSince);
+        if (other.mayHaveExecutedSince != null) {
+            mayHaveRun(other.mayHaveExecutedSince);
         }
     }
 
     /** A leaf call sent then may have run. */
     public void mayHaveRun(Duration sentAt) {
-        if (mayHaveRunSince == null || mayHaveRunSince.compareTo(sentAt) > 0) {
-            mayHaveRunSince = sentAt;
+        if (mayHaveExecutedSince == null || mayHaveExecutedSince.compareTo(sentAt) > 0) {
+            mayHaveExecutedSince = sentAt;
         }
     }
 }
--- a/src/test/java/postbeam/DecideTest.java
+++ b/src/test/java/postbeam/DecideTest.java
@@ -43,7 +43,7 @@
     void anyNAnswersOnTheFirstNAndCancelsTheRest() {
         given.begun(Given.vertical(Effect.REPEATABLE, 1), 12);
         given.begun(Given.vertical(Effect.REPEATABLE, 0.5), 4);
-        List<LeafCall> mine = given.sent.stream().filter(c -> c.part.query.vertical.anyN()).toList();
+        List<LeafCall> mine = given.sent.stream().filter(c -> c.part.query.queryClass().anyN()).toList();
         assertEquals(3, mine.size());
         ends(given, ms(100), mine.get(0), Outcome.MERGED);
         ends(given, ms(100), mine.get(1), Outcome.MERGED);
@@ -95,7 +95,7 @@
             two.query(ms(700 + i), Given.vertical(Effect.SIDE_EFFECTING, 1), 1);
             two.decide.turnEnded(ms(700 + i));
             LeafCall call = two.sent.get(two.sent.size() - 1);
-            assertEquals(Effect.SIDE_EFFECTING, call.part.query.vertical.effect);
+            assertEquals(Effect.SIDE_EFFECTING, call.part.query.queryClass().effect);
             assertNotSame(struck, call.node);
             ends(two, ms(700 + i), call, Outcome.MERGED);
         }
@@ -131,7 +131,7 @@
         ends(given, ms(2990), given.sent.get(0), Outcome.RESET);
         given.decide.turnEnded(ms(2990));
         assertEquals(1, given.sent.size());
-        assertTrue(q.ended);
+        assertTrue(q.hasEnded());
     }
 
     @Test
@@ -161,9 +161,9 @@
         given.decide.turnEnded(ms(0));
         Query waiting = given.query(ms(0), repeatable, 8);
         given.decide.turnEnded(ms(250));
-        assertFalse(waiting.ended);
+        assertFalse(waiting.hasEnded());
         given.decide.turnEnded(ms(850));
-        assertTrue(waiting.ended);
+        assertTrue(waiting.hasEnded());
         assertEquals(List.of("rejected"), given.ended);
     }
 
@@ -234,7 +234,7 @@
     void aLateQueryWhosePartsAreAllOutIsKept() {
         Query q = given.begun(repeatable, 2);
         given.decide.turnEnded(Given.SLO.plus(ms(100)));
-        assertFalse(q.ended);
+        assertFalse(q.hasEnded());
     }
 
     @Test
@@ -253,7 +253,7 @@
         var cold = new Decide.ColdPacing(0.2, ms(10_000), 2.0, ms(1000), 2, ms(20), ms(250));
         DataNode node = new DataNode(0, new Zone(true));
         node.workSent = cold.ring();
-        node.startedAt = ms(0);
+        node.update(Readiness.READY, ms(0));
         assertTrue(cold.allows(ms(10), node, null, ms(150)));
         node.workSent.add(ms(10), 0.3);
         assertFalse(cold.allows(ms(900), node, null, ms(150)));
@@ -269,7 +269,7 @@
         var cold = new Decide.ColdPacing(0.2, ms(10_000), 2.0, ms(1000), 2, ms(20), ms(250));
         DataNode node = new DataNode(0, new Zone(true));
         node.workSent = cold.ring();
-        node.startedAt = ms(-300);
+        node.update(Readiness.READY, ms(-300));
         assertFalse(cold.allows(ms(1200), node, null, ms(150)));
         assertTrue(cold.allows(ms(1250), node, null, ms(150)));
     }
@@ -282,7 +282,7 @@
             pacings.add(new Decide.ColdPacing(0.2, ms(10_000), multiple, ms(1000), routers, ms(0), ms(250)));
             DataNode node = new DataNode(0, new Zone(true));
             node.workSent = pacings.get(i).ring();
-            node.startedAt = ms(5000);
+            node.update(Readiness.READY, ms(5000));
             node.lot = chance.nextDouble();
             views.add(node);
         }
@@ -407,7 +407,7 @@
         var cold = new Decide.ColdPacing(0.2, ms(10_000), 2.0, ms(1000), 100, ms(20), ms(250));
         DataNode node = new DataNode(0, new Zone(true));
         node.workSent = cold.ring();
-        node.startedAt = ms(0);
+        node.update(Readiness.READY, ms(0));
         node.lot = 0.01;
         assertTrue(cold.allows(ms(10), node, null, ms(80)));
         cold.sent(ms(10), node, null, ms(80));
@@ -465,7 +465,7 @@
         }
         more.decide.turnEnded(ms(20));
         assertEquals(2, more.sent.size());
-        assertFalse(waits.ended);
+        assertFalse(waits.hasEnded());
         more.decide.turnEnded(ms(600));
         more.decide.probed(ms(610), more.probed.get(0), true);
         more.decide.turnEnded(ms(610));
@@ -500,7 +500,7 @@
         Query q = crashing.begun(repeatable, 4);
         ends(crashing, ms(50), crashing.sent.get(0), Outcome.RESET);
         crashing.decide.turnEnded(ms(50));
-        assertTrue(q.ended);
+        assertTrue(q.hasEnded());
         assertEquals(List.of("rejected"), crashing.ended);
         Query one = given.begun(repeatable, 1);
         ends(given, ms(50), given.sent.get(0), Outcome.RESET);
@@ -508,7 +508,7 @@
         assertEquals(2, given.sent.size());
         ends(given, ms(100), given.sent.get(1), Outcome.RESET);
         given.decide.turnEnded(ms(100));
-        assertTrue(one.ended);
+        assertTrue(one.hasEnded());
     }
 
     @Test
@@ -524,7 +524,7 @@
     @Test
     void aNodeThatCouldNotBeReachedCountsAsColdUntilItIsToldOfALaterStart() {
         DataNode node = given.nodes.get(0);
-        node.startedAt = ms(0);
+        node.update(Readiness.READY, ms(0));
         given.decide.nodeListed(ms(50_000), node, Readiness.READY, ms(0));
         Query q = new Query(repeatable, null, ms(60_000), ms(66_000));
         ends(given, ms(60_000), new LeafCall(new Part(q, 0, 1, null), node, ms(60_000), null), Outcome.UNREACHABLE);
@@ -562,7 +562,7 @@
             }
             two.decide.turnEnded(ms(50));
             assertEquals(List.of("whole"), two.ended, "any two of four will do in the first");
-            assertFalse(q.ended);
+            assertFalse(q.hasEnded());
             two.decide.turnEnded(ms(70));
             int before = two.sent.size();
             for (int i = 0; i < 2; i++) {
@@ -592,7 +592,7 @@
 
     private Query repeat(Duration now, Duration wait) {
         Query q = new Query(repeatable, null, now, now.plus(wait));
-        q.repeat = true;
+        q.markClientRetry();
         given.decide.queryArrived(now, q);
         return q;
     }
@@ -617,9 +617,9 @@
         given.begun(repeatable, 1);
         Query large = given.query(ms(0), repeatable, 1000);
         given.decide.turnEnded(ms(0));
-        assertTrue(large.ended, "some thirty rounds of 100 ms are more than 2 s");
+        assertTrue(large.hasEnded(), "some thirty rounds of 100 ms are more than 2 s");
         Query fair = given.query(ms(0), repeatable, 100);
         given.decide.turnEnded(ms(0));
-        assertFalse(fair.ended);
+        assertFalse(fair.hasEnded());
     }
 }
--- a/src/test/java/postbeam/slices/SlicingTest.java
+++ b/src/test/java/postbeam/slices/SlicingTest.java
@@ -91,7 +91,7 @@
         assertTrue(slicing.recut(query));
         assertNull(part(query, 0));
         for (int slice : new int[] {4, 5}) {
-            assertEquals(Duration.ofMillis(5), part(query, slice).mayHaveRunSince, "a child may have run");
+            assertEquals(Duration.ofMillis(5), part(query, slice).mayHaveExecutedSince(), "a child may have run");
             assertEquals(List.of(call), part(query, slice).calls);
         }
         assertEquals(0.125, part(query, 4).weight, 1e-9);
@@ -111,7 +111,7 @@
                 List.of(), 2, Duration.ZERO, 9);
         after(new Change.Merge(List.of(1, 2)), query, fresh);
         assertEquals(2, query.parts.size());
-        assertEquals(1, query.count(part -> part.mayHaveRunSince != null));
+        assertEquals(1, query.count(part -> part.mayHaveExecutedSince() != null));
         assertEquals(1, query.count(part -> part.calls.isEmpty()));
         assertTrue(query.parts.stream().allMatch(part -> part.shard == 4));
         assertEquals(1, fresh.parts.size(), "parts that nothing was sent for are joined: one answer for both");
@@ -129,7 +129,7 @@
         slicing.recut(query);
         assertEquals(1, query.parts.size());
         assertEquals(6, query.parts.get(0).shard);
-        assertEquals(Duration.ofMillis(7), query.parts.get(0).mayHaveRunSince, "the window counts from the first send");
+        assertEquals(Duration.ofMillis(7), query.parts.get(0).mayHaveExecutedSince(), "the window counts from the first send");
     }
 
     @Test
@@ -149,7 +149,7 @@
     @Test
     void whatIsMergedStaysAndIsNotAskedAgain() throws Unroutable {
         Query query = asked(Effect.REPEATABLE, 1, 0, 1);
-        part(query, 0).merged = true;
+        part(query, 0).markAnswered();
         after(new Change.Split(0, List.of(100L)), query);
         assertFalse(slicing.recut(query));
         assertEquals(2, query.parts.size());
@@ -168,15 +168,15 @@
         layout = layout.after(new Change.Move(1, layout.slice(1).nodes().get(1), "a"), List.of(), layout.version + 1,
                 Duration.ZERO, 9);
         after(new Change.Merge(List.of(5, 1)), query);
-        part(query, 5).merged = true;
+        part(query, 5).markAnswered();
         assertEquals(0, query.mergedWeight(), 1e-9, "half of 0 is in, and half of 6: neither slice is");
-        part(query, 4).merged = true;
+        part(query, 4).markAnswered();
         assertEquals(0.5, query.mergedWeight(), 1e-9, "0 is in, by the layout that was named");
         Pin.Counted counted = slicing.pinOf(query).counted(query);
         assertEquals(1, counted.version());
         assertEquals(2, counted.pieces().size());
         call.end();
-        part(query, 1).merged = true;
+        part(query, 1).markAnswered();
         assertEquals(1, query.mergedWeight(), 1e-9);
     }
 
@@ -186,7 +186,7 @@
         after(new Change.Merge(List.of(0, 1)));
         Query query = asked(Effect.REPEATABLE, 1, 0, 1, 2);
         assertEquals(2, query.parts.size());
-        query.parts.forEach(part -> part.merged = true);
+        query.parts.forEach(part -> part.markAnswered());
         Pin pin = slicing.pinOf(query);
         assertEquals(List.of(List.of(0, 1), List.of(2)), pin.counted(query).pieces().stream()
                 .map(piece -> pin.namesOf(piece.keys)).toList());
