--- a/src/main/java/postbeam/Host.java
+++ b/src/main/java/postbeam/Host.java
@@ -6,8 +6,9 @@
 import postbeam.state.Query;
 
 /**
- * What the decisions can have done. A protocol's door implements it, one for each running instance, and
- * carries out every call at once and in order. A second protocol brings a second door, not a second Decide.
+ * What the decisions can have done. A protocol's door implements it, one for each running instance,
+ * and carries out every call at once and in order. A second protocol brings a second door, not a
+ * second Decide.
  */
 public interface Host {
     /** Sends a leaf call; those sent to one node in one turn travel together. */
@@ -19,7 +20,10 @@
     /** Answers the query from its merged parts. */
     void answer(Query query, boolean whole);
 
-    /** Ends the query and tells the client that asking again is harmless, after a wait if one is advised. */
+    /**
+     * Ends the query and tells the client that asking again is harmless, after a wait if one is
+     * advised.
+     */
     void reject(Query query, Duration comeBack);
 
     /** Ends the query without a promise about its effect. */
--- a/src/main/java/postbeam/Main.java
+++ b/src/main/java/postbeam/Main.java
@@ -16,11 +16,11 @@
 import postbeam.benchlink.Door;
 import postbeam.benchlink.MalformedLine;
 import postbeam.errors.ExplainedException;
-import postbeam.router.Beside;
-import postbeam.router.Logs;
 import postbeam.layouts.LayoutsCommand;
 import postbeam.rig.TrialCommand;
 import postbeam.rig.TryOut;
+import postbeam.router.Beside;
+import postbeam.router.Logs;
 import postbeam.router.Paging;
 import postbeam.router.Router;
 import postbeam.setup.Info;
@@ -38,51 +38,70 @@
     /** Queries of a rehearsal: as many as it takes until nothing new is loaded. */
     private static final int REHEARSED = 5;
 
-    @Parameter(names = {"-h", "--help"}, help = true, description = "Show this help")
+    @Parameter(
+            names = {"-h", "--help"},
+            help = true,
+            description = "Show this help")
     private boolean help;
 
     private Main() {}
 
     @Parameters(commandDescription = "Run one query router on sockets, until SIGTERM")
     private static final class Serve {
-        @Parameter(names = "--config", description = "File of JSON; else the one that BALANCER_CONFIG names")
+        @Parameter(
+                names = "--config",
+                description = "File of JSON; else the one that BALANCER_CONFIG names")
         private String config = System.getenv("BALANCER_CONFIG");
 
-        @Parameter(names = "--settings", description = "File of our own settings in JSON5, as deploy/postbeam.json5; "
-                + "without it no subsystem of these is loaded")
+        @Parameter(
+                names = "--settings",
+                description =
+                        "File of our own settings in JSON5, as deploy/postbeam.json5; "
+                                + "without it no subsystem of these is loaded")
         private String settings;
     }
 
-    @Parameters(commandDescription = "Start on a free loopback port, answer a few queries and end; the build records "
-            + "which classes that takes, so that serve need not read them one by one")
+    @Parameters(
+            commandDescription =
+                    "Start on a free loopback port, answer a few queries and end; the build records"
+                        + " which classes that takes, so that serve need not read them one by one")
     private static final class Rehearse {
         @Parameter(names = "--config", description = "File of JSON")
         private String config = "deploy/rehearsal.json";
     }
 
     @Parameters(commandDescription = "Decide for the simulator's wire on standard input and output")
-    private static final class Benchlink { }
+    private static final class Benchlink {}
 
     @Parameters(commandDescription = "Print the version")
-    private static final class Version { }
+    private static final class Version {}
 
     /** Ways to run that a router's own libraries are enough for. */
     private static final List<String> PLAIN = List.of("serve", "benchlink", "rehearse", "version");
 
     public static void main(String[] args) throws InterruptedException {
-        boolean plain = args.length > 0 && PLAIN.contains(args[0]) && !List.of(args).contains("--settings");
+        boolean plain =
+                args.length > 0 && PLAIN.contains(args[0]) && !List.of(args).contains("--settings");
         if (!plain && MoreLibraries.started(args)) {
             return;
         }
         Main main = new Main();
         Serve serve = new Serve();
         Rehearse rehearse = new Rehearse();
-        JCommander line = JCommander.newBuilder().programName("postbeam").addObject(main)
-                .addCommand("serve", serve).addCommand("benchlink", new Benchlink()).addCommand("rehearse", rehearse)
-                .addCommand("version", new Version()).build();
+        JCommander line =
+                JCommander.newBuilder()
+                        .programName("postbeam")
+                        .addObject(main)
+                        .addCommand("serve", serve)
+                        .addCommand("benchlink", new Benchlink())
+                        .addCommand("rehearse", rehearse)
+                        .addCommand("version", new Version())
+                        .build();
         // What a router does not need is not loaded where one is started.
-        Map<String, Running> others = args.length > 0 && line.getCommands().containsKey(args[0]) ? Map.of()
-                : others(line);
+        Map<String, Running> others =
+                args.length > 0 && line.getCommands().containsKey(args[0])
+                        ? Map.of()
+                        : others(line);
         try {
             line.parse(args);
         } catch (ParameterException e) {
@@ -96,13 +115,14 @@
             System.err.print(usage(line));
             System.exit(2);
         } else {
-            System.exit(switch (line.getParsedCommand()) {
-                case "serve" -> serve(serve.config, serve.settings);
-                case "benchlink" -> benchlink();
-                case "rehearse" -> rehearse(rehearse.config);
-                case "version" -> version();
-                default -> quietly(others.get(line.getParsedCommand()));
-            });
+            System.exit(
+                    switch (line.getParsedCommand()) {
+                        case "serve" -> serve(serve.config, serve.settings);
+                        case "benchlink" -> benchlink();
+                        case "rehearse" -> rehearse(rehearse.config);
+                        case "version" -> version();
+                        default -> quietly(others.get(line.getParsedCommand()));
+                    });
         }
     }
 
@@ -113,9 +133,10 @@
     }
 
     /**
-     * What follows SIGHUP: by default it ends a virtual machine, so that this stands before the file is read for the first
-     * time; one that comes before there is a router is done once there is. One after the other, reading included: of two
-     * that come together the later must not be overtaken by what the earlier has read.
+     * What follows SIGHUP: by default it ends a virtual machine, so that this stands before the
+     * file is read for the first time; one that comes before there is a router is done once there
+     * is. One after the other, reading included: of two that come together the later must not be
+     * overtaken by what the earlier has read.
      */
     private static final class Reload {
         private final String config;
@@ -143,7 +164,11 @@
             try {
                 router.reload(Startup.read(config));
             } catch (IOException | RuntimeException e) {
-                LOG.log(System.Logger.Level.ERROR, "configuration {0}: {1}; what is held stays", config, firstLine(e));
+                LOG.log(
+                        System.Logger.Level.ERROR,
+                        "configuration {0}: {1}; what is held stays",
+                        config,
+                        firstLine(e));
             }
         }
     }
@@ -163,8 +188,13 @@
         line.addCommand("layouts", layouts);
         line.addCommand("trial", trial);
         line.addCommand("try", tryOut);
-        return Map.of("layouts", () -> layouts.run(System.out, System.err), "trial", () -> trial.run(System.out),
-                "try", () -> tryOut.run(System.out));
+        return Map.of(
+                "layouts",
+                () -> layouts.run(System.out, System.err),
+                "trial",
+                () -> trial.run(System.out),
+                "try",
+                () -> tryOut.run(System.out));
     }
 
     private static int quietly(Running command) throws InterruptedException {
@@ -184,9 +214,15 @@
             throw new IOException("pages.enabled needs layouts.follow.enabled");
         }
         String service = follows ? own.needed("layouts.follow.service") : null;
-        Router router = pages ? Paged.router(startup, service, own)
-                : follows ? new Router(startup, slicing(own), service) : new Router(startup);
-        return Boolean.TRUE.equals(own.flag("together.enabled")) ? router.with(together(own)) : router;
+        Router router =
+                pages
+                        ? Paged.router(startup, service, own)
+                        : follows
+                                ? new Router(startup, slicing(own), service)
+                                : new Router(startup);
+        return Boolean.TRUE.equals(own.flag("together.enabled"))
+                ? router.with(together(own))
+                : router;
     }
 
     /** Where members migrate a layout is held for a lease. */
@@ -202,8 +238,14 @@
     private static final class Paged {
         static Router router(Startup startup, String service, Info own) throws IOException {
             try {
-                return new Router(startup, slicing(own), service, new Paging(own.needed("pages.key"),
-                        own.text("pages.oldKey"), own.atLeast("pages.rows", 1)));
+                return new Router(
+                        startup,
+                        slicing(own),
+                        service,
+                        new Paging(
+                                own.needed("pages.key"),
+                                own.text("pages.oldKey"),
+                                own.atLeast("pages.rows", 1)));
             } catch (ExplainedException e) {
                 throw new IOException(e.getMessage(), e);
             }
@@ -225,21 +267,24 @@
         try {
             router = router(Startup.read(config), settings);
         } catch (IOException | IllegalArgumentException e) {
-            System.err.println("postbeam: configuration " + config + ": "
-                    + firstLine(e));
+            System.err.println("postbeam: configuration " + config + ": " + firstLine(e));
             return 1;
         }
         reload.of(router);
-        Thread stop = new Thread(() -> {
-            int status = 0;
-            try {
-                router.stop();
-            } catch (InterruptedException | RuntimeException e) {
-                status = 1;
-            }
-            // A process that a signal ends would else report the signal, though all was answered.
-            Runtime.getRuntime().halt(status);
-        }, "stop");
+        Thread stop =
+                new Thread(
+                        () -> {
+                            int status = 0;
+                            try {
+                                router.stop();
+                            } catch (InterruptedException | RuntimeException e) {
+                                status = 1;
+                            }
+                            // A process that a signal ends would else report the signal, though all
+                            // was answered.
+                            Runtime.getRuntime().halt(status);
+                        },
+                        "stop");
         // Before it listens: a signal between the two would end it with what it had taken.
         Runtime.getRuntime().addShutdownHook(stop);
         try {
@@ -254,18 +299,23 @@
 
     private static int rehearse(String config) throws InterruptedException {
         Logs.bound();
-        Signal.handle(new Signal("HUP"), signal -> { });
+        Signal.handle(new Signal("HUP"), signal -> {});
         try {
             Router router = new Router(Startup.read(config));
             router.start();
             for (int i = 0; i < REHEARSED; i++) {
-                HttpURLConnection call = (HttpURLConnection) URI.create("http://" + router.address() + "/search?obj=1")
-                        .toURL().openConnection(Proxy.NO_PROXY);
+                HttpURLConnection call =
+                        (HttpURLConnection)
+                                URI.create("http://" + router.address() + "/search?obj=1")
+                                        .toURL()
+                                        .openConnection(Proxy.NO_PROXY);
                 call.setDoOutput(true);
                 call.setRequestProperty("Req-Id", "rehearsal" + i);
                 call.setRequestProperty("Req-Owner", "acme");
-                call.getOutputStream().write("{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"x\"}"
-                        .getBytes(StandardCharsets.UTF_8));
+                call.getOutputStream()
+                        .write(
+                                "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"x\"}"
+                                        .getBytes(StandardCharsets.UTF_8));
                 // No data node is there: the honest answer.
                 if (call.getResponseCode() != HttpURLConnection.HTTP_UNAVAILABLE) {
                     throw new IOException("answered with " + call.getResponseCode());
--- a/src/main/java/postbeam/benchlink/Door.java
+++ b/src/main/java/postbeam/benchlink/Door.java
@@ -19,7 +19,10 @@
 import postbeam.setup.Info;
 import postbeam.state.Readiness;
 
-/** The simulator's wire: reads batches of events, hands each to its instance, writes one reply a batch. */
+/**
+ * The simulator's wire: reads batches of events, hands each to its instance, writes one reply a
+ * batch.
+ */
 public final class Door {
     private static final int BUFFER = 1 << 16;
     private static final int SCOPE_FULL = 1;
@@ -34,7 +37,10 @@
     private final Set<Instance> touched = new LinkedHashSet<>();
 
     public Door(InputStream source, OutputStream sink) {
-        this.in = new Lines(new BufferedReader(new InputStreamReader(source, StandardCharsets.UTF_8), BUFFER));
+        this.in =
+                new Lines(
+                        new BufferedReader(
+                                new InputStreamReader(source, StandardCharsets.UTF_8), BUFFER));
         this.sink = sink;
     }
 
@@ -114,7 +120,7 @@
             case "ABANDONED" -> instance.abandoned(now, in);
             case "CHECKED" -> instance.probed(now, in);
             // No vertical is streamed, and the routers tell each other nothing.
-            case "FIRST", "NEIGHBOUR_SAYS" -> { }
+            case "FIRST", "NEIGHBOUR_SAYS" -> {}
             default -> throw new IllegalArgumentException("unknown message " + name);
         }
     }
@@ -155,16 +161,19 @@
         in.field();
         long started = in.number(0);
         in.field();
-        Readiness readiness = switch ((int) in.number()) {
-            case 0 -> Readiness.GONE;
-            case 1 -> Readiness.READY;
-            case 2 -> Readiness.DRAINING;
-            default -> throw new IllegalArgumentException("unknown readiness");
-        };
+        Readiness readiness =
+                switch ((int) in.number()) {
+                    case 0 -> Readiness.GONE;
+                    case 1 -> Readiness.READY;
+                    case 2 -> Readiness.DRAINING;
+                    default -> throw new IllegalArgumentException("unknown readiness");
+                };
         return new Entry(address, zone, cell, started, readiness);
     }
 
-    /** A failure of the decisions is told to the simulator; a field that can't be read ends the run. */
+    /**
+     * A failure of the decisions is told to the simulator; a field that can't be read ends the run.
+     */
     private void decided(Instance instance, Runnable step) {
         try {
             step.run();
--- a/src/main/java/postbeam/benchlink/Instance.java
+++ b/src/main/java/postbeam/benchlink/Instance.java
@@ -21,12 +21,16 @@
 import postbeam.state.Query;
 import postbeam.state.Vertical;
 
-/** One instance at the door: turns ids into objects and back, and writes what its Decide has done. */
+/**
+ * One instance at the door: turns ids into objects and back, and writes what its Decide has done.
+ */
 final class Instance implements Host {
     private static final int COST_HINT_IS_VALID = 1;
     private static final int REPEAT = 2;
+
     /** Cookies of timers: the decisions' own, and the one for asking discovery. */
     private static final int WAKE = 0;
+
     private static final int ASK = 1;
 
     private final int id;
@@ -70,7 +74,10 @@
         asking.answered(now, failed);
     }
 
-    /** All that came in a batch has been told: discovery is asked where that is due, or a bell set for when it is. */
+    /**
+     * All that came in a batch has been told: discovery is asked where that is due, or a bell set
+     * for when it is.
+     */
     void askDiscovery(Duration now) {
         if (asking.due(now)) {
             action("OBSERVE").append("\t1\n");
@@ -78,7 +85,12 @@
         Duration next = asking.at();
         if (next != null && !next.equals(bell)) {
             bell = next;
-            action("DEFER").append('\t').append(micros(next.minus(now))).append('\t').append(ASK).append('\n');
+            action("DEFER")
+                    .append('\t')
+                    .append(micros(next.minus(now)))
+                    .append('\t')
+                    .append(ASK)
+                    .append('\n');
         }
     }
 
@@ -125,7 +137,10 @@
         if (query == null) {
             return;
         }
-        Duration hint = (attrs & COST_HINT_IS_VALID) != 0 && work > 0 ? Duration.ofNanos(work * 1000) : null;
+        Duration hint =
+                (attrs & COST_HINT_IS_VALID) != 0 && work > 0
+                        ? Duration.ofNanos(work * 1000)
+                        : null;
         Part part = new Part(query, shard, amount, hint);
         parts.put(job, part);
         ids.put(part, job);
@@ -212,25 +227,45 @@
 
     @Override
     public void send(LeafCall call) {
-        action("ATTEMPT").append('\t').append(ids.get(call.part)).append('\t').append(roster.name(call.node))
-                .append('\t').append(call.timeout == null ? 0 : micros(call.timeout)).append('\n');
+        action("ATTEMPT")
+                .append('\t')
+                .append(ids.get(call.part))
+                .append('\t')
+                .append(roster.name(call.node))
+                .append('\t')
+                .append(call.timeout == null ? 0 : micros(call.timeout))
+                .append('\n');
     }
 
     @Override
     public void cancel(LeafCall call) {
-        action("RECALL").append('\t').append(ids.get(call.part)).append('\t').append(call.number).append('\n');
+        action("RECALL")
+                .append('\t')
+                .append(ids.get(call.part))
+                .append('\t')
+                .append(call.number)
+                .append('\n');
     }
 
     @Override
     public void answer(Query query, boolean whole) {
-        action("WRAP_UP").append('\t').append(ids.get(query)).append('\t').append(whole ? 1 : 0).append('\n');
+        action("WRAP_UP")
+                .append('\t')
+                .append(ids.get(query))
+                .append('\t')
+                .append(whole ? 1 : 0)
+                .append('\n');
         forgetIfDone(query);
     }
 
     @Override
     public void reject(Query query, Duration comeBack) {
-        action("REJECT").append('\t').append(ids.get(query)).append('\t')
-                .append(comeBack == null ? 0 : micros(comeBack)).append('\n');
+        action("REJECT")
+                .append('\t')
+                .append(ids.get(query))
+                .append('\t')
+                .append(comeBack == null ? 0 : micros(comeBack))
+                .append('\n');
         forgetIfDone(query);
     }
 
@@ -257,7 +292,11 @@
 
     void panic(RuntimeException e) {
         StackTraceElement[] trace = e.getStackTrace();
-        action("PANIC").append('\t').append(String.valueOf(e).replaceAll("\\s", " ")).append(" at ")
-                .append(trace.length == 0 ? "an unknown place" : trace[0]).append('\n');
+        action("PANIC")
+                .append('\t')
+                .append(String.valueOf(e).replaceAll("\\s", " "))
+                .append(" at ")
+                .append(trace.length == 0 ? "an unknown place" : trace[0])
+                .append('\n');
     }
 }
--- a/src/main/java/postbeam/benchlink/Lines.java
+++ b/src/main/java/postbeam/benchlink/Lines.java
@@ -59,7 +59,10 @@
     }
 
     MalformedLine malformed(String what) {
-        String head = line == null ? "" : line.substring(0, Math.min(80, line.length())).replace('\t', ' ');
+        String head =
+                line == null
+                        ? ""
+                        : line.substring(0, Math.min(80, line.length())).replace('\t', ' ');
         return new MalformedLine(number, what + (head.isEmpty() ? "" : ", in: " + head));
     }
 }
--- a/src/main/java/postbeam/clients/ClientConnection.java
+++ b/src/main/java/postbeam/clients/ClientConnection.java
@@ -20,19 +20,35 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * A client's socket, on the I/O thread alone. Closing it while the client still sends would have its machine
- * throw away the answer before the client reads it; so whatever closes it, what the client still sends is read off
- * and dropped for a while before the socket goes. It is given back in {@link #cut}, and only there.
+ * A client's socket, on the I/O thread alone. Closing it while the client still sends would have
+ * its machine throw away the answer before the client reads it; so whatever closes it, what the
+ * client still sends is read off and dropped for a while before the socket goes. It is given back
+ * in {@link #cut}, and only there.
  */
 final class ClientConnection extends StreamConnection {
-    /** How long what still comes is read off: time enough to read an answer, and within what a bad client is owed. */
+    /**
+     * How long what still comes is read off: time enough to read an answer, and within what a bad
+     * client is owed.
+     */
     private static final Duration LINGER = Duration.ofSeconds(2);
-    /** Bytes read off at once: a whole body of the protocol's size and its head take three turns. */
+
+    /**
+     * Bytes read off at once: a whole body of the protocol's size and its head take three turns.
+     */
     private static final int READ_OFF = 32 << 10;
-    /** Bytes read off at full speed; what is beyond is read at a pace: sending without end must not take the core. */
+
+    /**
+     * Bytes read off at full speed; what is beyond is read at a pace: sending without end must not
+     * take the core.
+     */
     private static final int READ_OFF_FAST = 1 << 20;
-    /** Between reads beyond it: some 3 MB a second, so that the end behind what a client sent at once is seen soon. */
+
+    /**
+     * Between reads beyond it: some 3 MB a second, so that the end behind what a client sent at
+     * once is seen soon.
+     */
     private static final Duration READ_OFF_PACE = Duration.ofMillis(10);
+
     /** Shared by all connections: what is in it is thrown away. */
     private static final ByteBuffer DROPPED = ByteBuffer.allocateDirect(READ_OFF);
 
@@ -42,18 +58,25 @@
     private XnioExecutor.Key timer;
     private boolean ending;
     private int readOff;
+
     /** When something may be read off again, beyond what goes at full speed. */
     private long readOffAt = System.nanoTime();
+
     /** Bytes came after a whole request and before its answer: what they ask for is lost. */
     boolean sentOn;
+
     /** Its query is served, so that only a look at the socket shows that the client leaves. */
     boolean watched;
+
     /** Since when it waits for its next request to be there as a whole. */
     long waitsSince = System.nanoTime();
+
     /** Nothing had been read of it at the last look, though its time was over. */
     boolean lookedAt;
+
     /** A whole request has come on it. */
     boolean hasAsked;
+
     /** A whole request is in, and its answer not yet out. */
     boolean busy;
 
@@ -79,13 +102,27 @@
         return !socket.isOpen();
     }
 
-    /** Answers in place of the HTTP library, which would wait for the rest of the request, and closes. */
+    /**
+     * Answers in place of the HTTP library, which would wait for the rest of the request, and
+     * closes.
+     */
     void turnAway(int status, String reason) {
-        ByteBuffer answer = ByteBuffer.wrap(("HTTP/1.1 " + status + " " + reason + "\r\nContent-Type: text/plain\r\n"
-                + "Connection: close\r\nContent-Length: " + (reason.length() + 1) + "\r\n\r\n" + reason + "\n")
-                .getBytes(StandardCharsets.ISO_8859_1));
+        ByteBuffer answer =
+                ByteBuffer.wrap(
+                        ("HTTP/1.1 "
+                                        + status
+                                        + " "
+                                        + reason
+                                        + "\r\nContent-Type: text/plain\r\n"
+                                        + "Connection: close\r\nContent-Length: "
+                                        + (reason.length() + 1)
+                                        + "\r\n\r\n"
+                                        + reason
+                                        + "\n")
+                                .getBytes(StandardCharsets.ISO_8859_1));
         try {
-            // Nothing else is in the socket's buffer, so that this fits; if not, the close alone has to tell.
+            // Nothing else is in the socket's buffer, so that this fits; if not, the close alone
+            // has to tell.
             output.write(answer);
         } catch (IOException e) {
             cut();
@@ -93,7 +130,10 @@
         IoUtils.safeClose(this);
     }
 
-    /** The input for the HTTP library: once closed it brings nothing more, and closing it leaves the socket's open. */
+    /**
+     * The input for the HTTP library: once closed it brings nothing more, and closing it leaves the
+     * socket's open.
+     */
     private final class InputUntilClosed extends AbstractStreamSourceConduit<StreamSourceConduit> {
         InputUntilClosed() {
             super(input);
@@ -105,7 +145,8 @@
         }
 
         @Override
-        public long transferTo(long count, ByteBuffer through, StreamSinkChannel to) throws IOException {
+        public long transferTo(long count, ByteBuffer through, StreamSinkChannel to)
+                throws IOException {
             return ending ? 0 : super.transferTo(count, through, to);
         }
 
@@ -120,7 +161,7 @@
         }
 
         @Override
-        public void terminateReads() { }
+        public void terminateReads() {}
     }
 
     /** The same for the output: once closed, whatever the library would still say is late. */
@@ -171,7 +212,10 @@
         try {
             output.terminateWrites();
             if (!output.flush()) {
-                getSinkChannel().setWriteListener(ChannelListeners.flushingChannelListener(null, (channel, e) -> cut()));
+                getSinkChannel()
+                        .setWriteListener(
+                                ChannelListeners.flushingChannelListener(
+                                        null, (channel, e) -> cut()));
                 output.resumeWrites();
             }
         } catch (IOException e) {
@@ -200,7 +244,8 @@
             long wait = readOffAt - System.nanoTime();
             if (wait > 0) {
                 input.suspendReads();
-                getIoThread().executeAfter(this::readOn, wait / 1_000_000 + 1, TimeUnit.MILLISECONDS);
+                getIoThread()
+                        .executeAfter(this::readOn, wait / 1_000_000 + 1, TimeUnit.MILLISECONDS);
                 return 0;
             }
             readOffAt = System.nanoTime() + READ_OFF_PACE.toNanos();
@@ -217,7 +262,10 @@
         }
     }
 
-    /** Whether the client has closed or reset it, by a look at the socket itself; while a request of it is served. */
+    /**
+     * Whether the client has closed or reset it, by a look at the socket itself; while a request of
+     * it is served.
+     */
     boolean hasLeft() {
         try {
             int got = 1;
@@ -233,10 +281,10 @@
 
     // The two ways are closed by closeAction, each when its time has come.
     @Override
-    protected void notifyReadClosed() { }
+    protected void notifyReadClosed() {}
 
     @Override
-    protected void notifyWriteClosed() { }
+    protected void notifyWriteClosed() {}
 
     @Override
     public SocketAddress getPeerAddress() {
--- a/src/main/java/postbeam/clients/PageQueryForm.java
+++ b/src/main/java/postbeam/clients/PageQueryForm.java
@@ -12,14 +12,18 @@
 import postbeam.setup.Json;
 import postbeam.slices.KeyRange;
 
-/** What pages add to the clients' form: order, page and cursor in a query; page and cursor in an answer. */
+/**
+ * What pages add to the clients' form: order, page and cursor in a query; page and cursor in an
+ * answer.
+ */
 final class PageQueryForm {
     private PageQueryForm() {}
 
     /** An IOException says what can't be used. */
     static PageAsked read(Map<String, Object> query, int rowsMost) throws IOException {
         if (!(query.get("page") instanceof Integer rows) || rows < 1 || rows > rowsMost) {
-            throw new IOException(new PageError.BadRequest("page", "it takes 1 to " + rowsMost + " rows").line());
+            throw new IOException(
+                    new PageError.BadRequest("page", "it takes 1 to " + rowsMost + " rows").line());
         }
         Order order;
         try {
--- a/src/main/java/postbeam/clients/QueryForm.java
+++ b/src/main/java/postbeam/clients/QueryForm.java
@@ -25,8 +25,10 @@
     private static final HttpString DEADLINE = new HttpString("Req-Deadline-Ms");
     private static final HttpString REPEAT = new HttpString("Req-Retry");
     private static final HttpString LAYOUT = new HttpString("Req-Layout");
+
     /** Characters: an id travels in each frame. */
     private static final int LONGEST_ID = 64;
+
     /** Milliseconds: a day; no client waits so long. */
     private static final long LONGEST_WAIT = 86_400_000;
 
@@ -36,10 +38,19 @@
     private QueryForm() {}
 
     /** An IOException says what can't be used. */
-    static Asked read(HttpServerExchange exchange, byte[] body, String vertical, Set<String> owners, int shards,
-            Duration usualWait, int pageRows) throws IOException {
+    static Asked read(
+            HttpServerExchange exchange,
+            byte[] body,
+            String vertical,
+            Set<String> owners,
+            int shards,
+            Duration usualWait,
+            int pageRows)
+            throws IOException {
         String id = header(exchange, ID);
-        if (id == null || id.length() > LONGEST_ID || !id.chars().allMatch(c -> c > ' ' && c < 127 && c != '.')) {
+        if (id == null
+                || id.length() > LONGEST_ID
+                || !id.chars().allMatch(c -> c > ' ' && c < 127 && c != '.')) {
             throw new IOException("Req-Id is missing or can't be used");
         }
         String owner = header(exchange, OWNER);
@@ -47,14 +58,28 @@
             throw new IOException("Req-Owner is missing or unknown");
         }
         Map<String, Object> query = Json.object(body);
-        PageAsked page = pageRows > 0 && query.containsKey("page") ? PageQueryForm.read(query, pageRows) : null;
-        List<Asked.AskedPart> parts = page != null && page.cursor() != null ? List.of() : parts(query, shards);
-        byte[] text = Json.member(query, "predicate", String.class).getBytes(StandardCharsets.UTF_8);
-        return new Asked(id, vertical, owner, wait(header(exchange, DEADLINE), usualWait), parts, text,
-                layout(header(exchange, LAYOUT)), "1".equals(exchange.getRequestHeaders().getFirst(REPEAT)), page);
+        PageAsked page =
+                pageRows > 0 && query.containsKey("page")
+                        ? PageQueryForm.read(query, pageRows)
+                        : null;
+        List<Asked.AskedPart> parts =
+                page != null && page.cursor() != null ? List.of() : parts(query, shards);
+        byte[] text =
+                Json.member(query, "predicate", String.class).getBytes(StandardCharsets.UTF_8);
+        return new Asked(
+                id,
+                vertical,
+                owner,
+                wait(header(exchange, DEADLINE), usualWait),
+                parts,
+                text,
+                layout(header(exchange, LAYOUT)),
+                "1".equals(exchange.getRequestHeaders().getFirst(REPEAT)),
+                page);
     }
 
-    private static List<Asked.AskedPart> parts(Map<String, Object> query, int shards) throws IOException {
+    private static List<Asked.AskedPart> parts(Map<String, Object> query, int shards)
+            throws IOException {
         Set<Integer> seen = new HashSet<>();
         List<Asked.AskedPart> parts = new ArrayList<>();
         for (Object range : Json.member(query, "ranges", List.class)) {
@@ -63,11 +88,19 @@
             }
             int shard = Json.member(part, "range", Integer.class);
             double weight = Json.member(part, "portion", Number.class).doubleValue();
-            if (shard < 0 || shard >= shards || !seen.add(shard) || !(weight > 0 && weight <= 1 + ROUNDING)) {
+            if (shard < 0
+                    || shard >= shards
+                    || !seen.add(shard)
+                    || !(weight > 0 && weight <= 1 + ROUNDING)) {
                 throw new IOException("range or portion can't be used: " + shard + ", " + weight);
             }
-            parts.add(new Asked.AskedPart(shard, weight, part.get("price") instanceof Integer micros && micros > 0
-                    ? Duration.ofNanos(micros * 1000L) : null));
+            parts.add(
+                    new Asked.AskedPart(
+                            shard,
+                            weight,
+                            part.get("price") instanceof Integer micros && micros > 0
+                                    ? Duration.ofNanos(micros * 1000L)
+                                    : null));
         }
         double sum = parts.stream().mapToDouble(Asked.AskedPart::weight).sum();
         if (Math.abs(sum - 1) > ROUNDING) {
--- a/src/main/java/postbeam/datanodes/Frames.java
+++ b/src/main/java/postbeam/datanodes/Frames.java
@@ -16,13 +16,15 @@
     static final char LOAD_PROBE = 'p';
     static final char ANSWER = 'q';
     static final char UNUSABLE = 'r';
+
     /** Bytes of the length. */
     static final int HEAD = 4;
+
     /** Bytes: a body of the client's protocol holds 64 KiB, and no value may be larger. */
     static final int LONGEST = (64 << 10) + 1024;
 
     /** A part's answer. */
-    record Answer(String id, Outcome outcome, byte[] value) { }
+    record Answer(String id, Outcome outcome, byte[] value) {}
 
     private Frames() {}
 
@@ -47,7 +49,9 @@
     }
 
     private static ByteBuffer start(char letter, int size) {
-        return ByteBuffer.allocate(HEAD + 1 + size).order(ByteOrder.LITTLE_ENDIAN).putInt(1 + size)
+        return ByteBuffer.allocate(HEAD + 1 + size)
+                .order(ByteOrder.LITTLE_ENDIAN)
+                .putInt(1 + size)
                 .put((byte) letter);
     }
 
@@ -57,18 +61,20 @@
         while (end < rest.length && rest[end] != '\n') {
             end++;
         }
-        // The report comes last and nothing is read from it: one that can't be read spoils no answer.
+        // The report comes last and nothing is read from it: one that can't be read spoils no
+        // answer.
         String[] words = new String(rest, 0, end, StandardCharsets.UTF_8).split(" ", 4);
         if (end == rest.length || words.length != 4 || !words[2].matches("-?[0-9]+")) {
             throw new BadFrame("an answer without its line of id, end, score and report");
         }
-        Outcome outcome = switch (words[1]) {
-            case "good" -> Outcome.MERGED;
-            case "bad" -> Outcome.ERROR;
-            case "later" -> Outcome.FULL;
-            case "moved" -> Outcome.MOVED;
-            default -> throw new BadFrame("an answer that ended in an unknown way");
-        };
+        Outcome outcome =
+                switch (words[1]) {
+                    case "good" -> Outcome.MERGED;
+                    case "bad" -> Outcome.ERROR;
+                    case "later" -> Outcome.FULL;
+                    case "moved" -> Outcome.MOVED;
+                    default -> throw new BadFrame("an answer that ended in an unknown way");
+                };
         byte[] value = Arrays.copyOfRange(rest, end + 1, rest.length);
         for (byte b : value) {
             if (b >= 0 && b < ' ') {
--- a/src/main/java/postbeam/datanodes/NodeConnection.java
+++ b/src/main/java/postbeam/datanodes/NodeConnection.java
@@ -29,23 +29,35 @@
 import postbeam.router.Ending;
 import postbeam.state.Outcome;
 
-/** One connection to a data node, on the I/O thread alone. It is given back in {@link #close}, and only there. */
+/**
+ * One connection to a data node, on the I/O thread alone. It is given back in {@link #close}, and
+ * only there.
+ */
 final class NodeConnection {
     private static final System.Logger LOG = System.getLogger(NodeConnection.class.getName());
+
     /** Bytes read at once, and kept while nothing larger comes. */
     private static final int READ = 4096;
 
-    /** How long the rest of a frame may take: a node sends it together, and a router on part of a core may stall. */
+    /**
+     * How long the rest of a frame may take: a node sends it together, and a router on part of a
+     * core may stall.
+     */
     private static final Duration FRAME_MOST = Duration.ofMillis(400);
-    /** Ids of ended calls that are kept: a second answer, or one that crossed its giving up, comes soon. */
+
+    /**
+     * Ids of ended calls that are kept: a second answer, or one that crossed its giving up, comes
+     * soon.
+     */
     private static final int ENDED_KEPT = 128;
 
     /** A frame that waits for its turn: leaf calls, encoded when they go, or bytes. */
-    private record Waiting(List<Call> calls, ByteBuffer bytes) { }
+    private record Waiting(List<Call> calls, ByteBuffer bytes) {}
 
     private static final class Out {
         final Call call;
         boolean written;
+
         /** When its frame was written or, before that, taken up. */
         long since = System.nanoTime();
 
@@ -61,8 +73,10 @@
     private final Duration idleMost;
     private final Deque<Waiting> waiting = new ArrayDeque<>();
     private final Map<String, Out> out = new LinkedHashMap<>();
+
     /** The latest calls that ended on it, by id. */
     private final Set<String> ended = new LinkedHashSet<>();
+
     private final Deque<String> probes = new ArrayDeque<>();
     private StreamConnection channel;
     private XnioExecutor.Key connectTimer;
@@ -73,12 +87,19 @@
     private int callsWaiting;
     private long usedAt = System.nanoTime();
     private long heardAt = usedAt;
+
     /** Since when a frame has begun to come; 0 while none has. */
     private long frameSince;
+
     private boolean doubtful;
     private boolean closed;
 
-    NodeConnection(DataNodes owner, AttemptListener listener, String address, Duration connectWithin, Duration idleMost) {
+    NodeConnection(
+            DataNodes owner,
+            AttemptListener listener,
+            String address,
+            Duration connectWithin,
+            Duration idleMost) {
         this.owner = owner;
         this.listener = listener;
         this.address = address;
@@ -87,20 +108,28 @@
     }
 
     void open(XnioIoThread io, InetSocketAddress to) {
-        IoFuture<StreamConnection> opening = io.openStreamConnection(to, opened -> { }, null,
-                OptionMap.create(Options.TCP_NODELAY, true));
-        connectTimer = io.executeAfter(() -> {
-            opening.cancel();
-            close("no connection in time");
-        }, connectWithin.toMillis(), TimeUnit.MILLISECONDS);
+        IoFuture<StreamConnection> opening =
+                io.openStreamConnection(
+                        to, opened -> {}, null, OptionMap.create(Options.TCP_NODELAY, true));
+        connectTimer =
+                io.executeAfter(
+                        () -> {
+                            opening.cancel();
+                            close("no connection in time");
+                        },
+                        connectWithin.toMillis(),
+                        TimeUnit.MILLISECONDS);
         opening.addNotifier((future, none) -> io.execute(() -> opened(future)), null);
     }
 
     private void opened(IoFuture<? extends StreamConnection> future) {
         try {
             if (future.getStatus() != IoFuture.Status.DONE) {
-                close("no connection: " + (future.getStatus() == IoFuture.Status.FAILED
-                        ? future.getException().getMessage() : "cancelled"));
+                close(
+                        "no connection: "
+                                + (future.getStatus() == IoFuture.Status.FAILED
+                                        ? future.getException().getMessage()
+                                        : "cancelled"));
                 return;
             }
             StreamConnection made = future.get();
@@ -120,10 +149,15 @@
         }
     }
 
-    /** Whether so many parts more may go on it; one that was silent where an answer was due takes no more. */
+    /**
+     * Whether so many parts more may go on it; one that was silent where an answer was due takes no
+     * more.
+     */
     boolean takes(int parts, int most) {
         int load = out.size() + callsWaiting;
-        return !closed && !doubtful && (load == 0 || load + parts <= most)
+        return !closed
+                && !doubtful
+                && (load == 0 || load + parts <= most)
                 && (load > 0 || channel == null || System.nanoTime() - usedAt < idleMost.toNanos())
                 && (writing == null || !past(writingSince));
     }
@@ -149,7 +183,8 @@
             return;
         }
         over(call);
-        // Guards against a connection that leads nowhere any more, which nothing tells: the machine vanished
+        // Guards against a connection that leads nowhere any more, which nothing tells: the machine
+        // vanished
         // or was cut off. Further calls go on a new one, which comes up or fails in time.
         doubtful |= heardAt < given.since && past(given.since);
         enqueue(new Waiting(null, Frames.of(Frames.GIVE_UP, call.id)));
@@ -157,15 +192,24 @@
     }
 
     void closeIfIdle() {
-        if (channel != null && out.isEmpty() && callsWaiting == 0 && probes.isEmpty()
+        if (channel != null
+                && out.isEmpty()
+                && callsWaiting == 0
+                && probes.isEmpty()
                 && System.nanoTime() - usedAt >= idleMost.toNanos()) {
             close(null);
         }
     }
 
     private void closeIfDone() {
-        if (doubtful && out.isEmpty() && probes.isEmpty() && waiting.stream().allMatch(
-                frame -> frame.calls() == null || frame.calls().stream().allMatch(Call::over))) {
+        if (doubtful
+                && out.isEmpty()
+                && probes.isEmpty()
+                && waiting.stream()
+                        .allMatch(
+                                frame ->
+                                        frame.calls() == null
+                                                || frame.calls().stream().allMatch(Call::over))) {
             close(null);
         }
     }
@@ -211,8 +255,9 @@
     }
 
     /**
-     * Guards against a frame that stood half written while its client left, its node began to drain or its time passed:
-     * its last byte would begin the attempt. It costs the other calls on a connection whose node does not read.
+     * Guards against a frame that stood half written while its client left, its node began to drain
+     * or its time passed: its last byte would begin the attempt. It costs the other calls on a
+     * connection whose node does not read.
      */
     private static boolean unwanted(List<Out> calls) {
         Call.checkClients(calls.stream().map(out -> out.call).toList());
@@ -292,8 +337,9 @@
     }
 
     /**
-     * Guards against lengths that do not fit, noise and values that never end: part of a frame where nothing is
-     * owed, or for too long, leads nowhere any more. It could hurt where a good frame's bytes stall for so long.
+     * Guards against lengths that do not fit, noise and values that never end: part of a frame
+     * where nothing is owed, or for too long, leads nowhere any more. It could hurt where a good
+     * frame's bytes stall for so long.
      */
     private void watchFrame() throws Frames.BadFrame {
         if (in.position() == 0) {
@@ -302,8 +348,11 @@
             throw new Frames.BadFrame("bytes that belong to nothing");
         } else if (frameSince == 0) {
             frameSince = heardAt;
-            channel.getIoThread().executeAfter(() -> read(channel.getSourceChannel()), FRAME_MOST.toMillis() + 1,
-                    TimeUnit.MILLISECONDS);
+            channel.getIoThread()
+                    .executeAfter(
+                            () -> read(channel.getSourceChannel()),
+                            FRAME_MOST.toMillis() + 1,
+                            TimeUnit.MILLISECONDS);
         } else if (System.nanoTime() - frameSince > FRAME_MOST.toNanos()) {
             throw new Frames.BadFrame("a frame that does not end");
         }
@@ -355,8 +404,10 @@
                 }
                 listener.probed(node, !"bad".equals(new String(rest, StandardCharsets.UTF_8)));
             }
-            case Frames.UNUSABLE -> throw new Frames.BadFrame("the node could not use a frame: "
-                    + new String(rest, StandardCharsets.UTF_8));
+            case Frames.UNUSABLE ->
+                    throw new Frames.BadFrame(
+                            "the node could not use a frame: "
+                                    + new String(rest, StandardCharsets.UTF_8));
             default -> throw new Frames.BadFrame("a frame of an unknown letter");
         }
     }
@@ -378,8 +429,9 @@
     }
 
     /**
-     * Gives everything back: the socket, the timer, and each call that is out or waits, once. Where the node spoilt
-     * the connection it is alive and answers: the calls on it are aborted ones that may have run, no broken way.
+     * Gives everything back: the socket, the timer, and each call that is out or waits, once. Where
+     * the node spoilt the connection it is alive and answers: the calls on it are aborted ones that
+     * may have run, no broken way.
      */
     private void close(String why, boolean spoilt) {
         if (closed) {
@@ -394,8 +446,12 @@
         List<Ending> endings = new ArrayList<>();
         for (Out call : out.values()) {
             owner.over(call.call);
-            endings.add(new Ending(call.call, !call.written ? Outcome.UNREACHABLE
-                    : spoilt ? Outcome.ERROR : Outcome.RESET));
+            endings.add(
+                    new Ending(
+                            call.call,
+                            !call.written
+                                    ? Outcome.UNREACHABLE
+                                    : spoilt ? Outcome.ERROR : Outcome.RESET));
         }
         for (Waiting frame : waiting) {
             if (frame.calls() != null) {
@@ -403,7 +459,11 @@
             }
         }
         if (why != null && (!endings.isEmpty() || !probes.isEmpty())) {
-            LOG.log(System.Logger.Level.DEBUG, "connection to {0}: {1}; {2} calls end", address, why,
+            LOG.log(
+                    System.Logger.Level.DEBUG,
+                    "connection to {0}: {1}; {2} calls end",
+                    address,
+                    why,
                     endings.size());
         }
         if (!endings.isEmpty()) {
--- a/src/main/java/postbeam/discovery/HttpGet.java
+++ b/src/main/java/postbeam/discovery/HttpGet.java
@@ -14,43 +14,50 @@
 import postbeam.setup.Startup;
 
 /**
- * GETs from one address, one at a time, over a connection that is kept between them. Each has one deadline, for
- * connecting, head and body together, and earlier ones for its parts: what stays silent, trickles or never ends is
- * given up then, and its connection with it. Nothing is asked a second time and no redirection is followed: when to
- * ask again is not decided here.
+ * GETs from one address, one at a time, over a connection that is kept between them. Each has one
+ * deadline, for connecting, head and body together, and earlier ones for its parts: what stays
+ * silent, trickles or never ends is given up then, and its connection with it. Nothing is asked a
+ * second time and no redirection is followed: when to ask again is not decided here.
  *
- * <p>By hand because Undertow's own client bounds no head (its MAX_HEADER_SIZE is the listener's alone): one header
- * name without end filled a heap of 48 MB within about 1 s, from 21 MB sent, and held the thread that serves clients
- * for up to 0.9 s of it. Here it ends after 8 KiB.
+ * <p>By hand because Undertow's own client bounds no head (its MAX_HEADER_SIZE is the listener's
+ * alone): one header name without end filled a heap of 48 MB within about 1 s, from 21 MB sent, and
+ * held the thread that serves clients for up to 0.9 s of it. Here it ends after 8 KiB.
  */
 final class HttpGet implements Closeable {
     /** Bytes: a head here holds a hundred or two, and so does a line between chunks. */
     private static final int LONGEST_HEAD = 8 << 10;
+
     private static final int BUFFER = 4 << 10;
+
     /**
-     * Reads: what has come is read before time is judged, as a thread may have waited for its core meanwhile. So past a
-     * limit each read still has 1 ms, for as often as the longest answer fills the buffer and so many times more: for a
-     * head, the parts of an answer, and its end. It could hurt where an answer trickles faster than that: it is given
-     * up so many ms late, some 70 for a list of 256 KiB.
+     * Reads: what has come is read before time is judged, as a thread may have waited for its core
+     * meanwhile. So past a limit each read still has 1 ms, for as often as the longest answer fills
+     * the buffer and so many times more: for a head, the parts of an answer, and its end. It could
+     * hurt where an answer trickles faster than that: it is given up so many ms late, some 70 for a
+     * list of 256 KiB.
      */
     private static final int READS_LATE = 6;
 
     /**
-     * The longest that connecting may take, the beginning of an answer from its question, the rest of it from there,
-     * and all of it.
+     * The longest that connecting may take, the beginning of an answer from its question, the rest
+     * of it from there, and all of it.
      */
-    record Limits(Duration connect, Duration begin, Duration rest, Duration whole) { }
+    record Limits(Duration connect, Duration begin, Duration rest, Duration whole) {}
 
     private final String address;
     private final byte[] buffer = new byte[BUFFER];
     private int at;
     private int filled;
+
     /** When the whole answer has to be there, on the clock of System.nanoTime. */
     private long end;
+
     /** When what is read next has to be there. */
     private long due;
+
     /** How often something may still be read once that has passed. */
     private int readsLate;
+
     private InputStream in;
     private volatile Socket socket;
     private boolean closed;
@@ -59,7 +66,10 @@
         this.address = address;
     }
 
-    /** The body of a 200 of up to so many bytes; an IOException says why there is none within these limits. */
+    /**
+     * The body of a 200 of up to so many bytes; an IOException says why there is none within these
+     * limits.
+     */
     byte[] get(String path, int longest, Limits limits) throws IOException {
         end = System.nanoTime() + limits.whole().toNanos();
         readsLate = READS_LATE + longest / BUFFER;
@@ -70,8 +80,10 @@
                 due = by(limits.connect());
                 to = connect();
             }
-            to.getOutputStream().write(("GET " + path + " HTTP/1.1\r\nHost: " + address + "\r\n\r\n")
-                    .getBytes(StandardCharsets.ISO_8859_1));
+            to.getOutputStream()
+                    .write(
+                            ("GET " + path + " HTTP/1.1\r\nHost: " + address + "\r\n\r\n")
+                                    .getBytes(StandardCharsets.ISO_8859_1));
             due = by(limits.begin());
             if (at == filled && !fill()) {
                 throw new EOFException("closed before an answer");
@@ -115,7 +127,9 @@
         return Math.min(end, System.nanoTime() + limit.toNanos());
     }
 
-    /** What is left until what is read next is due, in ms; at least 1, also when that has passed. */
+    /**
+     * What is left until what is read next is due, in ms; at least 1, also when that has passed.
+     */
     private int left() {
         return (int) Math.max(1, (due - System.nanoTime()) / 1_000_000 + 1);
     }
@@ -172,7 +186,7 @@
                 case "content-length" -> length = size(value, 10);
                 case "transfer-encoding" -> chunked = value.equalsIgnoreCase("chunked");
                 case "connection" -> kept = !value.equalsIgnoreCase("close");
-                default -> { }
+                default -> {}
             }
         }
         ByteArrayOutputStream body = new ByteArrayOutputStream();
--- a/src/main/java/postbeam/discovery/ListForm.java
+++ b/src/main/java/postbeam/discovery/ListForm.java
@@ -27,12 +27,14 @@
                 throw new IOException("hosts holds something else than objects");
             }
             String name = Json.member(host, "host", String.class);
-            Readiness readiness = switch (Json.member(host, "health", String.class)) {
-                case "up" -> Readiness.READY;
-                case "draining" -> Readiness.DRAINING;
-                case "removed" -> Readiness.GONE;
-                default -> throw new IOException("health is unknown: " + host.get("health"));
-            };
+            Readiness readiness =
+                    switch (Json.member(host, "health", String.class)) {
+                        case "up" -> Readiness.READY;
+                        case "draining" -> Readiness.DRAINING;
+                        case "removed" -> Readiness.GONE;
+                        default ->
+                                throw new IOException("health is unknown: " + host.get("health"));
+                    };
             boolean gone = readiness == Readiness.GONE;
             if (!gone || host.get("dial") instanceof String) {
                 addresses.put(name, address(Json.member(host, "dial", String.class)));
@@ -42,16 +44,25 @@
             if (cell < 0 || cell >= cells) {
                 throw new IOException("block is no cell: " + cell);
             }
-            entries.add(new Entry(name, String.valueOf(host.get("site")), cell,
-                    born instanceof Number millis ? millis.longValue() * 1000 : 0, readiness));
+            entries.add(
+                    new Entry(
+                            name,
+                            String.valueOf(host.get("site")),
+                            cell,
+                            born instanceof Number millis ? millis.longValue() * 1000 : 0,
+                            readiness));
         }
-        return new Told(Json.member(list, "seq", Number.class).longValue(),
-                Json.member(list, "whole", Boolean.class), entries, addresses);
+        return new Told(
+                Json.member(list, "seq", Number.class).longValue(),
+                Json.member(list, "whole", Boolean.class),
+                entries,
+                addresses);
     }
 
     /** Numbers alone: a name would have to be looked up, and that waits. */
     private static String address(String dial) throws IOException {
-        if (!ADDRESS.matcher(dial).matches() || Integer.parseInt(dial.substring(dial.indexOf(':') + 1)) > 65_535) {
+        if (!ADDRESS.matcher(dial).matches()
+                || Integer.parseInt(dial.substring(dial.indexOf(':') + 1)) > 65_535) {
             throw new IOException("dial is not an address: " + dial);
         }
         return dial;
--- a/src/main/java/postbeam/discovery/LongPoll.java
+++ b/src/main/java/postbeam/discovery/LongPoll.java
@@ -8,8 +8,9 @@
 import postbeam.roster.DiscoveryPacing;
 
 /**
- * Follows something that has versions over HTTP, on a thread of its own, so that nothing stands before what is told:
- * asks for the whole of it, then waits for what is newer, and asks for the whole again after every failure.
+ * Follows something that has versions over HTTP, on a thread of its own, so that nothing stands
+ * before what is told: asks for the whole of it, then waits for what is newer, and asks for the
+ * whole again after every failure.
  */
 public final class LongPoll<T> implements Runnable {
     private static final System.Logger LOG = System.getLogger(LongPoll.class.getName());
@@ -19,8 +20,12 @@
         T read(byte[] body) throws IOException;
     }
 
-    /** What is followed: its name in the log, where it is, the most bytes that it may tell, and what is said with each question. */
-    public record Source(String name, String address, String path, int longest, Supplier<String> says) {
+    /**
+     * What is followed: its name in the log, where it is, the most bytes that it may tell, and what
+     * is said with each question.
+     */
+    public record Source(
+            String name, String address, String path, int longest, Supplier<String> says) {
         public Source(String name, String address, String path, int longest) {
             this(name, address, path, longest, () -> "");
         }
@@ -36,14 +41,23 @@
     private volatile boolean stopped;
     private int failures;
 
-    public LongPoll(Source source, Reading<T> reading, ToLongFunction<T> version, Consumer<T> told,
+    public LongPoll(
+            Source source,
+            Reading<T> reading,
+            ToLongFunction<T> version,
+            Consumer<T> told,
             DiscoveryPacing.Pace pace) {
-        this(source, reading, version, told, pace, () -> { });
+        this(source, reading, version, told, pace, () -> {});
     }
 
     /** The last is run after each call, whether it told or failed. */
-    public LongPoll(Source source, Reading<T> reading, ToLongFunction<T> version, Consumer<T> told,
-            DiscoveryPacing.Pace pace, Runnable followed) {
+    public LongPoll(
+            Source source,
+            Reading<T> reading,
+            ToLongFunction<T> version,
+            Consumer<T> told,
+            DiscoveryPacing.Pace pace,
+            Runnable followed) {
         this.followed = followed;
         this.source = source;
         this.http = new HttpGet(source.address());
@@ -72,11 +86,16 @@
                     told.accept(next);
                 }
                 followed.run();
-                // A watch that is answered with nothing new before its wait is over would be asked without end.
+                // A watch that is answered with nothing new before its wait is over would be asked
+                // without end.
                 boolean idle = is == last && System.nanoTime() - asked < pace.hold().toNanos() / 2;
                 last = is;
                 if (failures > 0) {
-                    LOG.log(System.Logger.Level.INFO, "{0} answers again, version {1}", source.name(), last);
+                    LOG.log(
+                            System.Logger.Level.INFO,
+                            "{0} answers again, version {1}",
+                            source.name(),
+                            last);
                 }
                 failures = 0;
                 if (idle) {
@@ -87,8 +106,12 @@
                     return;
                 }
                 if (failures++ == 0) {
-                    LOG.log(System.Logger.Level.WARNING, "{0} at {1}: {2}; what is held stays", source.name(),
-                            source.address(), e.toString());
+                    LOG.log(
+                            System.Logger.Level.WARNING,
+                            "{0} at {1}: {2}; what is held stays",
+                            source.name(),
+                            source.address(),
+                            e.toString());
                 }
                 followed.run();
                 // The whole again: what a half answer would have told is not lost.
@@ -113,13 +136,17 @@
 
     private T newer(long last) throws IOException {
         Duration waited = pace.hold().plus(pace.over());
-        return ask("?index=" + last + "&wait=" + pace.hold().toMillis(),
+        return ask(
+                "?index=" + last + "&wait=" + pace.hold().toMillis(),
                 new HttpGet.Limits(pace.begin().apply(failures), waited, pace.answer(), waited));
     }
 
     private T ask(String query, HttpGet.Limits limits) throws IOException {
         String says = source.says().get();
-        String asked = source.path() + query + (says.isEmpty() ? "" : (query.isEmpty() ? "?" : "&") + says);
+        String asked =
+                source.path()
+                        + query
+                        + (says.isEmpty() ? "" : (query.isEmpty() ? "?" : "&") + says);
         return reading.read(http.get(asked, source.longest(), limits));
     }
 
--- a/src/main/java/postbeam/dispatch/AttemptListener.java
+++ b/src/main/java/postbeam/dispatch/AttemptListener.java
@@ -3,7 +3,9 @@
 import java.util.List;
 import postbeam.router.Ending;
 
-/** Receives what data nodes answered. Called on the I/O thread; may be called from several threads. */
+/**
+ * Receives what data nodes answered. Called on the I/O thread; may be called from several threads.
+ */
 public interface AttemptListener {
     /** Reports how attempts ended, each once; one that has ended otherwise meanwhile is ignored. */
     void report(List<Ending> endings);
--- a/src/main/java/postbeam/layouts/LayoutForm.java
+++ b/src/main/java/postbeam/layouts/LayoutForm.java
@@ -16,7 +16,10 @@
 import postbeam.slices.Slice;
 import postbeam.slices.Target;
 
-/** Layouts, changes and targets in JSON; an IOException says what can't be used. Times are milliseconds since 1970. */
+/**
+ * Layouts, changes and targets in JSON; an IOException says what can't be used. Times are
+ * milliseconds since 1970.
+ */
 public final class LayoutForm {
     private LayoutForm() {}
 
@@ -81,7 +84,8 @@
         json.writeNumberField("to", keys.to());
     }
 
-    static void writeInts(JsonGenerator json, String name, List<Integer> numbers) throws IOException {
+    static void writeInts(JsonGenerator json, String name, List<Integer> numbers)
+            throws IOException {
         json.writeArrayFieldStart(name);
         for (int number : numbers) {
             json.writeNumber(number);
@@ -94,18 +98,31 @@
         for (Map<?, ?> slice : objects(object, "slices")) {
             List<Holder> holders = new ArrayList<>();
             for (Map<?, ?> holder : objects(slice, "holders")) {
-                holders.add(new Holder(Json.member(holder, "node", String.class),
-                        Duration.ofMillis(number(holder, "took_ms"))));
+                holders.add(
+                        new Holder(
+                                Json.member(holder, "node", String.class),
+                                Duration.ofMillis(number(holder, "took_ms"))));
             }
-            slices.add(new Slice((int) number(slice, "slice"), keys(slice), number(slice, "born"), holders));
+            slices.add(
+                    new Slice(
+                            (int) number(slice, "slice"),
+                            keys(slice),
+                            number(slice, "born"),
+                            holders));
         }
         List<Retired> retired = new ArrayList<>();
         for (Map<?, ?> old : objects(object, "retired")) {
-            retired.add(new Retired((int) number(old, "slice"), keys(old), number(old, "born"), number(old, "died"),
-                    ints(old, "children")));
+            retired.add(
+                    new Retired(
+                            (int) number(old, "slice"),
+                            keys(old),
+                            number(old, "born"),
+                            number(old, "died"),
+                            ints(old, "children")));
         }
         try {
-            return Layout.checked(number(object, "version"), number(object, "oldest"), slices, retired);
+            return Layout.checked(
+                    number(object, "version"), number(object, "oldest"), slices, retired);
         } catch (IllegalArgumentException e) {
             throw new IOException(e.getMessage(), e);
         }
@@ -197,8 +214,10 @@
             return new Change.Merge(ints(object, "merge"));
         }
         if (object.containsKey("move")) {
-            String from = object.containsKey("off") ? Json.member(object, "off", String.class) : null;
-            String to = object.containsKey("onto") ? Json.member(object, "onto", String.class) : null;
+            String from =
+                    object.containsKey("off") ? Json.member(object, "off", String.class) : null;
+            String to =
+                    object.containsKey("onto") ? Json.member(object, "onto", String.class) : null;
             if (from == null && to == null) {
                 throw new IOException("a move needs off, onto or both");
             }
--- a/src/main/java/postbeam/layouts/LayoutService.java
+++ b/src/main/java/postbeam/layouts/LayoutService.java
@@ -50,26 +50,47 @@
 import postbeam.state.Readiness;
 
 /**
- * The one process that moves slices: keeps the log, carries out what the {@link Coordinator} decides, and tells the
- * layout over HTTP, whole and as a watch. One lock over all of it; nothing waits for a peer under it but the disk.
+ * The one process that moves slices: keeps the log, carries out what the {@link Coordinator}
+ * decides, and tells the layout over HTTP, whole and as a watch. One lock over all of it; nothing
+ * waits for a peer under it but the disk.
  */
 public final class LayoutService implements Closeable {
     private static final System.Logger LOG = System.getLogger(LayoutService.class.getName());
     private static final long START_MILLIS = System.currentTimeMillis();
     private static final long START_NANOS = System.nanoTime();
+
     /** Between looks at the moves where nothing happens; what happens is looked at at once. */
     private static final Duration LOOK = Duration.ofMillis(50);
+
     /** Routers that may wait for a newer layout at once; more are told to ask again. */
     private static final int WATCHERS_MOST = 1000;
+
     /** The longest that one waits. */
     private static final long WAIT_MOST_MS = 60_000;
+
     /** Bytes of a plan: a target of some 50,000 slices. */
     private static final int PLAN_LONGEST = 8 << 20;
 
-    /** Where it listens and keeps its log, the discovery, limits, the first layout's size; null: no migrations. */
-    public record Place(String listen, Path log, String discovery, long history, MoveLimits limits, int firstSlices,
-            int firstHolders, MigrationLimits migration) {
-        public Place(String listen, Path log, String discovery, long history, MoveLimits limits, int firstSlices,
+    /**
+     * Where it listens and keeps its log, the discovery, limits, the first layout's size; null: no
+     * migrations.
+     */
+    public record Place(
+            String listen,
+            Path log,
+            String discovery,
+            long history,
+            MoveLimits limits,
+            int firstSlices,
+            int firstHolders,
+            MigrationLimits migration) {
+        public Place(
+                String listen,
+                Path log,
+                String discovery,
+                long history,
+                MoveLimits limits,
+                int firstSlices,
                 int firstHolders) {
             this(listen, log, discovery, history, limits, firstSlices, firstHolders, null);
         }
@@ -90,11 +111,13 @@
     private Layout published;
     private byte[] publishedBytes;
     private boolean changed;
+
     /** Null where migrations are off, or there is no log yet. */
     private MigrationDesk desk;
+
     private volatile boolean stopped;
 
-    private record Waiting(HttpServerExchange exchange, long version, long untilNanos) { }
+    private record Waiting(HttpServerExchange exchange, long version, long untilNanos) {}
 
     /** A request that can't be done: its status and why. */
     private static final class Refused extends Exception {
@@ -108,7 +131,7 @@
     }
 
     public LayoutService(Place place) {
-        this(place, layout -> { });
+        this(place, layout -> {});
     }
 
     /** The one who listens hears each layout before anybody else is told. */
@@ -118,7 +141,8 @@
         this.book = new Book(place.history());
         this.coordinator = new Coordinator(book, place.limits());
         this.orders = new NodeOrders(this::done);
-        this.watch = Watch.of(place.discovery(), Integer.MAX_VALUE, this::listed, DiscoveryPacing.SOON);
+        this.watch =
+                Watch.of(place.discovery(), Integer.MAX_VALUE, this::listed, DiscoveryPacing.SOON);
         moves.setDaemon(true);
     }
 
@@ -129,9 +153,15 @@
                 open(null);
             }
         }
-        http = Undertow.builder().addHttpListener(port(), host()).setIoThreads(1).setWorkerThreads(4)
-                .setServerOption(io.undertow.UndertowOptions.MAX_ENTITY_SIZE, (long) PLAN_LONGEST)
-                .setHandler(this::handle).build();
+        http =
+                Undertow.builder()
+                        .addHttpListener(port(), host())
+                        .setIoThreads(1)
+                        .setWorkerThreads(4)
+                        .setServerOption(
+                                io.undertow.UndertowOptions.MAX_ENTITY_SIZE, (long) PLAN_LONGEST)
+                        .setHandler(this::handle)
+                        .build();
         http.start();
         Thread following = new Thread(watch, "discovery");
         following.setDaemon(true);
@@ -145,15 +175,27 @@
         log = MoveLog.open(place.log(), book, first);
         if (migrations != null) {
             orders.office(log.takeOffice(book), this::said, this::overtaken);
-            desk = new MigrationDesk(new Migrations(coordinator, migrations, place.migration(), now()), coordinator,
-                    place.migration());
+            desk =
+                    new MigrationDesk(
+                            new Migrations(coordinator, migrations, place.migration(), now()),
+                            coordinator,
+                            place.migration());
         }
         if (log.cut() > 0) {
-            LOG.log(System.Logger.Level.WARNING, "{0}: a torn record of {1} bytes was cut off; the layout goes on as "
-                    + "version {2}", place.log(), log.cut(), book.layout().version);
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "{0}: a torn record of {1} bytes was cut off; the layout goes on as "
+                            + "version {2}",
+                    place.log(),
+                    log.cut(),
+                    book.layout().version);
         }
-        LOG.log(System.Logger.Level.INFO, "layout {0}: {1} slices, {2} moves under way", book.layout().version,
-                book.layout().slices().size(), book.moves().size());
+        LOG.log(
+                System.Logger.Level.INFO,
+                "layout {0}: {1} slices, {2} moves under way",
+                book.layout().version,
+                book.layout().slices().size(),
+                book.moves().size());
         publish(book.layout());
     }
 
@@ -171,9 +213,13 @@
         return at.getAddress().getHostAddress() + ":" + at.getPort();
     }
 
-    /** Since 1970, as it was at the start and on by a clock that is never set: leases are counted by it. */
+    /**
+     * Since 1970, as it was at the start and on by a clock that is never set: leases are counted by
+     * it.
+     */
     private static Duration now() {
-        return Duration.ofMillis(START_MILLIS + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - START_NANOS));
+        return Duration.ofMillis(
+                START_MILLIS + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - START_NANOS));
     }
 
     private synchronized void said(long number, String node, List<Said> said) {
@@ -183,7 +229,9 @@
 
     /** A node has taken an order of a successor. */
     private void overtaken() {
-        LOG.log(System.Logger.Level.ERROR, new MigrationError.OfficeLost(book.term(), "a node").line());
+        LOG.log(
+                System.Logger.Level.ERROR,
+                new MigrationError.OfficeLost(book.term(), "a node").line());
         stopped = true;
     }
 
@@ -192,8 +240,16 @@
     private synchronized void listed(Told told) {
         List<String> started = new ArrayList<>();
         if (told.whole()) {
-            nodes.replaceAll((name, entry) -> told.entries().stream().anyMatch(one -> one.name().equals(name)) ? entry
-                    : new Entry(name, entry.zone(), entry.cell(), entry.startedMicros(), Readiness.GONE));
+            nodes.replaceAll(
+                    (name, entry) ->
+                            told.entries().stream().anyMatch(one -> one.name().equals(name))
+                                    ? entry
+                                    : new Entry(
+                                            name,
+                                            entry.zone(),
+                                            entry.cell(),
+                                            entry.startedMicros(),
+                                            Readiness.GONE));
         }
         for (Entry entry : told.entries()) {
             Entry before = nodes.put(entry.name(), entry);
@@ -203,9 +259,17 @@
         }
         addresses.putAll(told.addresses());
         Map<String, Target.Known> known = new TreeMap<>();
-        nodes.forEach((name, entry) -> known.put(name, new Target.Known(String.valueOf(entry.zone()),
-                entry.readiness())));
-        addresses.keySet().removeIf(name -> !known.containsKey(name) || known.get(name).readiness() == Readiness.GONE);
+        nodes.forEach(
+                (name, entry) ->
+                        known.put(
+                                name,
+                                new Target.Known(String.valueOf(entry.zone()), entry.readiness())));
+        addresses
+                .keySet()
+                .removeIf(
+                        name ->
+                                !known.containsKey(name)
+                                        || known.get(name).readiness() == Readiness.GONE);
         orders.reachedAt(addresses);
         coordinator.listed(known, started);
         if (desk != null && !started.isEmpty() && !stopped) {
@@ -226,7 +290,15 @@
     private void begin(List<String> spread) {
         try {
             Layout first = Layout.first(place.firstSlices(), spread, place.firstHolders());
-            open(new Logged.Whole(first, first.version, 0, first.slices().size() - 1, List.of(), null, List.of()));
+            open(
+                    new Logged.Whole(
+                            first,
+                            first.version,
+                            0,
+                            first.slices().size() - 1,
+                            List.of(),
+                            null,
+                            List.of()));
         } catch (IOException e) {
             LOG.log(System.Logger.Level.ERROR, "{0}; no layout is told", e.getMessage());
         }
@@ -270,8 +342,9 @@
     }
 
     /**
-     * Guards against going on past a record that may not be on disk: what was decided is thrown away with this
-     * process, the layout told last stays told, and a new start goes on from what is on disk.
+     * Guards against going on past a record that may not be on disk: what was decided is thrown
+     * away with this process, the layout told last stays told, and a new start goes on from what is
+     * on disk.
      */
     private synchronized void fail(Exception e) {
         if (e instanceof MoveLog.OfficeLost) {
@@ -279,7 +352,10 @@
             stopped = true;
             return;
         }
-        LOG.log(System.Logger.Level.ERROR, "moves stop here: the log can't be trusted any more; restart", e);
+        LOG.log(
+                System.Logger.Level.ERROR,
+                "moves stop here: the log can't be trusted any more; restart",
+                e);
         stopped = true;
     }
 
@@ -334,7 +410,8 @@
 
     private void endWaits() {
         long now = System.nanoTime();
-        List<Waiting> over = watchers.stream().filter(waiting -> waiting.untilNanos - now <= 0).toList();
+        List<Waiting> over =
+                watchers.stream().filter(waiting -> waiting.untilNanos - now <= 0).toList();
         watchers.removeAll(over);
         over.forEach(waiting -> answerLayout(waiting.exchange));
     }
@@ -358,22 +435,26 @@
             layout(exchange);
             return;
         }
-        HttpHandler handler = asked -> {
-            try {
-                byte[] body = asked.getInputStream().readAllBytes();
-                String said;
-                synchronized (this) {
-                    said = said(asked, path, body);
-                }
-                say(asked, 200, said);
-            } catch (ExplainedException e) {
-                say(asked, 409, e.getMessage());
-            } catch (Refused e) {
-                say(asked, e.status, e.getMessage());
-            } catch (IllegalArgumentException | IOException e) {
-                say(asked, 400, String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
-            }
-        };
+        HttpHandler handler =
+                asked -> {
+                    try {
+                        byte[] body = asked.getInputStream().readAllBytes();
+                        String said;
+                        synchronized (this) {
+                            said = said(asked, path, body);
+                        }
+                        say(asked, 200, said);
+                    } catch (ExplainedException e) {
+                        say(asked, 409, e.getMessage());
+                    } catch (Refused e) {
+                        say(asked, e.status, e.getMessage());
+                    } catch (IllegalArgumentException | IOException e) {
+                        say(
+                                asked,
+                                400,
+                                String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
+                    }
+                };
         new BlockingHandler(handler).handleRequest(exchange);
     }
 
@@ -397,16 +478,17 @@
             say(exchange, 503, "too many wait for a newer layout");
         } else {
             long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(wait);
-            exchange.dispatch(() -> {
-                synchronized (this) {
-                    Waiting waiting = new Waiting(exchange, version, until);
-                    if (published.version > version) {
-                        answerLayout(exchange);
-                    } else {
-                        watchers.add(waiting);
-                    }
-                }
-            });
+            exchange.dispatch(
+                    () -> {
+                        synchronized (this) {
+                            Waiting waiting = new Waiting(exchange, version, until);
+                            if (published.version > version) {
+                                answerLayout(exchange);
+                            } else {
+                                watchers.add(waiting);
+                            }
+                        }
+                    });
         }
     }
 
@@ -434,10 +516,12 @@
     }
 
     /** The answer to a request of operators. */
-    private String said(HttpServerExchange exchange, String path, byte[] body) throws Refused, IOException,
-            ExplainedException {
+    private String said(HttpServerExchange exchange, String path, byte[] body)
+            throws Refused, IOException, ExplainedException {
         if (log == null || stopped) {
-            throw new Refused(503, log == null ? "there is no layout yet" : "the log failed: restart the service");
+            throw new Refused(
+                    503,
+                    log == null ? "there is no layout yet" : "the log failed: restart the service");
         }
         switch (path) {
             case "GET /v1/status" -> {
@@ -471,7 +555,8 @@
                 if (desk == null) {
                     throw new ExplainedException(new MigrationError.SwitchedOff());
                 }
-                MigrationDesk.Answer answer = desk.ordered(path, exchange.getQueryParameters(), body, now());
+                MigrationDesk.Answer answer =
+                        desk.ordered(path, exchange.getQueryParameters(), body, now());
                 carryOutAll(answer.doings());
                 wake();
                 return answer.said().get();
@@ -479,23 +564,33 @@
         }
     }
 
-    /** The changes that a target would take first, or that a change is possible; an error says what is wrong. */
+    /**
+     * The changes that a target would take first, or that a change is possible; an error says what
+     * is wrong.
+     */
     private List<String> plan(Map<String, Object> asked) throws IOException {
         if (!asked.containsKey("slices")) {
             Change change = LayoutForm.change(asked);
-            coordinator.problem(change).ifPresent(problem -> {
-                throw new IllegalArgumentException(problem);
-            });
+            coordinator
+                    .problem(change)
+                    .ifPresent(
+                            problem -> {
+                                throw new IllegalArgumentException(problem);
+                            });
             return List.of("possible: " + change);
         }
         Target target = LayoutForm.target(asked);
         List<String> problems = coordinator.problems(target);
         if (!problems.isEmpty()) {
-            throw new IllegalArgumentException(problems.get(0)
-                    + (problems.size() > 1 ? " (and " + (problems.size() - 1) + " more)" : ""));
+            throw new IllegalArgumentException(
+                    problems.get(0)
+                            + (problems.size() > 1
+                                    ? " (and " + (problems.size() - 1) + " more)"
+                                    : ""));
         }
         List<String> lines = new ArrayList<>();
-        Planner.next(book.layout(), target, book.busy()).forEach(change -> lines.add("first: " + change));
+        Planner.next(book.layout(), target, book.busy())
+                .forEach(change -> lines.add("first: " + change));
         return lines.isEmpty() ? List.of("nothing is to be done") : lines;
     }
 
@@ -515,24 +610,27 @@
     }
 
     private String status() {
-        return new String(LayoutForm.bytes(json -> {
-            json.writeStartObject();
-            json.writeNumberField("version", book.layout().version);
-            json.writeNumberField("slices", book.layout().slices().size());
-            json.writeNumberField("watchers", watchers.size());
-            json.writeBooleanField("target", book.target() != null);
-            json.writeArrayFieldStart("moves");
-            for (Move move : book.moves()) {
-                write(json, move);
-            }
-            json.writeEndArray();
-            json.writeArrayFieldStart("over");
-            for (Move move : book.over()) {
-                write(json, move);
-            }
-            json.writeEndArray();
-            json.writeEndObject();
-        }), StandardCharsets.UTF_8);
+        return new String(
+                LayoutForm.bytes(
+                        json -> {
+                            json.writeStartObject();
+                            json.writeNumberField("version", book.layout().version);
+                            json.writeNumberField("slices", book.layout().slices().size());
+                            json.writeNumberField("watchers", watchers.size());
+                            json.writeBooleanField("target", book.target() != null);
+                            json.writeArrayFieldStart("moves");
+                            for (Move move : book.moves()) {
+                                write(json, move);
+                            }
+                            json.writeEndArray();
+                            json.writeArrayFieldStart("over");
+                            for (Move move : book.over()) {
+                                write(json, move);
+                            }
+                            json.writeEndArray();
+                            json.writeEndObject();
+                        }),
+                StandardCharsets.UTF_8);
     }
 
     private static void write(JsonGenerator json, Move move) throws IOException {
@@ -547,7 +645,10 @@
         json.writeEndObject();
     }
 
-    /** What is not as it should be: slices with holders that are gone, draining or too few, a line each. */
+    /**
+     * What is not as it should be: slices with holders that are gone, draining or too few, a line
+     * each.
+     */
     private String verify() {
         List<String> lines = new ArrayList<>();
         for (var slice : book.layout().slices()) {
@@ -563,14 +664,27 @@
                 }
             }
             if (there.size() < place.limits().holders()) {
-                lines.add("slice " + slice.number() + ": " + there.size() + " holders are ready, at least "
-                        + place.limits().holders() + " are needed");
+                lines.add(
+                        "slice "
+                                + slice.number()
+                                + ": "
+                                + there.size()
+                                + " holders are ready, at least "
+                                + place.limits().holders()
+                                + " are needed");
             }
         }
         int findings = lines.size();
-        coordinator.mends().forEach(change -> lines.add("to mend it, if the node is dead: " + change));
-        lines.add((lines.isEmpty() ? "sound: " : findings + " findings: ") + "layout " + book.layout().version
-                + ", " + book.layout().slices().size() + " slices");
+        coordinator
+                .mends()
+                .forEach(change -> lines.add("to mend it, if the node is dead: " + change));
+        lines.add(
+                (lines.isEmpty() ? "sound: " : findings + " findings: ")
+                        + "layout "
+                        + book.layout().version
+                        + ", "
+                        + book.layout().slices().size()
+                        + " slices");
         return String.join("\n", lines);
     }
 
--- a/src/main/java/postbeam/layouts/LayoutWatch.java
+++ b/src/main/java/postbeam/layouts/LayoutWatch.java
@@ -21,7 +21,13 @@
 
     /** What a router of this name says with each question that holds this version, 0 for none. */
     public static String says(String router, long version) {
-        return ROUTER + "=" + URLEncoder.encode(router, StandardCharsets.UTF_8) + "&" + HELD + "=" + version;
+        return ROUTER
+                + "="
+                + URLEncoder.encode(router, StandardCharsets.UTF_8)
+                + "&"
+                + HELD
+                + "="
+                + version;
     }
 
     public static LongPoll<Layout> of(String address, Consumer<Layout> told) {
@@ -29,8 +35,13 @@
     }
 
     /** A router that says at each question who it is and which layout it holds: {@link #says}. */
-    public static LongPoll<Layout> of(String address, Consumer<Layout> told, Supplier<String> says) {
-        return new LongPoll<>(new LongPoll.Source("layouts", address, "/v1/layout", LONGEST, says),
-                body -> LayoutForm.read(Json.object(body)), layout -> layout.version, told, DiscoveryPacing.SOON);
+    public static LongPoll<Layout> of(
+            String address, Consumer<Layout> told, Supplier<String> says) {
+        return new LongPoll<>(
+                new LongPoll.Source("layouts", address, "/v1/layout", LONGEST, says),
+                body -> LayoutForm.read(Json.object(body)),
+                layout -> layout.version,
+                told,
+                DiscoveryPacing.SOON);
     }
 }
--- a/src/main/java/postbeam/layouts/LayoutsCommand.java
+++ b/src/main/java/postbeam/layouts/LayoutsCommand.java
@@ -22,35 +22,52 @@
 import postbeam.slices.MoveLimits;
 
 /** The layout service, and what operators ask of one that runs. */
-@Parameters(commandDescription = "serve: run the layout service; show, plan, start, abandon, status, verify, migrate, "
-        + "migrations, pause, resume, checkpoint, rollback: ask one")
+@Parameters(
+        commandDescription =
+                "serve: run the layout service; show, plan, start, abandon, status, verify,"
+                        + " migrate, migrations, pause, resume, checkpoint, rollback: ask one")
 public final class LayoutsCommand {
     private static final Duration ANSWER_MOST = Duration.ofSeconds(10);
 
-    @Parameter(description = "serve|show|plan|start|abandon|status|verify|migrate|migrations|pause|resume|checkpoint|"
-            + "rollback")
+    @Parameter(
+            description =
+                    "serve|show|plan|start|abandon|status|verify|migrate|migrations|pause|resume|checkpoint|"
+                        + "rollback")
     private List<String> what = new ArrayList<>();
 
-    @Parameter(names = "--settings", description = "File of settings in JSON5, as deploy/postbeam.json5")
+    @Parameter(
+            names = "--settings",
+            description = "File of settings in JSON5, as deploy/postbeam.json5")
     private String settings = "deploy/postbeam.json5";
 
-    @Parameter(names = "--service", description = "HOST:PORT of a service that runs; else as the settings have it")
+    @Parameter(
+            names = "--service",
+            description = "HOST:PORT of a service that runs; else as the settings have it")
     private String service;
 
-    @Parameter(names = "--file", description = "plan, start: a file of JSON with a change or a target")
+    @Parameter(
+            names = "--file",
+            description = "plan, start: a file of JSON with a change or a target")
     private String file;
 
-    @Parameter(names = "--change", description = "plan, start: the change itself, as {\"split\": 3, \"at\": [KEY]}, "
-            + "{\"merge\": [3, 4]} or {\"move\": 3, \"off\": \"n1\", \"onto\": \"n2\"}")
+    @Parameter(
+            names = "--change",
+            description =
+                    "plan, start: the change itself, as {\"split\": 3, \"at\": [KEY]}, {\"merge\":"
+                            + " [3, 4]} or {\"move\": 3, \"off\": \"n1\", \"onto\": \"n2\"}")
     private String change;
 
     @Parameter(names = "--move", description = "abandon: the number of the move")
     private Long move;
 
-    @Parameter(names = "--target", description = "abandon: the target, so that no further moves are planned")
+    @Parameter(
+            names = "--target",
+            description = "abandon: the target, so that no further moves are planned")
     private boolean target;
 
-    @Parameter(names = "--migration", description = "pause, resume, checkpoint, rollback: the number of the migration")
+    @Parameter(
+            names = "--migration",
+            description = "pause, resume, checkpoint, rollback: the number of the migration")
     private Long migration;
 
     @Parameter(names = "--version", description = "checkpoint: the version that it was opened for")
@@ -71,35 +88,67 @@
                 case "pause", "resume", "rollback", "checkpoint" -> {
                     boolean checkpoint = verb.equals("checkpoint");
                     if (migration == null || checkpoint && (version == null || digest == null)) {
-                        err.println("layouts " + verb + ": give --migration" + (checkpoint ? ", --version and --digest"
-                                : ""));
+                        err.println(
+                                "layouts "
+                                        + verb
+                                        + ": give --migration"
+                                        + (checkpoint ? ", --version and --digest" : ""));
                         yield 2;
                     }
-                    yield ask("POST", "/v1/" + verb + "?migration=" + migration + (checkpoint ? "&version=" + version
-                            + "&digest=" + URLEncoder.encode(digest, StandardCharsets.UTF_8) : ""), "", out, err);
+                    yield ask(
+                            "POST",
+                            "/v1/"
+                                    + verb
+                                    + "?migration="
+                                    + migration
+                                    + (checkpoint
+                                            ? "&version="
+                                                    + version
+                                                    + "&digest="
+                                                    + URLEncoder.encode(
+                                                            digest, StandardCharsets.UTF_8)
+                                            : ""),
+                            "",
+                            out,
+                            err);
                 }
                 case "plan", "start", "migrate" -> {
                     if ((file == null) == (change == null)) {
                         err.println("layouts " + verb + ": give --file or --change");
                         yield 2;
                     }
-                    yield ask("POST", "/v1/" + verb, change != null ? change : Files.readString(Path.of(file)), out, err);
+                    yield ask(
+                            "POST",
+                            "/v1/" + verb,
+                            change != null ? change : Files.readString(Path.of(file)),
+                            out,
+                            err);
                 }
                 case "abandon" -> {
                     if ((move == null) == !target) {
                         err.println("layouts abandon: give --move or --target");
                         yield 2;
                     }
-                    yield ask("POST", "/v1/abandon?" + (target ? "target=1" : "move=" + move), "", out, err);
+                    yield ask(
+                            "POST",
+                            "/v1/abandon?" + (target ? "target=1" : "move=" + move),
+                            "",
+                            out,
+                            err);
                 }
                 default -> {
-                    err.println("layouts: say serve, show, plan, start, abandon, status, verify, migrate, migrations, "
-                            + "pause, resume, checkpoint or rollback");
+                    err.println(
+                            "layouts: say serve, show, plan, start, abandon, status, verify,"
+                                + " migrate, migrations, pause, resume, checkpoint or rollback");
                     yield 2;
                 }
             };
         } catch (IOException | IllegalArgumentException e) {
-            err.println("layouts " + verb + ": " + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
+            err.println(
+                    "layouts "
+                            + verb
+                            + ": "
+                            + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
             return 1;
         }
     }
@@ -111,13 +160,17 @@
         }
         LayoutService running = new LayoutService(place(info));
         running.start();
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            try {
-                running.close();
-            } catch (IOException e) {
-                // What counts is on disk already.
-            }
-        }, "stop"));
+        Runtime.getRuntime()
+                .addShutdownHook(
+                        new Thread(
+                                () -> {
+                                    try {
+                                        running.close();
+                                    } catch (IOException e) {
+                                        // What counts is on disk already.
+                                    }
+                                },
+                                "stop"));
         Thread.currentThread().join();
         return 0;
     }
@@ -125,14 +178,24 @@
     private static LayoutService.Place place(Info info) {
         String path = "layouts.serve.";
         String limits = path + "limits.";
-        return new LayoutService.Place(info.needed(path + "listen"), Path.of(info.needed(path + "log")),
-                info.needed(path + "discovery"), info.atLeast(path + "history", 1),
-                new MoveLimits(info.atLeast(limits + "moves", 1), info.atLeast(limits + "movesANode", 1),
-                        info.atLeast(limits + "movesAZone", 1), millis(info, limits + "copyMs"),
-                        millis(info, limits + "stepMs"), millis(info, limits + "restMs"),
-                        millis(info, limits + "againMs"), info.atLeast(limits + "holders", 1),
+        return new LayoutService.Place(
+                info.needed(path + "listen"),
+                Path.of(info.needed(path + "log")),
+                info.needed(path + "discovery"),
+                info.atLeast(path + "history", 1),
+                new MoveLimits(
+                        info.atLeast(limits + "moves", 1),
+                        info.atLeast(limits + "movesANode", 1),
+                        info.atLeast(limits + "movesAZone", 1),
+                        millis(info, limits + "copyMs"),
+                        millis(info, limits + "stepMs"),
+                        millis(info, limits + "restMs"),
+                        millis(info, limits + "againMs"),
+                        info.atLeast(limits + "holders", 1),
                         info.atLeast(limits + "zones", 1)),
-                info.atLeast(path + "firstSlices", 1), info.atLeast(path + "firstHolders", 1), migration(info));
+                info.atLeast(path + "firstSlices", 1),
+                info.atLeast(path + "firstHolders", 1),
+                migration(info));
     }
 
     /** Null where migrations are off. */
@@ -141,22 +204,35 @@
         if (!Boolean.TRUE.equals(info.flag(path + "enabled"))) {
             return null;
         }
-        return new MigrationLimits(info.atLeast(path + "atOnce", 1), info.atLeast(path + "batch", 1),
-                info.atLeast(path + "movesASecond", 1), info.atLeast(path + "bytesASecond", 1),
-                millis(info, path + "starvedMs"), millis(info, path + "coldMs"), millis(info, path + "watchMs"),
-                info.number(path + "leastUtility"), millis(info, path + "againMs"),
-                info.atLeast(path + "patience", 1), info.number(path + "finestKeys").longValue(),
-                millis(info, path + "leaseMs"), millis(info, path + "driftMs"));
+        return new MigrationLimits(
+                info.atLeast(path + "atOnce", 1),
+                info.atLeast(path + "batch", 1),
+                info.atLeast(path + "movesASecond", 1),
+                info.atLeast(path + "bytesASecond", 1),
+                millis(info, path + "starvedMs"),
+                millis(info, path + "coldMs"),
+                millis(info, path + "watchMs"),
+                info.number(path + "leastUtility"),
+                millis(info, path + "againMs"),
+                info.atLeast(path + "patience", 1),
+                info.number(path + "finestKeys").longValue(),
+                millis(info, path + "leaseMs"),
+                millis(info, path + "driftMs"));
     }
 
     private static Duration millis(Info info, String path) {
         return Duration.ofMillis(info.atLeast(path, 0));
     }
 
-    private int ask(String method, String path, String body, PrintStream out, PrintStream err) throws IOException {
-        String at = service != null ? service : OwnSettings.read(Paths.get(settings)).needed("layouts.serve.listen");
-        HttpURLConnection call = (HttpURLConnection) URI.create("http://" + at + path).toURL()
-                .openConnection(Proxy.NO_PROXY);
+    private int ask(String method, String path, String body, PrintStream out, PrintStream err)
+            throws IOException {
+        String at =
+                service != null
+                        ? service
+                        : OwnSettings.read(Paths.get(settings)).needed("layouts.serve.listen");
+        HttpURLConnection call =
+                (HttpURLConnection)
+                        URI.create("http://" + at + path).toURL().openConnection(Proxy.NO_PROXY);
         call.setRequestMethod(method);
         call.setConnectTimeout((int) ANSWER_MOST.toMillis());
         call.setReadTimeout((int) ANSWER_MOST.toMillis());
@@ -166,7 +242,11 @@
         }
         int status = call.getResponseCode();
         try (InputStream answer = status < 400 ? call.getInputStream() : call.getErrorStream()) {
-            String text = answer == null ? "" : new String(answer.readNBytes(LayoutWatch.LONGEST), StandardCharsets.UTF_8);
+            String text =
+                    answer == null
+                            ? ""
+                            : new String(
+                                    answer.readNBytes(LayoutWatch.LONGEST), StandardCharsets.UTF_8);
             (status < 400 ? out : err).println(text.stripTrailing());
         }
         return status < 400 ? 0 : 1;
--- a/src/main/java/postbeam/layouts/MoveLog.java
+++ b/src/main/java/postbeam/layouts/MoveLog.java
@@ -22,16 +22,19 @@
 import postbeam.slices.Logged;
 
 /**
- * The log of moves in a file: a mark of its form, then records of a length, a CRC-32C over length and bytes, and the
- * bytes. A record counts once it is whole and on disk. The last one may be torn: it is cut off, since nothing was
- * done on it. A fault anywhere before is no tear, and the log is not used: its place is named, nothing is changed.
- * Compaction writes a new file that begins with all that is known and puts it in the old one's place.
+ * The log of moves in a file: a mark of its form, then records of a length, a CRC-32C over length
+ * and bytes, and the bytes. A record counts once it is whole and on disk. The last one may be torn:
+ * it is cut off, since nothing was done on it. A fault anywhere before is no tear, and the log is
+ * not used: its place is named, nothing is changed. Compaction writes a new file that begins with
+ * all that is known and puts it in the old one's place.
  */
 public final class MoveLog implements Closeable {
     private static final byte[] MARK = "postbeam moves 1\n".getBytes(StandardCharsets.US_ASCII);
     private static final int HEAD = Integer.BYTES + Integer.BYTES;
+
     /** Bytes: a whole layout of some 100,000 slices; a longer length is a fault. */
     private static final int LONGEST = 64 << 20;
+
     /** Records after which the log is written anew, beginning with all that is known. */
     private static final int COMPACT_AFTER = 1000;
 
@@ -41,6 +44,7 @@
     private int records;
     private long cut;
     private long term;
+
     /** Where the next record begins, as far as this process knows. */
     private long end;
 
@@ -50,12 +54,14 @@
     }
 
     /**
-     * Opens the log, fills the book from it, and cuts a torn tail off. A log that is not there is begun with this
-     * record. An IOException says what is wrong: another process has it, or it is damaged.
+     * Opens the log, fills the book from it, and cuts a torn tail off. A log that is not there is
+     * begun with this record. An IOException says what is wrong: another process has it, or it is
+     * damaged.
      */
     public static MoveLog open(Path file, Book book, Logged.Whole first) throws IOException {
         Path lock = file.resolveSibling(file.getFileName() + ".lock");
-        FileChannel lockFile = FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        FileChannel lockFile =
+                FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
             FileLock held = lockFile.tryLock();
             if (held == null) {
@@ -112,11 +118,19 @@
             channel.position(at);
             end = at;
             if (cut > 0) {
-                // Perhaps what was cut off had been whole once, and its version told: that one is not used again.
+                // Perhaps what was cut off had been whole once, and its version told: that one is
+                // not used again.
                 Logged.Whole whole = book.whole();
                 long next = whole.lastVersion() + 2;
-                whole = new Logged.Whole(whole.layout().again(next), next, whole.lastMove(), whole.lastSlice(),
-                        whole.moves(), whole.target(), whole.owed());
+                whole =
+                        new Logged.Whole(
+                                whole.layout().again(next),
+                                next,
+                                whole.lastMove(),
+                                whole.lastSlice(),
+                                whole.moves(),
+                                whole.target(),
+                                whole.owed());
                 book.apply(whole);
                 append(whole);
             }
@@ -131,7 +145,8 @@
             Map<String, Object> object = Json.object(record);
             long written = RecordForm.term(object);
             if (written > 0 && written < book.term()) {
-                // Slipped in behind a successor's office by one that had been stopped: nothing was done on it.
+                // Slipped in behind a successor's office by one that had been stopped: nothing was
+                // done on it.
                 return;
             }
             book.apply(RecordForm.read(object));
@@ -153,12 +168,17 @@
         if (fits && sum(length, record) == sum) {
             return record;
         }
-        // A tear leaves the last record short, or its bytes not all written; a whole one behind it proves a fault.
+        // A tear leaves the last record short, or its bytes not all written; a whole one behind it
+        // proves a fault.
         if (!soundBehind(at + 1, size)) {
             return null;
         }
-        throw new IOException(file + ", byte " + at + ": a damaged record with others behind it; restore the file "
-                + "from a copy, or begin anew from a layout that a router still holds");
+        throw new IOException(
+                file
+                        + ", byte "
+                        + at
+                        + ": a damaged record with others behind it; restore the file "
+                        + "from a copy, or begin anew from a layout that a router still holds");
     }
 
     /** Whether a whole record begins anywhere from here on. */
@@ -207,11 +227,17 @@
 
     private static ByteBuffer framed(Logged record, long term) {
         byte[] bytes = RecordForm.write(record, term);
-        return ByteBuffer.allocate(HEAD + bytes.length).putInt(bytes.length).putInt(sum(bytes.length, bytes))
-                .put(bytes).flip();
+        return ByteBuffer.allocate(HEAD + bytes.length)
+                .putInt(bytes.length)
+                .putInt(sum(bytes.length, bytes))
+                .put(bytes)
+                .flip();
     }
 
-    /** Once it returns the record is on disk. After an IOException nothing further may be written: the end is unsure. */
+    /**
+     * Once it returns the record is on disk. After an IOException nothing further may be written:
+     * the end is unsure.
+     */
     public void append(Logged record) throws IOException {
         ByteBuffer framed = framed(record, term);
         if (term > 0) {
@@ -227,7 +253,10 @@
         records++;
     }
 
-    /** From now on records carry a term above all before; what others write with a lower one counts no more. */
+    /**
+     * From now on records carry a term above all before; what others write with a lower one counts
+     * no more.
+     */
     public long takeOffice(Book book) throws IOException {
         term = book.term() + 1;
         Logged.Office office = new Logged.Office(term);
@@ -237,12 +266,14 @@
     }
 
     /**
-     * Guards against one that was stopped past its lock and goes on beside its successor: the log is longer than it
-     * left it, or another stands in its place. Hurts where somebody else writes to the file, which nobody may.
+     * Guards against one that was stopped past its lock and goes on beside its successor: the log
+     * is longer than it left it, or another stands in its place. Hurts where somebody else writes
+     * to the file, which nobody may.
      */
     public void stillInOffice() throws IOException {
         if (!inOffice()) {
-            throw new OfficeLost(new MigrationError.OfficeLost(term, file + ", which others have written to,"));
+            throw new OfficeLost(
+                    new MigrationError.OfficeLost(term, file + ", which others have written to,"));
         }
     }
 
@@ -272,11 +303,18 @@
         }
     }
 
-    /** A new file, synced, in place of the old one, and the directory synced: at no time is there no whole log. */
+    /**
+     * A new file, synced, in place of the old one, and the directory synced: at no time is there no
+     * whole log.
+     */
     private void begin(Logged.Whole whole, List<Logged> rest) throws IOException {
         Path fresh = file.resolveSibling(file.getFileName() + ".new");
-        FileChannel next = FileChannel.open(fresh, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
-                StandardOpenOption.WRITE);
+        FileChannel next =
+                FileChannel.open(
+                        fresh,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.TRUNCATE_EXISTING,
+                        StandardOpenOption.WRITE);
         try {
             ByteBuffer[] bytes = new ByteBuffer[2 + rest.size()];
             bytes[0] = ByteBuffer.wrap(MARK);
@@ -288,7 +326,11 @@
                 next.write(bytes);
             }
             next.force(true);
-            Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(
+                    fresh,
+                    file,
+                    StandardCopyOption.ATOMIC_MOVE,
+                    StandardCopyOption.REPLACE_EXISTING);
             try (FileChannel directory = FileChannel.open(file.toAbsolutePath().getParent())) {
                 directory.force(true);
             }
--- a/src/main/java/postbeam/layouts/NotedForm.java
+++ b/src/main/java/postbeam/layouts/NotedForm.java
@@ -17,20 +17,38 @@
 import postbeam.migration.Stage;
 import postbeam.setup.Json;
 
-/** The records of migrations in JSON, one object each, and an operator's plan of one; an IOException says what is wrong. */
+/**
+ * The records of migrations in JSON, one object each, and an operator's plan of one; an IOException
+ * says what is wrong.
+ */
 final class NotedForm {
-    static final WireNames<Stage> STAGES = WireNames.of(Stage.class, "an unknown Stage",
-            entry(Stage.PLANNED, "PLANNED"), entry(Stage.COPYING, "COPYING"), entry(Stage.CAUGHT_UP, "CAUGHT_UP"),
-            entry(Stage.VERIFYING, "VERIFYING"), entry(Stage.CHECKPOINT, "CHECKPOINT"),
-            entry(Stage.SWITCHING, "SWITCHING"), entry(Stage.WATCHED, "WATCHED"),
-            entry(Stage.LAST_CHECKPOINT, "LAST_CHECKPOINT"), entry(Stage.RETIRING, "RETIRING"),
-            entry(Stage.RETIRED, "RETIRED"), entry(Stage.ROLLING_BACK, "ROLLING_BACK"),
-            entry(Stage.ROLLED_BACK, "ROLLED_BACK"));
-    static final WireNames<Cause> CAUSES = WireNames.of(Cause.class, "an unknown Cause",
-            entry(Cause.OPERATOR, "OPERATOR"), entry(Cause.TARGET_COLD, "TARGET_COLD"),
-            entry(Cause.SHARD_THIN, "SHARD_THIN"), entry(Cause.UTILITY_FELL, "UTILITY_FELL"),
-            entry(Cause.STARVED, "STARVED"), entry(Cause.DIFFERS, "DIFFERS"),
-            entry(Cause.MOVE_FAILED, "MOVE_FAILED"));
+    static final WireNames<Stage> STAGES =
+            WireNames.of(
+                    Stage.class,
+                    "an unknown Stage",
+                    entry(Stage.PLANNED, "PLANNED"),
+                    entry(Stage.COPYING, "COPYING"),
+                    entry(Stage.CAUGHT_UP, "CAUGHT_UP"),
+                    entry(Stage.VERIFYING, "VERIFYING"),
+                    entry(Stage.CHECKPOINT, "CHECKPOINT"),
+                    entry(Stage.SWITCHING, "SWITCHING"),
+                    entry(Stage.WATCHED, "WATCHED"),
+                    entry(Stage.LAST_CHECKPOINT, "LAST_CHECKPOINT"),
+                    entry(Stage.RETIRING, "RETIRING"),
+                    entry(Stage.RETIRED, "RETIRED"),
+                    entry(Stage.ROLLING_BACK, "ROLLING_BACK"),
+                    entry(Stage.ROLLED_BACK, "ROLLED_BACK"));
+    static final WireNames<Cause> CAUSES =
+            WireNames.of(
+                    Cause.class,
+                    "an unknown Cause",
+                    entry(Cause.OPERATOR, "OPERATOR"),
+                    entry(Cause.TARGET_COLD, "TARGET_COLD"),
+                    entry(Cause.SHARD_THIN, "SHARD_THIN"),
+                    entry(Cause.UTILITY_FELL, "UTILITY_FELL"),
+                    entry(Cause.STARVED, "STARVED"),
+                    entry(Cause.DIFFERS, "DIFFERS"),
+                    entry(Cause.MOVE_FAILED, "MOVE_FAILED"));
 
     private NotedForm() {}
 
@@ -126,16 +144,32 @@
         long id = LayoutForm.number(object, "migration");
         String what = text(object, "what");
         return switch (what) {
-            case "opened" -> new Noted.Opened(id, text(object, "member"), hops(object),
-                    LayoutForm.number(object, "version"), Json.member(object, "utility", Number.class).doubleValue(),
-                    at(object));
-            case "entered" -> new Noted.Entered(id, STAGES.constant(text(object, "stage")), at(object));
-            case "verified" -> new Noted.Verified(id, LayoutForm.number(object, "move"), text(object, "digest"));
-            case "opening" -> new Noted.Opening(id, LayoutForm.number(object, "version"), text(object, "digest"),
-                    at(object));
+            case "opened" ->
+                    new Noted.Opened(
+                            id,
+                            text(object, "member"),
+                            hops(object),
+                            LayoutForm.number(object, "version"),
+                            Json.member(object, "utility", Number.class).doubleValue(),
+                            at(object));
+            case "entered" ->
+                    new Noted.Entered(id, STAGES.constant(text(object, "stage")), at(object));
+            case "verified" ->
+                    new Noted.Verified(
+                            id, LayoutForm.number(object, "move"), text(object, "digest"));
+            case "opening" ->
+                    new Noted.Opening(
+                            id,
+                            LayoutForm.number(object, "version"),
+                            text(object, "digest"),
+                            at(object));
             case "passed" -> new Noted.Passed(id, at(object));
-            case "paused" -> new Noted.Paused(id, CAUSES.constant(text(object, "cause")), text(object, "why"),
-                    at(object));
+            case "paused" ->
+                    new Noted.Paused(
+                            id,
+                            CAUSES.constant(text(object, "cause")),
+                            text(object, "why"),
+                            at(object));
             case "resumed" -> new Noted.Resumed(id, at(object));
             case "rollingBack" -> new Noted.RollingBack(id, text(object, "why"), at(object));
             case "standing" -> standing(id, object);
@@ -148,12 +182,20 @@
         for (Map<?, ?> one : LayoutForm.objects(object, "verified")) {
             verified.put(LayoutForm.number(one, "move"), text(one, "digest"));
         }
-        return new Noted.Standing(id, text(object, "member"), hops(object), LayoutForm.number(object, "version"),
+        return new Noted.Standing(
+                id,
+                text(object, "member"),
+                hops(object),
+                LayoutForm.number(object, "version"),
                 Json.member(object, "utility", Number.class).doubleValue(),
-                STAGES.constant(text(object, "stage")), at(object),
+                STAGES.constant(text(object, "stage")),
+                at(object),
                 object.containsKey("cause") ? CAUSES.constant(text(object, "cause")) : null,
-                object.containsKey("pausedWhy") ? text(object, "pausedWhy") : null, verified,
-                (int) LayoutForm.number(object, "openings"), checkpoint(object, "open"), checkpoint(object, "passed"),
+                object.containsKey("pausedWhy") ? text(object, "pausedWhy") : null,
+                verified,
+                (int) LayoutForm.number(object, "openings"),
+                checkpoint(object, "open"),
+                checkpoint(object, "passed"),
                 object.containsKey("rollbackWhy") ? text(object, "rollbackWhy") : null);
     }
 
@@ -169,18 +211,30 @@
     static List<Hop> hops(Map<?, ?> object) throws IOException {
         List<Hop> hops = new ArrayList<>();
         for (Map<?, ?> hop : LayoutForm.objects(object, "hops")) {
-            hops.add(new Hop((int) LayoutForm.number(hop, "move"), text(hop, "off"), text(hop, "onto")));
+            hops.add(
+                    new Hop(
+                            (int) LayoutForm.number(hop, "move"),
+                            text(hop, "off"),
+                            text(hop, "onto")));
         }
         return hops;
     }
 
-    /** {"open": 0, "mark": 7, "rows": 2, "bytes": 20, "digest": "...", "from": KEY, "to": KEY} in an array "said". */
+    /**
+     * {"open": 0, "mark": 7, "rows": 2, "bytes": 20, "digest": "...", "from": KEY, "to": KEY} in an
+     * array "said".
+     */
     static List<Said> said(Map<String, Object> object) throws IOException {
         List<Said> said = new ArrayList<>();
         for (Map<?, ?> one : LayoutForm.objects(object, "said")) {
-            said.add(new Said(LayoutForm.keys(one), (int) LayoutForm.number(one, "open"),
-                    LayoutForm.number(one, "mark"), LayoutForm.number(one, "rows"), LayoutForm.number(one, "bytes"),
-                    text(one, "digest")));
+            said.add(
+                    new Said(
+                            LayoutForm.keys(one),
+                            (int) LayoutForm.number(one, "open"),
+                            LayoutForm.number(one, "mark"),
+                            LayoutForm.number(one, "rows"),
+                            LayoutForm.number(one, "bytes"),
+                            text(one, "digest")));
         }
         return said;
     }
--- a/src/main/java/postbeam/layouts/RecordForm.java
+++ b/src/main/java/postbeam/layouts/RecordForm.java
@@ -16,11 +16,18 @@
 
 /** The records of the log of moves in JSON, one object each, named by "kind". */
 public final class RecordForm {
-    static final WireNames<MoveState> STATES = WireNames.of(MoveState.class, "a move in an unknown state",
-            entry(MoveState.PLANNED, "PLANNED"), entry(MoveState.COPYING, "COPYING"),
-            entry(MoveState.HOLDING_BOTH, "HOLDING_BOTH"), entry(MoveState.FENCED, "FENCED"),
-            entry(MoveState.CUT_OVER, "CUT_OVER"), entry(MoveState.FORGOTTEN, "FORGOTTEN"),
-            entry(MoveState.ABANDONING, "ABANDONING"), entry(MoveState.ABANDONED, "ABANDONED"));
+    static final WireNames<MoveState> STATES =
+            WireNames.of(
+                    MoveState.class,
+                    "a move in an unknown state",
+                    entry(MoveState.PLANNED, "PLANNED"),
+                    entry(MoveState.COPYING, "COPYING"),
+                    entry(MoveState.HOLDING_BOTH, "HOLDING_BOTH"),
+                    entry(MoveState.FENCED, "FENCED"),
+                    entry(MoveState.CUT_OVER, "CUT_OVER"),
+                    entry(MoveState.FORGOTTEN, "FORGOTTEN"),
+                    entry(MoveState.ABANDONING, "ABANDONING"),
+                    entry(MoveState.ABANDONED, "ABANDONED"));
 
     private RecordForm() {}
 
@@ -121,11 +128,14 @@
     }
 
     private static Move.Loss loss(Map<?, ?> loss) throws IOException {
-        return new Move.Loss(Json.member(loss, "node", String.class), (int) LayoutForm.number(loss, "slice"),
+        return new Move.Loss(
+                Json.member(loss, "node", String.class),
+                (int) LayoutForm.number(loss, "slice"),
                 LayoutForm.keys(loss));
     }
 
-    private static void start(JsonGenerator json, String kind, long id, Duration at) throws IOException {
+    private static void start(JsonGenerator json, String kind, long id, Duration at)
+            throws IOException {
         json.writeStringField("kind", kind);
         json.writeNumberField("move", id);
         json.writeNumberField("at_ms", at.toMillis());
@@ -172,20 +182,42 @@
         String kind = Json.member(object, "kind", String.class);
         return switch (kind) {
             case "whole" -> whole(object);
-            case "planned" -> new Logged.Planned(LayoutForm.number(object, "move"),
-                    LayoutForm.change(Json.member(object, "change", Map.class)), LayoutForm.ints(object, "births"),
-                    object.containsKey("source") ? Json.member(object, "source", String.class) : null, at(object));
-            case "advanced" -> new Logged.Advanced(LayoutForm.number(object, "move"), state(object), at(object));
-            case "cutOver" -> new Logged.CutOver(LayoutForm.number(object, "move"),
-                    LayoutForm.number(object, "version"), at(object));
-            case "abandoning" -> new Logged.Abandoning(LayoutForm.number(object, "move"),
-                    Json.member(object, "why", String.class), at(object));
-            case "back" -> new Logged.Back(LayoutForm.number(object, "move"), LayoutForm.number(object, "version"),
-                    at(object));
-            case "owed" -> new Logged.Owed(loss(Json.member(object, "loss", Map.class)),
-                    Json.member(object, "owed", Boolean.class));
-            case "aimed" -> new Logged.Aimed(object.containsKey("target")
-                    ? LayoutForm.target(Json.member(object, "target", Map.class)) : null);
+            case "planned" ->
+                    new Logged.Planned(
+                            LayoutForm.number(object, "move"),
+                            LayoutForm.change(Json.member(object, "change", Map.class)),
+                            LayoutForm.ints(object, "births"),
+                            object.containsKey("source")
+                                    ? Json.member(object, "source", String.class)
+                                    : null,
+                            at(object));
+            case "advanced" ->
+                    new Logged.Advanced(
+                            LayoutForm.number(object, "move"), state(object), at(object));
+            case "cutOver" ->
+                    new Logged.CutOver(
+                            LayoutForm.number(object, "move"),
+                            LayoutForm.number(object, "version"),
+                            at(object));
+            case "abandoning" ->
+                    new Logged.Abandoning(
+                            LayoutForm.number(object, "move"),
+                            Json.member(object, "why", String.class),
+                            at(object));
+            case "back" ->
+                    new Logged.Back(
+                            LayoutForm.number(object, "move"),
+                            LayoutForm.number(object, "version"),
+                            at(object));
+            case "owed" ->
+                    new Logged.Owed(
+                            loss(Json.member(object, "loss", Map.class)),
+                            Json.member(object, "owed", Boolean.class));
+            case "aimed" ->
+                    new Logged.Aimed(
+                            object.containsKey("target")
+                                    ? LayoutForm.target(Json.member(object, "target", Map.class))
+                                    : null);
             case "office" -> new Logged.Office(LayoutForm.number(object, "office"));
             case "migration" -> NotedForm.read(object);
             default -> throw new IOException("a record of an unknown kind: " + kind);
@@ -206,20 +238,36 @@
         for (Map<?, ?> move : LayoutForm.objects(object, "moves")) {
             List<Move.Gain> gains = new ArrayList<>();
             for (Map<?, ?> gain : LayoutForm.objects(move, "gains")) {
-                gains.add(new Move.Gain(Json.member(gain, "node", String.class),
-                        (int) LayoutForm.number(gain, "slice"), LayoutForm.keys(gain),
-                        Json.member(gain, "source", String.class)));
+                gains.add(
+                        new Move.Gain(
+                                Json.member(gain, "node", String.class),
+                                (int) LayoutForm.number(gain, "slice"),
+                                LayoutForm.keys(gain),
+                                Json.member(gain, "source", String.class)));
             }
-            moves.add(new Logged.Standing(LayoutForm.number(move, "move"),
-                    LayoutForm.change(Json.member(move, "change", Map.class)), LayoutForm.ints(move, "births"), gains,
-                    losses(move, "losses"), Duration.ofMillis(LayoutForm.number(move, "planned_ms")), state(move),
-                    Duration.ofMillis(LayoutForm.number(move, "since_ms")),
-                    move.get("why") instanceof String why ? why : null, Json.member(move, "turnsBack", Boolean.class),
-                    Json.member(move, "fenced", Boolean.class)));
+            moves.add(
+                    new Logged.Standing(
+                            LayoutForm.number(move, "move"),
+                            LayoutForm.change(Json.member(move, "change", Map.class)),
+                            LayoutForm.ints(move, "births"),
+                            gains,
+                            losses(move, "losses"),
+                            Duration.ofMillis(LayoutForm.number(move, "planned_ms")),
+                            state(move),
+                            Duration.ofMillis(LayoutForm.number(move, "since_ms")),
+                            move.get("why") instanceof String why ? why : null,
+                            Json.member(move, "turnsBack", Boolean.class),
+                            Json.member(move, "fenced", Boolean.class)));
         }
-        return new Logged.Whole(LayoutForm.read(Json.member(object, "layout", Map.class)),
-                LayoutForm.number(object, "lastVersion"), LayoutForm.number(object, "lastMove"),
-                (int) LayoutForm.number(object, "lastSlice"), moves, object.containsKey("target")
-                        ? LayoutForm.target(Json.member(object, "target", Map.class)) : null, losses(object, "owed"));
+        return new Logged.Whole(
+                LayoutForm.read(Json.member(object, "layout", Map.class)),
+                LayoutForm.number(object, "lastVersion"),
+                LayoutForm.number(object, "lastMove"),
+                (int) LayoutForm.number(object, "lastSlice"),
+                moves,
+                object.containsKey("target")
+                        ? LayoutForm.target(Json.member(object, "target", Map.class))
+                        : null,
+                losses(object, "owed"));
     }
 }
--- a/src/main/java/postbeam/layouts/WireNames.java
+++ b/src/main/java/postbeam/layouts/WireNames.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 
 /**
- * The names under which the constants of an enum are stored and sent. They are written out one by one, so that a
- * constant can be renamed without making older logs or other programs' messages unreadable.
+ * The names under which the constants of an enum are stored and sent. They are written out one by
+ * one, so that a constant can be renamed without making older logs or other programs' messages
+ * unreadable.
  */
 final class WireNames<E extends Enum<E>> {
     private final String unknown;
@@ -27,12 +28,14 @@
      * @throws IllegalArgumentException a constant has no name, or two have the same
      */
     @SafeVarargs
-    static <E extends Enum<E>> WireNames<E> of(Class<E> type, String unknown, Map.Entry<E, String>... names) {
+    static <E extends Enum<E>> WireNames<E> of(
+            Class<E> type, String unknown, Map.Entry<E, String>... names) {
         Map<E, String> all = new EnumMap<>(type);
         all.putAll(Map.ofEntries(names));
         WireNames<E> made = new WireNames<>(unknown, all);
         if (made.constants.size() != type.getEnumConstants().length) {
-            throw new IllegalArgumentException("constants of " + type + " without a name of their own");
+            throw new IllegalArgumentException(
+                    "constants of " + type + " without a name of their own");
         }
         return made;
     }
--- a/src/main/java/postbeam/migration/Checkpoint.java
+++ b/src/main/java/postbeam/migration/Checkpoint.java
@@ -1,4 +1,6 @@
 package postbeam.migration;
 
-/** What a checkpoint was opened for: a version of the layout and a digest over what was verified. */
-public record Checkpoint(long version, String digest) { }
+/**
+ * What a checkpoint was opened for: a version of the layout and a digest over what was verified.
+ */
+public record Checkpoint(long version, String digest) {}
--- a/src/main/java/postbeam/migration/Comparison.java
+++ b/src/main/java/postbeam/migration/Comparison.java
@@ -13,16 +13,20 @@
 import postbeam.slices.KeyRange;
 
 /**
- * Compares what two nodes have of a slice: asks both for ranges, takes what agrees, asks again where writes were under
- * way, cuts what goes on to differ. A difference counts once it has shown so many times with the source unchanged:
- * rows that came in between, or in another order, are none.
+ * Compares what two nodes have of a slice: asks both for ranges, takes what agrees, asks again
+ * where writes were under way, cuts what goes on to differ. A difference counts once it has shown
+ * so many times with the source unchanged: rows that came in between, or in another order, are
+ * none.
  */
 final class Comparison {
     /** Pieces that a range is cut into. */
     private static final int PIECES = 8;
+
     /** Ranges that are found to differ, or are looked at at once; enough to see where it is. */
     private static final int FOUND_MOST = 16;
+
     private static final int ASKED_MOST = 256;
+
     /** Rounds after which a range that comes to no rest is cut. */
     private static final int BUSY_ROUNDS = 12;
 
@@ -36,18 +40,27 @@
     private final String target;
     private final int slice;
     private final MigrationLimits limits;
+
     /** Ranges that have not agreed yet. */
     private final Map<KeyRange, Doubt> open = new TreeMap<>();
+
     private final Map<KeyRange, Said> agreed = new TreeMap<>();
     private final Map<KeyRange, String> differ = new LinkedHashMap<>();
     private long asked;
     private Map<KeyRange, Said> bySource;
     private Map<KeyRange, Said> byTarget;
     private Duration askedAt;
+
     /** When a range last agreed, differed or was cut. */
     private Duration progressAt;
 
-    Comparison(String source, String target, int slice, KeyRange keys, MigrationLimits limits, Duration now) {
+    Comparison(
+            String source,
+            String target,
+            int slice,
+            KeyRange keys,
+            MigrationLimits limits,
+            Duration now) {
         this.source = source;
         this.target = target;
         this.slice = slice;
@@ -65,7 +78,9 @@
         return pieces;
     }
 
-    /** Asks where nothing is asked, or the last question was lost; the number is for a new question. */
+    /**
+     * Asks where nothing is asked, or the last question was lost; the number is for a new question.
+     */
     List<Doing> step(long number, Duration now) {
         if (over() || askedAt != null && now.minus(askedAt).compareTo(limits.again()) < 0) {
             return List.of();
@@ -76,7 +91,9 @@
         byTarget = null;
         List<KeyRange> ranges = open.keySet().stream().limit(ASKED_MOST).toList();
         // Both by one number: an answer to an earlier question is of no use any more.
-        return List.of(new Doing.Ask(number, source, slice, ranges), new Doing.Ask(number, target, slice, ranges));
+        return List.of(
+                new Doing.Ask(number, source, slice, ranges),
+                new Doing.Ask(number, target, slice, ranges));
     }
 
     void answered(long number, String node, List<Said> said, Duration now) {
@@ -110,12 +127,18 @@
             return;
         }
         doubt.rounds++;
-        boolean still = here.open() == 0 && there.open() == 0 && doubt.source != null && doubt.source.same(here);
+        boolean still =
+                here.open() == 0
+                        && there.open() == 0
+                        && doubt.source != null
+                        && doubt.source.same(here);
         doubt.times = still ? doubt.times + 1 : 1;
         doubt.source = here;
         if (doubt.times < limits.patience()) {
             // Where something is always under way, finer pieces have their quiet moments.
-            if (doubt.rounds >= BUSY_ROUNDS && range.size() > limits.finest() && open.size() + PIECES <= ASKED_MOST) {
+            if (doubt.rounds >= BUSY_ROUNDS
+                    && range.size() > limits.finest()
+                    && open.size() + PIECES <= ASKED_MOST) {
                 open.remove(range);
                 cut(range).forEach(piece -> open.put(piece, new Doubt()));
             }
@@ -123,7 +146,17 @@
         }
         open.remove(range);
         if (range.size() <= Math.max(1, limits.finest()) || open.size() + PIECES > ASKED_MOST) {
-            differ.put(range, text(range) + ": " + here.rows() + " rows at " + source + ", " + there.rows() + " at " + target);
+            differ.put(
+                    range,
+                    text(range)
+                            + ": "
+                            + here.rows()
+                            + " rows at "
+                            + source
+                            + ", "
+                            + there.rows()
+                            + " at "
+                            + target);
         } else {
             cut(range).forEach(piece -> open.put(piece, new Doubt()));
         }
@@ -149,8 +182,11 @@
     /** Over all that agreed. */
     String digest() {
         MessageDigest sum = sha256();
-        agreed.forEach((range, said) -> sum.update((text(range) + " " + said.rows() + " " + said.digest() + "\n")
-                .getBytes(StandardCharsets.UTF_8)));
+        agreed.forEach(
+                (range, said) ->
+                        sum.update(
+                                (text(range) + " " + said.rows() + " " + said.digest() + "\n")
+                                        .getBytes(StandardCharsets.UTF_8)));
         return HexFormat.of().formatHex(sum.digest());
     }
 
--- a/src/main/java/postbeam/migration/Migration.java
+++ b/src/main/java/postbeam/migration/Migration.java
@@ -10,16 +10,21 @@
     public final long id;
     public final String member;
     public final List<Hop> hops;
+
     /** Of the layout when it was opened. */
     public final long version;
+
     /** The member's utility then; 0 where none was told. */
     public final double utility;
+
     Stage stage = Stage.PLANNED;
     Duration since;
     Cause cause;
     String pausedWhy;
+
     /** Digests by move. */
     final Map<Long, String> verified = new TreeMap<>();
+
     int openings;
     Checkpoint open;
     Checkpoint passed;
@@ -80,12 +85,32 @@
     }
 
     Noted.Standing standing() {
-        return new Noted.Standing(id, member, hops, version, utility, stage, since, cause, pausedWhy,
-                new TreeMap<>(verified), openings, open, passed, rollbackWhy);
+        return new Noted.Standing(
+                id,
+                member,
+                hops,
+                version,
+                utility,
+                stage,
+                since,
+                cause,
+                pausedWhy,
+                new TreeMap<>(verified),
+                openings,
+                open,
+                passed,
+                rollbackWhy);
     }
 
     static Migration of(Noted.Standing one) {
-        Migration made = new Migration(one.id(), one.member(), one.hops(), one.version(), one.utility(), one.since());
+        Migration made =
+                new Migration(
+                        one.id(),
+                        one.member(),
+                        one.hops(),
+                        one.version(),
+                        one.utility(),
+                        one.since());
         made.stage = one.stage();
         made.cause = one.cause();
         made.pausedWhy = one.pausedWhy();
@@ -99,7 +124,13 @@
 
     /** One line for operators, which the layout service answers to their orders. */
     public String summary() {
-        return "migration " + id + " of " + member + " " + stage.wireName() + (paused() ? ", paused: " + pausedWhy : "")
+        return "migration "
+                + id
+                + " of "
+                + member
+                + " "
+                + stage.wireName()
+                + (paused() ? ", paused: " + pausedWhy : "")
                 + (rollbackWhy == null ? "" : ", back: " + rollbackWhy);
     }
 
--- a/src/main/java/postbeam/migration/MigrationBook.java
+++ b/src/main/java/postbeam/migration/MigrationBook.java
@@ -61,8 +61,15 @@
                 throw new IllegalArgumentException("migration " + opened.id() + " is opened twice");
             }
             last = opened.id();
-            all.put(last, new Migration(last, opened.member(), opened.hops(), opened.version(), opened.utility(),
-                    opened.at()));
+            all.put(
+                    last,
+                    new Migration(
+                            last,
+                            opened.member(),
+                            opened.hops(),
+                            opened.version(),
+                            opened.utility(),
+                            opened.at()));
             return;
         }
         if (noted instanceof Noted.Standing standing) {
@@ -94,7 +101,8 @@
             one.open = new Checkpoint(opening.version(), opening.digest());
         } else if (noted instanceof Noted.Passed passed) {
             if (one.open == null) {
-                throw new IllegalArgumentException("no checkpoint of migration " + one.id + " is open");
+                throw new IllegalArgumentException(
+                        "no checkpoint of migration " + one.id + " is open");
             }
             one.stage = one.stage == Stage.LAST_CHECKPOINT ? Stage.RETIRING : Stage.SWITCHING;
             one.since = passed.at();
@@ -120,6 +128,8 @@
 
     private void forget() {
         List<Migration> over = all.values().stream().filter(one -> one.stage.over()).toList();
-        over.stream().limit(Math.max(0, over.size() - OVER_KEPT)).forEach(one -> all.remove(one.id));
+        over.stream()
+                .limit(Math.max(0, over.size() - OVER_KEPT))
+                .forEach(one -> all.remove(one.id));
     }
 }
--- a/src/main/java/postbeam/migration/MigrationError.java
+++ b/src/main/java/postbeam/migration/MigrationError.java
@@ -2,7 +2,10 @@
 
 import postbeam.errors.Explained;
 
-/** What can be wrong with an order about migrations, or with who gives it. Nothing has been done then. */
+/**
+ * What can be wrong with an order about migrations, or with who gives it. Nothing has been done
+ * then.
+ */
 public sealed interface MigrationError extends Explained {
     record NoSuch(long id) implements MigrationError {
         @Override
@@ -31,7 +34,10 @@
     record NoCheckpoint(long id, Stage stage) implements MigrationError {
         @Override
         public String happened() {
-            return "no checkpoint of migration " + id + " is open, it stands at " + stage.wireName();
+            return "no checkpoint of migration "
+                    + id
+                    + " is open, it stands at "
+                    + stage.wireName();
         }
 
         @Override
@@ -43,9 +49,16 @@
     record Stale(long id, Checkpoint named, Checkpoint open) implements MigrationError {
         @Override
         public String happened() {
-            return "the order names version " + named.version() + " and digest " + named.digest()
-                    + ", but the checkpoint of migration " + id + " was opened for version " + open.version()
-                    + " and digest " + open.digest();
+            return "the order names version "
+                    + named.version()
+                    + " and digest "
+                    + named.digest()
+                    + ", but the checkpoint of migration "
+                    + id
+                    + " was opened for version "
+                    + open.version()
+                    + " and digest "
+                    + open.digest();
         }
 
         @Override
@@ -57,8 +70,13 @@
     record Doubled(long id, Checkpoint named) implements MigrationError {
         @Override
         public String happened() {
-            return "the checkpoint of version " + named.version() + " and digest " + named.digest() + " of migration "
-                    + id + " was passed already";
+            return "the checkpoint of version "
+                    + named.version()
+                    + " and digest "
+                    + named.digest()
+                    + " of migration "
+                    + id
+                    + " was passed already";
         }
 
         @Override
--- a/src/main/java/postbeam/migration/MigrationLimits.java
+++ b/src/main/java/postbeam/migration/MigrationLimits.java
@@ -19,6 +19,17 @@
  * @param lease how long a router may go by a layout that it asked for; drift comes on top
  * @param drift what two clocks may differ by over a lease
  */
-public record MigrationLimits(int atOnce, int batch, int movesASecond, long bytesASecond, Duration starved,
-        Duration cold, Duration watch, double leastUtility, Duration again, int patience, long finest, Duration lease,
-        Duration drift) { }
+public record MigrationLimits(
+        int atOnce,
+        int batch,
+        int movesASecond,
+        long bytesASecond,
+        Duration starved,
+        Duration cold,
+        Duration watch,
+        double leastUtility,
+        Duration again,
+        int patience,
+        long finest,
+        Duration lease,
+        Duration drift) {}
--- a/src/main/java/postbeam/migration/Migrations.java
+++ b/src/main/java/postbeam/migration/Migrations.java
@@ -31,13 +31,17 @@
 import postbeam.state.Readiness;
 
 /**
- * Decides how migrations go on. What must outlive it is in the {@link MigrationBook}; which move is a hop's is told by
- * the move's change, so one that died goes on from its log. To be called by one thread at a time, and ticked before the
- * {@link Coordinator}, whose gate it is.
+ * Decides how migrations go on. What must outlive it is in the {@link MigrationBook}; which move is
+ * a hop's is told by the move's change, so one that died goes on from its log. To be called by one
+ * thread at a time, and ticked before the {@link Coordinator}, whose gate it is.
  */
 public class Migrations implements Gate {
-    /** Why a copy that differs, or that its target no longer holds, is thrown away when a migration goes on. */
+    /**
+     * Why a copy that differs, or that its target no longer holds, is thrown away when a migration
+     * goes on.
+     */
     private static final String COPIED_ANEW = "its copy was no good: copied anew";
+
     /** Members whose utility is kept. */
     private static final int MEMBERS_MOST = 1000;
 
@@ -51,17 +55,25 @@
     private final Map<String, Duration> startedAt = new HashMap<>();
     private final Map<String, Double> utilities = new LinkedHashMap<>();
     private final Map<Integer, Long> bytes = new HashMap<>();
+
     /** Since when a move's target has not said that it keeps up. */
     private final Map<Long, Duration> behindSince = new HashMap<>();
+
     /** The layout that all routers must have, by migration. */
     private final Map<Long, Long> toBeTold = new HashMap<>();
+
     /** Questions for what a slice weighs, and the first time that each was asked for. */
     private final Map<Long, Integer> weighing = new HashMap<>();
+
     private final Map<Integer, Duration> weighedFrom = new HashMap<>();
     private final Map<Integer, Duration> weighedLast = new HashMap<>();
     private long asked;
 
-    public Migrations(Coordinator coordinator, MigrationBook book, MigrationLimits limits, Duration startedAt) {
+    public Migrations(
+            Coordinator coordinator,
+            MigrationBook book,
+            MigrationLimits limits,
+            Duration startedAt) {
         this.coordinator = coordinator;
         this.book = book;
         this.limits = limits;
@@ -88,8 +100,15 @@
             throw new ExplainedException(new MigrationError.CantPlan(member, problem.get()));
         }
         List<Doing> doings = new ArrayList<>();
-        write(doings, new Noted.Opened(book.next(), member, hops, layout().version,
-                utilities.getOrDefault(member, 0.0), now));
+        write(
+                doings,
+                new Noted.Opened(
+                        book.next(),
+                        member,
+                        hops,
+                        layout().version,
+                        utilities.getOrDefault(member, 0.0),
+                        now));
         return doings;
     }
 
@@ -101,7 +120,10 @@
         }
         for (Hop hop : hops) {
             if (!slices.add(hop.slice())) {
-                return Optional.of("slice " + hop.slice() + " stands there twice: one holder is moved at a time");
+                return Optional.of(
+                        "slice "
+                                + hop.slice()
+                                + " stands there twice: one holder is moved at a time");
             }
             Optional<String> problem = coordinator.problem(hop.forward());
             if (problem.isPresent()) {
@@ -134,9 +156,11 @@
         for (Hop hop : one.hops) {
             Move move = move(hop);
             if (move != null) {
-                boolean behind = behindSince.remove(move.id) != null && one.cause() == Cause.STARVED;
+                boolean behind =
+                        behindSince.remove(move.id) != null && one.cause() == Cause.STARVED;
                 Comparison comparison = comparisons.remove(move.id);
-                if ((behind || comparison != null && !comparison.differ().isEmpty()) && abandonable(move)) {
+                if ((behind || comparison != null && !comparison.differ().isEmpty())
+                        && abandonable(move)) {
                     abandon(doings, move, COPIED_ANEW, now);
                 }
             }
@@ -152,8 +176,10 @@
             if (named.equals(one.passed())) {
                 throw new ExplainedException(new MigrationError.Doubled(id, named));
             }
-            throw new ExplainedException(one.open() == null ? new MigrationError.NoCheckpoint(id, one.stage())
-                    : new MigrationError.Stale(id, named, one.open()));
+            throw new ExplainedException(
+                    one.open() == null
+                            ? new MigrationError.NoCheckpoint(id, one.stage())
+                            : new MigrationError.Stale(id, named, one.open()));
         }
         if (one.paused()) {
             throw new ExplainedException(new MigrationError.IsPaused(id, one.pausedWhy()));
@@ -184,7 +210,10 @@
 
     // ---- what happens
 
-    /** These nodes have started: cold, and what they had not yet served they may have missed writes of. */
+    /**
+     * These nodes have started: cold, and what they had not yet served they may have missed writes
+     * of.
+     */
     public List<Doing> started(Collection<String> nodes, Duration now) {
         List<Doing> doings = new ArrayList<>();
         nodes.forEach(node -> startedAt.put(node, now));
@@ -192,8 +221,10 @@
         for (Migration one : book.open()) {
             for (Hop hop : one.hops) {
                 Move move = move(hop);
-                if (move != null && move.gains.stream().anyMatch(gain -> nodes.contains(gain.node()))
-                        && abandonable(move) && move.state != MoveState.PLANNED) {
+                if (move != null
+                        && move.gains.stream().anyMatch(gain -> nodes.contains(gain.node()))
+                        && abandonable(move)
+                        && move.state != MoveState.PLANNED) {
                     abandon(doings, move, "its target started anew", now);
                 }
             }
@@ -226,7 +257,9 @@
         }
         // Who has had the least goes first, so that a large member does not hold up the others.
         List<Migration> open = new ArrayList<>(book.open());
-        open.sort(Comparator.comparingLong((Migration one) -> pace.had(one.member)).thenComparingLong(one -> one.id));
+        open.sort(
+                Comparator.comparingLong((Migration one) -> pace.had(one.member))
+                        .thenComparingLong(one -> one.id));
         for (Migration one : open) {
             Stage before;
             do {
@@ -252,7 +285,8 @@
         }
         switch (one.stage()) {
             case PLANNED -> {
-                if (book.open().stream().filter(other -> other.stage() != Stage.PLANNED).count() < limits.atOnce()) {
+                if (book.open().stream().filter(other -> other.stage() != Stage.PLANNED).count()
+                        < limits.atOnce()) {
                     enter(doings, one, Stage.COPYING, now);
                 }
             }
@@ -262,8 +296,14 @@
                     enter(doings, one, Stage.CAUGHT_UP, now);
                 }
             }
-            case CAUGHT_UP -> enter(doings, one,
-                    one.hops.stream().allMatch(hop -> moved(hop) || holds(hop)) ? Stage.VERIFYING : Stage.COPYING, now);
+            case CAUGHT_UP ->
+                    enter(
+                            doings,
+                            one,
+                            one.hops.stream().allMatch(hop -> moved(hop) || holds(hop))
+                                    ? Stage.VERIFYING
+                                    : Stage.COPYING,
+                            now);
             case VERIFYING -> verifying(doings, one, now);
             case CHECKPOINT -> {
                 if (missing(one)) {
@@ -282,16 +322,26 @@
                 }
             }
             case ROLLING_BACK -> rollingBack(doings, one, now);
-            default -> { }
+            default -> {}
         }
     }
 
     /** Plans moves that are not there, as the batch and the pace allow. */
     private void plan(List<Doing> doings, Migration one, boolean forward, Duration now) {
-        long copying = one.hops.stream().map(this::move).filter(move -> move != null
-                && (move.state == MoveState.PLANNED || move.state == MoveState.COPYING)).count();
+        long copying =
+                one.hops.stream()
+                        .map(this::move)
+                        .filter(
+                                move ->
+                                        move != null
+                                                && (move.state == MoveState.PLANNED
+                                                        || move.state == MoveState.COPYING))
+                        .count();
         for (Hop hop : one.hops) {
-            if (move(hop) != null || moved(hop) == forward || copying >= limits.batch() || !pace.free(now)) {
+            if (move(hop) != null
+                    || moved(hop) == forward
+                    || copying >= limits.batch()
+                    || !pace.free(now)) {
                 continue;
             }
             Change change = forward ? hop.forward() : hop.back();
@@ -306,8 +356,13 @@
                 copying++;
                 of(doings, coordinator.plan(change, now));
             } else if (weigh(doings, hop, now)) {
-                write(doings, new Noted.Paused(one.id, Cause.STARVED, "no holder says what slice " + hop.slice()
-                        + " weighs", now));
+                write(
+                        doings,
+                        new Noted.Paused(
+                                one.id,
+                                Cause.STARVED,
+                                "no holder says what slice " + hop.slice() + " weighs",
+                                now));
                 return;
             }
         }
@@ -319,7 +374,11 @@
         if (last == null || now.minus(last).compareTo(limits.again()) >= 0) {
             weighedLast.put(hop.slice(), now);
             Slice slice = layout().slice(hop.slice());
-            String node = slice.nodes().stream().filter(this::ready).findFirst().orElse(slice.nodes().get(0));
+            String node =
+                    slice.nodes().stream()
+                            .filter(this::ready)
+                            .findFirst()
+                            .orElse(slice.nodes().get(0));
             weighing.values().removeIf(other -> other == hop.slice());
             weighing.put(++asked, hop.slice());
             doings.add(new Doing.Ask(asked, node, hop.slice(), List.of(slice.keys())));
@@ -353,10 +412,19 @@
         if (verified(one, move)) {
             return true;
         }
-        Comparison comparison = comparisons.computeIfAbsent(move.id, id -> {
-            Move.Gain gain = move.gains.get(0);
-            return new Comparison(gain.source(), gain.node(), gain.slice(), gain.keys(), limits, now);
-        });
+        Comparison comparison =
+                comparisons.computeIfAbsent(
+                        move.id,
+                        id -> {
+                            Move.Gain gain = move.gains.get(0);
+                            return new Comparison(
+                                    gain.source(),
+                                    gain.node(),
+                                    gain.slice(),
+                                    gain.keys(),
+                                    limits,
+                                    now);
+                        });
         if (comparison.sound()) {
             write(doings, new Noted.Verified(one.id, move.id, comparison.digest()));
             return true;
@@ -402,7 +470,9 @@
             boolean forward = move.change.equals(hop.forward());
             if (forward && move.state != MoveState.ABANDONING && !move.turnsBack) {
                 abandon(doings, move, one.rollbackWhy(), now);
-            } else if (!forward && move.state == MoveState.HOLDING_BOTH && coordinator.gained(move, Order.HOLD)) {
+            } else if (!forward
+                    && move.state == MoveState.HOLDING_BOTH
+                    && coordinator.gained(move, Order.HOLD)) {
                 verify(doings, one, move, now);
             }
         }
@@ -416,15 +486,24 @@
 
     /** A cause that stands whatever has happened, and that resume waits for. */
     private Optional<Noted.Paused> standing(Migration one, Duration now) {
-        if (one.stage() == Stage.PLANNED || one.stage().ordinal() > Stage.LAST_CHECKPOINT.ordinal()) {
+        if (one.stage() == Stage.PLANNED
+                || one.stage().ordinal() > Stage.LAST_CHECKPOINT.ordinal()) {
             return Optional.empty();
         }
         for (Hop hop : one.hops) {
             Slice slice = layout().slice(hop.slice());
-            // One that was never told of is waited for: a successor knows no node before the first list.
-            long sound = slice.nodes().stream().filter(node -> coordinator.known(node) == null || ready(node)).count();
+            // One that was never told of is waited for: a successor knows no node before the first
+            // list.
+            long sound =
+                    slice.nodes().stream()
+                            .filter(node -> coordinator.known(node) == null || ready(node))
+                            .count();
             if (sound <= 1 && slice.nodes().size() > 1) {
-                return paused(one, Cause.SHARD_THIN, "slice " + hop.slice() + " has " + sound + " ready holders", now);
+                return paused(
+                        one,
+                        Cause.SHARD_THIN,
+                        "slice " + hop.slice() + " has " + sound + " ready holders",
+                        now);
             }
             Duration started = startedAt.get(hop.to());
             if (started != null && now.minus(started).compareTo(limits.cold()) < 0) {
@@ -433,8 +512,11 @@
         }
         Double utility = utilities.get(one.member);
         if (utility != null && utility < limits.leastUtility() * one.utility) {
-            return paused(one, Cause.UTILITY_FELL, "utility of " + one.member + " fell to " + utility + " from "
-                    + one.utility, now);
+            return paused(
+                    one,
+                    Cause.UTILITY_FELL,
+                    "utility of " + one.member + " fell to " + utility + " from " + one.utility,
+                    now);
         }
         return Optional.empty();
     }
@@ -446,29 +528,60 @@
             if (move == null) {
                 continue;
             }
-            if (one.stage() != Stage.ROLLING_BACK && !COPIED_ANEW.equals(move.why)
+            if (one.stage() != Stage.ROLLING_BACK
+                    && !COPIED_ANEW.equals(move.why)
                     && (move.state == MoveState.ABANDONING || move.turnsBack)) {
-                return paused(one, Cause.MOVE_FAILED, "move " + move.id + " of slice " + hop.slice()
-                        + " was abandoned: " + move.why, now);
+                return paused(
+                        one,
+                        Cause.MOVE_FAILED,
+                        "move "
+                                + move.id
+                                + " of slice "
+                                + hop.slice()
+                                + " was abandoned: "
+                                + move.why,
+                        now);
             }
             Comparison comparison = comparisons.get(move.id);
             if (comparison != null && comparison.over() && !comparison.sound()) {
-                return paused(one, Cause.DIFFERS, "slice " + hop.slice() + " differs, keys "
-                        + String.join("; ", comparison.differ()), now);
+                return paused(
+                        one,
+                        Cause.DIFFERS,
+                        "slice "
+                                + hop.slice()
+                                + " differs, keys "
+                                + String.join("; ", comparison.differ()),
+                        now);
             }
-            boolean keepsUp = move.state != MoveState.HOLDING_BOTH || coordinator.gained(move, Order.HOLD);
+            boolean keepsUp =
+                    move.state != MoveState.HOLDING_BOTH || coordinator.gained(move, Order.HOLD);
             if (keepsUp) {
                 behindSince.remove(move.id);
             } else {
                 behindSince.putIfAbsent(move.id, now);
             }
             // What stood still while no coordinator was there is given its time by the successor.
-            Duration from = move.state == MoveState.COPYING ? later(bornAt, later(move.since, one.since()))
-                    : behindSince.getOrDefault(move.id, comparison == null || verified(one, move) ? now
-                            : comparison.progressAt());
+            Duration from =
+                    move.state == MoveState.COPYING
+                            ? later(bornAt, later(move.since, one.since()))
+                            : behindSince.getOrDefault(
+                                    move.id,
+                                    comparison == null || verified(one, move)
+                                            ? now
+                                            : comparison.progressAt());
             if (now.minus(from).compareTo(limits.starved()) > 0) {
-                return paused(one, Cause.STARVED, "slice " + hop.slice() + " is not copied, kept up to date or compared "
-                        + "at " + move.gains.get(0).node() + " since " + now.minus(from).toMillis() + " ms", now);
+                return paused(
+                        one,
+                        Cause.STARVED,
+                        "slice "
+                                + hop.slice()
+                                + " is not copied, kept up to date or compared "
+                                + "at "
+                                + move.gains.get(0).node()
+                                + " since "
+                                + now.minus(from).toMillis()
+                                + " ms",
+                        now);
             }
         }
         return Optional.empty();
@@ -478,7 +591,8 @@
         return a.compareTo(b) > 0 ? a : b;
     }
 
-    private static Optional<Noted.Paused> paused(Migration one, Cause cause, String why, Duration now) {
+    private static Optional<Noted.Paused> paused(
+            Migration one, Cause cause, String why, Duration now) {
         return Optional.of(new Noted.Paused(one.id, cause, why, now));
     }
 
@@ -498,11 +612,22 @@
         boolean forward = move.change.equals(one.hop(move.change.slices().get(0)).forward());
         boolean goes = !one.paused();
         return switch (next) {
-            case COPYING, HOLDING_BOTH -> goes && (forward ? one.stage() == Stage.COPYING
-                    : one.stage() == Stage.ROLLING_BACK);
-            case FENCED -> goes && verified(one, move) && (forward ? one.stage() == Stage.SWITCHING
-                    : one.stage() == Stage.ROLLING_BACK);
-            case FORGOTTEN -> goes && (forward ? one.stage() == Stage.RETIRING : one.stage() == Stage.ROLLING_BACK);
+            case COPYING, HOLDING_BOTH ->
+                    goes
+                            && (forward
+                                    ? one.stage() == Stage.COPYING
+                                    : one.stage() == Stage.ROLLING_BACK);
+            case FENCED ->
+                    goes
+                            && verified(one, move)
+                            && (forward
+                                    ? one.stage() == Stage.SWITCHING
+                                    : one.stage() == Stage.ROLLING_BACK);
+            case FORGOTTEN ->
+                    goes
+                            && (forward
+                                    ? one.stage() == Stage.RETIRING
+                                    : one.stage() == Stage.ROLLING_BACK);
             default -> true;
         };
     }
@@ -519,10 +644,17 @@
             Migration one = book.owning(slice);
             if (one != null) {
                 Hop hop = one.hop(slice);
-                boolean own = one.stage() == Stage.COPYING && change.equals(hop.forward())
-                        || one.stage() == Stage.ROLLING_BACK && change.equals(hop.back());
+                boolean own =
+                        one.stage() == Stage.COPYING && change.equals(hop.forward())
+                                || one.stage() == Stage.ROLLING_BACK && change.equals(hop.back());
                 if (!own) {
-                    return Optional.of("slice " + slice + " belongs to migration " + one.id + " of " + one.member);
+                    return Optional.of(
+                            "slice "
+                                    + slice
+                                    + " belongs to migration "
+                                    + one.id
+                                    + " of "
+                                    + one.member);
                 }
             }
         }
@@ -532,7 +664,9 @@
     private Migration owner(Move move) {
         Migration one = book.owning(move.change.slices().get(0));
         Hop hop = one == null ? null : one.hop(move.change.slices().get(0));
-        return hop != null && (move.change.equals(hop.forward()) || move.change.equals(hop.back())) ? one : null;
+        return hop != null && (move.change.equals(hop.forward()) || move.change.equals(hop.back()))
+                ? one
+                : null;
     }
 
     // ---- what a hop stands at
@@ -543,8 +677,10 @@
 
     /** The move that is under way on the hop's slice; null where none is. */
     private Move move(Hop hop) {
-        return coordinator.book().moves().stream().filter(move -> move.change.slices().contains(hop.slice()))
-                .findFirst().orElse(null);
+        return coordinator.book().moves().stream()
+                .filter(move -> move.change.slices().contains(hop.slice()))
+                .findFirst()
+                .orElse(null);
     }
 
     /** The layout in force has the new holder. */
@@ -554,13 +690,19 @@
 
     private boolean holds(Hop hop) {
         Move move = move(hop);
-        return move != null && move.state == MoveState.HOLDING_BOTH && coordinator.gained(move, Order.HOLD);
+        return move != null
+                && move.state == MoveState.HOLDING_BOTH
+                && coordinator.gained(move, Order.HOLD);
     }
 
     /** A hop that is not cut over has no move, or one that goes back. */
     private boolean missing(Migration one) {
-        return one.hops.stream().anyMatch(hop -> !moved(hop) && (move(hop) == null
-                || move(hop).state == MoveState.ABANDONING));
+        return one.hops.stream()
+                .anyMatch(
+                        hop ->
+                                !moved(hop)
+                                        && (move(hop) == null
+                                                || move(hop).state == MoveState.ABANDONING));
     }
 
     private static boolean abandonable(Move move) {
@@ -570,10 +712,13 @@
     private static String digest(Migration one) {
         MessageDigest sum = Comparison.sha256();
         // The form stays: digests are on disk, and operators name them.
-        String verified = one.verified.entrySet().stream().map(entry -> entry.getKey() + "=" + entry.getValue())
-                .collect(Collectors.joining(", ", "{", "}"));
+        String verified =
+                one.verified.entrySet().stream()
+                        .map(entry -> entry.getKey() + "=" + entry.getValue())
+                        .collect(Collectors.joining(", ", "{", "}"));
         // With the count of openings, so that an order for one that was open before is stale.
-        sum.update((one.id + " " + one.openings() + " " + verified).getBytes(StandardCharsets.UTF_8));
+        sum.update(
+                (one.id + " " + one.openings() + " " + verified).getBytes(StandardCharsets.UTF_8));
         return HexFormat.of().formatHex(sum.digest());
     }
 
--- a/src/main/java/postbeam/migration/Pace.java
+++ b/src/main/java/postbeam/migration/Pace.java
@@ -5,8 +5,9 @@
 import java.util.TreeMap;
 
 /**
- * How soon the next copy may begin, over all migrations: each runs up a debt of moves and of bytes, which time pays,
- * and none begins while there is one. The member that has had the fewest bytes is served first.
+ * How soon the next copy may begin, over all migrations: each runs up a debt of moves and of bytes,
+ * which time pays, and none begins while there is one. The member that has had the fewest bytes is
+ * served first.
  */
 final class Pace {
     private final double movesASecond;
@@ -29,7 +30,10 @@
         had.merge(member, Math.max(1, bytes), Long::sum);
     }
 
-    /** Bytes that a member's copies have had; a new one begins level with the least of those that wait. */
+    /**
+     * Bytes that a member's copies have had; a new one begins level with the least of those that
+     * wait.
+     */
     long had(String member) {
         return had.getOrDefault(member, 0L);
     }
--- a/src/main/java/postbeam/migration/Routers.java
+++ b/src/main/java/postbeam/migration/Routers.java
@@ -5,11 +5,14 @@
 import java.util.Map;
 
 /**
- * Which layout each router has told that it holds, and how long it may still go by an older one. A router's lease runs
- * from when it asked, by its own clock; here it is counted from when it was answered, which is later.
+ * Which layout each router has told that it holds, and how long it may still go by an older one. A
+ * router's lease runs from when it asked, by its own clock; here it is counted from when it was
+ * answered, which is later.
  */
 public final class Routers {
-    /** Names that are kept; one that finds no room is counted as a router of which nothing is known. */
+    /**
+     * Names that are kept; one that finds no room is counted as a router of which nothing is known.
+     */
     private static final int MOST = 4096;
 
     private static final class Told {
@@ -19,6 +22,7 @@
 
     private final Duration counted;
     private final Map<String, Told> routers = new LinkedHashMap<>();
+
     /** Until then there may be routers that are not known here. */
     private Duration unknownUntil;
 
@@ -44,7 +48,9 @@
         told.version = version == 0 ? Long.MAX_VALUE : version;
     }
 
-    /** It is answered with this version, and holds that or, where the answer is lost, what it held. */
+    /**
+     * It is answered with this version, and holds that or, where the answer is lost, what it held.
+     */
     public void answered(String name, long version, Duration now) {
         Told told = routers.get(name);
         if (told == null) {
@@ -59,7 +65,8 @@
     /** Each router holds this version or a later one, or its lease is past. */
     public boolean all(long version, Duration now) {
         return now.compareTo(unknownUntil) > 0
-                && routers.values().stream().allMatch(told -> told.version >= version || past(told, now));
+                && routers.values().stream()
+                        .allMatch(told -> told.version >= version || past(told, now));
     }
 
     private boolean past(Told told, Duration now) {
@@ -68,7 +75,9 @@
 
     /** Names of those that may still go by an older version, for operators. */
     public java.util.List<String> behind(long version, Duration now) {
-        return routers.entrySet().stream().filter(entry -> entry.getValue().version < version
-                && !past(entry.getValue(), now)).map(Map.Entry::getKey).toList();
+        return routers.entrySet().stream()
+                .filter(entry -> entry.getValue().version < version && !past(entry.getValue(), now))
+                .map(Map.Entry::getKey)
+                .toList();
     }
 }
--- a/src/main/java/postbeam/pages/Assembly.java
+++ b/src/main/java/postbeam/pages/Assembly.java
@@ -7,25 +7,35 @@
 import postbeam.slices.KeyRange;
 
 /**
- * Makes one page. What to ask comes from {@link #first} and, as long as it names any, from {@link #further}; what came
- * is told with {@link #took}, each range of keys once a round and sound (see {@link Partial#problem}); {@link #end} is
- * the page. To be used by one thread.
+ * Makes one page. What to ask comes from {@link #first} and, as long as it names any, from {@link
+ * #further}; what came is told with {@link #took}, each range of keys once a round and sound (see
+ * {@link Partial#problem}); {@link #end} is the page. To be used by one thread.
  */
 public class Assembly {
     /** Ranges in a cursor: more than a query usually has parts. */
     public static final int RANGES_MOST = 512;
-    /** Marks in a cursor: a page that misses ranges may add one, a page that misses none takes them away. */
+
+    /**
+     * Marks in a cursor: a page that misses ranges may add one, a page that misses none takes them
+     * away.
+     */
     public static final int MARKS_MOST = 32;
 
     /** Keys that were answered together, as far as is known of them. */
     private static final class Track {
         /** The range of the first round that it is of. */
         final Track root;
+
         final KeyRange keys;
         final List<Row> rows;
+
         /** The last row that was seen of it; null: none. */
         final Mark reached;
-        /** No row that was not seen comes before it; null: all have been seen, or it was asked again since. */
+
+        /**
+         * No row that was not seen comes before it; null: all have been seen, or it was asked again
+         * since.
+         */
         Mark next;
 
         Track(Track root, KeyRange keys, List<Row> rows, Mark reached, Mark next) {
@@ -63,8 +73,9 @@
     }
 
     /**
-     * Where keys of an answered range stand, once rows up to this mark were given; what was reached beyond it has to
-     * be fetched again. Several keys of a range were asked apart where its slice was cut since.
+     * Where keys of an answered range stand, once rows up to this mark were given; what was reached
+     * beyond it has to be fetched again. Several keys of a range were asked apart where its slice
+     * was cut since.
      */
     protected Mark standsAt(Standing before, KeyRange keys, Mark reached, Mark given) {
         return order.later(before.after(), given);
@@ -112,8 +123,8 @@
     }
 
     /**
-     * The round is over: what to ask again, and only of ranges of which an unseen row can enter the page. None: the
-     * page is as full as it gets.
+     * The round is over: what to ask again, and only of ranges of which an unseen row can enter the
+     * page. None: the page is as full as it gets.
      */
     public List<Ask> further() {
         close();
@@ -137,11 +148,20 @@
                 between += order.compare(row.at(), track.next) > 0 ? 1 : 0;
             }
             double share = share(track, expected);
-            int rows = shares.further(between * share / Math.max(0.5, 1 - share)
-                    + (size - seen.size()) * share / Math.max(among, Double.MIN_NORMAL), size);
+            int rows =
+                    shares.further(
+                            between * share / Math.max(0.5, 1 - share)
+                                    + (size - seen.size())
+                                            * share
+                                            / Math.max(among, Double.MIN_NORMAL),
+                            size);
             for (Standing one : standings) {
                 if (one.keys().meets(track.keys)) {
-                    asks.add(new Ask(one.keys().common(track.keys), order.later(one.after(), track.reached), rows));
+                    asks.add(
+                            new Ask(
+                                    one.keys().common(track.keys),
+                                    order.later(one.after(), track.reached),
+                                    rows));
                     // What the first of them is asked for is enough for the track.
                     rows = Math.max(1, rows / 2);
                 }
@@ -190,7 +210,8 @@
         came.sort(Comparator.comparing(Partial::keys));
         if (!begun) {
             for (Partial one : came) {
-                Track track = new Track(null, one.keys(), one.rows(), reached(one, null), one.next());
+                Track track =
+                        new Track(null, one.keys(), one.rows(), reached(one, null), one.next());
                 tracks.add(track);
                 roots.add(track);
             }
@@ -203,7 +224,9 @@
     }
 
     private static Mark reached(Partial partial, Mark before) {
-        return partial.rows().isEmpty() ? before : partial.rows().get(partial.rows().size() - 1).at();
+        return partial.rows().isEmpty()
+                ? before
+                : partial.rows().get(partial.rows().size() - 1).at();
     }
 
     /** What came for a range that was asked again; its slice may have been cut or joined since. */
@@ -217,16 +240,38 @@
             }
             KeyRange common = one.keys().common(asked.keys);
             if (common.from() > at) {
-                tracks.add(new Track(asked.root, new KeyRange(at, common.from()), List.of(), asked.reached, unseen));
+                tracks.add(
+                        new Track(
+                                asked.root,
+                                new KeyRange(at, common.from()),
+                                List.of(),
+                                asked.reached,
+                                unseen));
             }
-            List<Row> rows = one.rows().stream()
-                    .filter(row -> row.at().key() >= common.from() && row.at().key() < common.to()).toList();
-            tracks.add(new Track(asked.root, common, rows, order.later(asked.reached,
-                    reached(one, asked.reached)), one.next()));
+            List<Row> rows =
+                    one.rows().stream()
+                            .filter(
+                                    row ->
+                                            row.at().key() >= common.from()
+                                                    && row.at().key() < common.to())
+                            .toList();
+            tracks.add(
+                    new Track(
+                            asked.root,
+                            common,
+                            rows,
+                            order.later(asked.reached, reached(one, asked.reached)),
+                            one.next()));
             at = common.to();
         }
         if (at < asked.keys.to()) {
-            tracks.add(new Track(asked.root, new KeyRange(at, asked.keys.to()), List.of(), asked.reached, unseen));
+            tracks.add(
+                    new Track(
+                            asked.root,
+                            new KeyRange(at, asked.keys.to()),
+                            List.of(),
+                            asked.reached,
+                            unseen));
         }
     }
 
@@ -284,7 +329,8 @@
         joined(pieces, next, one.keys().from());
     }
 
-    private void gone(Standing one, KeyRange keys, Mark last, List<KeyRange> missing, List<Standing> pieces) {
+    private void gone(
+            Standing one, KeyRange keys, Mark last, List<KeyRange> missing, List<Standing> pieces) {
         int before = missing.size() - 1;
         if (before >= 0 && missing.get(before).to() == keys.from()) {
             missing.set(before, missing.get(before).joined(keys));
@@ -297,15 +343,26 @@
     /** All of it has been seen, and given up to this mark. */
     private boolean over(Track root, Mark last) {
         for (Track track : tracks) {
-            if (track.root == root && (track.next != null || !track.rows.isEmpty()
-                    && (last == null || order.compare(track.rows.get(track.rows.size() - 1).at(), last) > 0))) {
+            if (track.root == root
+                    && (track.next != null
+                            || !track.rows.isEmpty()
+                                    && (last == null
+                                            || order.compare(
+                                                            track.rows
+                                                                    .get(track.rows.size() - 1)
+                                                                    .at(),
+                                                            last)
+                                                    > 0))) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Pieces of one range that stand alike are one again: else ranges would grow in number as slices are cut. */
+    /**
+     * Pieces of one range that stand alike are one again: else ranges would grow in number as
+     * slices are cut.
+     */
     private static void joined(List<Standing> pieces, List<Standing> next, long from) {
         for (Standing piece : pieces) {
             int last = next.size() - 1;
@@ -323,10 +380,14 @@
     }
 
     private static Standing joined(Standing one, Standing other) {
-        return new Standing(one.keys().joined(other.keys()), one.weight() + other.weight(), one.after());
+        return new Standing(
+                one.keys().joined(other.keys()), one.weight() + other.weight(), one.after());
     }
 
-    /** Where there are too many, neighbours that stand alike are one, whatever weights they were given. */
+    /**
+     * Where there are too many, neighbours that stand alike are one, whatever weights they were
+     * given.
+     */
     private static List<Standing> fewest(List<Standing> next) {
         if (next.size() <= RANGES_MOST) {
             return next;
--- a/src/main/java/postbeam/pages/Cursor.java
+++ b/src/main/java/postbeam/pages/Cursor.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** Where a chain of pages stands: the layout it was made under, the digest of its query, and its ranges in order. */
+/**
+ * Where a chain of pages stands: the layout it was made under, the digest of its query, and its
+ * ranges in order.
+ */
 public record Cursor(long layout, long query, List<Standing> standings) {
     public Cursor {
         standings = List.copyOf(standings);
--- a/src/main/java/postbeam/pages/CursorSeal.java
+++ b/src/main/java/postbeam/pages/CursorSeal.java
@@ -20,12 +20,17 @@
 import postbeam.slices.KeyRange;
 
 /**
- * Cursors to opaque text and back: signed with one key, read with that and the one before it. Bytes: form 1, key's
- * fingerprint 4, layout, query 8, marks, ranges, HMAC 16; whole numbers in groups of 7 bits, the least first.
+ * Cursors to opaque text and back: signed with one key, read with that and the one before it.
+ * Bytes: form 1, key's fingerprint 4, layout, query 8, marks, ranges, HMAC 16; whole numbers in
+ * groups of 7 bits, the least first.
  */
 public final class CursorSeal {
-    /** Characters: RANGES_MOST of 19 bytes, MARKS_MOST of 280 and 41 more, at 4/3; a query's body has room for it. */
+    /**
+     * Characters: RANGES_MOST of 19 bytes, MARKS_MOST of 280 and 41 more, at 4/3; a query's body
+     * has room for it.
+     */
     static final int TEXT_MOST = 25_000;
+
     private static final byte FORM = 1;
     private static final int FINGERPRINT = 4;
     private static final int SIGNATURE = 16;
@@ -80,8 +85,15 @@
 
     /** The order as it stands in digests, which cursors carry: its form stays. */
     private static String text(Order order) {
-        return order.keys().stream().map(key -> key.by() + (key.descending() ? " descending" : " ascending")
-                + (key.missingFirst() ? ", missing first" : ", missing last")).collect(Collectors.joining(", ", "[", "]"));
+        return order.keys().stream()
+                .map(
+                        key ->
+                                key.by()
+                                        + (key.descending() ? " descending" : " ascending")
+                                        + (key.missingFirst()
+                                                ? ", missing first"
+                                                : ", missing last"))
+                .collect(Collectors.joining(", ", "[", "]"));
     }
 
     private byte[] signature(SecretKeySpec key, byte[] bytes, int length) {
@@ -105,7 +117,8 @@
                 marks.putIfAbsent(one.after(), marks.size() + 1);
             }
         }
-        if (cursor.standings().size() > Assembly.RANGES_MOST || marks.size() > Assembly.MARKS_MOST) {
+        if (cursor.standings().size() > Assembly.RANGES_MOST
+                || marks.size() > Assembly.MARKS_MOST) {
             throw new PageError.TooMuchOwed(cursor.standings().size(), marks.size()).thrown();
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -162,7 +175,10 @@
 
     // ---- in
 
-    /** The cursor, if it is one of this query that this router can go on from; else the error that says why not. */
+    /**
+     * The cursor, if it is one of this query that this router can go on from; else the error that
+     * says why not.
+     */
     public Cursor opened(String text, long query, Lineage lineage) throws ExplainedException {
         byte[] bytes;
         try {
@@ -183,13 +199,16 @@
         if (key == null) {
             throw new PageError.UnknownKey(String.format("%08x", fingerprint)).thrown();
         }
-        if (!MessageDigest.isEqual(signature(key, bytes, signed), Arrays.copyOfRange(bytes, signed, bytes.length))) {
+        if (!MessageDigest.isEqual(
+                signature(key, bytes, signed), Arrays.copyOfRange(bytes, signed, bytes.length))) {
             throw new PageError.Altered().thrown();
         }
         Cursor cursor;
         try {
             cursor = read(ByteBuffer.wrap(bytes, 1 + FINGERPRINT, signed - 1 - FINGERPRINT));
-        } catch (BufferUnderflowException | IllegalArgumentException | IndexOutOfBoundsException e) {
+        } catch (BufferUnderflowException
+                | IllegalArgumentException
+                | IndexOutOfBoundsException e) {
             throw new ExplainedException(new PageError.Altered(), e);
         }
         if (cursor.query() != query) {
--- a/src/main/java/postbeam/pages/Lineage.java
+++ b/src/main/java/postbeam/pages/Lineage.java
@@ -3,7 +3,9 @@
 import java.util.List;
 import postbeam.slices.KeyRange;
 
-/** What pages need to know of the layout in force: whose versions it knows, and what became of keys. */
+/**
+ * What pages need to know of the layout in force: whose versions it knows, and what became of keys.
+ */
 public interface Lineage {
     long version();
 
--- a/src/main/java/postbeam/pages/Mark.java
+++ b/src/main/java/postbeam/pages/Mark.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import postbeam.slices.KeyRange;
 
-/** A row's place in the total order: sort values, key in the key space, and sequence, the same at all holders. */
+/**
+ * A row's place in the total order: sort values, key in the key space, and sequence, the same at
+ * all holders.
+ */
 public record Mark(List<Object> sort, long key, long sequence) {
     /** Bytes in UTF-8 of a sort value: marks travel in cursors. */
     static final int TEXT_MOST = 64;
--- a/src/main/java/postbeam/pages/Merge.java
+++ b/src/main/java/postbeam/pages/Merge.java
@@ -22,10 +22,16 @@
 
     private Merge() {}
 
-    /** The first rows of all lists, so many at the most, and only what comes before the bound, if that is not null. */
-    public static List<Row> first(Comparator<Mark> order, List<List<Row>> lists, int most, Mark bound) {
-        PriorityQueue<Head> heads = new PriorityQueue<>(Math.max(1, lists.size()),
-                (one, other) -> order.compare(one.mark(), other.mark()));
+    /**
+     * The first rows of all lists, so many at the most, and only what comes before the bound, if
+     * that is not null.
+     */
+    public static List<Row> first(
+            Comparator<Mark> order, List<List<Row>> lists, int most, Mark bound) {
+        PriorityQueue<Head> heads =
+                new PriorityQueue<>(
+                        Math.max(1, lists.size()),
+                        (one, other) -> order.compare(one.mark(), other.mark()));
         for (List<Row> rows : lists) {
             if (!rows.isEmpty()) {
                 heads.add(new Head(rows));
--- a/src/main/java/postbeam/pages/Page.java
+++ b/src/main/java/postbeam/pages/Page.java
@@ -4,8 +4,13 @@
 import postbeam.slices.KeyRange;
 
 /**
- * A page: its rows in order, the ranges it was given without, and where all ranges that are not over stand after it;
- * with none of these left the chain is over. It is short where it ended before it was full and rows are left. Fetched
- * is how many rows came for it.
+ * A page: its rows in order, the ranges it was given without, and where all ranges that are not
+ * over stand after it; with none of these left the chain is over. It is short where it ended before
+ * it was full and rows are left. Fetched is how many rows came for it.
  */
-public record Page(List<Row> rows, List<KeyRange> missing, List<Standing> next, boolean isShort, int fetched) { }
+public record Page(
+        List<Row> rows,
+        List<KeyRange> missing,
+        List<Standing> next,
+        boolean isShort,
+        int fetched) {}
--- a/src/main/java/postbeam/pages/PageAsked.java
+++ b/src/main/java/postbeam/pages/PageAsked.java
@@ -1,4 +1,7 @@
 package postbeam.pages;
 
-/** The page that a client asks for: the order of rows, how many, and the cursor to go on from; null: from the start. */
-public record PageAsked(Order order, int rows, String cursor) { }
+/**
+ * The page that a client asks for: the order of rows, how many, and the cursor to go on from; null:
+ * from the start.
+ */
+public record PageAsked(Order order, int rows, String cursor) {}
--- a/src/main/java/postbeam/pages/PageError.java
+++ b/src/main/java/postbeam/pages/PageError.java
@@ -38,12 +38,15 @@
     record UnknownKey(String fingerprint) implements PageError {
         @Override
         public String happened() {
-            return "the cursor is signed with key " + fingerprint + ", which this router does not hold";
+            return "the cursor is signed with key "
+                    + fingerprint
+                    + ", which this router does not hold";
         }
 
         @Override
         public String advice() {
-            return "give all routers the same pages.key, and the one before as pages.oldKey while its cursors last";
+            return "give all routers the same pages.key, and the one before as pages.oldKey while"
+                    + " its cursors last";
         }
     }
 
@@ -55,19 +58,25 @@
 
         @Override
         public String advice() {
-            return "have the client send vertical, owner, predicate and order as with the first page";
+            return "have the client send vertical, owner, predicate and order as with the first"
+                    + " page";
         }
     }
 
     record TooOld(long layout, long oldest) implements PageError {
         @Override
         public String happened() {
-            return "the cursor is of layout " + layout + ", and " + oldest + " is the oldest that is kept";
+            return "the cursor is of layout "
+                    + layout
+                    + ", and "
+                    + oldest
+                    + " is the oldest that is kept";
         }
 
         @Override
         public String advice() {
-            return "begin with the first page, or raise layouts.serve.history if clients rest that long between pages";
+            return "begin with the first page, or raise layouts.serve.history if clients rest that"
+                    + " long between pages";
         }
     }
 
@@ -92,7 +101,8 @@
 
         @Override
         public String advice() {
-            return "see whether that data node sorts by the order it is asked for and its copy is sound";
+            return "see whether that data node sorts by the order it is asked for and its copy is"
+                    + " sound";
         }
     }
 
@@ -104,14 +114,17 @@
 
         @Override
         public String advice() {
-            return "ask again with the last cursor once the missing ranges are back, or for fewer ranges";
+            return "ask again with the last cursor once the missing ranges are back, or for fewer"
+                    + " ranges";
         }
     }
 
     record NotRepeatable(String vertical) implements PageError {
         @Override
         public String happened() {
-            return "vertical " + vertical + " is not repeatable, and its parts can't be asked for pages";
+            return "vertical "
+                    + vertical
+                    + " is not repeatable, and its parts can't be asked for pages";
         }
 
         @Override
--- a/src/main/java/postbeam/pages/Partial.java
+++ b/src/main/java/postbeam/pages/Partial.java
@@ -3,15 +3,18 @@
 import java.util.List;
 import postbeam.slices.KeyRange;
 
-/** What a part gave: rows of its keys in order, and where the next one stands that it has; null: it has no more. */
+/**
+ * What a part gave: rows of its keys in order, and where the next one stands that it has; null: it
+ * has no more.
+ */
 public record Partial(KeyRange keys, List<Row> rows, Mark next) {
     public Partial {
         rows = List.copyOf(rows);
     }
 
     /**
-     * What is wrong with it as an answer to these asks, in a clause; null where nothing is. Guards the merge, which
-     * believes that each part ascends from its marks on, and the memory of a page.
+     * What is wrong with it as an answer to these asks, in a clause; null where nothing is. Guards
+     * the merge, which believes that each part ascends from its marks on, and the memory of a page.
      */
     public String problem(Order order, List<Ask> asks) {
         if (rows.size() > Ask.rows(asks, keys)) {
@@ -43,7 +46,9 @@
             return "a row of other keys";
         }
         Mark after = after(asks, mark.key());
-        return after != null && order.compare(after, mark) >= 0 ? "a row that had been given before" : null;
+        return after != null && order.compare(after, mark) >= 0
+                ? "a row that had been given before"
+                : null;
     }
 
     private static Mark after(List<Ask> asks, long key) {
