--- a/src/main/java/postbeam/pages/RowForm.java
+++ b/src/main/java/postbeam/pages/RowForm.java
@@ -5,7 +5,6 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.math.BigInteger;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -14,56 +13,59 @@
 import postbeam.slices.KeyRange;
 
 /**
- * Asks and rows as they travel between routers and data nodes, and rows as clients get them, in JSON. An ask:
+ * Asks and rows as they travel between routers and data nodes, and rows as clients get them, in
+ * JSON. An ask:
  * {"order":[{"by":NAME,"descending":B,"missing":"first"}],"asks":[[FROM,TO,ROWS,MARK]],"marks":[[[SORT..],KEY,SEQ]]},
- * MARK being a place in marks or -1. What a part gives: {"rows":[[[SORT..],KEY,SEQ,TEXT]],"next":[[SORT..],KEY,SEQ]},
- * without next where it has no more.
+ * MARK being a place in marks or -1. What a part gives:
+ * {"rows":[[[SORT..],KEY,SEQ,TEXT]],"next":[[SORT..],KEY,SEQ]}, without next where it has no more.
  */
 public final class RowForm {
     private RowForm() {}
 
     /** What a data node is asked. */
-    public record Asked(Order order, List<Ask> asks) { }
+    public record Asked(Order order, List<Ask> asks) {}
 
     // ---- asks
 
     public static byte[] asked(Order order, List<Ask> asks) {
         Map<Mark, Integer> marks = new LinkedHashMap<>();
-        asks.forEach(ask -> {
-            if (ask.after() != null) {
-                marks.putIfAbsent(ask.after(), marks.size());
-            }
-        });
-        return written(json -> {
-            json.writeStartObject();
-            json.writeArrayFieldStart("order");
-            for (SortKey key : order.keys()) {
-                json.writeStartObject();
-                json.writeStringField("by", key.by());
-                json.writeBooleanField("descending", key.descending());
-                json.writeStringField("missing", key.missingFirst() ? "first" : "last");
-                json.writeEndObject();
-            }
-            json.writeEndArray();
-            json.writeArrayFieldStart("asks");
-            for (Ask ask : asks) {
-                json.writeStartArray();
-                json.writeNumber(ask.keys().from());
-                json.writeNumber(ask.keys().to());
-                json.writeNumber(ask.rows());
-                json.writeNumber(ask.after() == null ? -1 : marks.get(ask.after()));
-                json.writeEndArray();
-            }
-            json.writeEndArray();
-            json.writeArrayFieldStart("marks");
-            for (Mark mark : marks.keySet()) {
-                json.writeStartArray();
-                write(json, mark);
-                json.writeEndArray();
-            }
-            json.writeEndArray();
-            json.writeEndObject();
-        });
+        asks.forEach(
+                ask -> {
+                    if (ask.after() != null) {
+                        marks.putIfAbsent(ask.after(), marks.size());
+                    }
+                });
+        return written(
+                json -> {
+                    json.writeStartObject();
+                    json.writeArrayFieldStart("order");
+                    for (SortKey key : order.keys()) {
+                        json.writeStartObject();
+                        json.writeStringField("by", key.by());
+                        json.writeBooleanField("descending", key.descending());
+                        json.writeStringField("missing", key.missingFirst() ? "first" : "last");
+                        json.writeEndObject();
+                    }
+                    json.writeEndArray();
+                    json.writeArrayFieldStart("asks");
+                    for (Ask ask : asks) {
+                        json.writeStartArray();
+                        json.writeNumber(ask.keys().from());
+                        json.writeNumber(ask.keys().to());
+                        json.writeNumber(ask.rows());
+                        json.writeNumber(ask.after() == null ? -1 : marks.get(ask.after()));
+                        json.writeEndArray();
+                    }
+                    json.writeEndArray();
+                    json.writeArrayFieldStart("marks");
+                    for (Mark mark : marks.keySet()) {
+                        json.writeStartArray();
+                        write(json, mark);
+                        json.writeEndArray();
+                    }
+                    json.writeEndArray();
+                    json.writeEndObject();
+                });
     }
 
     /** What {@link #asked} wrote; an IOException says what it is not. */
@@ -81,8 +83,11 @@
             if (mark >= marks.size()) {
                 throw new IOException("an ask without its mark");
             }
-            asks.add(new Ask(keys(whole(ask.get(0)), whole(ask.get(1))), mark < 0 ? null : marks.get(mark),
-                    (int) whole(ask.get(2))));
+            asks.add(
+                    new Ask(
+                            keys(whole(ask.get(0)), whole(ask.get(1))),
+                            mark < 0 ? null : marks.get(mark),
+                            (int) whole(ask.get(2))));
         }
         return new Asked(order, asks);
     }
@@ -90,18 +95,23 @@
     /** From a list of objects, as clients and asks have it. */
     public static Order order(List<?> told) throws IOException {
         if (told.isEmpty() || told.size() > Order.KEYS_MOST) {
-            throw new IOException("1 to " + Order.KEYS_MOST + " sort keys can be used, not " + told.size());
+            throw new IOException(
+                    "1 to " + Order.KEYS_MOST + " sort keys can be used, not " + told.size());
         }
         List<SortKey> keys = new ArrayList<>();
         for (Object one : told) {
-            if (!(one instanceof Map<?, ?> key) || !(key.get("by") instanceof String by) || by.isEmpty()
+            if (!(one instanceof Map<?, ?> key)
+                    || !(key.get("by") instanceof String by)
+                    || by.isEmpty()
                     || by.length() > Mark.TEXT_MOST) {
                 throw new IOException("a sort key has no name in \"by\", or too long a one");
             }
             Object missing = key.containsKey("missing") ? key.get("missing") : "last";
             Object descending = key.containsKey("descending") ? key.get("descending") : false;
-            if (!"first".equals(missing) && !"last".equals(missing) || !(descending instanceof Boolean)) {
-                throw new IOException("\"missing\" is \"first\" or \"last\", \"descending\" true or false");
+            if (!"first".equals(missing) && !"last".equals(missing)
+                    || !(descending instanceof Boolean)) {
+                throw new IOException(
+                        "\"missing\" is \"first\" or \"last\", \"descending\" true or false");
             }
             keys.add(new SortKey(by, (Boolean) descending, "first".equals(missing)));
         }
@@ -111,16 +121,17 @@
     // ---- rows
 
     public static byte[] partial(Partial partial) {
-        return written(json -> {
-            json.writeStartObject();
-            rows(json, partial.rows());
-            if (partial.next() != null) {
-                json.writeArrayFieldStart("next");
-                write(json, partial.next());
-                json.writeEndArray();
-            }
-            json.writeEndObject();
-        });
+        return written(
+                json -> {
+                    json.writeStartObject();
+                    rows(json, partial.rows());
+                    if (partial.next() != null) {
+                        json.writeArrayFieldStart("next");
+                        write(json, partial.next());
+                        json.writeEndArray();
+                    }
+                    json.writeEndObject();
+                });
     }
 
     /** What {@link #partial} wrote of these keys; an IOException says what it is not. */
@@ -134,10 +145,13 @@
             }
             rows.add(new Row(mark(row), text));
         }
-        return new Partial(keys, rows, told.containsKey("next") ? mark(list(told.get("next"), 3)) : null);
+        return new Partial(
+                keys, rows, told.containsKey("next") ? mark(list(told.get("next"), 3)) : null);
     }
 
-    /** Writes the rows as a member of the object that is open: alike for like rows, from any router. */
+    /**
+     * Writes the rows as a member of the object that is open: alike for like rows, from any router.
+     */
     public static void rows(JsonGenerator json, List<Row> rows) throws IOException {
         json.writeArrayFieldStart("rows");
         for (Row row : rows) {
--- a/src/main/java/postbeam/pages/Shares.java
+++ b/src/main/java/postbeam/pages/Shares.java
@@ -4,35 +4,61 @@
 import postbeam.slices.KeyRange;
 
 /**
- * How many rows to expect of which keys, learnt from pages given: counts in even buckets of the key space, and how far
- * rows are spread beyond chance. It decides what a page costs, never what is on it. It has a lock of its
- * own, under which nothing waits.
+ * How many rows to expect of which keys, learnt from pages given: counts in even buckets of the key
+ * space, and how far rows are spread beyond chance. It decides what a page costs, never what is on
+ * it. It has a lock of its own, under which nothing waits.
  */
 public final class Shares {
     /** Even buckets of the key space: finer than a tenth of a slice for a hundred slices. */
     private static final int BUCKETS = 1024;
+
     private static final long WIDTH = KeyRange.KEYS / BUCKETS;
+
     /** Rows that the client's own weights count for against those learnt. */
     private static final double OWN_ROWS = 200;
-    /** Rows after which counts are halved: some tens of pages, so that it follows how queries change. */
+
+    /**
+     * Rows after which counts are halved: some tens of pages, so that it follows how queries
+     * change.
+     */
     private static final double KEPT_ROWS = 4096;
-    /** Rows fetched over rows given that slack may cost as long as each part has many rows on a page. */
+
+    /**
+     * Rows fetched over rows given that slack may cost as long as each part has many rows on a
+     * page.
+     */
     private static final double FETCHED_MOST = 1.3;
-    /** Times the spread that is ever asked for beyond the expected: one part in a hundred then runs out. */
+
+    /**
+     * Times the spread that is ever asked for beyond the expected: one part in a hundred then runs
+     * out.
+     */
     private static final double SPREADS_MOST = 2.5;
-    /** What a further ask costs, in rows: one row more pays while it saves more than one of so many asks. */
+
+    /**
+     * What a further ask costs, in rows: one row more pays while it saves more than one of so many
+     * asks.
+     */
     private static final double ASK_COST = 8;
+
     /** Of a page in how far rows are spread more or less than by chance, and the bounds of that. */
     private static final double SPREAD_STEP = 0.05;
+
     private static final double SPREAD_LEAST = 0.25;
     private static final double SPREAD_MOST = 9;
+
     /** Rows of a page that says anything about spread. */
     private static final int ROWS_TELL = 10;
-    /** Times its share that a range is asked for that still owes rows: it has a page's rows to make up. */
+
+    /**
+     * Times its share that a range is asked for that still owes rows: it has a page's rows to make
+     * up.
+     */
     private static final double OWING = 2;
 
     private final double[] seen = new double[BUCKETS];
     private double kept;
+
     /** Squared distance of rows from what was expected, over what chance alone makes. */
     private double spread = 1;
 
@@ -62,21 +88,29 @@
         return sum;
     }
 
-    /** How many rows to ask of ranges with these shares for a page of this size; some still owe rows. */
+    /**
+     * How many rows to ask of ranges with these shares for a page of this size; some still owe
+     * rows.
+     */
     public synchronized int[] rows(int size, double[] shares, boolean[] owing) {
         double spreads = 0;
         for (double share : shares) {
             spreads += spread(size, share);
         }
-        double times = Math.min(SPREADS_MOST, (FETCHED_MOST - 1) * size / Math.max(spreads, Double.MIN_NORMAL));
+        double times =
+                Math.min(
+                        SPREADS_MOST,
+                        (FETCHED_MOST - 1) * size / Math.max(spreads, Double.MIN_NORMAL));
         int[] rows = new int[shares.length];
         for (int i = 0; i < rows.length; i++) {
             double expected = size * shares[i];
             double sigma = spread(size, shares[i]);
             // Where the chance of one row more is 1 in ASK_COST, by the bell curve.
             double height = sigma * Math.sqrt(2 * Math.PI) / ASK_COST;
-            double pays = height < 1 && height > 0
-                    ? Math.floor(expected + sigma * Math.sqrt(-2 * Math.log(height))) : 0;
+            double pays =
+                    height < 1 && height > 0
+                            ? Math.floor(expected + sigma * Math.sqrt(-2 * Math.log(height)))
+                            : 0;
             double most = Math.max(expected + times * sigma, pays);
             rows[i] = bounded(owing[i] ? Math.max(most, OWING * expected) : most, size);
         }
@@ -87,7 +121,10 @@
         return Math.sqrt(spread * size * share * Math.max(0, 1 - share));
     }
 
-    /** How many more of a range that ran out too early and is expected to have so many more on the page. */
+    /**
+     * How many more of a range that ran out too early and is expected to have so many more on the
+     * page.
+     */
     int further(double expected, int size) {
         return bounded(1 + expected + Math.sqrt(expected), size);
     }
@@ -107,7 +144,10 @@
             double sum = 0;
             for (int i = 0; i < expected.length; i++) {
                 double mean = rows.size() * expected[i];
-                sum += (had[i] - mean) * (had[i] - mean) / Math.max(SPREAD_LEAST, mean * (1 - expected[i]));
+                sum +=
+                        (had[i] - mean)
+                                * (had[i] - mean)
+                                / Math.max(SPREAD_LEAST, mean * (1 - expected[i]));
             }
             spread += SPREAD_STEP * (Math.min(SPREAD_MOST, sum / expected.length) - spread);
             spread = Math.max(SPREAD_LEAST, spread);
--- a/src/main/java/postbeam/pages/SortKey.java
+++ b/src/main/java/postbeam/pages/SortKey.java
@@ -1,8 +1,8 @@
 package postbeam.pages;
 
 /**
- * One key of an order. A value is a Long, a String or null, which is missing; missing ones come first or last whichever
- * way the others go.
+ * One key of an order. A value is a Long, a String or null, which is missing; missing ones come
+ * first or last whichever way the others go.
  */
 public record SortKey(String by, boolean descending, boolean missingFirst) {
     int compare(Object one, Object other) {
@@ -28,8 +28,10 @@
             char a = one.charAt(i);
             char b = other.charAt(i);
             if (a != b) {
-                // The halves of code points above U+FFFF come after all else, though their numbers don't.
-                return Character.isSurrogate(a) == Character.isSurrogate(b) ? Character.compare(a, b)
+                // The halves of code points above U+FFFF come after all else, though their numbers
+                // don't.
+                return Character.isSurrogate(a) == Character.isSurrogate(b)
+                        ? Character.compare(a, b)
                         : Character.isSurrogate(a) ? 1 : -1;
             }
         }
@@ -38,6 +40,8 @@
 
     @Override
     public String toString() {
-        return by + (descending ? " descending" : " ascending") + (missingFirst ? ", missing first" : ", missing last");
+        return by
+                + (descending ? " descending" : " ascending")
+                + (missingFirst ? ", missing first" : ", missing last");
     }
 }
--- a/src/main/java/postbeam/rig/BoundsWorld.java
+++ b/src/main/java/postbeam/rig/BoundsWorld.java
@@ -24,36 +24,59 @@
 import postbeam.shared.Who;
 
 /**
- * The shared decisions of several routers on a clock that jumps: messages are lost, late, doubled and overtaken, ways are
- * cut in one direction or both, processes crash, come back under their name, are stopped anywhere and wake, and their
- * clocks run apart. A referee with the only true clock sums what cold nodes were sent.
+ * The shared decisions of several routers on a clock that jumps: messages are lost, late, doubled
+ * and overtaken, ways are cut in one direction or both, processes crash, come back under their
+ * name, are stopped anywhere and wake, and their clocks run apart. A referee with the only true
+ * clock sums what cold nodes were sent.
  */
 final class BoundsWorld {
-    /** How large, how long and how rough; troubles come while the load does, but for the last part of it. */
-    record Plan(int routers, int nodes, int stripes, Duration length, boolean faults, int cutOff, LeaseTerms leases,
-            OfficeTerms offices, PlantedSharing.Defect defect) { }
+    /**
+     * How large, how long and how rough; troubles come while the load does, but for the last part
+     * of it.
+     */
+    record Plan(
+            int routers,
+            int nodes,
+            int stripes,
+            Duration length,
+            boolean faults,
+            int cutOff,
+            LeaseTerms leases,
+            OfficeTerms offices,
+            PlantedSharing.Defect defect) {}
 
     /** What the routers sent of what they might: figures of a run. */
-    record Use(double used, double budget, int won, int sends, Duration evenAt) { }
+    record Use(double used, double budget, int won, int sends, Duration evenAt) {}
 
     private static final Duration TICK = Duration.ofMillis(20);
+
     /** Calm at the end, for keepers to be found and leases to be granted again. */
     static final Duration CALM = Duration.ofSeconds(8);
-    /** How far the clocks run apart, as a share: over the longest span less than the drift of the terms. */
+
+    /**
+     * How far the clocks run apart, as a share: over the longest span less than the drift of the
+     * terms.
+     */
     private static final double RATES = 0.004;
+
     private static final double FIRST_BUDGET = 4;
+
     /** The ramp at whose end the budget is so many times the first. */
     private static final Duration RAMP = Duration.ofSeconds(30);
+
     private static final double RISES_TO = 2;
+
     /** As one router sends them, to any node: more than the budgets hold. */
     private static final Duration BETWEEN_BURSTS = Duration.ofMillis(6);
+
     private static final int BURST_MOST = 12;
     private static final Duration STARVED = Duration.ofMillis(600);
     private static final double STOPPED_IN_A_BURST = 0.001;
+
     /** Bursts that wait for a process that was stopped. */
     private static final int QUEUED = 40;
 
-    private record Event(Duration at, long number, Runnable what) { }
+    private record Event(Duration at, long number, Runnable what) {}
 
     /** One process after the other under one name. */
     private final class Router {
@@ -62,14 +85,19 @@
         final Duration offset = Duration.ofNanos((long) (chance.nextDouble() * 1e12));
         Who who;
         List<Stripe> stripes;
+
         /** Its threads get little time: sends follow their checks late. */
         final boolean starved = chance.nextDouble() < 0.3;
+
         boolean stopped;
         boolean crashed;
+
         /** What came while it was stopped. */
         final List<Runnable> held = new ArrayList<>();
+
         /** By node: the incarnation it knows, and when it heard of it. */
         final Map<String, NodeKey> knows = new LinkedHashMap<>();
+
         final Map<NodeKey, Duration> heardAt = new LinkedHashMap<>();
 
         Router(String name) {
@@ -84,8 +112,20 @@
             crashed = false;
             who = new Who(name, ++incarnations);
             knows.clear();
-            stripes = IntStream.range(0, plan.stripes()).mapToObj(i -> PlantedSharing.of(plan.defect(), i, who, names,
-                    plan.leases(), plan.offices(), clock(), new Random(chance.nextLong()))).toList();
+            stripes =
+                    IntStream.range(0, plan.stripes())
+                            .mapToObj(
+                                    i ->
+                                            PlantedSharing.of(
+                                                    plan.defect(),
+                                                    i,
+                                                    who,
+                                                    names,
+                                                    plan.leases(),
+                                                    plan.offices(),
+                                                    clock(),
+                                                    new Random(chance.nextLong())))
+                            .toList();
             nodes.forEach((node, key) -> hears(key));
             run(this::tick);
             run(this::nextSend);
@@ -102,11 +142,12 @@
         /** Runs this now, once it goes on, or never, if this process is over by then. */
         void run(Runnable what) {
             Who mine = who;
-            Runnable still = () -> {
-                if (mine.equals(who) && !crashed) {
-                    what.run();
-                }
-            };
+            Runnable still =
+                    () -> {
+                        if (mine.equals(who) && !crashed) {
+                            what.run();
+                        }
+                    };
             if (stopped) {
                 held.add(still);
             } else {
@@ -116,11 +157,13 @@
 
         void later(Duration wait, Runnable what) {
             Who mine = who;
-            after(wait, () -> {
-                if (mine.equals(who)) {
-                    run(what);
-                }
-            });
+            after(
+                    wait,
+                    () -> {
+                        if (mine.equals(who)) {
+                            run(what);
+                        }
+                    });
         }
 
         void stop() {
@@ -155,42 +198,66 @@
                 boolean was = stripe.office().inOffice(clock());
                 Stripe.Due due = stripe.due(clock());
                 if (due.ballot() != null) {
-                    routers.stream().filter(other -> other != this).forEach(other -> ask(other, due.ballot()));
+                    routers.stream()
+                            .filter(other -> other != this)
+                            .forEach(other -> ask(other, due.ballot()));
                 }
                 int at = i;
-                due.asks().forEach(asked -> routers.stream().filter(other -> other.name.equals(due.keeper().name()))
-                        .forEach(other -> ask(other, at, asked)));
+                due.asks()
+                        .forEach(
+                                asked ->
+                                        routers.stream()
+                                                .filter(
+                                                        other ->
+                                                                other.name.equals(
+                                                                        due.keeper().name()))
+                                                .forEach(other -> ask(other, at, asked)));
                 won += !was && stripe.office().inOffice(clock()) ? 1 : 0;
             }
         }
 
         private void ask(Router other, Ballot ballot) {
             Stripe mine = stripes.get(ballot.stripe());
-            message(this, other, () -> {
-                var vote = other.stripes.get(ballot.stripe()).asked(other.clock(), ballot);
-                message(other, this, mine, () -> {
-                    boolean was = mine.office().inOffice(clock());
-                    mine.answered(clock(), vote);
-                    if (!was && mine.office().inOffice(clock())) {
-                        won++;
-                        oneKeeper(ballot.stripe());
-                    }
-                });
-            });
+            message(
+                    this,
+                    other,
+                    () -> {
+                        var vote = other.stripes.get(ballot.stripe()).asked(other.clock(), ballot);
+                        message(
+                                other,
+                                this,
+                                mine,
+                                () -> {
+                                    boolean was = mine.office().inOffice(clock());
+                                    mine.answered(clock(), vote);
+                                    if (!was && mine.office().inOffice(clock())) {
+                                        won++;
+                                        oneKeeper(ballot.stripe());
+                                    }
+                                });
+                    });
         }
 
         private void ask(Router other, int stripe, LeaseAsk asked) {
             Stripe mine = stripes.get(stripe);
-            message(this, other, () -> {
-                var grant = other.stripes.get(stripe).asked(other.clock(), asked);
-                message(other, this, mine, () -> mine.granted(clock(), grant));
-            });
+            message(
+                    this,
+                    other,
+                    () -> {
+                        var grant = other.stripes.get(stripe).asked(other.clock(), asked);
+                        message(other, this, mine, () -> mine.granted(clock(), grant));
+                    });
         }
 
         void nextSend() {
             // Some routers have most of the work.
             double busy = routers.indexOf(this) % 3 == 2 ? 1 : plan.faults() ? 2 : 40;
-            later(Duration.ofNanos((long) (-Math.log(1 - chance.nextDouble()) * BETWEEN_BURSTS.toNanos() * busy)),
+            later(
+                    Duration.ofNanos(
+                            (long)
+                                    (-Math.log(1 - chance.nextDouble())
+                                            * BETWEEN_BURSTS.toNanos()
+                                            * busy)),
                     this::nextSend);
             sendAny();
         }
@@ -212,7 +279,9 @@
             Stripe stripe = stripes.get(stripeOf(key.node()));
             double amount = plan.leases().callMost() * (0.2 + 0.8 * chance.nextDouble());
             // Its age as heard, by its own clock, is never above the true one.
-            Duration age = Duration.ofNanos((long) (clock().minus(heardAt.get(key)).toNanos() * (1 - 2 * RATES)));
+            Duration age =
+                    Duration.ofNanos(
+                            (long) (clock().minus(heardAt.get(key)).toNanos() * (1 - 2 * RATES)));
             if (!stripe.take(clock(), key, amount, budget(age))) {
                 return;
             }
@@ -220,13 +289,19 @@
                 stripe.out(key, amount);
             }
             // The thread goes on to its send: at once, or whenever the process does.
-            later(troubled && starved ? upTo(STARVED) : Duration.ofNanos((long) (chance.nextDouble()
-                    * (chance.nextDouble() < 0.1 ? 3e7 : 1e6))), () -> {
-                sent(key, amount);
-                if (plan.defect() != PlantedSharing.Defect.CHECKS_NOT_HELD_DOWN) {
-                    stripe.out(key, amount);
-                }
-            });
+            later(
+                    troubled && starved
+                            ? upTo(STARVED)
+                            : Duration.ofNanos(
+                                    (long)
+                                            (chance.nextDouble()
+                                                    * (chance.nextDouble() < 0.1 ? 3e7 : 1e6))),
+                    () -> {
+                        sent(key, amount);
+                        if (plan.defect() != PlantedSharing.Defect.CHECKS_NOT_HELD_DOWN) {
+                            stripe.out(key, amount);
+                        }
+                    });
         }
     }
 
@@ -292,7 +367,9 @@
     Use use() {
         double budget = 0;
         for (NodeKey key : nodes.values()) {
-            for (Duration at = startedAt.get(key); at.compareTo(now) < 0; at = at.plus(plan.leases().window())) {
+            for (Duration at = startedAt.get(key);
+                    at.compareTo(now) < 0;
+                    at = at.plus(plan.leases().window())) {
                 budget += budget(at.minus(startedAt.get(key))).now();
             }
         }
@@ -303,17 +380,37 @@
     private void settled() {
         for (int i = 0; i < plan.stripes(); i++) {
             int stripe = i;
-            if (routers.stream().noneMatch(one -> one.stripes.get(stripe).keeper().grants(one.clock()))) {
-                broken.add("stripe " + i + " has no keeper " + CALM.toMillis() + " ms after the last trouble");
+            if (routers.stream()
+                    .noneMatch(one -> one.stripes.get(stripe).keeper().grants(one.clock()))) {
+                broken.add(
+                        "stripe "
+                                + i
+                                + " has no keeper "
+                                + CALM.toMillis()
+                                + " ms after the last trouble");
             }
         }
-        double leased = routers.stream().flatMap(one -> one.stripes.stream().flatMap(stripe -> stripe.leased(one.clock())
-                .entrySet().stream())).filter(entry -> nodes.containsValue(entry.getKey()))
-                .mapToDouble(Map.Entry::getValue).sum();
+        double leased =
+                routers.stream()
+                        .flatMap(
+                                one ->
+                                        one.stripes.stream()
+                                                .flatMap(
+                                                        stripe ->
+                                                                stripe
+                                                                        .leased(one.clock())
+                                                                        .entrySet()
+                                                                        .stream()))
+                        .filter(entry -> nodes.containsValue(entry.getKey()))
+                        .mapToDouble(Map.Entry::getValue)
+                        .sum();
         double least = plan.nodes() * plan.leases().leasable(FIRST_BUDGET) / 2;
         if (leased < least) {
-            broken.add(String.format("leases of %.3f are held after the calm, of at least %.3f that are wanted", leased,
-                    least));
+            broken.add(
+                    String.format(
+                            "leases of %.3f are held after the calm, of at least %.3f that are"
+                                    + " wanted",
+                            leased, least));
         }
     }
 
@@ -324,14 +421,15 @@
                 Arrays.fill(row, false);
             }
         }
-        routers.forEach(router -> {
-            if (router.stopped) {
-                router.wake();
-            }
-            if (router.crashed) {
-                router.start();
-            }
-        });
+        routers.forEach(
+                router -> {
+                    if (router.stopped) {
+                        router.wake();
+                    }
+                    if (router.crashed) {
+                        router.start();
+                    }
+                });
     }
 
     private void after(Duration wait, Runnable what) {
@@ -347,23 +445,29 @@
     }
 
     private void message(Router from, Router to, Runnable arrives) {
-        int copies = troubled ? chance.nextDouble() < 0.05 ? 0 : chance.nextDouble() < 0.05 ? 2 : 1 : 1;
+        int copies =
+                troubled ? chance.nextDouble() < 0.05 ? 0 : chance.nextDouble() < 0.05 ? 2 : 1 : 1;
         for (int i = 0; i < copies && !cut[routers.indexOf(from)][routers.indexOf(to)]; i++) {
-            after(way(), () -> {
-                if (to.stripes != null && !to.crashed) {
-                    to.run(arrives);
-                }
-            });
+            after(
+                    way(),
+                    () -> {
+                        if (to.stripes != null && !to.crashed) {
+                            to.run(arrives);
+                        }
+                    });
         }
     }
 
     /** An answer is for the process that asked. */
     private void message(Router from, Router to, Stripe asker, Runnable arrives) {
-        message(from, to, () -> {
-            if (to.stripes.contains(asker)) {
-                arrives.run();
-            }
-        });
+        message(
+                from,
+                to,
+                () -> {
+                    if (to.stripes.contains(asker)) {
+                        arrives.run();
+                    }
+                });
     }
 
     private int stripeOf(String node) {
@@ -389,15 +493,25 @@
             default -> {
                 // All at once, or so many that a majority of voters has no memory.
                 double share = chance.nextDouble() < 0.3 ? 1 : 0.5;
-                routers.stream().filter(one -> chance.nextDouble() < share)
+                routers.stream()
+                        .filter(one -> chance.nextDouble() < share)
                         .forEach(one -> crash(one, upTo(Duration.ofMillis(40))));
             }
         }
     }
 
     private List<Router> keepers() {
-        return routers.stream().filter(one -> !one.crashed && !one.stopped && one.stripes.stream()
-                .anyMatch(stripe -> stripe.office().inOffice(one.clock()))).toList();
+        return routers.stream()
+                .filter(
+                        one ->
+                                !one.crashed
+                                        && !one.stopped
+                                        && one.stripes.stream()
+                                                .anyMatch(
+                                                        stripe ->
+                                                                stripe.office()
+                                                                        .inOffice(one.clock())))
+                .toList();
     }
 
     private Duration upTo(Duration most) {
@@ -407,26 +521,33 @@
     private void crash(Router router, Duration away) {
         if (!router.crashed) {
             router.crash();
-            after(away, () -> {
-                if (router.crashed) {
-                    router.start();
-                }
-            });
+            after(
+                    away,
+                    () -> {
+                        if (router.crashed) {
+                            router.start();
+                        }
+                    });
         }
     }
 
     private void halt(Router router, Duration away) {
         if (!router.crashed && !router.stopped) {
             router.stop();
-            after(away, () -> {
-                if (router.stopped) {
-                    router.wake();
-                }
-            });
+            after(
+                    away,
+                    () -> {
+                        if (router.stopped) {
+                            router.wake();
+                        }
+                    });
         }
     }
 
-    /** Some are cut off from the others, both ways, or heard and not hearing, or the other way round. */
+    /**
+     * Some are cut off from the others, both ways, or heard and not hearing, or the other way
+     * round.
+     */
     private void cutOff(int how, Duration away) {
         boolean[] aside = new boolean[plan.routers()];
         for (int i = 0; i < aside.length; i++) {
@@ -454,11 +575,13 @@
         startedAt.put(key, now);
         sent.put(key, new ArrayDeque<>());
         for (Router router : routers) {
-            after(upTo(Duration.ofMillis(200)), () -> {
-                if (router.stripes != null) {
-                    router.run(() -> router.hears(key));
-                }
-            });
+            after(
+                    upTo(Duration.ofMillis(200)),
+                    () -> {
+                        if (router.stripes != null) {
+                            router.run(() -> router.hears(key));
+                        }
+                    });
         }
     }
 
@@ -466,7 +589,13 @@
 
     /** As of a window's start, for one that ends at this age of the node. */
     private Budget budget(Duration age) {
-        double risen = Math.max(0, Math.min(1, (double) age.minus(plan.leases().window()).toNanos() / RAMP.toNanos()));
+        double risen =
+                Math.max(
+                        0,
+                        Math.min(
+                                1,
+                                (double) age.minus(plan.leases().window()).toNanos()
+                                        / RAMP.toNanos()));
         return new Budget(FIRST_BUDGET, FIRST_BUDGET * (1 + (RISES_TO - 1) * risen));
     }
 
@@ -485,8 +614,10 @@
             carriesAt = now.minus(startedAt.get(key));
         }
         if (sum > limit + 1e-6) {
-            broken.add(String.format("at %d ms node %s was sent %.4f within %d ms, over its budget of %.4f",
-                    now.toMillis(), key, sum, plan.leases().window().toMillis(), limit));
+            broken.add(
+                    String.format(
+                            "at %d ms node %s was sent %.4f within %d ms, over its budget of %.4f",
+                            now.toMillis(), key, sum, plan.leases().window().toMillis(), limit));
         }
     }
 
@@ -497,10 +628,25 @@
 
     /** Also of those that are stopped: by their clocks their office is over, or it is not. */
     private void oneKeeper(int stripe) {
-        List<String> in = routers.stream().filter(one -> !one.crashed && one.stripes.get(stripe).office()
-                .inOffice(one.clock())).map(one -> one.name).toList();
+        List<String> in =
+                routers.stream()
+                        .filter(
+                                one ->
+                                        !one.crashed
+                                                && one.stripes
+                                                        .get(stripe)
+                                                        .office()
+                                                        .inOffice(one.clock()))
+                        .map(one -> one.name)
+                        .toList();
         if (in.size() > 1) {
-            broken.add("at " + now.toMillis() + " ms " + in + " are all in office for stripe " + stripe);
+            broken.add(
+                    "at "
+                            + now.toMillis()
+                            + " ms "
+                            + in
+                            + " are all in office for stripe "
+                            + stripe);
         }
     }
 }
--- a/src/main/java/postbeam/rig/ColdUseTrial.java
+++ b/src/main/java/postbeam/rig/ColdUseTrial.java
@@ -6,7 +6,10 @@
 import java.util.Locale;
 import postbeam.shared.LeaseTerms;
 
-/** How much of cold nodes' budgets routers use, one of three busier than the others: figures for docs/together.md. */
+/**
+ * How much of cold nodes' budgets routers use, one of three busier than the others: figures for
+ * docs/together.md.
+ */
 final class ColdUseTrial implements Trial {
     private static final int ROUTERS = 5;
 
@@ -17,7 +20,8 @@
 
     @Override
     public String about() {
-        return "the share of cold nodes' budgets that is used: even parts alone, leases, leases with 2 of 5 cut off";
+        return "the share of cold nodes' budgets that is used: even parts alone, leases, leases"
+                + " with 2 of 5 cut off";
     }
 
     @Override
@@ -35,20 +39,49 @@
         Duration use = Duration.ofMillis(600);
         List<String> figures = new ArrayList<>();
         List<String> broken = new ArrayList<>();
-        one(seed, "even parts alone", BoundsTrial.leases(ROUTERS, use, 0.899, 0.1, 0.04), 0, figures, broken);
+        one(
+                seed,
+                "even parts alone",
+                BoundsTrial.leases(ROUTERS, use, 0.899, 0.1, 0.04),
+                0,
+                figures,
+                broken);
         LeaseTerms leases = BoundsTrial.leases(ROUTERS, use, 0.25, 0.1, 0.04);
         one(seed, "leases", leases, 0, figures, broken);
         one(seed, "leases, 2 of 5 cut off", leases, 2, figures, broken);
         return new Result(figures, broken);
     }
 
-    private static void one(long seed, String name, LeaseTerms leases, int cutOff, List<String> figures,
+    private static void one(
+            long seed,
+            String name,
+            LeaseTerms leases,
+            int cutOff,
+            List<String> figures,
             List<String> broken) {
-        BoundsWorld world = new BoundsWorld(new BoundsWorld.Plan(ROUTERS, 2, 2, Duration.ofSeconds(16), false, cutOff,
-                leases, BoundsTrial.offices(Duration.ofMillis(900)), null), seed);
+        BoundsWorld world =
+                new BoundsWorld(
+                        new BoundsWorld.Plan(
+                                ROUTERS,
+                                2,
+                                2,
+                                Duration.ofSeconds(16),
+                                false,
+                                cutOff,
+                                leases,
+                                BoundsTrial.offices(Duration.ofMillis(900)),
+                                null),
+                        seed);
         broken.addAll(world.run());
         BoundsWorld.Use of = world.use();
-        figures.add(String.format(Locale.ROOT, "seed %d: %s: %.3f of the budgets used, half of one in a window after %d "
-                + "ms", seed, name, of.used() / of.budget(), of.evenAt() == null ? -1 : of.evenAt().toMillis()));
+        figures.add(
+                String.format(
+                        Locale.ROOT,
+                        "seed %d: %s: %.3f of the budgets used, half of one in a window after %d "
+                                + "ms",
+                        seed,
+                        name,
+                        of.used() / of.budget(),
+                        of.evenAt() == null ? -1 : of.evenAt().toMillis()));
     }
 }
--- a/src/main/java/postbeam/rig/HearsayWorld.java
+++ b/src/main/java/postbeam/rig/HearsayWorld.java
@@ -16,15 +16,19 @@
 import postbeam.shared.Who;
 
 /**
- * Counts and judgements of several routers in steps: each step one counts, gives up, tells, hears something old or new,
- * or comes back without memory. What was truly counted is summed apart; one router lies about data nodes.
+ * Counts and judgements of several routers in steps: each step one counts, gives up, tells, hears
+ * something old or new, or comes back without memory. What was truly counted is summed apart; one
+ * router lies about data nodes.
  */
 final class HearsayWorld {
     private static final int STEPS = 600;
     private static final double LIMIT = 30;
+
     /** Steps of one bucket. */
     private static final int BUCKET = 40;
+
     private static final List<String> KEYS = List.of("acme", "globex");
+
     /** Messages that may still come. */
     private static final int WAITING = 30;
 
@@ -49,16 +53,25 @@
         return new Counts(new Who(name, ++runs), names, names.size(), bucket) {
             @Override
             protected double gaveUp(CountEntry entry, double even) {
-                return entry == null && defect == PlantedSharing.Defect.UNHEARD_AS_NOTHING ? even
+                return entry == null && defect == PlantedSharing.Defect.UNHEARD_AS_NOTHING
+                        ? even
                         : super.gaveUp(entry, even);
             }
 
             @Override
             protected CountEntry newer(CountEntry known, CountEntry next) {
-                boolean twice = defect == PlantedSharing.Defect.COUNT_MERGED_TWICE
-                        && next.who().incarnation() >= known.who().incarnation();
-                return twice ? new CountEntry(next.who(), next.key(), next.bucket(), next.version(),
-                        known.count() + next.count(), Math.min(known.most(), next.most())) : super.newer(known, next);
+                boolean twice =
+                        defect == PlantedSharing.Defect.COUNT_MERGED_TWICE
+                                && next.who().incarnation() >= known.who().incarnation();
+                return twice
+                        ? new CountEntry(
+                                next.who(),
+                                next.key(),
+                                next.bucket(),
+                                next.version(),
+                                known.count() + next.count(),
+                                Math.min(known.most(), next.most()))
+                        : super.newer(known, next);
             }
         };
     }
@@ -71,7 +84,12 @@
             one.begun(bucket);
             String key = KEYS.get(chance.nextInt(KEYS.size()));
             switch (chance.nextInt(8)) {
-                case 0 -> one.keep(key, bucket + chance.nextInt(2), chance.nextDouble() * LIMIT / names.size(), LIMIT);
+                case 0 ->
+                        one.keep(
+                                key,
+                                bucket + chance.nextInt(2),
+                                chance.nextDouble() * LIMIT / names.size(),
+                                LIMIT);
                 case 1 -> waiting.add(one.tell());
                 case 2, 3 -> hear(one);
                 case 4 -> {
@@ -104,8 +122,10 @@
                 taken++;
                 double sum = truth.merge(key + bucket, amount, Double::sum);
                 if (sum > LIMIT + 1e-6) {
-                    broken.add(String.format("%.3f of %s were counted in bucket %d, over the limit of %.0f", sum, key,
-                            bucket, LIMIT));
+                    broken.add(
+                            String.format(
+                                    "%.3f of %s were counted in bucket %d, over the limit of %.0f",
+                                    sum, key, bucket, LIMIT));
                 }
             }
         }
@@ -115,8 +135,10 @@
         double known = one.atLeast(key, bucket);
         double sum = truth.getOrDefault(key + bucket, 0.0);
         if (known > sum + 1e-6) {
-            broken.add(String.format("%.3f of %s are known in bucket %d, where %.3f were counted", known, key, bucket,
-                    sum));
+            broken.add(
+                    String.format(
+                            "%.3f of %s are known in bucket %d, where %.3f were counted",
+                            known, key, bucket, sum));
         }
     }
 
@@ -124,26 +146,50 @@
         return taken;
     }
 
-    /** One router says of all nodes that they are silent, again and again; two of its zone are truly cut off from one. */
+    /**
+     * One router says of all nodes that they are silent, again and again; two of its zone are truly
+     * cut off from one.
+     */
     private void lie() {
-        Judgements mine = new Judgements("r0", Math.max(4, names.size()), 3) {
-            @Override
-            protected boolean enough(int reporters, int ofZones) {
-                return defect == PlantedSharing.Defect.ONE_REPORTER_BELIEVED || super.enough(reporters, ofZones);
-            }
-        };
-        List<NodeKey> holders = IntStream.range(0, 4).mapToObj(i -> new NodeKey("n" + i, 1)).toList();
+        Judgements mine =
+                new Judgements("r0", Math.max(4, names.size()), 3) {
+                    @Override
+                    protected boolean enough(int reporters, int ofZones) {
+                        return defect == PlantedSharing.Defect.ONE_REPORTER_BELIEVED
+                                || super.enough(reporters, ofZones);
+                    }
+                };
+        List<NodeKey> holders =
+                IntStream.range(0, 4).mapToObj(i -> new NodeKey("n" + i, 1)).toList();
         for (int step = 0; step < 40; step++) {
             Duration now = Duration.ofMillis(100L * step);
             NodeKey node = holders.get(chance.nextInt(holders.size()));
-            mine.heard(now, new Report("liar", "z" + chance.nextInt(3), node, Report.Kind.SILENT, 9, 99, Duration.ZERO));
-            mine.heard(now, new Report("r" + (1 + chance.nextInt(2)), "z1", holders.get(0), Report.Kind.SILENT, 9, 99,
-                    upTo(Duration.ofSeconds(4))));
+            mine.heard(
+                    now,
+                    new Report(
+                            "liar",
+                            "z" + chance.nextInt(3),
+                            node,
+                            Report.Kind.SILENT,
+                            9,
+                            99,
+                            Duration.ZERO));
+            mine.heard(
+                    now,
+                    new Report(
+                            "r" + (1 + chance.nextInt(2)),
+                            "z1",
+                            holders.get(0),
+                            Report.Kind.SILENT,
+                            9,
+                            99,
+                            upTo(Duration.ofSeconds(4))));
             if (holders.stream().skip(1).anyMatch(other -> mine.condemned(now, other))) {
                 broken.add("a node is condemned on the word of one router");
                 return;
             }
-            long marked = mine.shares(now, holders).values().stream().filter(share -> share < 1).count();
+            long marked =
+                    mine.shares(now, holders).values().stream().filter(share -> share < 1).count();
             if (marked > 2) {
                 broken.add(marked + " of " + holders.size() + " holders are held back by hearsay");
                 return;
--- a/src/main/java/postbeam/rig/HeldSlices.java
+++ b/src/main/java/postbeam/rig/HeldSlices.java
@@ -5,17 +5,27 @@
 import postbeam.slices.KeyRange;
 import postbeam.slices.Order;
 
-/** What one stand-in node holds, as it was ordered: which calls it takes, and which it says it never ran. */
+/**
+ * What one stand-in node holds, as it was ordered: which calls it takes, and which it says it never
+ * ran.
+ */
 final class HeldSlices {
-    enum Standing { COPYING, HOLDING, SERVING, FENCED }
+    enum Standing {
+        COPYING,
+        HOLDING,
+        SERVING,
+        FENCED
+    }
 
     /** A slice here; calls of an older version than this one are not for it. */
     static final class Held {
         final KeyRange keys;
         Standing standing = Standing.COPYING;
         long from;
+
         /** Calls taken and not over. */
         int running;
+
         boolean copied;
 
         Held(KeyRange keys) {
@@ -29,10 +39,16 @@
         return held.get(slice);
     }
 
-    /** Takes a call, which {@link #over} must end; null where it is not served here under that version. */
+    /**
+     * Takes a call, which {@link #over} must end; null where it is not served here under that
+     * version.
+     */
     Held take(int slice, long version, KeyRange keys) {
         Held one = held.get(slice);
-        if (one == null || one.standing != Standing.SERVING || version < one.from || !one.keys.holds(keys)) {
+        if (one == null
+                || one.standing != Standing.SERVING
+                || version < one.from
+                || !one.keys.holds(keys)) {
             return null;
         }
         one.running++;
@@ -48,24 +64,33 @@
         held.clear();
     }
 
-    /** One that starts again knows from its disk what it serves and from which version; half a copy is none. */
+    /**
+     * One that starts again knows from its disk what it serves and from which version; half a copy
+     * is none.
+     */
     void restarted() {
         held.values().removeIf(one -> !one.copied);
-        held.replaceAll((slice, one) -> {
-            Held again = new Held(one.keys);
-            again.standing = one.standing;
-            again.from = one.from;
-            again.copied = true;
-            return again;
-        });
+        held.replaceAll(
+                (slice, one) -> {
+                    Held again = new Held(one.keys);
+                    again.standing = one.standing;
+                    again.from = one.from;
+                    again.copied = true;
+                    return again;
+                });
     }
 
-    /** Whether the order is done; else it goes on, and the same order later tells. The copying is the caller's. */
+    /**
+     * Whether the order is done; else it goes on, and the same order later tells. The copying is
+     * the caller's.
+     */
     boolean ordered(Order order, int slice, KeyRange keys, long version, boolean copied) {
         Held one = held.get(slice);
         switch (order) {
             case COPY -> {
-                if (one == null || one.standing == Standing.FENCED || one.standing == Standing.SERVING) {
+                if (one == null
+                        || one.standing == Standing.FENCED
+                        || one.standing == Standing.SERVING) {
                     one = new Held(keys);
                     held.put(slice, one);
                 }
--- a/src/main/java/postbeam/rig/Load.java
+++ b/src/main/java/postbeam/rig/Load.java
@@ -23,13 +23,19 @@
 import postbeam.slices.Layout;
 import postbeam.slices.Slice;
 
-/** Steady clients of some routers: they ask by a layout that they know, wait so long, and try a rejected query again. */
+/**
+ * Steady clients of some routers: they ask by a layout that they know, wait so long, and try a
+ * rejected query again.
+ */
 final class Load {
     private static final Duration PATIENCE = Duration.ofSeconds(3);
     private static final Duration SLO = Duration.ofSeconds(1);
+
     /** Longest time of an answer that is told apart, in microseconds. */
     private static final long LONGEST_MICROS = 10_000_000;
+
     private static final int RETRIES = 2;
+
     /** Version of the layout that stands for the fixed rule: a key a shard. */
     static final long FIXED = 1;
 
@@ -37,12 +43,18 @@
     private final boolean sliced;
     private final int shards;
     private final UniformRandomProvider chance;
-    private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-            .executor(Executors.newFixedThreadPool(8, run -> {
-                Thread thread = new Thread(run, "clients");
-                thread.setDaemon(true);
-                return thread;
-            })).build();
+    private final HttpClient http =
+            HttpClient.newBuilder()
+                    .version(HttpClient.Version.HTTP_1_1)
+                    .executor(
+                            Executors.newFixedThreadPool(
+                                    8,
+                                    run -> {
+                                        Thread thread = new Thread(run, "clients");
+                                        thread.setDaemon(true);
+                                        return thread;
+                                    }))
+                    .build();
     private final AtomicReference<Layout> known = new AtomicReference<>();
     private final ConcurrentHistogram times = new ConcurrentHistogram(LONGEST_MICROS, 3);
     private final AtomicInteger asked = new AtomicInteger();
@@ -77,7 +89,12 @@
         }
     }
 
-    private record Query(World.Kind kind, Layout layout, List<Referee.Wanted> wanted, Duration askedAt, int tried) { }
+    private record Query(
+            World.Kind kind,
+            Layout layout,
+            List<Referee.Wanted> wanted,
+            Duration askedAt,
+            int tried) {}
 
     Load(Place stage, boolean sliced, int shards, UniformRandomProvider chance) {
         this.stage = stage;
@@ -117,11 +134,17 @@
             List<Slice> slices = layout.slices();
             int first = chance.nextInt(slices.size());
             List<Slice> named = slices.subList(first, Math.min(slices.size(), first + count));
-            named.forEach(slice -> wanted.add(new Referee.Wanted(slice.number(), slice.keys(), 1.0 / named.size())));
+            named.forEach(
+                    slice ->
+                            wanted.add(
+                                    new Referee.Wanted(
+                                            slice.number(), slice.keys(), 1.0 / named.size())));
         } else {
             int first = chance.nextInt(Math.max(1, shards - count));
             for (int i = 0; i < count; i++) {
-                wanted.add(new Referee.Wanted(first + i, new KeyRange(first + i, first + i + 1), 1.0 / count));
+                wanted.add(
+                        new Referee.Wanted(
+                                first + i, new KeyRange(first + i, first + i + 1), 1.0 / count));
             }
         }
         asked.incrementAndGet();
@@ -132,40 +155,70 @@
         int router = chanceUpTo(stage.routers().size());
         String id = "r" + router + query.kind.name() + tries.incrementAndGet();
         Duration now = stage.now();
-        stage.seen().asked(now, id, "r" + router, query.kind.promise(), query.kind.need(), query.kind.floor(),
-                sliced ? query.layout.version : FIXED, query.wanted, now.plus(PATIENCE));
+        stage.seen()
+                .asked(
+                        now,
+                        id,
+                        "r" + router,
+                        query.kind.promise(),
+                        query.kind.need(),
+                        query.kind.floor(),
+                        sliced ? query.layout.version : FIXED,
+                        query.wanted,
+                        now.plus(PATIENCE));
         StringBuilder ranges = new StringBuilder();
         for (Referee.Wanted one : query.wanted) {
-            ranges.append(ranges.length() == 0 ? "" : ",").append("{\"range\":").append(one.slice())
-                    .append(",\"portion\":").append(one.weight())
-                    .append(stage.price() == null ? "" : ",\"price\":" + stage.price().toNanos() / 1000).append('}');
+            ranges.append(ranges.length() == 0 ? "" : ",")
+                    .append("{\"range\":")
+                    .append(one.slice())
+                    .append(",\"portion\":")
+                    .append(one.weight())
+                    .append(
+                            stage.price() == null
+                                    ? ""
+                                    : ",\"price\":" + stage.price().toNanos() / 1000)
+                    .append('}');
         }
-        HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://" + stage.routers().get(router)
-                + "/" + query.kind.name() + "?obj=7f")).header("Req-Id", id).header("Req-Owner", "acme")
-                .header("Req-Deadline-Ms", String.valueOf(PATIENCE.toMillis()))
-                .timeout(PATIENCE.plus(stage.slack()))
-                .POST(HttpRequest.BodyPublishers.ofString("{\"ranges\":[" + ranges + "],\"predicate\":\"c41e77d0\"}"));
+        HttpRequest.Builder request =
+                HttpRequest.newBuilder(
+                                URI.create(
+                                        "http://"
+                                                + stage.routers().get(router)
+                                                + "/"
+                                                + query.kind.name()
+                                                + "?obj=7f"))
+                        .header("Req-Id", id)
+                        .header("Req-Owner", "acme")
+                        .header("Req-Deadline-Ms", String.valueOf(PATIENCE.toMillis()))
+                        .timeout(PATIENCE.plus(stage.slack()))
+                        .POST(
+                                HttpRequest.BodyPublishers.ofString(
+                                        "{\"ranges\":["
+                                                + ranges
+                                                + "],\"predicate\":\"c41e77d0\"}"));
         if (sliced) {
             request.header("Req-Layout", String.valueOf(query.layout.version));
         }
         open.incrementAndGet();
         CompletableFuture<HttpResponse<byte[]>> answer =
                 http.sendAsync(request.build(), HttpResponse.BodyHandlers.ofByteArray());
-        answer.whenComplete((response, failure) -> {
-            try {
-                if (failure != null) {
-                    stage.seen().unanswered(stage.now(), id, String.valueOf(failure));
-                }
-                over(query, id, router, response);
-            } catch (IOException e) {
-                statuses.computeIfAbsent(-2, key -> new AtomicInteger()).incrementAndGet();
-            } finally {
-                open.decrementAndGet();
-            }
-        });
+        answer.whenComplete(
+                (response, failure) -> {
+                    try {
+                        if (failure != null) {
+                            stage.seen().unanswered(stage.now(), id, String.valueOf(failure));
+                        }
+                        over(query, id, router, response);
+                    } catch (IOException e) {
+                        statuses.computeIfAbsent(-2, key -> new AtomicInteger()).incrementAndGet();
+                    } finally {
+                        open.decrementAndGet();
+                    }
+                });
     }
 
-    private void over(Query query, String id, int router, HttpResponse<byte[]> response) throws IOException {
+    private void over(Query query, String id, int router, HttpResponse<byte[]> response)
+            throws IOException {
         Duration now = stage.now();
         int status = response == null ? -1 : response.statusCode();
         statuses.computeIfAbsent(status, key -> new AtomicInteger()).incrementAndGet();
@@ -178,7 +231,8 @@
         } else if (status == 429 || status == 503 || status == 410) {
             stage.seen().rejected(now, id);
             if (query.tried < RETRIES && now.minus(query.askedAt).compareTo(PATIENCE) < 0) {
-                CompletableFuture.delayedExecutor(200, TimeUnit.MILLISECONDS).execute(() -> again(query));
+                CompletableFuture.delayedExecutor(200, TimeUnit.MILLISECONDS)
+                        .execute(() -> again(query));
             }
         } else if (status > 0) {
             stage.seen().failed(now, id);
@@ -196,7 +250,10 @@
         return count == null ? 0 : count.get();
     }
 
-    /** By the layout that is known now: the numbers asked for may have changed, so the keys are asked for again. */
+    /**
+     * By the layout that is known now: the numbers asked for may have changed, so the keys are
+     * asked for again.
+     */
     private void again(Query query) {
         Layout layout = known.get();
         List<Referee.Wanted> wanted = query.wanted;
@@ -204,11 +261,19 @@
             Map<Slice, Double> weights = new LinkedHashMap<>();
             for (Referee.Wanted one : query.wanted) {
                 for (Slice slice : layout.meeting(one.keys())) {
-                    weights.merge(slice, one.weight() * one.keys().share(slice.keys()), Double::sum);
+                    weights.merge(
+                            slice, one.weight() * one.keys().share(slice.keys()), Double::sum);
                 }
             }
-            wanted = weights.entrySet().stream().map(entry -> new Referee.Wanted(entry.getKey().number(),
-                    entry.getKey().keys(), entry.getValue())).toList();
+            wanted =
+                    weights.entrySet().stream()
+                            .map(
+                                    entry ->
+                                            new Referee.Wanted(
+                                                    entry.getKey().number(),
+                                                    entry.getKey().keys(),
+                                                    entry.getValue()))
+                            .toList();
         }
         send(new Query(query.kind, layout, wanted, query.askedAt, query.tried + 1));
     }
@@ -218,11 +283,22 @@
         for (Object one : Json.member(body, "answers", List.class)) {
             Map<?, ?> value = (Map<?, ?>) one;
             long from = Json.member(value, sliced ? "from" : "range", Number.class).longValue();
-            values.add(new Referee.Value(new KeyRange(from, sliced ? Json.member(value, "to", Number.class).longValue()
-                    : from + 1), Json.member(value, "blob", String.class)));
+            values.add(
+                    new Referee.Value(
+                            new KeyRange(
+                                    from,
+                                    sliced
+                                            ? Json.member(value, "to", Number.class).longValue()
+                                            : from + 1),
+                            Json.member(value, "blob", String.class)));
         }
-        stage.seen().answered(now, id, Json.member(body, "total", Boolean.class),
-                sliced ? Json.member(body, "layout", Number.class).longValue() : FIXED, values);
+        stage.seen()
+                .answered(
+                        now,
+                        id,
+                        Json.member(body, "total", Boolean.class),
+                        sliced ? Json.member(body, "layout", Number.class).longValue() : FIXED,
+                        values);
     }
 
     private int chanceUpTo(int most) {
@@ -247,9 +323,13 @@
 
     String statuses() {
         StringBuilder text = new StringBuilder();
-        new java.util.TreeMap<>(statuses).forEach((status, count) -> text.append(text.length() == 0 ? "" : " ")
-                .append(status).append(':').append(count));
+        new java.util.TreeMap<>(statuses)
+                .forEach(
+                        (status, count) ->
+                                text.append(text.length() == 0 ? "" : " ")
+                                        .append(status)
+                                        .append(':')
+                                        .append(count));
         return text.toString();
     }
-
 }
--- a/src/main/java/postbeam/rig/MigrationChief.java
+++ b/src/main/java/postbeam/rig/MigrationChief.java
@@ -28,31 +28,56 @@
 import postbeam.slices.Target;
 import postbeam.state.Readiness;
 
-/** One coordinator's process on the jumping clock: dies at a record, is stopped and woken, and has a successor. */
+/**
+ * One coordinator's process on the jumping clock: dies at a record, is stopped and woken, and has a
+ * successor.
+ */
 final class MigrationChief {
-    static final MoveLimits MOVES = new MoveLimits(4, 4, 8, Duration.ofMillis(1500), Duration.ofSeconds(2),
-            Duration.ZERO, Duration.ofMillis(60), 2, 1);
-    static final MigrationLimits LIMITS = new MigrationLimits(2, 2, 20, 100_000, Duration.ofMillis(1500),
-            Duration.ofMillis(400), Duration.ofMillis(500), 0.9, Duration.ofMillis(40), 3, 1L << 40,
-            Duration.ofMillis(600), Duration.ofMillis(20));
+    static final MoveLimits MOVES =
+            new MoveLimits(
+                    4,
+                    4,
+                    8,
+                    Duration.ofMillis(1500),
+                    Duration.ofSeconds(2),
+                    Duration.ZERO,
+                    Duration.ofMillis(60),
+                    2,
+                    1);
+    static final MigrationLimits LIMITS =
+            new MigrationLimits(
+                    2,
+                    2,
+                    20,
+                    100_000,
+                    Duration.ofMillis(1500),
+                    Duration.ofMillis(400),
+                    Duration.ofMillis(500),
+                    0.9,
+                    Duration.ofMillis(40),
+                    3,
+                    1L << 40,
+                    Duration.ofMillis(600),
+                    Duration.ofMillis(20));
     private static final Duration LOOK = Duration.ofMillis(20);
 
     /** A record and the term that it was written in, as they stand in the log. */
-    record Stored(long term, byte[] bytes) { }
+    record Stored(long term, byte[] bytes) {}
 
     /** Thrown where the process ends in the middle of what it does. */
     private static final class Ended extends RuntimeException {
         private static final long serialVersionUID = 1L;
     }
 
-
     final Coordinator coordinator;
     final Migrations migrations;
     private final MigrationWorld world;
     private final MigrationBook book = new MigrationBook();
     private final long term;
+
     /** Records in the log when it last looked: a longer one has another owner. */
     private int seen;
+
     private boolean dead;
     private boolean stopped;
     private final Deque<Runnable> whileStopped = new ArrayDeque<>();
@@ -89,8 +114,15 @@
 
     private Map<String, Target.Known> list() {
         Map<String, Target.Known> list = new LinkedHashMap<>();
-        world.nodes.forEach(node -> list.put(node.name, new Target.Known("z",
-                world.gone.contains(node.name) ? Readiness.GONE : Readiness.READY)));
+        world.nodes.forEach(
+                node ->
+                        list.put(
+                                node.name,
+                                new Target.Known(
+                                        "z",
+                                        world.gone.contains(node.name)
+                                                ? Readiness.GONE
+                                                : Readiness.READY)));
         return list;
     }
 
@@ -106,12 +138,13 @@
         if (dead) {
             return;
         }
-        happens(() -> {
-            carryOut(migrations.tick(world.now));
-            List<Doing> moves = new ArrayList<>();
-            coordinator.tick(world.now).forEach(act -> moves.add(new Doing.Of(act)));
-            carryOut(moves);
-        });
+        happens(
+                () -> {
+                    carryOut(migrations.tick(world.now));
+                    List<Doing> moves = new ArrayList<>();
+                    coordinator.tick(world.now).forEach(act -> moves.add(new Doing.Of(act)));
+                    carryOut(moves);
+                });
         world.after(LOOK, this::look);
     }
 
@@ -137,8 +170,19 @@
         for (Doing doing : doings) {
             if (doing instanceof Doing.Ask ask) {
                 if (!world.lost()) {
-                    world.hop(() -> world.node(ask.node()).asked(ask, said -> happens(
-                            () -> migrations.answered(ask.number(), ask.node(), said, world.now))));
+                    world.hop(
+                            () ->
+                                    world.node(ask.node())
+                                            .asked(
+                                                    ask,
+                                                    said ->
+                                                            happens(
+                                                                    () ->
+                                                                            migrations.answered(
+                                                                                    ask.number(),
+                                                                                    ask.node(),
+                                                                                    said,
+                                                                                    world.now))));
                 }
             } else if (doing instanceof Doing.Of of && of.act() instanceof Act.Write write) {
                 write(write.record());
@@ -177,18 +221,33 @@
         Duration last = lastTold.get(tell.node());
         at = last != null && last.compareTo(at) > 0 ? last : at;
         lastTold.put(tell.node(), at);
-        boolean keepsOld = world.defect == MigrationTrial.Defect.ROLLBACK_LOSES && tell.order() == Order.COPY
-                && goesBack(tell.move());
-        world.after(at.minus(world.now), () -> world.node(tell.node()).ordered(tell, term, keepsOld, said -> {
-            if (!world.lost()) {
-                happens(() -> {
-                    if (said.equals("stale")) {
-                        throw new Ended();
-                    }
-                    coordinator.done(tell.move(), tell.node(), tell.order(), tell.slice());
-                });
-            }
-        }));
+        boolean keepsOld =
+                world.defect == MigrationTrial.Defect.ROLLBACK_LOSES
+                        && tell.order() == Order.COPY
+                        && goesBack(tell.move());
+        world.after(
+                at.minus(world.now),
+                () ->
+                        world.node(tell.node())
+                                .ordered(
+                                        tell,
+                                        term,
+                                        keepsOld,
+                                        said -> {
+                                            if (!world.lost()) {
+                                                happens(
+                                                        () -> {
+                                                            if (said.equals("stale")) {
+                                                                throw new Ended();
+                                                            }
+                                                            coordinator.done(
+                                                                    tell.move(),
+                                                                    tell.node(),
+                                                                    tell.order(),
+                                                                    tell.slice());
+                                                        });
+                                            }
+                                        }));
     }
 
     private boolean goesBack(long id) {
@@ -200,12 +259,13 @@
     // ---- what comes to it
 
     void listed(MigrationNode node, boolean up) {
-        happens(() -> {
-            coordinator.listed(list(), up ? List.of(node.name) : List.of());
-            if (up) {
-                carryOut(migrations.started(List.of(node.name), world.now));
-            }
-        });
+        happens(
+                () -> {
+                    coordinator.listed(list(), up ? List.of(node.name) : List.of());
+                    if (up) {
+                        carryOut(migrations.started(List.of(node.name), world.now));
+                    }
+                });
     }
 
     /** A router asks for the layout; null where nothing answers. */
@@ -220,15 +280,17 @@
     }
 
     /** An operator's order; the error where it was refused, else null. */
-    ExplainedException ordered(java.util.function.Function<Migrations, MigrationTrial.Ordered> order) {
+    ExplainedException ordered(
+            java.util.function.Function<Migrations, MigrationTrial.Ordered> order) {
         ExplainedException[] refused = new ExplainedException[1];
-        happens(() -> {
-            try {
-                carryOut(order.apply(migrations).give());
-            } catch (ExplainedException e) {
-                refused[0] = e;
-            }
-        });
+        happens(
+                () -> {
+                    try {
+                        carryOut(order.apply(migrations).give());
+                    } catch (ExplainedException e) {
+                        refused[0] = e;
+                    }
+                });
         return refused[0];
     }
 
--- a/src/main/java/postbeam/rig/MigrationNode.java
+++ b/src/main/java/postbeam/rig/MigrationNode.java
@@ -14,26 +14,39 @@
 import postbeam.migration.Said;
 import postbeam.slices.Act;
 import postbeam.slices.KeyRange;
-import postbeam.slices.Order;
 
-/** A data node that holds rows by slice and runs holds, on the jumping clock; it may die and be slow. */
+/**
+ * A data node that holds rows by slice and runs holds, on the jumping clock; it may die and be
+ * slow.
+ */
 final class MigrationNode {
     /** A row: which hold made it, and its mark, which goes up with each that is made anywhere. */
-    record Row(long key, String hold, long mark) { }
+    record Row(long key, String hold, long mark) {}
 
-    enum Standing { COPYING, HOLDING, SERVING, FENCED }
+    enum Standing {
+        COPYING,
+        HOLDING,
+        SERVING,
+        FENCED
+    }
 
     /** What it has of one slice. */
     static final class Copy {
         final KeyRange keys;
         final TreeMap<Long, Row> rows = new TreeMap<>();
+
         /** Holds taken and not over, by key. */
         final List<Long> open = new ArrayList<>();
+
         Standing standing;
         long from;
         Duration readyAt;
         boolean copied;
-        /** By the count of fences and serves: a holder tells its writes to those fenced after it began to serve. */
+
+        /**
+         * By the count of fences and serves: a holder tells its writes to those fenced after it
+         * began to serve.
+         */
         long turn;
 
         Copy(KeyRange keys, Standing standing) {
@@ -76,12 +89,15 @@
         copy.open.add(key);
         waiting.add(ended);
         int mine = life;
-        Duration work = world.upTo(Duration.ofMillis(world.now.compareTo(slowUntil) < 0 ? 300 : 12));
-        world.after(work, () -> {
-            if (mine == life) {
-                run(copy, slice, new Row(key, hold, world.nextMark()), ended);
-            }
-        });
+        Duration work =
+                world.upTo(Duration.ofMillis(world.now.compareTo(slowUntil) < 0 ? 300 : 12));
+        world.after(
+                work,
+                () -> {
+                    if (mine == life) {
+                        run(copy, slice, new Row(key, hold, world.nextMark()), ended);
+                    }
+                });
     }
 
     /** Runs it and tells all that hold the slice with it; over once each that is there has it. */
@@ -90,24 +106,28 @@
         copy.rows.put(row.key, row);
         int[] left = {1};
         int mine = life;
-        Runnable one = () -> {
-            if (--left[0] == 0 && mine == life) {
-                copy.open.remove(row.key);
-                waiting.remove(ended);
-                world.hop(() -> ended.ended("done"));
-            }
-        };
+        Runnable one =
+                () -> {
+                    if (--left[0] == 0 && mine == life) {
+                        copy.open.remove(row.key);
+                        waiting.remove(ended);
+                        world.hop(() -> ended.ended("done"));
+                    }
+                };
         for (MigrationNode other : world.nodes) {
             Copy theirs = other.copies.get(slice);
-            if (other != this && other.alive && theirs != null
+            if (other != this
+                    && other.alive
+                    && theirs != null
                     && (theirs.standing != Standing.FENCED || copy.turn <= theirs.turn)) {
                 left[0]++;
-                world.hop(() -> {
-                    if (other.copies.get(slice) == theirs) {
-                        theirs.rows.put(row.key, row);
-                    }
-                    one.run();
-                });
+                world.hop(
+                        () -> {
+                            if (other.copies.get(slice) == theirs) {
+                                theirs.rows.put(row.key, row);
+                            }
+                            one.run();
+                        });
             }
         }
         one.run();
@@ -115,7 +135,10 @@
 
     // ---- orders and questions
 
-    /** Whether the order is done; 'stale' is told to a coordinator of an older term, silence to one while it is dead. */
+    /**
+     * Whether the order is done; 'stale' is told to a coordinator of an older term, silence to one
+     * while it is dead.
+     */
     void ordered(Act.Tell tell, long by, boolean keepsOld, Consumer<String> answer) {
         if (!alive) {
             return;
@@ -135,18 +158,24 @@
         switch (tell.order()) {
             case COPY -> {
                 if (keepsOld && copy != null) {
-                    copy.standing = copy.standing == Standing.FENCED ? Standing.HOLDING : copy.standing;
+                    copy.standing =
+                            copy.standing == Standing.FENCED ? Standing.HOLDING : copy.standing;
                     copy.copied = true;
                     return true;
                 }
-                if (copy == null || copy.standing == Standing.FENCED || copy.standing == Standing.SERVING) {
+                if (copy == null
+                        || copy.standing == Standing.FENCED
+                        || copy.standing == Standing.SERVING) {
                     copy = new Copy(tell.keys(), Standing.COPYING);
                     copy.readyAt = world.now.plus(world.upTo(Duration.ofMillis(250)));
                     copies.put(tell.slice(), copy);
                 }
                 MigrationNode source = world.node(tell.source());
                 Copy theirs = source.copies.get(tell.slice());
-                if (!copy.copied && source.alive && theirs != null && theirs.standing == Standing.SERVING
+                if (!copy.copied
+                        && source.alive
+                        && theirs != null
+                        && theirs.standing == Standing.SERVING
                         && world.now.compareTo(copy.readyAt) >= 0) {
                     copy.rows.putAll(theirs.rows);
                     copy.copied = true;
@@ -158,7 +187,8 @@
                 if (copy == null || !copy.copied) {
                     return false;
                 }
-                copy.standing = copy.standing == Standing.COPYING ? Standing.HOLDING : copy.standing;
+                copy.standing =
+                        copy.standing == Standing.COPYING ? Standing.HOLDING : copy.standing;
                 return true;
             }
             case FENCE -> {
@@ -175,7 +205,10 @@
                 if (copy == null || copy.standing == Standing.COPYING) {
                     return false;
                 }
-                copy.from = copy.standing == Standing.SERVING ? Math.max(copy.from, tell.version()) : tell.version();
+                copy.from =
+                        copy.standing == Standing.SERVING
+                                ? Math.max(copy.from, tell.version())
+                                : tell.version();
                 copy.turn = copy.standing == Standing.SERVING ? copy.turn : world.nextTurn();
                 copy.standing = Standing.SERVING;
                 return true;
@@ -198,7 +231,11 @@
 
     /** What a node says of a range of its rows. */
     static Said said(Copy copy, KeyRange range) {
-        int open = (int) copy.open.stream().filter(key -> range.from() <= key && key < range.to()).count();
+        int open =
+                (int)
+                        copy.open.stream()
+                                .filter(key -> range.from() <= key && key < range.to())
+                                .count();
         long mark = 0;
         MessageDigest sum = sha256();
         var rows = copy.rows.subMap(range.from(), range.to()).values();
@@ -206,7 +243,13 @@
             mark = Math.max(mark, row.mark);
             sum.update((row.key + " " + row.hold + "\n").getBytes(StandardCharsets.UTF_8));
         }
-        return new Said(range, open, mark, rows.size(), 100L * rows.size(), HexFormat.of().formatHex(sum.digest()));
+        return new Said(
+                range,
+                open,
+                mark,
+                rows.size(),
+                100L * rows.size(),
+                HexFormat.of().formatHex(sum.digest()));
     }
 
     private static MessageDigest sha256() {
@@ -219,23 +262,32 @@
 
     // ---- troubles
 
-    /** Dies with what it had taken; a copy that it did not serve yet is lost, the rest is on its disk. */
+    /**
+     * Dies with what it had taken; a copy that it did not serve yet is lost, the rest is on its
+     * disk.
+     */
     void die(Duration away) {
         if (!alive) {
             return;
         }
         alive = false;
         life++;
-        copies.values().removeIf(copy -> copy.standing == Standing.COPYING || copy.standing == Standing.HOLDING);
+        copies.values()
+                .removeIf(
+                        copy ->
+                                copy.standing == Standing.COPYING
+                                        || copy.standing == Standing.HOLDING);
         copies.values().forEach(copy -> copy.open.clear());
         List<Ended> lost = List.copyOf(waiting);
         waiting.clear();
         lost.forEach(ended -> world.hop(() -> ended.ended("lost")));
-        world.after(Duration.ofMillis(100).plus(world.upTo(Duration.ofMillis(200))), () -> {
-            if (!alive) {
-                world.listed(this, false);
-            }
-        });
+        world.after(
+                Duration.ofMillis(100).plus(world.upTo(Duration.ofMillis(200))),
+                () -> {
+                    if (!alive) {
+                        world.listed(this, false);
+                    }
+                });
         world.after(away, this::back);
     }
 
@@ -245,11 +297,21 @@
             return;
         }
         alive = true;
-        copies.forEach((slice, copy) -> world.nodes.stream().filter(other -> other != this && other.alive
-                && other.copies.containsKey(slice)).map(other -> other.copies.get(slice))
-                .filter(theirs -> theirs.standing == Standing.SERVING
-                        && (copy.standing != Standing.FENCED || theirs.turn <= copy.turn))
-                .forEach(theirs -> copy.rows.putAll(theirs.rows)));
+        copies.forEach(
+                (slice, copy) ->
+                        world.nodes.stream()
+                                .filter(
+                                        other ->
+                                                other != this
+                                                        && other.alive
+                                                        && other.copies.containsKey(slice))
+                                .map(other -> other.copies.get(slice))
+                                .filter(
+                                        theirs ->
+                                                theirs.standing == Standing.SERVING
+                                                        && (copy.standing != Standing.FENCED
+                                                                || theirs.turn <= copy.turn))
+                                .forEach(theirs -> copy.rows.putAll(theirs.rows)));
         world.listed(this, true);
     }
 }
--- a/src/main/java/postbeam/rig/MigrationTrial.java
+++ b/src/main/java/postbeam/rig/MigrationTrial.java
@@ -12,7 +12,10 @@
 import postbeam.slices.Coordinator;
 import postbeam.slices.Move;
 
-/** Members' migrations under load and troubles on the jumping clock, compared with what is known to have run. */
+/**
+ * Members' migrations under load and troubles on the jumping clock, compared with what is known to
+ * have run.
+ */
 final class MigrationTrial implements Trial {
     /** What can be planted. */
     enum Defect {
@@ -39,13 +42,16 @@
 
     @Override
     public String about() {
-        return "members' migrations with holds under load, a coordinator, router or source killed at each record in "
-                + "turn, two coordinators, rollback racing the switch, on a clock that jumps";
+        return "members' migrations with holds under load, a coordinator, router or source killed"
+                + " at each record in turn, two coordinators, rollback racing the switch, on a"
+                + " clock that jumps";
     }
 
     @Override
     public List<String> defects() {
-        return Stream.of(Defect.values()).map(one -> one.name().toLowerCase(Locale.ROOT).replace('_', '-')).toList();
+        return Stream.of(Defect.values())
+                .map(one -> one.name().toLowerCase(Locale.ROOT).replace('_', '-'))
+                .toList();
     }
 
     @Override
@@ -53,18 +59,22 @@
         return true;
     }
 
-    static Migrations planted(Defect defect, Coordinator coordinator, MigrationBook book, Duration now) {
-        return defect == null ? new Migrations(coordinator, book, MigrationChief.LIMITS, now)
+    static Migrations planted(
+            Defect defect, Coordinator coordinator, MigrationBook book, Duration now) {
+        return defect == null
+                ? new Migrations(coordinator, book, MigrationChief.LIMITS, now)
                 : new Migrations(coordinator, book, MigrationChief.LIMITS, now) {
                     @Override
                     protected boolean verified(Migration one, Move move) {
-                        return defect == Defect.VERIFY_SKIPPED || defect == Defect.ROLLBACK_LOSES
-                                && one.rollbackWhy() != null || super.verified(one, move);
+                        return defect == Defect.VERIFY_SKIPPED
+                                || defect == Defect.ROLLBACK_LOSES && one.rollbackWhy() != null
+                                || super.verified(one, move);
                     }
 
                     @Override
                     protected boolean allTold(long version, Duration at) {
-                        return defect == Defect.SWITCH_BEFORE_ALL_TOLD || super.allTold(version, at);
+                        return defect == Defect.SWITCH_BEFORE_ALL_TOLD
+                                || super.allTold(version, at);
                     }
                 };
     }
@@ -75,8 +85,10 @@
     }
 
     MigrationWorld world(long seed, String defect) {
-        Defect planted = defect == null ? null
-                : Defect.valueOf(defect.toUpperCase(Locale.ROOT).replace('-', '_'));
+        Defect planted =
+                defect == null
+                        ? null
+                        : Defect.valueOf(defect.toUpperCase(Locale.ROOT).replace('-', '_'));
         return new MigrationWorld(seed, planted, seed % CALM_EVERY != 0);
     }
 }
--- a/src/main/java/postbeam/rig/MigrationWorld.java
+++ b/src/main/java/postbeam/rig/MigrationWorld.java
@@ -35,8 +35,9 @@
 import postbeam.slices.Slice;
 
 /**
- * Two members' migrations in one thread on a clock that jumps, every choice from one seed: coordinators, nodes, routers
- * that send holds, an operator. It knows what ran, and checks what it sees against that.
+ * Two members' migrations in one thread on a clock that jumps, every choice from one seed:
+ * coordinators, nodes, routers that send holds, an operator. It knows what ran, and checks what it
+ * sees against that.
  */
 final class MigrationWorld {
     private static final int NODES = 7;
@@ -51,10 +52,11 @@
     private static final Duration HOLD_EVERY = Duration.ofMillis(12);
     private static final double LOST_MESSAGES = 0.03;
     private static final double SPOILT_COPIES = 0.03;
+
     /** Records that most runs write: the one to die at goes round through them. */
     private static final int RECORDS = 90;
 
-    private record Event(Duration at, long number, Runnable what) { }
+    private record Event(Duration at, long number, Runnable what) {}
 
     /** A router: its layout, until when it may go by it, and how long nothing reaches it. */
     private static final class Router {
@@ -81,7 +83,10 @@
 
         long percentile(double share) {
             Collections.sort(micros);
-            return micros.isEmpty() ? 0 : micros.get((int) Math.min(micros.size() - 1L, (long) (share * micros.size())));
+            return micros.isEmpty()
+                    ? 0
+                    : micros.get(
+                            (int) Math.min(micros.size() - 1L, (long) (share * micros.size())));
         }
     }
 
@@ -102,8 +107,10 @@
     private final Map<String, Long> keys = new LinkedHashMap<>();
     private final Set<String> done = new LinkedHashSet<>();
     private final Set<String> rejected = new LinkedHashSet<>();
+
     /** The slice that a move is about. */
     private final Map<Long, Integer> slicesOf = new HashMap<>();
+
     private final Map<Integer, Long> lastCut = new HashMap<>();
     private final Map<String, Tally> tallies = new TreeMap<>();
     private final Map<Long, Stage> goBackAt = new HashMap<>();
@@ -131,13 +138,18 @@
         first = Layout.first(SLICES, nodes.stream().map(node -> node.name).toList(), HOLDERS);
         for (Slice slice : first.slices()) {
             for (String node : slice.nodes()) {
-                MigrationNode.Copy copy = new MigrationNode.Copy(slice.keys(), MigrationNode.Standing.SERVING);
+                MigrationNode.Copy copy =
+                        new MigrationNode.Copy(slice.keys(), MigrationNode.Standing.SERVING);
                 copy.copied = true;
                 node(node).copies.put(slice.number(), copy);
             }
         }
-        log.add(new MigrationChief.Stored(0, RecordForm.write(new Logged.Whole(first, 1, 0, SLICES - 1, List.of(), null,
-                List.of()))));
+        log.add(
+                new MigrationChief.Stored(
+                        0,
+                        RecordForm.write(
+                                new Logged.Whole(
+                                        first, 1, 0, SLICES - 1, List.of(), null, List.of()))));
         for (int i = 0; i < ROUTERS; i++) {
             routers.add(new Router("r" + i));
         }
@@ -148,8 +160,12 @@
 
     private Hop hop(int slice) {
         List<String> held = first.slice(slice).nodes();
-        List<String> others = nodes.stream().map(node -> node.name).filter(node -> !held.contains(node)).toList();
-        return new Hop(slice, held.get(chance.nextInt(held.size())), others.get(chance.nextInt(others.size())));
+        List<String> others =
+                nodes.stream().map(node -> node.name).filter(node -> !held.contains(node)).toList();
+        return new Hop(
+                slice,
+                held.get(chance.nextInt(held.size())),
+                others.get(chance.nextInt(others.size())));
     }
 
     // ---- the clock and chance
@@ -219,7 +235,10 @@
             after(upTo(Duration.ofSeconds(2)), this::trouble);
             after(LOAD, this::calm);
         }
-        while (!events.isEmpty() && events.peek().at.compareTo(END) < 0 && broken.isEmpty() && !atRest()) {
+        while (!events.isEmpty()
+                && events.peek().at.compareTo(END) < 0
+                && broken.isEmpty()
+                && !atRest()) {
             Event next = events.poll();
             now = next.at;
             next.what.run();
@@ -232,8 +251,11 @@
 
     /** The load is over, and all that it left. */
     private boolean atRest() {
-        return now.compareTo(LOAD.plusSeconds(2)) > 0 && chief.works() && chief.migrations.book().open().isEmpty()
-                && chief.coordinator.book().moves().isEmpty() && chief.coordinator.book().owed().isEmpty();
+        return now.compareTo(LOAD.plusSeconds(2)) > 0
+                && chief.works()
+                && chief.migrations.book().open().isEmpty()
+                && chief.coordinator.book().moves().isEmpty()
+                && chief.coordinator.book().owed().isEmpty();
     }
 
     private void calm() {
@@ -248,11 +270,13 @@
 
     private void open(String member, List<Hop> hops) {
         if (!chief.works() || now.compareTo(LOAD) > 0) {
-            after(Duration.ofMillis(100), () -> {
-                if (now.compareTo(LOAD) < 0) {
-                    open(member, hops);
-                }
-            });
+            after(
+                    Duration.ofMillis(100),
+                    () -> {
+                        if (now.compareTo(LOAD) < 0) {
+                            open(member, hops);
+                        }
+                    });
             return;
         }
         chief.migrations.utility(member, 1);
@@ -268,16 +292,25 @@
         Duration asked = now;
         long version = router.layout == null ? 0 : router.layout.version;
         if (now.compareTo(router.cutUntil) >= 0) {
-            hop(() -> {
-                Layout layout = chief.asked(router.name, version);
-                hop(() -> {
-                    if (layout != null && life == router.life && now.compareTo(router.cutUntil) >= 0) {
-                        router.leaseUntil = asked.plus(MigrationChief.LIMITS.lease());
-                        router.layout = router.layout == null || layout.version > router.layout.version ? layout
-                                : router.layout;
-                    }
-                });
-            });
+            hop(
+                    () -> {
+                        Layout layout = chief.asked(router.name, version);
+                        hop(
+                                () -> {
+                                    if (layout != null
+                                            && life == router.life
+                                            && now.compareTo(router.cutUntil) >= 0) {
+                                        router.leaseUntil =
+                                                asked.plus(MigrationChief.LIMITS.lease());
+                                        router.layout =
+                                                router.layout == null
+                                                                || layout.version
+                                                                        > router.layout.version
+                                                        ? layout
+                                                        : router.layout;
+                                    }
+                                });
+                    });
         }
         after(POLL, () -> poll(router));
     }
@@ -293,20 +326,39 @@
         Router router = routers.get(chance.nextInt(routers.size()));
         int slice = first.meeting(new KeyRange(key, key + 1)).get(0).number();
         Migration one = chief.migrations.book().owning(slice);
-        String phase = one == null || one.stage() == Stage.PLANNED ? "before or after"
-                : one.stage() == Stage.SWITCHING || one.stage() == Stage.ROLLING_BACK ? "switch" : "during";
+        String phase =
+                one == null || one.stage() == Stage.PLANNED
+                        ? "before or after"
+                        : one.stage() == Stage.SWITCHING || one.stage() == Stage.ROLLING_BACK
+                                ? "switch"
+                                : "during";
         boolean moves = slice < 5;
-        Tally tally = tallies.computeIfAbsent((moves ? "member " : "others ") + (moves ? phase
-                : chief.migrations.book().open().isEmpty() ? "before or after" : "during"), name -> new Tally());
+        Tally tally =
+                tallies.computeIfAbsent(
+                        (moves ? "member " : "others ")
+                                + (moves
+                                        ? phase
+                                        : chief.migrations.book().open().isEmpty()
+                                                ? "before or after"
+                                                : "during"),
+                        name -> new Tally());
         tally.asked++;
         hold(router, router.life, id, key, now, tally, new ArrayList<>());
     }
 
-    private void hold(Router router, int life, String id, long key, Duration from, Tally tally, List<String> left) {
+    private void hold(
+            Router router,
+            int life,
+            String id,
+            long key,
+            Duration from,
+            Tally tally,
+            List<String> left) {
         if (router.life != life) {
             return;
         }
-        if (router.layout == null || now.compareTo(router.leaseUntil) >= 0
+        if (router.layout == null
+                || now.compareTo(router.leaseUntil) >= 0
                 || now.minus(from).compareTo(PATIENCE) > 0) {
             // It never ran: each that was asked said so.
             rejected.add(id);
@@ -315,21 +367,33 @@
         Slice slice = router.layout.meeting(new KeyRange(key, key + 1)).get(0);
         List<String> holders = slice.nodes().stream().filter(node -> !left.contains(node)).toList();
         if (holders.isEmpty()) {
-            after(Duration.ofMillis(15), () -> hold(router, life, id, key, from, tally, new ArrayList<>()));
+            after(
+                    Duration.ofMillis(15),
+                    () -> hold(router, life, id, key, from, tally, new ArrayList<>()));
             return;
         }
         String node = holders.get(chance.nextInt(holders.size()));
         long version = router.layout.version;
-        hop(() -> node(node).called(id, slice.number(), key, version, outcome -> {
-            if (outcome.equals("moved")) {
-                left.add(node);
-                hold(router, life, id, key, from, tally, left);
-            } else if (outcome.equals("done") && router.life == life) {
-                done.add(id);
-                tally.good += now.minus(from).compareTo(SLO) <= 0 ? 1 : 0;
-                tally.micros.add(now.minus(from).toNanos() / 1000);
-            }
-        }));
+        hop(
+                () ->
+                        node(node)
+                                .called(
+                                        id,
+                                        slice.number(),
+                                        key,
+                                        version,
+                                        outcome -> {
+                                            if (outcome.equals("moved")) {
+                                                left.add(node);
+                                                hold(router, life, id, key, from, tally, left);
+                                            } else if (outcome.equals("done")
+                                                    && router.life == life) {
+                                                done.add(id);
+                                                tally.good +=
+                                                        now.minus(from).compareTo(SLO) <= 0 ? 1 : 0;
+                                                tally.micros.add(now.minus(from).toNanos() / 1000);
+                                            }
+                                        }));
     }
 
     void ran(String hold) {
@@ -350,12 +414,22 @@
             lastCut.put(slicesOf.get(cut.id()), cut.version());
         } else if (record instanceof Noted.Entered entered && entered.stage() == Stage.WATCHED) {
             Migration one = by.migrations.book().of(entered.id());
-            long version = one.hops.stream().mapToLong(hop -> lastCut.getOrDefault(hop.slice(), 0L)).max().orElse(0);
+            long version =
+                    one.hops.stream()
+                            .mapToLong(hop -> lastCut.getOrDefault(hop.slice(), 0L))
+                            .max()
+                            .orElse(0);
             for (Router router : routers) {
-                if (router.layout != null && router.layout.version < version
+                if (router.layout != null
+                        && router.layout.version < version
                         && now.compareTo(router.leaseUntil) < 0) {
-                    breaks("the switch is over, but " + router.name + " goes by layout " + router.layout.version
-                            + ", not " + version);
+                    breaks(
+                            "the switch is over, but "
+                                    + router.name
+                                    + " goes by layout "
+                                    + router.layout.version
+                                    + ", not "
+                                    + version);
                 }
             }
         }
@@ -367,9 +441,11 @@
     }
 
     private static String kind(Logged record) {
-        return record instanceof Noted migration ? kind(migration)
-                : record instanceof Logged.Advanced advanced ? "Advanced " + advanced.state()
-                : record.getClass().getSimpleName();
+        return record instanceof Noted migration
+                ? kind(migration)
+                : record instanceof Logged.Advanced advanced
+                        ? "Advanced " + advanced.state()
+                        : record.getClass().getSimpleName();
     }
 
     /** As it stands in what the trials count, whatever the types are called. */
@@ -377,13 +453,21 @@
         if (record instanceof Noted.Entered entered) {
             return "Entered " + entered.stage().wireName();
         }
-        return record instanceof Noted.Opened ? "Opened"
-                : record instanceof Noted.Verified ? "Verified"
-                : record instanceof Noted.Opening ? "Opening"
-                : record instanceof Noted.Passed ? "Passed"
-                : record instanceof Noted.Paused ? "Paused"
-                : record instanceof Noted.Resumed ? "Resumed"
-                : record instanceof Noted.RollingBack ? "RollingBack" : "Standing";
+        return record instanceof Noted.Opened
+                ? "Opened"
+                : record instanceof Noted.Verified
+                        ? "Verified"
+                        : record instanceof Noted.Opening
+                                ? "Opening"
+                                : record instanceof Noted.Passed
+                                        ? "Passed"
+                                        : record instanceof Noted.Paused
+                                                ? "Paused"
+                                                : record instanceof Noted.Resumed
+                                                        ? "Resumed"
+                                                        : record instanceof Noted.RollingBack
+                                                                ? "RollingBack"
+                                                                : "Standing";
     }
 
     /** The coordinator dies at this record; in turn a router or a source dies along with it. */
@@ -393,8 +477,8 @@
             restart(routers.get(chance.nextInt(routers.size())));
         } else if (seed % 3 == 2) {
             List<Hop> hops = plans.get(chance.nextInt(plans.size()));
-            node(hops.get(chance.nextInt(hops.size())).from()).die(Duration.ofMillis(100)
-                    .plus(upTo(Duration.ofSeconds(1))));
+            node(hops.get(chance.nextInt(hops.size())).from())
+                    .die(Duration.ofMillis(100).plus(upTo(Duration.ofSeconds(1))));
         }
         after(upTo(Duration.ofMillis(700)), this::succeed);
     }
@@ -429,13 +513,19 @@
         after(upTo(Duration.ofSeconds(2)), this::trouble);
         switch (chance.nextInt(6)) {
             case 0 -> {
-                // One at a time: what all who hold a slice lose is lost with or without a migration.
+                // One at a time: what all who hold a slice lose is lost with or without a
+                // migration.
                 if (nodes.stream().allMatch(node -> node.alive)) {
-                    nodes.get(chance.nextInt(NODES)).die(Duration.ofMillis(50).plus(upTo(Duration.ofMillis(900))));
+                    nodes.get(chance.nextInt(NODES))
+                            .die(Duration.ofMillis(50).plus(upTo(Duration.ofMillis(900))));
                 }
             }
-            case 1 -> nodes.get(chance.nextInt(NODES)).slowUntil = now.plus(upTo(Duration.ofSeconds(1)));
-            case 2 -> routers.get(chance.nextInt(ROUTERS)).cutUntil = now.plus(upTo(Duration.ofMillis(1500)));
+            case 1 ->
+                    nodes.get(chance.nextInt(NODES)).slowUntil =
+                            now.plus(upTo(Duration.ofSeconds(1)));
+            case 2 ->
+                    routers.get(chance.nextInt(ROUTERS)).cutUntil =
+                            now.plus(upTo(Duration.ofMillis(1500)));
             case 3 -> restart(routers.get(chance.nextInt(ROUTERS)));
             case 4 -> twoCoordinators();
             default -> {
@@ -453,12 +543,14 @@
             return;
         }
         old.stop();
-        after(upTo(Duration.ofMillis(300)), () -> {
-            if (chief == old) {
-                chief = new MigrationChief(this);
-                count("successors beside a stopped one");
-            }
-        });
+        after(
+                upTo(Duration.ofMillis(300)),
+                () -> {
+                    if (chief == old) {
+                        chief = new MigrationChief(this);
+                        count("successors beside a stopped one");
+                    }
+                });
         after(Duration.ofMillis(200).plus(upTo(Duration.ofMillis(900))), old::wake);
     }
 
@@ -473,9 +565,18 @@
             return;
         }
         for (Slice slice : chief.coordinator.book().layout().slices()) {
-            long away = slice.nodes().stream().map(this::node).filter(node -> node.alive
-                    && (node.copies.get(slice.number()) == null
-                    || node.copies.get(slice.number()).standing != MigrationNode.Standing.SERVING)).count();
+            long away =
+                    slice.nodes().stream()
+                            .map(this::node)
+                            .filter(
+                                    node ->
+                                            node.alive
+                                                    && (node.copies.get(slice.number()) == null
+                                                            || node.copies.get(slice.number())
+                                                                            .standing
+                                                                    != MigrationNode.Standing
+                                                                            .SERVING))
+                            .count();
             if (away > 1) {
                 breaks(away + " holders of slice " + slice.number() + " do not serve it");
             }
@@ -486,10 +587,16 @@
     }
 
     private void operate(Migration one) {
-        Stage back = goBackAt.computeIfAbsent(one.id, id -> !faults ? Stage.RETIRED
-                : Stage.values()[chance.nextInt(Stage.values().length)]);
+        Stage back =
+                goBackAt.computeIfAbsent(
+                        one.id,
+                        id ->
+                                !faults
+                                        ? Stage.RETIRED
+                                        : Stage.values()[chance.nextInt(Stage.values().length)]);
         if (one.stage() == back && one.stage().mayGoBack() && with(0.3)) {
-            chief.ordered(migrations -> () -> migrations.rollBack(one.id, "an operator's wish", now));
+            chief.ordered(
+                    migrations -> () -> migrations.rollBack(one.id, "an operator's wish", now));
             return;
         }
         if (one.paused()) {
@@ -497,7 +604,8 @@
             if (now.minus(since).compareTo(Duration.ofMillis(200)) > 0) {
                 pausedSince.remove(one.id);
                 if (one.cause() == Cause.DIFFERS && one.stage().mayGoBack() && with(0.5)) {
-                    chief.ordered(migrations -> () -> migrations.rollBack(one.id, one.pausedWhy(), now));
+                    chief.ordered(
+                            migrations -> () -> migrations.rollBack(one.id, one.pausedWhy(), now));
                 } else {
                     chief.migrations.utility(one.member, 1);
                     chief.ordered(migrations -> () -> migrations.resume(one.id, now));
@@ -507,8 +615,12 @@
         }
         if (one.open() != null && (with(0.15) || calm)) {
             Checkpoint right = one.open();
-            refused(one.id, new Checkpoint(right.version() + 1, right.digest()), MigrationError.Stale.class);
-            ExplainedException failed = chief.ordered(migrations -> () -> migrations.pass(one.id, right, now));
+            refused(
+                    one.id,
+                    new Checkpoint(right.version() + 1, right.digest()),
+                    MigrationError.Stale.class);
+            ExplainedException failed =
+                    chief.ordered(migrations -> () -> migrations.pass(one.id, right, now));
             if (failed != null) {
                 breaks("the right order was refused: " + failed.getMessage());
             }
@@ -526,7 +638,8 @@
         if (!chief.works()) {
             return;
         }
-        ExplainedException refused = chief.ordered(migrations -> () -> migrations.pass(id, named, now));
+        ExplainedException refused =
+                chief.ordered(migrations -> () -> migrations.pass(id, named, now));
         if (refused == null || refused.error().getClass() != as) {
             breaks("an order that is " + as.getSimpleName() + " was taken as " + refused);
         }
@@ -549,18 +662,22 @@
                 Slice slice = layout.slice(hop.slice());
                 boolean old = slice.heldBy(hop.from()) && !slice.heldBy(hop.to());
                 boolean fresh = !slice.heldBy(hop.from()) && slice.heldBy(hop.to());
-                if (one.stage() == Stage.RETIRED && !fresh || one.stage() == Stage.ROLLED_BACK && !old) {
+                if (one.stage() == Stage.RETIRED && !fresh
+                        || one.stage() == Stage.ROLLED_BACK && !old) {
                     breaks(one + " left slice " + hop.slice() + " with " + slice.nodes());
                 }
             }
         }
         for (Slice slice : layout.slices()) {
             Set<String> ran = new TreeSet<>();
-            keys.forEach((hold, key) -> {
-                if (runs.containsKey(hold) && slice.keys().from() <= key && key < slice.keys().to()) {
-                    ran.add(hold);
-                }
-            });
+            keys.forEach(
+                    (hold, key) -> {
+                        if (runs.containsKey(hold)
+                                && slice.keys().from() <= key
+                                && key < slice.keys().to()) {
+                            ran.add(hold);
+                        }
+                    });
             for (MigrationNode node : nodes) {
                 MigrationNode.Copy copy = node.copies.get(slice.number());
                 if (slice.heldBy(node.name)) {
@@ -584,8 +701,14 @@
             Set<String> missing = new TreeSet<>(ran);
             missing.removeAll(has);
             boolean told = missing.stream().anyMatch(done::contains);
-            breaks("node " + node.name + " serves slice " + slice.number() + " without " + missing
-                    + (told ? ", of which clients were told" : ""));
+            breaks(
+                    "node "
+                            + node.name
+                            + " serves slice "
+                            + slice.number()
+                            + " without "
+                            + missing
+                            + (told ? ", of which clients were told" : ""));
         }
     }
 
@@ -606,7 +729,9 @@
         }
         List<Logged.Other> here = chief.migrations.book().whole();
         List<Logged.Other> there = again.whole();
-        boolean same = here.size() == there.size() && moves.layout().version == chief.coordinator.book().layout().version;
+        boolean same =
+                here.size() == there.size()
+                        && moves.layout().version == chief.coordinator.book().layout().version;
         for (int i = 0; same && i < here.size(); i++) {
             same = Arrays.equals(RecordForm.write(here.get(i)), RecordForm.write(there.get(i)));
         }
@@ -616,10 +741,26 @@
     }
 
     private String figures() {
-        StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "seed %d: %d holds, %d done, %d rejected, "
-                + "%d records; ", seed, keys.size(), done.size(), rejected.size(), log.size()));
-        tallies.forEach((name, tally) -> line.append(String.format(Locale.ROOT, "%s: utility %.3f, p99 %.1f ms of %d; ",
-                name, tally.utility(), tally.percentile(0.99) / 1000.0, tally.asked)));
+        StringBuilder line =
+                new StringBuilder(
+                        String.format(
+                                Locale.ROOT,
+                                "seed %d: %d holds, %d done, %d rejected, " + "%d records; ",
+                                seed,
+                                keys.size(),
+                                done.size(),
+                                rejected.size(),
+                                log.size()));
+        tallies.forEach(
+                (name, tally) ->
+                        line.append(
+                                String.format(
+                                        Locale.ROOT,
+                                        "%s: utility %.3f, p99 %.1f ms of %d; ",
+                                        name,
+                                        tally.utility(),
+                                        tally.percentile(0.99) / 1000.0,
+                                        tally.asked)));
         return line + "slipped " + slipped + ", died at " + diedAt + " " + seen;
     }
 }
--- a/src/main/java/postbeam/rig/PagesTrial.java
+++ b/src/main/java/postbeam/rig/PagesTrial.java
@@ -4,7 +4,10 @@
 import java.util.Locale;
 import java.util.stream.Stream;
 
-/** Pages through changing routers while slices are re-cut and ranges go missing, against a plain sort; no sockets. */
+/**
+ * Pages through changing routers while slices are re-cut and ranges go missing, against a plain
+ * sort; no sockets.
+ */
 final class PagesTrial implements Trial {
     @Override
     public boolean jumps() {
@@ -18,7 +21,8 @@
 
     @Override
     public String about() {
-        return "ordered pages through changing routers, layouts and missing shards, against a plain sort; no sockets";
+        return "ordered pages through changing routers, layouts and missing shards, against a plain"
+                + " sort; no sockets";
     }
 
     @Override
@@ -28,13 +32,31 @@
 
     @Override
     public Result run(long seed, String defect) {
-        PagesWorld world = new PagesWorld(seed, defect == null ? null
-                : PlantedPages.Defect.valueOf(defect.toUpperCase(Locale.ROOT).replace('-', '_')));
+        PagesWorld world =
+                new PagesWorld(
+                        seed,
+                        defect == null
+                                ? null
+                                : PlantedPages.Defect.valueOf(
+                                        defect.toUpperCase(Locale.ROOT).replace('-', '_')));
         List<String> broken = world.run();
-        return new Result(List.of(String.format(Locale.ROOT, "seed %d: %d rows of %d on %d pages, %d of them without "
-                + "some ranges, %d short; %.2f rows fetched over rows given, %.2f calls a page; layouts %d, "
-                + "cursors up to %d", seed, world.given(), world.rows(), world.pages(), world.pagesMissing(),
-                world.pagesShort(), (double) world.fetched() / Math.max(1, world.given()),
-                (double) world.calls() / Math.max(1, world.pages()), world.layouts(), world.longestCursor())), broken);
+        return new Result(
+                List.of(
+                        String.format(
+                                Locale.ROOT,
+                                "seed %d: %d rows of %d on %d pages, %d of them without some"
+                                    + " ranges, %d short; %.2f rows fetched over rows given, %.2f"
+                                    + " calls a page; layouts %d, cursors up to %d",
+                                seed,
+                                world.given(),
+                                world.rows(),
+                                world.pages(),
+                                world.pagesMissing(),
+                                world.pagesShort(),
+                                (double) world.fetched() / Math.max(1, world.given()),
+                                (double) world.calls() / Math.max(1, world.pages()),
+                                world.layouts(),
+                                world.longestCursor())),
+                broken);
     }
 }
--- a/src/main/java/postbeam/rig/PagesWorld.java
+++ b/src/main/java/postbeam/rig/PagesWorld.java
@@ -35,15 +35,18 @@
 import postbeam.slices.Slice;
 
 /**
- * One chain of pages over random rows, by routers that share nothing but the key that signs, while slices are re-cut,
- * ranges are missing and nodes spoil answers; every choice from one seed. What comes is held against a plain sort.
+ * One chain of pages over random rows, by routers that share nothing but the key that signs, while
+ * slices are re-cut, ranges are missing and nodes spoil answers; every choice from one seed. What
+ * comes is held against a plain sort.
  */
 final class PagesWorld {
     private static final List<String> NODES = List.of("a", "b", "c", "d");
     private static final int ROUTERS = 3;
     private static final int FURTHER_ROUNDS = 2;
+
     /** Pages after which nothing is missing any more, so that the chain ends. */
     private static final int TROUBLED_PAGES = 25;
+
     private static final int PAGES_MOST = 3000;
     private static final List<String> KEYS = List.of("1d".repeat(32), "e9".repeat(32));
 
@@ -90,8 +93,11 @@
         spoilt = chance.nextInt(2) * 0.1 * chance.nextDouble();
         for (int i = 0; i < ROUTERS; i++) {
             try {
-                readers.add(new Reader(i % 2 == 0 ? new CursorSeal(KEYS.get(0), KEYS.get(1))
-                        : new CursorSeal(KEYS.get(1), KEYS.get(0))));
+                readers.add(
+                        new Reader(
+                                i % 2 == 0
+                                        ? new CursorSeal(KEYS.get(0), KEYS.get(1))
+                                        : new CursorSeal(KEYS.get(1), KEYS.get(0))));
             } catch (ExplainedException e) {
                 throw new IllegalArgumentException(e);
             }
@@ -115,7 +121,10 @@
         return new Order(keys);
     }
 
-    /** Few values, so that there are many ties; some missing, some texts beside numbers; keys even or in a heap. */
+    /**
+     * Few values, so that there are many ties; some missing, some texts beside numbers; keys even
+     * or in a heap.
+     */
     private void makeRows() {
         int count = 20 + chance.nextInt(600);
         int values = 1 + chance.nextInt(30);
@@ -130,8 +139,13 @@
             long key = (long) (Math.pow(chance.nextDouble(), heap) * KeyRange.KEYS);
             // Some keys have several rows: then the sequence tells them apart.
             Mark before = i > 0 && chance.nextInt(4) == 0 ? rows.get(i - 1).at() : null;
-            rows.add(new Row(new Mark(before == null ? sort : before.sort(), before == null ? key : before.key(), i),
-                    "row " + i));
+            rows.add(
+                    new Row(
+                            new Mark(
+                                    before == null ? sort : before.sort(),
+                                    before == null ? key : before.key(),
+                                    i),
+                            "row " + i));
         }
     }
 
@@ -143,7 +157,8 @@
         Set<Long> excused = new HashSet<>();
         Mark furthest = null;
         boolean everMissing = false;
-        long digest = CursorSeal.digest("search", "acme", "x".getBytes(StandardCharsets.UTF_8), order);
+        long digest =
+                CursorSeal.digest("search", "acme", "x".getBytes(StandardCharsets.UTF_8), order);
         int size = 1 + chance.nextInt(60);
         String text = null;
         do {
@@ -169,13 +184,26 @@
             }
             everMissing |= !page.missing().isEmpty();
             ordered(page, furthest, excused);
-            page.missing().forEach(keys -> rows.stream().filter(row -> keys.from() <= row.at().key()
-                    && row.at().key() < keys.to()).forEach(row -> excused.add(row.at().sequence())));
+            page.missing()
+                    .forEach(
+                            keys ->
+                                    rows.stream()
+                                            .filter(
+                                                    row ->
+                                                            keys.from() <= row.at().key()
+                                                                    && row.at().key() < keys.to())
+                                            .forEach(row -> excused.add(row.at().sequence())));
             chain.addAll(page.rows());
             for (Row row : page.rows()) {
-                furthest = furthest == null || order.compare(furthest, row.at()) < 0 ? row.at() : furthest;
+                furthest =
+                        furthest == null || order.compare(furthest, row.at()) < 0
+                                ? row.at()
+                                : furthest;
             }
-            text = page.next().isEmpty() ? null : sealed(reader, new Cursor(lineage.version(), digest, page.next()));
+            text =
+                    page.next().isEmpty()
+                            ? null
+                            : sealed(reader, new Cursor(lineage.version(), digest, page.next()));
         } while (text != null && broken.isEmpty());
         whole(chain, everMissing);
         return broken;
@@ -192,7 +220,10 @@
         }
     }
 
-    /** Null where it is told to be too old, as it is: the chain is over. One that is ahead waits for the layout. */
+    /**
+     * Null where it is told to be too old, as it is: the chain is over. One that is ahead waits for
+     * the layout.
+     */
     private Cursor opened(Reader reader, String text, long digest) {
         while (true) {
             Lineage held = lineage(reader);
@@ -202,7 +233,8 @@
                 if (e.error() instanceof PageError.Ahead ahead && ahead.layout() > held.version()) {
                     reader.layout = layouts.size() - 1;
                 } else {
-                    if (!(e.error() instanceof PageError.TooOld old) || old.layout() >= held.oldest()) {
+                    if (!(e.error() instanceof PageError.TooOld old)
+                            || old.layout() >= held.oldest()) {
                         broken.add("refused: " + e.getMessage());
                     }
                     return null;
@@ -230,13 +262,17 @@
         given += page.rows().size();
         fetched += page.fetched();
         if (page.rows().size() > size) {
-            broken.add("a page of " + page.rows().size() + " rows where " + size + " were asked for");
+            broken.add(
+                    "a page of " + page.rows().size() + " rows where " + size + " were asked for");
         }
         alike(page, standings, size);
         return page;
     }
 
-    /** Parts in the order in which they come: any. They are cut by the newest layout, as a router's are by then. */
+    /**
+     * Parts in the order in which they come: any. They are cut by the newest layout, as a router's
+     * are by then.
+     */
     private List<Partial> came(List<Ask> asks, int bytes) {
         List<Fragment> fragments = new ArrayList<>();
         Layout newest = layouts.get(layouts.size() - 1);
@@ -254,7 +290,8 @@
                 Collections.swap(turned, 0, 1 + chance.nextInt(turned.size() - 1));
                 partial = new Partial(partial.keys(), turned, partial.next());
             }
-            if (partial.problem(order, asks) == null || defect == PlantedPages.Defect.SPOILT_MERGED) {
+            if (partial.problem(order, asks) == null
+                    || defect == PlantedPages.Defect.SPOILT_MERGED) {
                 came.add(partial);
             }
         }
@@ -277,20 +314,38 @@
         for (int i = chance.nextInt(3); i > 0; i--) {
             Layout layout = layouts.get(layouts.size() - 1);
             Slice slice = layout.slices().get(chance.nextInt(layout.slices().size()));
-            Change change = switch (chance.nextInt(3)) {
-                case 0 -> new Change.Split(slice.number(), List.of(slice.keys().from() + 1
-                        + (long) (chance.nextDouble() * (slice.keys().size() - 1))));
-                case 1 -> new Change.Move(slice.number(), slice.nodes().get(0),
-                        NODES.get(chance.nextInt(NODES.size())));
-                default -> new Change.Merge(layout.slices().stream().map(Slice::number)
-                        .skip(chance.nextInt(layout.slices().size())).limit(2).toList());
-            };
+            Change change =
+                    switch (chance.nextInt(3)) {
+                        case 0 ->
+                                new Change.Split(
+                                        slice.number(),
+                                        List.of(
+                                                slice.keys().from()
+                                                        + 1
+                                                        + (long)
+                                                                (chance.nextDouble()
+                                                                        * (slice.keys().size()
+                                                                                - 1))));
+                        case 1 ->
+                                new Change.Move(
+                                        slice.number(),
+                                        slice.nodes().get(0),
+                                        NODES.get(chance.nextInt(NODES.size())));
+                        default ->
+                                new Change.Merge(
+                                        layout.slices().stream()
+                                                .map(Slice::number)
+                                                .skip(chance.nextInt(layout.slices().size()))
+                                                .limit(2)
+                                                .toList());
+                    };
             List<Integer> births = new ArrayList<>();
             for (int j = 0; j < change.births(); j++) {
                 births.add(nextSlice++);
             }
             try {
-                layouts.add(layout.after(change, births, layout.version + 1, Duration.ZERO, history));
+                layouts.add(
+                        layout.after(change, births, layout.version + 1, Duration.ZERO, history));
             } catch (IllegalArgumentException e) {
                 // Not every change is possible: then nothing has changed.
             }
@@ -317,13 +372,23 @@
                 broken.add("page " + pages + ": " + row + " does not follow " + last);
             }
             last = row.at();
-            if (furthest != null && order.compare(row.at(), furthest) < 0 && !excused.contains(row.at().sequence())) {
-                broken.add("page " + pages + ": " + row + " comes late, and its range was never missing");
+            if (furthest != null
+                    && order.compare(row.at(), furthest) < 0
+                    && !excused.contains(row.at().sequence())) {
+                broken.add(
+                        "page "
+                                + pages
+                                + ": "
+                                + row
+                                + " comes late, and its range was never missing");
             }
         }
     }
 
-    /** Another router that is asked the same with nothing in its way gives the same rows, as far as this page goes. */
+    /**
+     * Another router that is asked the same with nothing in its way gives the same rows, as far as
+     * this page goes.
+     */
     private void alike(Page page, List<Standing> standings, int size) {
         if (!page.missing().isEmpty() || defect != null) {
             return;
@@ -335,20 +400,30 @@
             List<Ask> now = asks;
             List<Fragment> fragments = new ArrayList<>();
             now.forEach(ask -> fragments.addAll(Fragment.cut(newest, ask.keys())));
-            Fragment.joined(fragments).forEach(one ->
-                    other.took(SortedRows.answer(order, now, rows, one.keys(), Integer.MAX_VALUE)));
+            Fragment.joined(fragments)
+                    .forEach(
+                            one ->
+                                    other.took(
+                                            SortedRows.answer(
+                                                    order,
+                                                    now,
+                                                    rows,
+                                                    one.keys(),
+                                                    Integer.MAX_VALUE)));
             asks = other.further();
         }
         List<Row> same = other.end().rows();
         int length = page.rows().size();
-        if (length > same.size() || !written(page.rows()).equals(written(same.subList(0, length)))
+        if (length > same.size()
+                || !written(page.rows()).equals(written(same.subList(0, length)))
                 || length < same.size() && !page.isShort()) {
             broken.add("page " + pages + " differs from another router's");
         }
     }
 
     private static String written(List<Row> rows) {
-        return new String(RowForm.partial(new Partial(KeyRange.ALL, rows, null)), StandardCharsets.UTF_8);
+        return new String(
+                RowForm.partial(new Partial(KeyRange.ALL, rows, null)), StandardCharsets.UTF_8);
     }
 
     private void whole(List<Row> chain, boolean everMissing) {
@@ -361,12 +436,15 @@
         }
         Map<Row, Integer> times = new LinkedHashMap<>();
         chain.forEach(row -> times.merge(row, 1, Integer::sum));
-        times.forEach((row, count) -> {
-            if (count > 1) {
-                broken.add(row + " was given " + count + " times");
-            }
-        });
-        expected.stream().filter(row -> !times.containsKey(row)).forEach(row -> broken.add(row + " was never given"));
+        times.forEach(
+                (row, count) -> {
+                    if (count > 1) {
+                        broken.add(row + " was given " + count + " times");
+                    }
+                });
+        expected.stream()
+                .filter(row -> !times.containsKey(row))
+                .forEach(row -> broken.add(row + " was never given"));
         if (!everMissing && broken.isEmpty() && !written(chain).equals(written(expected))) {
             broken.add("nothing was missing, and the chain is not the plain sort");
         }
--- a/src/main/java/postbeam/rig/PlantedPages.java
+++ b/src/main/java/postbeam/rig/PlantedPages.java
@@ -15,7 +15,9 @@
     enum Defect {
         /** Rows that are alike in their sort keys come as their parts came. */
         TIES_BY_ARRIVAL,
-        /** A range whose slice was cut goes on from what was fetched of it, not from what was given. */
+        /**
+         * A range whose slice was cut goes on from what was fetched of it, not from what was given.
+         */
         SPLIT_SKIPS,
         /** A range that was missing goes on with the others. */
         OWED_FORGOTTEN,
@@ -31,13 +33,15 @@
 
     private final Defect defect;
 
-    private PlantedPages(Order order, int size, List<Standing> standings, Shares shares, Defect defect) {
+    private PlantedPages(
+            Order order, int size, List<Standing> standings, Shares shares, Defect defect) {
         super(order, size, standings, shares);
         this.defect = defect;
     }
 
     /** Sound where the defect is null. */
-    static Assembly of(Order order, int size, List<Standing> standings, Shares shares, Defect defect) {
+    static Assembly of(
+            Order order, int size, List<Standing> standings, Shares shares, Defect defect) {
         if (defect == null) {
             return new Assembly(order, size, standings, shares);
         }
@@ -46,8 +50,10 @@
 
     @Override
     protected Comparator<Mark> merging(Order by) {
-        return (one, other) -> defect == Defect.TIES_BY_ARRIVAL ? by.compare(bare(one), bare(other))
-                : by.compare(one, other);
+        return (one, other) ->
+                defect == Defect.TIES_BY_ARRIVAL
+                        ? by.compare(bare(one), bare(other))
+                        : by.compare(one, other);
     }
 
     private static Mark bare(Mark mark) {
@@ -57,8 +63,12 @@
     @Override
     protected Mark standsAt(Standing before, KeyRange keys, Mark reached, Mark given) {
         Mark stands = super.standsAt(before, keys, reached, given);
-        return defect == Defect.SPLIT_SKIPS && !keys.equals(before.keys()) && reached != null
-                && order().compare(reached, stands) > 0 ? reached : stands;
+        return defect == Defect.SPLIT_SKIPS
+                        && !keys.equals(before.keys())
+                        && reached != null
+                        && order().compare(reached, stands) > 0
+                ? reached
+                : stands;
     }
 
     @Override
--- a/src/main/java/postbeam/rig/PlantedSharing.java
+++ b/src/main/java/postbeam/rig/PlantedSharing.java
@@ -46,7 +46,13 @@
 
     private final Defect defect;
 
-    private PlantedSharing(int stripe, Who self, List<String> fleet, LeaseTerms terms, OfficeTerms offices, Duration now,
+    private PlantedSharing(
+            int stripe,
+            Who self,
+            List<String> fleet,
+            LeaseTerms terms,
+            OfficeTerms offices,
+            Duration now,
             Random chance) {
         super(stripe, self, fleet, terms, offices, now, chance);
         defect = MAKING.get();
@@ -58,11 +64,20 @@
 
     /** Null where the name is null. */
     static Defect defect(String name) {
-        return name == null ? null : Defect.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_'));
+        return name == null
+                ? null
+                : Defect.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_'));
     }
 
-    static Stripe of(Defect defect, int stripe, Who self, List<String> fleet, LeaseTerms terms, OfficeTerms offices,
-            Duration now, Random chance) {
+    static Stripe of(
+            Defect defect,
+            int stripe,
+            Who self,
+            List<String> fleet,
+            LeaseTerms terms,
+            OfficeTerms offices,
+            Duration now,
+            Random chance) {
         if (defect == null) {
             return new Stripe(stripe, self, fleet, terms, offices, now, chance);
         }
@@ -71,13 +86,20 @@
     }
 
     @Override
-    protected Office office(int stripe, Who who, List<String> routers, OfficeTerms offices, Duration start,
+    protected Office office(
+            int stripe,
+            Who who,
+            List<String> routers,
+            OfficeTerms offices,
+            Duration start,
             Random chance) {
         Defect planted = MAKING.get();
         return new Office(who, stripe, routers, offices, start, chance) {
             @Override
             protected int majority() {
-                return planted == Defect.KEEPER_WITHOUT_MAJORITY ? (routers.size() - 1) / 2 : super.majority();
+                return planted == Defect.KEEPER_WITHOUT_MAJORITY
+                        ? (routers.size() - 1) / 2
+                        : super.majority();
             }
 
             @Override
@@ -105,7 +127,8 @@
 
     @Override
     protected NodeLeases leases(LeaseTerms leaseTerms, int sharers, boolean drawn) {
-        return defect != Defect.LEASE_USED_AFTER_STOP ? super.leases(leaseTerms, sharers, drawn)
+        return defect != Defect.LEASE_USED_AFTER_STOP
+                ? super.leases(leaseTerms, sharers, drawn)
                 : new NodeLeases(leaseTerms, sharers, drawn) {
                     private Duration lookedAt = Duration.ZERO;
 
--- a/src/main/java/postbeam/rig/PlantedSlicing.java
+++ b/src/main/java/postbeam/rig/PlantedSlicing.java
@@ -45,7 +45,9 @@
 
     @Override
     protected boolean follows(Layout held, Layout next) {
-        return defect == Defect.BACK ? held == null || held.version != next.version : super.follows(held, next);
+        return defect == Defect.BACK
+                ? held == null || held.version != next.version
+                : super.follows(held, next);
     }
 
     @Override
--- a/src/main/java/postbeam/rig/ProcessFleet.java
+++ b/src/main/java/postbeam/rig/ProcessFleet.java
@@ -31,34 +31,60 @@
 import postbeam.state.Effect;
 
 /**
- * The built program in processes of their own, routers r0.. and, where slices move, the layout service; stand-in nodes
- * n0.. and discovery likewise. A relay stands between any two. All end with it, when the virtual machine ends, too.
+ * The built program in processes of their own, routers r0.. and, where slices move, the layout
+ * service; stand-in nodes n0.. and discovery likewise. A relay stands between any two. All end with
+ * it, when the virtual machine ends, too.
  */
 final class ProcessFleet implements Closeable, Load.Place {
     static final String DISCOVERY = "discovery";
     static final String LAYOUTS = "layouts";
-    /** A cold node's budget binds with so much work a part; it warms up slowly enough to be looked at. */
+
+    /**
+     * A cold node's budget binds with so much work a part; it warms up slowly enough to be looked
+     * at.
+     */
     static final Duration WORK = Duration.ofMillis(20);
+
     static final Duration RAMP = Duration.ofSeconds(6);
+
     /** After which what was waited for won't come. */
     private static final Duration LONG = Duration.ofSeconds(30);
-    /** For the ways of messages, delays by relays among them, where nothing else runs on the machine. */
+
+    /**
+     * For the ways of messages, delays by relays among them, where nothing else runs on the
+     * machine.
+     */
     static final Duration STRICT = Duration.ofSeconds(1);
-    /** Where others may keep a process from running: then only what comes much later, or never, is held against it. */
+
+    /**
+     * Where others may keep a process from running: then only what comes much later, or never, is
+     * held against it.
+     */
     static final Duration PATIENT = Duration.ofSeconds(10);
+
     /** Clients end by themselves at last; and answers that show that a router serves. */
     private static final Duration LOAD_MOST = Duration.ofMinutes(4);
+
     private static final int SERVED = 20;
-    private static final List<String> JAVA = List.of("java", "-Xmx48m", "-Xss256k", "-XX:+UseSerialGC",
-            "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData");
+    private static final List<String> JAVA =
+            List.of(
+                    "java",
+                    "-Xmx48m",
+                    "-Xss256k",
+                    "-XX:+UseSerialGC",
+                    "-XX:TieredStopAtLevel=1",
+                    "-XX:-UsePerfData");
 
-    /** Makes of a router's file, its configuration r0.json or our own settings r0.json5 (empty for none), another. */
+    /**
+     * Makes of a router's file, its configuration r0.json or our own settings r0.json5 (empty for
+     * none), another.
+     */
     interface Altered {
         String text(ProcessFleet fleet, String file, String text) throws IOException;
     }
 
-    record Size(int nodes, int routers, int shards, boolean sliced, Duration slack,
-            Altered altered) { }
+    record Size(
+            int nodes, int routers, int shards, boolean sliced, Duration slack, Altered altered) {}
 
     /** A process that can be started again under its name. */
     private final class Child {
@@ -77,7 +103,7 @@
         }
     }
 
-    private record Known(String health, long bornMs) { }
+    private record Known(String health, long bornMs) {}
 
     private final Size size;
     private final Path folder = Files.createTempDirectory("postbeam-fleet");
@@ -92,7 +118,8 @@
     private LongPoll<Layout> watch;
     private Clients clients;
     private volatile Layout layout;
-    private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+    private final HttpClient http =
+            HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
     ProcessFleet(Size size, long seed) throws IOException, InterruptedException {
         this.size = size;
@@ -103,8 +130,19 @@
             children.put(DISCOVERY, new Child(DISCOVERY, standIn("discovery", askers.size())));
             for (int i = 0; i < size.nodes(); i++) {
                 String name = "n" + i;
-                children.put(name, new Child(name, standIn("node", name, "z" + i % 3, folder, startNanos,
-                        seed * 1009 + i, size.sliced(), WORK.toNanos() / 1000)));
+                children.put(
+                        name,
+                        new Child(
+                                name,
+                                standIn(
+                                        "node",
+                                        name,
+                                        "z" + i % 3,
+                                        folder,
+                                        startNanos,
+                                        seed * 1009 + i,
+                                        size.sliced(),
+                                        WORK.toNanos() / 1000)));
             }
             for (String name : askers) {
                 addresses.put(name, Stage.freeAddress());
@@ -120,8 +158,18 @@
             }
             tellDiscovery();
             if (size.sliced()) {
-                children.put(LAYOUTS, new Child(LAYOUTS, built("layouts", "serve", "--settings",
-                        Files.writeString(folder.resolve("layouts.json5"), serviceSettings()).toString())));
+                children.put(
+                        LAYOUTS,
+                        new Child(
+                                LAYOUTS,
+                                built(
+                                        "layouts",
+                                        "serve",
+                                        "--settings",
+                                        Files.writeString(
+                                                        folder.resolve("layouts.json5"),
+                                                        serviceSettings())
+                                                .toString())));
                 launch(children.get(LAYOUTS), null);
             } else {
                 testimony.add(Duration.ZERO, to -> to.layout(fixed(size.shards())));
@@ -143,8 +191,12 @@
     static Layout fixed(int shards) {
         List<Slice> slices = new ArrayList<>();
         for (int i = 0; i <= shards; i++) {
-            slices.add(new Slice(i, new KeyRange(i, i < shards ? i + 1 : KeyRange.KEYS), Load.FIXED,
-                    List.of(new Holder("any", Duration.ZERO))));
+            slices.add(
+                    new Slice(
+                            i,
+                            new KeyRange(i, i < shards ? i + 1 : KeyRange.KEYS),
+                            Load.FIXED,
+                            List.of(new Holder("any", Duration.ZERO))));
         }
         return Layout.checked(Load.FIXED, Load.FIXED, slices, List.of());
     }
@@ -152,9 +204,19 @@
     /** What routers are promised here, with what the clients say of the work. */
     static Referee referee(Duration slack) {
         Referee.Rules rules = Stage.RULES;
-        return new Referee(new Referee.Rules(rules.coldFrom(), RAMP, rules.fallMultiple(), rules.fall(),
-                rules.warmWork(), rules.freeFurther(), rules.furtherShare(), rules.furtherSpan(), rules.repeatWindow()),
-                Duration.ofSeconds(2), slack);
+        return new Referee(
+                new Referee.Rules(
+                        rules.coldFrom(),
+                        RAMP,
+                        rules.fallMultiple(),
+                        rules.fall(),
+                        rules.warmWork(),
+                        rules.freeFurther(),
+                        rules.furtherShare(),
+                        rules.furtherSpan(),
+                        rules.repeatWindow()),
+                Duration.ofSeconds(2),
+                slack);
     }
 
     // ---- processes
@@ -168,21 +230,43 @@
 
     private static List<String> standIn(Object... words) {
         List<String> command = new ArrayList<>(JAVA);
-        command.addAll(List.of("-cp", "target/postbeam.jar:target/lib/*:target/more/*", StandIns.class.getName()));
+        command.addAll(
+                List.of(
+                        "-cp",
+                        "target/postbeam.jar:target/lib/*:target/more/*",
+                        StandIns.class.getName()));
         Arrays.stream(words).map(String::valueOf).forEach(command::add);
         return command;
     }
 
     private Child router(String name, int number, long seed) throws IOException {
-        String config = Stage.config(name, "z" + number % 3, addresses.get(name), way(name, DISCOVERY).address(),
-                seed * 31 + number, size.routers(), size.shards()).replace("\"rampTime\":2000000",
-                "\"rampTime\":" + RAMP.toNanos() / 1000);
-        Path file = Files.writeString(folder.resolve(name + ".json"), size.altered().text(this,
-                name + ".json", config));
-        List<String> command = new ArrayList<>(List.of("/bin/sh", "deploy/run.sh", "serve", "--config",
-                file.toString()));
-        String own = size.altered().text(this, name + ".json5", !size.sliced() ? ""
-                : "{layouts: {follow: {enabled: true, service: \"" + way(name, LAYOUTS).address() + "\"}}}");
+        String config =
+                Stage.config(
+                                name,
+                                "z" + number % 3,
+                                addresses.get(name),
+                                way(name, DISCOVERY).address(),
+                                seed * 31 + number,
+                                size.routers(),
+                                size.shards())
+                        .replace("\"rampTime\":2000000", "\"rampTime\":" + RAMP.toNanos() / 1000);
+        Path file =
+                Files.writeString(
+                        folder.resolve(name + ".json"),
+                        size.altered().text(this, name + ".json", config));
+        List<String> command =
+                new ArrayList<>(
+                        List.of("/bin/sh", "deploy/run.sh", "serve", "--config", file.toString()));
+        String own =
+                size.altered()
+                        .text(
+                                this,
+                                name + ".json5",
+                                !size.sliced()
+                                        ? ""
+                                        : "{layouts: {follow: {enabled: true, service: \""
+                                                + way(name, LAYOUTS).address()
+                                                + "\"}}}");
         if (!own.isEmpty()) {
             command.addAll(List.of("--settings", besides(name + ".json5", own).toString()));
         }
@@ -190,10 +274,16 @@
     }
 
     private String serviceSettings() {
-        return "{layouts: {serve: {enabled: true, listen: \"" + addresses.get(LAYOUTS) + "\", log: \""
-                + folder.resolve("moves.log") + "\", discovery: \"" + way(LAYOUTS, DISCOVERY).address()
-                + "\", history: 40, firstSlices: " + size.shards() + ", firstHolders: 3, limits: {moves: 2, "
-                + "movesANode: 2, movesAZone: 3, copyMs: 5000, stepMs: 5000, restMs: 0, againMs: 50, holders: 2, zones: 2}}}}";
+        return "{layouts: {serve: {enabled: true, listen: \""
+                + addresses.get(LAYOUTS)
+                + "\", log: \""
+                + folder.resolve("moves.log")
+                + "\", discovery: \""
+                + way(LAYOUTS, DISCOVERY).address()
+                + "\", history: 40, firstSlices: "
+                + size.shards()
+                + ", firstHolders: 3, limits: {moves: 2, movesANode: 2, movesAZone: 3, copyMs:"
+                + " 5000, stepMs: 5000, restMs: 0, againMs: 50, holders: 2, zones: 2}}}}";
     }
 
     private void launch(Child child, String last) throws IOException {
@@ -202,8 +292,10 @@
             command.add(last);
         }
         child.lives++;
-        ProcessBuilder start = new ProcessBuilder(command).redirectErrorStream(true)
-                .redirectOutput(child.output().toFile());
+        ProcessBuilder start =
+                new ProcessBuilder(command)
+                        .redirectErrorStream(true)
+                        .redirectOutput(child.output().toFile());
         start.environment().put("BALANCER_CONFIG", folder.resolve(child.name + ".json").toString());
         child.process = start.start();
     }
@@ -211,8 +303,11 @@
     /** Waits until a stand-in says where it listens, and leads all ways to it there. */
     private void listening(String name) throws IOException, InterruptedException {
         Child child = children.get(name);
-        until(name + " listens", () -> Files.readString(child.output()).contains("at ")
-                && Files.readString(child.output()).endsWith("\n"));
+        until(
+                name + " listens",
+                () ->
+                        Files.readString(child.output()).contains("at ")
+                                && Files.readString(child.output()).endsWith("\n"));
         String at = Files.readString(child.output()).strip();
         at = at.substring(at.lastIndexOf("at ") + 3);
         synchronized (ways) {
@@ -230,23 +325,27 @@
             addresses.put(to, Stage.freeAddress());
         }
         String at = addresses.get(to);
-        return at == null ? null : Startup.socketAddress(to.equals(DISCOVERY) ? at.split(",")[askers.indexOf(from)]
-                : at);
+        return at == null
+                ? null
+                : Startup.socketAddress(
+                        to.equals(DISCOVERY) ? at.split(",")[askers.indexOf(from)] : at);
     }
 
     /**
-     * The way from one to another by their names; made when it is first asked for. A name with a dot is a further
-     * door of a process, r0.peers say, and gets an address of its own.
+     * The way from one to another by their names; made when it is first asked for. A name with a
+     * dot is a further door of a process, r0.peers say, and gets an address of its own.
      */
     Relay way(String from, String to) {
         synchronized (ways) {
-            return ways.computeIfAbsent(from + "-" + to, key -> {
-                try {
-                    return new Relay(key, target(from, to));
-                } catch (IOException e) {
-                    throw new UncheckedIOException(e);
-                }
-            });
+            return ways.computeIfAbsent(
+                    from + "-" + to,
+                    key -> {
+                        try {
+                            return new Relay(key, target(from, to));
+                        } catch (IOException e) {
+                            throw new UncheckedIOException(e);
+                        }
+                    });
         }
     }
 
@@ -258,9 +357,21 @@
 
     /** Waits until it answers; from then on what it takes counts. */
     void ready(String router) throws IOException, InterruptedException {
-        until(router + " is ready", () -> http.send(HttpRequest.newBuilder(URI.create("http://" + addresses.get(router)
-                + "/healthz")).timeout(Duration.ofSeconds(2)).build(), HttpResponse.BodyHandlers.discarding())
-                .statusCode() == 200);
+        until(
+                router + " is ready",
+                () ->
+                        http.send(
+                                                HttpRequest.newBuilder(
+                                                                URI.create(
+                                                                        "http://"
+                                                                                + addresses.get(
+                                                                                        router)
+                                                                                + "/healthz"))
+                                                        .timeout(Duration.ofSeconds(2))
+                                                        .build(),
+                                                HttpResponse.BodyHandlers.discarding())
+                                        .statusCode()
+                                == 200);
         testimony.add(now(), to -> to.routerBack(router));
     }
 
@@ -288,7 +399,9 @@
         StringBuilder text = new StringBuilder();
         for (Child child : children.values()) {
             if (child.process != null && !child.process.isAlive()) {
-                text.append("; ").append(child.name).append(" ended: ")
+                text.append("; ")
+                        .append(child.name)
+                        .append(" ended: ")
                         .append(Files.readString(child.output()).strip());
             }
         }
@@ -371,11 +484,18 @@
     }
 
     /** The answer's text, an error's too. */
-    private String ask(String name, String path, String body) throws IOException, InterruptedException {
-        HttpRequest.Builder asked = HttpRequest.newBuilder(URI.create("http://" + addresses.get(name) + path))
-                .timeout(Duration.ofSeconds(5));
-        return http.send((body == null ? asked : asked.POST(HttpRequest.BodyPublishers.ofString(body))).build(),
-                HttpResponse.BodyHandlers.ofString()).body();
+    private String ask(String name, String path, String body)
+            throws IOException, InterruptedException {
+        HttpRequest.Builder asked =
+                HttpRequest.newBuilder(URI.create("http://" + addresses.get(name) + path))
+                        .timeout(Duration.ofSeconds(5));
+        return http.send(
+                        (body == null
+                                        ? asked
+                                        : asked.POST(HttpRequest.BodyPublishers.ofString(body)))
+                                .build(),
+                        HttpResponse.BodyHandlers.ofString())
+                .body();
     }
 
     // ---- discovery
@@ -395,14 +515,22 @@
 
     /** Steady clients; where slices move they know the layout as it is told. */
     Clients clients(double rate, long seed) throws IOException, InterruptedException {
-        Load load = new Load(this, size.sliced(), size.shards(), RandomSource.XO_RO_SHI_RO_128_PP.create(seed));
+        Load load =
+                new Load(
+                        this,
+                        size.sliced(),
+                        size.shards(),
+                        RandomSource.XO_RO_SHI_RO_128_PP.create(seed));
         if (size.sliced()) {
             // At the start: routers may count by a version before it is told here.
-            watch = LayoutWatch.of(addresses.get(LAYOUTS), next -> {
-                testimony.add(Duration.ZERO, to -> to.layout(next));
-                layout = next;
-                load.known(next);
-            });
+            watch =
+                    LayoutWatch.of(
+                            addresses.get(LAYOUTS),
+                            next -> {
+                                testimony.add(Duration.ZERO, to -> to.layout(next));
+                                layout = next;
+                                load.known(next);
+                            });
             Thread watching = new Thread(watch, "layouts of a fleet");
             watching.setDaemon(true);
             watching.start();
@@ -419,13 +547,16 @@
 
         private Clients(Load load, double rate) {
             this.load = load;
-            thread = new Thread(() -> {
-                try {
-                    load.run(rate, LOAD_MOST);
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-            }, "clients of a fleet");
+            thread =
+                    new Thread(
+                            () -> {
+                                try {
+                                    load.run(rate, LOAD_MOST);
+                                } catch (InterruptedException e) {
+                                    Thread.currentThread().interrupt();
+                                }
+                            },
+                            "clients of a fleet");
             thread.setDaemon(true);
             thread.start();
         }
@@ -461,8 +592,15 @@
     private void tellDiscovery() throws IOException {
         for (String asker : askers) {
             List<String> hosts = new ArrayList<>();
-            known.forEach((node, is) -> hosts.add(StandInDiscovery.entry(node, way(asker, node).address(),
-                    "z" + Integer.parseInt(node.substring(1)) % 3, is.health, is.bornMs)));
+            known.forEach(
+                    (node, is) ->
+                            hosts.add(
+                                    StandInDiscovery.entry(
+                                            node,
+                                            way(asker, node).address(),
+                                            "z" + Integer.parseInt(node.substring(1)) % 3,
+                                            is.health,
+                                            is.bornMs)));
             hosts.removeIf(host -> host.contains("\"removed\""));
             say(children.get(DISCOVERY), askers.indexOf(asker) + " " + String.join(",", hosts));
         }
@@ -499,7 +637,10 @@
         return WORK;
     }
 
-    /** Without deduplicated ones: what nodes hand each other of them has no form between these processes. */
+    /**
+     * Without deduplicated ones: what nodes hand each other of them has no form between these
+     * processes.
+     */
     @Override
     public List<World.Kind> kinds() {
         return World.kinds().stream().filter(kind -> kind.effect() != Effect.DEDUPLICATED).toList();
@@ -518,7 +659,9 @@
     }
 
     private void killAll() {
-        children.values().stream().map(child -> child.process).filter(process -> process != null)
+        children.values().stream()
+                .map(child -> child.process)
+                .filter(process -> process != null)
                 .forEach(Process::destroyForcibly);
     }
 
--- a/src/main/java/postbeam/rig/Referee.java
+++ b/src/main/java/postbeam/rig/Referee.java
@@ -14,21 +14,25 @@
 import postbeam.slices.Slice;
 
 /**
- * Sees what clients ask and are answered and what nodes are sent and run, and checks the six rules after each event.
- * It believes no router: which keys an answer covers it reckons from the values, what ran from the nodes. To be
- * called by one thread at a time; times are spans since the start of the run.
+ * Sees what clients ask and are answered and what nodes are sent and run, and checks the six rules
+ * after each event. It believes no router: which keys an answer covers it reckons from the values,
+ * what ran from the nodes. To be called by one thread at a time; times are spans since the start of
+ * the run.
  */
 final class Referee implements Witness.AtClients, Witness.AtNodes {
     /** What is allowed for the way of a message and for a busy machine. */
     private final Duration slack;
+
     private final Duration drainGrace;
     private final Rules rules;
     private final TreeMap<Long, Layout> layouts = new TreeMap<>();
     private final Map<String, Watched> queries = new HashMap<>();
     private final Map<String, Duration> drainingSince = new HashMap<>();
     private final Map<String, Duration> startedAt = new HashMap<>();
+
     /** Routers that are killed or stopped: what they had taken has lost its promise. */
     private final Set<String> away = new HashSet<>();
+
     private final Map<String, Cold> cold = new HashMap<>();
     private final Map<String, Budget> budgets = new HashMap<>();
     private final Map<String, Long> versions = new HashMap<>();
@@ -39,17 +43,29 @@
     private long runs;
 
     /** What is counted on: zero spans and nulls where a rule is not stated. */
-    record Rules(double coldFrom, Duration ramp, double fallMultiple, Duration fall, double warmWork,
-            double freeFurther, double furtherShare, Duration furtherSpan, Duration repeatWindow) { }
+    record Rules(
+            double coldFrom,
+            Duration ramp,
+            double fallMultiple,
+            Duration fall,
+            double warmWork,
+            double freeFurther,
+            double furtherShare,
+            Duration furtherSpan,
+            Duration repeatWindow) {}
 
     /** How a vertical is promised. */
-    enum Kind { REPEATABLE, DEDUPLICATED, SIDE_EFFECTING }
+    enum Kind {
+        REPEATABLE,
+        DEDUPLICATED,
+        SIDE_EFFECTING
+    }
 
     /** One slice that a client named, with its share. */
-    record Wanted(int slice, KeyRange keys, double weight) { }
+    record Wanted(int slice, KeyRange keys, double weight) {}
 
     /** A value in an answer. */
-    record Value(KeyRange keys, String text) { }
+    record Value(KeyRange keys, String text) {}
 
     private static final class Watched {
         final String id;
@@ -66,14 +82,24 @@
         final Map<KeyRange, Duration> sent = new LinkedHashMap<>();
         final Map<KeyRange, Duration> ran = new LinkedHashMap<>();
         final Map<String, KeyRange> out = new LinkedHashMap<>();
+
         /** What the client saw in place of an answer, for the verdict's reader. */
         String seenInstead = "";
+
         boolean answered;
         boolean left;
         boolean rejected;
 
-        Watched(String id, String router, Kind kind, double need, double floor, long version, List<Wanted> wanted,
-                Duration askedAt, Duration until) {
+        Watched(
+                String id,
+                String router,
+                Kind kind,
+                double need,
+                double floor,
+                long version,
+                List<Wanted> wanted,
+                Duration askedAt,
+                Duration until) {
             this.askedAt = askedAt;
             this.id = id;
             this.router = router;
@@ -109,22 +135,35 @@
     }
 
     @Override
-    public synchronized void asked(Duration now, String id, String router, Kind kind, double need, double floor, long version,
-            List<Wanted> wanted, Duration until) {
+    public synchronized void asked(
+            Duration now,
+            String id,
+            String router,
+            Kind kind,
+            double need,
+            double floor,
+            long version,
+            List<Wanted> wanted,
+            Duration until) {
         queries.put(id, new Watched(id, router, kind, need, floor, version, wanted, now, until));
-        // What counts as taken is the query and its parts, as the newest layout cuts them; more come with their calls.
+        // What counts as taken is the query and its parts, as the newest layout cuts them; more
+        // come with their calls.
         Watched q = queries.get(id);
         q.left = away.contains(router);
         Layout newest = layouts.lastEntry().getValue();
         int parts = wanted.stream().mapToInt(one -> newest.meeting(one.keys).size()).sum();
         q.partsCounted = Math.max(wanted.size(), parts);
-        budgets.computeIfAbsent(router, key -> new Budget()).taken.merge(now, 1 + q.partsCounted, Integer::sum);
+        budgets.computeIfAbsent(router, key -> new Budget())
+                .taken
+                .merge(now, 1 + q.partsCounted, Integer::sum);
     }
 
     /** It runs no more: killed, or stopped until it is back. */
     synchronized void routerAway(String router) {
         away.add(router);
-        queries.values().stream().filter(q -> q.router.equals(router) && !q.answered).forEach(q -> q.left = true);
+        queries.values().stream()
+                .filter(q -> q.router.equals(router) && !q.answered)
+                .forEach(q -> q.left = true);
     }
 
     synchronized void routerBack(String router) {
@@ -145,9 +184,18 @@
         }
     }
 
-    /** A whole call has come to a node: under this id, for these keys of a query, by this version of the layout. */
+    /**
+     * A whole call has come to a node: under this id, for these keys of a query, by this version of
+     * the layout.
+     */
     @Override
-    public synchronized void called(Duration now, String node, String query, String part, KeyRange keys, long version,
+    public synchronized void called(
+            Duration now,
+            String node,
+            String query,
+            String part,
+            KeyRange keys,
+            long version,
             Duration work) {
         calls++;
         Watched q = queries.get(query);
@@ -163,17 +211,27 @@
         }
         Duration since = drainingSince.get(node);
         if (since != null && now.minus(since).compareTo(drainGrace.plus(slack)) > 0) {
-            breaks(now, 3, query, part, "sent to " + node + ", which drains since " + since.toMillis() + " ms");
+            breaks(
+                    now,
+                    3,
+                    query,
+                    part,
+                    "sent to " + node + ", which drains since " + since.toMillis() + " ms");
         }
         if (q.kind != Kind.REPEATABLE && q.out.values().stream().anyMatch(keys::meets)) {
             breaks(now, 2, query, part, "two calls out for the keys " + keys);
         }
-        Duration first = q.ran.entrySet().stream().filter(entry -> entry.getKey().meets(keys)).map(Map.Entry::getValue)
-                .min(Duration::compareTo).orElse(null);
+        Duration first =
+                q.ran.entrySet().stream()
+                        .filter(entry -> entry.getKey().meets(keys))
+                        .map(Map.Entry::getValue)
+                        .min(Duration::compareTo)
+                        .orElse(null);
         if (q.kind == Kind.SIDE_EFFECTING && first != null) {
             breaks(now, 2, query, part, "sent again, though the keys " + keys + " have run");
         }
-        if (q.kind == Kind.DEDUPLICATED && first != null
+        if (q.kind == Kind.DEDUPLICATED
+                && first != null
                 && now.minus(first).compareTo(rules.repeatWindow.plus(slack)) > 0) {
             breaks(now, 2, query, part, "sent again past the window of repeats");
         }
@@ -192,7 +250,12 @@
             versions.put(q.router, version);
             versionAt.put(q.router, now);
         } else if (version < highest && now.minus(versionAt.get(q.router)).compareTo(slack) > 0) {
-            breaks(now, 5, query, part, "router " + q.router + " went back from layout " + highest + " to " + version);
+            breaks(
+                    now,
+                    5,
+                    query,
+                    part,
+                    "router " + q.router + " went back from layout " + highest + " to " + version);
         }
     }
 
@@ -201,8 +264,14 @@
         budget.further.merge(now, 1, Integer::sum);
         if (rules.furtherSpan != null) {
             Duration from = now.minus(rules.furtherSpan);
-            int made = budget.further.tailMap(from).values().stream().mapToInt(Integer::intValue).sum();
-            int taken = budget.taken.tailMap(from.minus(slack)).values().stream().mapToInt(Integer::intValue).sum();
+            int made =
+                    budget.further.tailMap(from).values().stream()
+                            .mapToInt(Integer::intValue)
+                            .sum();
+            int taken =
+                    budget.taken.tailMap(from.minus(slack)).values().stream()
+                            .mapToInt(Integer::intValue)
+                            .sum();
             if (made > rules.freeFurther + rules.furtherShare * taken + 1) {
                 breaks(now, 6, q.id, part, made + " further calls with " + taken + " taken");
             }
@@ -211,17 +280,31 @@
 
     private void coldCheck(Duration now, String node, String query, String part, Duration work) {
         Duration started = startedAt.get(node);
-        if (started == null || rules.ramp == null || now.minus(started).compareTo(rules.ramp) >= 0) {
+        if (started == null
+                || rules.ramp == null
+                || now.minus(started).compareTo(rules.ramp) >= 0) {
             return;
         }
         TreeMap<Duration, Double> sent = cold.get(node).work;
         sent.merge(now, work.toNanos() / 1e9, Double::sum);
-        double sum = sent.tailMap(now.minus(rules.fall)).values().stream().mapToDouble(Double::doubleValue).sum();
-        double warm = rules.coldFrom + (1 - rules.coldFrom) * now.minus(started).toNanos() / rules.ramp.toNanos();
+        double sum =
+                sent.tailMap(now.minus(rules.fall)).values().stream()
+                        .mapToDouble(Double::doubleValue)
+                        .sum();
+        double warm =
+                rules.coldFrom
+                        + (1 - rules.coldFrom)
+                                * now.minus(started).toNanos()
+                                / rules.ramp.toNanos();
         double limit = rules.fallMultiple * warm * rules.warmWork * rules.fall.toNanos() / 1e9;
         if (sum > limit) {
-            breaks(now, 4, query, part, String.format("cold node %s was sent %.3f s of work, over %.3f", node, sum,
-                    limit));
+            breaks(
+                    now,
+                    4,
+                    query,
+                    part,
+                    String.format(
+                            "cold node %s was sent %.3f s of work, over %.3f", node, sum, limit));
         }
     }
 
@@ -271,16 +354,23 @@
         finished(now, query);
     }
 
-    /** It stays without an answer, which {@link #end} holds against its router; this says how that came. */
+    /**
+     * It stays without an answer, which {@link #end} holds against its router; this says how that
+     * came.
+     */
     @Override
     public synchronized void unanswered(Duration now, String query, String seen) {
-        queries.get(query).seenInstead = "; its client saw after " + now.minus(queries.get(query).askedAt).toMillis()
-                + " ms: " + seen;
+        queries.get(query).seenInstead =
+                "; its client saw after "
+                        + now.minus(queries.get(query).askedAt).toMillis()
+                        + " ms: "
+                        + seen;
     }
 
     /** An answer; the layout is the one that it says it counts by. */
     @Override
-    public synchronized void answered(Duration now, String query, boolean whole, long counted, List<Value> values) {
+    public synchronized void answered(
+            Duration now, String query, boolean whole, long counted, List<Value> values) {
         Watched q = finished(now, query);
         List<KeyRange> in = new ArrayList<>();
         for (Value value : values) {
@@ -300,10 +390,20 @@
             weight = Math.max(weight, weightBy(q, end, in));
         }
         if (weight + 0.0001 < q.floor) {
-            breaks(now, 5, query, "-", String.format("answered with %.4f, under the floor of %.4f", weight, q.floor));
+            breaks(
+                    now,
+                    5,
+                    query,
+                    "-",
+                    String.format("answered with %.4f, under the floor of %.4f", weight, q.floor));
         }
         if (whole && weight + 0.0001 < q.need) {
-            breaks(now, 5, query, "-", String.format("marked whole with %.4f of %.4f", weight, q.need));
+            breaks(
+                    now,
+                    5,
+                    query,
+                    "-",
+                    String.format("marked whole with %.4f of %.4f", weight, q.need));
         }
     }
 
@@ -314,7 +414,12 @@
         }
         q.answered = true;
         if (!q.left && now.compareTo(q.until.plus(slack)) > 0) {
-            breaks(now, 1, query, "-", "answered " + now.minus(q.until).toMillis() + " ms after the client's time");
+            breaks(
+                    now,
+                    1,
+                    query,
+                    "-",
+                    "answered " + now.minus(q.until).toMillis() + " ms after the client's time");
         }
         return q;
     }
@@ -344,7 +449,10 @@
     }
 
     private static double weight(Watched q, long version, List<KeyRange> in) {
-        return q.wanted.stream().filter(one -> covered(one.keys, in)).mapToDouble(Wanted::weight).sum();
+        return q.wanted.stream()
+                .filter(one -> covered(one.keys, in))
+                .mapToDouble(Wanted::weight)
+                .sum();
     }
 
     /** By the slices of another layout: one counts with all that the query wants of it. */
@@ -354,7 +462,9 @@
             for (Slice slice : layout.meeting(one.keys)) {
                 boolean all = true;
                 for (Wanted other : q.wanted) {
-                    all &= !other.keys.meets(slice.keys()) || covered(other.keys.common(slice.keys()), in);
+                    all &=
+                            !other.keys.meets(slice.keys())
+                                    || covered(other.keys.common(slice.keys()), in);
                 }
                 sum += all ? one.weight * one.keys.share(slice.keys()) : 0;
             }
@@ -363,7 +473,17 @@
     }
 
     private void breaks(Duration now, int rule, String query, String part, String what) {
-        broken.add("rule " + rule + ", query " + query + ", part " + part + ", at " + now.toMillis() + " ms: " + what);
+        broken.add(
+                "rule "
+                        + rule
+                        + ", query "
+                        + query
+                        + ", part "
+                        + part
+                        + ", at "
+                        + now.toMillis()
+                        + " ms: "
+                        + what);
     }
 
     synchronized List<String> broken() {
--- a/src/main/java/postbeam/rig/Relay.java
+++ b/src/main/java/postbeam/rig/Relay.java
@@ -15,18 +15,24 @@
 import org.xnio.IoUtils;
 
 /**
- * Stands between two processes on loopback and does to each way what a network can. Each connection has a thread and
- * one chunk a way, so what it holds is bounded: a way that is not let through is not read on. One lock over the state,
- * not held over I/O.
+ * Stands between two processes on loopback and does to each way what a network can. Each connection
+ * has a thread and one chunk a way, so what it holds is bounded: a way that is not let through is
+ * not read on. One lock over the state, not held over I/O.
  */
 final class Relay implements Closeable {
     /** From those who connect to the target, and back. */
-    enum Way { THERE, BACK }
+    enum Way {
+        THERE,
+        BACK
+    }
 
     /** What is done to a way. */
     enum Fault {
         NONE,
-        /** Nothing passes and no connection comes up; what felt it is reset when it ends, as by a machine back. */
+        /**
+         * Nothing passes and no connection comes up; what felt it is reset when it ends, as by a
+         * machine back.
+         */
         CUT,
         /** Connections come up; what is sent is taken and lost, and they are reset when it ends. */
         SILENT,
@@ -37,14 +43,18 @@
     }
 
     private static final int CHUNK = 16 << 10;
+
     /** More are turned away: no process here has so many to one other. */
     private static final int CONNECTIONS_MOST = 512;
+
     private static final int CONNECT_MILLIS = 1000;
 
     private final class Connection {
         final Socket near;
+
         /** Null until the target is reached. */
         Socket far;
+
         /** A fault that only a reset ends was met. */
         boolean broken;
 
@@ -56,12 +66,14 @@
     private static final class Side {
         Fault fault = Fault.NONE;
         long nanos;
+
         /** Whose chunk waits to be passed; null where none does. */
         Connection held;
     }
 
     private final ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
-    private final Map<Way, Side> sides = new EnumMap<>(Map.of(Way.THERE, new Side(), Way.BACK, new Side()));
+    private final Map<Way, Side> sides =
+            new EnumMap<>(Map.of(Way.THERE, new Side(), Way.BACK, new Side()));
     private final Set<Connection> connections = new LinkedHashSet<>();
     private final String name;
     private InetSocketAddress target;
@@ -234,7 +246,8 @@
     }
 
     /** Waits as the way's fault has it; false where the chunk is lost. */
-    private synchronized boolean pass(Way way, Connection one) throws IOException, InterruptedException {
+    private synchronized boolean pass(Way way, Connection one)
+            throws IOException, InterruptedException {
         Side side = sides.get(way);
         long since = System.nanoTime();
         boolean holds = false;
@@ -249,7 +262,10 @@
                     return false;
                 }
                 case DELAY, REORDER -> {
-                    boolean alone = side.fault == Fault.DELAY || side.held == null && !holds || side.held == one;
+                    boolean alone =
+                            side.fault == Fault.DELAY
+                                    || side.held == null && !holds
+                                    || side.held == one;
                     if (left <= 0 || !alone) {
                         side.held = side.held == one ? null : side.held;
                         return true;
--- a/src/main/java/postbeam/rig/ScriptedNode.java
+++ b/src/main/java/postbeam/rig/ScriptedNode.java
@@ -14,12 +14,18 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import org.xnio.IoUtils;
 
-/** A data node that does with each part what it was told, spoilt answers among it, and remembers the frames. */
+/**
+ * A data node that does with each part what it was told, spoilt answers among it, and remembers the
+ * frames.
+ */
 final class ScriptedNode implements Closeable {
     final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     final BlockingQueue<String> frames = new LinkedBlockingQueue<>();
     final List<Socket> sockets = new CopyOnWriteArrayList<>();
-    /** good, bad, later, silent, twice, noisy, stray, endless, reset, garbage, unusable, oversized. */
+
+    /**
+     * good, bad, later, silent, twice, noisy, stray, endless, reset, garbage, unusable, oversized.
+     */
     volatile String mode = "good";
 
     ScriptedNode() throws IOException {
@@ -37,13 +43,14 @@
             while (true) {
                 Socket socket = server.accept();
                 sockets.add(socket);
-                daemon(() -> {
-                    try (socket) {
-                        serve(socket);
-                    } catch (IOException e) {
-                        // Its router has gone, or the test is over.
-                    }
-                });
+                daemon(
+                        () -> {
+                            try (socket) {
+                                serve(socket);
+                            } catch (IOException e) {
+                                // Its router has gone, or the test is over.
+                            }
+                        });
             }
         } catch (IOException e) {
             // The test is over.
@@ -84,13 +91,16 @@
 
     private void answer(Socket socket, String id) throws IOException {
         switch (mode) {
-            case "silent" -> { }
+            case "silent" -> {}
             case "garbage" -> send(socket, "x?");
             case "unusable" -> send(socket, "rno such shard");
             case "oversized" -> socket.getOutputStream().write(new byte[] {0, 0, 0, 127});
             case "stray" -> send(socket, "qnobody.1 good 0 -\nx");
-            case "endless" -> socket.getOutputStream().write(("\377\0\0\0q" + id + " good 0 -\n")
-                    .getBytes(StandardCharsets.ISO_8859_1));
+            case "endless" ->
+                    socket.getOutputStream()
+                            .write(
+                                    ("\377\0\0\0q" + id + " good 0 -\n")
+                                            .getBytes(StandardCharsets.ISO_8859_1));
             case "noisy" -> {
                 send(socket, "q" + id + " good 0 \7 ?\nv" + id);
                 socket.getOutputStream().write(new byte[] {9, 0, 0});
--- a/src/main/java/postbeam/rig/SortedRows.java
+++ b/src/main/java/postbeam/rig/SortedRows.java
@@ -16,7 +16,9 @@
 
     /** All rows of these keys in order: the plain sort that pages are held against. */
     static List<Row> sorted(Order order, List<Row> rows, KeyRange keys) {
-        return rows.stream().filter(row -> in(keys, row)).sorted((one, other) -> order.compare(one.at(), other.at()))
+        return rows.stream()
+                .filter(row -> in(keys, row))
+                .sorted((one, other) -> order.compare(one.at(), other.at()))
                 .toList();
     }
 
@@ -24,16 +26,21 @@
         return keys.from() <= row.at().key() && row.at().key() < keys.to();
     }
 
-    /** The answer of a part that has these keys, with at most so many rows though more were asked for. */
+    /**
+     * The answer of a part that has these keys, with at most so many rows though more were asked
+     * for.
+     */
     static Partial answer(Order order, List<Ask> asks, List<Row> rows, KeyRange keys, int most) {
         List<Row> found = new ArrayList<>();
         for (Row row : sorted(order, rows, keys)) {
-            if (asks.stream().anyMatch(ask -> in(ask.keys(), row) && after(order, ask.after(), row))) {
+            if (asks.stream()
+                    .anyMatch(ask -> in(ask.keys(), row) && after(order, ask.after(), row))) {
                 found.add(row);
             }
         }
         int give = Math.min(found.size(), Math.min(most, Ask.rows(asks, keys)));
-        return new Partial(keys, found.subList(0, give), give < found.size() ? found.get(give).at() : null);
+        return new Partial(
+                keys, found.subList(0, give), give < found.size() ? found.get(give).at() : null);
     }
 
     /** With the first two in each other's place. */
--- a/src/main/java/postbeam/rig/Stage.java
+++ b/src/main/java/postbeam/rig/Stage.java
@@ -27,18 +27,50 @@
 import postbeam.slices.KeyRange;
 import postbeam.slices.MoveLimits;
 
-/** Routers, a layout service, stand-in nodes and discovery in one process, all on loopback; gives all of it back. */
+/**
+ * Routers, a layout service, stand-in nodes and discovery in one process, all on loopback; gives
+ * all of it back.
+ */
 final class Stage implements Closeable, Load.Place {
-    /** How large; the defect is null where none is planted; without slices the routers keep the fixed rule. */
-    record Size(int nodes, int routers, int slices, int holders, boolean sliced, PlantedSlicing.Defect defect) { }
+    /**
+     * How large; the defect is null where none is planted; without slices the routers keep the
+     * fixed rule.
+     */
+    record Size(
+            int nodes,
+            int routers,
+            int slices,
+            int holders,
+            boolean sliced,
+            PlantedSlicing.Defect defect) {}
 
-    static final Referee.Rules RULES = new Referee.Rules(0.2, Duration.ofSeconds(2), 2, Duration.ofSeconds(1), 2,
-            50, 0.3, Duration.ofSeconds(2), Duration.ofMillis(1500));
-    private static final MoveLimits LIMITS = new MoveLimits(3, 2, 3, Duration.ofSeconds(2), Duration.ofSeconds(2),
-            Duration.ofMillis(300), Duration.ofMillis(100), 2, 2);
+    static final Referee.Rules RULES =
+            new Referee.Rules(
+                    0.2,
+                    Duration.ofSeconds(2),
+                    2,
+                    Duration.ofSeconds(1),
+                    2,
+                    50,
+                    0.3,
+                    Duration.ofSeconds(2),
+                    Duration.ofMillis(1500));
+    private static final MoveLimits LIMITS =
+            new MoveLimits(
+                    3,
+                    2,
+                    3,
+                    Duration.ofSeconds(2),
+                    Duration.ofSeconds(2),
+                    Duration.ofMillis(300),
+                    Duration.ofMillis(100),
+                    2,
+                    2);
     private static final long HISTORY = 40;
+
     /** Ports below those that Linux gives to outgoing connections. */
     private static final int FIRST_PORT = 12_000;
+
     private static final int PORTS = 20_000;
     private static final AtomicInteger PORTS_TRIED = new AtomicInteger();
     private static final Duration READY_MOST = Duration.ofSeconds(30);
@@ -61,23 +93,45 @@
         discovery = new StandInDiscovery();
         Map<String, Map<KeyRange, Boolean>> runs = new ConcurrentHashMap<>();
         for (int i = 0; i < size.nodes(); i++) {
-            StandInNode node = new StandInNode("n" + i, "z" + i % 3, new StandInNode.Seen(referee, this::now, runs),
-                    RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 1009 + i), !size.sliced());
+            StandInNode node =
+                    new StandInNode(
+                            "n" + i,
+                            "z" + i % 3,
+                            new StandInNode.Seen(referee, this::now, runs),
+                            RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 1009 + i),
+                            !size.sliced());
             nodes.add(node);
             discovery.tell(node, "up", 0);
         }
         serviceAddress = freeAddress();
-        place = new LayoutService.Place(serviceAddress, directory.resolve("moves.log"), discovery.address(), HISTORY,
-                LIMITS, size.slices(), size.holders());
+        place =
+                new LayoutService.Place(
+                        serviceAddress,
+                        directory.resolve("moves.log"),
+                        discovery.address(),
+                        HISTORY,
+                        LIMITS,
+                        size.slices(),
+                        size.holders());
         if (size.sliced()) {
             startService();
         }
         for (int i = 0; i < size.routers(); i++) {
             String address = freeAddress();
-            Router router = new Router(Startup.of(config("r" + i, "z" + i % 3, address, discovery.address(),
-                    chance.nextLong(), size.routers(), size.slices())
-                    .getBytes(StandardCharsets.UTF_8)), size.sliced() ? PlantedSlicing.of(size.defect()) : null,
-                    size.sliced() ? serviceAddress : null);
+            Router router =
+                    new Router(
+                            Startup.of(
+                                    config(
+                                                    "r" + i,
+                                                    "z" + i % 3,
+                                                    address,
+                                                    discovery.address(),
+                                                    chance.nextLong(),
+                                                    size.routers(),
+                                                    size.slices())
+                                            .getBytes(StandardCharsets.UTF_8)),
+                            size.sliced() ? PlantedSlicing.of(size.defect()) : null,
+                            size.sliced() ? serviceAddress : null);
             router.start();
             routers.add(router);
             routerAddresses.add(address);
@@ -94,12 +148,17 @@
     }
 
     /**
-     * Nobody listens there. Guards against a port of the range that outgoing connections are given: one of those could
-     * take it before the process that is told of it listens.
+     * Nobody listens there. Guards against a port of the range that outgoing connections are given:
+     * one of those could take it before the process that is told of it listens.
      */
     static String freeAddress() throws IOException {
         while (true) {
-            int port = FIRST_PORT + (int) ((ProcessHandle.current().pid() * 131L + PORTS_TRIED.getAndIncrement()) % PORTS);
+            int port =
+                    FIRST_PORT
+                            + (int)
+                                    ((ProcessHandle.current().pid() * 131L
+                                                    + PORTS_TRIED.getAndIncrement())
+                                            % PORTS);
             try (ServerSocket free = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return "127.0.0.1:" + free.getLocalPort();
             } catch (BindException e) {
@@ -123,13 +182,32 @@
         return Duration.ofNanos(System.nanoTime() - startNanos);
     }
 
-    /** A router's configuration; its promises are those of {@link #RULES} and {@link World#kinds}. */
-    static String config(String name, String zone, String listen, String discovery, long seed, int routers,
+    /**
+     * A router's configuration; its promises are those of {@link #RULES} and {@link World#kinds}.
+     */
+    static String config(
+            String name,
+            String zone,
+            String listen,
+            String discovery,
+            long seed,
+            int routers,
             int shards) {
-        return "{\"name\":\"" + name + "\",\"listen\":\"" + listen + "\",\"discovery\":\"" + discovery
-                + "\",\"seed\":\"" + String.format("%016x", seed) + "\",\"limits\":{\"memory_mb\":192,"
-                + "\"sockets\":1024},\"settings\":{\"zone\":\"" + zone + "\",\"nInstances\":" + routers
-                + ",\"report\":{\"how\":\"none\"},\"domain\":{\"cells\":1,\"reach\":1,\"shards\":" + shards
+        return "{\"name\":\""
+                + name
+                + "\",\"listen\":\""
+                + listen
+                + "\",\"discovery\":\""
+                + discovery
+                + "\",\"seed\":\""
+                + String.format("%016x", seed)
+                + "\",\"limits\":{\"memory_mb\":192,"
+                + "\"sockets\":1024},\"settings\":{\"zone\":\""
+                + zone
+                + "\",\"nInstances\":"
+                + routers
+                + ",\"report\":{\"how\":\"none\"},\"domain\":{\"cells\":1,\"reach\":1,\"shards\":"
+                + shards
                 + ",\"partsACall\":16,\"callCost\":1000,\"classNeed\":[0.75,1,1,1],\"leastShare\":[0.75,0.5,1,1],"
                 + "\"shortWorth\":[0.9,0.9,0,0]},\"caps\":{\"maxAttempts\":3,\"mayDuplicate\":true,\"cancelling\":true,"
                 + "\"probes\":true,\"maxStreams\":32,\"mostHeld\":2000,\"connectTimeout\":250000,"
@@ -151,7 +229,10 @@
         service = next;
     }
 
-    /** Ends the service's process, as far as one can within this one: its log is closed, its socket too. */
+    /**
+     * Ends the service's process, as far as one can within this one: its log is closed, its socket
+     * too.
+     */
     void stopService() throws IOException {
         if (service != null) {
             service.close();
@@ -164,15 +245,20 @@
     }
 
     HttpResponse<String> get(String uri) throws IOException, InterruptedException {
-        return http.send(HttpRequest.newBuilder(URI.create(uri)).timeout(Duration.ofSeconds(5)).build(),
+        return http.send(
+                HttpRequest.newBuilder(URI.create(uri)).timeout(Duration.ofSeconds(5)).build(),
                 HttpResponse.BodyHandlers.ofString());
     }
 
     /** Asks the layout service for something; the answer's text, an error's too. */
     String post(String path, String body) throws IOException, InterruptedException {
-        return http.send(HttpRequest.newBuilder(URI.create("http://" + serviceAddress + path))
-                .timeout(Duration.ofSeconds(5)).POST(HttpRequest.BodyPublishers.ofString(body)).build(),
-                HttpResponse.BodyHandlers.ofString()).body();
+        return http.send(
+                        HttpRequest.newBuilder(URI.create("http://" + serviceAddress + path))
+                                .timeout(Duration.ofSeconds(5))
+                                .POST(HttpRequest.BodyPublishers.ofString(body))
+                                .build(),
+                        HttpResponse.BodyHandlers.ofString())
+                .body();
     }
 
     String layouts() {
@@ -187,13 +273,15 @@
     public void close() throws IOException {
         List<Thread> stops = new ArrayList<>();
         for (Router router : routers) {
-            Thread stop = new Thread(() -> {
-                try {
-                    router.stop();
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-            });
+            Thread stop =
+                    new Thread(
+                            () -> {
+                                try {
+                                    router.stop();
+                                } catch (InterruptedException e) {
+                                    Thread.currentThread().interrupt();
+                                }
+                            });
             stop.start();
             stops.add(stop);
         }
