--- a/src/main/java/postbeam/rig/StandInDiscovery.java
+++ b/src/main/java/postbeam/rig/StandInDiscovery.java
@@ -21,11 +21,15 @@
     final ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private final Map<String, String> entries = new LinkedHashMap<>();
+
     /** Paths that it was asked for. */
     final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
+
     private long version = 1;
+
     /** Told instead of the entries where it is not null. */
     private String raw;
+
     private boolean half;
 
     StandInDiscovery() throws IOException {
@@ -66,8 +70,17 @@
     }
 
     static String entry(String name, String dial, String zone, String health, long bornMs) {
-        return "{\"host\":\"" + name + "\",\"dial\":\"" + dial + "\",\"site\":\"" + zone
-                + "\",\"class\":\"m\",\"block\":0,\"health\":\"" + health + "\",\"born_ms\":" + bornMs + "}";
+        return "{\"host\":\""
+                + name
+                + "\",\"dial\":\""
+                + dial
+                + "\",\"site\":\""
+                + zone
+                + "\",\"class\":\"m\",\"block\":0,\"health\":\""
+                + health
+                + "\",\"born_ms\":"
+                + bornMs
+                + "}";
     }
 
     private void accept() {
@@ -86,8 +99,9 @@
 
     private void serve(Socket socket) {
         try (socket) {
-            BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
-                    StandardCharsets.UTF_8));
+            BufferedReader in =
+                    new BufferedReader(
+                            new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
             String line;
             while ((line = in.readLine()) != null) {
                 String path = line.split(" ")[1];
@@ -96,8 +110,10 @@
                 }
                 asked.add(path);
                 byte[] body = body(path).getBytes(StandardCharsets.UTF_8);
-                socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n")
-                        .getBytes(StandardCharsets.UTF_8));
+                socket.getOutputStream()
+                        .write(
+                                ("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n")
+                                        .getBytes(StandardCharsets.UTF_8));
                 if (breaksOff()) {
                     socket.getOutputStream().write(body, 0, body.length / 2);
                     return;
@@ -121,13 +137,18 @@
         int at = path.indexOf("index=");
         if (at >= 0) {
             long known = Long.parseLong(path.substring(at + 6, path.indexOf('&')));
-            long end = System.nanoTime() + Long.parseLong(path.substring(path.indexOf("wait=") + 5)) * 1_000_000;
+            long end =
+                    System.nanoTime()
+                            + Long.parseLong(path.substring(path.indexOf("wait=") + 5)) * 1_000_000;
             while (known >= version && System.nanoTime() < end) {
                 wait(Math.max(1, (end - System.nanoTime()) / 1_000_000));
             }
         }
-        return "{\"seq\":" + version + ",\"whole\":true,\"hosts\":[" 
-                + (raw != null ? raw : String.join(",", entries.values())) + "]}";
+        return "{\"seq\":"
+                + version
+                + ",\"whole\":true,\"hosts\":["
+                + (raw != null ? raw : String.join(",", entries.values()))
+                + "]}";
     }
 
     @Override
--- a/src/main/java/postbeam/rig/StandInNode.java
+++ b/src/main/java/postbeam/rig/StandInNode.java
@@ -31,24 +31,37 @@
 import postbeam.slices.Order;
 
 /**
- * A data node on loopback that speaks the frames, holds slices by version, works on two parts at a time, and tells the
- * referee all that it is sent and runs. It can be slow, hang, die, drain, and come back cold.
+ * A data node on loopback that speaks the frames, holds slices by version, works on two parts at a
+ * time, and tells the referee all that it is sent and runs. It can be slow, hang, die, drain, and
+ * come back cold.
  */
 final class StandInNode implements Closeable {
     private static final int CORES = 2;
     private static final int QUEUE = 64;
     private static final int LONGEST = 1 << 20;
+
     /** Bytes of an answer's value: what a router takes. */
     private static final int ANSWER_MOST = 60_000;
+
     /** Work of a part with nothing else to do, and up to so much more by chance. */
     static final Duration WORK = Duration.ofMillis(2);
+
     private static final Duration WORK_MORE = Duration.ofMillis(3);
     private static final Duration COPY_MOST = Duration.ofMillis(150);
 
     /** What a stand-in tells what it sees. */
-    record Seen(Witness.AtNodes referee, Supplier<Duration> now, Map<String, Map<KeyRange, Boolean>> runs) { }
-
-    private record Work(Socket socket, String query, String part, KeyRange keys, HeldSlices.Held held, byte[] ask) { }
+    record Seen(
+            Witness.AtNodes referee,
+            Supplier<Duration> now,
+            Map<String, Map<KeyRange, Boolean>> runs) {}
+
+    private record Work(
+            Socket socket,
+            String query,
+            String part,
+            KeyRange keys,
+            HeldSlices.Held held,
+            byte[] ask) {}
 
     final String name;
     final String zone;
@@ -62,20 +75,30 @@
     private final ScheduledExecutorService workers;
     private ServerSocket server;
     private int waiting;
+
     /** The highest term that an order came with. */
     private long term;
+
     private volatile boolean spoilt;
     private volatile Duration work = WORK;
+
     /** Ends each connection's thread of an earlier life. */
     private int life;
+
     private volatile int slowness = 1;
     private volatile boolean hanging;
+
     /** Share of parts that run and are answered with an error, and of answers that come late. */
     private volatile double badAnswers;
+
     private volatile double lateAnswers;
     private volatile List<Row> rows = List.of();
     private volatile boolean spoilsOrder;
-    /** Whether it wants no slices held by number: it takes every call, as for a router without a layout. */
+
+    /**
+     * Whether it wants no slices held by number: it takes every call, as for a router without a
+     * layout.
+     */
     private final boolean unsliced;
 
     StandInNode(String name, String zone, Seen seen, UniformRandomProvider chance, boolean unsliced)
@@ -127,7 +150,10 @@
                 if (frame.length < length) {
                     break;
                 }
-                frame(socket, (char) frame[0], new String(frame, 1, length - 1, StandardCharsets.UTF_8));
+                frame(
+                        socket,
+                        (char) frame[0],
+                        new String(frame, 1, length - 1, StandardCharsets.UTF_8));
             }
         } catch (IOException e) {
             // The router has gone.
@@ -164,19 +190,29 @@
                     version = Long.parseLong(item.substring(2));
                 } else if (item.startsWith("k=")) {
                     int dash = item.indexOf('-');
-                    keys = new KeyRange(Long.parseLong(item.substring(2, dash)),
-                            Long.parseLong(item.substring(dash + 1)));
+                    keys =
+                            new KeyRange(
+                                    Long.parseLong(item.substring(2, dash)),
+                                    Long.parseLong(item.substring(dash + 1)));
                 } else if (item.startsWith("p=")) {
-                    ask = text.substring(text.length() - Integer.parseInt(item.substring(2)))
-                            .getBytes(StandardCharsets.UTF_8);
+                    ask =
+                            text.substring(text.length() - Integer.parseInt(item.substring(2)))
+                                    .getBytes(StandardCharsets.UTF_8);
                 }
             }
             int slice = Integer.parseInt(words[1]);
-            part(socket, words[0], slice, unsliced ? new KeyRange(slice, slice + 1) : keys, version, ask);
+            part(
+                    socket,
+                    words[0],
+                    slice,
+                    unsliced ? new KeyRange(slice, slice + 1) : keys,
+                    version,
+                    ask);
         }
     }
 
-    private void part(Socket socket, String part, int slice, KeyRange keys, long version, byte[] ask)
+    private void part(
+            Socket socket, String part, int slice, KeyRange keys, long version, byte[] ask)
             throws IOException {
         String query = part.substring(0, part.lastIndexOf('.'));
         seen.referee().called(seen.now().get(), name, query, part, keys, version, work);
@@ -219,17 +255,31 @@
                 return;
             }
             boolean written = work.query.contains("book") || work.query.contains("hold");
-            boolean repeated = written && repeated(work.query, work.keys) && work.query.contains("book");
+            boolean repeated =
+                    written && repeated(work.query, work.keys) && work.query.contains("book");
             if (!repeated) {
                 seen.referee().ran(seen.now().get(), work.query, work.part, work.keys);
             }
-            Thread.sleep(this.work.plusNanos((long) (chance() * WORK_MORE.toNanos())).multipliedBy(slowness).toMillis());
+            Thread.sleep(
+                    this.work
+                            .plusNanos((long) (chance() * WORK_MORE.toNanos()))
+                            .multipliedBy(slowness)
+                            .toMillis());
             over(work);
-            String answer = chance() < badAnswers ? "q" + work.part + " bad 0 -\n"
-                    : "q" + work.part + " good 0 -\n"
-                    + (work.ask == null ? Referee.valueOf(work.query, work.keys) : page(work));
+            String answer =
+                    chance() < badAnswers
+                            ? "q" + work.part + " bad 0 -\n"
+                            : "q"
+                                    + work.part
+                                    + " good 0 -\n"
+                                    + (work.ask == null
+                                            ? Referee.valueOf(work.query, work.keys)
+                                            : page(work));
             if (chance() < lateAnswers) {
-                workers.schedule(() -> late(work.socket, answer), (long) (chance() * 500), TimeUnit.MILLISECONDS);
+                workers.schedule(
+                        () -> late(work.socket, answer),
+                        (long) (chance() * 500),
+                        TimeUnit.MILLISECONDS);
             } else {
                 send(work.socket, answer);
             }
@@ -246,8 +296,14 @@
         int most = Integer.MAX_VALUE;
         while (true) {
             Partial partial = SortedRows.answer(asked.order(), asked.asks(), rows, work.keys, most);
-            byte[] bytes = RowForm.partial(spoilsOrder && partial.rows().size() > 1
-                    ? new Partial(work.keys, SortedRows.turned(partial.rows()), partial.next()) : partial);
+            byte[] bytes =
+                    RowForm.partial(
+                            spoilsOrder && partial.rows().size() > 1
+                                    ? new Partial(
+                                            work.keys,
+                                            SortedRows.turned(partial.rows()),
+                                            partial.next())
+                                    : partial);
             if (bytes.length <= ANSWER_MOST) {
                 return new String(bytes, StandardCharsets.UTF_8);
             }
@@ -275,7 +331,8 @@
 
     /** What nodes hand over with a slice: which keys of a deduplicated query have run. */
     private boolean repeated(String query, KeyRange keys) {
-        Map<KeyRange, Boolean> ran = seen.runs().computeIfAbsent(query, key -> new ConcurrentHashMap<>());
+        Map<KeyRange, Boolean> ran =
+                seen.runs().computeIfAbsent(query, key -> new ConcurrentHashMap<>());
         synchronized (ran) {
             boolean before = ran.keySet().stream().anyMatch(keys::meets);
             ran.put(keys, true);
@@ -307,8 +364,12 @@
             }
             term = by;
             boolean own = words[6].equals(dial());
-            long readyAt = copies.computeIfAbsent(slice,
-                    key -> System.nanoTime() + (long) (chance.nextDouble() * COPY_MOST.toNanos()));
+            long readyAt =
+                    copies.computeIfAbsent(
+                            slice,
+                            key ->
+                                    System.nanoTime()
+                                            + (long) (chance.nextDouble() * COPY_MOST.toNanos()));
             boolean copied = order == Order.COPY && (own || System.nanoTime() - readyAt >= 0);
             if (order == Order.DROP) {
                 copies.remove(slice);
@@ -318,7 +379,10 @@
         send(socket, "s" + order + " " + words[1] + " " + slice + " " + (done ? "done" : "busy"));
     }
 
-    /** What it has: each row is what has run of a query whose keys begin there, the same wherever it was copied to. */
+    /**
+     * What it has: each row is what has run of a query whose keys begin there, the same wherever it
+     * was copied to.
+     */
     private void say(Socket socket, String[] words) throws IOException {
         StringBuilder said = new StringBuilder();
         boolean has;
@@ -330,21 +394,37 @@
         }
         for (String range : words[3].split(",")) {
             int dash = range.indexOf('-');
-            KeyRange keys = new KeyRange(Long.parseLong(range.substring(0, dash)),
-                    Long.parseLong(range.substring(dash + 1)));
+            KeyRange keys =
+                    new KeyRange(
+                            Long.parseLong(range.substring(0, dash)),
+                            Long.parseLong(range.substring(dash + 1)));
             TreeSet<String> rows = new TreeSet<>();
-            seen.runs().forEach((query, ran) -> ran.keySet().stream().filter(one -> at(query, one, keys))
-                    .forEach(one -> rows.add(query + " " + one)));
-            said.append(said.isEmpty() ? "" : ",").append(String.format("{\"from\":%d,\"to\":%d,\"open\":0,\"mark\":%d,"
-                    + "\"rows\":%d,\"bytes\":%d,\"digest\":\"%x%s\"}", keys.from(), keys.to(), rows.size(), rows.size(),
-                    100 * rows.size(), rows.toString().hashCode(), spoilt ? "x" : ""));
+            seen.runs()
+                    .forEach(
+                            (query, ran) ->
+                                    ran.keySet().stream()
+                                            .filter(one -> at(query, one, keys))
+                                            .forEach(one -> rows.add(query + " " + one)));
+            said.append(said.isEmpty() ? "" : ",")
+                    .append(
+                            String.format(
+                                    "{\"from\":%d,\"to\":%d,\"open\":0,\"mark\":%d,"
+                                            + "\"rows\":%d,\"bytes\":%d,\"digest\":\"%x%s\"}",
+                                    keys.from(),
+                                    keys.to(),
+                                    rows.size(),
+                                    rows.size(),
+                                    100 * rows.size(),
+                                    rows.toString().hashCode(),
+                                    spoilt ? "x" : ""));
         }
         send(socket, "sSAY " + words[1] + " " + words[2] + " {\"said\":[" + said + "]}");
     }
 
     /** A row lies at one of the keys that its query asked for. */
     private static boolean at(String query, KeyRange asked, KeyRange keys) {
-        long key = asked.from() + Math.floorMod(query.hashCode() * 0x9E3779B97F4A7C15L, asked.size());
+        long key =
+                asked.from() + Math.floorMod(query.hashCode() * 0x9E3779B97F4A7C15L, asked.size());
         return keys.from() <= key && key < keys.to();
     }
 
@@ -355,14 +435,20 @@
 
     private static void send(Socket socket, String frame) throws IOException {
         byte[] bytes = frame.getBytes(StandardCharsets.UTF_8);
-        byte[] framed = ByteBuffer.allocate(Integer.BYTES + bytes.length).order(ByteOrder.LITTLE_ENDIAN)
-                .putInt(bytes.length).put(bytes).array();
+        byte[] framed =
+                ByteBuffer.allocate(Integer.BYTES + bytes.length)
+                        .order(ByteOrder.LITTLE_ENDIAN)
+                        .putInt(bytes.length)
+                        .put(bytes)
+                        .array();
         synchronized (socket) {
             socket.getOutputStream().write(framed);
         }
     }
 
-    /** What it has of the key space; of a slice it gives the rows that lie in the keys asked for. */
+    /**
+     * What it has of the key space; of a slice it gives the rows that lie in the keys asked for.
+     */
     void rows(List<Row> all) {
         rows = List.copyOf(all);
     }
--- a/src/main/java/postbeam/rig/StandIns.java
+++ b/src/main/java/postbeam/rig/StandIns.java
@@ -14,15 +14,19 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A stand-in as a process of its own: says where it listens, does what its standard input says, a line each, and ends
- * with it, so that none outlives whoever started it.
+ * A stand-in as a process of its own: says where it listens, does what its standard input says, a
+ * line each, and ends with it, so that none outlives whoever started it.
  */
 final class StandIns {
     private StandIns() {}
 
-    /** "discovery", then how many that each are told another list; or "node", then as {@link #node} has it. */
+    /**
+     * "discovery", then how many that each are told another list; or "node", then as {@link #node}
+     * has it.
+     */
     public static void main(String[] args) throws IOException {
-        BufferedReader told = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
+        BufferedReader told =
+                new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         if (args[0].equals("discovery")) {
             discovery(Integer.parseInt(args[1]), told);
         } else {
@@ -37,7 +41,11 @@
         for (int i = 0; i < count; i++) {
             all.add(new StandInDiscovery(""));
         }
-        System.out.println("at " + all.stream().map(StandInDiscovery::address).collect(Collectors.joining(",")));
+        System.out.println(
+                "at "
+                        + all.stream()
+                                .map(StandInDiscovery::address)
+                                .collect(Collectors.joining(",")));
         String line;
         while ((line = told.readLine()) != null) {
             int space = line.indexOf(' ');
@@ -46,17 +54,23 @@
     }
 
     /**
-     * NAME ZONE FOLDER START_NANOS SEED SLICED WORK_MICROS COLD: the folder is for what it sees. Hears "hang BOOLEAN",
-     * "slow TIMES" and "troubles BAD LATE".
+     * NAME ZONE FOLDER START_NANOS SEED SLICED WORK_MICROS COLD: the folder is for what it sees.
+     * Hears "hang BOOLEAN", "slow TIMES" and "troubles BAD LATE".
      */
     private static void node(String[] args, BufferedReader told) throws IOException {
-        Testimony.Node seen = new Testimony.Node(Path.of(args[3]), args[1], Long.parseLong(args[4]));
+        Testimony.Node seen =
+                new Testimony.Node(Path.of(args[3]), args[1], Long.parseLong(args[4]));
         Map<String, Map<postbeam.slices.KeyRange, Boolean>> runs = new ConcurrentHashMap<>();
         if (Boolean.parseBoolean(args[8])) {
             seen.nodeStarted(seen.now(), args[1]);
         }
-        StandInNode node = new StandInNode(args[1], args[2], new StandInNode.Seen(seen, seen::now, runs),
-                RandomSource.XO_RO_SHI_RO_128_PP.create(Long.parseLong(args[5])), !Boolean.parseBoolean(args[6]));
+        StandInNode node =
+                new StandInNode(
+                        args[1],
+                        args[2],
+                        new StandInNode.Seen(seen, seen::now, runs),
+                        RandomSource.XO_RO_SHI_RO_128_PP.create(Long.parseLong(args[5])),
+                        !Boolean.parseBoolean(args[6]));
         node.works(Duration.ofNanos(Long.parseLong(args[7]) * 1000));
         System.out.println("at " + node.dial());
         String line;
@@ -65,7 +79,8 @@
             switch (words[0]) {
                 case "hang" -> node.hang(Boolean.parseBoolean(words[1]));
                 case "slow" -> node.slow(Integer.parseInt(words[1]));
-                default -> node.troubles(Double.parseDouble(words[1]), Double.parseDouble(words[2]));
+                default ->
+                        node.troubles(Double.parseDouble(words[1]), Double.parseDouble(words[2]));
             }
         }
     }
--- a/src/main/java/postbeam/rig/Takes.java
+++ b/src/main/java/postbeam/rig/Takes.java
@@ -5,11 +5,12 @@
 import java.util.List;
 
 /**
- * What routers took of one cold node's budget, each within a span that was seen from outside: begun and ended. Only what
- * surely lies in a window is summed, so what it finds is a violation whatever the machine was doing.
+ * What routers took of one cold node's budget, each within a span that was seen from outside: begun
+ * and ended. Only what surely lies in a window is summed, so what it finds is a violation whatever
+ * the machine was doing.
  */
 final class Takes {
-    private record Take(Duration begun, Duration ended, double work) { }
+    private record Take(Duration begun, Duration ended, double work) {}
 
     private final List<Take> takes = new ArrayList<>();
 
@@ -26,8 +27,16 @@
         double most = 0;
         for (Take first : takes) {
             Duration end = first.begun.plus(window);
-            most = Math.max(most, takes.stream().filter(one -> one.begun.compareTo(first.begun) >= 0
-                    && one.ended.compareTo(end) <= 0).mapToDouble(Take::work).sum());
+            most =
+                    Math.max(
+                            most,
+                            takes.stream()
+                                    .filter(
+                                            one ->
+                                                    one.begun.compareTo(first.begun) >= 0
+                                                            && one.ended.compareTo(end) <= 0)
+                                    .mapToDouble(Take::work)
+                                    .sum());
         }
         return most;
     }
--- a/src/main/java/postbeam/rig/Testimony.java
+++ b/src/main/java/postbeam/rig/Testimony.java
@@ -17,13 +17,14 @@
 import postbeam.slices.KeyRange;
 
 /**
- * What clients here and nodes in processes of their own saw, told to a referee in the order of its times. Times are
- * spans on the machine's one monotonic clock, which all processes read; each is taken before what it leads to.
+ * What clients here and nodes in processes of their own saw, told to a referee in the order of its
+ * times. Times are spans on the machine's one monotonic clock, which all processes read; each is
+ * taken before what it leads to.
  */
 final class Testimony implements Witness.AtClients {
     private static final String SUFFIX = ".seen";
 
-    private record Event(Duration at, Consumer<Referee> what) { }
+    private record Event(Duration at, Consumer<Referee> what) {}
 
     private final List<Event> events = new ArrayList<>();
 
@@ -32,8 +33,16 @@
     }
 
     @Override
-    public void asked(Duration now, String id, String router, Referee.Kind kind, double need, double floor,
-            long version, List<Referee.Wanted> wanted, Duration until) {
+    public void asked(
+            Duration now,
+            String id,
+            String router,
+            Referee.Kind kind,
+            double need,
+            double floor,
+            long version,
+            List<Referee.Wanted> wanted,
+            Duration until) {
         add(now, to -> to.asked(now, id, router, kind, need, floor, version, wanted, until));
     }
 
@@ -53,18 +62,25 @@
     }
 
     @Override
-    public void answered(Duration now, String query, boolean whole, long counted, List<Referee.Value> values) {
+    public void answered(
+            Duration now, String query, boolean whole, long counted, List<Referee.Value> values) {
         add(now, to -> to.answered(now, query, whole, counted, values));
     }
 
-    /** Tells a referee all of it, with what nodes wrote in this folder; nothing may be added any more. */
+    /**
+     * Tells a referee all of it, with what nodes wrote in this folder; nothing may be added any
+     * more.
+     */
     synchronized void tell(Referee referee, Path folder, Duration end) throws IOException {
         List<Event> all = new ArrayList<>(events);
         try (Stream<Path> files = Files.list(folder)) {
-            for (Path file : files.filter(one -> one.toString().endsWith(SUFFIX)).sorted().toList()) {
+            for (Path file :
+                    files.filter(one -> one.toString().endsWith(SUFFIX)).sorted().toList()) {
                 String text = Files.readString(file);
                 // A process that was killed may have left half a line.
-                text.substring(0, text.lastIndexOf('\n') + 1).lines().forEach(line -> all.add(event(line.split(" "))));
+                text.substring(0, text.lastIndexOf('\n') + 1)
+                        .lines()
+                        .forEach(line -> all.add(event(line.split(" "))));
             }
         }
         all.sort(Comparator.comparing(Event::at));
@@ -75,27 +91,44 @@
     /** Calls to a node since it last started cold. */
     long calls(Path folder, String node) throws IOException {
         String text = Files.readString(folder.resolve(node + SUFFIX));
-        return text.substring(Math.max(0, text.lastIndexOf("started "))).lines()
-                .filter(line -> line.startsWith("called ")).count();
+        return text.substring(Math.max(0, text.lastIndexOf("started ")))
+                .lines()
+                .filter(line -> line.startsWith("called "))
+                .count();
     }
 
     private static Event event(String[] words) {
         Duration at = Duration.ofNanos(Long.parseLong(words[1]));
-        return new Event(at, switch (words[0]) {
-            case "started" -> to -> to.nodeStarted(at, words[2]);
-            case "called" -> to -> to.called(at, words[2], words[3], words[4], keys(words, 5), Long.parseLong(words[7]),
-                    Duration.ofNanos(Long.parseLong(words[8])));
-            case "ran" -> to -> to.ran(at, words[2], words[3], keys(words, 4));
-            case "over" -> to -> to.over(words[2], words[3]);
-            default -> throw new IllegalArgumentException("not what a node writes: " + words[0]);
-        });
+        return new Event(
+                at,
+                switch (words[0]) {
+                    case "started" -> to -> to.nodeStarted(at, words[2]);
+                    case "called" ->
+                            to ->
+                                    to.called(
+                                            at,
+                                            words[2],
+                                            words[3],
+                                            words[4],
+                                            keys(words, 5),
+                                            Long.parseLong(words[7]),
+                                            Duration.ofNanos(Long.parseLong(words[8])));
+                    case "ran" -> to -> to.ran(at, words[2], words[3], keys(words, 4));
+                    case "over" -> to -> to.over(words[2], words[3]);
+                    default ->
+                            throw new IllegalArgumentException(
+                                    "not what a node writes: " + words[0]);
+                });
     }
 
     private static KeyRange keys(String[] words, int at) {
         return new KeyRange(Long.parseLong(words[at]), Long.parseLong(words[at + 1]));
     }
 
-    /** A node's side: a line an event, in the file once it is written, whatever becomes of the process. */
+    /**
+     * A node's side: a line an event, in the file once it is written, whatever becomes of the
+     * process.
+     */
     static final class Node implements Witness.AtNodes, Closeable {
         private final OutputStream out;
         private final long startNanos;
@@ -128,9 +161,24 @@
         }
 
         @Override
-        public void called(Duration now, String node, String query, String part, KeyRange keys, long version,
+        public void called(
+                Duration now,
+                String node,
+                String query,
+                String part,
+                KeyRange keys,
+                long version,
                 Duration work) {
-            write("called", now, node, query, part, keys.from(), keys.to(), version, work.toNanos());
+            write(
+                    "called",
+                    now,
+                    node,
+                    query,
+                    part,
+                    keys.from(),
+                    keys.to(),
+                    version,
+                    work.toNanos());
         }
 
         @Override
--- a/src/main/java/postbeam/rig/TogetherTrial.java
+++ b/src/main/java/postbeam/rig/TogetherTrial.java
@@ -11,27 +11,43 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Processes of the built program under load, with faults between and to them, each drawn from the seed. */
+/**
+ * Processes of the built program under load, with faults between and to them, each drawn from the
+ * seed.
+ */
 final class TogetherTrial implements Trial {
     private static final int NODES = 6;
     private static final int ROUTERS = 4;
     private static final int SHARDS = 8;
     private static final double RATE = 120;
     private static final int FAULTS = 24;
+
     /** Between two faults, in milliseconds, and up to so much more. */
     private static final int BEAT = 300;
+
     private static final int BEAT_MORE = 700;
     private static final String UNTOLD = "drain-untold";
 
-    /** Defects that a wrong configuration makes of a router: it keeps to less than its referee holds it to. */
+    /**
+     * Defects that a wrong configuration makes of a router: it keeps to less than its referee holds
+     * it to.
+     */
     private static final Map<String, UnaryOperator<String>> ALTERED = new LinkedHashMap<>();
 
     static {
-        ALTERED.put("whole-budget", config -> config.replace("\"nInstances\":" + ROUTERS, "\"nInstances\":1")
-                .replace("\"fallMultiple\":2", "\"fallMultiple\":8"));
-        ALTERED.put("holds-repeat", config -> config.replace("\"effect\":\"fragile\"", "\"effect\":\"retryable\""));
-        ALTERED.put("low-floor", config -> config.replace("\"leastShare\":[0.75,0.5,1,1]",
-                "\"leastShare\":[0.1,0.1,1,1]"));
+        ALTERED.put(
+                "whole-budget",
+                config ->
+                        config.replace("\"nInstances\":" + ROUTERS, "\"nInstances\":1")
+                                .replace("\"fallMultiple\":2", "\"fallMultiple\":8"));
+        ALTERED.put(
+                "holds-repeat",
+                config -> config.replace("\"effect\":\"fragile\"", "\"effect\":\"retryable\""));
+        ALTERED.put(
+                "low-floor",
+                config ->
+                        config.replace(
+                                "\"leastShare\":[0.75,0.5,1,1]", "\"leastShare\":[0.1,0.1,1,1]"));
     }
 
     @Override
@@ -41,7 +57,12 @@
 
     @Override
     public String about() {
-        return ROUTERS + " routers and " + NODES + " nodes as processes, " + FAULTS + " faults by seed: ways cut, cut one "
+        return ROUTERS
+                + " routers and "
+                + NODES
+                + " nodes as processes, "
+                + FAULTS
+                + " faults by seed: ways cut, cut one "
                 + "way, silent, slow, reordered or reset; processes killed, stopped, woken; drains";
     }
 
@@ -56,22 +77,45 @@
     public Result run(long seed, String defect) {
         List<String> figures = new ArrayList<>();
         List<String> broken = new ArrayList<>();
-        UnaryOperator<String> altered = ALTERED.getOrDefault(String.valueOf(defect), config -> config);
-        try (ProcessFleet fleet = new ProcessFleet(new ProcessFleet.Size(NODES, ROUTERS, SHARDS, false,
-                ProcessFleet.PATIENT, (all, file, text) -> altered.apply(text)), seed)) {
+        UnaryOperator<String> altered =
+                ALTERED.getOrDefault(String.valueOf(defect), config -> config);
+        try (ProcessFleet fleet =
+                new ProcessFleet(
+                        new ProcessFleet.Size(
+                                NODES,
+                                ROUTERS,
+                                SHARDS,
+                                false,
+                                ProcessFleet.PATIENT,
+                                (all, file, text) -> altered.apply(text)),
+                        seed)) {
             ProcessFleet.Clients clients = fleet.clients(RATE, seed + 1);
             Load load = clients.load;
             try {
-                new Script(fleet, RandomSource.XO_RO_SHI_RO_128_PP.create(seed + 2), UNTOLD.equals(defect)).play();
+                new Script(
+                                fleet,
+                                RandomSource.XO_RO_SHI_RO_128_PP.create(seed + 2),
+                                UNTOLD.equals(defect))
+                        .play();
                 clients.allServe();
             } catch (IOException e) {
                 broken.add(e.getMessage());
             }
             clients.stop();
             Referee judged = fleet.judged();
-            figures.add(String.format(Locale.ROOT, "seed %d: %d queries, %.4f in SLO time; %d calls, %d further, %d runs; "
-                    + "99th percentile %.0f ms; statuses %s", seed, load.asked(), load.inTime(), judged.calls(),
-                    judged.further(), judged.runs(), load.millis(99), load.statuses()));
+            figures.add(
+                    String.format(
+                            Locale.ROOT,
+                            "seed %d: %d queries, %.4f in SLO time; %d calls, %d further, %d runs; "
+                                    + "99th percentile %.0f ms; statuses %s",
+                            seed,
+                            load.asked(),
+                            load.inTime(),
+                            judged.calls(),
+                            judged.further(),
+                            judged.runs(),
+                            load.millis(99),
+                            load.statuses()));
             broken.addAll(judged.broken());
         } catch (IOException e) {
             broken.add("the fleet broke: " + e);
@@ -97,18 +141,28 @@
                 String node = "n" + chance.nextInt(NODES);
                 Relay way = fleet.way(router, node);
                 switch (chance.nextInt(8)) {
-                    case 0, 1 -> way.set(Relay.Way.values()[chance.nextInt(2)], Relay.Fault.values()[1 + chance.nextInt(2)],
-                            Duration.ZERO);
+                    case 0, 1 ->
+                            way.set(
+                                    Relay.Way.values()[chance.nextInt(2)],
+                                    Relay.Fault.values()[1 + chance.nextInt(2)],
+                                    Duration.ZERO);
                     case 2 -> way.both(Relay.Fault.CUT, Duration.ZERO);
-                    case 3 -> way.both(Relay.Fault.values()[3 + chance.nextInt(2)], Duration.ofMillis(chance.nextInt(100)));
+                    case 3 ->
+                            way.both(
+                                    Relay.Fault.values()[3 + chance.nextInt(2)],
+                                    Duration.ofMillis(chance.nextInt(100)));
                     case 4 -> way.reset();
                     case 5 -> fleet.healAll();
                     case 6 -> {
                         if (down != null) {
                             fleet.start(down);
                         }
-                        down = down != null ? null : chance.nextInt(3) == 0 && !router.equals(stopped) ? router
-                                : node.equals(draining) ? null : node;
+                        down =
+                                down != null
+                                        ? null
+                                        : chance.nextInt(3) == 0 && !router.equals(stopped)
+                                                ? router
+                                                : node.equals(draining) ? null : node;
                         if (down != null) {
                             fleet.kill(down);
                         }
--- a/src/main/java/postbeam/rig/Trial.java
+++ b/src/main/java/postbeam/rig/Trial.java
@@ -21,5 +21,5 @@
     Result run(long seed, String defect);
 
     /** Figures, a line each, and what broke; the latter empty where all rules held. */
-    record Result(List<String> figures, List<String> broken) { }
+    record Result(List<String> figures, List<String> broken) {}
 }
--- a/src/main/java/postbeam/rig/TryOut.java
+++ b/src/main/java/postbeam/rig/TryOut.java
@@ -6,13 +6,20 @@
 import java.io.PrintStream;
 import java.time.Duration;
 
-/** A router before a small stand-in fleet in one process, for those who want to see a query answered. */
-@Parameters(commandDescription = "Run a router before a small stand-in fleet and print a query that it answers")
+/**
+ * A router before a small stand-in fleet in one process, for those who want to see a query
+ * answered.
+ */
+@Parameters(
+        commandDescription =
+                "Run a router before a small stand-in fleet and print a query that it answers")
 public final class TryOut {
     @Parameter(names = "--seconds", description = "How long it runs")
     private int seconds = 600;
 
-    @Parameter(names = "--sliced", description = "With a layout service, and slices that can be split and moved")
+    @Parameter(
+            names = "--sliced",
+            description = "With a layout service, and slices that can be split and moved")
     private boolean sliced;
 
     /** The exit status. */
@@ -21,15 +28,24 @@
             String router = stage.routerAddresses.get(0);
             out.println("A router serves at " + router + " before 3 stand-in data nodes. Ask it:");
             out.println();
-            out.println("    curl -i 'http://" + router + "/lookup?obj=7f' -H 'Req-Id: q1' -H 'Req-Owner: acme' "
-                    + "-H 'Req-Deadline-Ms: 3000' -d '{\"ranges\":[{\"range\":0,\"portion\":0.5},"
-                    + "{\"range\":1,\"portion\":0.5}],\"predicate\":\"c41e77d0\"}'");
+            out.println(
+                    "    curl -i 'http://"
+                            + router
+                            + "/lookup?obj=7f' -H 'Req-Id: q1' -H 'Req-Owner: acme' -H"
+                            + " 'Req-Deadline-Ms: 3000' -d"
+                            + " '{\"ranges\":[{\"range\":0,\"portion\":0.5},"
+                            + "{\"range\":1,\"portion\":0.5}],\"predicate\":\"c41e77d0\"}'");
             out.println();
             if (sliced) {
-                out.println("The layout is told at http://" + stage.layouts() + "/v1/layout; to split slice 0:");
+                out.println(
+                        "The layout is told at http://"
+                                + stage.layouts()
+                                + "/v1/layout; to split slice 0:");
                 out.println();
-                out.println("    java -jar target/postbeam.jar layouts start --service " + stage.layouts()
-                        + " --change '{\"split\": 0, \"at\": [1000]}'");
+                out.println(
+                        "    java -jar target/postbeam.jar layouts start --service "
+                                + stage.layouts()
+                                + " --change '{\"split\": 0, \"at\": [1000]}'");
                 out.println();
             }
             out.println("It ends after " + seconds + " s, or with Ctrl-C.");
--- a/src/main/java/postbeam/rig/VirtualMoves.java
+++ b/src/main/java/postbeam/rig/VirtualMoves.java
@@ -23,25 +23,41 @@
 import postbeam.slices.Target;
 import postbeam.state.Readiness;
 
-/** The one who moves slices, on the jumping clock: dies at a record or at any time, and comes back from its log. */
+/**
+ * The one who moves slices, on the jumping clock: dies at a record or at any time, and comes back
+ * from its log.
+ */
 final class VirtualMoves {
-    static final MoveLimits LIMITS = new MoveLimits(4, 4, 4, Duration.ofMillis(1500), Duration.ofSeconds(2),
-            Duration.ofMillis(500), Duration.ofMillis(100), 2, 2);
+    static final MoveLimits LIMITS =
+            new MoveLimits(
+                    4,
+                    4,
+                    4,
+                    Duration.ofMillis(1500),
+                    Duration.ofSeconds(2),
+                    Duration.ofMillis(500),
+                    Duration.ofMillis(100),
+                    2,
+                    2);
     private static final long HISTORY = 12;
     private static final Duration LOOK = Duration.ofMillis(20);
     private static final double LOST_MESSAGES = 0.05;
 
     private final World world;
+
     /** What is on disk. */
     private final List<byte[]> records = new ArrayList<>();
+
     private final Map<String, Map<KeyRange, Boolean>> runs = new HashMap<>();
     private Coordinator coordinator;
     private Map<String, Target.Known> list = new LinkedHashMap<>();
     private final Map<String, Long> startedMicros = new HashMap<>();
     private long listVersion;
     private int life;
+
     /** Records that it may still write before it dies; below 0: as many as it likes. */
     private int recordsLeft = -1;
+
     private Duration awayFor = Duration.ZERO;
     private int begun;
     private int cut;
@@ -49,8 +65,16 @@
 
     VirtualMoves(World world, Layout first) {
         this.world = world;
-        records.add(RecordForm.write(new Logged.Whole(first, first.version, 0, first.slices().size() - 1, List.of(),
-                null, List.of())));
+        records.add(
+                RecordForm.write(
+                        new Logged.Whole(
+                                first,
+                                first.version,
+                                0,
+                                first.slices().size() - 1,
+                                List.of(),
+                                null,
+                                List.of())));
     }
 
     void start() {
@@ -101,11 +125,22 @@
             return;
         }
         int mine = life;
-        world.hop(() -> world.node(tell.node()).ordered(tell, () -> {
-            if (mine == life && !(world.troubled() && world.with(LOST_MESSAGES))) {
-                coordinator.done(tell.move(), tell.node(), tell.order(), tell.slice());
-            }
-        }));
+        world.hop(
+                () ->
+                        world.node(tell.node())
+                                .ordered(
+                                        tell,
+                                        () -> {
+                                            if (mine == life
+                                                    && !(world.troubled()
+                                                            && world.with(LOST_MESSAGES))) {
+                                                coordinator.done(
+                                                        tell.move(),
+                                                        tell.node(),
+                                                        tell.order(),
+                                                        tell.slice());
+                                            }
+                                        }));
     }
 
     void listed(long version, List<Entry> entries) {
@@ -113,18 +148,28 @@
             return;
         }
         listVersion = version;
-        List<String> started = entries.stream().filter(entry -> {
-            Long before = startedMicros.put(entry.name(), entry.startedMicros());
-            return before != null && before != entry.startedMicros();
-        }).map(Entry::name).toList();
+        List<String> started =
+                entries.stream()
+                        .filter(
+                                entry -> {
+                                    Long before =
+                                            startedMicros.put(entry.name(), entry.startedMicros());
+                                    return before != null && before != entry.startedMicros();
+                                })
+                        .map(Entry::name)
+                        .toList();
         list = new LinkedHashMap<>();
-        entries.forEach(entry -> list.put(entry.name(), new Target.Known(entry.zone(), entry.readiness())));
+        entries.forEach(
+                entry -> list.put(entry.name(), new Target.Known(entry.zone(), entry.readiness())));
         if (coordinator != null) {
             coordinator.listed(list, started);
         }
     }
 
-    /** Whether the keys of a deduplicated query have run anywhere: what nodes hand over with a slice, reckoned in one. */
+    /**
+     * Whether the keys of a deduplicated query have run anywhere: what nodes hand over with a
+     * slice, reckoned in one.
+     */
     boolean repeated(String query, KeyRange keys) {
         Map<KeyRange, Boolean> ran = runs.computeIfAbsent(query, key -> new LinkedHashMap<>());
         boolean before = ran.keySet().stream().anyMatch(keys::meets);
@@ -152,8 +197,11 @@
         } else if (ready.isEmpty()) {
             return;
         } else {
-            change = new Change.Move(slice.number(), slice.nodes().get(world.chance.nextInt(slice.nodes().size())),
-                    ready.get(world.chance.nextInt(ready.size())));
+            change =
+                    new Change.Move(
+                            slice.number(),
+                            slice.nodes().get(world.chance.nextInt(slice.nodes().size())),
+                            ready.get(world.chance.nextInt(ready.size())));
         }
         // Now and then an operator takes a node that is gone for dead.
         List<Change> mends = world.with(0.3) ? coordinator.mends() : List.of();
@@ -167,8 +215,15 @@
             // Neighbours that other nodes hold are first brought together.
             Slice other = slices.get(at + 1);
             for (String node : slice.nodes()) {
-                String off = other.nodes().stream().filter(held -> !slice.heldBy(held)).findFirst().orElse(null);
-                Change near = other.heldBy(node) || off == null ? null : new Change.Move(other.number(), off, node);
+                String off =
+                        other.nodes().stream()
+                                .filter(held -> !slice.heldBy(held))
+                                .findFirst()
+                                .orElse(null);
+                Change near =
+                        other.heldBy(node) || off == null
+                                ? null
+                                : new Change.Move(other.number(), off, node);
                 if (near != null && coordinator.problem(near).isEmpty()) {
                     begun++;
                     carryOut(coordinator.plan(near, world.now()));
@@ -182,8 +237,10 @@
         if (coordinator == null) {
             return;
         }
-        List<Move> moves = coordinator.book().moves().stream()
-                .filter(move -> move.why == null && !move.turnsBack).toList();
+        List<Move> moves =
+                coordinator.book().moves().stream()
+                        .filter(move -> move.why == null && !move.turnsBack)
+                        .toList();
         if (!moves.isEmpty()) {
             Move move = moves.get(world.chance.nextInt(moves.size()));
             carryOut(coordinator.abandon(move.id, "an operator's wish", world.now()));
@@ -199,11 +256,13 @@
         }
         life++;
         coordinator = null;
-        world.after(away, () -> {
-            if (coordinator == null) {
-                start();
-            }
-        });
+        world.after(
+                away,
+                () -> {
+                    if (coordinator == null) {
+                        start();
+                    }
+                });
     }
 
     /** Dies right after so many records more are on disk, before it does what they are about. */
@@ -239,9 +298,14 @@
         }
         for (Slice slice : coordinator.book().layout().slices()) {
             for (String node : slice.nodes()) {
-                if (world.node(node).readiness == Readiness.READY && !world.node(node).serves(slice.number())) {
-                    found.add("progress: node " + node + " does not serve slice " + slice.number()
-                            + " which the layout gives it");
+                if (world.node(node).readiness == Readiness.READY
+                        && !world.node(node).serves(slice.number())) {
+                    found.add(
+                            "progress: node "
+                                    + node
+                                    + " does not serve slice "
+                                    + slice.number()
+                                    + " which the layout gives it");
                 }
             }
         }
--- a/src/main/java/postbeam/rig/VirtualRouter.java
+++ b/src/main/java/postbeam/rig/VirtualRouter.java
@@ -66,12 +66,23 @@
         World.kinds().forEach(kind -> verticals.put(kind.name(), kind.vertical()));
         slicing.holders().know(roster::name, at -> at);
         Referee.Rules rules = World.rules();
-        decide = new Decide(this, new Random(seed), new Fleet(slicing.holders()),
-                new Decide.Held(400, world.plan.routers(), null, Duration.ofMillis(500)),
-                new Decide.Calls(3, true, true, true, 16),
-                new Decide.FurtherCalls(rules.freeFurther(), rules.furtherShare(), rules.furtherSpan()),
-                new Decide.ColdPacing(rules.coldFrom(), rules.ramp(), rules.fallMultiple(), rules.fall(),
-                        world.plan.routers(), Duration.ofMillis(1), null));
+        decide =
+                new Decide(
+                        this,
+                        new Random(seed),
+                        new Fleet(slicing.holders()),
+                        new Decide.Held(400, world.plan.routers(), null, Duration.ofMillis(500)),
+                        new Decide.Calls(3, true, true, true, 16),
+                        new Decide.FurtherCalls(
+                                rules.freeFurther(), rules.furtherShare(), rules.furtherSpan()),
+                        new Decide.ColdPacing(
+                                rules.coldFrom(),
+                                rules.ramp(),
+                                rules.fallMultiple(),
+                                rules.fall(),
+                                world.plan.routers(),
+                                Duration.ofMillis(1),
+                                null));
     }
 
     // ---- what happens
@@ -82,7 +93,8 @@
             return;
         }
         listVersion = version;
-        roster.listed(world.now(), entries, true, micros -> Duration.ofNanos(micros * 1000), decide);
+        roster.listed(
+                world.now(), entries, true, micros -> Duration.ofNanos(micros * 1000), decide);
         turnEnded();
     }
 
@@ -93,12 +105,17 @@
         turnEnded();
     }
 
-    void take(String id, World.Kind kind, long version, List<Referee.Wanted> wanted, Duration until) {
+    void take(
+            String id, World.Kind kind, long version, List<Referee.Wanted> wanted, Duration until) {
         Duration now = world.now();
         Query query = new Query(verticals.get(kind.name()), null, now, until);
         try {
-            slicing.take(query, version, wanted.stream()
-                    .map(one -> new Asking(one.slice(), one.weight(), null)).toList());
+            slicing.take(
+                    query,
+                    version,
+                    wanted.stream()
+                            .map(one -> new Asking(one.slice(), one.weight(), null))
+                            .toList());
         } catch (Unroutable e) {
             world.referee.rejected(now, id);
             return;
@@ -129,13 +146,20 @@
         if (q != null && outcome == Outcome.MERGED) {
             q.values.putIfAbsent(call.part, value);
         }
-        decide.leafCallEnded(world.now(), call, outcome, world.now().minus(call.sentAt), call.part.query.hasEnded());
+        decide.leafCallEnded(
+                world.now(),
+                call,
+                outcome,
+                world.now().minus(call.sentAt),
+                call.part.query.hasEnded());
         if (outcome == Outcome.MOVED) {
             slicing.left(call.part, call.node);
-            world.after(Slicing.LEFT_FOR, () -> {
-                slicing.forgiven(call.part.shard, call.node);
-                turnEnded();
-            });
+            world.after(
+                    Slicing.LEFT_FOR,
+                    () -> {
+                        slicing.forgiven(call.part.shard, call.node);
+                        turnEnded();
+                    });
         }
         if (q != null) {
             slicing.recut(call.part.query);
@@ -161,23 +185,41 @@
         String query = open.get(piece.query).id;
         VirtualNode node = world.node(roster.name(call.node));
         long version = slicing.held().version;
-        String part = query + "." + piece.shard + "-" + Long.toHexString(piece.keys.from()) + "#" + call.number;
+        String part =
+                query
+                        + "."
+                        + piece.shard
+                        + "-"
+                        + Long.toHexString(piece.keys.from())
+                        + "#"
+                        + call.number;
         KeyRange keys = piece.keys;
         boolean dropped = piece.query.queryClass().effect == Effect.DEDUPLICATED;
-        world.hop(() -> node.called(query, part, piece.shard, keys, version, dropped, (outcome, value) -> {
-            ended(call, outcome, value);
-            turnEnded();
-        }));
+        world.hop(
+                () ->
+                        node.called(
+                                query,
+                                part,
+                                piece.shard,
+                                keys,
+                                version,
+                                dropped,
+                                (outcome, value) -> {
+                                    ended(call, outcome, value);
+                                    turnEnded();
+                                }));
         Duration until = piece.query.deadline;
         if (call.timeout != null && call.sentAt.plus(call.timeout).compareTo(until) < 0) {
             until = call.sentAt.plus(call.timeout);
         }
-        world.after(until.minus(world.now()), () -> {
-            if (out.containsKey(call)) {
-                ended(call, Outcome.TIMEOUT, null);
-                turnEnded();
-            }
-        });
+        world.after(
+                until.minus(world.now()),
+                () -> {
+                    if (out.containsKey(call)) {
+                        ended(call, Outcome.TIMEOUT, null);
+                        turnEnded();
+                    }
+                });
     }
 
     @Override
@@ -191,8 +233,10 @@
     public void answer(Query query, boolean whole) {
         Open q = open.remove(query);
         Pin.Counted counted = slicing.pinOf(query).counted(query);
-        List<Referee.Value> values = counted.pieces().stream()
-                .map(piece -> new Referee.Value(piece.keys, q.values.get(piece))).toList();
+        List<Referee.Value> values =
+                counted.pieces().stream()
+                        .map(piece -> new Referee.Value(piece.keys, q.values.get(piece)))
+                        .toList();
         world.referee.answered(world.now(), q.id, whole, counted.version(), values);
         world.over(true, q.askedAt);
     }
@@ -209,19 +253,24 @@
 
     @Override
     public void wakeAfter(Duration wait) {
-        world.after(wait, () -> {
-            decide.woken(world.now());
-            turnEnded();
-        });
+        world.after(
+                wait,
+                () -> {
+                    decide.woken(world.now());
+                    turnEnded();
+                });
     }
 
     @Override
     public void probe(DataNode node) {
         VirtualNode probed = world.node(roster.name(node));
-        world.after(Duration.ofMillis(4), () -> {
-            decide.probed(world.now(), node, probed.readiness != postbeam.state.Readiness.GONE);
-            turnEnded();
-        });
+        world.after(
+                Duration.ofMillis(4),
+                () -> {
+                    decide.probed(
+                            world.now(), node, probed.readiness != postbeam.state.Readiness.GONE);
+                    turnEnded();
+                });
     }
 
     @Override
--- a/src/main/java/postbeam/rig/World.java
+++ b/src/main/java/postbeam/rig/World.java
@@ -18,31 +18,56 @@
 import postbeam.state.Vertical;
 
 /**
- * Routers, nodes, clients and the one who moves slices in one thread on a clock that jumps, every choice from one
- * seed. The decisions are the product's own; nodes, network and clients are stand-ins. What it is for is rare
- * meetings: answers that cross a re-cut, moves abandoned half way, a coordinator that dies at any record.
+ * Routers, nodes, clients and the one who moves slices in one thread on a clock that jumps, every
+ * choice from one seed. The decisions are the product's own; nodes, network and clients are
+ * stand-ins. What it is for is rare meetings: answers that cross a re-cut, moves abandoned half
+ * way, a coordinator that dies at any record.
  */
 final class World {
     /** How large, how long and how rough. */
-    record Plan(int nodes, int routers, int slices, int holders, Duration length, double queriesASecond,
-            Duration recutEvery, boolean faults, PlantedSlicing.Defect defect) { }
+    record Plan(
+            int nodes,
+            int routers,
+            int slices,
+            int holders,
+            Duration length,
+            double queriesASecond,
+            Duration recutEvery,
+            boolean faults,
+            PlantedSlicing.Defect defect) {}
 
     private static final Duration SLO = Duration.ofSeconds(1);
     private static final Duration PATIENCE = Duration.ofSeconds(3);
     static final Duration REPEAT_WINDOW = Duration.ofMillis(1500);
+
     /** After the load, for what is open to end and moves to come to rest. */
     private static final Duration SETTLE = Duration.ofSeconds(40);
+
     /** The ways that messages take: mostly this and up to twice it. */
     private static final Duration HOP = Duration.ofMillis(1);
-    private static final Referee.Rules RULES = new Referee.Rules(0.2, Duration.ofSeconds(4), 2, Duration.ofSeconds(1),
-            2, 20, 0.3, Duration.ofSeconds(2), REPEAT_WINDOW);
 
-    /** Any-n searches with a floor, lookups that need every part, keyed bookings, and holds that may run once. */
-    private static final List<Kind> KINDS = List.of(
-            new Kind("search", Effect.REPEATABLE, Referee.Kind.REPEATABLE, 0.75, 0.75),
-            new Kind("lookup", Effect.REPEATABLE, Referee.Kind.REPEATABLE, 1, 0.5),
-            new Kind("book", Effect.DEDUPLICATED, Referee.Kind.DEDUPLICATED, 1, 1),
-            new Kind("hold", Effect.SIDE_EFFECTING, Referee.Kind.SIDE_EFFECTING, 1, 1));
+    private static final Referee.Rules RULES =
+            new Referee.Rules(
+                    0.2,
+                    Duration.ofSeconds(4),
+                    2,
+                    Duration.ofSeconds(1),
+                    2,
+                    20,
+                    0.3,
+                    Duration.ofSeconds(2),
+                    REPEAT_WINDOW);
+
+    /**
+     * Any-n searches with a floor, lookups that need every part, keyed bookings, and holds that may
+     * run once.
+     */
+    private static final List<Kind> KINDS =
+            List.of(
+                    new Kind("search", Effect.REPEATABLE, Referee.Kind.REPEATABLE, 0.75, 0.75),
+                    new Kind("lookup", Effect.REPEATABLE, Referee.Kind.REPEATABLE, 1, 0.5),
+                    new Kind("book", Effect.DEDUPLICATED, Referee.Kind.DEDUPLICATED, 1, 1),
+                    new Kind("hold", Effect.SIDE_EFFECTING, Referee.Kind.SIDE_EFFECTING, 1, 1));
 
     record Kind(String name, Effect effect, Referee.Kind promise, double need, double floor) {
         Vertical vertical() {
@@ -50,7 +75,7 @@
         }
     }
 
-    private record Event(Duration at, long number, Runnable what) { }
+    private record Event(Duration at, long number, Runnable what) {}
 
     final Plan plan;
     final UniformRandomProvider chance;
@@ -74,11 +99,21 @@
         for (int i = 0; i < plan.nodes(); i++) {
             nodes.add(new VirtualNode(this, "n" + i, "z" + i % 3));
         }
-        moves = new VirtualMoves(this, Layout.first(plan.slices(), nodes.stream().map(node -> node.name).toList(),
-                plan.holders()));
+        moves =
+                new VirtualMoves(
+                        this,
+                        Layout.first(
+                                plan.slices(),
+                                nodes.stream().map(node -> node.name).toList(),
+                                plan.holders()));
         for (int i = 0; i < plan.routers(); i++) {
-            routers.add(new VirtualRouter(this, "r" + i, "z" + i % 3, PlantedSlicing.of(plan.defect()),
-                    seed * 31 + i));
+            routers.add(
+                    new VirtualRouter(
+                            this,
+                            "r" + i,
+                            "z" + i % 3,
+                            PlantedSlicing.of(plan.defect()),
+                            seed * 31 + i));
         }
     }
 
@@ -180,8 +215,20 @@
 
     /** Tells all routers and the coordinator of the nodes, each on its own way. */
     void listed() {
-        List<Entry> entries = nodes.stream().map(node -> new Entry(node.name, node.zone, 0,
-                node.startedAt == null ? 0 : Math.max(1, node.startedAt.toNanos() / 1000), node.readiness)).toList();
+        List<Entry> entries =
+                nodes.stream()
+                        .map(
+                                node ->
+                                        new Entry(
+                                                node.name,
+                                                node.zone,
+                                                0,
+                                                node.startedAt == null
+                                                        ? 0
+                                                        : Math.max(
+                                                                1, node.startedAt.toNanos() / 1000),
+                                                node.readiness))
+                        .toList();
         long version = ++listVersion;
         routers.forEach(router -> hop(() -> router.listed(version, entries)));
         hop(() -> moves.listed(version, entries));
@@ -208,7 +255,9 @@
         if (now.compareTo(plan.length()) > 0) {
             return;
         }
-        after(Duration.ofNanos((long) (-Math.log(1 - chance.nextDouble()) / plan.queriesASecond() * 1e9)),
+        after(
+                Duration.ofNanos(
+                        (long) (-Math.log(1 - chance.nextDouble()) / plan.queriesASecond() * 1e9)),
                 this::nextQuery);
         VirtualRouter router = routers.get(chance.nextInt(routers.size()));
         Kind kind = KINDS.get(chance.nextInt(KINDS.size()));
@@ -225,11 +274,27 @@
         Map<Slice, Double> weights = new LinkedHashMap<>();
         named.forEach(slice -> weights.put(slice, 0.2 + chance.nextDouble()));
         double sum = weights.values().stream().mapToDouble(Double::doubleValue).sum();
-        List<Referee.Wanted> wanted = weights.entrySet().stream().map(entry -> new Referee.Wanted(
-                entry.getKey().number(), entry.getKey().keys(), entry.getValue() / sum)).toList();
+        List<Referee.Wanted> wanted =
+                weights.entrySet().stream()
+                        .map(
+                                entry ->
+                                        new Referee.Wanted(
+                                                entry.getKey().number(),
+                                                entry.getKey().keys(),
+                                                entry.getValue() / sum))
+                        .toList();
         String id = router.name + "q" + asked++;
         Duration until = now.plus(PATIENCE);
-        referee.asked(now, id, router.name, kind.promise(), kind.need(), kind.floor(), layout.version, wanted, until);
+        referee.asked(
+                now,
+                id,
+                router.name,
+                kind.promise(),
+                kind.need(),
+                kind.floor(),
+                layout.version,
+                wanted,
+                until);
         hop(() -> router.take(id, kind, layout.version, wanted, until));
     }
 
@@ -255,8 +320,11 @@
         after(upTo(Duration.ofSeconds(3)), this::nextTrouble);
         VirtualNode node = nodes.get(chance.nextInt(nodes.size()));
         switch (chance.nextInt(7)) {
-            case 0 -> node.crash(with(0.2) ? Duration.ofSeconds(4).plus(upTo(Duration.ofSeconds(8)))
-                    : upTo(Duration.ofSeconds(3)));
+            case 0 ->
+                    node.crash(
+                            with(0.2)
+                                    ? Duration.ofSeconds(4).plus(upTo(Duration.ofSeconds(8)))
+                                    : upTo(Duration.ofSeconds(3)));
             case 1 -> node.slow(1 + chance.nextInt(30), upTo(Duration.ofSeconds(2)));
             case 2 -> node.hang(upTo(Duration.ofSeconds(2)));
             case 3 -> node.drain(upTo(Duration.ofSeconds(4)));
@@ -277,6 +345,9 @@
 
     /** Nodes that are there and want work. */
     List<String> ready() {
-        return nodes.stream().filter(node -> node.readiness == Readiness.READY).map(node -> node.name).toList();
+        return nodes.stream()
+                .filter(node -> node.readiness == Readiness.READY)
+                .map(node -> node.name)
+                .toList();
     }
 }
--- a/src/main/java/postbeam/roster/DiscoveryPacing.java
+++ b/src/main/java/postbeam/roster/DiscoveryPacing.java
@@ -5,86 +5,142 @@
 import java.util.function.IntFunction;
 
 /**
- * When discovery is asked for a watch, where it tells nothing unasked: at once, and again after a failure or no answer.
- * Guards against a list that no longer changes, and against all routers asking again in step after an outage: each
- * pause is drawn, and longer at first. It could hurt where a pause outlasts the outage: hence {@code ROOM}. No I/O,
- * clock or thread.
+ * When discovery is asked for a watch, where it tells nothing unasked: at once, and again after a
+ * failure or no answer. Guards against a list that no longer changes, and against all routers
+ * asking again in step after an outage: each pause is drawn, and longer at first. It could hurt
+ * where a pause outlasts the outage: hence {@code ROOM}. No I/O, clock or thread.
  */
 public final class DiscoveryPacing {
     /**
-     * What discovery had and could be reached for counts as told so much later, whatever calls were then out, had
-     * failed or had been refused: by the protocol.
+     * What discovery had and could be reached for counts as told so much later, whatever calls were
+     * then out, had failed or had been refused: by the protocol.
      */
     private static final Duration TOLD_AFTER = Duration.ofSeconds(6);
+
     /** Left of that for a router that is late on its part of a core, and for reading the list. */
     private static final Duration LATE = Duration.ofMillis(500);
+
     /**
-     * The one bound on every pace. Calls that begin once discovery is back are answered, so what is out then costs
-     * most: a watch for its hold and what it is waited for over that, or else a whole list for as long as it may take;
-     * then the longest pause, and a whole list. However many calls failed before:
+     * The one bound on every pace. Calls that begin once discovery is back are answered, so what is
+     * out then costs most: a watch for its hold and what it is waited for over that, or else a
+     * whole list for as long as it may take; then the longest pause, and a whole list. However many
+     * calls failed before:
      *
      * <pre>max(hold + over, answer) + longestPause + answer &lt;= ROOM</pre>
      *
-     * Where the agent is asked, pause and answer fit in twice: one more call may fail after it is back.
+     * Where the agent is asked, pause and answer fit in twice: one more call may fail after it is
+     * back.
      */
     private static final Duration ROOM = TOLD_AFTER.minus(LATE);
 
     /**
-     * Where the agent on the router's own machine is asked: it answers at once, back from an outage too, and what it
-     * has then counts at once. So a whole list that has not begun by then is given up and asked for anew: an outage
-     * ends for the router some 350 ms after it did, and nodes may leave within 500 ms. It could hurt where a busy
-     * machine keeps the agent from answering: hence each so many-th call is waited for as long as its answer may take.
+     * Where the agent on the router's own machine is asked: it answers at once, back from an outage
+     * too, and what it has then counts at once. So a whole list that has not begun by then is given
+     * up and asked for anew: an outage ends for the router some 350 ms after it did, and nodes may
+     * leave within 500 ms. It could hurt where a busy machine keeps the agent from answering: hence
+     * each so many-th call is waited for as long as its answer may take.
      */
     private static final Duration FREE_BEGIN = Duration.ofMillis(250);
+
     /** Calls: 19 of them and their pauses are 6.7 s, longer than the outages that were met. */
     private static final int PATIENT_EACH = 20;
-    /** How long a whole list from it may take once it has begun, with its connecting and its beginning. */
+
+    /**
+     * How long a whole list from it may take once it has begun, with its connecting and its
+     * beginning.
+     */
     private static final Duration FREE_ANSWER = Duration.ofSeconds(1);
+
     /** Between calls to it: soon enough for a watch to go on, and no loop that takes the core. */
     private static final Duration FREE_PAUSE = Duration.ofMillis(100);
-    /** A small GET each second, for a silent watch that is found 1.5 s after it began; 4 s would save three of four. */
+
+    /**
+     * A small GET each second, for a silent watch that is found 1.5 s after it began; 4 s would
+     * save three of four.
+     */
     private static final Duration FREE_HOLD = Duration.ofSeconds(1);
+
     private static final Duration FREE_OVER = Duration.ofMillis(500);
 
-    /** How long a call may take where discovery itself answers: it turns away what it could not answer within that. */
+    /**
+     * How long a call may take where discovery itself answers: it turns away what it could not
+     * answer within that.
+     */
     private static final Duration PRICED_ANSWER = Duration.ofSeconds(2);
-    /** First pause after a failure, doubled with each: a call takes discovery some ms for each router. */
+
+    /**
+     * First pause after a failure, doubled with each: a call takes discovery some ms for each
+     * router.
+     */
     private static final Duration PAUSE = Duration.ofMillis(500);
-    /** The longest that a drawn pause gets: longer ones are taken from how long a call may be silent. */
+
+    /**
+     * The longest that a drawn pause gets: longer ones are taken from how long a call may be
+     * silent.
+     */
     private static final Duration LONGEST_PAUSE = Duration.ofMillis(1_200);
+
     /** The longest that a drawn pause gets, as a multiple of its mean. */
     private static final double DRAWN_MOST = 1.5;
-    /** No mean below this, whatever the settings say: as for the agent, no loop, and routers stay drawn apart. */
+
+    /**
+     * No mean below this, whatever the settings say: as for the agent, no loop, and routers stay
+     * drawn apart.
+     */
     private static final Duration SHORTEST_MEAN = FREE_PAUSE.multipliedBy(2);
+
     /**
-     * What is left for a call that tells nothing: over what discovery takes to answer. A watch is held for what it is
-     * not waited for over its hold. A longer hold would save calls (one each 1.5 s and router, which tell no line of a
-     * list while nothing changes), but what a silent one missed would be asked for after it counts as told.
+     * What is left for a call that tells nothing: over what discovery takes to answer. A watch is
+     * held for what it is not waited for over its hold. A longer hold would save calls (one each
+     * 1.5 s and router, which tell no line of a list while nothing changes), but what a silent one
+     * missed would be asked for after it counts as told.
      */
     private static final Duration SILENT = ROOM.minus(LONGEST_PAUSE).minus(PRICED_ANSWER);
+
     private static final Duration PRICED_OVER = Duration.ofMillis(800);
 
     /** How long a watch may wait for what no clock counts: as in the protocol's example. */
     private static final Duration FAR_HOLD = Duration.ofSeconds(20);
+
     private static final Duration FAR_OVER = Duration.ofSeconds(1);
 
     /**
-     * How something is followed by calls that cost what is asked: how long a watch may wait for news, and is waited
-     * for over that; how long any other answer may take from connecting to its last byte, and the rest of one that has
-     * begun; by when connecting is done and a whole list has begun, after so many failures in a row; the pause after
-     * so many, and the longest that there is.
+     * How something is followed by calls that cost what is asked: how long a watch may wait for
+     * news, and is waited for over that; how long any other answer may take from connecting to its
+     * last byte, and the rest of one that has begun; by when connecting is done and a whole list
+     * has begun, after so many failures in a row; the pause after so many, and the longest that
+     * there is.
      */
-    public record Pace(Duration hold, Duration over, Duration answer, IntFunction<Duration> begin,
-            IntFunction<Duration> pause, Duration longestPause) { }
+    public record Pace(
+            Duration hold,
+            Duration over,
+            Duration answer,
+            IntFunction<Duration> begin,
+            IntFunction<Duration> pause,
+            Duration longestPause) {}
 
-    /** Where calls cost nothing but themselves, and no clock counts: each wait as long as it may be. */
-    public static final Pace SOON = new Pace(FAR_HOLD, FAR_OVER, PRICED_ANSWER, failures -> PRICED_ANSWER,
-            failures -> FREE_PAUSE, FREE_PAUSE);
+    /**
+     * Where calls cost nothing but themselves, and no clock counts: each wait as long as it may be.
+     */
+    public static final Pace SOON =
+            new Pace(
+                    FAR_HOLD,
+                    FAR_OVER,
+                    PRICED_ANSWER,
+                    failures -> PRICED_ANSWER,
+                    failures -> FREE_PAUSE,
+                    FREE_PAUSE);
 
     /** Where discovery tells the agent by itself, and the agent is asked at no cost. */
-    public static final Pace FREE = new Pace(FREE_HOLD, FREE_OVER, FREE_ANSWER,
-            failures -> failures % PATIENT_EACH == PATIENT_EACH - 1 ? FREE_ANSWER : FREE_BEGIN,
-            failures -> FREE_PAUSE, FREE_PAUSE);
+    public static final Pace FREE =
+            new Pace(
+                    FREE_HOLD,
+                    FREE_OVER,
+                    FREE_ANSWER,
+                    failures ->
+                            failures % PATIENT_EACH == PATIENT_EACH - 1 ? FREE_ANSWER : FREE_BEGIN,
+                    failures -> FREE_PAUSE,
+                    FREE_PAUSE);
 
     private final boolean needed;
     private final Duration askEvery;
@@ -92,7 +148,10 @@
     private int failures;
     private Duration at;
 
-    /** Whether discovery has to be asked, and within which time again; null for that where it is not stated. */
+    /**
+     * Whether discovery has to be asked, and within which time again; null for that where it is not
+     * stated.
+     */
     public DiscoveryPacing(boolean needed, Duration askEvery, Random chance) {
         this.needed = needed;
         this.askEvery = askEvery;
@@ -120,13 +179,23 @@
         at = failed && needed ? now.plus(pause(failures, askEvery, chance)) : null;
     }
 
-    /** Where each call costs discovery work, and all routers may call at once: drawn pauses that grow. */
+    /**
+     * Where each call costs discovery work, and all routers may call at once: drawn pauses that
+     * grow.
+     */
     public static Pace priced(Duration askEvery, Random chance) {
-        return new Pace(SILENT.minus(PRICED_OVER), PRICED_OVER, PRICED_ANSWER, failures -> PRICED_ANSWER,
-                failures -> pause(failures, askEvery, chance), LONGEST_PAUSE);
+        return new Pace(
+                SILENT.minus(PRICED_OVER),
+                PRICED_OVER,
+                PRICED_ANSWER,
+                failures -> PRICED_ANSWER,
+                failures -> pause(failures, askEvery, chance),
+                LONGEST_PAUSE);
     }
 
-    /** After so many failures in a row: from half to one and a half times the pause of that many. */
+    /**
+     * After so many failures in a row: from half to one and a half times the pause of that many.
+     */
     private static Duration pause(int failures, Duration askEvery, Random chance) {
         long longest = Math.round(LONGEST_PAUSE.toMillis() / DRAWN_MOST);
         if (askEvery != null && askEvery.compareTo(LONGEST_PAUSE) < 0) {
--- a/src/main/java/postbeam/roster/Roster.java
+++ b/src/main/java/postbeam/roster/Roster.java
@@ -16,15 +16,22 @@
 import postbeam.state.Readiness;
 import postbeam.state.Zone;
 
-/** The data nodes that one router was told of, by name: turns what a list says into facts for its Decide. */
+/**
+ * The data nodes that one router was told of, by name: turns what a list says into facts for its
+ * Decide.
+ */
 public final class Roster {
-    /** Nodes that are gone and still known: one that comes back soon finds what it was sent while cold. */
+    /**
+     * Nodes that are gone and still known: one that comes back soon finds what it was sent while
+     * cold.
+     */
     private static final int GONE_KEPT = 64;
 
     private final String ourZone;
     private final Map<String, DataNode> nodes = new LinkedHashMap<>();
     private final Map<String, Zone> zones = new LinkedHashMap<>();
     private final Map<DataNode, String> names = new IdentityHashMap<>();
+
     /** The longest gone first. */
     private final Set<DataNode> gone = new LinkedHashSet<>();
 
@@ -45,7 +52,12 @@
     }
 
     /** Takes over a whole list, from which what is missing is gone, or changes of one. */
-    public void listed(Duration now, List<Entry> entries, boolean whole, LongFunction<Duration> since, Decide decide) {
+    public void listed(
+            Duration now,
+            List<Entry> entries,
+            boolean whole,
+            LongFunction<Duration> since,
+            Decide decide) {
         Set<String> seen = new HashSet<>();
         for (Entry entry : entries) {
             seen.add(entry.name());
@@ -54,13 +66,21 @@
                 if (entry.readiness() == Readiness.GONE) {
                     continue;
                 }
-                node = new DataNode(entry.cell(), zones.computeIfAbsent(String.valueOf(entry.zone()),
-                        name -> new Zone(name.equals(ourZone))));
+                node =
+                        new DataNode(
+                                entry.cell(),
+                                zones.computeIfAbsent(
+                                        String.valueOf(entry.zone()),
+                                        name -> new Zone(name.equals(ourZone))));
                 nodes.put(entry.name(), node);
                 names.put(node, entry.name());
             }
-            listed(now, node, entry.readiness(),
-                    entry.startedMicros() == 0 ? null : since.apply(entry.startedMicros()), decide);
+            listed(
+                    now,
+                    node,
+                    entry.readiness(),
+                    entry.startedMicros() == 0 ? null : since.apply(entry.startedMicros()),
+                    decide);
         }
         if (whole) {
             for (Map.Entry<String, DataNode> known : new ArrayList<>(nodes.entrySet())) {
@@ -77,7 +97,8 @@
         }
     }
 
-    private void listed(Duration now, DataNode node, Readiness readiness, Duration startedAt, Decide decide) {
+    private void listed(
+            Duration now, DataNode node, Readiness readiness, Duration startedAt, Decide decide) {
         decide.nodeListed(now, node, readiness, startedAt);
         if (readiness == Readiness.GONE) {
             gone.add(node);
--- a/src/main/java/postbeam/router/Decisions.java
+++ b/src/main/java/postbeam/router/Decisions.java
@@ -39,27 +39,38 @@
 import postbeam.state.Vertical;
 
 /**
- * The decisions in blocking style, for threads that speak to peers: {@link #pick} gives a query's thread the
- * next thing to do, {@link #report} tells how leaf calls ended, {@link #tick} does what time brings. Sole
- * owner of Decide and of its lock, under which nothing waits for a peer.
+ * The decisions in blocking style, for threads that speak to peers: {@link #pick} gives a query's
+ * thread the next thing to do, {@link #report} tells how leaf calls ended, {@link #tick} does what
+ * time brings. Sole owner of Decide and of its lock, under which nothing waits for a peer.
  */
 public final class Decisions implements Host, AttemptListener {
     private static final System.Logger LOG = System.getLogger(Decisions.class.getName());
 
-    /** Times what deciding took, until it is done again: it then takes a quarter of the core at most. */
+    /**
+     * Times what deciding took, until it is done again: it then takes a quarter of the core at
+     * most.
+     */
     private static final int PAUSE_TIMES = 3;
-    /** Two ticks of the simulator, on which the decisions were made: longer, and what comes would wait for it. */
+
+    /**
+     * Two ticks of the simulator, on which the decisions were made: longer, and what comes would
+     * wait for it.
+     */
     private static final Duration PAUSE_MOST = Duration.ofMillis(10);
 
-    /** Longer than a watch of the list and the pause after it may take (DiscoveryPacing): the process has stood still. */
+    /**
+     * Longer than a watch of the list and the pause after it may take (DiscoveryPacing): the
+     * process has stood still.
+     */
     private static final Duration UNFOLLOWED = Duration.ofSeconds(5);
+
     /** How long the list is then waited for: a call to discovery that answers, and its pause. */
     private static final Duration FOLLOWED_WITHIN = Duration.ofSeconds(1);
 
-    private record Timer(Duration at, long number, Runnable event) { }
+    private record Timer(Duration at, long number, Runnable event) {}
 
     /** A call that is out, and what ends it when its time is over. */
-    private record Out(Call call, Timer timer) { }
+    private record Out(Call call, Timer timer) {}
 
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition timely = lock.newCondition();
@@ -81,28 +92,50 @@
     private final TreeSet<Timer> timers =
             new TreeSet<>(Comparator.comparing(Timer::at).thenComparingLong(Timer::number));
     private long timerCount;
+
     /** When the turn under way may end, and whether something waits for that. */
     private Duration nextEnd = Duration.ZERO;
+
     private boolean endDue;
-    /** When discovery was last heard or found silent, by {@link System#nanoTime}; null where nothing follows it. */
+
+    /**
+     * When discovery was last heard or found silent, by {@link System#nanoTime}; null where nothing
+     * follows it.
+     */
     private volatile Long followedAt;
+
     /** Since when it is waited for after a standstill; null while it is not. */
     private Duration unfollowedSince;
+
     private long ends;
-    /** What has happened since the last end was about these, the latest first: one of them if deciding fails. */
+
+    /**
+     * What has happened since the last end was about these, the latest first: one of them if
+     * deciding fails.
+     */
     private final Deque<OpenQuery> fresh = new ArrayDeque<>();
+
     private final List<Step> errands = new ArrayList<>();
+
     /** What the turn under way has sent, by node, and called off. */
     private final Map<DataNode, List<Call>> sends = new LinkedHashMap<>();
+
     private final List<LeafCall> calledOff = new ArrayList<>();
 
     /** The slicing is null where shards stay where the fixed rule puts them. */
-    public Decisions(Info settings, long seed, int partsACall, Duration probeWithin, Slicing slicing) {
+    public Decisions(
+            Info settings, long seed, int partsACall, Duration probeWithin, Slicing slicing) {
         this(settings, seed, partsACall, probeWithin, slicing, null);
     }
 
     /** The paging is null where no pages are given; it needs slices. */
-    public Decisions(Info settings, long seed, int partsACall, Duration probeWithin, Slicing slicing, Paging paging) {
+    public Decisions(
+            Info settings,
+            long seed,
+            int partsACall,
+            Duration probeWithin,
+            Slicing slicing,
+            Paging paging) {
         this.verticals = Assembly.verticals(settings);
         this.customers = Assembly.customers(settings);
         this.roster = new Roster(settings.text("zone"));
@@ -111,18 +144,22 @@
         this.slicing = slicing;
         this.paging = paging;
         if (slicing != null) {
-            slicing.holders().know(roster::name, at -> at.minus(Duration.ofNanos(startUnixMicros * 1000)));
+            slicing.holders()
+                    .know(roster::name, at -> at.minus(Duration.ofNanos(startUnixMicros * 1000)));
         }
-        this.decide = Assembly.decide(this, new Random(seed),
-                slicing == null ? Assembly.fleet(settings) : new Fleet(slicing.holders()),
-                paging == null ? settings : paging.less(settings));
+        this.decide =
+                Assembly.decide(
+                        this,
+                        new Random(seed),
+                        slicing == null ? Assembly.fleet(settings) : new Fleet(slicing.holders()),
+                        paging == null ? settings : paging.less(settings));
     }
 
     // ---- for the threads that serve queries
 
     /**
-     * Takes a query so long after its first byte was seen; null where one of that id is still open. An Unroutable
-     * says why its slices can't be found; nothing is kept of it then.
+     * Takes a query so long after its first byte was seen; null where one of that id is still open.
+     * An Unroutable says why its slices can't be found; nothing is kept of it then.
      */
     public OpenQuery take(Asked asked, Duration age) throws Unroutable {
         return asked.page() == null ? take(asked, age, null, 0) : takePaged(asked, age);
@@ -140,11 +177,17 @@
         } finally {
             lock.unlock();
         }
-        return take(asked, age, paging.begin(asked, verticals.get(asked.vertical()), held, named), held.version);
+        return take(
+                asked,
+                age,
+                paging.begin(asked, verticals.get(asked.vertical()), held, named),
+                held.version);
     }
 
     private static List<Asking> askings(Asked asked) {
-        return asked.parts().stream().map(part -> new Asking(part.shard(), part.weight(), part.work())).toList();
+        return asked.parts().stream()
+                .map(part -> new Asking(part.shard(), part.weight(), part.work()))
+                .toList();
     }
 
     private OpenQuery take(Asked asked, Duration age, Paged paged, long layout) throws Unroutable {
@@ -154,8 +197,12 @@
                 return null;
             }
             Duration now = now();
-            Query query = new Query(verticals.get(asked.vertical()), customers.get(asked.owner()), now,
-                    now.plus(asked.patience()).minus(age));
+            Query query =
+                    new Query(
+                            verticals.get(asked.vertical()),
+                            customers.get(asked.owner()),
+                            now,
+                            now.plus(asked.patience()).minus(age));
             if (asked.repeat()) {
                 query.markClientRetry();
             }
@@ -167,15 +214,18 @@
             OpenQuery q = new OpenQuery(asked, query, lock.newCondition(), paged, layout);
             open.put(asked.id(), q);
             byQuery.put(query, q);
-            turn(q, now, () -> {
-                decide.queryArrived(now, query);
-                if (slicing == null) {
-                    for (Asked.AskedPart part : asked.parts()) {
-                        new Part(query, part.shard(), part.weight(), part.work());
-                    }
-                }
-                query.parts.forEach(part -> decide.partArrived(now, part));
-            });
+            turn(
+                    q,
+                    now,
+                    () -> {
+                        decide.queryArrived(now, query);
+                        if (slicing == null) {
+                            for (Asked.AskedPart part : asked.parts()) {
+                                new Part(query, part.shard(), part.weight(), part.work());
+                            }
+                        }
+                        query.parts.forEach(part -> decide.partArrived(now, part));
+                    });
             return q;
         } finally {
             lock.unlock();
@@ -183,9 +233,10 @@
     }
 
     /**
-     * Asks again for the page of a query that was answered; null where that may not be. It goes as a query that
-     * arrived with the first and ends within its SLO time, and whose parts inherit the leaf calls for their keys: each
-     * of its own is then one beyond the part's first, for rule 6 and for the part's limit.
+     * Asks again for the page of a query that was answered; null where that may not be. It goes as
+     * a query that arrived with the first and ends within its SLO time, and whose parts inherit the
+     * leaf calls for their keys: each of its own is then one beyond the part's first, for rule 6
+     * and for the part's limit.
      */
     OpenQuery takeFurther(OpenQuery first, List<Ask> asks) {
         lock.lock();
@@ -218,10 +269,13 @@
             first.further.add(q);
             open.put(asked.id(), q);
             byQuery.put(query, q);
-            turn(q, now, () -> {
-                decide.queryArrived(now, query);
-                query.parts.forEach(part -> decide.partArrived(now, part));
-            });
+            turn(
+                    q,
+                    now,
+                    () -> {
+                        decide.queryArrived(now, query);
+                        query.parts.forEach(part -> decide.partArrived(now, part));
+                    });
             return q;
         } finally {
             lock.unlock();
@@ -292,8 +346,8 @@
     // ---- for those that hear from data nodes and discovery
 
     /**
-     * Tells how leaf calls ended, each once; one that has ended otherwise meanwhile is passed over. Spoilt rows are an
-     * error of the node, and the part may go to another.
+     * Tells how leaf calls ended, each once; one that has ended otherwise meanwhile is passed over.
+     * Spoilt rows are an error of the node, and the part may go to another.
      */
     @Override
     public void report(List<Ending> told) {
@@ -326,23 +380,37 @@
         lock.lock();
         try {
             Duration now = now();
-            turn(null, now, () -> {
-                roster.listed(now, told.entries(), told.whole(),
-                        micros -> Duration.ofNanos((micros - startUnixMicros) * 1000), decide);
-                // Before the turn ends: it may send to a node told of just now.
-                told.addresses().forEach((name, address) -> {
-                    if (roster.node(name) != null) {
-                        addresses.put(roster.node(name), address);
-                    }
-                });
-                addresses.keySet().removeIf(node -> roster.name(node) == null);
-                // What is decided on and still waits for its connection would go after the node's grace.
-                out.forEach((leaf, sent) -> {
-                    if (leaf.node.readiness() != Readiness.READY) {
-                        sent.call().notAfter(startNanos + now.toNanos(), Outcome.UNREACHABLE);
-                    }
-                });
-            });
+            turn(
+                    null,
+                    now,
+                    () -> {
+                        roster.listed(
+                                now,
+                                told.entries(),
+                                told.whole(),
+                                micros -> Duration.ofNanos((micros - startUnixMicros) * 1000),
+                                decide);
+                        // Before the turn ends: it may send to a node told of just now.
+                        told.addresses()
+                                .forEach(
+                                        (name, address) -> {
+                                            if (roster.node(name) != null) {
+                                                addresses.put(roster.node(name), address);
+                                            }
+                                        });
+                        addresses.keySet().removeIf(node -> roster.name(node) == null);
+                        // What is decided on and still waits for its connection would go after the
+                        // node's grace.
+                        out.forEach(
+                                (leaf, sent) -> {
+                                    if (leaf.node.readiness() != Readiness.READY) {
+                                        sent.call()
+                                                .notAfter(
+                                                        startNanos + now.toNanos(),
+                                                        Outcome.UNREACHABLE);
+                                    }
+                                });
+                    });
         } finally {
             lock.unlock();
         }
@@ -354,9 +422,10 @@
     }
 
     /**
-     * Guards against deciding by the list as it was before a standstill of the whole process (stopped, its machine
-     * paused): what it missed has long counted as told. It costs queries that wait meanwhile what one call to discovery
-     * takes, 1 s at most where that is silent, or where what follows it has died.
+     * Guards against deciding by the list as it was before a standstill of the whole process
+     * (stopped, its machine paused): what it missed has long counted as told. It costs queries that
+     * wait meanwhile what one call to discovery takes, 1 s at most where that is silent, or where
+     * what follows it has died.
      */
     private boolean unfollowed(Duration now) {
         Long at = followedAt;
@@ -383,19 +452,28 @@
         laidOut(next, System.nanoTime());
     }
 
-    /** A version of the layout and when it was asked for, by {@link System#nanoTime}; one that goes back is passed over. */
+    /**
+     * A version of the layout and when it was asked for, by {@link System#nanoTime}; one that goes
+     * back is passed over.
+     */
     public void laidOut(Layout next, long askedNanos) {
         lock.lock();
         try {
             slicing.heard(Duration.ofNanos(askedNanos - startNanos));
             long before = slicing.refused();
-            turn(null, now(), () -> {
-                if (slicing.told(next)) {
-                    byQuery.keySet().forEach(slicing::recut);
-                }
-            });
+            turn(
+                    null,
+                    now(),
+                    () -> {
+                        if (slicing.told(next)) {
+                            byQuery.keySet().forEach(slicing::recut);
+                        }
+                    });
             if (slicing.refused() > before) {
-                LOG.log(System.Logger.Level.WARNING, "layout {0} is refused: version {1} is held", next.version,
+                LOG.log(
+                        System.Logger.Level.WARNING,
+                        "layout {0} is refused: version {1} is held",
+                        next.version,
                         slicing.held().version);
             }
         } finally {
@@ -437,7 +515,9 @@
                 listed += node.readiness() == Readiness.GONE ? 0 : 1;
                 alone += node.readiness() != Readiness.GONE && decide.isEjected(node) ? 1 : 0;
             }
-            return String.format("%d queries open, %d calls out, %d by their nodes; of %d nodes listed %d left alone",
+            return String.format(
+                    "%d queries open, %d calls out, %d by their nodes; of %d nodes listed %d left"
+                            + " alone",
                     open.size(), out.size(), byNodes, listed, alone);
         } finally {
             lock.unlock();
@@ -507,15 +587,16 @@
             endTurn(now);
         } else if (!endDue) {
             endDue = true;
-            after(nextEnd, () -> { });
+            after(nextEnd, () -> {});
         }
     }
 
     /**
-     * Decides on all that happened since the last end, then that the calls called off have ended. Guards against
-     * a load under which deciding on each event by itself takes the core, so that all come too late and ever
-     * more are open: what comes within a few times the time that deciding takes is decided on together, as the
-     * simulator's ticks do. It could hurt nothing on a calm day: a turn's end then takes a fraction of a ms.
+     * Decides on all that happened since the last end, then that the calls called off have ended.
+     * Guards against a load under which deciding on each event by itself takes the core, so that
+     * all come too late and ever more are open: what comes within a few times the time that
+     * deciding takes is decided on together, as the simulator's ticks do. It could hurt nothing on
+     * a calm day: a turn's end then takes a fraction of a ms.
      */
     private void endTurn(Duration now) {
         endDue = false;
@@ -531,7 +612,11 @@
             }
             List<LeafCall> over = List.copyOf(calledOff);
             calledOff.clear();
-            over.forEach(leaf -> tried(byQuery.get(leaf.part.query), () -> ended(now, leaf, Outcome.CANCELLED)));
+            over.forEach(
+                    leaf ->
+                            tried(
+                                    byQuery.get(leaf.part.query),
+                                    () -> ended(now, leaf, Outcome.CANCELLED)));
         }
         fresh.clear();
         long pause = Math.min(PAUSE_MOST.toNanos(), PAUSE_TIMES * (System.nanoTime() - begun));
@@ -539,9 +624,9 @@
     }
 
     /**
-     * Guards against a failure of the decisions, whatever it is: the query that it came with is aborted, else
-     * the oldest. A failure that comes back each time costs all that are open, one after the other. True once
-     * there is nothing to do again.
+     * Guards against a failure of the decisions, whatever it is: the query that it came with is
+     * aborted, else the oldest. A failure that comes back each time costs all that are open, one
+     * after the other. True once there is nothing to do again.
      */
     private boolean tried(OpenQuery about, Runnable step) {
         try {
@@ -550,8 +635,10 @@
         } catch (RuntimeException | StackOverflowError e) {
             LOG.log(System.Logger.Level.ERROR, "deciding failed; a query is aborted for it", e);
         }
-        OpenQuery victim = about != null && byQuery.containsKey(about.query) ? about
-                : open.isEmpty() ? null : open.values().iterator().next();
+        OpenQuery victim =
+                about != null && byQuery.containsKey(about.query)
+                        ? about
+                        : open.isEmpty() ? null : open.values().iterator().next();
         if (victim == null) {
             return true;
         }
@@ -565,13 +652,16 @@
     }
 
     private void handOutSends() {
-        sends.forEach((node, calls) -> {
-            for (int i = 0; i < calls.size(); i += partsACall) {
-                List<Call> together = List.copyOf(calls.subList(i, Math.min(calls.size(), i + partsACall)));
-                Step send = new Step.Send(addresses.get(node), together);
-                hand(byQuery.get(together.get(0).leaf.part.query), send);
-            }
-        });
+        sends.forEach(
+                (node, calls) -> {
+                    for (int i = 0; i < calls.size(); i += partsACall) {
+                        List<Call> together =
+                                List.copyOf(
+                                        calls.subList(i, Math.min(calls.size(), i + partsACall)));
+                        Step send = new Step.Send(addresses.get(node), together);
+                        hand(byQuery.get(together.get(0).leaf.part.query), send);
+                    }
+                });
         sends.clear();
     }
 
@@ -604,7 +694,8 @@
             // Its client may have named a time of many hours: nothing is kept for that long.
             timers.remove(ended.timer());
             ended.call().end();
-            decide.leafCallEnded(now, leaf, outcome, now.minus(leaf.sentAt), leaf.part.query.hasEnded());
+            decide.leafCallEnded(
+                    now, leaf, outcome, now.minus(leaf.sentAt), leaf.part.query.hasEnded());
             if (slicing != null) {
                 recut(leaf, outcome);
             }
@@ -652,11 +743,18 @@
         if (slicing != null) {
             KeyRange keys = ((Piece) leaf.part).keys;
             id += "-" + Long.toHexString(keys.from());
-            more = ",v=" + slicing.held().version + ",k=" + keys + (q.paged == null ? "" : ",p=" + q.paged.askBytes);
+            more =
+                    ",v="
+                            + slicing.held().version
+                            + ",k="
+                            + keys
+                            + (q.paged == null ? "" : ",p=" + q.paged.askBytes);
         }
         long untilNanos = startNanos + until.toNanos();
-        Call call = q.paged == null ? new Call(q, leaf, id, more, q.asked.text(), untilNanos)
-                : q.paged.call(q, leaf, id, more, untilNanos);
+        Call call =
+                q.paged == null
+                        ? new Call(q, leaf, id, more, q.asked.text(), untilNanos)
+                        : q.paged.call(q, leaf, id, more, untilNanos);
         if (leaf.sendDeadline() != null) {
             call.notAfter(startNanos + leaf.sendDeadline().toNanos(), Outcome.NEVER_SENT);
         }
@@ -686,8 +784,14 @@
                 if (q.paged != null) {
                     q.counted.add(q.rows.get(piece));
                 }
-                values.add(new Step.Value(piece.shard, q.values.get(piece), new Step.Cover(piece.keys.from(),
-                        piece.keys.to(), pin.namesOf(piece.keys))));
+                values.add(
+                        new Step.Value(
+                                piece.shard,
+                                q.values.get(piece),
+                                new Step.Cover(
+                                        piece.keys.from(),
+                                        piece.keys.to(),
+                                        pin.namesOf(piece.keys))));
             }
             finish(q, new Step.Answer(whole, values, counted.version()));
             return;
@@ -720,11 +824,13 @@
         Object mark = new Object();
         probes.put(node, mark);
         hand(null, new Step.Probe(roster.name(node), addresses.get(node)));
-        after(now().plus(probeWithin), () -> {
-            if (probes.remove(node, mark)) {
-                decide.probed(now(), node, false);
-            }
-        });
+        after(
+                now().plus(probeWithin),
+                () -> {
+                    if (probes.remove(node, mark)) {
+                        decide.probed(now(), node, false);
+                    }
+                });
     }
 
     @Override
--- a/src/main/java/postbeam/router/LeaveTimes.java
+++ b/src/main/java/postbeam/router/LeaveTimes.java
@@ -5,26 +5,42 @@
 import java.util.Objects;
 
 /**
- * How long a router that was told to end serves on, when its last query is to be over, and until when it reads off what
- * clients that were answered still send, all counted from then.
- * The protocol's page lets it live for the longest deadline, but for 3 s where that is longer, and 0.7 s more.
+ * How long a router that was told to end serves on, when its last query is to be over, and until
+ * when it reads off what clients that were answered still send, all counted from then. The
+ * protocol's page lets it live for the longest deadline, but for 3 s where that is longer, and 0.7
+ * s more.
  */
 record LeaveTimes(Duration servesOn, Duration lastWord, Duration readOff) {
-    /** How long clients go on connecting after a stop was asked, at most 0.4 s as their page has it. */
+    /**
+     * How long clients go on connecting after a stop was asked, at most 0.4 s as their page has it.
+     */
     static final Duration STILL_COMING = Duration.ofMillis(600);
-    /** The most of a deadline that is waited for, as the page has it; taken too where no deadline is stated. */
+
+    /**
+     * The most of a deadline that is waited for, as the page has it; taken too where no deadline is
+     * stated.
+     */
     private static final Duration MOST = Duration.ofSeconds(3);
+
     /** Before its end the last queries are answered or given up. */
     private static final Duration LAST_ANSWERS = Duration.ofMillis(150);
-    /** Of the 0.7 s that the page gives beyond the longest deadline: kept for a router that is late at its end. */
+
+    /**
+     * Of the 0.7 s that the page gives beyond the longest deadline: kept for a router that is late
+     * at its end.
+     */
     private static final Duration END_MARGIN = Duration.ofMillis(100);
+
     private static final Duration KILLED_AFTER = Duration.ofMillis(700);
 
     /** By the deadlines in the settings, null where a vertical states none. */
     static LeaveTimes of(Collection<Duration> deadlines) {
-        Duration longest = deadlines.stream().filter(Objects::nonNull).max(Duration::compareTo).orElse(MOST);
+        Duration longest =
+                deadlines.stream().filter(Objects::nonNull).max(Duration::compareTo).orElse(MOST);
         Duration servesOn = longest.compareTo(MOST) < 0 ? longest : MOST;
-        return new LeaveTimes(servesOn, servesOn.plus(STILL_COMING).minus(LAST_ANSWERS),
+        return new LeaveTimes(
+                servesOn,
+                servesOn.plus(STILL_COMING).minus(LAST_ANSWERS),
                 servesOn.plus(KILLED_AFTER).minus(END_MARGIN));
     }
 }
--- a/src/main/java/postbeam/router/Logs.java
+++ b/src/main/java/postbeam/router/Logs.java
@@ -8,14 +8,23 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Bounds the rate of what is logged, by the libraries too: a trouble must not fill the disk or the core. */
+/**
+ * Bounds the rate of what is logged, by the libraries too: a trouble must not fill the disk or the
+ * core.
+ */
 public final class Logs implements Filter {
     /** Records in a span: enough for what starts a trouble. */
     private static final int MOST = 40;
+
     private static final Duration SPAN = Duration.ofSeconds(10);
 
-    /** The loggers whose levels are set; kept here, for the log manager forgets those that nobody holds. */
-    private static final Logger[] LIBRARIES = {Logger.getLogger("org.xnio"), Logger.getLogger("io.undertow")};
+    /**
+     * The loggers whose levels are set; kept here, for the log manager forgets those that nobody
+     * holds.
+     */
+    private static final Logger[] LIBRARIES = {
+        Logger.getLogger("org.xnio"), Logger.getLogger("io.undertow")
+    };
 
     private long spanAt = System.nanoTime();
     private int passed;
@@ -40,7 +49,8 @@
         long now = System.nanoTime();
         if (now - spanAt > SPAN.toNanos()) {
             if (dropped > 0) {
-                entry.setMessage(entry.getMessage() + " (" + dropped + " records before this were dropped)");
+                entry.setMessage(
+                        entry.getMessage() + " (" + dropped + " records before this were dropped)");
             }
             spanAt = now;
             passed = 0;
--- a/src/main/java/postbeam/router/OpenQuery.java
+++ b/src/main/java/postbeam/router/OpenQuery.java
@@ -20,19 +20,28 @@
     final Deque<Step> steps = new ArrayDeque<>();
     final List<Call> calls = new ArrayList<>();
     final Map<Part, byte[]> values = new IdentityHashMap<>();
+
     /** What it has to do with pages; null where none was asked for. */
     final Paged paged;
+
     /** The layout's version when it was taken; 0 without pages. */
     final long layout;
+
     /** The parts' rows; empty without pages. */
     final Map<Part, Partial> rows;
+
     /** What counts of them in the answer. */
     final List<Partial> counted;
+
     /** Queries that ask again for its page, in turn. */
     final List<OpenQuery> further;
+
     boolean left;
-    /** Looks at the client's connection and says so where the client has left; on the I/O thread. */
-    private volatile Runnable clientCheck = () -> { };
+
+    /**
+     * Looks at the client's connection and says so where the client has left; on the I/O thread.
+     */
+    private volatile Runnable clientCheck = () -> {};
 
     OpenQuery(Asked asked, Query query, Condition changed, Paged paged, long layout) {
         this.asked = asked;
@@ -45,7 +54,10 @@
         this.further = paged == null ? List.of() : new ArrayList<>();
     }
 
-    /** What looks whether its client has left, to be called on the thread that serves the client's connection. */
+    /**
+     * What looks whether its client has left, to be called on the thread that serves the client's
+     * connection.
+     */
     public void clientCheck(Runnable check) {
         clientCheck = check;
     }
--- a/src/main/java/postbeam/router/PagedCall.java
+++ b/src/main/java/postbeam/router/PagedCall.java
@@ -10,10 +10,17 @@
 final class PagedCall extends Call {
     /** Reads the rows. */
     final Paged paged;
+
     /** What was read; null until then, and where the rows are malformed. */
     Partial rows;
 
-    PagedCall(ClientPresence client, LeafCall leaf, String id, String more, long untilNanos, Paged paged) {
+    PagedCall(
+            ClientPresence client,
+            LeafCall leaf,
+            String id,
+            String more,
+            long untilNanos,
+            Paged paged) {
         super(client, leaf, id, more, paged.text, untilNanos);
         this.paged = paged;
     }
--- a/src/main/java/postbeam/router/Paging.java
+++ b/src/main/java/postbeam/router/Paging.java
@@ -26,12 +26,18 @@
 import postbeam.state.Query;
 import postbeam.state.Vertical;
 
-/** Serves pages by the decisions: opens cursors before anything is sent, asks again where it must, gives the page. */
+/**
+ * Serves pages by the decisions: opens cursors before anything is sent, asks again where it must,
+ * gives the page.
+ */
 public final class Paging {
     /** Rounds of further asks: what is short after them is given short. */
     private static final int FURTHER_ROUNDS = 2;
 
-    /** A round of further asks has at least this: some times the way there and back and a node's usual work. */
+    /**
+     * A round of further asks has at least this: some times the way there and back and a node's
+     * usual work.
+     */
     private static final Duration ROUND_LEAST = Duration.ofMillis(200);
 
     private final CursorSeal seal;
@@ -39,7 +45,10 @@
     private final Map<String, Shares> shares = new ConcurrentHashMap<>();
     private FurtherAsks furtherAsks;
 
-    /** The key that signs cursors and the one before it, or null; and the most rows that a page may be asked for. */
+    /**
+     * The key that signs cursors and the one before it, or null; and the most rows that a page may
+     * be asked for.
+     */
     public Paging(String key, String oldKey, int rowsMost) throws ExplainedException {
         this.seal = new CursorSeal(key, oldKey);
         this.rowsMost = rowsMost;
@@ -54,14 +63,17 @@
         Double free = settings.number("obligations.spareAttempts");
         Double share = settings.number("obligations.budgetShare");
         double held = free == null ? 0 : free;
-        furtherAsks = new FurtherAsks(held, share == null ? 0 : share, settings.span("obligations.extraWindow"));
-        return settings.with("obligations.spareAttempts", String.valueOf(held - furtherAsks.reserve()));
+        furtherAsks =
+                new FurtherAsks(
+                        held, share == null ? 0 : share, settings.span("obligations.extraWindow"));
+        return settings.with(
+                "obligations.spareAttempts", String.valueOf(held - furtherAsks.reserve()));
     }
 
     /**
-     * When a query that asks again ends: within the SLO time, and after about as long as the page took so far. Guards
-     * against a page that waits for rule 6's budget, where it could be given short at once; it could hurt where nodes
-     * get slower from one round to the next.
+     * When a query that asks again ends: within the SLO time, and after about as long as the page
+     * took so far. Guards against a page that waits for rule 6's budget, where it could be given
+     * short at once; it could hurt where nodes get slower from one round to the next.
      */
     Duration until(Duration now, Query first) {
         Duration until = now.plus(now.minus(first.arrivedAt)).plus(ROUND_LEAST);
@@ -75,40 +87,56 @@
     }
 
     /**
-     * What to ask of whom for the page; the names are the client's own where it goes on from no cursor. An Unroutable
-     * says why it can't be, and nothing has been sent.
+     * What to ask of whom for the page; the names are the client's own where it goes on from no
+     * cursor. An Unroutable says why it can't be, and nothing has been sent.
      */
-    Paged begin(Asked asked, Vertical vertical, Layout held, List<Pin.Named> named) throws Unroutable {
+    Paged begin(Asked asked, Vertical vertical, Layout held, List<Pin.Named> named)
+            throws Unroutable {
         PageAsked page = asked.page();
         LayoutLineage lineage = new LayoutLineage(held);
         try {
             if (vertical.effect != Effect.REPEATABLE) {
                 throw new PageError.NotRepeatable(asked.vertical()).thrown();
             }
-            List<Standing> standings = named.stream().sorted(Comparator.comparing(Pin.Named::keys))
-                    .map(one -> new Standing(one.keys(), one.weight(), null)).toList();
+            List<Standing> standings =
+                    named.stream()
+                            .sorted(Comparator.comparing(Pin.Named::keys))
+                            .map(one -> new Standing(one.keys(), one.weight(), null))
+                            .toList();
             List<Pin.Named> names = named;
             if (page.cursor() != null) {
                 standings = seal.opened(page.cursor(), digest(asked), lineage).standings();
                 names = names(held, standings);
             } else if (standings.size() > Assembly.RANGES_MOST) {
-                throw new PageError.BadRequest("ranges", standings.size() + " are more than " + Assembly.RANGES_MOST)
+                throw new PageError.BadRequest(
+                                "ranges",
+                                standings.size() + " are more than " + Assembly.RANGES_MOST)
                         .thrown();
             }
-            Assembly assembly = new Assembly(page.order(), page.rows(), standings,
-                    shares.computeIfAbsent(asked.vertical(), key -> new Shares()));
+            Assembly assembly =
+                    new Assembly(
+                            page.order(),
+                            page.rows(),
+                            standings,
+                            shares.computeIfAbsent(asked.vertical(), key -> new Shares()));
             List<Ask> asks = assembly.first(lineage);
             boolean own = page.cursor() == null && asked.layout() > 0;
-            return new Paged(assembly, asks, own ? asked.layout() : held.version, names, asked.text());
+            return new Paged(
+                    assembly, asks, own ? asked.layout() : held.version, names, asked.text());
         } catch (ExplainedException e) {
-            throw new Unroutable(e.error() instanceof PageError.TooOld ? Unroutable.Reason.NO_LONGER_KEPT
-                    : e.error() instanceof PageError.Ahead ? Unroutable.Reason.NOT_KNOWN_YET
-                    : Unroutable.Reason.NO_SUCH_SLICE, e.getMessage());
+            throw new Unroutable(
+                    e.error() instanceof PageError.TooOld
+                            ? Unroutable.Reason.NO_LONGER_KEPT
+                            : e.error() instanceof PageError.Ahead
+                                    ? Unroutable.Reason.NOT_KNOWN_YET
+                                    : Unroutable.Reason.NO_SUCH_SLICE,
+                    e.getMessage());
         }
     }
 
     private static long digest(Asked asked) {
-        return CursorSeal.digest(asked.vertical(), asked.owner(), asked.text(), asked.page().order());
+        return CursorSeal.digest(
+                asked.vertical(), asked.owner(), asked.text(), asked.page().order());
     }
 
     /** The keys by the slices in force, with weights that add up to 1. */
@@ -119,7 +147,8 @@
             double weight = all > 0 ? one.weight() / all : 1.0 / standings.size();
             for (Slice slice : held.meeting(one.keys())) {
                 KeyRange keys = slice.keys().common(one.keys());
-                names.add(new Pin.Named(slice.number(), keys, weight * one.keys().share(keys), null));
+                names.add(
+                        new Pin.Named(slice.number(), keys, weight * one.keys().share(keys), null));
             }
         }
         return names;
@@ -127,10 +156,14 @@
 
     /** The same for a further ask: each range by its share of the rows asked for. */
     static List<Pin.Named> asked(Layout held, List<Ask> asks) {
-        return names(held, asks.stream().map(ask -> new Standing(ask.keys(), ask.rows(), null)).toList());
+        return names(
+                held,
+                asks.stream().map(ask -> new Standing(ask.keys(), ask.rows(), null)).toList());
     }
 
-    /** What a further ask brings: the query it goes as, served to its end; null where none may go. */
+    /**
+     * What a further ask brings: the query it goes as, served to its end; null where none may go.
+     */
     interface Further {
         Paged served(List<Ask> asks) throws InterruptedException;
     }
--- a/src/main/java/postbeam/router/Rehearsal.java
+++ b/src/main/java/postbeam/router/Rehearsal.java
@@ -17,23 +17,28 @@
 import postbeam.state.Readiness;
 
 /**
- * Queries of no client, decided on and answered before the first client comes, then taken once more through a pipe
- * by a door of clients that listens nowhere: a virtual machine that has compiled
- * nothing yet takes many times as long for each, and on part of a core the first seconds of clients then pile up.
- * Nothing of it reaches a socket, and its decisions are thrown away with what they learnt.
+ * Queries of no client, decided on and answered before the first client comes, then taken once more
+ * through a pipe by a door of clients that listens nowhere: a virtual machine that has compiled
+ * nothing yet takes many times as long for each, and on part of a core the first seconds of clients
+ * then pile up. Nothing of it reaches a socket, and its decisions are thrown away with what they
+ * learnt.
  */
 final class Rehearsal implements ClientDoor.Queries {
     /** How long it may take: each second of it is one that a restarted router is away for. */
     private static final Duration MOST = Duration.ofMillis(1500);
+
     /** Queries after which all that queries pass through has been compiled. */
     private static final int QUERIES = 600;
+
     /** Queries open at once, so that they compete for slots. */
     private static final int OPEN = 24;
+
     private static final Duration PATIENCE = Duration.ofSeconds(5);
     private static final byte[] VALUE = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
 
-    private static final String BODY = "{\"ranges\":[{\"range\":0,\"portion\":0.5},{\"range\":1,\"portion\":0.5}],"
-            + "\"predicate\":\"c41e77d0\"}";
+    private static final String BODY =
+            "{\"ranges\":[{\"range\":0,\"portion\":0.5},{\"range\":1,\"portion\":0.5}],"
+                    + "\"predicate\":\"c41e77d0\"}";
 
     private final Decisions decisions;
     private final List<String> verticals;
@@ -42,7 +47,13 @@
     private final Deque<OpenQuery> open = new ArrayDeque<>();
     private int calls;
 
-    Rehearsal(Decisions decisions, String zone, int cells, List<String> verticals, String owner, int shards) {
+    Rehearsal(
+            Decisions decisions,
+            String zone,
+            int cells,
+            List<String> verticals,
+            String owner,
+            int shards) {
         this.decisions = decisions;
         this.verticals = verticals;
         this.owner = owner;
@@ -66,8 +77,16 @@
             for (int part = 0; part < count; part++) {
                 parts.add(new Asked.AskedPart((i + part) % shards, 1.0 / count, null));
             }
-            OpenQuery q = takeOpen(new Asked("r" + i, verticals.get(i % verticals.size()), owner, PATIENCE, parts, VALUE),
-                    Duration.ZERO);
+            OpenQuery q =
+                    takeOpen(
+                            new Asked(
+                                    "r" + i,
+                                    verticals.get(i % verticals.size()),
+                                    owner,
+                                    PATIENCE,
+                                    parts,
+                                    VALUE),
+                            Duration.ZERO);
             if (q != null) {
                 open.add(q);
             }
@@ -107,7 +126,8 @@
     /** Mostly merged, now and then not, so that the ways back are known too. */
     private Ending ending(Call call) {
         calls++;
-        Outcome outcome = calls % 41 == 0 ? Outcome.RESET : calls % 37 == 0 ? Outcome.FULL : Outcome.MERGED;
+        Outcome outcome =
+                calls % 41 == 0 ? Outcome.RESET : calls % 37 == 0 ? Outcome.FULL : Outcome.MERGED;
         return new Ending(call, outcome, VALUE);
     }
 
@@ -115,9 +135,19 @@
 
     /** A query of two parts in the clients' form. */
     byte[] request(String id) {
-        return ("POST /" + verticals.get(0) + "?obj=7f HTTP/1.1\r\nHost: rehearsal\r\nReq-Id: " + id + "\r\nReq-Owner: "
-                + owner + "\r\nReq-Deadline-Ms: " + PATIENCE.toMillis() + "\r\nContent-Length: " + BODY.length()
-                + "\r\n\r\n" + BODY).getBytes(StandardCharsets.US_ASCII);
+        return ("POST /"
+                        + verticals.get(0)
+                        + "?obj=7f HTTP/1.1\r\nHost: rehearsal\r\nReq-Id: "
+                        + id
+                        + "\r\nReq-Owner: "
+                        + owner
+                        + "\r\nReq-Deadline-Ms: "
+                        + PATIENCE.toMillis()
+                        + "\r\nContent-Length: "
+                        + BODY.length()
+                        + "\r\n\r\n"
+                        + BODY)
+                .getBytes(StandardCharsets.US_ASCII);
     }
 
     @Override
--- a/src/main/java/postbeam/router/Router.java
+++ b/src/main/java/postbeam/router/Router.java
@@ -37,21 +37,37 @@
 /** One query router: wires its parts, starts them and stops them. */
 public final class Router implements ClientDoor.Queries {
     private static final System.Logger LOG = System.getLogger(Router.class.getName());
+
     /** Descriptors for the program itself: jars, standard streams, selectors, discovery. */
     private static final int OWN_DESCRIPTORS = 64;
+
     private static final int LEAST_DESCRIPTORS = 2 * OWN_DESCRIPTORS;
+
     /** MB: the virtual machine itself takes most of it. */
     private static final int LEAST_MB = 64;
+
     /** MB that the program takes with no client, its heap at its usual size. */
     private static final int OWN_MB = 72;
-    /** Client connections for each MB beyond: each may have a thread, which takes about 0.1 MB with its query. */
+
+    /**
+     * Client connections for each MB beyond: each may have a thread, which takes about 0.1 MB with
+     * its query.
+     */
     private static final int CLIENTS_A_MB = 8;
+
     private static final int LEAST_CLIENTS = 16;
-    /** Requests that the door is rehearsed with, after which it is compiled, and how long that may take. */
+
+    /**
+     * Requests that the door is rehearsed with, after which it is compiled, and how long that may
+     * take.
+     */
     private static final int REHEARSED = 300;
+
     private static final Duration REHEARSAL_MOST = Duration.ofMillis(1500);
+
     /** Keys named in one line of the log. */
     private static final int MOST_NAMED = 10;
+
     private static final Duration LOOK = Duration.ofMillis(10);
 
     private final Decisions decisions;
@@ -62,21 +78,30 @@
     private final ClientDoor rehearsalDoor;
     private Startup held;
     private LongPoll<Told> watch;
+
     /** How discovery is asked. */
     private final DiscoveryPacing.Pace pace;
+
     private final XnioWorker worker;
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final String started;
     private final LeaveTimes leaveTimes;
     private final boolean sliced;
+
     /** Null where no pages are given. */
     private final Paging paging;
+
     /** Null where no slices move. */
     private final LongPoll<Layout> layoutWatch;
-    /** Of the question for the layout that is answered next; touched by the watch's thread alone. */
+
+    /**
+     * Of the question for the layout that is answered next; touched by the watch's thread alone.
+     */
     private long layoutAskedNanos;
+
     /** Null where nothing runs beside it. */
     private Beside beside;
+
     private volatile boolean listed;
     private volatile boolean laidOut;
     private volatile boolean ready;
@@ -87,13 +112,16 @@
         this(startup, null, null);
     }
 
-    /** Where slices move: what makes of the layout what it decides, and where the layout is told. */
+    /**
+     * Where slices move: what makes of the layout what it decides, and where the layout is told.
+     */
     public Router(Startup startup, Slicing slicing, String layouts) throws IOException {
         this(startup, slicing, layouts, null);
     }
 
     /** Where pages are given too: the paging, else null. It needs slices. */
-    public Router(Startup startup, Slicing slicing, String layouts, Paging paging) throws IOException {
+    public Router(Startup startup, Slicing slicing, String layouts, Paging paging)
+            throws IOException {
         check(startup);
         Info settings = startup.settings;
         String listen = startup.address("listen");
@@ -101,55 +129,100 @@
         Duration connectWithin = settings.span("caps.connectTimeout");
         Duration idleMost = settings.span("caps.keepalive");
         int descriptors = startup.limit("sockets", LEAST_DESCRIPTORS) - OWN_DESCRIPTORS;
-        int clientsMost = Math.min(descriptors / 2, Math.max(LEAST_CLIENTS,
-                CLIENTS_A_MB * (startup.limit("memory_mb", LEAST_MB) - OWN_MB)));
+        int clientsMost =
+                Math.min(
+                        descriptors / 2,
+                        Math.max(
+                                LEAST_CLIENTS,
+                                CLIENTS_A_MB * (startup.limit("memory_mb", LEAST_MB) - OWN_MB)));
         Map<String, Duration> usualWaits = new LinkedHashMap<>();
         for (int i = 0; i < settings.count("classes"); i++) {
-            usualWaits.put(settings.needed("classes." + i + ".name"), settings.span("classes." + i + ".deadline"));
+            usualWaits.put(
+                    settings.needed("classes." + i + ".name"),
+                    settings.span("classes." + i + ".deadline"));
         }
         // Where slices move, the layout knows which there are.
         int shards = slicing == null ? settings.atLeast("domain.shards", 1) : Integer.MAX_VALUE;
         int rehearsedShards = settings.atLeast("domain.shards", 1);
         Set<String> owners = Assembly.customers(settings).keySet();
         int partsACall = settings.atLeast("domain.partsACall", 1);
-        decisions = new Decisions(settings, startup.seed(), partsACall, connectWithin, slicing, paging);
+        decisions =
+                new Decisions(settings, startup.seed(), partsACall, connectWithin, slicing, paging);
         this.paging = paging;
         sliced = slicing != null;
         String named = startup.info.text("name") + "/" + Long.toHexString(System.nanoTime());
-        layoutWatch = sliced ? LayoutWatch.of(layouts, this::laidOut, () -> {
-            layoutAskedNanos = System.nanoTime();
-            return LayoutWatch.says(named, decisions.layoutHeld());
-        }) : null;
+        layoutWatch =
+                sliced
+                        ? LayoutWatch.of(
+                                layouts,
+                                this::laidOut,
+                                () -> {
+                                    layoutAskedNanos = System.nanoTime();
+                                    return LayoutWatch.says(named, decisions.layoutHeld());
+                                })
+                        : null;
         cells = settings.atLeast("domain.cells", 1);
         if (startup.known() != null) {
             listed(ListForm.read(startup.known(), cells));
         }
-        worker = Xnio.getInstance().createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1)
-                .set(Options.WORKER_TASK_CORE_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1).getMap());
-        dataNodes = new DataNodes(worker.getIoThread(), decisions, settings.atLeast("caps.maxStreams", 1),
-                connectWithin, shortOf(idleMost, connectWithin), descriptors - clientsMost,
-                !"none".equals(String.valueOf(settings.text("report.how"))));
-        clients = new ClientDoor(worker, Startup.socketAddress(listen), this, usualWaits,
-                owners, shards, clientsMost);
+        worker =
+                Xnio.getInstance()
+                        .createWorker(
+                                OptionMap.builder()
+                                        .set(Options.WORKER_IO_THREADS, 1)
+                                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                                        .getMap());
+        dataNodes =
+                new DataNodes(
+                        worker.getIoThread(),
+                        decisions,
+                        settings.atLeast("caps.maxStreams", 1),
+                        connectWithin,
+                        shortOf(idleMost, connectWithin),
+                        descriptors - clientsMost,
+                        !"none".equals(String.valueOf(settings.text("report.how"))));
+        clients =
+                new ClientDoor(
+                        worker,
+                        Startup.socketAddress(listen),
+                        this,
+                        usualWaits,
+                        owners,
+                        shards,
+                        clientsMost);
         if (paging != null) {
             clients.pages(paging.rowsMost());
         }
-        rehearsal = new Rehearsal(new Decisions(settings, startup.seed(), partsACall, connectWithin, null),
-                settings.text("zone"), cells, List.copyOf(usualWaits.keySet()), owners.stream().findFirst().orElse(null),
-                rehearsedShards);
-        rehearsalDoor = new ClientDoor(worker, null, rehearsal, usualWaits, owners, rehearsedShards, 1);
+        rehearsal =
+                new Rehearsal(
+                        new Decisions(settings, startup.seed(), partsACall, connectWithin, null),
+                        settings.text("zone"),
+                        cells,
+                        List.copyOf(usualWaits.keySet()),
+                        owners.stream().findFirst().orElse(null),
+                        rehearsedShards);
+        rehearsalDoor =
+                new ClientDoor(worker, null, rehearsal, usualWaits, owners, rehearsedShards, 1);
         held = startup;
         Random chance = new Random(startup.seed());
         Duration askEvery = settings.span("obligations.askEvery");
-        pace = "subscribe".equals(settings.text("discovery")) ? DiscoveryPacing.priced(askEvery, chance)
-                : DiscoveryPacing.FREE;
+        pace =
+                "subscribe".equals(settings.text("discovery"))
+                        ? DiscoveryPacing.priced(askEvery, chance)
+                        : DiscoveryPacing.FREE;
         watch = Watch.of(discovery, cells, this::listed, pace, decisions::followed);
         leaveTimes = LeaveTimes.of(usualWaits.values());
-        started = String.format("%s serves at %s: at most %d client connections, %d to data nodes",
-                startup.info.text("name"), listen, clientsMost, descriptors - clientsMost);
+        started =
+                String.format(
+                        "%s serves at %s: at most %d client connections, %d to data nodes",
+                        startup.info.text("name"), listen, clientsMost, descriptors - clientsMost);
     }
 
-    /** Whether a router could start with it; an IOException or IllegalArgumentException names what is wrong. */
+    /**
+     * Whether a router could start with it; an IOException or IllegalArgumentException names what
+     * is wrong.
+     */
     private static void check(Startup startup) throws IOException {
         Info settings = startup.settings;
         startup.address("listen");
@@ -159,8 +232,10 @@
         startup.limit("memory_mb", LEAST_MB);
         Checks.settings(settings);
         for (int i = 0; i < settings.count("classes"); i++) {
-            if (settings.listed("domain.followUp", i) != null && settings.listed("domain.followUp", i) > 0) {
-                throw settings.bad("domain.followUp", "asks for a second step, which has no form on sockets");
+            if (settings.listed("domain.followUp", i) != null
+                    && settings.listed("domain.followUp", i) > 0) {
+                throw settings.bad(
+                        "domain.followUp", "asks for a second step, which has no form on sockets");
             }
         }
         Assembly.verticals(settings);
@@ -217,20 +292,26 @@
     }
 
     /**
-     * Takes over what a configuration read again has that can change while it runs: where discovery is. The new
-     * one is asked at once, so that nothing stands between what it tells and the time it counts as told; the
-     * list held stays until it answers. An IOException or IllegalArgumentException says what can't be used; then
-     * all stays as it was.
+     * Takes over what a configuration read again has that can change while it runs: where discovery
+     * is. The new one is asked at once, so that nothing stands between what it tells and the time
+     * it counts as told; the list held stays until it answers. An IOException or
+     * IllegalArgumentException says what can't be used; then all stays as it was.
      */
     public synchronized void reload(Startup startup) throws IOException {
         check(startup);
         String discovery = startup.address("discovery");
         List<String> fixed = new ArrayList<>(held.info.changed(startup.info));
-        fixed.removeIf(path -> path.equals("discovery") || path.equals("seed") || path.startsWith("known")
-                || path.startsWith("settings."));
+        fixed.removeIf(
+                path ->
+                        path.equals("discovery")
+                                || path.equals("seed")
+                                || path.startsWith("known")
+                                || path.startsWith("settings."));
         fixed.addAll(held.settings.changed(startup.settings));
         if (!fixed.isEmpty()) {
-            LOG.log(System.Logger.Level.WARNING, "configuration: these wait for a restart: {0}",
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "configuration: these wait for a restart: {0}",
                     fixed.subList(0, Math.min(fixed.size(), MOST_NAMED)));
         }
         boolean moved = !discovery.equals(held.address("discovery"));
@@ -240,10 +321,19 @@
             thread("discovery", watch);
         }
         held = startup;
-        LOG.log(System.Logger.Level.INFO, "configuration read again; discovery {0} {1}",
-                moved ? "is now at" : "stays at", discovery);
-        worker.getIoThread().execute(() -> LOG.log(System.Logger.Level.INFO, "{0}; on the sockets {1}",
-                decisions.beliefs(), dataNodes.carrying()));
+        LOG.log(
+                System.Logger.Level.INFO,
+                "configuration read again; discovery {0} {1}",
+                moved ? "is now at" : "stays at",
+                discovery);
+        worker.getIoThread()
+                .execute(
+                        () ->
+                                LOG.log(
+                                        System.Logger.Level.INFO,
+                                        "{0}; on the sockets {1}",
+                                        decisions.beliefs(),
+                                        dataNodes.carrying()));
     }
 
     /** Where it listens. */
@@ -334,7 +424,8 @@
     private Step serve(OpenQuery q) throws InterruptedException {
         Step last = served(q);
         return q.paged != null && last instanceof Step.Answer answer
-                ? paging.given(q, answer, asks -> further(q, asks)) : last;
+                ? paging.given(q, answer, asks -> further(q, asks))
+                : last;
     }
 
     /** Asks again for the page; null where that may not be. */
@@ -368,10 +459,10 @@
     }
 
     /**
-     * Serves on for as long as {@link LeaveTimes} has it, so that clients with connections are served while what
-     * replaces this router starts; then stops taking queries, answers all that was taken, and
-     * lets {@link #await} return. Ends as soon as no client is connected, once none can be on its way. One that does
-     * not listen yet has taken nothing, and never will.
+     * Serves on for as long as {@link LeaveTimes} has it, so that clients with connections are
+     * served while what replaces this router starts; then stops taking queries, answers all that
+     * was taken, and lets {@link #await} return. Ends as soon as no client is connected, once none
+     * can be on its way. One that does not listen yet has taken nothing, and never will.
      */
     public void stop() throws InterruptedException {
         LOG.log(System.Logger.Level.INFO, "stopping");
@@ -385,7 +476,8 @@
         }
         clients.leave(leaveTimes.lastWord());
         Thread.sleep(LeaveTimes.STILL_COMING.toMillis());
-        while (System.nanoTime() - asked < leaveTimes.servesOn().toNanos() && !on(clients::unused)) {
+        while (System.nanoTime() - asked < leaveTimes.servesOn().toNanos()
+                && !on(clients::unused)) {
             Thread.sleep(LOOK.toMillis());
         }
         if (beside != null) {
@@ -396,7 +488,8 @@
         while (!on(clients::idle)) {
             Thread.sleep(LOOK.toMillis());
         }
-        // The process' end closes what is left: over unread bytes that is a reset, which takes the last answer along.
+        // The process' end closes what is left: over unread bytes that is a reset, which takes the
+        // last answer along.
         while (System.nanoTime() - asked < leaveTimes.readOff().toNanos() && !on(clients::unused)) {
             Thread.sleep(LOOK.toMillis());
         }
--- a/src/main/java/postbeam/setup/Info.java
+++ b/src/main/java/postbeam/setup/Info.java
@@ -15,6 +15,7 @@
     private static final int NANOS_A_MICRO = 1000;
 
     private final Map<String, String> values = new LinkedHashMap<>();
+
     /** Stands before a path where a message names it. */
     private final String prefix;
 
@@ -35,7 +36,10 @@
         return other;
     }
 
-    /** From an object of JSON, whose nested names become paths; messages name its paths with the prefix. */
+    /**
+     * From an object of JSON, whose nested names become paths; messages name its paths with the
+     * prefix.
+     */
     public Info(Map<String, Object> object, String prefix) {
         this.prefix = prefix;
         object.forEach(this::flatten);
@@ -68,8 +72,10 @@
     public List<String> changed(Info other) {
         Set<String> paths = new TreeSet<>(values.keySet());
         paths.addAll(other.values.keySet());
-        return paths.stream().filter(path -> !Objects.equals(values.get(path), other.values.get(path)))
-                .map(path -> prefix + path).toList();
+        return paths.stream()
+                .filter(path -> !Objects.equals(values.get(path), other.values.get(path)))
+                .map(path -> prefix + path)
+                .toList();
     }
 
     public String text(String path) {
@@ -138,7 +144,8 @@
 
     /** Whether something stands under the path, or it has a value itself. */
     public boolean told(String path) {
-        return text(path) != null || values.keySet().stream().anyMatch(one -> one.startsWith(path + "."));
+        return text(path) != null
+                || values.keySet().stream().anyMatch(one -> one.startsWith(path + "."));
     }
 
     /** How many entries a list of plain values has; 0 where it is absent or empty. */
--- a/src/main/java/postbeam/setup/Json.java
+++ b/src/main/java/postbeam/setup/Json.java
@@ -15,8 +15,12 @@
 public final class Json {
     /** Levels: the deepest form here, the settings, has five. */
     private static final int DEEPEST = 32;
-    public static final JsonFactory FACTORY = JsonFactory.builder().streamReadConstraints(
-            StreamReadConstraints.builder().maxNestingDepth(DEEPEST).build()).build();
+
+    public static final JsonFactory FACTORY =
+            JsonFactory.builder()
+                    .streamReadConstraints(
+                            StreamReadConstraints.builder().maxNestingDepth(DEEPEST).build())
+                    .build();
 
     private Json() {}
 
@@ -88,7 +92,10 @@
         }
     }
 
-    /** The member as a map, a list, a string or a number; an IOException names it where it is something else. */
+    /**
+     * The member as a map, a list, a string or a number; an IOException names it where it is
+     * something else.
+     */
     public static <T> T member(Map<?, ?> object, String name, Class<T> kind) throws IOException {
         Object value = object.get(name);
         if (!kind.isInstance(value)) {
--- a/src/main/java/postbeam/setup/OwnSettings.java
+++ b/src/main/java/postbeam/setup/OwnSettings.java
@@ -23,32 +23,41 @@
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
 /**
- * Our own settings, in JSON5, checked by a schema: what is wrong is told with its key, its line and the reason, an
- * unknown key with the nearest known one. Loaded only where a flag names the file.
+ * Our own settings, in JSON5, checked by a schema: what is wrong is told with its key, its line and
+ * the reason, an unknown key with the nearest known one. Loaded only where a flag names the file.
  */
 public final class OwnSettings {
     private static final String SCHEMA = "/postbeam/config/settings.schema.json";
-    private static final JsonFactory JSON5 = JsonFactory.builder()
-            .enable(JsonReadFeature.ALLOW_JAVA_COMMENTS).enable(JsonReadFeature.ALLOW_UNQUOTED_FIELD_NAMES)
-            .enable(JsonReadFeature.ALLOW_SINGLE_QUOTES).enable(JsonReadFeature.ALLOW_TRAILING_COMMA)
-            .enable(JsonReadFeature.ALLOW_LEADING_PLUS_SIGN_FOR_NUMBERS)
-            .enable(JsonReadFeature.ALLOW_LEADING_DECIMAL_POINT_FOR_NUMBERS)
-            .enable(JsonReadFeature.ALLOW_TRAILING_DECIMAL_POINT_FOR_NUMBERS)
-            .enable(JsonReadFeature.ALLOW_NON_NUMERIC_NUMBERS)
-            .enable(JsonReadFeature.ALLOW_BACKSLASH_ESCAPING_ANY_CHARACTER)
-            .enable(com.fasterxml.jackson.core.StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
+    private static final JsonFactory JSON5 =
+            JsonFactory.builder()
+                    .enable(JsonReadFeature.ALLOW_JAVA_COMMENTS)
+                    .enable(JsonReadFeature.ALLOW_UNQUOTED_FIELD_NAMES)
+                    .enable(JsonReadFeature.ALLOW_SINGLE_QUOTES)
+                    .enable(JsonReadFeature.ALLOW_TRAILING_COMMA)
+                    .enable(JsonReadFeature.ALLOW_LEADING_PLUS_SIGN_FOR_NUMBERS)
+                    .enable(JsonReadFeature.ALLOW_LEADING_DECIMAL_POINT_FOR_NUMBERS)
+                    .enable(JsonReadFeature.ALLOW_TRAILING_DECIMAL_POINT_FOR_NUMBERS)
+                    .enable(JsonReadFeature.ALLOW_NON_NUMERIC_NUMBERS)
+                    .enable(JsonReadFeature.ALLOW_BACKSLASH_ESCAPING_ANY_CHARACTER)
+                    .enable(com.fasterxml.jackson.core.StreamReadFeature.STRICT_DUPLICATE_DETECTION)
+                    .build();
+
     /** Letters that an unknown key may differ from the one that is meant. */
     private static final int NEAR = 4;
 
     private OwnSettings() {}
 
-    /** The settings by path; an IOException names the file, and the line and key of the first thing wrong. */
+    /**
+     * The settings by path; an IOException names the file, and the line and key of the first thing
+     * wrong.
+     */
     public static Info read(Path file) throws IOException {
         String text;
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new IOException(file + " can't be read (" + e.getClass().getSimpleName() + ")", e);
+            throw new IOException(
+                    file + " can't be read (" + e.getClass().getSimpleName() + ")", e);
         }
         return read(file.toString(), text);
     }
@@ -62,18 +71,23 @@
             }
             told = members(parser, "", lines);
             if (parser.nextToken() != null) {
-                throw new IOException(name + ": line " + parser.currentLocation().getLineNr()
-                        + ": something follows the object");
+                throw new IOException(
+                        name
+                                + ": line "
+                                + parser.currentLocation().getLineNr()
+                                + ": something follows the object");
             }
         } catch (JsonProcessingException e) {
-            throw new IOException(name + ": line " + e.getLocation().getLineNr() + ": " + e.getOriginalMessage(), e);
+            throw new IOException(
+                    name + ": line " + e.getLocation().getLineNr() + ": " + e.getOriginalMessage(),
+                    e);
         }
         check(name, told, lines);
         return new Info(told, "");
     }
 
-    private static Map<String, Object> members(JsonParser parser, String path, Map<String, Integer> lines)
-            throws IOException {
+    private static Map<String, Object> members(
+            JsonParser parser, String path, Map<String, Integer> lines) throws IOException {
         Map<String, Object> map = new LinkedHashMap<>();
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String key = path + "/" + parser.currentName();
@@ -85,7 +99,8 @@
         return map;
     }
 
-    private static Object value(JsonParser parser, String path, Map<String, Integer> lines) throws IOException {
+    private static Object value(JsonParser parser, String path, Map<String, Integer> lines)
+            throws IOException {
         return switch (parser.currentToken()) {
             case START_OBJECT -> members(parser, path, lines);
             case START_ARRAY -> {
@@ -104,11 +119,15 @@
         };
     }
 
-    private static void check(String name, Map<String, Object> told, Map<String, Integer> lines) throws IOException {
+    private static void check(String name, Map<String, Object> told, Map<String, Integer> lines)
+            throws IOException {
         Schema schema;
         try (InputStream in = OwnSettings.class.getResourceAsStream(SCHEMA)) {
-            schema = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
-                    .getSchema(new String(in.readAllBytes(), StandardCharsets.UTF_8), InputFormat.JSON);
+            schema =
+                    SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
+                            .getSchema(
+                                    new String(in.readAllBytes(), StandardCharsets.UTF_8),
+                                    InputFormat.JSON);
         }
         StringWriter plain = new StringWriter();
         try (var json = Json.FACTORY.createGenerator(plain)) {
@@ -127,8 +146,14 @@
                 path += "/" + first.getProperty();
                 what = "is missing";
             }
-            throw new IOException(name + ": " + at(path, lines) + key(path) + ": " + what
-                    + (errors.size() > 1 ? " (and " + (errors.size() - 1) + " more)" : ""));
+            throw new IOException(
+                    name
+                            + ": "
+                            + at(path, lines)
+                            + key(path)
+                            + ": "
+                            + what
+                            + (errors.size() > 1 ? " (and " + (errors.size() - 1) + " more)" : ""));
         }
     }
 
@@ -153,7 +178,7 @@
         }
         String best = null;
         int least = NEAR + 1;
-        for (var names = at.path("properties").fieldNames(); names.hasNext();) {
+        for (var names = at.path("properties").fieldNames(); names.hasNext(); ) {
             String known = names.next();
             int far = new LevenshteinDistance(NEAR).apply(known, unknown);
             if (far >= 0 && far < least) {
--- a/src/main/java/postbeam/setup/Startup.java
+++ b/src/main/java/postbeam/setup/Startup.java
@@ -6,19 +6,36 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** Reads and checks what a router is told at its start, in a file of JSON; messages name the faulty key. */
+/**
+ * Reads and checks what a router is told at its start, in a file of JSON; messages name the faulty
+ * key.
+ */
 public final class Startup {
     /** What stands in a variable of the environment too, for a file that lacks it. */
-    private static final Map<String, String> FROM_ENVIRONMENT = Map.of("name", "BALANCER_NAME",
-            "listen", "BALANCER_LISTEN", "discovery", "BALANCER_DISCOVERY");
-    /** Descriptors and MB where no limits are told: what the deploy page names for scored days, which tell theirs. */
-    private static final Map<String, Integer> USUAL_LIMITS = Map.of("sockets", 1024, "memory_mb", 192);
+    private static final Map<String, String> FROM_ENVIRONMENT =
+            Map.of(
+                    "name",
+                    "BALANCER_NAME",
+                    "listen",
+                    "BALANCER_LISTEN",
+                    "discovery",
+                    "BALANCER_DISCOVERY");
+
+    /**
+     * Descriptors and MB where no limits are told: what the deploy page names for scored days,
+     * which tell theirs.
+     */
+    private static final Map<String, Integer> USUAL_LIMITS =
+            Map.of("sockets", 1024, "memory_mb", 192);
+
     /** MB: 16 TB, beyond any machine; what is worked out of it stays a whole number. */
     private static final int MOST_MB = 1 << 24;
 
     private final Map<String, Object> told;
+
     /** All of it but the list, by path; and the settings, as the simulator's wire names them. */
     public final Info info;
+
     public final Info settings;
 
     private Startup(Map<String, Object> told, Map<String, Object> settings) {
@@ -30,7 +47,8 @@
     /** An IOException or IllegalArgumentException says what is wrong with it. */
     public static Startup read(String file) throws IOException {
         if (file == null || file.isEmpty()) {
-            throw new IllegalArgumentException("BALANCER_CONFIG is not set and no --config is given");
+            throw new IllegalArgumentException(
+                    "BALANCER_CONFIG is not set and no --config is given");
         }
         byte[] bytes;
         try {
@@ -44,11 +62,12 @@
     /** From the file's bytes. */
     public static Startup of(byte[] bytes) throws IOException {
         Map<String, Object> told = Json.object(bytes);
-        FROM_ENVIRONMENT.forEach((key, variable) -> {
-            if (System.getenv(variable) != null) {
-                told.putIfAbsent(key, System.getenv(variable));
-            }
-        });
+        FROM_ENVIRONMENT.forEach(
+                (key, variable) -> {
+                    if (System.getenv(variable) != null) {
+                        told.putIfAbsent(key, System.getenv(variable));
+                    }
+                });
         return new Startup(told, map(Json.member(told, "settings", Map.class)));
     }
 
@@ -76,13 +95,15 @@
     /** HOST:PORT as where to connect or listen. */
     public static InetSocketAddress socketAddress(String address) {
         int colon = address.lastIndexOf(':');
-        return new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
+        return new InetSocketAddress(
+                address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
     }
 
     /** An address with its port. */
     public String address(String path) {
         String value = info.needed(path);
-        if (!value.matches("[^:]+:[0-9]{1,5}") || Integer.parseInt(value.replaceAll(".*:", "")) > 65_535) {
+        if (!value.matches("[^:]+:[0-9]{1,5}")
+                || Integer.parseInt(value.replaceAll(".*:", "")) > 65_535) {
             throw info.bad(path, "must be HOST:PORT, not " + value);
         }
         return value;
--- a/src/main/java/postbeam/shared/LeaseAsk.java
+++ b/src/main/java/postbeam/shared/LeaseAsk.java
@@ -7,4 +7,4 @@
  * @param wanted in a window
  * @param budget of the node for a window that ends now
  */
-public record LeaseAsk(NodeKey node, Who router, long number, double wanted, double budget) { }
+public record LeaseAsk(NodeKey node, Who router, long number, double wanted, double budget) {}
--- a/src/main/java/postbeam/shared/LeaseTerms.java
+++ b/src/main/java/postbeam/shared/LeaseTerms.java
@@ -9,31 +9,60 @@
 import java.util.List;
 
 /**
- * What all routers must agree on for leases of a cold node's budget; the letters are those of docs/together.md.
+ * What all routers must agree on for leases of a cold node's budget; the letters are those of
+ * docs/together.md.
  *
  * @param use u: how long a router may use a lease, from when it asked for it
  * @param window w: in which the rule counts what a cold node is sent
  * @param drift d: what two clocks may differ by over the longest span here
- * @param reserved s: share of each budget that is never leased; a router that hears nothing has its part of it
- * @param underWay k: share of each budget for what is checked and not yet out, as when a process is stopped there
- * @param shares what the reserve is divided by: all routers that are, and that may be before all know of new terms
+ * @param reserved s: share of each budget that is never leased; a router that hears nothing has its
+ *     part of it
+ * @param underWay k: share of each budget for what is checked and not yet out, as when a process is
+ *     stopped there
+ * @param shares what the reserve is divided by: all routers that are, and that may be before all
+ *     know of new terms
  * @param callMost the largest leaf call's work, in the budget's unit
  */
-public record LeaseTerms(Duration use, Duration window, Duration drift, double reserved, double underWay, int shares,
+public record LeaseTerms(
+        Duration use,
+        Duration window,
+        Duration drift,
+        double reserved,
+        double underWay,
+        int shares,
         double callMost) {
     public LeaseTerms {
-        if (reserved <= 0 || underWay <= 0 || reserved + underWay >= 1 || shares < 1 || callMost < 0 || use.isNegative()
-                || use.isZero() || window.isNegative() || drift.isNegative()) {
-            throw new IllegalArgumentException("terms of leases can't be used: reserved " + reserved + ", under way "
-                    + underWay + ", shares " + shares + ", largest call " + callMost + ", use " + use + ", window "
-                    + window + ", drift " + drift);
+        if (reserved <= 0
+                || underWay <= 0
+                || reserved + underWay >= 1
+                || shares < 1
+                || callMost < 0
+                || use.isNegative()
+                || use.isZero()
+                || window.isNegative()
+                || drift.isNegative()) {
+            throw new IllegalArgumentException(
+                    "terms of leases can't be used: reserved "
+                            + reserved
+                            + ", under way "
+                            + underWay
+                            + ", shares "
+                            + shares
+                            + ", largest call "
+                            + callMost
+                            + ", use "
+                            + use
+                            + ", window "
+                            + window
+                            + ", drift "
+                            + drift);
         }
     }
 
     /**
-     * How long the keeper counts a lease, from when it granted it. What is used at the last moment counts in windows
-     * that reach so much further, and the grant came after the question. A keeper new in office grants nothing for as
-     * long: by then all is past that others can have granted.
+     * How long the keeper counts a lease, from when it granted it. What is used at the last moment
+     * counts in windows that reach so much further, and the grant came after the question. A keeper
+     * new in office grants nothing for as long: by then all is past that others can have granted.
      */
     public Duration counted() {
         return use.plus(window).plus(drift);
@@ -55,28 +84,45 @@
     }
 
     /**
-     * What the parts of a node are divided by whose budget begins with this: a part that holds no leaf call helps
-     * nobody, so where there is too little for all, fewer share it.
+     * What the parts of a node are divided by whose budget begins with this: a part that holds no
+     * leaf call helps nobody, so where there is too little for all, fewer share it.
      */
     public int sharers(double firstBudget) {
-        return callMost <= 0 ? shares
-                : (int) Math.min(shares, Math.max(2, Math.floor(firstBudget * underWay / callMost + 1e-9)));
+        return callMost <= 0
+                ? shares
+                : (int)
+                        Math.min(
+                                shares,
+                                Math.max(2, Math.floor(firstBudget * underWay / callMost + 1e-9)));
     }
 
     /**
-     * Whether this router is one of those that share the node: the same lot for all who know the same names. One fewer
-     * than the parts are drawn, so that two lists that differ in one name together draw no more than there are parts.
+     * Whether this router is one of those that share the node: the same lot for all who know the
+     * same names. One fewer than the parts are drawn, so that two lists that differ in one name
+     * together draw no more than there are parts.
      */
     public boolean drawn(NodeKey node, String router, List<String> routers, int sharers) {
         return sharers >= routers.size() && sharers >= shares
-                || routers.stream().sorted(Comparator.<String>comparingLong(name -> lot(node, name))
-                        .thenComparing(name -> name)).limit(sharers - 1).anyMatch(router::equals);
+                || routers.stream()
+                        .sorted(
+                                Comparator.<String>comparingLong(name -> lot(node, name))
+                                        .thenComparing(name -> name))
+                        .limit(sharers - 1)
+                        .anyMatch(router::equals);
     }
 
     private static long lot(NodeKey node, String router) {
         try {
-            return ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest((node.node() + "\n"
-                    + node.incarnation() + "\n" + router).getBytes(StandardCharsets.UTF_8))).getLong();
+            return ByteBuffer.wrap(
+                            MessageDigest.getInstance("SHA-256")
+                                    .digest(
+                                            (node.node()
+                                                            + "\n"
+                                                            + node.incarnation()
+                                                            + "\n"
+                                                            + router)
+                                                    .getBytes(StandardCharsets.UTF_8)))
+                    .getLong();
         } catch (NoSuchAlgorithmException e) {
             throw new AssertionError("every Java has SHA-256", e);
         }
--- a/src/main/java/postbeam/shared/Ledger.java
+++ b/src/main/java/postbeam/shared/Ledger.java
@@ -10,24 +10,35 @@
 import java.util.Map;
 
 /**
- * The leases of one cold node as its keeper holds them, by the keeper's own clock. Of one router the largest that counts
- * is what counts; a second ask of the same number answers what the first did.
+ * The leases of one cold node as its keeper holds them, by the keeper's own clock. Of one router
+ * the largest that counts is what counts; a second ask of the same number answers what the first
+ * did.
  */
 public final class Ledger {
     /** A lease: who has it, how much in a window, and until when it counts. */
-    public record Lease(Who router, long number, double amount, Duration until) { }
+    public record Lease(Who router, long number, double amount, Duration until) {}
 
-    private record Want(double wanted, Duration until) { }
+    private record Want(double wanted, Duration until) {}
 
-    /** Leases of one node that are kept at most: a router asks again at the earliest after a third of a lease. */
+    /**
+     * Leases of one node that are kept at most: a router asks again at the earliest after a third
+     * of a lease.
+     */
     private static final int LEASES_MOST = 4096;
 
     private final Map<String, Lease> leases = new LinkedHashMap<>();
+
     /** What each router asked for last: for even parts where there is not enough. */
     private final Map<String, Want> wants = new LinkedHashMap<>();
 
     /** Grants up to so much of what is left of the leasable budget; zero where nothing is. */
-    public double grant(Duration now, Who router, long number, double wanted, double leasable, Duration counted) {
+    public double grant(
+            Duration now,
+            Who router,
+            long number,
+            double wanted,
+            double leasable,
+            Duration counted) {
         forget(now);
         String key = router.name() + ":" + router.incarnation() + ":" + number;
         Lease before = leases.get(key);
@@ -35,7 +46,9 @@
             return before.amount();
         }
         wants.put(router.name(), new Want(wanted, now.plus(counted)));
-        double amount = Math.min(Math.min(wanted, even(router.name(), leasable)), leasable - others(router));
+        double amount =
+                Math.min(
+                        Math.min(wanted, even(router.name(), leasable)), leasable - others(router));
         if (amount <= 0 || leases.size() >= LEASES_MOST) {
             return 0;
         }
@@ -48,10 +61,14 @@
         wants.values().removeIf(want -> want.until().compareTo(now) <= 0);
     }
 
-    /** What counts for all others: of each run of a router its largest lease. An earlier run of the same name is another. */
+    /**
+     * What counts for all others: of each run of a router its largest lease. An earlier run of the
+     * same name is another.
+     */
     private double others(Who router) {
         Map<Who, Double> largest = new LinkedHashMap<>();
-        leases.values().stream().filter(lease -> !lease.router().equals(router))
+        leases.values().stream()
+                .filter(lease -> !lease.router().equals(router))
                 .forEach(lease -> largest.merge(lease.router(), lease.amount(), Math::max));
         return largest.values().stream().mapToDouble(Double::doubleValue).sum();
     }
--- a/src/main/java/postbeam/shared/NodeLeases.java
+++ b/src/main/java/postbeam/shared/NodeLeases.java
@@ -6,17 +6,20 @@
 import postbeam.state.TimeRing;
 
 /**
- * What one router may send one cold node: its own part of the reserve, and the largest lease that it holds, never past
- * that lease's end, which counts from when it was asked for. A check takes what it allows; what is checked and not yet
- * told to be out is under way, and held down: a process that is stopped there sends it whenever it wakes.
+ * What one router may send one cold node: its own part of the reserve, and the largest lease that
+ * it holds, never past that lease's end, which counts from when it was asked for. A check takes
+ * what it allows; what is checked and not yet told to be out is under way, and held down: a process
+ * that is stopped there sends it whenever it wakes.
  */
 public class NodeLeases {
     /** A lease asked for or held. */
     private static final class Lease {
         final long number;
         final Duration askedAt;
+
         /** Never used from here on. */
         final Duration end;
+
         double amount;
 
         Lease(long number, Duration askedAt, Duration end) {
@@ -28,9 +31,14 @@
 
     /** Leases asked for or held at once: asked again each third of a lease. */
     private static final int LEASES_MOST = 4;
+
     /** Buckets of a window; what shares a bucket with the window's start counts. */
     private static final int BUCKETS = 32;
-    /** Times what was wanted in the last window that is asked for: room to grow, as any ask is some time on its way. */
+
+    /**
+     * Times what was wanted in the last window that is asked for: room to grow, as any ask is some
+     * time on its way.
+     */
     private static final double AHEAD = 1.5;
 
     private final LeaseTerms terms;
@@ -52,13 +60,18 @@
 
     // ---- leases
 
-    /** How much to ask the keeper for now, under this number; zero where nothing is to be asked for. */
+    /**
+     * How much to ask the keeper for now, under this number; zero where nothing is to be asked for.
+     */
     public double ask(Duration now, double budget, long number) {
         forget(now);
         Duration third = terms.use().dividedBy(3);
-        boolean recent = leases.stream().anyMatch(lease -> now.minus(lease.askedAt).compareTo(third) < 0);
-        double want = Math.min(AHEAD * wanted.atLeast(now, terms.window()) - terms.own(budget, sharers),
-                terms.leasable(budget));
+        boolean recent =
+                leases.stream().anyMatch(lease -> now.minus(lease.askedAt).compareTo(third) < 0);
+        double want =
+                Math.min(
+                        AHEAD * wanted.atLeast(now, terms.window()) - terms.own(budget, sharers),
+                        terms.leasable(budget));
         if (!drawn || recent || leases.size() >= LEASES_MOST || want <= 0) {
             return 0;
         }
@@ -68,7 +81,9 @@
 
     public void granted(Duration now, long ofNumber, double amount) {
         forget(now);
-        leases.stream().filter(lease -> lease.number == ofNumber).forEach(lease -> lease.amount = amount);
+        leases.stream()
+                .filter(lease -> lease.number == ofNumber)
+                .forEach(lease -> lease.amount = amount);
     }
 
     private void forget(Duration now) {
@@ -93,11 +108,15 @@
         if (!drawn) {
             return 0;
         }
-        double inWindow = terms.own(budget, sharers) + leased(now) - checked.atLeast(now, terms.window());
+        double inWindow =
+                terms.own(budget, sharers) + leased(now) - checked.atLeast(now, terms.window());
         return Math.max(0, Math.min(inWindow, terms.underWay(budget, sharers) - underWay));
     }
 
-    /** Takes so much and is true, if there is room for it; from then on it is under way until {@link #out}. */
+    /**
+     * Takes so much and is true, if there is room for it; from then on it is under way until {@link
+     * #out}.
+     */
     public boolean take(Duration now, double amount, double budget) {
         wanted.add(now, amount);
         if (room(now, budget) < amount) {
@@ -120,10 +139,21 @@
     }
 
     String standing(Duration now) {
-        StringBuilder text = new StringBuilder().append(checked.atLeast(now, terms.window())).append(' ')
-                .append(underWay);
-        leases.stream().filter(lease -> !over(now, lease.end)).forEach(lease -> text.append(' ').append(lease.number)
-                .append('=').append(lease.amount).append('/').append(lease.end.minus(now)));
+        StringBuilder text =
+                new StringBuilder()
+                        .append(checked.atLeast(now, terms.window()))
+                        .append(' ')
+                        .append(underWay);
+        leases.stream()
+                .filter(lease -> !over(now, lease.end))
+                .forEach(
+                        lease ->
+                                text.append(' ')
+                                        .append(lease.number)
+                                        .append('=')
+                                        .append(lease.amount)
+                                        .append('/')
+                                        .append(lease.end.minus(now)));
         return text.toString();
     }
 }
--- a/src/main/java/postbeam/shared/Office.java
+++ b/src/main/java/postbeam/shared/Office.java
@@ -7,8 +7,9 @@
 import java.util.TreeSet;
 
 /**
- * Who keeps one stripe, as one router sees it: a voter, and a candidate that may be in office. At most one router at any
- * moment is in office by its own clock, whatever messages and processes do (docs/together.md, invariant 1).
+ * Who keeps one stripe, as one router sees it: a voter, and a candidate that may be in office. At
+ * most one router at any moment is in office by its own clock, whatever messages and processes do
+ * (docs/together.md, invariant 1).
  */
 public class Office {
     private final Who self;
@@ -34,7 +35,13 @@
     private Duration end;
 
     /** Starts with no memory; the fleet is all configured names, this router's among them. */
-    public Office(Who self, int stripe, List<String> fleet, OfficeTerms terms, Duration now, Random chance) {
+    public Office(
+            Who self,
+            int stripe,
+            List<String> fleet,
+            OfficeTerms terms,
+            Duration now,
+            Random chance) {
         this.self = self;
         this.stripe = stripe;
         this.fleet = fleet;
@@ -47,8 +54,11 @@
     // ---- as a voter
 
     public Vote asked(Duration now, Ballot ballot) {
-        boolean given = fleet.contains(ballot.candidate().name()) && mayVote(now)
-                && ballot.term() >= highest && free(now, ballot.candidate());
+        boolean given =
+                fleet.contains(ballot.candidate().name())
+                        && mayVote(now)
+                        && ballot.term() >= highest
+                        && free(now, ballot.candidate());
         if (given) {
             promise(now, ballot.candidate(), ballot.term());
         }
@@ -56,8 +66,8 @@
     }
 
     /**
-     * Guards against two votes in one term: a process that came back under its name does not know whom it promised.
-     * It hurts where the whole fleet starts at once: no keeper for so long.
+     * Guards against two votes in one term: a process that came back under its name does not know
+     * whom it promised. It hurts where the whole fleet starts at once: no keeper for so long.
      */
     protected boolean mayVote(Duration now) {
         return now.compareTo(votesFrom) >= 0;
@@ -74,7 +84,10 @@
         standAt = promisedUntil.plus(turn());
     }
 
-    /** Who this router last voted for, while that binds it: perhaps the keeper; null where it knows none. */
+    /**
+     * Who this router last voted for, while that binds it: perhaps the keeper; null where it knows
+     * none.
+     */
     public Who keeper(Duration now) {
         return promised != null && now.compareTo(promisedUntil) < 0 ? promised : null;
     }
@@ -90,8 +103,10 @@
                 giveUp(now);
             }
         }
-        boolean due = inOffice(now) ? now.minus(askedAt).compareTo(terms.renew()) >= 0
-                : now.compareTo(standAt) >= 0 && mayVote(now) && free(now, self);
+        boolean due =
+                inOffice(now)
+                        ? now.minus(askedAt).compareTo(terms.renew()) >= 0
+                        : now.compareTo(standAt) >= 0 && mayVote(now) && free(now, self);
         if (standing || !due) {
             return null;
         }
@@ -111,7 +126,10 @@
     }
 
     public void answered(Duration now, Vote vote) {
-        if (!standing || vote.term() != term || vote.round() != round || !fleet.contains(vote.voter())) {
+        if (!standing
+                || vote.term() != term
+                || vote.round() != round
+                || !fleet.contains(vote.voter())) {
             return;
         }
         if (vote.given()) {
@@ -123,7 +141,10 @@
         }
     }
 
-    /** Its own vote is free again: nobody can have it counted, as answers to a round that is over are not heard. */
+    /**
+     * Its own vote is free again: nobody can have it counted, as answers to a round that is over
+     * are not heard.
+     */
     private void giveUp(Duration now) {
         stand(false);
         promised = self.equals(promised) ? null : promised;
@@ -145,7 +166,10 @@
         return fleet.size() / 2 + 1;
     }
 
-    /** A wait that differs among routers, so that few stand at once; for each stripe others come first. */
+    /**
+     * A wait that differs among routers, so that few stand at once; for each stripe others come
+     * first.
+     */
     private Duration turn() {
         int rank = Math.floorMod(fleet.indexOf(self.name()) - stripe, fleet.size());
         double share = (rank + chance.nextDouble()) / fleet.size();
@@ -169,9 +193,16 @@
 
     /** What its next steps depend on, with spans from now: two that are alike go on alike. */
     String standing(Duration now) {
-        return "v" + left(now, votesFrom) + " h" + highest + " p" + (free(now, null) ? "-" : promised + " "
-                + left(now, promisedUntil)) + (standing ? " s" + term + "." + round + " " + askedAt.minus(now) + votes : "")
-                + (inOffice(now) ? " o" + left(now, end) + " " + since.minus(now) : "") + " a" + left(now, standAt);
+        return "v"
+                + left(now, votesFrom)
+                + " h"
+                + highest
+                + " p"
+                + (free(now, null) ? "-" : promised + " " + left(now, promisedUntil))
+                + (standing ? " s" + term + "." + round + " " + askedAt.minus(now) + votes : "")
+                + (inOffice(now) ? " o" + left(now, end) + " " + since.minus(now) : "")
+                + " a"
+                + left(now, standAt);
     }
 
     private static Duration left(Duration now, Duration until) {
--- a/src/main/java/postbeam/shared/SharedError.java
+++ b/src/main/java/postbeam/shared/SharedError.java
@@ -13,8 +13,8 @@
 
         @Override
         public String advice() {
-            return "give all routers the same section 'together', but for their own names, and restart the one that is "
-                    + "behind";
+            return "give all routers the same section 'together', but for their own names, and"
+                    + " restart the one that is behind";
         }
     }
 
@@ -22,7 +22,11 @@
     record NameTwice(String router, long mine, long other) implements SharedError {
         @Override
         public String happened() {
-            return "a second process speaks as router " + router + ": this one began at " + mine + ", the other at "
+            return "a second process speaks as router "
+                    + router
+                    + ": this one began at "
+                    + mine
+                    + ", the other at "
                     + other;
         }
 
@@ -41,7 +45,8 @@
 
         @Override
         public String advice() {
-            return "add it to together.routers on every router, as the page on growing a fleet says, or stop it";
+            return "add it to together.routers on every router, as the page on growing a fleet"
+                    + " says, or stop it";
         }
     }
 
@@ -54,7 +59,8 @@
 
         @Override
         public String advice() {
-            return "see whether another program answers at that address, and whether both run the same version";
+            return "see whether another program answers at that address, and whether both run the"
+                    + " same version";
         }
     }
 
@@ -67,8 +73,8 @@
 
         @Override
         public String advice() {
-            return "see whether it runs and whether this machine reaches its address; until then this router does with "
-                    + "less";
+            return "see whether it runs and whether this machine reaches its address; until then"
+                    + " this router does with less";
         }
     }
 
--- a/src/main/java/postbeam/shared/Stripe.java
+++ b/src/main/java/postbeam/shared/Stripe.java
@@ -7,15 +7,24 @@
 import java.util.Map;
 import java.util.Random;
 
-/** All that one router holds of one stripe of the data nodes: its place in the office, the keeper, and its leases. */
+/**
+ * All that one router holds of one stripe of the data nodes: its place in the office, the keeper,
+ * and its leases.
+ */
 public class Stripe {
-    /** Nodes that leases are held of at most, over all stripes more than any fleet has cold at once. */
+    /**
+     * Nodes that leases are held of at most, over all stripes more than any fleet has cold at once.
+     */
     private static final int NODES_MOST = 10_000;
+
     /** Asks in one message to a keeper; others go a little later. */
     private static final int ASKS_MOST = 64;
 
-    /** What to send now: a ballot for all others or null, and asks for this router, which may be the sender itself. */
-    public record Due(Ballot ballot, Who keeper, List<LeaseAsk> asks) { }
+    /**
+     * What to send now: a ballot for all others or null, and asks for this router, which may be the
+     * sender itself.
+     */
+    public record Due(Ballot ballot, Who keeper, List<LeaseAsk> asks) {}
 
     private static final class Held {
         final NodeLeases leases;
@@ -33,10 +42,20 @@
     private final Keeper keeper;
     private final Duration sendsFrom;
     private final Map<NodeKey, Held> nodes = new LinkedHashMap<>();
-    /** Of leases: goes on over all nodes, so that none is used twice when a node is forgotten and comes again. */
+
+    /**
+     * Of leases: goes on over all nodes, so that none is used twice when a node is forgotten and
+     * comes again.
+     */
     private long number;
 
-    public Stripe(int stripe, Who self, List<String> fleet, LeaseTerms terms, OfficeTerms offices, Duration now,
+    public Stripe(
+            int stripe,
+            Who self,
+            List<String> fleet,
+            LeaseTerms terms,
+            OfficeTerms offices,
+            Duration now,
             Random chance) {
         this.self = self;
         this.fleet = fleet;
@@ -46,7 +65,12 @@
         this.keeper = keeper(office, terms);
     }
 
-    protected Office office(int stripe, Who who, List<String> routers, OfficeTerms offices, Duration now,
+    protected Office office(
+            int stripe,
+            Who who,
+            List<String> routers,
+            OfficeTerms offices,
+            Duration now,
             Random chance) {
         return new Office(who, stripe, routers, offices, now, chance);
     }
@@ -61,7 +85,10 @@
 
     // ---- sends
 
-    /** Takes so much work for a send to the node and is true, if there is room; the send is under way until it is out. */
+    /**
+     * Takes so much work for a send to the node and is true, if there is room; the send is under
+     * way until it is out.
+     */
     public boolean take(Duration now, NodeKey node, double amount, Budget budget) {
         Held held = held(now, node, budget);
         return held != null && held.leases.take(now, amount, budget.now());
@@ -74,9 +101,9 @@
     }
 
     /**
-     * Guards against a process that came back under its name and does not know what it sent just before: it has its
-     * part of the reserve once for each window, not once for each start. It hurts after any start: for a window cold
-     * nodes get nothing from this router.
+     * Guards against a process that came back under its name and does not know what it sent just
+     * before: it has its part of the reserve once for each window, not once for each start. It
+     * hurts after any start: for a window cold nodes get nothing from this router.
      */
     protected boolean maySend(Duration now) {
         return now.compareTo(sendsFrom) >= 0;
@@ -124,14 +151,15 @@
         Who to = office.inOffice(now) ? self : office.keeper(now);
         List<LeaseAsk> asks = new ArrayList<>();
         if (to != null) {
-            nodes.forEach((node, held) -> {
-                if (asks.size() < ASKS_MOST) {
-                    double want = held.leases.ask(now, held.budget, number + 1);
-                    if (want > 0) {
-                        asks.add(new LeaseAsk(node, self, ++number, want, held.budget));
-                    }
-                }
-            });
+            nodes.forEach(
+                    (node, held) -> {
+                        if (asks.size() < ASKS_MOST) {
+                            double want = held.leases.ask(now, held.budget, number + 1);
+                            if (want > 0) {
+                                asks.add(new LeaseAsk(node, self, ++number, want, held.budget));
+                            }
+                        }
+                    });
         }
         if (self.equals(to)) {
             asks.forEach(ask -> granted(now, asked(now, ask)));
--- a/src/main/java/postbeam/shared/Stripes.java
+++ b/src/main/java/postbeam/shared/Stripes.java
@@ -8,9 +8,9 @@
 import java.util.function.Supplier;
 
 /**
- * The stripes of one router, each under its own lock: the one place of this package that several threads enter. No
- * two locks are held at once, and none while anything waits. The clock is read under the lock, so that a stripe's time
- * never goes back.
+ * The stripes of one router, each under its own lock: the one place of this package that several
+ * threads enter. No two locks are held at once, and none while anything waits. The clock is read
+ * under the lock, so that a stripe's time never goes back.
  */
 public final class Stripes {
     private final Stripe[] stripes;
@@ -25,10 +25,26 @@
     }
 
     /** As a router has them from its terms. */
-    public static Stripes of(int count, Who self, List<String> fleet, LeaseTerms terms, OfficeTerms offices,
-            Supplier<Duration> clock, Random chance) {
-        return new Stripes(count, i -> new Stripe(i, self, fleet, terms, offices, clock.get(),
-                new Random(chance.nextLong())), clock);
+    public static Stripes of(
+            int count,
+            Who self,
+            List<String> fleet,
+            LeaseTerms terms,
+            OfficeTerms offices,
+            Supplier<Duration> clock,
+            Random chance) {
+        return new Stripes(
+                count,
+                i ->
+                        new Stripe(
+                                i,
+                                self,
+                                fleet,
+                                terms,
+                                offices,
+                                clock.get(),
+                                new Random(chance.nextLong())),
+                clock);
     }
 
     /** What is done with a stripe at a time that was read under its lock. */
@@ -52,7 +68,9 @@
     }
 
     public boolean take(NodeKey node, double amount, Function<Duration, Budget> budget) {
-        return on(of(node.node()), (now, stripe) -> stripe.take(now, node, amount, budget.apply(now)));
+        return on(
+                of(node.node()),
+                (now, stripe) -> stripe.take(now, node, amount, budget.apply(now)));
     }
 
     public double room(NodeKey node, Function<Duration, Budget> budget) {
@@ -60,9 +78,11 @@
     }
 
     public void out(NodeKey node, double amount) {
-        on(of(node.node()), (now, stripe) -> {
-            stripe.out(node, amount);
-            return null;
-        });
+        on(
+                of(node.node()),
+                (now, stripe) -> {
+                    stripe.out(node, amount);
+                    return null;
+                });
     }
 }
--- a/src/main/java/postbeam/slices/Book.java
+++ b/src/main/java/postbeam/slices/Book.java
@@ -10,7 +10,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What the records of a log add up to: the layout in force, the moves under way, and where they lead. */
+/**
+ * What the records of a log add up to: the layout in force, the moves under way, and where they
+ * lead.
+ */
 public final class Book {
     /** Moves that are over and still shown to operators. */
     private static final int OVER_KEPT = 64;
@@ -101,7 +104,10 @@
         return lastMove + 1;
     }
 
-    /** Numbers are never used again: a call for a slice that is no more finds nobody who thinks it means him. */
+    /**
+     * Numbers are never used again: a call for a slice that is no more finds nobody who thinks it
+     * means him.
+     */
     public int nextSlice() {
         return lastSlice + 1;
     }
@@ -115,15 +121,37 @@
     }
 
     public boolean busy(int slice) {
-        return moves.values().stream().anyMatch(move -> move.change.slices().contains(slice)
-                || move.births.contains(slice));
+        return moves.values().stream()
+                .anyMatch(
+                        move ->
+                                move.change.slices().contains(slice)
+                                        || move.births.contains(slice));
     }
 
     /** The record that stands for all of it. */
     public Logged.Whole whole() {
-        return new Logged.Whole(layout, lastVersion, lastMove, lastSlice, moves.values().stream()
-                .map(move -> new Logged.Standing(move.id, move.change, move.births, move.gains, move.losses,
-                        move.plannedAt, move.state, move.since, move.why, move.turnsBack, move.fenced)).toList(), target,
+        return new Logged.Whole(
+                layout,
+                lastVersion,
+                lastMove,
+                lastSlice,
+                moves.values().stream()
+                        .map(
+                                move ->
+                                        new Logged.Standing(
+                                                move.id,
+                                                move.change,
+                                                move.births,
+                                                move.gains,
+                                                move.losses,
+                                                move.plannedAt,
+                                                move.state,
+                                                move.since,
+                                                move.why,
+                                                move.turnsBack,
+                                                move.fenced))
+                        .toList(),
+                target,
                 List.copyOf(owed));
     }
 
@@ -133,7 +161,8 @@
             apply(whole);
         } else if (record instanceof Logged.Office office) {
             if (office.term() < term) {
-                throw new IllegalArgumentException("term " + office.term() + " is not above " + term);
+                throw new IllegalArgumentException(
+                        "term " + office.term() + " is not above " + term);
             }
             term = office.term();
         } else if (layout == null) {
@@ -146,15 +175,27 @@
             }
             lastMove = planned.id();
             planned.births().forEach(number -> lastSlice = Math.max(lastSlice, number));
-            Move move = Move.planned(planned.id(), planned.change(), planned.births(), planned.source(), layout,
-                    planned.at());
+            Move move =
+                    Move.planned(
+                            planned.id(),
+                            planned.change(),
+                            planned.births(),
+                            planned.source(),
+                            layout,
+                            planned.at());
             moves.put(move.id, move);
             // Who is to have a slice again is not told to drop it for what was once.
-            owed.removeIf(loss -> move.gains.stream().anyMatch(gain -> gain.slice() == loss.slice()
-                    && gain.node().equals(loss.node())));
+            owed.removeIf(
+                    loss ->
+                            move.gains.stream()
+                                    .anyMatch(
+                                            gain ->
+                                                    gain.slice() == loss.slice()
+                                                            && gain.node().equals(loss.node())));
         } else if (record instanceof Logged.Other other) {
             if (others == null) {
-                throw new IllegalArgumentException("migrations stand in this log: switch layouts.migration on");
+                throw new IllegalArgumentException(
+                        "migrations stand in this log: switch layouts.migration on");
             }
             others.apply(other);
         } else if (record instanceof Logged.Owed one) {
@@ -171,7 +212,9 @@
             ended(move);
         } else if (record instanceof Logged.CutOver cut) {
             Move move = needed(cut.id());
-            layout = layout.after(move.change, move.births, version(cut.version()), cut.at(), history);
+            layout =
+                    layout.after(
+                            move.change, move.births, version(cut.version()), cut.at(), history);
             move.state = MoveState.CUT_OVER;
             move.since = cut.at();
         } else if (record instanceof Logged.Abandoning abandoning) {
@@ -202,8 +245,14 @@
         owed.addAll(whole.owed());
         moves.clear();
         for (Logged.Standing standing : whole.moves()) {
-            Move move = new Move(standing.id(), standing.change(), standing.births(), standing.gains(),
-                    standing.losses(), standing.plannedAt());
+            Move move =
+                    new Move(
+                            standing.id(),
+                            standing.change(),
+                            standing.births(),
+                            standing.gains(),
+                            standing.losses(),
+                            standing.plannedAt());
             move.state = standing.state();
             move.since = standing.since();
             move.why = standing.why();
--- a/src/main/java/postbeam/slices/Change.java
+++ b/src/main/java/postbeam/slices/Change.java
@@ -36,11 +36,15 @@
         }
     }
 
-    /** Hands a slice from one node to another; without the first a holder is added, without the second one let go. */
+    /**
+     * Hands a slice from one node to another; without the first a holder is added, without the
+     * second one let go.
+     */
     record Move(int slice, String from, String to) implements Change {
         public Move {
             if (from == null && to == null) {
-                throw new IllegalArgumentException("a move of slice " + slice + " from nowhere to nowhere");
+                throw new IllegalArgumentException(
+                        "a move of slice " + slice + " from nowhere to nowhere");
             }
         }
 
@@ -51,12 +55,19 @@
 
         @Override
         public String toString() {
-            return "move " + slice + " from " + (from == null ? "-" : from) + " to " + (to == null ? "-" : to);
+            return "move "
+                    + slice
+                    + " from "
+                    + (from == null ? "-" : from)
+                    + " to "
+                    + (to == null ? "-" : to);
         }
     }
 
     /** How many slices are born by it. */
     default int births() {
-        return this instanceof Split split ? split.cuts().size() + 1 : this instanceof Merge ? 1 : 0;
+        return this instanceof Split split
+                ? split.cuts().size() + 1
+                : this instanceof Merge ? 1 : 0;
     }
 }
--- a/src/main/java/postbeam/slices/Coverage.java
+++ b/src/main/java/postbeam/slices/Coverage.java
@@ -7,7 +7,10 @@
 final class Coverage {
     private Coverage() {}
 
-    /** The first gap or overlap of ranges that are sorted, in a line; empty where they cover all keys once. */
+    /**
+     * The first gap or overlap of ranges that are sorted, in a line; empty where they cover all
+     * keys once.
+     */
     static Optional<String> problem(List<KeyRange> sorted) {
         long end = 0;
         for (KeyRange keys : sorted) {
@@ -15,12 +18,16 @@
                 return Optional.of("gap: no slice holds the keys " + end + "-" + keys.from());
             }
             if (keys.from() < end) {
-                return Optional.of("overlap: two slices hold the keys " + keys.from() + "-"
-                        + Math.min(end, keys.to()));
+                return Optional.of(
+                        "overlap: two slices hold the keys "
+                                + keys.from()
+                                + "-"
+                                + Math.min(end, keys.to()));
             }
             end = keys.to();
         }
-        return end == KeyRange.KEYS ? Optional.empty()
+        return end == KeyRange.KEYS
+                ? Optional.empty()
                 : Optional.of("gap: no slice holds the keys " + end + "-" + KeyRange.KEYS);
     }
 }
--- a/src/main/java/postbeam/slices/Fragment.java
+++ b/src/main/java/postbeam/slices/Fragment.java
@@ -22,7 +22,8 @@
         for (Fragment next : sorted) {
             Fragment last = joined.isEmpty() ? null : joined.get(joined.size() - 1);
             if (last != null && last.slice == next.slice && last.keys.to() == next.keys.from()) {
-                joined.set(joined.size() - 1, new Fragment(last.slice, last.keys.joined(next.keys)));
+                joined.set(
+                        joined.size() - 1, new Fragment(last.slice, last.keys.joined(next.keys)));
             } else {
                 joined.add(next);
             }
