--- a/src/test/java/postbeam/pages/MergeBenchmark.java
+++ b/src/test/java/postbeam/pages/MergeBenchmark.java
@@ -22,7 +22,10 @@
 import postbeam.errors.ExplainedException;
 import postbeam.slices.KeyRange;
 
-/** What a page of 1,000 rows costs a row, by the parts it is merged from; run as {@code TranslationBenchmark} is. */
+/**
+ * What a page of 1,000 rows costs a row, by the parts it is merged from; run as {@code
+ * TranslationBenchmark} is.
+ */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -34,7 +37,9 @@
 
     @Param({"3", "20", "100"})
     public int parts;
-    private final Order order = new Order(List.of(new SortKey("fare", true, true), new SortKey("to", false, false)));
+
+    private final Order order =
+            new Order(List.of(new SortKey("fare", true, true), new SortKey("to", false, false)));
     private final List<List<Row>> lists = new ArrayList<>();
     private final List<Partial> partials = new ArrayList<>();
     private final List<Ask> asks = new ArrayList<>();
@@ -52,9 +57,15 @@
             KeyRange keys = new KeyRange(width * i, width * (i + 1));
             List<Row> rows = new ArrayList<>();
             for (int j = 0; j < SIZE / parts + 1; j++) {
-                rows.add(new Row(new Mark(List.of((long) chance.nextInt(50), "city " + chance.nextInt(40)),
-                        keys.from() + chance.nextInt(1 << 20), j),
-                        "a row of some sixty bytes, as an answer to a search has them"));
+                rows.add(
+                        new Row(
+                                new Mark(
+                                        List.of(
+                                                (long) chance.nextInt(50),
+                                                "city " + chance.nextInt(40)),
+                                        keys.from() + chance.nextInt(1 << 20),
+                                        j),
+                                "a row of some sixty bytes, as an answer to a search has them"));
             }
             rows.sort((one, other) -> order.compare(one.at(), other.at()));
             lists.add(rows);
@@ -78,7 +89,11 @@
     public int readAndCheck() throws java.io.IOException {
         int sound = 0;
         for (int i = 0; i < parts; i++) {
-            sound += RowForm.partial(partials.get(i).keys(), told.get(i)).problem(order, asks) == null ? 1 : 0;
+            sound +=
+                    RowForm.partial(partials.get(i).keys(), told.get(i)).problem(order, asks)
+                                    == null
+                            ? 1
+                            : 0;
         }
         return sound;
     }
@@ -90,6 +105,7 @@
     }
 
     public static void main(String[] args) throws RunnerException {
-        new Runner(new OptionsBuilder().include(MergeBenchmark.class.getSimpleName()).build()).run();
+        new Runner(new OptionsBuilder().include(MergeBenchmark.class.getSimpleName()).build())
+                .run();
     }
 }
--- a/src/test/java/postbeam/pages/PageCost.java
+++ b/src/test/java/postbeam/pages/PageCost.java
@@ -7,8 +7,9 @@
 import postbeam.slices.KeyRange;
 
 /**
- * What pages cost: rows fetched over rows given and calls a page, against asking every part for a full page. Run it as
- * {@code TranslationBenchmark} says; it takes no time into account and prints the same each time.
+ * What pages cost: rows fetched over rows given and calls a page, against asking every part for a
+ * full page. Run it as {@code TranslationBenchmark} says; it takes no time into account and prints
+ * the same each time.
  */
 final class PageCost {
     private static final int SIZE = 100;
@@ -19,7 +20,9 @@
     private PageCost() {}
 
     public static void main(String[] args) {
-        System.out.println("shards  rows are  page    fetched/given  calls a page  full pages  all for a full page");
+        System.out.println(
+                "shards  rows are  page    fetched/given  calls a page  full pages  all for a full"
+                        + " page");
         for (int size : new int[] {SIZE, 25, 400}) {
             for (int shards : new int[] {3, 10, 20, 50, 100}) {
                 for (String how : List.of("even", "skewed")) {
@@ -29,7 +32,10 @@
         }
     }
 
-    /** Chains one after the other through one router, each over other rows; skewed: the first of 20 shards has a third. */
+    /**
+     * Chains one after the other through one router, each over other rows; skewed: the first of 20
+     * shards has a third.
+     */
     private static void run(int shards, boolean skewed, int size) {
         Random chance = new Random(1);
         Shares shares = new Shares();
@@ -39,28 +45,29 @@
         for (int i = 0; i < shards; i++) {
             all.add(new Standing(new KeyRange(i * width, (i + 1) * width), 1.0 / shards, null));
         }
-        Lineage lineage = new Lineage() {
-            @Override
-            public long version() {
-                return 1;
-            }
+        Lineage lineage =
+                new Lineage() {
+                    @Override
+                    public long version() {
+                        return 1;
+                    }
 
-            @Override
-            public long oldest() {
-                return 1;
-            }
+                    @Override
+                    public long oldest() {
+                        return 1;
+                    }
 
-            @Override
-            public List<KeyRange> cut(KeyRange keys) {
-                List<KeyRange> cut = new ArrayList<>();
-                for (Standing one : all) {
-                    if (one.keys().meets(keys)) {
-                        cut.add(one.keys().common(keys));
+                    @Override
+                    public List<KeyRange> cut(KeyRange keys) {
+                        List<KeyRange> cut = new ArrayList<>();
+                        for (Standing one : all) {
+                            if (one.keys().meets(keys)) {
+                                cut.add(one.keys().common(keys));
+                            }
+                        }
+                        return cut;
                     }
-                }
-                return cut;
-            }
-        };
+                };
         long fetched = 0;
         long given = 0;
         long calls = 0;
@@ -74,7 +81,8 @@
             }
             for (int i = 0; i < size * PAGES * 2; i++) {
                 long key = (long) (Math.pow(chance.nextDouble(), skewed ? 3 : 1) * width * shards);
-                rows.get((int) (key / width)).add(new Row(new Mark(List.of(chance.nextLong()), key, i), "r"));
+                rows.get((int) (key / width))
+                        .add(new Row(new Mark(List.of(chance.nextLong()), key, i), "r"));
             }
             rows.forEach(list -> list.sort((one, other) -> order.compare(one.at(), other.at())));
             List<Standing> standings = all;
@@ -97,8 +105,16 @@
                 standings = end.next();
             }
         }
-        System.out.printf(Locale.ROOT, "%6d  %-8s  %4d  %13.2f  %12.1f  %9.3f  %16.1f%n", shards, skewed ? "skewed" : "even",
-                size, (double) fetched / given, (double) calls / pages, (double) full / pages, (double) naive / given);
+        System.out.printf(
+                Locale.ROOT,
+                "%6d  %-8s  %4d  %13.2f  %12.1f  %9.3f  %16.1f%n",
+                shards,
+                skewed ? "skewed" : "even",
+                size,
+                (double) fetched / given,
+                (double) calls / pages,
+                (double) full / pages,
+                (double) naive / given);
     }
 
     private static Partial answer(Order order, List<Row> rows, Ask ask) {
--- a/src/test/java/postbeam/pages/PagesPropertiesTest.java
+++ b/src/test/java/postbeam/pages/PagesPropertiesTest.java
@@ -23,9 +23,18 @@
         List<Object> sort = new ArrayList<>();
         for (int i = 0; i < keys; i++) {
             int kind = chance.nextInt(4);
-            sort.add(kind == 0 ? null : kind == 1 ? (Object) (long) (chance.nextInt(5) - 2)
-                    : new String(Character.toChars(kind == 2 ? 'a' + chance.nextInt(3)
-                            : chance.nextBoolean() ? 0x1F600 + chance.nextInt(3) : 0xFFE0 + chance.nextInt(3))));
+            sort.add(
+                    kind == 0
+                            ? null
+                            : kind == 1
+                                    ? (Object) (long) (chance.nextInt(5) - 2)
+                                    : new String(
+                                            Character.toChars(
+                                                    kind == 2
+                                                            ? 'a' + chance.nextInt(3)
+                                                            : chance.nextBoolean()
+                                                                    ? 0x1F600 + chance.nextInt(3)
+                                                                    : 0xFFE0 + chance.nextInt(3))));
         }
         return new Mark(sort, chance.nextInt(3), chance.nextInt(3));
     }
@@ -59,12 +68,17 @@
         for (int i = 0; i < 2; i++) {
             StringBuilder text = new StringBuilder("x");
             for (int j = chance.nextInt(3); j > 0; j--) {
-                text.appendCodePoint(List.of((int) 'a', 0xE9, 0xFFFD, 0xE000, 0x10000, 0x1F600).get(chance.nextInt(6)));
+                text.appendCodePoint(
+                        List.of((int) 'a', 0xE9, 0xFFFD, 0xE000, 0x10000, 0x1F600)
+                                .get(chance.nextInt(6)));
             }
             texts[i] = text.toString();
         }
-        assertEquals(Integer.signum(Arrays.compareUnsigned(texts[0].getBytes(StandardCharsets.UTF_8),
-                texts[1].getBytes(StandardCharsets.UTF_8))),
+        assertEquals(
+                Integer.signum(
+                        Arrays.compareUnsigned(
+                                texts[0].getBytes(StandardCharsets.UTF_8),
+                                texts[1].getBytes(StandardCharsets.UTF_8))),
                 Integer.signum(new SortKey("k", false, false).compare(texts[0], texts[1])));
     }
 
@@ -105,44 +119,77 @@
         twice.set(at + 1, twice.get(at));
         assertNotNull(new Partial(keys, twice, null).problem(order, asks), "twice");
         assertNotNull(sound.problem(order, List.of(new Ask(keys, null, rows - 1))), "too many");
-        assertNotNull(sound.problem(order, List.of(new Ask(keys, sound.rows().get(at).at(), rows))), "given before");
-        assertNotNull(new Partial(new KeyRange(0, 100), sound.rows(), null).problem(order,
-                List.of(new Ask(new KeyRange(0, 100), null, rows))), "other keys");
-        assertNotNull(new Partial(keys, sound.rows().subList(0, rows - 1), sound.rows().get(chance.nextInt(rows - 1)).at())
-                .problem(order, asks), "next");
-        assertNull(new Partial(keys, sound.rows().subList(0, rows - 1), sound.rows().get(rows - 1).at()).problem(order, asks));
-        assertNotNull(new Partial(keys, List.of(), sound.rows().get(0).at()).problem(order, asks), "none, and more");
+        assertNotNull(
+                sound.problem(order, List.of(new Ask(keys, sound.rows().get(at).at(), rows))),
+                "given before");
+        assertNotNull(
+                new Partial(new KeyRange(0, 100), sound.rows(), null)
+                        .problem(order, List.of(new Ask(new KeyRange(0, 100), null, rows))),
+                "other keys");
+        assertNotNull(
+                new Partial(
+                                keys,
+                                sound.rows().subList(0, rows - 1),
+                                sound.rows().get(chance.nextInt(rows - 1)).at())
+                        .problem(order, asks),
+                "next");
+        assertNull(
+                new Partial(
+                                keys,
+                                sound.rows().subList(0, rows - 1),
+                                sound.rows().get(rows - 1).at())
+                        .problem(order, asks));
+        assertNotNull(
+                new Partial(keys, List.of(), sound.rows().get(0).at()).problem(order, asks),
+                "none, and more");
     }
 
     @Example
     void aRowThatIsNoneIsSpoilt() {
         Order order = new Order(List.of(new SortKey("k", false, false)));
         KeyRange keys = KeyRange.ALL;
-        for (Mark bad : List.of(new Mark(List.of(), 0, 0), new Mark(List.of(1L, 1L), 0, 0), new Mark(List.of(1.5), 0, 0),
-                new Mark(List.of("x".repeat(Mark.TEXT_MOST + 1)), 0, 0), new Mark(List.of("\u00e9".repeat(33)), 0, 0),
-                new Mark(List.of("\ud800"), 0, 0), new Mark(List.of(1L), -1, 0), new Mark(List.of(1L), KeyRange.KEYS, 0))) {
-            assertNotNull(new Partial(keys, List.of(new Row(bad, "")), null).problem(order,
-                    List.of(new Ask(keys, null, 5))), bad.toString());
+        for (Mark bad :
+                List.of(
+                        new Mark(List.of(), 0, 0),
+                        new Mark(List.of(1L, 1L), 0, 0),
+                        new Mark(List.of(1.5), 0, 0),
+                        new Mark(List.of("x".repeat(Mark.TEXT_MOST + 1)), 0, 0),
+                        new Mark(List.of("\u00e9".repeat(33)), 0, 0),
+                        new Mark(List.of("\ud800"), 0, 0),
+                        new Mark(List.of(1L), -1, 0),
+                        new Mark(List.of(1L), KeyRange.KEYS, 0))) {
+            assertNotNull(
+                    new Partial(keys, List.of(new Row(bad, "")), null)
+                            .problem(order, List.of(new Ask(keys, null, 5))),
+                    bad.toString());
         }
     }
 
     @Property(tries = 300, seed = "1")
-    void theMergeIsTheSortAndNoMoreOfIt(@ForAll long seed, @ForAll @IntRange(max = 12) int parts,
+    void theMergeIsTheSortAndNoMoreOfIt(
+            @ForAll long seed,
+            @ForAll @IntRange(max = 12) int parts,
             @ForAll @IntRange(max = 60) int most) {
         Random chance = new Random(seed);
         Order order = order(chance);
         List<List<Row>> lists = new ArrayList<>();
         List<Row> all = new ArrayList<>();
         for (int i = 0; i < parts; i++) {
-            Partial one = partial(chance, order, new KeyRange(10 * i, 10 * i + 10), chance.nextInt(20));
+            Partial one =
+                    partial(chance, order, new KeyRange(10 * i, 10 * i + 10), chance.nextInt(20));
             lists.add(one.rows());
             all.addAll(one.rows());
         }
         all.sort((one, other) -> order.compare(one.at(), other.at()));
-        assertEquals(all.subList(0, Math.min(most, all.size())), Merge.first(order, lists, most, null));
+        assertEquals(
+                all.subList(0, Math.min(most, all.size())), Merge.first(order, lists, most, null));
         Collections.shuffle(lists, chance);
         Mark bound = all.isEmpty() ? null : all.get(chance.nextInt(all.size())).at();
-        assertEquals(all.stream().filter(row -> bound == null || order.compare(row.at(), bound) < 0).limit(most).toList(),
+        assertEquals(
+                all.stream()
+                        .filter(row -> bound == null || order.compare(row.at(), bound) < 0)
+                        .limit(most)
+                        .toList(),
                 Merge.first(order, lists, most, bound));
     }
 
@@ -152,8 +199,12 @@
         Order order = new Order(List.of(new SortKey("k", false, false)));
         KeyRange low = new KeyRange(0, 10);
         KeyRange high = new KeyRange(10, 20);
-        Assembly page = new Assembly(order, 3, List.of(new Standing(low, 0.5, null), new Standing(high, 0.5, null)),
-                new Shares());
+        Assembly page =
+                new Assembly(
+                        order,
+                        3,
+                        List.of(new Standing(low, 0.5, null), new Standing(high, 0.5, null)),
+                        new Shares());
         page.took(new Partial(low, rows(low, 1, 2, 3), rows(low, 4).get(0).at()));
         page.took(new Partial(high, rows(high, 5), rows(high, 7).get(0).at()));
         assertEquals(List.of(), page.further());
@@ -166,19 +217,27 @@
         page.took(new Partial(high, rows(high, 7), null));
         assertEquals(List.of(), page.further());
         Page given = page.end();
-        assertEquals(List.of(1L, 2L, 5L, 7L), given.rows().stream().map(row -> row.at().sort().get(0)).toList());
+        assertEquals(
+                List.of(1L, 2L, 5L, 7L),
+                given.rows().stream().map(row -> row.at().sort().get(0)).toList());
         assertEquals(List.of(new Standing(low, 0.5, given.rows().get(3).at())), given.next());
     }
 
-    /** What nobody answered is named and owed from where it stood; what is over leaves the cursor. */
+    /**
+     * What nobody answered is named and owed from where it stood; what is over leaves the cursor.
+     */
     @Example
     void aMissingRangeIsNamedAndOwed() {
         Order order = new Order(List.of(new SortKey("k", false, false)));
         KeyRange low = new KeyRange(0, 10);
         KeyRange high = new KeyRange(10, 20);
         Mark old = rows(high, 1).get(0).at();
-        Assembly page = new Assembly(order, 9, List.of(new Standing(low, 0.5, old), new Standing(high, 0.5, old)),
-                new Shares());
+        Assembly page =
+                new Assembly(
+                        order,
+                        9,
+                        List.of(new Standing(low, 0.5, old), new Standing(high, 0.5, old)),
+                        new Shares());
         page.took(new Partial(low, rows(low, 4, 5), null));
         assertEquals(List.of(), page.further());
         Page given = page.end();
@@ -195,7 +254,10 @@
         return rows;
     }
 
-    /** Whatever begins, rule 6 holds with what counts as taken for it: the reserve makes up for it in every window. */
+    /**
+     * Whatever begins, rule 6 holds with what counts as taken for it: the reserve makes up for it
+     * in every window.
+     */
     @Property(tries = 200, seed = "1")
     void furtherAsksStayWithinTheirReserve(@ForAll long seed) {
         Random chance = new Random(seed);
@@ -214,7 +276,8 @@
                 begun.addAll(Collections.nCopies(1 + parts, at));
             }
             long inWindow = begun.stream().filter(one -> one.compareTo(at.minus(span)) > 0).count();
-            assertTrue(share * inWindow <= asks.reserve() + 1e-9, inWindow + " of " + asks.reserve());
+            assertTrue(
+                    share * inWindow <= asks.reserve() + 1e-9, inWindow + " of " + asks.reserve());
         }
         assertTrue(free < 10 || !begun.isEmpty());
         assertTrue(new FurtherAsks(0, 0, null).begins(Duration.ZERO, 1000), "no budget is stated");
@@ -222,13 +285,24 @@
 
     @Example
     void eachErrorSaysWhatHappenedAndWhatToDo() {
-        List<PageError> all = List.of(new PageError.Altered(), new PageError.UnknownForm(9), new PageError.UnknownKey("0a"),
-                new PageError.OfAnotherQuery(), new PageError.TooOld(3, 7), new PageError.Ahead(8, 7),
-                new PageError.Spoilt("q.1-0", "a row out of order"), new PageError.TooMuchOwed(600, 2),
-                new PageError.NotRepeatable("hold"), new PageError.BadRequest("page", "0"), new PageError.BadKey("pages.key"));
-        assertEquals(PageError.class.getPermittedSubclasses().length, all.size(), "each kind is here");
+        List<PageError> all =
+                List.of(
+                        new PageError.Altered(),
+                        new PageError.UnknownForm(9),
+                        new PageError.UnknownKey("0a"),
+                        new PageError.OfAnotherQuery(),
+                        new PageError.TooOld(3, 7),
+                        new PageError.Ahead(8, 7),
+                        new PageError.Spoilt("q.1-0", "a row out of order"),
+                        new PageError.TooMuchOwed(600, 2),
+                        new PageError.NotRepeatable("hold"),
+                        new PageError.BadRequest("page", "0"),
+                        new PageError.BadKey("pages.key"));
+        assertEquals(
+                PageError.class.getPermittedSubclasses().length, all.size(), "each kind is here");
         for (PageError one : all) {
-            assertTrue(one.happened().length() > 10 && !one.happened().endsWith("."), one.toString());
+            assertTrue(
+                    one.happened().length() > 10 && !one.happened().endsWith("."), one.toString());
             assertTrue(one.advice().length() > 10 && !one.advice().endsWith("."), one.toString());
             assertEquals(one.happened() + "; " + one.advice(), one.thrown().getMessage());
         }
--- a/src/test/java/postbeam/rig/BoundsTrialTest.java
+++ b/src/test/java/postbeam/rig/BoundsTrialTest.java
@@ -12,8 +12,13 @@
 
     @Test
     void allBoundsHoldWhateverFails() {
-        assertEquals(List.of(), LongStream.rangeClosed(1, 60).parallel()
-                .mapToObj(seed -> trial.run(seed, null).broken()).flatMap(List::stream).toList());
+        assertEquals(
+                List.of(),
+                LongStream.rangeClosed(1, 60)
+                        .parallel()
+                        .mapToObj(seed -> trial.run(seed, null).broken())
+                        .flatMap(List::stream)
+                        .toList());
     }
 
     @Test
@@ -24,8 +29,11 @@
     @Test
     void eachPlantedDefectIsCaught() {
         for (String defect : trial.defects()) {
-            assertTrue(LongStream.rangeClosed(1, 400).parallel().anyMatch(seed -> !trial.run(seed, defect)
-                    .broken().isEmpty()), defect);
+            assertTrue(
+                    LongStream.rangeClosed(1, 400)
+                            .parallel()
+                            .anyMatch(seed -> !trial.run(seed, defect).broken().isEmpty()),
+                    defect);
         }
     }
 }
--- a/src/test/java/postbeam/rig/LayoutsIT.java
+++ b/src/test/java/postbeam/rig/LayoutsIT.java
@@ -26,12 +26,14 @@
 import org.junit.jupiter.api.io.TempDir;
 import postbeam.slices.KeyRange;
 
-/** The built program as an operator runs it: the layout service, its commands, a service killed and started again. */
+/**
+ * The built program as an operator runs it: the layout service, its commands, a service killed and
+ * started again.
+ */
 class LayoutsIT {
     private static final Duration LONG = Duration.ofSeconds(20);
 
-    @TempDir
-    private Path dir;
+    @TempDir private Path dir;
     private final List<StandInNode> nodes = new ArrayList<>();
     private StandInDiscovery discovery;
     private Process service;
@@ -42,21 +44,35 @@
         discovery = new StandInDiscovery();
         Referee referee = new Referee(Stage.RULES, LONG, LONG);
         for (int i = 0; i < 4; i++) {
-            StandInNode node = new StandInNode("n" + i, "z" + i % 2, new StandInNode.Seen(referee, () -> Duration.ZERO,
-                    new ConcurrentHashMap<>()), RandomSource.XO_RO_SHI_RO_128_PP.create(i), false);
+            StandInNode node =
+                    new StandInNode(
+                            "n" + i,
+                            "z" + i % 2,
+                            new StandInNode.Seen(
+                                    referee, () -> Duration.ZERO, new ConcurrentHashMap<>()),
+                            RandomSource.XO_RO_SHI_RO_128_PP.create(i),
+                            false);
             nodes.add(node);
             discovery.tell(node, "up", 0);
         }
         String listen;
-        try (var free = new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
+        try (var free =
+                new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
             listen = "127.0.0.1:" + free.getLocalPort();
         }
-        String file = Files.readString(Path.of("deploy/postbeam.json5")).replace("enabled: false", "enabled: true")
-                .replace("127.0.0.1:7080", listen).replace("127.0.0.1:8500", discovery.address())
-                .replace("\"moves.log\"", "\"" + dir.resolve("moves.log") + "\"").replace("firstSlices: 64", "firstSlices: 4")
-                .replace(" key: \"\"", " key: \"" + "5c".repeat(32) + "\"")
-                .replace("firstHolders: 3", "firstHolders: 2").replace("holders: 3", "holders: 2")
-                .replace("restMs: 30000", "restMs: 0").replace("history: 64", "history: 1").replace("againMs: 1000", "againMs: 50");
+        String file =
+                Files.readString(Path.of("deploy/postbeam.json5"))
+                        .replace("enabled: false", "enabled: true")
+                        .replace("127.0.0.1:7080", listen)
+                        .replace("127.0.0.1:8500", discovery.address())
+                        .replace("\"moves.log\"", "\"" + dir.resolve("moves.log") + "\"")
+                        .replace("firstSlices: 64", "firstSlices: 4")
+                        .replace(" key: \"\"", " key: \"" + "5c".repeat(32) + "\"")
+                        .replace("firstHolders: 3", "firstHolders: 2")
+                        .replace("holders: 3", "holders: 2")
+                        .replace("restMs: 30000", "restMs: 0")
+                        .replace("history: 64", "history: 1")
+                        .replace("againMs: 1000", "againMs: 50");
         settings = Files.writeString(dir.resolve("own.json5"), file).toString();
     }
 
@@ -76,8 +92,11 @@
     }
 
     private void serve() throws IOException {
-        service = new ProcessBuilder(java("layouts", "serve", "--settings", settings)).redirectErrorStream(true)
-                .redirectOutput(dir.resolve("service.txt").toFile()).start();
+        service =
+                new ProcessBuilder(java("layouts", "serve", "--settings", settings))
+                        .redirectErrorStream(true)
+                        .redirectOutput(dir.resolve("service.txt").toFile())
+                        .start();
     }
 
     /** The status, a space, and what was said. */
@@ -86,7 +105,8 @@
         command.addAll(List.of(words));
         command.addAll(List.of("--settings", settings));
         Process asked = new ProcessBuilder(command).redirectErrorStream(true).start();
-        String said = new String(asked.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
+        String said =
+                new String(asked.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
         return asked.waitFor() + " " + said;
     }
 
@@ -102,16 +122,27 @@
     void operatorsPlanStartAndAbandonAndAKilledServiceGoesOn() throws Exception {
         serve();
         until(() -> layouts("verify").equals("0 sound: layout 1, 4 slices"));
-        assertEquals("0 possible: split 0 at [100]", layouts("plan", "--change", "{\"split\": 0, \"at\": [100]}"));
-        assertEquals("1 there is no slice 9", layouts("plan", "--change", "{\"split\": 9, \"at\": [100]}"));
-        assertEquals("1 gap: no slice holds the keys 100-281474976710656",
-                layouts("start", "--change", "{\"slices\": [{\"from\": 0, \"to\": 100, \"nodes\": [\"n0\", \"n1\"]}]}"));
+        assertEquals(
+                "0 possible: split 0 at [100]",
+                layouts("plan", "--change", "{\"split\": 0, \"at\": [100]}"));
+        assertEquals(
+                "1 there is no slice 9",
+                layouts("plan", "--change", "{\"split\": 9, \"at\": [100]}"));
+        assertEquals(
+                "1 gap: no slice holds the keys 100-281474976710656",
+                layouts(
+                        "start",
+                        "--change",
+                        "{\"slices\": [{\"from\": 0, \"to\": 100, \"nodes\": [\"n0\", \"n1\"]}]}"));
         assertEquals("2 layouts start: give --file or --change", layouts("start"));
         assertEquals("1 no move 5 is under way", layouts("abandon", "--move", "5"));
-        assertEquals("0 move 1: split 0 at [100]", layouts("start", "--change", "{\"split\": 0, \"at\": [100]}"));
+        assertEquals(
+                "0 move 1: split 0 at [100]",
+                layouts("start", "--change", "{\"split\": 0, \"at\": [100]}"));
         until(() -> layouts("verify").equals("0 sound: layout 2, 5 slices"));
         nodes.get(2).hang(true);
-        assertEquals("0 move 2: move 4 from n0 to n2",
+        assertEquals(
+                "0 move 2: move 4 from n0 to n2",
                 layouts("start", "--change", "{\"move\": 4, \"off\": \"n0\", \"onto\": \"n2\"}"));
         until(() -> layouts("status").contains("COPYING"));
         service.destroyForcibly().waitFor();
@@ -122,7 +153,9 @@
         until(() -> layouts("status").contains("ABANDONED"));
         until(() -> layouts("verify").equals("0 sound: layout 3, 5 slices"));
         assertTrue(layouts("show").contains("\"version\":3"));
-        assertTrue(Files.readString(dir.resolve("service.txt")).contains("5 slices, 1 moves under way"));
+        assertTrue(
+                Files.readString(dir.resolve("service.txt"))
+                        .contains("5 slices, 1 moves under way"));
     }
 
     @Test
@@ -130,34 +163,59 @@
         serve();
         until(() -> layouts("verify").startsWith("0 sound"));
         String listen;
-        try (var free = new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
+        try (var free =
+                new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
             listen = "127.0.0.1:" + free.getLocalPort();
         }
-        String config = Files.writeString(dir.resolve("config.json"), Files.readString(Path.of("deploy/example.json"))
-                .replace("127.0.0.1:7070", listen).replace("127.0.0.1:8500", discovery.address())
-                .replaceAll("\"known\": [^]]*\\]},", "")).toString();
-        Process router = new ProcessBuilder(java("serve", "--config", config, "--settings", settings))
-                .redirectErrorStream(true).redirectOutput(dir.resolve("router.txt").toFile()).start();
+        String config =
+                Files.writeString(
+                                dir.resolve("config.json"),
+                                Files.readString(Path.of("deploy/example.json"))
+                                        .replace("127.0.0.1:7070", listen)
+                                        .replace("127.0.0.1:8500", discovery.address())
+                                        .replaceAll("\"known\": [^]]*\\]},", ""))
+                        .toString();
+        Process router =
+                new ProcessBuilder(java("serve", "--config", config, "--settings", settings))
+                        .redirectErrorStream(true)
+                        .redirectOutput(dir.resolve("router.txt").toFile())
+                        .start();
         try {
-            until(() -> {
-                try {
-                    return HttpClient.newHttpClient().send(HttpRequest.newBuilder(URI.create("http://" + listen
-                            + "/healthz")).build(), HttpResponse.BodyHandlers.ofString()).statusCode() == 200;
-                } catch (IOException e) {
-                    return false;
-                }
-            });
+            until(
+                    () -> {
+                        try {
+                            return HttpClient.newHttpClient()
+                                            .send(
+                                                    HttpRequest.newBuilder(
+                                                                    URI.create(
+                                                                            "http://"
+                                                                                    + listen
+                                                                                    + "/healthz"))
+                                                            .build(),
+                                                    HttpResponse.BodyHandlers.ofString())
+                                            .statusCode()
+                                    == 200;
+                        } catch (IOException e) {
+                            return false;
+                        }
+                    });
             assertTrue(asked(listen, 1, 0).startsWith("200 {\"total\":true,\"layout\":1,"));
             layouts("start", "--change", "{\"split\": 0, \"at\": [100]}");
             until(() -> asked(listen, 2, 4).startsWith("200"));
             String cut = asked(listen, 1, 0);
-            assertTrue(cut.contains("\"from\":0,\"to\":100,\"named\":[0]") && cut.contains("\"range\":5,\"from\":100"), cut);
+            assertTrue(
+                    cut.contains("\"from\":0,\"to\":100,\"named\":[0]")
+                            && cut.contains("\"range\":5,\"from\":100"),
+                    cut);
             assertEquals("400 layout 2 has no slice 0", asked(listen, 2, 0));
             assertEquals("503 0.2 layout 9 is not known yet; 2 is", asked(listen, 9, 0));
             assertEquals("400 Req-Layout can't be used", asked(listen, -1, 0));
             // The history is of one version: the first layout is forgotten with the third.
             layouts("start", "--change", "{\"split\": 1, \"at\": [" + (KeyRange.KEYS / 3) + "]}");
-            until(() -> asked(listen, 1, 0).equals("410 layout 1 is no longer kept; 3 is in force"));
+            until(
+                    () ->
+                            asked(listen, 1, 0)
+                                    .equals("410 layout 1 is no longer kept; 3 is in force"));
             service.destroyForcibly().waitFor();
             assertTrue(asked(listen, 2, 5).startsWith("200"), "the layout held stays");
         } finally {
@@ -166,13 +224,28 @@
     }
 
     /** Status, how long to wait where that is told, and the body. */
-    private static String asked(String router, long version, int slice) throws IOException, InterruptedException {
-        HttpResponse<String> answer = HttpClient.newHttpClient().send(HttpRequest.newBuilder(URI.create("http://" + router
-                + "/search?obj=1")).header("Req-Id", "q" + System.nanoTime()).header("Req-Owner", "acme")
-                .header("Req-Deadline-Ms", "3000").header("Req-Layout", String.valueOf(version))
-                .POST(HttpRequest.BodyPublishers.ofString("{\"ranges\":[{\"range\":" + slice + ",\"portion\":1}],"
-                        + "\"predicate\":\"x\"}")).build(), HttpResponse.BodyHandlers.ofString());
-        return answer.statusCode() + " " + answer.headers().firstValue("Retry-After").map(wait -> wait + " ").orElse("")
+    private static String asked(String router, long version, int slice)
+            throws IOException, InterruptedException {
+        HttpResponse<String> answer =
+                HttpClient.newHttpClient()
+                        .send(
+                                HttpRequest.newBuilder(
+                                                URI.create("http://" + router + "/search?obj=1"))
+                                        .header("Req-Id", "q" + System.nanoTime())
+                                        .header("Req-Owner", "acme")
+                                        .header("Req-Deadline-Ms", "3000")
+                                        .header("Req-Layout", String.valueOf(version))
+                                        .POST(
+                                                HttpRequest.BodyPublishers.ofString(
+                                                        "{\"ranges\":[{\"range\":"
+                                                                + slice
+                                                                + ",\"portion\":1}],"
+                                                                + "\"predicate\":\"x\"}"))
+                                        .build(),
+                                HttpResponse.BodyHandlers.ofString());
+        return answer.statusCode()
+                + " "
+                + answer.headers().firstValue("Retry-After").map(wait -> wait + " ").orElse("")
                 + answer.body().strip();
     }
 
@@ -180,16 +253,30 @@
     void aSecondServiceOnOneLogIsKeptOut() throws Exception {
         serve();
         until(() -> layouts("verify").startsWith("0 sound"));
-        String other = Files.writeString(dir.resolve("other.json5"), Files.readString(Path.of(settings))
-                .replaceAll("listen: \"127.0.0.1:[0-9]+\"", "listen: \"127.0.0.1:1\"")).toString();
-        Process second = new ProcessBuilder(java("layouts", "serve", "--settings", other)).redirectErrorStream(true).start();
-        assertTrue(new String(second.getInputStream().readAllBytes(), StandardCharsets.UTF_8).contains("in use"));
+        String other =
+                Files.writeString(
+                                dir.resolve("other.json5"),
+                                Files.readString(Path.of(settings))
+                                        .replaceAll(
+                                                "listen: \"127.0.0.1:[0-9]+\"",
+                                                "listen: \"127.0.0.1:1\""))
+                        .toString();
+        Process second =
+                new ProcessBuilder(java("layouts", "serve", "--settings", other))
+                        .redirectErrorStream(true)
+                        .start();
+        assertTrue(
+                new String(second.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
+                        .contains("in use"));
         assertEquals(1, second.waitFor());
     }
 
     @Test
     void tryAnswersTheQueryItPrints() throws Exception {
-        Process tried = new ProcessBuilder(java("try", "--seconds", "20")).redirectErrorStream(true).start();
+        Process tried =
+                new ProcessBuilder(java("try", "--seconds", "20"))
+                        .redirectErrorStream(true)
+                        .start();
         try (var out = tried.inputReader()) {
             String line;
             String curl = null;
@@ -197,15 +284,19 @@
                 curl = line.contains("curl -i") ? line.strip() : null;
             }
             String[] quoted = curl.split("'");
-            HttpURLConnection asked = (HttpURLConnection) URI.create(quoted[1]).toURL().openConnection(Proxy.NO_PROXY);
+            HttpURLConnection asked =
+                    (HttpURLConnection)
+                            URI.create(quoted[1]).toURL().openConnection(Proxy.NO_PROXY);
             for (int i = 3; i < quoted.length - 2; i += 2) {
                 asked.setRequestProperty(quoted[i].split(": ")[0], quoted[i].split(": ")[1]);
             }
             asked.setDoOutput(true);
-            asked.getOutputStream().write(quoted[quoted.length - 1].getBytes(StandardCharsets.UTF_8));
+            asked.getOutputStream()
+                    .write(quoted[quoted.length - 1].getBytes(StandardCharsets.UTF_8));
             assertEquals(200, asked.getResponseCode());
-            assertTrue(new String(asked.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
-                    .contains("\"total\":true"));
+            assertTrue(
+                    new String(asked.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
+                            .contains("\"total\":true"));
         } finally {
             tried.destroyForcibly().waitFor();
         }
@@ -213,8 +304,21 @@
 
     @Test
     void trialsAreListedAndBadOnesNamed() throws Exception {
-        for (Map.Entry<String, Integer> one : Map.of("--list", 0, "nothing", 2, "recuts --plant x", 2,
-                "recuts --seeds x", 2, "recuts --seeds 1-2", 0, "recuts --seeds 1-2 --plant back", 1).entrySet()) {
+        for (Map.Entry<String, Integer> one :
+                Map.of(
+                                "--list",
+                                0,
+                                "nothing",
+                                2,
+                                "recuts --plant x",
+                                2,
+                                "recuts --seeds x",
+                                2,
+                                "recuts --seeds 1-2",
+                                0,
+                                "recuts --seeds 1-2 --plant back",
+                                1)
+                        .entrySet()) {
             List<String> command = java("trial");
             command.addAll(List.of(one.getKey().split(" ")));
             Process asked = new ProcessBuilder(command).redirectErrorStream(true).start();
--- a/src/test/java/postbeam/rig/MigrationIT.java
+++ b/src/test/java/postbeam/rig/MigrationIT.java
@@ -30,13 +30,15 @@
 import postbeam.slices.KeyRange;
 import postbeam.slices.Layout;
 
-/** A member's migration by the built program: services killed at records or stopped and woken, with holds under way. */
+/**
+ * A member's migration by the built program: services killed at records or stopped and woken, with
+ * holds under way.
+ */
 class MigrationIT {
     private static final Duration LONG = Duration.ofSeconds(60);
     private static final Duration PATIENCE = Duration.ofSeconds(6);
 
-    @TempDir
-    private Path dir;
+    @TempDir private Path dir;
     private final List<StandInNode> nodes = new ArrayList<>();
     private final List<Process> processes = new ArrayList<>();
     private final long startNanos = System.nanoTime();
@@ -56,8 +58,13 @@
         // What has run is known to all of them, as if each write went to all who hold its slice.
         Map<String, Map<KeyRange, Boolean>> runs = new ConcurrentHashMap<>();
         for (int i = 0; i < 6; i++) {
-            StandInNode node = new StandInNode("n" + i, "z" + i % 2, new StandInNode.Seen(referee, this::now,
-                    runs), RandomSource.XO_RO_SHI_RO_128_PP.create(i), false);
+            StandInNode node =
+                    new StandInNode(
+                            "n" + i,
+                            "z" + i % 2,
+                            new StandInNode.Seen(referee, this::now, runs),
+                            RandomSource.XO_RO_SHI_RO_128_PP.create(i),
+                            false);
             nodes.add(node);
             discovery.tell(node, "up", 0);
         }
@@ -67,14 +74,23 @@
     }
 
     private String settings(String name, String listen) throws IOException {
-        String file = Files.readString(Path.of("deploy/postbeam.json5"))
-                .replaceAll("(follow: \\{|serve: \\{\\s*|migration: \\{\\s*)enabled: false", "$1enabled: true")
-                .replace("127.0.0.1:7080", listen).replace("127.0.0.1:8500", discovery.address())
-                .replace("\"moves.log\"", "\"" + log + "\"").replace("firstSlices: 64", "firstSlices: 4")
-                .replace("firstHolders: 3", "firstHolders: 2").replace("holders: 3", "holders: 2")
-                .replace("restMs: 30000", "restMs: 0").replace("againMs: 1000", "againMs: 50")
-                .replace("coldMs: 60000", "coldMs: 0").replace("watchMs: 600000", "watchMs: 300")
-                .replace("movesASecond: 2", "movesASecond: 100").replace("leaseMs: 15000", "leaseMs: 1500");
+        String file =
+                Files.readString(Path.of("deploy/postbeam.json5"))
+                        .replaceAll(
+                                "(follow: \\{|serve: \\{\\s*|migration: \\{\\s*)enabled: false",
+                                "$1enabled: true")
+                        .replace("127.0.0.1:7080", listen)
+                        .replace("127.0.0.1:8500", discovery.address())
+                        .replace("\"moves.log\"", "\"" + log + "\"")
+                        .replace("firstSlices: 64", "firstSlices: 4")
+                        .replace("firstHolders: 3", "firstHolders: 2")
+                        .replace("holders: 3", "holders: 2")
+                        .replace("restMs: 30000", "restMs: 0")
+                        .replace("againMs: 1000", "againMs: 50")
+                        .replace("coldMs: 60000", "coldMs: 0")
+                        .replace("watchMs: 600000", "watchMs: 300")
+                        .replace("movesASecond: 2", "movesASecond: 100")
+                        .replace("leaseMs: 15000", "leaseMs: 1500");
         return Files.writeString(dir.resolve(name), file).toString();
     }
 
@@ -101,8 +117,12 @@
     private Process java(String output, String... words) throws IOException {
         List<String> command = new ArrayList<>(List.of("java", "-jar", "target/postbeam.jar"));
         command.addAll(List.of(words));
-        Process process = new ProcessBuilder(command).redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(dir.resolve(output).toFile())).start();
+        Process process =
+                new ProcessBuilder(command)
+                        .redirectErrorStream(true)
+                        .redirectOutput(
+                                ProcessBuilder.Redirect.appendTo(dir.resolve(output).toFile()))
+                        .start();
         processes.add(process);
         return process;
     }
@@ -113,10 +133,15 @@
 
     private String router() throws Exception {
         String listen = free();
-        String config = Files.writeString(dir.resolve("config.json"), Files.readString(Path.of("deploy/example.json"))
-                .replace("127.0.0.1:7070", listen).replace("127.0.0.1:8500", discovery.address())
-                .replace("\"quotaPerS\": 5.0", "\"quotaPerS\": 1000")
-                .replaceAll("\"known\": [^]]*\\]},", "")).toString();
+        String config =
+                Files.writeString(
+                                dir.resolve("config.json"),
+                                Files.readString(Path.of("deploy/example.json"))
+                                        .replace("127.0.0.1:7070", listen)
+                                        .replace("127.0.0.1:8500", discovery.address())
+                                        .replace("\"quotaPerS\": 5.0", "\"quotaPerS\": 1000")
+                                        .replaceAll("\"known\": [^]]*\\]},", ""))
+                        .toString();
         java("router.txt", "serve", "--config", config, "--settings", settings);
         until(() -> get("http://" + listen + "/healthz").startsWith("200"));
         return listen;
@@ -125,8 +150,12 @@
     /** The status, a space, and what was said; where nobody answers, 0. */
     private String get(String uri) throws InterruptedException {
         try {
-            HttpResponse<String> answer = http.send(HttpRequest.newBuilder(URI.create(uri))
-                    .timeout(Duration.ofSeconds(5)).build(), HttpResponse.BodyHandlers.ofString());
+            HttpResponse<String> answer =
+                    http.send(
+                            HttpRequest.newBuilder(URI.create(uri))
+                                    .timeout(Duration.ofSeconds(5))
+                                    .build(),
+                            HttpResponse.BodyHandlers.ofString());
             return answer.statusCode() + " " + answer.body();
         } catch (IOException e) {
             return "0";
@@ -138,11 +167,13 @@
     }
 
     private String layouts(String... words) throws IOException, InterruptedException {
-        List<String> command = new ArrayList<>(List.of("java", "-jar", "target/postbeam.jar", "layouts"));
+        List<String> command =
+                new ArrayList<>(List.of("java", "-jar", "target/postbeam.jar", "layouts"));
         command.addAll(List.of(words));
         command.addAll(List.of("--settings", settings, "--service", service));
         Process asked = new ProcessBuilder(command).redirectErrorStream(true).start();
-        String said = new String(asked.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
+        String said =
+                new String(asked.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
         return asked.waitFor() + " " + said;
     }
 
@@ -166,99 +197,169 @@
     /** Sends holds for slices 0 to 3, one after the other, until the test is over. */
     private Thread holds(String router) {
         referee.layout(Layout.first(4, List.of("n0", "n1"), 2));
-        Thread thread = new Thread(() -> {
-            for (int i = 0; !over; i++) {
-                int slice = i % 4;
-                String id = "hold" + i;
-                KeyRange keys = new KeyRange(KeyRange.KEYS / 4 * slice, KeyRange.KEYS / 4 * (slice + 1));
-                referee.asked(now(), id, "r", Referee.Kind.SIDE_EFFECTING, 1, 1, 1,
-                        List.of(new Referee.Wanted(slice, keys, 1)), now().plus(PATIENCE));
-                try {
-                    int status = http.send(HttpRequest.newBuilder(URI.create("http://" + router + "/hold?obj=1"))
-                            .header("Req-Id", id).header("Req-Owner", "acme").header("Req-Deadline-Ms", "6000")
-                            .timeout(PATIENCE.plusSeconds(5)).POST(HttpRequest.BodyPublishers.ofString("{\"ranges\":["
-                            + "{\"range\":" + slice + ",\"portion\":1}],\"predicate\":\"x\"}")).build(),
-                            HttpResponse.BodyHandlers.ofString()).statusCode();
-                    if (status == 503 || status == 429) {
-                        referee.rejected(now(), id);
-                        turnedAway.incrementAndGet();
-                    } else if (status == 200) {
-                        held.incrementAndGet();
-                    }
-                    Thread.sleep(5);
-                } catch (IOException | InterruptedException e) {
-                    // What became of it is not known; the referee still sees whether it runs twice.
-                }
-            }
-        }, "holds");
+        Thread thread =
+                new Thread(
+                        () -> {
+                            for (int i = 0; !over; i++) {
+                                int slice = i % 4;
+                                String id = "hold" + i;
+                                KeyRange keys =
+                                        new KeyRange(
+                                                KeyRange.KEYS / 4 * slice,
+                                                KeyRange.KEYS / 4 * (slice + 1));
+                                referee.asked(
+                                        now(),
+                                        id,
+                                        "r",
+                                        Referee.Kind.SIDE_EFFECTING,
+                                        1,
+                                        1,
+                                        1,
+                                        List.of(new Referee.Wanted(slice, keys, 1)),
+                                        now().plus(PATIENCE));
+                                try {
+                                    int status =
+                                            http.send(
+                                                            HttpRequest.newBuilder(
+                                                                            URI.create(
+                                                                                    "http://"
+                                                                                            + router
+                                                                                            + "/hold?obj=1"))
+                                                                    .header("Req-Id", id)
+                                                                    .header("Req-Owner", "acme")
+                                                                    .header(
+                                                                            "Req-Deadline-Ms",
+                                                                            "6000")
+                                                                    .timeout(
+                                                                            PATIENCE.plusSeconds(5))
+                                                                    .POST(
+                                                                            HttpRequest
+                                                                                    .BodyPublishers
+                                                                                    .ofString(
+                                                                                            "{\"ranges\":["
+                                                                                                + "{\"range\":"
+                                                                                                    + slice
+                                                                                                    + ",\"portion\":1}],\"predicate\":\"x\"}"))
+                                                                    .build(),
+                                                            HttpResponse.BodyHandlers.ofString())
+                                                    .statusCode();
+                                    if (status == 503 || status == 429) {
+                                        referee.rejected(now(), id);
+                                        turnedAway.incrementAndGet();
+                                    } else if (status == 200) {
+                                        held.incrementAndGet();
+                                    }
+                                    Thread.sleep(5);
+                                } catch (IOException | InterruptedException e) {
+                                    // What became of it is not known; the referee still sees
+                                    // whether it runs twice.
+                                }
+                            }
+                        },
+                        "holds");
         thread.setDaemon(true);
         thread.start();
         return thread;
     }
 
     private void nothingRanTwice() {
-        assertEquals(List.of(), referee.broken().stream().filter(line -> line.startsWith("rule 2")).toList());
+        assertEquals(
+                List.of(),
+                referee.broken().stream().filter(line -> line.startsWith("rule 2")).toList());
     }
 
     /** The checkpoint that is open: version and digest. */
     private String[] checkpoint() throws Exception {
         Matcher[] found = new Matcher[1];
-        until(() -> {
-            found[0] = Pattern.compile("\"checkpoint\":\\{\"version\":(\\d+),\"digest\":\"(\\w+)\"").matcher(migrations());
-            return found[0].find();
-        });
+        until(
+                () -> {
+                    found[0] =
+                            Pattern.compile(
+                                            "\"checkpoint\":\\{\"version\":(\\d+),\"digest\":\"(\\w+)\"")
+                                    .matcher(migrations());
+                    return found[0].find();
+                });
         return new String[] {found[0].group(1), found[0].group(2)};
     }
 
     private List<String> holders(int slice) throws Exception {
         Matcher[] found = new Matcher[1];
-        until(() -> {
-            found[0] = Pattern.compile("\"slice\":" + slice + ",.*?\"holders\":\\[(.*?)\\]")
-                    .matcher(get("http://" + service + "/v1/layout"));
-            return found[0].find();
-        });
-        return Pattern.compile("n\\d").matcher(found[0].group(1)).results().map(one -> one.group()).sorted().toList();
+        until(
+                () -> {
+                    found[0] =
+                            Pattern.compile("\"slice\":" + slice + ",.*?\"holders\":\\[(.*?)\\]")
+                                    .matcher(get("http://" + service + "/v1/layout"));
+                    return found[0].find();
+                });
+        return Pattern.compile("n\\d")
+                .matcher(found[0].group(1))
+                .results()
+                .map(one -> one.group())
+                .sorted()
+                .toList();
     }
 
-    /** A plan that hands slices 0 and 1 each from one of their holders to another node of its zone. */
+    /**
+     * A plan that hands slices 0 and 1 each from one of their holders to another node of its zone.
+     */
     private String plan() throws Exception {
         StringBuilder hops = new StringBuilder();
         for (int slice = 0; slice < 2; slice++) {
             String from = holders(slice).get(0);
             int zone = Integer.parseInt(from.substring(1)) % 2;
             List<String> held = holders(slice);
-            String to = nodes.stream().map(node -> node.name).filter(name -> !held.contains(name)
-                    && Integer.parseInt(name.substring(1)) % 2 == zone).findFirst().orElseThrow();
-            hops.append(slice == 0 ? "" : ",").append("{\"move\":").append(slice).append(",\"off\":\"").append(from)
-                    .append("\",\"onto\":\"").append(to).append("\"}");
+            String to =
+                    nodes.stream()
+                            .map(node -> node.name)
+                            .filter(
+                                    name ->
+                                            !held.contains(name)
+                                                    && Integer.parseInt(name.substring(1)) % 2
+                                                            == zone)
+                            .findFirst()
+                            .orElseThrow();
+            hops.append(slice == 0 ? "" : ",")
+                    .append("{\"move\":")
+                    .append(slice)
+                    .append(",\"off\":\"")
+                    .append(from)
+                    .append("\",\"onto\":\"")
+                    .append(to)
+                    .append("\"}");
         }
         return "{\"member\":\"acme\",\"hops\":[" + hops + "]}";
     }
 
-    /** Kills the service right after its log has grown so often, and starts it again, until told to end. */
+    /**
+     * Kills the service right after its log has grown so often, and starts it again, until told to
+     * end.
+     */
     private Thread killer(int records, AtomicInteger kills, Process[] running) {
-        Thread thread = new Thread(() -> {
-            try {
-                while (!over && kills.get() < 12) {
-                    int grown = 0;
-                    long size = Files.size(log);
-                    while (!over && grown < records) {
-                        long next = Files.size(log);
-                        grown += next > size ? 1 : 0;
-                        size = next;
-                        Thread.onSpinWait();
-                    }
-                    if (!over) {
-                        running[0].destroyForcibly().waitFor();
-                        kills.incrementAndGet();
-                        running[0] = serve();
-                        until(() -> migrations().startsWith("200"));
-                    }
-                }
-            } catch (Exception e) {
-                throw new IllegalStateException(e);
-            }
-        }, "killer");
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                while (!over && kills.get() < 12) {
+                                    int grown = 0;
+                                    long size = Files.size(log);
+                                    while (!over && grown < records) {
+                                        long next = Files.size(log);
+                                        grown += next > size ? 1 : 0;
+                                        size = next;
+                                        Thread.onSpinWait();
+                                    }
+                                    if (!over) {
+                                        running[0].destroyForcibly().waitFor();
+                                        kills.incrementAndGet();
+                                        running[0] = serve();
+                                        until(() -> migrations().startsWith("200"));
+                                    }
+                                }
+                            } catch (Exception e) {
+                                throw new IllegalStateException(e);
+                            }
+                        },
+                        "killer");
         thread.setDaemon(true);
         thread.start();
         return thread;
@@ -274,21 +375,50 @@
         String plan = plan();
         AtomicInteger kills = new AtomicInteger();
         killer(2, kills, running);
-        until(() -> layouts("migrate", "--change", plan).startsWith("0 migration 1") || migrations().contains("acme"));
+        until(
+                () ->
+                        layouts("migrate", "--change", plan).startsWith("0 migration 1")
+                                || migrations().contains("acme"));
         String[] open = checkpoint();
         assertEquals(before, holders(0), "the old side serves");
-        until(() -> layouts("checkpoint", "--migration", "1", "--version", open[0], "--digest", "00")
-                .contains("was opened for version"));
-        until(() -> {
-            layouts("checkpoint", "--migration", "1", "--version", open[0], "--digest", open[1]);
-            return !migrations().contains("\"checkpoint\"") && !migrations().startsWith("0");
-        });
+        until(
+                () ->
+                        layouts(
+                                        "checkpoint",
+                                        "--migration",
+                                        "1",
+                                        "--version",
+                                        open[0],
+                                        "--digest",
+                                        "00")
+                                .contains("was opened for version"));
+        until(
+                () -> {
+                    layouts(
+                            "checkpoint",
+                            "--migration",
+                            "1",
+                            "--version",
+                            open[0],
+                            "--digest",
+                            open[1]);
+                    return !migrations().contains("\"checkpoint\"")
+                            && !migrations().startsWith("0");
+                });
         String[] last = checkpoint();
         assertTrue(!holders(0).equals(before));
-        until(() -> {
-            layouts("checkpoint", "--migration", "1", "--version", last[0], "--digest", last[1]);
-            return migrations().contains("RETIRED");
-        });
+        until(
+                () -> {
+                    layouts(
+                            "checkpoint",
+                            "--migration",
+                            "1",
+                            "--version",
+                            last[0],
+                            "--digest",
+                            last[1]);
+                    return migrations().contains("RETIRED");
+                });
         int heldThen = held.get();
         until(() -> held.get() > heldThen + 20);
         assertTrue(kills.get() >= 5, kills + " kills");
@@ -304,29 +434,44 @@
         until(() -> held.get() > 20);
         List<String> before = holders(0);
         nodes.get(Integer.parseInt(before.get(0).substring(1))).spoil(true);
-        assertTrue(layouts("migrate", "--change", plan()).startsWith("0 migration 1 of acme PLANNED"));
+        assertTrue(
+                layouts("migrate", "--change", plan()).startsWith("0 migration 1 of acme PLANNED"));
         until(() -> migrations().contains("\"cause\":\"DIFFERS\""));
-        assertTrue(layouts("checkpoint", "--migration", "1", "--version", "1", "--digest", "x")
-                .startsWith("1 no checkpoint of migration 1 is open"));
+        assertTrue(
+                layouts("checkpoint", "--migration", "1", "--version", "1", "--digest", "x")
+                        .startsWith("1 no checkpoint of migration 1 is open"));
         nodes.forEach(node -> node.spoil(false));
         assertTrue(layouts("resume", "--migration", "1").startsWith("0 migration 1"));
         String[] open = checkpoint();
-        // Its lock ends while it is stopped; a successor listens elsewhere, which this router never hears of.
-        assertEquals(0, new ProcessBuilder("kill", "-STOP", String.valueOf(first.pid())).start().waitFor());
+        // Its lock ends while it is stopped; a successor listens elsewhere, which this router never
+        // hears of.
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-STOP", String.valueOf(first.pid())).start().waitFor());
         Files.delete(log.resolveSibling("moves.log.lock"));
         service = free();
         settings = settings("second.json5", service);
         serve();
         until(() -> migrations().startsWith("200"));
-        assertTrue(layouts("checkpoint", "--migration", "1", "--version", open[0], "--digest", open[1]).startsWith("0 "));
+        assertTrue(
+                layouts("checkpoint", "--migration", "1", "--version", open[0], "--digest", open[1])
+                        .startsWith("0 "));
         until(() -> migrations().contains("LAST_CHECKPOINT"));
         assertTrue(!holders(0).equals(before));
         int turned = turnedAway.get();
         until(() -> turnedAway.get() > turned + 5);
-        assertEquals(0, new ProcessBuilder("kill", "-CONT", String.valueOf(first.pid())).start().waitFor());
-        until(() -> Files.readString(dir.resolve("service.txt")).contains("another service has taken over")
-                || Files.readString(dir.resolve("service.txt")).contains("others have written to"));
-        assertTrue(layouts("rollback", "--migration", "1").startsWith("0 migration 1 of acme ROLLING_BACK"));
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-CONT", String.valueOf(first.pid())).start().waitFor());
+        until(
+                () ->
+                        Files.readString(dir.resolve("service.txt"))
+                                        .contains("another service has taken over")
+                                || Files.readString(dir.resolve("service.txt"))
+                                        .contains("others have written to"));
+        assertTrue(
+                layouts("rollback", "--migration", "1")
+                        .startsWith("0 migration 1 of acme ROLLING_BACK"));
         until(() -> migrations().contains("ROLLED_BACK"));
         assertEquals(before, holders(0));
         nothingRanTwice();
--- a/src/test/java/postbeam/rig/MigrationTrialTest.java
+++ b/src/test/java/postbeam/rig/MigrationTrialTest.java
@@ -13,24 +13,55 @@
 
     @Test
     void nothingIsLostAndAllEndsAcrossDeathsAtEachRecord() {
-        List<MigrationWorld> worlds = LongStream.rangeClosed(1, 180).parallel().mapToObj(seed -> {
-            MigrationWorld world = trial.world(seed, null);
-            assertEquals(List.of(), world.run().broken(), "seed " + seed);
-            return world;
-        }).toList();
+        List<MigrationWorld> worlds =
+                LongStream.rangeClosed(1, 180)
+                        .parallel()
+                        .mapToObj(
+                                seed -> {
+                                    MigrationWorld world = trial.world(seed, null);
+                                    assertEquals(List.of(), world.run().broken(), "seed " + seed);
+                                    return world;
+                                })
+                        .toList();
         // The check is only worth something if what it is about has happened.
         TreeSet<String> died = new TreeSet<>();
         TreeSet<String> seen = new TreeSet<>();
-        worlds.forEach(world -> {
-            died.addAll(world.diedAt);
-            seen.addAll(world.seen.keySet());
-        });
-        assertTrue(died.containsAll(List.of("Planned", "Advanced COPYING", "Advanced HOLDING_BOTH", "Advanced FENCED",
-                "CutOver", "Opened", "Entered COPYING", "Entered VERIFYING", "Verified", "Opening", "Passed", "Paused",
-                "Entered WATCHED", "Advanced FORGOTTEN", "RollingBack")), died.toString());
-        assertTrue(seen.containsAll(List.of("ended RETIRED", "ended ROLLED_BACK", "copies spoilt", "paused DIFFERS",
-                "paused TARGET_COLD", "paused UTILITY_FELL", "paused MOVE_FAILED",
-                "successors beside a stopped one")), seen.toString());
+        worlds.forEach(
+                world -> {
+                    died.addAll(world.diedAt);
+                    seen.addAll(world.seen.keySet());
+                });
+        assertTrue(
+                died.containsAll(
+                        List.of(
+                                "Planned",
+                                "Advanced COPYING",
+                                "Advanced HOLDING_BOTH",
+                                "Advanced FENCED",
+                                "CutOver",
+                                "Opened",
+                                "Entered COPYING",
+                                "Entered VERIFYING",
+                                "Verified",
+                                "Opening",
+                                "Passed",
+                                "Paused",
+                                "Entered WATCHED",
+                                "Advanced FORGOTTEN",
+                                "RollingBack")),
+                died.toString());
+        assertTrue(
+                seen.containsAll(
+                        List.of(
+                                "ended RETIRED",
+                                "ended ROLLED_BACK",
+                                "copies spoilt",
+                                "paused DIFFERS",
+                                "paused TARGET_COLD",
+                                "paused UTILITY_FELL",
+                                "paused MOVE_FAILED",
+                                "successors beside a stopped one")),
+                seen.toString());
     }
 
     @Test
@@ -41,8 +72,11 @@
     @Test
     void eachPlantedDefectIsCaught() {
         for (String defect : trial.defects()) {
-            assertTrue(LongStream.rangeClosed(1, 120).parallel()
-                    .anyMatch(seed -> !trial.run(seed, defect).broken().isEmpty()), defect);
+            assertTrue(
+                    LongStream.rangeClosed(1, 120)
+                            .parallel()
+                            .anyMatch(seed -> !trial.run(seed, defect).broken().isEmpty()),
+                    defect);
         }
     }
 }
--- a/src/test/java/postbeam/rig/MixedShapesTest.java
+++ b/src/test/java/postbeam/rig/MixedShapesTest.java
@@ -29,28 +29,37 @@
 import postbeam.router.Router;
 import postbeam.setup.Startup;
 
-/** Instances in the old shape and in the new, on loopback, before the same data nodes, one of which hangs. */
+/**
+ * Instances in the old shape and in the new, on loopback, before the same data nodes, one of which
+ * hangs.
+ */
 class MixedShapesTest {
     private static final int WORK_MS = 15;
     private static final int CORES = 2;
     private static final int QUERIES = 60;
     private static final Duration PATIENCE = Duration.ofSeconds(3);
-    private static final HttpClient HTTP = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+    private static final HttpClient HTTP =
+            HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
     /** One kind of instance: its settings, and how many clients ask it at once. */
-    private record Shape(String name, String settings, int clients) { }
+    private record Shape(String name, String settings, int clients) {}
 
-    private static final String OLD = "\"domain\":{\"cells\":1,\"reach\":1,\"shards\":4,\"partsACall\":16,\"callCost\":5000,"
-            + "\"classNeed\":[1,1],\"leastShare\":[1,1]},\"caps\":{\"maxAttempts\":3,\"mayDuplicate\":true,\"cancelling\":true,"
-            + "\"probes\":true,\"maxStreams\":32,\"connectTimeout\":250000,\"keepalive\":15000000},"
-            + "\"tenants\":[{\"name\":\"acme\",\"quotaPerS\":50}],\"report\":{\"how\":\"none\"}";
-    private static final String NEW = "\"discovery\":\"subscribe\",\"domain\":{\"cells\":1,\"reach\":1,\"shards\":4,"
-            + "\"partsACall\":1,\"callCost\":0,\"classNeed\":[1,1],\"leastShare\":[1,1]},\"caps\":{\"maxAttempts\":4,"
-            + "\"mayDuplicate\":false,\"cancelling\":true,\"probes\":false,\"retryAfter\":false,\"maxRetryAfter\":2000000,"
-            + "\"maxStreams\":100,\"connectTimeout\":250000,\"keepalive\":15000000},"
-            + "\"report\":{\"how\":\"answers\",\"columns\":\"svc_ms\"}";
+    private static final String OLD =
+            "\"domain\":{\"cells\":1,\"reach\":1,\"shards\":4,\"partsACall\":16,\"callCost\":5000,"
+                + "\"classNeed\":[1,1],\"leastShare\":[1,1]},\"caps\":{\"maxAttempts\":3,\"mayDuplicate\":true,\"cancelling\":true,"
+                + "\"probes\":true,\"maxStreams\":32,\"connectTimeout\":250000,\"keepalive\":15000000},"
+                + "\"tenants\":[{\"name\":\"acme\",\"quotaPerS\":50}],\"report\":{\"how\":\"none\"}";
+    private static final String NEW =
+            "\"discovery\":\"subscribe\",\"domain\":{\"cells\":1,\"reach\":1,\"shards\":4,"
+                + "\"partsACall\":1,\"callCost\":0,\"classNeed\":[1,1],\"leastShare\":[1,1]},\"caps\":{\"maxAttempts\":4,"
+                + "\"mayDuplicate\":false,\"cancelling\":true,\"probes\":false,\"retryAfter\":false,\"maxRetryAfter\":2000000,"
+                + "\"maxStreams\":100,\"connectTimeout\":250000,\"keepalive\":15000000},"
+                + "\"report\":{\"how\":\"answers\",\"columns\":\"svc_ms\"}";
 
-    /** A data node with two cores; queries' ids begin with the name of the shape that they were asked of. */
+    /**
+     * A data node with two cores; queries' ids begin with the name of the shape that they were
+     * asked of.
+     */
     private static final class Node implements AutoCloseable {
         final ScriptedNode frames = new ScriptedNode();
         final ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
@@ -62,24 +71,29 @@
 
         Node(Seen seen) throws IOException {
             this.seen = seen;
-            threads.submit(() -> {
-                while (true) {
-                    Socket socket = server.accept();
-                    threads.submit(() -> serve(socket));
-                }
-            });
+            threads.submit(
+                    () -> {
+                        while (true) {
+                            Socket socket = server.accept();
+                            threads.submit(() -> serve(socket));
+                        }
+                    });
         }
 
         private Void serve(Socket socket) throws Exception {
             DataInputStream in = new DataInputStream(socket.getInputStream());
             while (true) {
-                String text = new String(in.readNBytes(Integer.reverseBytes(in.readInt())), StandardCharsets.UTF_8);
+                String text =
+                        new String(
+                                in.readNBytes(Integer.reverseBytes(in.readInt())),
+                                StandardCharsets.UTF_8);
                 if (text.charAt(0) == 'o') {
                     send(socket, "ogood");
                 } else if (text.charAt(0) == 'n') {
                     seen.over(text.substring(1).trim());
                 }
-                for (String rest = text.charAt(0) == 'm' ? text.substring(1) : ""; !rest.isEmpty();) {
+                for (String rest = text.charAt(0) == 'm' ? text.substring(1) : "";
+                        !rest.isEmpty(); ) {
                     int end = rest.indexOf('\n');
                     String[] words = rest.substring(0, end).split(" ");
                     rest = rest.substring(end + 1 + Integer.parseInt(words[3]));
@@ -108,7 +122,8 @@
         }
 
         String entry(String name, String health) {
-            return StandInDiscovery.entry(name, "127.0.0.1:" + server.getLocalPort(), "a", health, 0);
+            return StandInDiscovery.entry(
+                    name, "127.0.0.1:" + server.getLocalPort(), "a", health, 0);
         }
 
         @Override
@@ -134,8 +149,9 @@
         }
 
         /**
-         * Before the answer: a call given up before this one was sent is told to its node by then or soon, whichever
-         * connection is read first; a copy's other call is given up only after this answer.
+         * Before the answer: a call given up before this one was sent is told to its node by then
+         * or soon, whichever connection is read first; a copy's other call is given up only after
+         * this answer.
          */
         void alone(String part) throws InterruptedException {
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(1);
@@ -160,17 +176,30 @@
         }
     }
 
-    private static Router router(Shape shape, String address, StandInDiscovery discovery) throws IOException {
-        return new Router(Startup.of(("{\"name\":\"" + shape.name + "\",\"listen\":\"" + address + "\",\"discovery\":\""
-                + discovery.address() + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"memory_mb\":192,\"sockets\":1024},"
-                + "\"settings\":{\"zone\":\"a\",\"nInstances\":2," + shape.settings + ",\"obligations\":{"
-                + "\"stopSendingWithin\":2000000,\"askEvery\":10000000},\"classes\":["
-                + "{\"name\":\"look\",\"promise\":1000000,\"deadline\":3000000,\"effect\":\"retryable\",\"lateWorth\":0.1},"
-                + "{\"name\":\"hold\",\"promise\":1000000,\"deadline\":3000000,\"effect\":\"fragile\",\"lateWorth\":0.1}]}}")
-                .getBytes(StandardCharsets.UTF_8)));
+    private static Router router(Shape shape, String address, StandInDiscovery discovery)
+            throws IOException {
+        return new Router(
+                Startup.of(
+                        ("{\"name\":\""
+                                        + shape.name
+                                        + "\",\"listen\":\""
+                                        + address
+                                        + "\",\"discovery\":\""
+                                        + discovery.address()
+                                        + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"memory_mb\":192,\"sockets\":1024},"
+                                        + "\"settings\":{\"zone\":\"a\",\"nInstances\":2,"
+                                        + shape.settings
+                                        + ",\"obligations\":{"
+                                        + "\"stopSendingWithin\":2000000,\"askEvery\":10000000},\"classes\":["
+                                        + "{\"name\":\"look\",\"promise\":1000000,\"deadline\":3000000,\"effect\":\"retryable\",\"lateWorth\":0.1},"
+                                        + "{\"name\":\"hold\",\"promise\":1000000,\"deadline\":3000000,\"effect\":\"fragile\",\"lateWorth\":0.1}]}}")
+                                .getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Plays both shapes side by side; by shape how many queries were answered whole, in time, of those asked. */
+    /**
+     * Plays both shapes side by side; by shape how many queries were answered whole, in time, of
+     * those asked.
+     */
     private static Map<String, Double> play(Seen seen, Shape... shapes) throws Exception {
         List<Node> nodes = new ArrayList<>();
         List<Router> routers = new ArrayList<>();
@@ -195,7 +224,15 @@
                 asked.put(shape.name, new AtomicInteger());
                 for (int c = 0; c < shape.clients; c++) {
                     int client = c;
-                    ends.add(clients.submit(() -> client(shape, address, client, seen, asked.get(shape.name))));
+                    ends.add(
+                            clients.submit(
+                                    () ->
+                                            client(
+                                                    shape,
+                                                    address,
+                                                    client,
+                                                    seen,
+                                                    asked.get(shape.name))));
                 }
             }
             Thread.sleep(600);
@@ -207,7 +244,9 @@
                 end.get(60, TimeUnit.SECONDS);
             }
             Map<String, Double> shares = new TreeMap<>();
-            seen.served.forEach((name, count) -> shares.put(name, count.get() / (double) asked.get(name).get()));
+            seen.served.forEach(
+                    (name, count) ->
+                            shares.put(name, count.get() / (double) asked.get(name).get()));
             return shares;
         } finally {
             clients.shutdownNow();
@@ -226,28 +265,55 @@
     private static String list(List<Node> nodes, String lastHealth) {
         StringBuilder hosts = new StringBuilder();
         for (int i = 0; i < nodes.size(); i++) {
-            hosts.append(i == 0 ? "" : ",").append(nodes.get(i).entry("n" + i, i == 3 ? lastHealth : "up"));
+            hosts.append(i == 0 ? "" : ",")
+                    .append(nodes.get(i).entry("n" + i, i == 3 ? lastHealth : "up"));
         }
         return hosts.toString();
     }
 
-    private static Void client(Shape shape, String address, int client, Seen seen, AtomicInteger asked)
+    private static Void client(
+            Shape shape, String address, int client, Seen seen, AtomicInteger asked)
             throws Exception {
         for (int i = 0; i < QUERIES; i++) {
             boolean hold = i % 5 == 4;
             int parts = hold ? 1 : 3;
             StringBuilder ranges = new StringBuilder();
             for (int p = 0; p < parts; p++) {
-                ranges.append(p == 0 ? "" : ",").append("{\"range\":").append((client + p) % 4).append(",\"portion\":")
-                        .append(1.0 / parts).append('}');
+                ranges.append(p == 0 ? "" : ",")
+                        .append("{\"range\":")
+                        .append((client + p) % 4)
+                        .append(",\"portion\":")
+                        .append(1.0 / parts)
+                        .append('}');
             }
             long begun = System.nanoTime();
             asked.incrementAndGet();
-            HttpResponse<String> answer = HTTP.send(HttpRequest.newBuilder(URI.create("http://" + address + "/"
-                    + (hold ? "hold" : "look"))).header("Req-Id", shape.name + "-" + (hold ? "hold" : "look") + client
-                    + "-" + i).header("Req-Owner", "acme").header("Req-Deadline-Ms", "" + PATIENCE.toMillis())
-                    .timeout(Duration.ofSeconds(10)).POST(HttpRequest.BodyPublishers.ofString("{\"ranges\":[" + ranges
-                    + "],\"predicate\":\"c41e77d0\"}")).build(), HttpResponse.BodyHandlers.ofString());
+            HttpResponse<String> answer =
+                    HTTP.send(
+                            HttpRequest.newBuilder(
+                                            URI.create(
+                                                    "http://"
+                                                            + address
+                                                            + "/"
+                                                            + (hold ? "hold" : "look")))
+                                    .header(
+                                            "Req-Id",
+                                            shape.name
+                                                    + "-"
+                                                    + (hold ? "hold" : "look")
+                                                    + client
+                                                    + "-"
+                                                    + i)
+                                    .header("Req-Owner", "acme")
+                                    .header("Req-Deadline-Ms", "" + PATIENCE.toMillis())
+                                    .timeout(Duration.ofSeconds(10))
+                                    .POST(
+                                            HttpRequest.BodyPublishers.ofString(
+                                                    "{\"ranges\":["
+                                                            + ranges
+                                                            + "],\"predicate\":\"c41e77d0\"}"))
+                                    .build(),
+                            HttpResponse.BodyHandlers.ofString());
             Duration took = Duration.ofNanos(System.nanoTime() - begun);
             if (took.compareTo(PATIENCE.plusMillis(200)) > 0) {
                 seen.broken.add("an answer came after " + took);
@@ -266,7 +332,10 @@
     /** Names the shape that gets far less than the other; empty where none does. */
     private static List<String> starved(Map<String, Double> shares) {
         double best = shares.values().stream().mapToDouble(share -> share).max().orElse(0);
-        return shares.entrySet().stream().filter(e -> e.getValue() < 0.75 * best).map(Map.Entry::getKey).toList();
+        return shares.entrySet().stream()
+                .filter(e -> e.getValue() < 0.75 * best)
+                .map(Map.Entry::getKey)
+                .toList();
     }
 
     @Test
@@ -281,16 +350,24 @@
     @Test
     void anInstanceThatCopiesWhereTheNewShapeBarsItIsCaught() throws Exception {
         Seen seen = new Seen();
-        play(seen, new Shape("old", OLD, 4), new Shape("new", NEW.replace("\"mayDuplicate\":false",
-                "\"mayDuplicate\":true"), 4));
-        assertTrue(seen.broken.stream().anyMatch(what -> what.startsWith("two calls of new")), seen.broken.toString());
+        play(
+                seen,
+                new Shape("old", OLD, 4),
+                new Shape(
+                        "new", NEW.replace("\"mayDuplicate\":false", "\"mayDuplicate\":true"), 4));
+        assertTrue(
+                seen.broken.stream().anyMatch(what -> what.startsWith("two calls of new")),
+                seen.broken.toString());
     }
 
     @Test
     void anInstanceWhoseWorkIsAllowedForNoMoreThanOneCallIsSeenToStarve() throws Exception {
         Seen seen = new Seen();
-        Map<String, Double> shares = play(seen, new Shape("old", OLD.replace("\"maxAttempts\":3", "\"maxAttempts\":0"), 4),
-                new Shape("new", NEW, 4));
+        Map<String, Double> shares =
+                play(
+                        seen,
+                        new Shape("old", OLD.replace("\"maxAttempts\":3", "\"maxAttempts\":0"), 4),
+                        new Shape("new", NEW, 4));
         assertEquals(List.of("old"), starved(shares), shares.toString());
     }
 }
--- a/src/test/java/postbeam/rig/PagesIT.java
+++ b/src/test/java/postbeam/rig/PagesIT.java
@@ -36,22 +36,27 @@
 import postbeam.setup.Json;
 import postbeam.slices.KeyRange;
 
-/** Router processes that share nothing read one chain of pages, through a layout service's re-cuts and dying nodes. */
+/**
+ * Router processes that share nothing read one chain of pages, through a layout service's re-cuts
+ * and dying nodes.
+ */
 class PagesIT {
     private static final Duration LONG = Duration.ofSeconds(30);
     private static final int ROUTERS = 3;
     private static final int ROWS = 400;
-    private static final Order ORDER = new Order(List.of(new SortKey("fare", true, true), new SortKey("to", false, false)));
-    private static final String ASKED_ORDER = "[{\"by\":\"fare\",\"descending\":true,\"missing\":\"first\"},{\"by\":\"to\"}]";
+    private static final Order ORDER =
+            new Order(List.of(new SortKey("fare", true, true), new SortKey("to", false, false)));
+    private static final String ASKED_ORDER =
+            "[{\"by\":\"fare\",\"descending\":true,\"missing\":\"first\"},{\"by\":\"to\"}]";
 
-    @TempDir
-    private Path dir;
+    @TempDir private Path dir;
     private final List<StandInNode> nodes = new ArrayList<>();
     private final List<Process> processes = new ArrayList<>();
     private final List<Process> routers = new ArrayList<>();
     private final List<String> addresses = new ArrayList<>();
     private final List<Row> rows = new ArrayList<>();
-    private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+    private final HttpClient http =
+            HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private final Referee referee = new Referee(Stage.RULES, LONG, LONG);
     private StandInDiscovery discovery;
     private String service;
@@ -62,50 +67,87 @@
         Random chance = new Random(5);
         for (int i = 0; i < ROWS; i++) {
             int fare = chance.nextInt(9);
-            rows.add(new Row(new Mark(Arrays.asList(fare == 0 ? null : (Object) (long) fare, "city " + chance.nextInt(4)),
-                    (long) (chance.nextDouble() * KeyRange.KEYS), i), "seat " + i + " to K\u00f8ge"));
+            rows.add(
+                    new Row(
+                            new Mark(
+                                    Arrays.asList(
+                                            fare == 0 ? null : (Object) (long) fare,
+                                            "city " + chance.nextInt(4)),
+                                    (long) (chance.nextDouble() * KeyRange.KEYS),
+                                    i),
+                            "seat " + i + " to K\u00f8ge"));
         }
         discovery = new StandInDiscovery();
         for (int i = 0; i < 4; i++) {
-            StandInNode node = new StandInNode("n" + i, "z" + i % 2, new StandInNode.Seen(referee, () -> Duration.ZERO,
-                    new ConcurrentHashMap<>()), RandomSource.XO_RO_SHI_RO_128_PP.create(i), false);
+            StandInNode node =
+                    new StandInNode(
+                            "n" + i,
+                            "z" + i % 2,
+                            new StandInNode.Seen(
+                                    referee, () -> Duration.ZERO, new ConcurrentHashMap<>()),
+                            RandomSource.XO_RO_SHI_RO_128_PP.create(i),
+                            false);
             node.rows(rows);
             nodes.add(node);
             discovery.tell(node, "up", 0);
         }
         service = freeAddress();
-        String file = Files.readString(Path.of("deploy/postbeam.json5")).replace("127.0.0.1:7080", service)
-                .replace("127.0.0.1:8500", discovery.address()).replace("follow: {enabled: false", "follow: {enabled: true")
-                .replaceFirst("(serve: \\{\\s+enabled: )false", "$1true").replaceFirst("(pages: \\{\\s+enabled: )false", "$1true")
-                .replace("\"moves.log\"", "\"" + dir.resolve("moves.log") + "\"").replace("firstSlices: 64", "firstSlices: 4")
-                .replace("firstHolders: 3", "firstHolders: 2").replace("holders: 3", "holders: 2")
-                .replace("restMs: 30000", "restMs: 0").replace("againMs: 1000", "againMs: 50");
+        String file =
+                Files.readString(Path.of("deploy/postbeam.json5"))
+                        .replace("127.0.0.1:7080", service)
+                        .replace("127.0.0.1:8500", discovery.address())
+                        .replace("follow: {enabled: false", "follow: {enabled: true")
+                        .replaceFirst("(serve: \\{\\s+enabled: )false", "$1true")
+                        .replaceFirst("(pages: \\{\\s+enabled: )false", "$1true")
+                        .replace("\"moves.log\"", "\"" + dir.resolve("moves.log") + "\"")
+                        .replace("firstSlices: 64", "firstSlices: 4")
+                        .replace("firstHolders: 3", "firstHolders: 2")
+                        .replace("holders: 3", "holders: 2")
+                        .replace("restMs: 30000", "restMs: 0")
+                        .replace("againMs: 1000", "againMs: 50");
         String first = own("first.json5", file, "5c", "");
         start("service", "layouts", "serve", "--settings", first);
         until(() -> layouts("verify", first).startsWith("0 sound"));
         for (int i = 0; i < ROUTERS; i++) {
             String listen = freeAddress();
-            String config = Files.writeString(dir.resolve("config" + i + ".json"),
-                    Files.readString(Path.of("deploy/example.json")).replace("127.0.0.1:7070", listen)
-                            .replace("127.0.0.1:8500", discovery.address()).replaceAll("\"known\": [^]]*\\]},", "")
-                            .replace("\"classNeed\": [0.75", "\"classNeed\": [1.0")
-                            .replace("\"leastShare\": [0.75", "\"leastShare\": [0.4")
-                            .replace("\"quotaPerS\": 5.0", "\"quotaPerS\": 500")).toString();
+            String config =
+                    Files.writeString(
+                                    dir.resolve("config" + i + ".json"),
+                                    Files.readString(Path.of("deploy/example.json"))
+                                            .replace("127.0.0.1:7070", listen)
+                                            .replace("127.0.0.1:8500", discovery.address())
+                                            .replaceAll("\"known\": [^]]*\\]},", "")
+                                            .replace("\"classNeed\": [0.75", "\"classNeed\": [1.0")
+                                            .replace(
+                                                    "\"leastShare\": [0.75", "\"leastShare\": [0.4")
+                                            .replace("\"quotaPerS\": 5.0", "\"quotaPerS\": 500"))
+                            .toString();
             // The last router has had its keys changed already.
-            String settings = i + 1 < ROUTERS ? own("own" + i + ".json5", file, "5c", "e1") : own("own" + i + ".json5", file,
-                    "e1", "5c");
+            String settings =
+                    i + 1 < ROUTERS
+                            ? own("own" + i + ".json5", file, "5c", "e1")
+                            : own("own" + i + ".json5", file, "e1", "5c");
             addresses.add(listen);
             routers.add(start("router" + i, "serve", "--config", config, "--settings", settings));
         }
         for (String address : addresses) {
-            until(() -> {
-                try {
-                    return http.send(HttpRequest.newBuilder(URI.create("http://" + address + "/healthz")).build(),
-                            HttpResponse.BodyHandlers.ofString()).statusCode() == 200;
-                } catch (IOException e) {
-                    return false;
-                }
-            });
+            until(
+                    () -> {
+                        try {
+                            return http.send(
+                                                    HttpRequest.newBuilder(
+                                                                    URI.create(
+                                                                            "http://"
+                                                                                    + address
+                                                                                    + "/healthz"))
+                                                            .build(),
+                                                    HttpResponse.BodyHandlers.ofString())
+                                            .statusCode()
+                                    == 200;
+                        } catch (IOException e) {
+                            return false;
+                        }
+                    });
         }
     }
 
@@ -119,8 +161,11 @@
     }
 
     private String own(String name, String file, String key, String old) throws IOException {
-        return Files.writeString(dir.resolve(name), file.replace(" key: \"\"", " key: \"" + key.repeat(32) + "\"")
-                .replace("oldKey: \"\"", "oldKey: \"" + old.repeat(32) + "\"")).toString();
+        return Files.writeString(
+                        dir.resolve(name),
+                        file.replace(" key: \"\"", " key: \"" + key.repeat(32) + "\"")
+                                .replace("oldKey: \"\"", "oldKey: \"" + old.repeat(32) + "\""))
+                .toString();
     }
 
     private static String freeAddress() throws IOException {
@@ -132,18 +177,31 @@
     private Process start(String log, String... words) throws IOException {
         List<String> command = new ArrayList<>(List.of("java", "-jar", "target/postbeam.jar"));
         command.addAll(List.of(words));
-        Process process = new ProcessBuilder(command).redirectErrorStream(true)
-                .redirectOutput(dir.resolve(log + ".txt").toFile()).start();
+        Process process =
+                new ProcessBuilder(command)
+                        .redirectErrorStream(true)
+                        .redirectOutput(dir.resolve(log + ".txt").toFile())
+                        .start();
         processes.add(process);
         return process;
     }
 
-    private String layouts(String verb, String settings, String... more) throws IOException, InterruptedException {
-        List<String> command = new ArrayList<>(List.of("java", "-jar", "target/postbeam.jar", "layouts", verb, "--settings",
-                settings));
+    private String layouts(String verb, String settings, String... more)
+            throws IOException, InterruptedException {
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                "java",
+                                "-jar",
+                                "target/postbeam.jar",
+                                "layouts",
+                                verb,
+                                "--settings",
+                                settings));
         command.addAll(List.of(more));
         Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
-        String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
+        String said =
+                new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
         return process.waitFor() + " " + said;
     }
 
@@ -162,19 +220,36 @@
     }
 
     /** Status, a space, and the body. */
-    private String asked(int router, String vertical, String more) throws IOException, InterruptedException {
-        HttpResponse<String> answer = http.send(HttpRequest.newBuilder(URI.create("http://" + addresses.get(router) + "/"
-                + vertical + "?obj=1")).header("Req-Id", "q" + asked++).header("Req-Owner", "acme")
-                .header("Req-Deadline-Ms", "7000").timeout(LONG)
-                .POST(HttpRequest.BodyPublishers.ofString("{\"predicate\":\"x\"," + more + "}")).build(),
-                HttpResponse.BodyHandlers.ofString());
+    private String asked(int router, String vertical, String more)
+            throws IOException, InterruptedException {
+        HttpResponse<String> answer =
+                http.send(
+                        HttpRequest.newBuilder(
+                                        URI.create(
+                                                "http://"
+                                                        + addresses.get(router)
+                                                        + "/"
+                                                        + vertical
+                                                        + "?obj=1"))
+                                .header("Req-Id", "q" + asked++)
+                                .header("Req-Owner", "acme")
+                                .header("Req-Deadline-Ms", "7000")
+                                .timeout(LONG)
+                                .POST(
+                                        HttpRequest.BodyPublishers.ofString(
+                                                "{\"predicate\":\"x\"," + more + "}"))
+                                .build(),
+                        HttpResponse.BodyHandlers.ofString());
         return answer.statusCode() + " " + answer.body().strip();
     }
 
     private static String first(int size) {
         StringBuilder ranges = new StringBuilder();
         for (int i = 0; i < 4; i++) {
-            ranges.append(i == 0 ? "" : ",").append("{\"range\":").append(i).append(",\"portion\":0.25}");
+            ranges.append(i == 0 ? "" : ",")
+                    .append("{\"range\":")
+                    .append(i)
+                    .append(",\"portion\":0.25}");
         }
         return "\"page\":" + size + ",\"order\":" + ASKED_ORDER + ",\"ranges\":[" + ranges + "]";
     }
@@ -183,19 +258,31 @@
         return "\"page\":" + size + ",\"order\":" + ASKED_ORDER + ",\"cursor\":\"" + cursor + "\"";
     }
 
-    /** A page: its rows, and what was missing; the rows are added to the chain. Null: it was turned away. */
+    /**
+     * A page: its rows, and what was missing; the rows are added to the chain. Null: it was turned
+     * away.
+     */
     private Map<String, Object> page(int router, String more, List<Row> chain) throws Exception {
         String said = asked(router, "search", more);
         if (said.startsWith("503")) {
             return null;
         }
         assertTrue(said.startsWith("200 "), said);
-        Map<String, Object> answer = Json.object(said.substring(4).getBytes(StandardCharsets.UTF_8));
+        Map<String, Object> answer =
+                Json.object(said.substring(4).getBytes(StandardCharsets.UTF_8));
         Map<?, ?> page = Json.member(answer, "page", Map.class);
         assertFalse(said.contains("\"blob\""), said);
         Order order = ORDER;
-        List<Row> came = RowForm.partial(KeyRange.ALL, ("{\"rows\":" + said.substring(said.indexOf("\"rows\":") + 7,
-                said.lastIndexOf(",\"short\"")) + "}").getBytes(StandardCharsets.UTF_8)).rows();
+        List<Row> came =
+                RowForm.partial(
+                                KeyRange.ALL,
+                                ("{\"rows\":"
+                                                + said.substring(
+                                                        said.indexOf("\"rows\":") + 7,
+                                                        said.lastIndexOf(",\"short\""))
+                                                + "}")
+                                        .getBytes(StandardCharsets.UTF_8))
+                        .rows();
         for (int i = 1; i < came.size(); i++) {
             assertTrue(order.compare(came.get(i - 1).at(), came.get(i).at()) < 0, "a page ascends");
         }
@@ -205,7 +292,8 @@
     }
 
     private static String written(List<Row> rows) {
-        return new String(RowForm.partial(new Partial(KeyRange.ALL, rows, null)), StandardCharsets.UTF_8);
+        return new String(
+                RowForm.partial(new Partial(KeyRange.ALL, rows, null)), StandardCharsets.UTF_8);
     }
 
     private List<Row> sorted() {
@@ -230,7 +318,11 @@
             }
             int router = pages < 6 ? pages % ROUTERS : 1 + pages % (ROUTERS - 1);
             Map<String, Object> last = page;
-            Map<String, Object> came = page(router, last == null ? first(37) : next(37, (String) last.get("cursor")), chain);
+            Map<String, Object> came =
+                    page(
+                            router,
+                            last == null ? first(37) : next(37, (String) last.get("cursor")),
+                            chain);
             if (came != null) {
                 assertEquals(List.of(), came.get("missing"));
                 page = came;
@@ -240,8 +332,11 @@
         }
         assertEquals(written(sorted()), written(chain));
         assertTrue(pages >= ROWS / 37, "pages are no larger than asked for");
-        assertTrue(Files.readString(dir.resolve("router1.txt")).contains("a row out of order; see whether that data node")
-                || Files.readString(dir.resolve("router2.txt")).contains("a row out of order; see whether that data node"));
+        assertTrue(
+                Files.readString(dir.resolve("router1.txt"))
+                                .contains("a row out of order; see whether that data node")
+                        || Files.readString(dir.resolve("router2.txt"))
+                                .contains("a row out of order; see whether that data node"));
     }
 
     @Test
@@ -258,7 +353,8 @@
         nodes.get(1).back();
         int router = 2;
         while (page.get("cursor") != null) {
-            Map<String, Object> came = page(router++ % ROUTERS, next(50, (String) page.get("cursor")), chain);
+            Map<String, Object> came =
+                    page(router++ % ROUTERS, next(50, (String) page.get("cursor")), chain);
             page = came == null ? page : came;
             assertTrue(chain.size() <= ROWS, "more rows than there are");
         }
@@ -271,28 +367,54 @@
         String cursor = (String) page(0, first(10), new ArrayList<>()).get("cursor");
         long sent = referee.calls();
         char last = cursor.charAt(30);
-        assertEquals("400 the cursor is not as it was given; see whether the client keeps cursors whole, and begin with the "
-                + "first page", asked(1, "search", next(10, cursor.substring(0, 30) + (last == 'A' ? 'B' : 'A')
-                + cursor.substring(31))));
-        assertTrue(asked(1, "search", next(10, cursor).replace("\"by\":\"to\"", "\"by\":\"from\""))
-                .startsWith("400 the cursor is of another query; "));
-        assertTrue(asked(1, "search", next(1001, cursor)).startsWith("400 page can't be used: it takes 1 to 1000 rows; "));
-        assertTrue(asked(1, "search", next(10, cursor).replace("true", "\"yes\"")).startsWith("400 order can't be used: "));
+        assertEquals(
+                "400 the cursor is not as it was given; see whether the client keeps cursors whole,"
+                        + " and begin with the first page",
+                asked(
+                        1,
+                        "search",
+                        next(
+                                10,
+                                cursor.substring(0, 30)
+                                        + (last == 'A' ? 'B' : 'A')
+                                        + cursor.substring(31))));
+        assertTrue(
+                asked(1, "search", next(10, cursor).replace("\"by\":\"to\"", "\"by\":\"from\""))
+                        .startsWith("400 the cursor is of another query; "));
+        assertTrue(
+                asked(1, "search", next(1001, cursor))
+                        .startsWith("400 page can't be used: it takes 1 to 1000 rows; "));
+        assertTrue(
+                asked(1, "search", next(10, cursor).replace("true", "\"yes\""))
+                        .startsWith("400 order can't be used: "));
         assertTrue(asked(1, "hold", first(10)).startsWith("400 vertical hold is not repeatable"));
         assertEquals(sent, referee.calls());
-        assertTrue(asked(2, "search", next(10, cursor)).startsWith("200 "), "and the sound one goes on, by the older key");
+        assertTrue(
+                asked(2, "search", next(10, cursor)).startsWith("200 "),
+                "and the sound one goes on, by the older key");
     }
 
     /** What a start of a router takes, without settings of our own, has nothing of pages in it. */
     @Test
     void nothingOfItIsLoadedWhereItIsOff() throws Exception {
         Path loaded = dir.resolve("loaded.txt");
-        Process rehearsed = new ProcessBuilder("java", "-Xshare:off", "-Xlog:class+load:file=" + loaded, "-jar",
-                "target/postbeam.jar", "rehearse").redirectErrorStream(true).redirectOutput(dir.resolve("r.txt").toFile()).start();
+        Process rehearsed =
+                new ProcessBuilder(
+                                "java",
+                                "-Xshare:off",
+                                "-Xlog:class+load:file=" + loaded,
+                                "-jar",
+                                "target/postbeam.jar",
+                                "rehearse")
+                        .redirectErrorStream(true)
+                        .redirectOutput(dir.resolve("r.txt").toFile())
+                        .start();
         assertEquals(0, rehearsed.waitFor());
         String classes = Files.readString(loaded);
         assertTrue(classes.contains(" postbeam.router.Decisions "));
-        assertFalse(classes.contains(" postbeam.pages.") || classes.contains(" postbeam.router.Pag")
-                || classes.contains(" postbeam.clients.Page"));
+        assertFalse(
+                classes.contains(" postbeam.pages.")
+                        || classes.contains(" postbeam.router.Pag")
+                        || classes.contains(" postbeam.clients.Page"));
     }
 }
--- a/src/test/java/postbeam/rig/PagesTrialTest.java
+++ b/src/test/java/postbeam/rig/PagesTrialTest.java
@@ -12,8 +12,14 @@
 
     @Test
     void pagesAreThePlainSortThroughRecutsAndMissingShards() {
-        assertEquals(List.of(), LongStream.rangeClosed(1, 600).parallel()
-                .mapToObj(seed -> trial.run(seed, null).broken()).flatMap(List::stream).limit(5).toList());
+        assertEquals(
+                List.of(),
+                LongStream.rangeClosed(1, 600)
+                        .parallel()
+                        .mapToObj(seed -> trial.run(seed, null).broken())
+                        .flatMap(List::stream)
+                        .limit(5)
+                        .toList());
     }
 
     @Test
@@ -24,8 +30,11 @@
     @Test
     void eachPlantedDefectIsCaught() {
         for (String defect : trial.defects()) {
-            assertTrue(LongStream.rangeClosed(1, 100).parallel()
-                    .anyMatch(seed -> !trial.run(seed, defect).broken().isEmpty()), defect);
+            assertTrue(
+                    LongStream.rangeClosed(1, 100)
+                            .parallel()
+                            .anyMatch(seed -> !trial.run(seed, defect).broken().isEmpty()),
+                    defect);
         }
     }
 }
--- a/src/test/java/postbeam/rig/RelayTest.java
+++ b/src/test/java/postbeam/rig/RelayTest.java
@@ -20,12 +20,17 @@
 import org.junit.jupiter.api.Timeout;
 import org.xnio.IoUtils;
 
-/** Each fault on plain sockets. What must not come can't come while the fault stands, however long one waits. */
+/**
+ * Each fault on plain sockets. What must not come can't come while the fault stands, however long
+ * one waits.
+ */
 @Timeout(value = 90, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class RelayTest {
     private static final int LONG_MS = 20_000;
+
     /** How long is waited for what a fault holds back for good. */
     private static final int NEVER_MS = 150;
+
     private static final Duration AGE = Duration.ofMinutes(5);
 
     private final List<Socket> sockets = new ArrayList<>();
@@ -33,7 +38,7 @@
     private Relay relay;
 
     /** Both ends of a connection. */
-    private record Pair(Socket near, Socket far) { }
+    private record Pair(Socket near, Socket far) {}
 
     @BeforeEach
     void stage() throws IOException {
@@ -50,7 +55,10 @@
     }
 
     private Socket dial() throws IOException {
-        Socket near = new Socket(InetAddress.getLoopbackAddress(), Integer.parseInt(relay.address().split(":")[1]));
+        Socket near =
+                new Socket(
+                        InetAddress.getLoopbackAddress(),
+                        Integer.parseInt(relay.address().split(":")[1]));
         near.setSoTimeout(LONG_MS);
         sockets.add(near);
         return near;
@@ -79,12 +87,14 @@
     }
 
     private static void isReset(Socket socket) {
-        assertThrows(SocketException.class, () -> {
-            while (socket.getInputStream().read() >= 0) {
-                // What came before.
-            }
-            throw new IOException("ended without a reset");
-        });
+        assertThrows(
+                SocketException.class,
+                () -> {
+                    while (socket.getInputStream().read() >= 0) {
+                        // What came before.
+                    }
+                    throw new IOException("ended without a reset");
+                });
     }
 
     @Test
@@ -154,13 +164,15 @@
     void aCutWayTakesNoMoreThanItsBuffers() throws Exception {
         Pair one = pair();
         relay.both(Relay.Fault.CUT, Duration.ZERO);
-        Thread writer = new Thread(() -> {
-            try {
-                one.near.getOutputStream().write(new byte[64 << 20]);
-            } catch (IOException e) {
-                // Reset while it waits.
-            }
-        });
+        Thread writer =
+                new Thread(
+                        () -> {
+                            try {
+                                one.near.getOutputStream().write(new byte[64 << 20]);
+                            } catch (IOException e) {
+                                // Reset while it waits.
+                            }
+                        });
         writer.start();
         writer.join(NEVER_MS);
         assertTrue(writer.isAlive());
--- a/src/test/java/postbeam/rig/RouterIT.java
+++ b/src/test/java/postbeam/rig/RouterIT.java
@@ -6,11 +6,8 @@
 import static org.junit.jupiter.api.Assertions.fail;
 
 import java.io.BufferedReader;
-import java.io.ByteArrayOutputStream;
-import java.io.DataInputStream;
 import java.io.IOException;
 import java.io.InputStream;
-import java.io.InputStreamReader;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -32,14 +29,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Starts the built program on loopback, with stand-ins for data nodes and discovery, and speaks to it. */
+/**
+ * Starts the built program on loopback, with stand-ins for data nodes and discovery, and speaks to
+ * it.
+ */
 class RouterIT {
     /** Seconds after which a condition that has not come will not come. */
     private static final int LONG = 20;
+
     private static final InetAddress HERE = InetAddress.getLoopbackAddress();
 
-    @TempDir
-    private Path dir;
+    @TempDir private Path dir;
     private final List<AutoCloseable> toClose = new CopyOnWriteArrayList<>();
     private ScriptedNode node;
     private StandInDiscovery discovery;
@@ -48,13 +48,15 @@
     private BlockingQueue<String> log;
 
     private static Thread daemon(Callable<Void> work) {
-        Thread thread = new Thread(() -> {
-            try {
-                work.call();
-            } catch (Exception e) {
-                // A closed socket ends the stand-in's thread.
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                work.call();
+                            } catch (Exception e) {
+                                // A closed socket ends the stand-in's thread.
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
         return thread;
@@ -94,9 +96,14 @@
         try (ServerSocket free = new ServerSocket(0, 1, HERE)) {
             address = "127.0.0.1:" + free.getLocalPort();
         }
-        return "{\"name\":\"n0\",\"listen\":\"" + address + "\",\"discovery\":\"127.0.0.1:"
-                + discovery.server.getLocalPort() + "\",\"seed\":\"8c1f30d27a5be964\","
-                + "\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},\"known\":" + known + ",\"settings\":{"
+        return "{\"name\":\"n0\",\"listen\":\""
+                + address
+                + "\",\"discovery\":\"127.0.0.1:"
+                + discovery.server.getLocalPort()
+                + "\",\"seed\":\"8c1f30d27a5be964\","
+                + "\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},\"known\":"
+                + known
+                + ",\"settings\":{"
                 + "\"zone\":\"a\",\"nInstances\":1,\"report\":{\"how\":\"none\"},\"domain\":{\"cells\":1,\"reach\":1,"
                 + "\"shards\":4,\"partsACall\":16,\"classNeed\":[1.0,1.0,0.5],\"leastShare\":[1.0,1.0,0.25],"
                 + "\"shortWorth\":[0,0,0.9]},\"caps\":{\"maxAttempts\":3,\"mayDuplicate\":true,\"cancelling\":true,"
@@ -110,23 +117,30 @@
 
     private Process run(String config, String... more) throws IOException {
         Path file = Files.writeString(dir.resolve("config.json"), config);
-        String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-                .filter(line -> line.startsWith("run = ")).findFirst().orElseThrow().split("\"")[1];
+        String run =
+                Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
+                        .filter(line -> line.startsWith("run = "))
+                        .findFirst()
+                        .orElseThrow()
+                        .split("\"")[1];
         String command = more.length > 0 ? run.replaceAll("serve$", String.join(" ", more)) : run;
-        // SIGHUP at its default: where a parent ignores it, as nohup does, the program would not hear it.
-        ProcessBuilder start = new ProcessBuilder("env", "--default-signal=HUP", "/bin/sh", "-c", command)
-                .redirectErrorStream(true);
+        // SIGHUP at its default: where a parent ignores it, as nohup does, the program would not
+        // hear it.
+        ProcessBuilder start =
+                new ProcessBuilder("env", "--default-signal=HUP", "/bin/sh", "-c", command)
+                        .redirectErrorStream(true);
         start.environment().put("BALANCER_CONFIG", file.toString());
         program = start.start();
         log = new LinkedBlockingQueue<>();
         BufferedReader out = program.inputReader();
-        daemon(() -> {
-            String line;
-            while ((line = out.readLine()) != null) {
-                log.add(line);
-            }
-            return null;
-        });
+        daemon(
+                () -> {
+                    String line;
+                    while ((line = out.readLine()) != null) {
+                        log.add(line);
+                    }
+                    return null;
+                });
         return program;
     }
 
@@ -136,7 +150,11 @@
 
     private void serving(String config) throws Exception {
         run(config);
-        until(() -> program.isAlive() && status("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n").startsWith("200"));
+        until(
+                () ->
+                        program.isAlive()
+                                && status("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n")
+                                        .startsWith("200"));
     }
 
     private static void until(Callable<Boolean> condition) throws Exception {
@@ -187,7 +205,10 @@
                 retry = line.substring(12).trim() + " ";
             }
         }
-        return head.substring(9, 12) + " " + retry + new String(in.readNBytes(length), StandardCharsets.UTF_8);
+        return head.substring(9, 12)
+                + " "
+                + retry
+                + new String(in.readNBytes(length), StandardCharsets.UTF_8);
     }
 
     /** The answer; a close while the request is still being sent is none of its own. */
@@ -205,16 +226,28 @@
     private static String query(String vertical, String id, int millis, int... shards) {
         StringBuilder ranges = new StringBuilder();
         for (int shard : shards) {
-            ranges.append(ranges.length() == 0 ? "" : ",").append("{\"range\":").append(shard).append(",\"portion\":")
-                    .append(1.0 / shards.length).append('}');
+            ranges.append(ranges.length() == 0 ? "" : ",")
+                    .append("{\"range\":")
+                    .append(shard)
+                    .append(",\"portion\":")
+                    .append(1.0 / shards.length)
+                    .append('}');
         }
-        return post("/" + vertical + "?obj=7f", "Req-Id: " + id + "\r\nReq-Owner: acme\r\nReq-Deadline-Ms: " + millis
-                + "\r\n", "{\"ranges\":[" + ranges + "],\"predicate\":\"c41e77d0\"}");
+        return post(
+                "/" + vertical + "?obj=7f",
+                "Req-Id: " + id + "\r\nReq-Owner: acme\r\nReq-Deadline-Ms: " + millis + "\r\n",
+                "{\"ranges\":[" + ranges + "],\"predicate\":\"c41e77d0\"}");
     }
 
     private static String post(String path, String headers, String body) {
-        return "POST " + path + " HTTP/1.1\r\nHost: backend.local\r\n" + headers + "Content-Length: " + body.length()
-                + "\r\n\r\n" + body;
+        return "POST "
+                + path
+                + " HTTP/1.1\r\nHost: backend.local\r\n"
+                + headers
+                + "Content-Length: "
+                + body.length()
+                + "\r\n\r\n"
+                + body;
     }
 
     private String frame(String start) throws InterruptedException {
@@ -235,13 +268,26 @@
         serving();
         try (Socket client = connect()) {
             write(client, query("lookup", "q1", 3000, 0, 3));
-            assertEquals("200 {\"total\":true,\"answers\":[{\"range\":0,\"blob\":\"vq1.0\"},{\"range\":3,\"blob\":\"vq1.3\"}]}",
+            assertEquals(
+                    "200 {\"total\":true,\"answers\":[{\"range\":0,\"blob\":\"vq1.0\"},{\"range\":3,\"blob\":\"vq1.3\"}]}",
                     answer(client));
             assertEquals("m q1.0 0 c41e77d0", frame("m q1.0"));
-            write(client, "POST /lookup HTTP/1.1\r\nHost: backend.local\r\nReq-Id: q2\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 3000\r\n"
-                    + "Transfer-Encoding: chunked\r\n\r\n10\r\n{\"ranges\":[{\"ran\r\n25\r\n"
-                    + "ge\":1,\"portion\":1}],\"predicate\":\"ab\"}\r\n0\r\n\r\n");
-            assertEquals("200 {\"total\":true,\"answers\":[{\"range\":1,\"blob\":\"vq2.1\"}]}", answer(client));
+            write(
+                    client,
+                    "POST /lookup HTTP/1.1\r\n"
+                            + "Host: backend.local\r\n"
+                            + "Req-Id: q2\r\n"
+                            + "Req-Owner: acme\r\n"
+                            + "Req-Deadline-Ms: 3000\r\n"
+                            + "Transfer-Encoding: chunked\r\n\r\n"
+                            + "10\r\n"
+                            + "{\"ranges\":[{\"ran\r\n"
+                            + "25\r\n"
+                            + "ge\":1,\"portion\":1}],\"predicate\":\"ab\"}\r\n"
+                            + "0\r\n\r\n");
+            assertEquals(
+                    "200 {\"total\":true,\"answers\":[{\"range\":1,\"blob\":\"vq2.1\"}]}",
+                    answer(client));
             node.mode = "twice";
             write(client, query("lookup", "q3", 3000, 2));
             assertTrue(answer(client).contains("first"));
@@ -266,22 +312,30 @@
     @Test
     void whatMayHaveRunAndCantRunAgainIsAborted() throws Exception {
         serving();
-        for (String mode : new String[] {"bad", "reset", "garbage", "oversized", "unusable", "stray", "endless"}) {
+        for (String mode :
+                new String[] {
+                    "bad", "reset", "garbage", "oversized", "unusable", "stray", "endless"
+                }) {
             node.mode = mode;
             long start = System.nanoTime();
-            assertEquals("504", status(query("hold", "q-" + mode, 20_000, 0)).substring(0, 3), mode);
+            assertEquals(
+                    "504", status(query("hold", "q-" + mode, 20_000, 0)).substring(0, 3), mode);
             assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(5), mode);
         }
         node.mode = "good";
         until(() -> status(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200"));
     }
 
-    /** A spoilt answer ends the calls that share its connection, once each, and nothing more is sent on it. */
+    /**
+     * A spoilt answer ends the calls that share its connection, once each, and nothing more is sent
+     * on it.
+     */
     @Test
     void aSpoiltAnswerEndsAllThatSharesItsConnection() throws Exception {
         serving();
         node.mode = "silent";
-        try (Socket other = connect(); Socket client = connect()) {
+        try (Socket other = connect();
+                Socket client = connect()) {
             write(other, query("hold", "q1", 20_000, 0));
             frame("m q1.0");
             write(client, query("lookup", "q2", 20_000, 1));
@@ -289,7 +343,9 @@
             node.mode = "good";
             node.send(node.sockets.get(0), "qq2.1 fine 0 -\nx");
             assertEquals("504", answer(other).substring(0, 3));
-            assertEquals("200 {\"total\":true,\"answers\":[{\"range\":1,\"blob\":\"vq2.1\"}]}", answer(client));
+            assertEquals(
+                    "200 {\"total\":true,\"answers\":[{\"range\":1,\"blob\":\"vq2.1\"}]}",
+                    answer(client));
         }
         assertEquals(2, node.sockets.size());
     }
@@ -324,7 +380,8 @@
         assertEquals("504", answer.substring(0, 3));
         assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(LONG));
         assertTrue(frame("m q1.0").endsWith("c41e77d0"));
-        // The connection that stayed silent is not used again, and giving its last call up closes it.
+        // The connection that stayed silent is not used again, and giving its last call up closes
+        // it.
         node.mode = "good";
         until(() -> status(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200"));
         assertEquals(2, node.sockets.size());
@@ -350,8 +407,10 @@
         assertEquals("200", status(query("lookup", "q1", 3000, 0)).substring(0, 3));
         ScriptedNode moved = node();
         discovery.tell(moved.entry("n1", "up"));
-        until(() -> status(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200")
-                && !moved.frames.isEmpty());
+        until(
+                () ->
+                        status(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200")
+                                && !moved.frames.isEmpty());
         discovery.tellHalf();
         until(() -> log.stream().anyMatch(line -> line.contains("discovery answers again")));
         assertEquals("200", status(query("lookup", "q3", 3000, 0)).substring(0, 3));
@@ -373,7 +432,10 @@
     void withoutAnyListItIsNotReady() throws Exception {
         discovery.server.close();
         run(config("null"));
-        until(() -> status("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n").startsWith("503"));
+        until(
+                () ->
+                        status("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n")
+                                .startsWith("503"));
     }
 
     // ---- reload
@@ -382,17 +444,28 @@
     private void reload(String config) throws Exception {
         Path next = Files.writeString(dir.resolve("next.json"), config);
         Files.move(next, dir.resolve("config.json"), StandardCopyOption.ATOMIC_MOVE);
-        assertEquals(0, new ProcessBuilder("kill", "-HUP", String.valueOf(program.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-HUP", String.valueOf(program.pid()))
+                        .start()
+                        .waitFor());
     }
 
-    /** Takes the log's lines up to the first one with all of these texts, so that none is counted twice. */
+    /**
+     * Takes the log's lines up to the first one with all of these texts, so that none is counted
+     * twice.
+     */
     private void logged(String... texts) throws Exception {
         List<String> passed = new ArrayList<>();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LONG);
         while (true) {
             String line = log.poll(Math.max(0, end - System.nanoTime()), TimeUnit.NANOSECONDS);
             if (line == null) {
-                fail("no line with " + List.of(texts) + "; after the last one the program said " + passed);
+                fail(
+                        "no line with "
+                                + List.of(texts)
+                                + "; after the last one the program said "
+                                + passed);
             } else if (Stream.of(texts).allMatch(line::contains)) {
                 return;
             }
@@ -406,9 +479,12 @@
         serving(config);
         ScriptedNode second = node();
         StandInDiscovery next = discovery(second.entry("n2", "up"));
-        String moved = config.replace("127.0.0.1:" + discovery.server.getLocalPort(),
-                "127.0.0.1:" + next.server.getLocalPort());
-        // The connection stands before a node falls silent on it: that one comes up late is no part of this.
+        String moved =
+                config.replace(
+                        "127.0.0.1:" + discovery.server.getLocalPort(),
+                        "127.0.0.1:" + next.server.getLocalPort());
+        // The connection stands before a node falls silent on it: that one comes up late is no part
+        // of this.
         until(() -> status(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200"));
         node.frames.clear();
         node.mode = "silent";
@@ -416,19 +492,28 @@
             // Longer than all waits here together.
             write(open, query("hold", "q1", 10 * LONG * 1000, 0));
             frame("m q1.0");
-            for (String broken : new String[] {config.replace("\"cells\":1", "\"cells\":0"), "{", "",
-                moved.replace("\"keepalive\":15000000", "\"keepalive\":\"x\"")}) {
+            for (String broken :
+                    new String[] {
+                        config.replace("\"cells\":1", "\"cells\":0"),
+                        "{",
+                        "",
+                        moved.replace("\"keepalive\":15000000", "\"keepalive\":\"x\"")
+                    }) {
                 reload(broken);
                 logged("configuration " + dir.resolve("config.json"), "what is held stays");
             }
             reload(config.replace("\"nInstances\":1", "\"nInstances\":2"));
             logged("wait for a restart: [settings.nInstances]");
-            logged("1 queries open, 1 calls out, 1 by their nodes; of 1 nodes listed 0 left alone; "
-                    + "on the sockets 1 calls on 1 connections");
+            logged(
+                    "1 queries open, 1 calls out, 1 by their nodes; of 1 nodes listed 0 left alone;"
+                            + " on the sockets 1 calls on 1 connections");
             long start = System.nanoTime();
             reload(moved);
-            until(() -> status(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200")
-                    && !second.frames.isEmpty());
+            until(
+                    () ->
+                            status(query("lookup", "q" + System.nanoTime(), 3000, 0))
+                                            .startsWith("200")
+                                    && !second.frames.isEmpty());
             assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(3));
             logged("configuration read again; discovery is now at " + next.address());
             // What the old one tells from now on is not heard.
@@ -457,17 +542,34 @@
             assertAnswer(client, "404", post("/nothing", headers, body));
             assertAnswer(client, "404", "GET / HTTP/1.1\r\nHost: backend.local\r\n\r\n");
             assertAnswer(client, "405", "GET /lookup HTTP/1.1\r\nHost: backend.local\r\n\r\n");
-            for (String bad : new String[] {"", "7", body + "x", body.replace("}", ""), body.replace("ranges", "range"),
-                body.replace("\"range\":0", "\"range\":4"), body.replace("\"range\":0", "\"range\":-1"),
-                body.replace("\"portion\":1", "\"portion\":0"), body.replace("\"x\"", "7"), "{\"ranges\":[]}"}) {
+            for (String bad :
+                    new String[] {
+                        "",
+                        "7",
+                        body + "x",
+                        body.replace("}", ""),
+                        body.replace("ranges", "range"),
+                        body.replace("\"range\":0", "\"range\":4"),
+                        body.replace("\"range\":0", "\"range\":-1"),
+                        body.replace("\"portion\":1", "\"portion\":0"),
+                        body.replace("\"x\"", "7"),
+                        "{\"ranges\":[]}"
+                    }) {
                 assertAnswer(client, "400", post("/lookup", headers, bad));
             }
-            assertAnswer(client, "400", post("/lookup", headers.replace("Req-Id: q1", "A: b"), body));
+            assertAnswer(
+                    client, "400", post("/lookup", headers.replace("Req-Id: q1", "A: b"), body));
             assertAnswer(client, "400", post("/lookup", headers.replace("acme", "other"), body));
             assertAnswer(client, "400", post("/lookup", headers.replace("900", "soon"), body));
-            assertAnswer(client, "400", post("/hold", headers.replace("Req-Deadline-Ms: 900\r\n", ""), body));
+            assertAnswer(
+                    client,
+                    "400",
+                    post("/hold", headers.replace("Req-Deadline-Ms: 900\r\n", ""), body));
             assertTrue(node.frames.isEmpty());
-            assertAnswer(client, "200", post("/lookup", headers.replace("Req-Deadline-Ms: 900\r\n", ""), body));
+            assertAnswer(
+                    client,
+                    "200",
+                    post("/lookup", headers.replace("Req-Deadline-Ms: 900\r\n", ""), body));
         }
         assertEquals("413", status(post("/lookup", headers, "x".repeat(70_000))).substring(0, 3));
     }
@@ -480,19 +582,45 @@
         String body = "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"x\"}";
         String start = "POST /lookup HTTP/1.1\r\nHost: b\r\n" + head;
         String chunked = start + "Transfer-Encoding: chunked\r\n\r\n";
-        assertEquals("4", status(start + "Content-Length: 99999999999999999999999\r\n\r\n" + body).substring(0, 1));
-        for (String bad : new String[] {"A: b\r\n".repeat(200_000), "POST /" + "a".repeat(3_000_000),
-            start + "Content-Length: -5\r\n\r\n" + body, start + "Content-Length: soon\r\n\r\n" + body,
-            start + "Content-Length: 5\r\nContent-Length: 6\r\n\r\n" + body,
-            start + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + post("/lookup", head, body),
-            chunked + "zz\r\nabc\r\n0\r\n\r\n", chunked + "ffffffffffffffff\r\n" + body, "hello\r\n\r\n",
-            post("/lookup", head + "Req-Id: q2\r\n", body), post("/lookup", head + "Req-Deadline-Ms: 9\r\n", body),
-            post("/lookup", head, body.replace(":1}", ":0.4},{\"range\":1,\"portion\":0.4}"))}) {
-            assertEquals("400", status(bad).substring(0, 3), bad.substring(0, Math.min(300, bad.length())));
+        assertEquals(
+                "4",
+                status(start + "Content-Length: 99999999999999999999999\r\n\r\n" + body)
+                        .substring(0, 1));
+        for (String bad :
+                new String[] {
+                    "A: b\r\n".repeat(200_000),
+                    "POST /" + "a".repeat(3_000_000),
+                    start + "Content-Length: -5\r\n\r\n" + body,
+                    start + "Content-Length: soon\r\n\r\n" + body,
+                    start + "Content-Length: 5\r\nContent-Length: 6\r\n\r\n" + body,
+                    start
+                            + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+                            + post("/lookup", head, body),
+                    chunked + "zz\r\nabc\r\n0\r\n\r\n",
+                    chunked + "ffffffffffffffff\r\n" + body,
+                    "hello\r\n\r\n",
+                    post("/lookup", head + "Req-Id: q2\r\n", body),
+                    post("/lookup", head + "Req-Deadline-Ms: 9\r\n", body),
+                    post(
+                            "/lookup",
+                            head,
+                            body.replace(":1}", ":0.4},{\"range\":1,\"portion\":0.4}"))
+                }) {
+            assertEquals(
+                    "400",
+                    status(bad).substring(0, 3),
+                    bad.substring(0, Math.min(300, bad.length())));
         }
         String large = "x".repeat(60_000_000);
-        for (String bad : new String[] {start + "Content-Length: 60000000\r\n\r\n" + large, chunked + "3938700\r\n" + large,
-            chunked + ("ffff\r\n" + "x".repeat(0xffff) + "\r\n").repeat(2) + "3938700\r\n" + large}) {
+        for (String bad :
+                new String[] {
+                    start + "Content-Length: 60000000\r\n\r\n" + large,
+                    chunked + "3938700\r\n" + large,
+                    chunked
+                            + ("ffff\r\n" + "x".repeat(0xffff) + "\r\n").repeat(2)
+                            + "3938700\r\n"
+                            + large
+                }) {
             assertEquals("413", status(bad).substring(0, 3), bad.substring(0, 170));
         }
         assertTrue(node.frames.isEmpty(), node.frames.toString());
@@ -506,7 +634,14 @@
         long start = System.nanoTime();
         for (int i = 0; i < 300; i++) {
             bad.add(connect());
-            write(bad.get(i), new String[] {"", "POST /look", query("lookup", "h" + i, 900, 0).replaceAll(".$", "")}[i % 3]);
+            write(
+                    bad.get(i),
+                    new String[] {
+                                "",
+                                "POST /look",
+                                query("lookup", "h" + i, 900, 0).replaceAll(".$", "")
+                            }
+                            [i % 3]);
         }
         assertEquals("200", status(query("lookup", "q1", 3000, 0)).substring(0, 3));
         for (Socket socket : bad) {
@@ -537,7 +672,8 @@
         assertTrue(node.frames.isEmpty(), node.frames.toString());
     }
 
-    private static void assertAnswer(Socket client, String status, String request) throws IOException {
+    private static void assertAnswer(Socket client, String status, String request)
+            throws IOException {
         write(client, request);
         assertEquals(status, answer(client).substring(0, 3), request);
     }
@@ -577,12 +713,16 @@
     void afterSigtermAllThatWasTakenIsAnsweredAndTheProgramExitsWithZero() throws Exception {
         serving();
         node.mode = "silent";
-        try (Socket open = connect(); Socket idle = connect()) {
+        try (Socket open = connect();
+                Socket idle = connect()) {
             write(open, query("hold", "q1", 30_000, 0));
             frame("m q1.0");
             assertAnswer(idle, "404", "GET /x HTTP/1.1\r\nHost: backend.local\r\n\r\n");
             program.destroy();
-            until(() -> status("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n").startsWith("503"));
+            until(
+                    () ->
+                            status("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n")
+                                    .startsWith("503"));
             node.mode = "good";
             assertEquals("200", status(query("lookup", "q2", 3000, 0)).substring(0, 3));
             // What replaces it may not be there yet: a client with a connection is served on.
@@ -604,8 +744,13 @@
             for (int i = 0; i < 2; i++) {
                 fillers.add(new Socket(HERE, full.getLocalPort()));
             }
-            discovery.tell(node.entry("n1", "up").replace(node.dial(), "127.0.0.1:" + full.getLocalPort()));
-            until(() -> status(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("503"));
+            discovery.tell(
+                    node.entry("n1", "up")
+                            .replace(node.dial(), "127.0.0.1:" + full.getLocalPort()));
+            until(
+                    () ->
+                            status(query("lookup", "q" + System.nanoTime(), 3000, 0))
+                                    .startsWith("503"));
             long before = descriptors();
             for (int i = 0; i < 5; i++) {
                 status(query("lookup", "r" + i, 1500, 0));
@@ -629,8 +774,10 @@
 
     private void storm(int memoryMb, int sockets, int count) throws Exception {
         node.mode = "silent";
-        serving(config("null").replace("\"memory_mb\":192", "\"memory_mb\":" + memoryMb)
-                .replace("\"sockets\":1024", "\"sockets\":" + sockets));
+        serving(
+                config("null")
+                        .replace("\"memory_mb\":192", "\"memory_mb\":" + memoryMb)
+                        .replace("\"sockets\":1024", "\"sockets\":" + sockets));
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             Socket client = connect();
@@ -642,8 +789,12 @@
             String status = answer(client).substring(0, 3);
             assertTrue(status.equals("503") || status.equals("504"), status);
         }
-        String memory = Files.readAllLines(Path.of("/proc/" + program.pid() + "/status")).stream()
-                .filter(line -> line.startsWith("VmHWM")).findFirst().orElseThrow().replaceAll("[^0-9]", "");
+        String memory =
+                Files.readAllLines(Path.of("/proc/" + program.pid() + "/status")).stream()
+                        .filter(line -> line.startsWith("VmHWM"))
+                        .findFirst()
+                        .orElseThrow()
+                        .replaceAll("[^0-9]", "");
         System.out.println("a storm of " + count + " clients: " + memory + " KB at most");
         assertTrue(Integer.parseInt(memory) < memoryMb << 10, memory);
     }
@@ -651,27 +802,46 @@
     @Test
     void aBodyNestedTooDeepIsNoQuery() throws Exception {
         serving();
-        assertEquals("400", status(post("/lookup", "Req-Id: q1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 900\r\n",
-                "{\"ranges\":" + "[".repeat(30_000))).substring(0, 3));
+        assertEquals(
+                "400",
+                status(
+                                post(
+                                        "/lookup",
+                                        "Req-Id: q1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 900\r\n",
+                                        "{\"ranges\":" + "[".repeat(30_000)))
+                        .substring(0, 3));
     }
 
     // ---- crossings: one side is held until the other has arrived
 
     private void signal(String name) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, String.valueOf(program.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, String.valueOf(program.pid()))
+                        .start()
+                        .waitFor());
     }
 
-    /** The router takes nothing up until it goes on; what others do in that while has come by then. */
+    /**
+     * The router takes nothing up until it goes on; what others do in that while has come by then.
+     */
     private void held() throws Exception {
         signal("STOP");
-        until(() -> Files.readString(Path.of("/proc/" + program.pid() + "/stat")).replaceAll(".*\\) ", "").startsWith("T"));
+        until(
+                () ->
+                        Files.readString(Path.of("/proc/" + program.pid() + "/stat"))
+                                .replaceAll(".*\\) ", "")
+                                .startsWith("T"));
     }
 
     private boolean wasSent(String id) {
         return node.frames.stream().anyMatch(frame -> frame.startsWith("m " + id + "."));
     }
 
-    /** A listener that lets nobody else in until it is emptied; the machine tries again by itself after 1 s and more. */
+    /**
+     * A listener that lets nobody else in until it is emptied; the machine tries again by itself
+     * after 1 s and more.
+     */
     private static final class Full implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 1, HERE);
         private final List<Socket> fillers = new ArrayList<>();
@@ -723,13 +893,23 @@
                 reset.setSoLinger(true, 0);
             }
             signal("CONT");
-            assertEquals("200", status(query("lookup", "after" + more.length(), 3000, 0)).substring(0, 3));
-            assertFalse(node.frames.stream().anyMatch(frame -> frame.startsWith("m gone") || frame.startsWith("m reset")),
+            assertEquals(
+                    "200",
+                    status(query("lookup", "after" + more.length(), 3000, 0)).substring(0, 3));
+            assertFalse(
+                    node.frames.stream()
+                            .anyMatch(
+                                    frame ->
+                                            frame.startsWith("m gone")
+                                                    || frame.startsWith("m reset")),
                     node.frames.toString());
         }
     }
 
-    /** Both have come when the router goes on: the connection to the node is up, and the client has closed its own. */
+    /**
+     * Both have come when the router goes on: the connection to the node is up, and the client has
+     * closed its own.
+     */
     @Test
     void aCallThatWaitsForItsConnectionIsNotWrittenOnceItsClientHasGone() throws Exception {
         gone(true);
@@ -742,8 +922,12 @@
 
     private void gone(boolean clientFirst) throws Exception {
         try (Full full = new Full()) {
-            discovery.tell(node.entry("n1", "up").replace(node.dial(), "127.0.0.1:" + full.server.getLocalPort()));
-            serving(config("null").replace("\"connectTimeout\":250000", "\"connectTimeout\":8000000"));
+            discovery.tell(
+                    node.entry("n1", "up")
+                            .replace(node.dial(), "127.0.0.1:" + full.server.getLocalPort()));
+            serving(
+                    config("null")
+                            .replace("\"connectTimeout\":250000", "\"connectTimeout\":8000000"));
             Socket client = connect();
             write(client, query("lookup", "q1", 9000, 0));
             until(() -> connecting(full.server.getLocalPort()));
@@ -762,17 +946,23 @@
     /** Whether the program has begun to connect there, as the machine's table has it. */
     private static boolean connecting(int port) throws IOException {
         String to = String.format("0100007F:%04X 02", port);
-        return Files.readAllLines(Path.of("/proc/net/tcp")).stream().anyMatch(line -> line.contains(to))
-                || Files.exists(Path.of("/proc/net/tcp6")) && Files.readAllLines(Path.of("/proc/net/tcp6")).stream()
-                .anyMatch(line -> line.contains(String.format(":%04X 02", port)));
+        return Files.readAllLines(Path.of("/proc/net/tcp")).stream()
+                        .anyMatch(line -> line.contains(to))
+                || Files.exists(Path.of("/proc/net/tcp6"))
+                        && Files.readAllLines(Path.of("/proc/net/tcp6")).stream()
+                                .anyMatch(line -> line.contains(String.format(":%04X 02", port)));
     }
 
     @Test
     void aCallThatWaitsForItsConnectionIsNotWrittenOnceItsNodeIsToldToDrain() throws Exception {
         try (Full full = new Full()) {
-            String entry = node.entry("n1", "up").replace(node.dial(), "127.0.0.1:" + full.server.getLocalPort());
+            String entry =
+                    node.entry("n1", "up")
+                            .replace(node.dial(), "127.0.0.1:" + full.server.getLocalPort());
             discovery.tell(entry);
-            serving(config("null").replace("\"connectTimeout\":250000", "\"connectTimeout\":8000000"));
+            serving(
+                    config("null")
+                            .replace("\"connectTimeout\":250000", "\"connectTimeout\":8000000"));
             try (Socket client = connect()) {
                 write(client, query("hold", "q1", 9000, 0));
                 until(() -> connecting(full.server.getLocalPort()));
@@ -789,17 +979,27 @@
     }
 
     @Test
-    void aDeduplicatedPartIsNotWrittenAgainAfterItsWindowHoweverLateTheConnection() throws Exception {
+    void aDeduplicatedPartIsNotWrittenAgainAfterItsWindowHoweverLateTheConnection()
+            throws Exception {
         node.mode = "silent";
-        serving(config("null").replace("\"connectTimeout\":250000", "\"connectTimeout\":8000000")
-                .replace("\"name\":\"lookup\",\"promise\":1000000,\"deadline\":3000000,\"effect\":\"retryable\"",
-                "\"name\":\"lookup\",\"promise\":9000000,\"deadline\":9000000,\"effect\":\"dedup\",\"repeatWindow\":600000"));
-        try (Full full = new Full(); Socket client = connect()) {
+        serving(
+                config("null")
+                        .replace("\"connectTimeout\":250000", "\"connectTimeout\":8000000")
+                        .replace(
+                                "\"name\":\"lookup\",\"promise\":1000000,\"deadline\":3000000,\"effect\":\"retryable\"",
+                                "\"name\":\"lookup\",\"promise\":9000000,\"deadline\":9000000,\"effect\":\"dedup\",\"repeatWindow\":600000"));
+        try (Full full = new Full();
+                Socket client = connect()) {
             write(client, query("lookup", "q1", 9000, 0));
             frame("m q1.0");
             int asked = discovery.asked.size();
-            discovery.tell(node.entry("n1", "up") + "," + node.entry("n2", "up").replace(node.dial(),
-                    "127.0.0.1:" + full.server.getLocalPort()));
+            discovery.tell(
+                    node.entry("n1", "up")
+                            + ","
+                            + node.entry("n2", "up")
+                                    .replace(
+                                            node.dial(),
+                                            "127.0.0.1:" + full.server.getLocalPort()));
             until(() -> discovery.asked.size() > asked);
             node.sockets.get(0).setSoLinger(true, 0);
             node.sockets.get(0).close();
@@ -811,7 +1011,10 @@
         }
     }
 
-    /** Both have come when the router goes on: its node has closed the idle connection, and a query that could use it. */
+    /**
+     * Both have come when the router goes on: its node has closed the idle connection, and a query
+     * that could use it.
+     */
     @Test
     void whatANodeHasClosedWhileIdleIsNotUsedAgain() throws Exception {
         serving();
@@ -828,14 +1031,20 @@
         }
     }
 
-    /** The process stands still for longer than it may go without its list; both the list and a query have come by then. */
+    /**
+     * The process stands still for longer than it may go without its list; both the list and a
+     * query have come by then.
+     */
     @Test
     void aRouterThatStoodStillDoesNotSendByTheListItHeldBefore() throws Exception {
         serving();
         assertEquals("200", status(query("lookup", "q0", 3000, 0)).substring(0, 3));
         for (int i = 1; i <= 3; i++) {
             discovery.tell(node.entry("n1", "up"));
-            until(() -> status(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200"));
+            until(
+                    () ->
+                            status(query("lookup", "q" + System.nanoTime(), 3000, 0))
+                                    .startsWith("200"));
             held();
             Thread.sleep(6000);
             discovery.tell(node.entry("n1", "draining"));
@@ -844,7 +1053,9 @@
                 signal("CONT");
                 assertEquals("503", answer(client).substring(0, 3));
             }
-            assertFalse(node.frames.stream().anyMatch(frame -> frame.startsWith("m stood")), node.frames.toString());
+            assertFalse(
+                    node.frames.stream().anyMatch(frame -> frame.startsWith("m stood")),
+                    node.frames.toString());
         }
     }
 
@@ -857,7 +1068,10 @@
             write(client, query("hold", "q1", 30_000, 0));
             frame("m q1.0");
             program.destroy();
-            until(() -> status("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n").startsWith("503"));
+            until(
+                    () ->
+                            status("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n")
+                                    .startsWith("503"));
             until(() -> refused());
             node.send(node.sockets.get(0), "qq1.0 good 0 -\nx");
             until(() -> client.getInputStream().available() > 0);
@@ -881,7 +1095,10 @@
         }
     }
 
-    /** The program stands in its first read of its configuration, which a pipe holds up, when the signal comes. */
+    /**
+     * The program stands in its first read of its configuration, which a pipe holds up, when the
+     * signal comes.
+     */
     @Test
     void aSighupBeforeThereIsARouterEndsNothingAndIsFollowedLater() throws Exception {
         String config = config("null");
@@ -897,7 +1114,10 @@
             first.write(config.getBytes(StandardCharsets.UTF_8));
         }
         logged("configuration read again");
-        until(() -> status("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n").startsWith("200"));
+        until(
+                () ->
+                        status("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n")
+                                .startsWith("200"));
     }
 
     @Test
@@ -906,16 +1126,18 @@
         String config = Files.readString(dir.resolve("config.json"));
         discovery.close();
         List<Socket> idle = new CopyOnWriteArrayList<>();
-        Thread crowd = daemon(() -> {
-            while (!Thread.currentThread().isInterrupted()) {
-                idle.add(connect());
-                if (idle.size() > 300) {
-                    idle.remove(0).close();
-                }
-                Thread.sleep(2);
-            }
-            return null;
-        });
+        Thread crowd =
+                daemon(
+                        () -> {
+                            while (!Thread.currentThread().isInterrupted()) {
+                                idle.add(connect());
+                                if (idle.size() > 300) {
+                                    idle.remove(0).close();
+                                }
+                                Thread.sleep(2);
+                            }
+                            return null;
+                        });
         until(() -> descriptors() > 110);
         StandInDiscovery back = discovery(node.entry("n1", "draining"));
         long start = System.nanoTime();
@@ -932,7 +1154,10 @@
         discovery.server.close();
         run(config("{\"seq\":7,\"whole\":true,\"hosts\":[" + node.entry("n1", "up") + "]}"));
         long start = System.nanoTime();
-        until(() -> status("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n").startsWith("200"));
+        until(
+                () ->
+                        status("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n")
+                                .startsWith("200"));
         assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(10));
     }
 
--- a/src/test/java/postbeam/rig/TestimonyTest.java
+++ b/src/test/java/postbeam/rig/TestimonyTest.java
@@ -14,13 +14,15 @@
 import org.junit.jupiter.api.io.TempDir;
 import postbeam.slices.KeyRange;
 
-/** What several processes wrote adds up to a verdict; each rule has a violation planted that only the sum shows. */
+/**
+ * What several processes wrote adds up to a verdict; each rule has a violation planted that only
+ * the sum shows.
+ */
 class TestimonyTest {
     private static final KeyRange KEYS = new KeyRange(0, 1);
     private static final KeyRange OTHER = new KeyRange(1, 2);
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private final Testimony here = new Testimony();
     private Testimony.Node n0;
     private Testimony.Node n1;
@@ -37,18 +39,33 @@
     }
 
     private void asks(long ms, String query, String router, Referee.Kind kind) {
-        here.asked(at(ms), query, router, kind, 1, 0.5, Load.FIXED, List.of(new Referee.Wanted(0, KEYS, 0.4),
-                new Referee.Wanted(1, OTHER, 0.6)), at(ms + 3000));
+        here.asked(
+                at(ms),
+                query,
+                router,
+                kind,
+                1,
+                0.5,
+                Load.FIXED,
+                List.of(new Referee.Wanted(0, KEYS, 0.4), new Referee.Wanted(1, OTHER, 0.6)),
+                at(ms + 3000));
     }
 
-    private static void runs(Testimony.Node node, String name, long ms, String query, KeyRange keys) {
+    private static void runs(
+            Testimony.Node node, String name, long ms, String query, KeyRange keys) {
         node.called(at(ms), name, query, query + "." + keys.from(), keys, 0, ProcessFleet.WORK);
         node.ran(at(ms + 1), query, query + "." + keys.from(), keys);
     }
 
     private void answers(long ms, String query, boolean whole, KeyRange... in) {
-        here.answered(at(ms), query, whole, Load.FIXED, List.of(in).stream()
-                .map(keys -> new Referee.Value(keys, Referee.valueOf(query, keys))).toList());
+        here.answered(
+                at(ms),
+                query,
+                whole,
+                Load.FIXED,
+                List.of(in).stream()
+                        .map(keys -> new Referee.Value(keys, Referee.valueOf(query, keys)))
+                        .toList());
     }
 
     private List<String> broken() throws IOException {
@@ -59,7 +76,9 @@
 
     private void breaks(int rule, String what) throws IOException {
         List<String> broken = broken();
-        assertTrue(broken.stream().anyMatch(line -> line.startsWith("rule " + rule) && line.contains(what)),
+        assertTrue(
+                broken.stream()
+                        .anyMatch(line -> line.startsWith("rule " + rule) && line.contains(what)),
                 broken.toString());
     }
 
@@ -88,7 +107,10 @@
         breaks(1, "after the client's time");
     }
 
-    /** What a killed or stopped router had taken is no longer its to answer; what it takes once it is back is. */
+    /**
+     * What a killed or stopped router had taken is no longer its to answer; what it takes once it
+     * is back is.
+     */
     @Test
     void rule1HoldsForRoutersThatRun() throws IOException {
         asks(0, "q1", "r0", Referee.Kind.REPEATABLE);
@@ -124,7 +146,10 @@
         breaks(3, "drains");
     }
 
-    /** Five routers with eight calls each in a second: 0.8 s of work is what a cold node may be sent in one. */
+    /**
+     * Five routers with eight calls each in a second: 0.8 s of work is what a cold node may be sent
+     * in one.
+     */
     @Test
     void rule4TheSumOverRoutersIsMoreThanAColdNodeMayBeSent() throws IOException {
         n0.nodeStarted(at(1000), "n0");
@@ -133,7 +158,9 @@
             runs(n0, "n0", 1001 + 2 * i, "q" + i, KEYS);
             answers(1500, "q" + i, false, KEYS, OTHER);
             if (i == 38) {
-                assertEquals(List.of(), broken().stream().filter(line -> line.startsWith("rule 4")).toList());
+                assertEquals(
+                        List.of(),
+                        broken().stream().filter(line -> line.startsWith("rule 4")).toList());
             }
         }
         breaks(4, "cold node n0");
@@ -148,7 +175,8 @@
         answers(10, "q2", true, OTHER);
         breaks(5, "marked whole");
         asks(0, "q3", "r0", Referee.Kind.REPEATABLE);
-        here.answered(at(10), "q3", false, Load.FIXED, List.of(new Referee.Value(OTHER, "made up")));
+        here.answered(
+                at(10), "q3", false, Load.FIXED, List.of(new Referee.Value(OTHER, "made up")));
         breaks(5, "no node made");
     }
 
--- a/src/test/java/postbeam/rig/TogetherIT.java
+++ b/src/test/java/postbeam/rig/TogetherIT.java
@@ -12,13 +12,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Processes of the built program under faults between them: the six rules hold, and service is back in bounded time. */
+/**
+ * Processes of the built program under faults between them: the six rules hold, and service is back
+ * in bounded time.
+ */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class TogetherIT {
     private static final ProcessFleet.Altered AS_IT_IS = (all, file, text) -> text;
+
     /** Queries a second. */
     private static final double RATE = 100;
+
     private static final int SHARDS = 8;
+
     /** After which the machine is held to be too busy for the plant to show. */
     private static final int COLD_STARTS = 10;
 
@@ -26,8 +32,11 @@
     private ProcessFleet.Clients clients;
 
     private void stage(int nodes, int routers, ProcessFleet.Altered altered) throws Exception {
-        fleet = new ProcessFleet(new ProcessFleet.Size(nodes, routers, SHARDS, false,
-                ProcessFleet.PATIENT, altered), 1);
+        fleet =
+                new ProcessFleet(
+                        new ProcessFleet.Size(
+                                nodes, routers, SHARDS, false, ProcessFleet.PATIENT, altered),
+                        1);
         clients = fleet.clients(RATE, 2);
         clients.allServe();
     }
@@ -39,7 +48,10 @@
         }
     }
 
-    /** Two nodes are back under their names. Nobody shares anything: each has its even part of a cold node's budget, cut off or not, and the sum holds. */
+    /**
+     * Two nodes are back under their names. Nobody shares anything: each has its even part of a
+     * cold node's budget, cut off or not, and the sum holds.
+     */
     @Test
     void twoOfFiveAreCutOffWhileColdNodesReturn() throws Exception {
         stage(6, 5, AS_IT_IS);
@@ -88,7 +100,10 @@
         assertEquals(List.of(), clients.broken());
     }
 
-    /** While it is stopped a node is replaced and another drains: it must learn of both before it sends. */
+    /**
+     * While it is stopped a node is replaced and another drains: it must learn of both before it
+     * sends.
+     */
     @Test
     void aRouterThatIsStoppedAndWokenKeepsToWhatHasChanged() throws Exception {
         stage(4, 3, AS_IT_IS);
@@ -103,9 +118,9 @@
     }
 
     /**
-     * By the node's own lines and nothing else: whether some second of its present life brought more than it may be
-     * sent when that second ends. Twice what it does when so warm, two cores' work when warm; one call is left for
-     * chance.
+     * By the node's own lines and nothing else: whether some second of its present life brought
+     * more than it may be sent when that second ends. Twice what it does when so warm, two cores'
+     * work when warm; one call is left for chance.
      */
     private boolean sentTooMuch(String node) throws IOException {
         List<Double> calls = new ArrayList<>();
@@ -120,13 +135,26 @@
         }
         double ramp = ProcessFleet.RAMP.toMillis() / 1e3;
         double work = ProcessFleet.WORK.toMillis() / 1e3;
-        return calls.stream().filter(end -> end < ramp).anyMatch(end -> work
-                * (calls.stream().filter(at -> end - 1 < at && at <= end).count() - 1) > 4 * (0.2 + 0.8 * end / ramp));
+        return calls.stream()
+                .filter(end -> end < ramp)
+                .anyMatch(
+                        end ->
+                                work
+                                                * (calls.stream()
+                                                                .filter(
+                                                                        at ->
+                                                                                end - 1 < at
+                                                                                        && at
+                                                                                                <= end)
+                                                                .count()
+                                                        - 1)
+                                        > 4 * (0.2 + 0.8 * end / ramp));
     }
 
     /**
-     * Rule 4's sum is one that no router sees: each keeps to what it takes for its own. It is passed only where enough
-     * is asked while the node is cold; where the machine was too busy for that, the node starts cold once more.
+     * Rule 4's sum is one that no router sees: each keeps to what it takes for its own. It is
+     * passed only where enough is asked while the node is cold; where the machine was too busy for
+     * that, the node starts cold once more.
      */
     @Test
     void routersThatEachTakeTheWholeBudgetAreCaught() throws Exception {
@@ -140,7 +168,10 @@
         } while (!sentTooMuch("n0"));
         System.out.println("sent too much in cold start " + starts);
         List<String> broken = clients.broken();
-        assertTrue(broken.stream().anyMatch(line -> line.startsWith("rule 4") && line.contains("cold node n0")),
+        assertTrue(
+                broken.stream()
+                        .anyMatch(
+                                line -> line.startsWith("rule 4") && line.contains("cold node n0")),
                 broken.toString());
     }
 }
--- a/src/test/java/postbeam/rig/TogetherKeepersIT.java
+++ b/src/test/java/postbeam/rig/TogetherKeepersIT.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Routers as processes that lease a cold node's budget of a keeper: the sum of what all take stays within it. */
+/**
+ * Routers as processes that lease a cold node's budget of a keeper: the sum of what all take stays
+ * within it.
+ */
 @Timeout(value = 150, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class TogetherKeepersIT {
     private static final int ROUTERS = 5;
@@ -28,8 +31,19 @@
     private ProcessFleet fleet;
 
     private void stage(boolean alone) throws Exception {
-        fleet = new ProcessFleet(new ProcessFleet.Size(1, ROUTERS, 4, false, ProcessFleet.PATIENT,
-                (all, file, text) -> file.endsWith(".json5") ? own(all, file.replace(".json5", ""), alone) : text), 1);
+        fleet =
+                new ProcessFleet(
+                        new ProcessFleet.Size(
+                                1,
+                                ROUTERS,
+                                4,
+                                false,
+                                ProcessFleet.PATIENT,
+                                (all, file, text) ->
+                                        file.endsWith(".json5")
+                                                ? own(all, file.replace(".json5", ""), alone)
+                                                : text),
+                        1);
         for (int i = 0; i < ROUTERS; i++) {
             int router = i;
             Thread asker = new Thread(() -> take(router), "takes");
@@ -44,13 +58,27 @@
         for (int i = 0; i < ROUTERS; i++) {
             String other = "r" + i;
             if (!alone || other.equals(name)) {
-                routers.append("{name: \"").append(other).append("\", address: \"").append(other.equals(name)
-                        ? all.address(name) : all.way(name, other).address()).append("\"},");
+                routers.append("{name: \"")
+                        .append(other)
+                        .append("\", address: \"")
+                        .append(
+                                other.equals(name)
+                                        ? all.address(name)
+                                        : all.way(name, other).address())
+                        .append("\"},");
             }
         }
-        return "{together: {enabled: true, name: \"" + name + "\", routers: [" + routers + "], shares: "
-                + (alone ? 1 : ROUTERS) + ", stripes: 1, leaseMs: 600, windowMs: " + WINDOW.toMillis() + ", driftMs: 30, "
-                + "officeMs: 900, longestMs: 1200, reserved: 0.25, underWay: 0.1, callMost: 0.008, firstWork: " + BUDGET
+        return "{together: {enabled: true, name: \""
+                + name
+                + "\", routers: ["
+                + routers
+                + "], shares: "
+                + (alone ? 1 : ROUTERS)
+                + ", stripes: 1, leaseMs: 600, windowMs: "
+                + WINDOW.toMillis()
+                + ", driftMs: 30, officeMs: 900, longestMs: 1200, reserved: 0.25, underWay: 0.1,"
+                + " callMost: 0.008, firstWork: "
+                + BUDGET
                 + ", risesTo: 1, rampMs: 60000}}";
     }
 
@@ -59,8 +87,11 @@
         while (!over) {
             try {
                 Duration begun = fleet.now();
-                if (fleet.post("r" + router, "/together/v1/take", "{\"node\":\"n0\",\"incarnation\":7,\"work\":" + WORK
-                        + "}").contains("\"taken\":true")) {
+                if (fleet.post(
+                                "r" + router,
+                                "/together/v1/take",
+                                "{\"node\":\"n0\",\"incarnation\":7,\"work\":" + WORK + "}")
+                        .contains("\"taken\":true")) {
                     takes.taken(begun, fleet.now(), WORK);
                     byRouter.incrementAndGet(router);
                 }
@@ -88,16 +119,20 @@
     /** Waits for one that grants, other than this; null where it can be any. */
     private String keeper(String notThis) throws Exception {
         String[] found = new String[1];
-        fleet.until("a keeper grants", () -> {
-            for (int i = 0; i < ROUTERS; i++) {
-                String name = "r" + i;
-                if (!name.equals(notThis) && fleet.post(name, "/together/v1/state", "{}").contains("\"grants\":true")) {
-                    found[0] = name;
-                    return true;
-                }
-            }
-            return false;
-        });
+        fleet.until(
+                "a keeper grants",
+                () -> {
+                    for (int i = 0; i < ROUTERS; i++) {
+                        String name = "r" + i;
+                        if (!name.equals(notThis)
+                                && fleet.post(name, "/together/v1/state", "{}")
+                                        .contains("\"grants\":true")) {
+                            found[0] = name;
+                            return true;
+                        }
+                    }
+                    return false;
+                });
         return found[0];
     }
 
@@ -111,7 +146,8 @@
 
     private void within() {
         double most = takes.most(WINDOW);
-        System.out.println(takes.count() + " takes, at most " + most + " of " + BUDGET + " in a window");
+        System.out.println(
+                takes.count() + " takes, at most " + most + " of " + BUDGET + " in a window");
         assertTrue(most <= BUDGET + 1e-9, "taken in a window: " + most);
     }
 
--- a/src/test/java/postbeam/rig/TogetherSlicesIT.java
+++ b/src/test/java/postbeam/rig/TogetherSlicesIT.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.api.Timeout;
 import postbeam.slices.Slice;
 
-/** Slices move between nodes under load while the layout service, a node and ways to them fail, all as processes. */
+/**
+ * Slices move between nodes under load while the layout service, a node and ways to them fail, all
+ * as processes.
+ */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class TogetherSlicesIT {
     private static final int NODES = 5;
@@ -27,8 +30,16 @@
 
     @BeforeEach
     void stage() throws Exception {
-        fleet = new ProcessFleet(new ProcessFleet.Size(NODES, 3, SHARDS, true,
-                ProcessFleet.PATIENT, (all, file, text) -> text), 1);
+        fleet =
+                new ProcessFleet(
+                        new ProcessFleet.Size(
+                                NODES,
+                                3,
+                                SHARDS,
+                                true,
+                                ProcessFleet.PATIENT,
+                                (all, file, text) -> text),
+                        1);
         clients = fleet.clients(60, 2);
         clients.allServe();
     }
@@ -45,18 +56,30 @@
         for (int i = 0; slice.nodes().contains(onto); i++) {
             onto = "n" + i;
         }
-        return "{\"move\":" + slice.number() + ",\"off\":\"" + slice.nodes().get(0) + "\",\"onto\":\"" + onto + "\"}";
+        return "{\"move\":"
+                + slice.number()
+                + ",\"off\":\""
+                + slice.nodes().get(0)
+                + "\",\"onto\":\""
+                + onto
+                + "\"}";
     }
 
     private void atRest() throws Exception {
-        fleet.until("no move is under way", () -> fleet.get(ProcessFleet.LAYOUTS, "/v1/status")
-                .contains("\"moves\":[]"));
-        fleet.until("the layout is known", () -> fleet.get(ProcessFleet.LAYOUTS, "/v1/status")
-                .contains("\"version\":" + fleet.layout().version + ","));
+        fleet.until(
+                "no move is under way",
+                () -> fleet.get(ProcessFleet.LAYOUTS, "/v1/status").contains("\"moves\":[]"));
+        fleet.until(
+                "the layout is known",
+                () ->
+                        fleet.get(ProcessFleet.LAYOUTS, "/v1/status")
+                                .contains("\"version\":" + fleet.layout().version + ","));
     }
 
     private void sound() throws Exception {
-        fleet.until("the layout is sound", () -> fleet.get(ProcessFleet.LAYOUTS, "/v1/verify").startsWith("sound"));
+        fleet.until(
+                "the layout is sound",
+                () -> fleet.get(ProcessFleet.LAYOUTS, "/v1/verify").startsWith("sound"));
         clients.allServe();
         assertEquals(List.of(), clients.broken());
     }
@@ -66,7 +89,8 @@
         UniformRandomProvider chance = RandomSource.XO_RO_SHI_RO_128_PP.create(5);
         for (int i = 0; i < 5; i++) {
             assertTrue(fleet.post(ProcessFleet.LAYOUTS, "/v1/start", change()).startsWith("move"));
-            // Somewhere in the move: which record was the last one written differs from time to time.
+            // Somewhere in the move: which record was the last one written differs from time to
+            // time.
             Thread.sleep(chance.nextInt(250));
             fleet.kill(ProcessFleet.LAYOUTS);
             fleet.start(ProcessFleet.LAYOUTS);
@@ -76,7 +100,10 @@
         sound();
     }
 
-    /** A node that is to take a slice can't be told, one dies with its disk, and the ways to routers are cut. */
+    /**
+     * A node that is to take a slice can't be told, one dies with its disk, and the ways to routers
+     * are cut.
+     */
     @Test
     void movesComeToAnEndThoughNodesAndWaysFail() throws Exception {
         fleet.way(ProcessFleet.LAYOUTS, "n3").set(Relay.Way.BACK, Relay.Fault.CUT, Duration.ZERO);
@@ -91,14 +118,24 @@
         sound();
     }
 
-    /** One log, two services: the second is refused, also while the first is stopped, which then goes on. */
+    /**
+     * One log, two services: the second is refused, also while the first is stopped, which then
+     * goes on.
+     */
     @Test
     void aSecondLayoutServiceIsRefusedThoughTheFirstIsStopped() throws Exception {
         fleet.stop(ProcessFleet.LAYOUTS);
-        Path other = fleet.besides("other.json5", Files.readString(fleet.file("layouts.json5"))
-                .replace(fleet.address(ProcessFleet.LAYOUTS), Stage.freeAddress()));
-        Process second = new ProcessBuilder(ProcessFleet.built("layouts", "serve", "--settings", other.toString()))
-                .redirectErrorStream(true).start();
+        Path other =
+                fleet.besides(
+                        "other.json5",
+                        Files.readString(fleet.file("layouts.json5"))
+                                .replace(fleet.address(ProcessFleet.LAYOUTS), Stage.freeAddress()));
+        Process second =
+                new ProcessBuilder(
+                                ProcessFleet.built(
+                                        "layouts", "serve", "--settings", other.toString()))
+                        .redirectErrorStream(true)
+                        .start();
         try {
             String said = new String(second.getInputStream().readAllBytes());
             assertTrue(said.contains("moves.log is in use by another process"), said);
--- a/src/test/java/postbeam/router/DecisionsTest.java
+++ b/src/test/java/postbeam/router/DecisionsTest.java
@@ -42,24 +42,39 @@
 
     private final Decisions decisions;
     private final BlockingQueue<Step> errands = new LinkedBlockingQueue<>();
-    private final Thread ticks = new Thread(() -> {
-        try {
-            while (true) {
-                errands.addAll(decisions().tick());
-            }
-        } catch (InterruptedException e) {
-            // The test is over.
-        }
-    });
+    private final Thread ticks =
+            new Thread(
+                    () -> {
+                        try {
+                            while (true) {
+                                errands.addAll(decisions().tick());
+                            }
+                        } catch (InterruptedException e) {
+                            // The test is over.
+                        }
+                    });
 
     DecisionsTest() throws IOException {
-        decisions = new Decisions(new Info(Json.object(("{\"zone\":\"a\",\"nInstances\":1,\"domain\":{\"cells\":1,\"reach\":1},"
-                + "\"caps\":{\"maxAttempts\":3,\"mayDuplicate\":true,\"cancelling\":true,\"probes\":true},\"classes\":["
-                + "{\"name\":\"lookup\",\"promise\":1000000,\"effect\":\"retryable\"},"
-                + "{\"name\":\"hold\",\"promise\":1000000,\"effect\":\"fragile\",\"lateWorth\":0.1}]}")
-                .getBytes(StandardCharsets.UTF_8)), ""), 1, 2, Duration.ofMillis(50), null);
-        decisions.listed(new Told(1, true, List.of(new Entry("n1", "a", 0, 0, Readiness.READY)),
-                Map.of("n1", "127.0.0.1:1")));
+        decisions =
+                new Decisions(
+                        new Info(
+                                Json.object(
+                                        ("{\"zone\":\"a\",\"nInstances\":1,\"domain\":{\"cells\":1,\"reach\":1},"
+                                             + "\"caps\":{\"maxAttempts\":3,\"mayDuplicate\":true,\"cancelling\":true,\"probes\":true},\"classes\":["
+                                             + "{\"name\":\"lookup\",\"promise\":1000000,\"effect\":\"retryable\"},"
+                                             + "{\"name\":\"hold\",\"promise\":1000000,\"effect\":\"fragile\",\"lateWorth\":0.1}]}")
+                                                .getBytes(StandardCharsets.UTF_8)),
+                                ""),
+                        1,
+                        2,
+                        Duration.ofMillis(50),
+                        null);
+        decisions.listed(
+                new Told(
+                        1,
+                        true,
+                        List.of(new Entry("n1", "a", 0, 0, Readiness.READY)),
+                        Map.of("n1", "127.0.0.1:1")));
     }
 
     private OpenQuery take(Asked asked, Duration age) {
@@ -111,7 +126,10 @@
     @Test
     void allPartsInMakeAWholeAnswerOfTheNodesValues() {
         OpenQuery q = take(asked("a", "lookup", PATIENCE, 2), Duration.ZERO);
-        decisions.report(send(q).calls().stream().map(call -> new Ending(call, Outcome.MERGED, VALUE)).toList());
+        decisions.report(
+                send(q).calls().stream()
+                        .map(call -> new Ending(call, Outcome.MERGED, VALUE))
+                        .toList());
         Step.Answer answer = assertInstanceOf(Step.Answer.class, pick(q));
         assertTrue(answer.whole());
         assertEquals(List.of(0, 1), answer.values().stream().map(Step.Value::shard).toList());
@@ -122,7 +140,10 @@
     void aCallThatIsReportedTwiceCountsOnce() {
         OpenQuery q = take(asked("a", "lookup", PATIENCE, 2), Duration.ZERO);
         Call call = send(q).calls().get(0);
-        decisions.report(List.of(new Ending(call, Outcome.MERGED, VALUE), new Ending(call, Outcome.MERGED, VALUE)));
+        decisions.report(
+                List.of(
+                        new Ending(call, Outcome.MERGED, VALUE),
+                        new Ending(call, Outcome.MERGED, VALUE)));
         decisions.left(q);
         assertInstanceOf(Step.GiveUp.class, pick(q));
         assertInstanceOf(Step.Over.class, pick(q));
@@ -183,21 +204,27 @@
     }
 
     private Step nextProbe() {
-        return assertTimeoutPreemptively(Duration.ofSeconds(20), () -> {
-            Step step = errands.take();
-            while (!(step instanceof Step.Probe)) {
-                step = errands.take();
-            }
-            return step;
-        });
+        return assertTimeoutPreemptively(
+                Duration.ofSeconds(20),
+                () -> {
+                    Step step = errands.take();
+                    while (!(step instanceof Step.Probe)) {
+                        step = errands.take();
+                    }
+                    return step;
+                });
     }
 
     @Test
     void aNodeIsReachedFromTheTurnOnThatToldOfIt() {
         decisions.listed(new Told(2, true, List.of(), Map.of()));
         OpenQuery q = take(asked("a", "lookup", PATIENCE, 1), Duration.ZERO);
-        decisions.listed(new Told(3, true, List.of(new Entry("n2", "a", 0, 0, Readiness.READY)),
-                Map.of("n2", "127.0.0.1:2")));
+        decisions.listed(
+                new Told(
+                        3,
+                        true,
+                        List.of(new Entry("n2", "a", 0, 0, Readiness.READY)),
+                        Map.of("n2", "127.0.0.1:2")));
         assertEquals("127.0.0.1:2", send(q).address());
     }
 
@@ -233,21 +260,30 @@
 
     @Test
     void aRehearsedDoorAnswersEachOfItsRequests() throws Exception {
-        XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
+        XnioWorker worker =
+                Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         Rehearsal rehearsal = new Rehearsal(decisions, "a", 1, List.of("lookup"), null, 4);
         AtomicInteger taken = new AtomicInteger();
-        ClientDoor door = new ClientDoor(worker, null, new ClientDoor.Queries() {
-            @Override
-            public PendingQuery take(Asked asked, Duration age) {
-                taken.incrementAndGet();
-                return rehearsal.take(asked, age);
-            }
+        ClientDoor door =
+                new ClientDoor(
+                        worker,
+                        null,
+                        new ClientDoor.Queries() {
+                            @Override
+                            public PendingQuery take(Asked asked, Duration age) {
+                                taken.incrementAndGet();
+                                return rehearsal.take(asked, age);
+                            }
 
-            @Override
-            public boolean ready() {
-                return false;
-            }
-        }, new HashMap<>(Collections.singletonMap("lookup", null)), Set.of(), 4, 1);
+                            @Override
+                            public boolean ready() {
+                                return false;
+                            }
+                        },
+                        new HashMap<>(Collections.singletonMap("lookup", null)),
+                        Set.of(),
+                        4,
+                        1);
         door.rehearse(rehearsal::request, 20, PATIENCE);
         door.stop();
         worker.shutdownNow();
--- a/src/test/java/postbeam/samples/SampleFile.java
+++ b/src/test/java/postbeam/samples/SampleFile.java
@@ -7,7 +7,10 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Bytes of a wire or file format as an earlier build wrote or read them, kept under src/test/resources/samples. */
+/**
+ * Bytes of a wire or file format as an earlier build wrote or read them, kept under
+ * src/test/resources/samples.
+ */
 public final class SampleFile {
     private static final Path ROOT = Path.of("src/test/resources/samples");
 
@@ -23,7 +26,9 @@
 
     /** Compares byte for byte; each byte is shown as one character where they differ. */
     public static void assertSame(String name, byte[] written) throws IOException {
-        assertEquals(new String(bytes(name), StandardCharsets.ISO_8859_1),
-                new String(written, StandardCharsets.ISO_8859_1), name);
+        assertEquals(
+                new String(bytes(name), StandardCharsets.ISO_8859_1),
+                new String(written, StandardCharsets.ISO_8859_1),
+                name);
     }
 }
