--- a/src/test/java/postbeam/setup/ChecksTest.java
+++ b/src/test/java/postbeam/setup/ChecksTest.java
@@ -29,6 +29,7 @@
 class ChecksTest {
     /** Stands for a member that is taken out. */
     private static final Object ABSENT = new Object();
+
     private static final String[] EXAMPLES = {"deploy/example.json", "deploy/rehearsal.json"};
 
     @SuppressWarnings("unchecked")
@@ -38,7 +39,11 @@
         if (in instanceof List<?> list) {
             set(list.get(Integer.parseInt(first)), rest, value);
         } else if (!rest.isEmpty()) {
-            set(((Map<String, Object>) in).computeIfAbsent(first, name -> new LinkedHashMap<>()), rest, value);
+            set(
+                    ((Map<String, Object>) in)
+                            .computeIfAbsent(first, name -> new LinkedHashMap<>()),
+                    rest,
+                    value);
         } else if (value == ABSENT) {
             ((Map<String, Object>) in).remove(first);
         } else {
@@ -48,7 +53,8 @@
 
     /** The configuration of the rehearsal with these put in its place: path, value, path, value. */
     private static Startup startup(Object... edits) throws IOException {
-        Map<String, Object> told = Json.object(Files.readAllBytes(Path.of("deploy/rehearsal.json")));
+        Map<String, Object> told =
+                Json.object(Files.readAllBytes(Path.of("deploy/rehearsal.json")));
         for (int i = 0; i < edits.length; i += 2) {
             set(told, (String) edits[i], edits[i + 1]);
         }
@@ -83,37 +89,71 @@
 
     @Test
     void anEffectOfAnUnknownWordIsNotTakenForOneThatIsKnown() throws IOException {
-        refused(one("settings.classes.0.effect must be retryable, dedup or fragile, not safe",
-                "settings.classes.0.effect", "safe"));
+        refused(
+                one(
+                        "settings.classes.0.effect must be retryable, dedup or fragile, not safe",
+                        "settings.classes.0.effect",
+                        "safe"));
     }
 
     @Test
     void aMissingEffectIsTheStrictest() throws IOException {
-        Map<String, Vertical> verticals = Assembly.verticals(startup("settings.classes.0.effect", ABSENT).settings);
+        Map<String, Vertical> verticals =
+                Assembly.verticals(startup("settings.classes.0.effect", ABSENT).settings);
         assertEquals(Effect.SIDE_EFFECTING, verticals.get("search").effect);
     }
 
     @Test
     void spansThatCannotBeMeantAreRefused() throws IOException {
         List<Object[]> cases = new ArrayList<>();
-        for (String path : new String[] {"classes.0.promise", "classes.1.deadline", "caps.connectTimeout",
-            "caps.keepalive", "obligations.fall", "obligations.extraWindow"}) {
+        for (String path :
+                new String[] {
+                    "classes.0.promise",
+                    "classes.1.deadline",
+                    "caps.connectTimeout",
+                    "caps.keepalive",
+                    "obligations.fall",
+                    "obligations.extraWindow"
+                }) {
             for (Object value : new Object[] {-1, 0, 86_400_000_001L}) {
-                cases.add(one("settings." + path + " must be above 0 and up to a day in microseconds, not " + value,
-                        "settings." + path, value));
+                cases.add(
+                        one(
+                                "settings."
+                                        + path
+                                        + " must be above 0 and up to a day in microseconds, not "
+                                        + value,
+                                "settings." + path,
+                                value));
             }
             cases.addAll(notNumbers("settings." + path));
         }
         for (Object value : new Object[] {-1, 366 * 86_400_000_000L + 1}) {
-            cases.add(one("settings.classes.0.repeatWindow must be 0 or more and up to a year in microseconds, not "
-                    + value, "settings.classes.0.repeatWindow", value));
+            cases.add(
+                    one(
+                            "settings.classes.0.repeatWindow must be 0 or more and up to a year in"
+                                    + " microseconds, not "
+                                    + value,
+                            "settings.classes.0.repeatWindow",
+                            value));
         }
         cases.addAll(notNumbers("settings.classes.0.repeatWindow"));
-        for (String path : new String[] {"obligations.rampTime", "obligations.stopSendingWithin",
-            "obligations.askEvery", "caps.maxRetryAfter", "domain.callCost"}) {
+        for (String path :
+                new String[] {
+                    "obligations.rampTime",
+                    "obligations.stopSendingWithin",
+                    "obligations.askEvery",
+                    "caps.maxRetryAfter",
+                    "domain.callCost"
+                }) {
             for (Object value : new Object[] {-1, 86_400_000_001L}) {
-                cases.add(one("settings." + path + " must be 0 or more and up to a day in microseconds, not " + value,
-                        "settings." + path, value));
+                cases.add(
+                        one(
+                                "settings."
+                                        + path
+                                        + " must be 0 or more and up to a day in microseconds, not "
+                                        + value,
+                                "settings." + path,
+                                value));
             }
             cases.addAll(notNumbers("settings." + path));
         }
@@ -121,7 +161,8 @@
     }
 
     private static List<Object[]> notNumbers(String key) {
-        return List.of(one(key + " is not a finite number: NaN", key, "NaN"),
+        return List.of(
+                one(key + " is not a finite number: NaN", key, "NaN"),
                 one(key + " is not a finite number: Infinity", key, "Infinity"),
                 one(key + " is not a finite number: -Infinity", key, "-Infinity"),
                 one(key + " is not a number: soon", key, "soon"),
@@ -131,104 +172,204 @@
     @Test
     void whatMustBeToldIsMissed() throws IOException {
         List<Object[]> cases = new ArrayList<>();
-        for (String path : new String[] {"classes.0.promise", "classes.1.name", "caps.connectTimeout",
-            "caps.keepalive", "caps.maxStreams", "domain.cells", "domain.reach", "domain.shards",
-            "domain.partsACall"}) {
+        for (String path :
+                new String[] {
+                    "classes.0.promise",
+                    "classes.1.name",
+                    "caps.connectTimeout",
+                    "caps.keepalive",
+                    "caps.maxStreams",
+                    "domain.cells",
+                    "domain.reach",
+                    "domain.shards",
+                    "domain.partsACall"
+                }) {
             cases.add(one("settings." + path + " is missing", "settings." + path, ABSENT));
         }
         cases.add(one("settings.classes.0.name is missing", "settings.classes.0.name", ""));
-        cases.add(one("settings.classes must name one class at least", "settings.classes", List.of()));
+        cases.add(
+                one(
+                        "settings.classes must name one class at least",
+                        "settings.classes",
+                        List.of()));
         refused(cases.toArray(Object[][]::new));
     }
 
     @Test
     void countsUnderOneOrBeyondWholeNumbersAreRefused() throws IOException {
         List<Object[]> cases = new ArrayList<>();
-        for (String path : new String[] {"nInstances", "caps.maxStreams", "caps.mostHeld",
-            "domain.cells", "domain.reach", "domain.shards", "domain.partsACall"}) {
+        for (String path :
+                new String[] {
+                    "nInstances",
+                    "caps.maxStreams",
+                    "caps.mostHeld",
+                    "domain.cells",
+                    "domain.reach",
+                    "domain.shards",
+                    "domain.partsACall"
+                }) {
             String key = "settings." + path;
             cases.add(one(key + " must be 1 or more, not 0", key, 0));
             cases.add(one(key + " must be 1 or more, not -3", key, -3));
             cases.add(one(key + " is too large: 4294967297", key, 4_294_967_297L));
         }
-        cases.add(one("settings.caps.maxAttempts must be 0 or more, not -3", "settings.caps.maxAttempts", -3));
-        cases.add(one("settings.caps.maxAttempts is too large: 4294967297", "settings.caps.maxAttempts", 4_294_967_297L));
-        cases.add(one("settings.domain.cells must be 65536 or less, not 65537", "settings.domain.cells", 65_537));
+        cases.add(
+                one(
+                        "settings.caps.maxAttempts must be 0 or more, not -3",
+                        "settings.caps.maxAttempts",
+                        -3));
+        cases.add(
+                one(
+                        "settings.caps.maxAttempts is too large: 4294967297",
+                        "settings.caps.maxAttempts",
+                        4_294_967_297L));
+        cases.add(
+                one(
+                        "settings.domain.cells must be 65536 or less, not 65537",
+                        "settings.domain.cells",
+                        65_537));
         refused(cases.toArray(Object[][]::new));
     }
 
     @Test
     void limitsOfTheMachineThatCannotBeMeantAreRefused() throws IOException {
-        refused(one("limits.sockets must be 128 or more, not 0", "limits.sockets", 0),
+        refused(
+                one("limits.sockets must be 128 or more, not 0", "limits.sockets", 0),
                 one("limits.sockets is too large: 4294968320", "limits.sockets", 4_294_968_320L),
                 one("limits.memory_mb must be 64 or more, not -192", "limits.memory_mb", -192),
-                one("limits.memory_mb must be 16777216 or less, not 400000000", "limits.memory_mb", 400_000_000),
+                one(
+                        "limits.memory_mb must be 16777216 or less, not 400000000",
+                        "limits.memory_mb",
+                        400_000_000),
                 one("limits.memory_mb is not a finite number: NaN", "limits.memory_mb", "NaN"));
     }
 
     /** Each would else pass for one that tells nothing, and the usual would be taken in silence. */
     @Test
     void whatIsOfAnotherKindIsRefused() throws IOException {
-        refused(one("limits must be an object", "limits", 192),
+        refused(
+                one("limits must be an object", "limits", 192),
                 one("settings.obligations must be an object", "settings.obligations", "usual"),
-                one("settings.obligations must be an object", "settings.obligations", List.of(Map.of("fall", 1000))),
+                one(
+                        "settings.obligations must be an object",
+                        "settings.obligations",
+                        List.of(Map.of("fall", 1000))),
                 one("settings.caps must be an object", "settings.caps", 3),
                 one("settings.domain must be an object", "settings.domain", List.of(1, 2)),
-                one("settings.classes must be a list of objects", "settings.classes", Map.of("name", "search")),
+                one(
+                        "settings.classes must be a list of objects",
+                        "settings.classes",
+                        Map.of("name", "search")),
                 one("settings.classes must be a list of objects", "settings.classes", "search"),
-                one("settings.tenants must be a list of objects", "settings.tenants", Map.of("name", "acme")),
-                one("settings.tenants must be a list of objects", "settings.tenants", List.of("acme")));
+                one(
+                        "settings.tenants must be a list of objects",
+                        "settings.tenants",
+                        Map.of("name", "acme")),
+                one(
+                        "settings.tenants must be a list of objects",
+                        "settings.tenants",
+                        List.of("acme")));
     }
 
     @Test
     void coldNodesAndBudgetsHaveBounds() throws IOException {
-        refused(one("settings.obligations.coldFrom must be from 0 to 1, not -0.1",
-                        "settings.obligations.coldFrom", -0.1),
-                one("settings.obligations.coldFrom must be from 0 to 1, not 1.5", "settings.obligations.coldFrom", 1.5),
-                one("settings.obligations.fallMultiple must be above 0, not 0", "settings.obligations.fallMultiple", 0),
-                one("settings.obligations.fallMultiple must be above 0, not -2",
-                        "settings.obligations.fallMultiple", -2),
-                one("settings.obligations.budgetShare must be 0 or more, not -1",
-                        "settings.obligations.budgetShare", -1),
-                one("settings.obligations.spareAttempts must be 0 or more, not -1",
-                        "settings.obligations.spareAttempts", -1));
+        refused(
+                one(
+                        "settings.obligations.coldFrom must be from 0 to 1, not -0.1",
+                        "settings.obligations.coldFrom",
+                        -0.1),
+                one(
+                        "settings.obligations.coldFrom must be from 0 to 1, not 1.5",
+                        "settings.obligations.coldFrom",
+                        1.5),
+                one(
+                        "settings.obligations.fallMultiple must be above 0, not 0",
+                        "settings.obligations.fallMultiple",
+                        0),
+                one(
+                        "settings.obligations.fallMultiple must be above 0, not -2",
+                        "settings.obligations.fallMultiple",
+                        -2),
+                one(
+                        "settings.obligations.budgetShare must be 0 or more, not -1",
+                        "settings.obligations.budgetShare",
+                        -1),
+                one(
+                        "settings.obligations.spareAttempts must be 0 or more, not -1",
+                        "settings.obligations.spareAttempts",
+                        -1));
     }
 
     @Test
     void sharesOfClassesAreSharesAndOneForEach() throws IOException {
         List<Object[]> cases = new ArrayList<>();
-        for (String path : new String[] {"settings.domain.classNeed", "settings.domain.leastShare"}) {
+        for (String path :
+                new String[] {"settings.domain.classNeed", "settings.domain.leastShare"}) {
             for (Double bad : new Double[] {0.0, -0.5, 1.5}) {
-                cases.add(one(path + " must hold shares above 0 and up to 1, not " + bad + " at entry 1",
-                        path, List.of(0.75, bad)));
+                cases.add(
+                        one(
+                                path
+                                        + " must hold shares above 0 and up to 1, not "
+                                        + bad
+                                        + " at entry 1",
+                                path,
+                                List.of(0.75, bad)));
             }
         }
         for (String path : new String[] {"classNeed", "leastShare", "shortWorth", "followUp"}) {
             String key = "settings.domain." + path;
-            cases.add(one(key + " must have an entry for each of the 2 classes, not 1", key, List.of(0.7)));
-            cases.add(one(key + " must have an entry for each of the 2 classes, not 3", key, List.of(0.7, 1, 1)));
+            cases.add(
+                    one(
+                            key + " must have an entry for each of the 2 classes, not 1",
+                            key,
+                            List.of(0.7)));
+            cases.add(
+                    one(
+                            key + " must have an entry for each of the 2 classes, not 3",
+                            key,
+                            List.of(0.7, 1, 1)));
             cases.add(one(key + " is not a number: most", key, List.of("most", 1)));
         }
-        cases.add(one("settings.domain.leastShare must not be above domain.classNeed, which it is at entry 0",
-                "settings.domain.leastShare", List.of(0.8, 1)));
+        cases.add(
+                one(
+                        "settings.domain.leastShare must not be above domain.classNeed, which it is"
+                                + " at entry 0",
+                        "settings.domain.leastShare",
+                        List.of(0.8, 1)));
         refused(cases.toArray(Object[][]::new));
     }
 
     @Test
     void namesStandOnceAndFitThePath() throws IOException {
-        refused(one("settings.classes.1.name stands there twice: search", "settings.classes.1.name", "search"),
-                one("settings.classes.0.name must hold no /: it is one part of a path, not a/b",
-                        "settings.classes.0.name", "a/b"),
-                one("settings.tenants.1.name stands there twice: acme",
-                        "settings.tenants", List.of(Map.of("name", "acme"), Map.of("name", "acme"))));
+        refused(
+                one(
+                        "settings.classes.1.name stands there twice: search",
+                        "settings.classes.1.name",
+                        "search"),
+                one(
+                        "settings.classes.0.name must hold no /: it is one part of a path, not a/b",
+                        "settings.classes.0.name",
+                        "a/b"),
+                one(
+                        "settings.tenants.1.name stands there twice: acme",
+                        "settings.tenants",
+                        List.of(Map.of("name", "acme"), Map.of("name", "acme"))));
     }
 
     @Test
     void flagsAreTrueOrFalse() throws IOException {
         List<Object[]> cases = new ArrayList<>();
         for (String path : new String[] {"mayDuplicate", "cancelling", "probes", "retryAfter"}) {
-            cases.add(one("settings.caps." + path + " must be true or false, not yes", "settings.caps." + path, "yes"));
-            cases.add(one("settings.caps." + path + " must be true or false, not 2", "settings.caps." + path, 2));
+            cases.add(
+                    one(
+                            "settings.caps." + path + " must be true or false, not yes",
+                            "settings.caps." + path,
+                            "yes"));
+            cases.add(
+                    one(
+                            "settings.caps." + path + " must be true or false, not 2",
+                            "settings.caps." + path,
+                            2));
         }
         refused(cases.toArray(Object[][]::new));
     }
@@ -237,32 +378,50 @@
     @Test
     void whatIsLegalIsTaken() throws IOException {
         Info wire = new Info();
-        for (String pair : ("caps.cancelling=true caps.connectTimeout=250000 caps.cpuUsPerRequest=0.0 "
-                + "caps.keepalive=15000000 "
-                + "caps.maxAttempts=3 caps.maxRetryAfter=0 caps.maxStreams=32 caps.mayDuplicate=1 caps.mostHeld=36 "
-                + "caps.probes=0 caps.retryAfter=false classes.count=2 classes.0.deadline=7500000 "
-                + "classes.0.dedupScope=all "
-                + "classes.0.effect=retryable classes.0.lateWorth=0.1 classes.0.name=a.b_c-1 "
-                + "classes.0.promise=2500000.4 "
-                + "classes.0.repeatWindow=5000000 classes.0.stream=false classes.0.worth=2.0 "
-                + "classes.1.deadline=6000000 "
-                + "classes.1.effect=dedup classes.1.name=b classes.1.promise=6000000 classes.1.repeatWindow=0 "
-                + "domain.callCost=0 domain.cells=9 domain.classNeed=0.7777777777777778,1.0 domain.followUp=0,3 "
-                + "domain.leastShare=0.7777777777777779,1.0 domain.partsACall=1 domain.reach=3 domain.shards=36 "
-                + "domain.shortWorth=0.9,0.9 nInstances=3 obligations.askEvery=10000000 obligations.coldFrom=1 "
-                + "obligations.fall=1000000 obligations.fallMultiple=0.5 obligations.rampTime=0 "
-                + "obligations.stopSendingWithin=0 obligations.spareAttempts=0 obligations.budgetShare=0 "
-                + "overShareWorth=0.2 report.columns= report.how=none tenants.count=0 step=5000 "
-                + "a.member.of.tomorrow=-1e999").split(" ")) {
+        for (String pair :
+                ("caps.cancelling=true caps.connectTimeout=250000 caps.cpuUsPerRequest=0.0"
+                     + " caps.keepalive=15000000 caps.maxAttempts=3 caps.maxRetryAfter=0"
+                     + " caps.maxStreams=32 caps.mayDuplicate=1 caps.mostHeld=36 caps.probes=0"
+                     + " caps.retryAfter=false classes.count=2 classes.0.deadline=7500000"
+                     + " classes.0.dedupScope=all classes.0.effect=retryable"
+                     + " classes.0.lateWorth=0.1 classes.0.name=a.b_c-1 classes.0.promise=2500000.4"
+                     + " classes.0.repeatWindow=5000000 classes.0.stream=false classes.0.worth=2.0"
+                     + " classes.1.deadline=6000000 classes.1.effect=dedup classes.1.name=b"
+                     + " classes.1.promise=6000000 classes.1.repeatWindow=0 domain.callCost=0"
+                     + " domain.cells=9 domain.classNeed=0.7777777777777778,1.0 domain.followUp=0,3"
+                     + " domain.leastShare=0.7777777777777779,1.0 domain.partsACall=1"
+                     + " domain.reach=3 domain.shards=36 domain.shortWorth=0.9,0.9 nInstances=3"
+                     + " obligations.askEvery=10000000 obligations.coldFrom=1"
+                     + " obligations.fall=1000000 obligations.fallMultiple=0.5"
+                     + " obligations.rampTime=0 obligations.stopSendingWithin=0"
+                     + " obligations.spareAttempts=0 obligations.budgetShare=0 overShareWorth=0.2"
+                     + " report.columns= report.how=none tenants.count=0 step=5000 "
+                     + "a.member.of.tomorrow=-1e999")
+                        .split(" ")) {
             wire.put(pair);
         }
         Checks.settings(wire);
         for (String example : EXAMPLES) {
             Checks.settings(Startup.read(example).settings);
         }
-        for (String path : new String[] {"classes.0.deadline", "nInstances", "caps.maxAttempts", "caps.mostHeld",
-            "caps.mayDuplicate", "caps.retryAfter", "caps.maxRetryAfter", "domain.classNeed", "domain.leastShare",
-            "domain.shortWorth", "domain.followUp", "obligations", "tenants", "report", "classes.0.effect"}) {
+        for (String path :
+                new String[] {
+                    "classes.0.deadline",
+                    "nInstances",
+                    "caps.maxAttempts",
+                    "caps.mostHeld",
+                    "caps.mayDuplicate",
+                    "caps.retryAfter",
+                    "caps.maxRetryAfter",
+                    "domain.classNeed",
+                    "domain.leastShare",
+                    "domain.shortWorth",
+                    "domain.followUp",
+                    "obligations",
+                    "tenants",
+                    "report",
+                    "classes.0.effect"
+                }) {
             try {
                 Checks.settings(startup("settings." + path, ABSENT).settings);
             } catch (IllegalArgumentException e) {
@@ -279,10 +438,16 @@
         router.start();
         try {
             Startup bad = startup("discovery", "127.0.0.1:2", "settings.classes.0.deadline", -5);
-            assertEquals("settings.classes.0.deadline must be above 0 and up to a day in microseconds, not -5",
-                    assertThrows(IllegalArgumentException.class, () -> router.reload(bad)).getMessage());
-            HttpURLConnection asked = (HttpURLConnection) URI.create("http://" + router.address() + "/healthz").toURL()
-                    .openConnection(Proxy.NO_PROXY);
+            assertEquals(
+                    "settings.classes.0.deadline must be above 0 and up to a day in microseconds,"
+                            + " not -5",
+                    assertThrows(IllegalArgumentException.class, () -> router.reload(bad))
+                            .getMessage());
+            HttpURLConnection asked =
+                    (HttpURLConnection)
+                            URI.create("http://" + router.address() + "/healthz")
+                                    .toURL()
+                                    .openConnection(Proxy.NO_PROXY);
             assertEquals(200, asked.getResponseCode());
             asked.disconnect();
         } finally {
@@ -292,11 +457,22 @@
 
     @Test
     void theDefaultsOfWhatIsSilentAreThoseOfTheProtocol() throws IOException {
-        Info settings = startup("settings.classes.1.worth", ABSENT, "settings.classes.1.lateWorth", ABSENT,
-                "settings.domain.classNeed", ABSENT, "settings.domain.leastShare", ABSENT,
-                "settings.domain.shortWorth", ABSENT).settings;
+        Info settings =
+                startup(
+                                "settings.classes.1.worth",
+                                ABSENT,
+                                "settings.classes.1.lateWorth",
+                                ABSENT,
+                                "settings.domain.classNeed",
+                                ABSENT,
+                                "settings.domain.leastShare",
+                                ABSENT,
+                                "settings.domain.shortWorth",
+                                ABSENT)
+                        .settings;
         Vertical hold = Assembly.verticals(settings).get("hold");
-        assertEquals(List.of(1.0, 0.0, 1.0, 1.0, 0.0),
+        assertEquals(
+                List.of(1.0, 0.0, 1.0, 1.0, 0.0),
                 List.of(hold.utility, hold.lateUtility, hold.need, hold.floor, hold.shortUtility));
         assertEquals(Duration.ofSeconds(6), hold.allWait);
         assertNull(Assembly.asking(settings, new Random(1)).at());
--- a/src/test/java/postbeam/setup/ConfigurationSamplesTest.java
+++ b/src/test/java/postbeam/setup/ConfigurationSamplesTest.java
@@ -28,8 +28,10 @@
 
     /** All that is told, a path=value a line. */
     private static byte[] pairs(Info info) {
-        return info.changed(new Info()).stream().map(path -> path.replaceFirst("^settings\\.", ""))
-                .map(path -> path + "=" + info.text(path) + "\n").collect(Collectors.joining())
+        return info.changed(new Info()).stream()
+                .map(path -> path.replaceFirst("^settings\\.", ""))
+                .map(path -> path + "=" + info.text(path) + "\n")
+                .collect(Collectors.joining())
                 .getBytes(StandardCharsets.UTF_8);
     }
 
@@ -64,7 +66,8 @@
         assertEquals(0x8c1f30d27a5be964L, startup.seed());
         assertEquals(128, startup.limit("memory_mb", 64));
         assertEquals(512, startup.limit("sockets", 128));
-        assertEquals(new Entry("s-1", "a", 0, 0, Readiness.READY),
+        assertEquals(
+                new Entry("s-1", "a", 0, 0, Readiness.READY),
                 ListForm.read(startup.known(), 9).entries().get(0));
     }
 
@@ -91,7 +94,10 @@
 
     @Test
     void ownSettingsAreReadIntoThePairsOfTheSample() throws IOException {
-        SampleFile.assertSame("config/settings.txt",
-                pairs(OwnSettings.read(Path.of("src/test/resources/samples/config/settings.json5"))));
+        SampleFile.assertSame(
+                "config/settings.txt",
+                pairs(
+                        OwnSettings.read(
+                                Path.of("src/test/resources/samples/config/settings.json5"))));
     }
 }
--- a/src/test/java/postbeam/setup/OwnSettingsTest.java
+++ b/src/test/java/postbeam/setup/OwnSettingsTest.java
@@ -9,7 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 class OwnSettingsTest {
-    private static final String SOUND = "{\n  layouts: {\n    follow: {enabled: true, service: 'h:1'},\n  },\n}";
+    private static final String SOUND =
+            "{\n  layouts: {\n    follow: {enabled: true, service: 'h:1'},\n  },\n}";
 
     private static String wrong(String text) {
         return assertThrows(IOException.class, () -> OwnSettings.read("f", text)).getMessage();
@@ -18,11 +19,17 @@
     @Test
     void whatIsWrongIsToldWithLineKeyAndReason() throws IOException {
         assertEquals("h:1", OwnSettings.read("f", SOUND).text("layouts.follow.service"));
-        assertEquals("f: line 3: layouts.follow.enabeld: unknown key; enabled is known",
+        assertEquals(
+                "f: line 3: layouts.follow.enabeld: unknown key; enabled is known",
                 wrong(SOUND.replace("enabled: true", "enabled: true, enabeld: true")));
-        assertEquals("f: line 2: layuots: unknown key; layouts is known", wrong(SOUND.replace("layouts", "layuots")));
-        assertEquals("f: line 3: layouts.follow.service: is missing", wrong(SOUND.replace(", service: 'h:1'", "")));
-        assertEquals("f: line 3: layouts.follow.enabled: string found, boolean expected",
+        assertEquals(
+                "f: line 2: layuots: unknown key; layouts is known",
+                wrong(SOUND.replace("layouts", "layuots")));
+        assertEquals(
+                "f: line 3: layouts.follow.service: is missing",
+                wrong(SOUND.replace(", service: 'h:1'", "")));
+        assertEquals(
+                "f: line 3: layouts.follow.enabled: string found, boolean expected",
                 wrong(SOUND.replace("true", "'yes'")));
         assertEquals("f: line 5: ", wrong(SOUND.replace("'h:1'}", "'h:1'")).substring(0, 11));
         assertEquals("f: line 1: not an object", wrong("[]"));
--- a/src/test/java/postbeam/setup/StartupTest.java
+++ b/src/test/java/postbeam/setup/StartupTest.java
@@ -13,8 +13,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class StartupTest {
-    @TempDir
-    private Path dir;
+    @TempDir private Path dir;
 
     private Startup read(String json) throws IOException {
         return Startup.read(Files.writeString(dir.resolve("config.json"), json).toString());
@@ -26,8 +25,10 @@
 
     @Test
     void nestedSettingsAreReadByThePathsOfTheWire() throws IOException {
-        Info settings = read("{\"settings\":{\"domain\":{\"cells\":9,\"classNeed\":[0.5,1]},"
-                + "\"classes\":[{\"name\":\"a\",\"promise\":2000000},{\"name\":\"b\"}],\"caps\":{\"probes\":true}}}").settings;
+        Info settings =
+                read("{\"settings\":{\"domain\":{\"cells\":9,\"classNeed\":[0.5,1]},"
+                         + "\"classes\":[{\"name\":\"a\",\"promise\":2000000},{\"name\":\"b\"}],\"caps\":{\"probes\":true}}}")
+                        .settings;
         assertEquals(9, settings.whole("domain.cells"));
         assertEquals(1.0, settings.listed("domain.classNeed", 1));
         assertEquals(2, settings.count("classes"));
@@ -39,28 +40,62 @@
     @Test
     void aLimitThatIsNotToldIsTheLeastOfAScoredDay() throws IOException {
         assertEquals(192, read("{\"settings\":{}}").limit("memory_mb", 64));
-        assertEquals(2048, read("{\"settings\":{},\"limits\":{\"memory_mb\":2048}}").limit("memory_mb", 64));
+        assertEquals(
+                2048,
+                read("{\"settings\":{},\"limits\":{\"memory_mb\":2048}}").limit("memory_mb", 64));
     }
 
     @Test
     void whatIsWrongIsNamedByItsKey() throws IOException {
         names("settings", assertThrows(IOException.class, () -> read("{}")));
-        names("seed", assertThrows(IllegalArgumentException.class, () -> read("{\"settings\":{},\"seed\":\"x\"}").seed()));
-        names("listen", assertThrows(IllegalArgumentException.class,
-                () -> read("{\"settings\":{},\"listen\":\"here\"}").address("listen")));
-        names("listen", assertThrows(IllegalArgumentException.class,
-                () -> read("{\"settings\":{},\"listen\":\"127.0.0.1:70000\"}").address("listen")));
-        names("limits.sockets", assertThrows(IllegalArgumentException.class,
-                () -> read("{\"settings\":{},\"limits\":{\"sockets\":3}}").limit("sockets", 128)));
-        names("settings.domain.cells", assertThrows(IllegalArgumentException.class,
-                () -> Assembly.fleet(read("{\"settings\":{\"domain\":{\"cells\":\"nine\",\"reach\":1}}}").settings)));
-        names("settings.domain.reach", assertThrows(IllegalArgumentException.class,
-                () -> Assembly.fleet(read("{\"settings\":{\"domain\":{\"cells\":9}}}").settings)));
+        names(
+                "seed",
+                assertThrows(
+                        IllegalArgumentException.class,
+                        () -> read("{\"settings\":{},\"seed\":\"x\"}").seed()));
+        names(
+                "listen",
+                assertThrows(
+                        IllegalArgumentException.class,
+                        () -> read("{\"settings\":{},\"listen\":\"here\"}").address("listen")));
+        names(
+                "listen",
+                assertThrows(
+                        IllegalArgumentException.class,
+                        () ->
+                                read("{\"settings\":{},\"listen\":\"127.0.0.1:70000\"}")
+                                        .address("listen")));
+        names(
+                "limits.sockets",
+                assertThrows(
+                        IllegalArgumentException.class,
+                        () ->
+                                read("{\"settings\":{},\"limits\":{\"sockets\":3}}")
+                                        .limit("sockets", 128)));
+        names(
+                "settings.domain.cells",
+                assertThrows(
+                        IllegalArgumentException.class,
+                        () ->
+                                Assembly.fleet(
+                                        read("{\"settings\":{\"domain\":{\"cells\":\"nine\",\"reach\":1}}}")
+                                                .settings)));
+        names(
+                "settings.domain.reach",
+                assertThrows(
+                        IllegalArgumentException.class,
+                        () ->
+                                Assembly.fleet(
+                                        read("{\"settings\":{\"domain\":{\"cells\":9}}}")
+                                                .settings)));
     }
 
     @Test
     void aFileThatIsNotThereOrNotWholeIsSaidSo() {
-        names("read", assertThrows(IOException.class, () -> Startup.read(dir.resolve("none").toString())));
+        names(
+                "read",
+                assertThrows(
+                        IOException.class, () -> Startup.read(dir.resolve("none").toString())));
         assertThrows(IOException.class, () -> read("{\"settings\":{}"));
         assertThrows(IOException.class, () -> read("{\"settings\":{}} {}"));
         assertThrows(IllegalArgumentException.class, () -> Startup.read(null));
@@ -69,8 +104,12 @@
     @Test
     void discoveryThatIsNeitherWayIsNamed() throws IOException {
         Startup wrong = read("{\"settings\":{\"discovery\":\"pull\"}}");
-        names("settings.discovery", assertThrows(IllegalArgumentException.class,
-                () -> Assembly.asking(wrong.settings, new java.util.Random(1))));
-        assertNull(Assembly.asking(read("{\"settings\":{}}").settings, new java.util.Random(1)).at());
+        names(
+                "settings.discovery",
+                assertThrows(
+                        IllegalArgumentException.class,
+                        () -> Assembly.asking(wrong.settings, new java.util.Random(1))));
+        assertNull(
+                Assembly.asking(read("{\"settings\":{}}").settings, new java.util.Random(1)).at());
     }
 }
--- a/src/test/java/postbeam/shared/CountsTest.java
+++ b/src/test/java/postbeam/shared/CountsTest.java
@@ -74,7 +74,10 @@
         for (int i = 0; i < 1000; i++) {
             for (int key = 0; key < 2000; key += i < 3 ? 1 : 40) {
                 for (long bucket = -1; bucket <= 6; bucket++) {
-                    one.heard(List.of(new CountEntry(new Who("r" + i, 1), "k" + key, bucket, 1, 1, 1)));
+                    one.heard(
+                            List.of(
+                                    new CountEntry(
+                                            new Who("r" + i, 1), "k" + key, bucket, 1, 1, 1)));
                 }
             }
         }
--- a/src/test/java/postbeam/shared/JudgementsTest.java
+++ b/src/test/java/postbeam/shared/JudgementsTest.java
@@ -21,9 +21,13 @@
         return Duration.ofNanos((long) (seconds * 1e9));
     }
 
-    private void told(double at, NodeKey node, Report.Kind kind, double age, String... routersAndZones) {
+    private void told(
+            double at, NodeKey node, Report.Kind kind, double age, String... routersAndZones) {
         for (int i = 0; i < routersAndZones.length; i += 2) {
-            judgements.heard(s(at), new Report(routersAndZones[i], routersAndZones[i + 1], node, kind, 1, 5, s(age)));
+            judgements.heard(
+                    s(at),
+                    new Report(
+                            routersAndZones[i], routersAndZones[i + 1], node, kind, 1, 5, s(age)));
         }
     }
 
@@ -70,7 +74,11 @@
         for (NodeKey node : HOLDERS) {
             told(0, node, Report.Kind.SILENT, 0, "r1", "a", "r2", "b", "r3", "c");
         }
-        assertEquals(1, judgements.shares(s(0), HOLDERS).values().stream().filter(share -> share < 1).count());
+        assertEquals(
+                1,
+                judgements.shares(s(0), HOLDERS).values().stream()
+                        .filter(share -> share < 1)
+                        .count());
         assertEquals(Map.of(N2, 1.0), judgements.shares(s(0), List.of(N2)));
     }
 
--- a/src/test/java/postbeam/shared/NodeLeasesTest.java
+++ b/src/test/java/postbeam/shared/NodeLeasesTest.java
@@ -13,8 +13,11 @@
 class NodeLeasesTest {
     private static final double BUDGET = 8;
 
-    /** Of the budget of 8: reserve 2, of which 1 is this router's; under way 4, 2 of it; to lease 2. */
+    /**
+     * Of the budget of 8: reserve 2, of which 1 is this router's; under way 4, 2 of it; to lease 2.
+     */
     private final LeaseTerms terms = new LeaseTerms(ms(600), ms(1000), ms(10), 0.25, 0.5, 2, 0);
+
     private final NodeLeases leases = new NodeLeases(terms, 2, true);
     private final Ledger ledger = new Ledger();
 
@@ -78,7 +81,9 @@
         leases.ask(ms(0), BUDGET, 1);
         leases.granted(ms(1), 1, 2);
         assertTrue(leases.take(ms(2), 2, BUDGET));
-        assertFalse(leases.take(ms(3), 0.5, BUDGET), "there is room in the window, but not for a process that stops here");
+        assertFalse(
+                leases.take(ms(3), 0.5, BUDGET),
+                "there is room in the window, but not for a process that stops here");
         leases.out(2);
         assertTrue(leases.take(ms(4), 0.5, BUDGET));
     }
@@ -91,11 +96,19 @@
         int sharers = many.sharers(2);
         assertEquals(5, sharers);
         assertTrue(many.underWay(2, sharers) >= 0.1 - 1e-9);
-        assertEquals(4, names.stream().filter(name -> many.drawn(node, name, names, sharers)).count());
+        assertEquals(
+                4, names.stream().filter(name -> many.drawn(node, name, names, sharers)).count());
         // Two that know lists that differ in one name: together no more than there are parts.
         List<String> grown = IntStream.range(0, 101).mapToObj(i -> "r" + i).toList();
-        assertTrue(grown.stream().filter(name -> many.drawn(node, name, names, sharers) && names.contains(name)
-                || many.drawn(node, name, grown, sharers)).count() <= sharers);
+        assertTrue(
+                grown.stream()
+                                .filter(
+                                        name ->
+                                                many.drawn(node, name, names, sharers)
+                                                                && names.contains(name)
+                                                        || many.drawn(node, name, grown, sharers))
+                                .count()
+                        <= sharers);
     }
 
     @Test
@@ -104,18 +117,29 @@
         assertEquals(4, ledger.grant(ms(1), who("a"), 1, 4, 6, terms.counted()));
         assertEquals(2, ledger.grant(ms(2), who("b"), 1, 4, 6, terms.counted()));
         assertEquals(0, ledger.grant(ms(3), who("c"), 1, 4, 6, terms.counted()));
-        assertEquals(0, ledger.grant(ms(4), new Who("a", 2), 1, 4, 6, terms.counted()), "an earlier run's leases count");
-        assertEquals(2, ledger.grant(ms(5), who("a"), 2, 6, 6, terms.counted()), "even parts once others ask, too");
-        assertEquals(4, ledger.grant(terms.counted().multipliedBy(2), who("b"), 2, 4, 6, terms.counted()));
+        assertEquals(
+                0,
+                ledger.grant(ms(4), new Who("a", 2), 1, 4, 6, terms.counted()),
+                "an earlier run's leases count");
+        assertEquals(
+                2,
+                ledger.grant(ms(5), who("a"), 2, 6, 6, terms.counted()),
+                "even parts once others ask, too");
+        assertEquals(
+                4,
+                ledger.grant(terms.counted().multipliedBy(2), who("b"), 2, 4, 6, terms.counted()));
     }
 
     @Test
     void termsThatCantHoldAreRefused() {
         for (double[] shares : new double[][] {{0, 0.5}, {0.5, 0}, {0.5, 0.5}, {1, 0.1}}) {
-            assertThrows(IllegalArgumentException.class, () -> new LeaseTerms(ms(1), ms(1), ms(0), shares[0], shares[1],
-                    2, 0));
+            assertThrows(
+                    IllegalArgumentException.class,
+                    () -> new LeaseTerms(ms(1), ms(1), ms(0), shares[0], shares[1], 2, 0));
         }
-        assertThrows(IllegalArgumentException.class, () -> new LeaseTerms(ms(0), ms(1), ms(0), 0.5, 0.1, 2, 0));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> new LeaseTerms(ms(0), ms(1), ms(0), 0.5, 0.1, 2, 0));
         assertThrows(IllegalArgumentException.class, () -> new OfficeTerms(ms(2), ms(1), ms(0)));
     }
 }
--- a/src/test/java/postbeam/shared/OfficeTest.java
+++ b/src/test/java/postbeam/shared/OfficeTest.java
@@ -57,8 +57,12 @@
         Ballot other = new Ballot(0, 9, 1, new Who("c", 0));
         assertFalse(b.asked(ms(at + 309), other).given());
         assertTrue(b.asked(ms(at + 310), other).given());
-        assertFalse(b.asked(ms(at + 311), new Ballot(0, 9, 1, new Who("a", 0))).given(), "once in a term");
-        assertFalse(b.asked(ms(at + 700), new Ballot(0, 8, 1, new Who("a", 0))).given(), "no older term");
+        assertFalse(
+                b.asked(ms(at + 311), new Ballot(0, 9, 1, new Who("a", 0))).given(),
+                "once in a term");
+        assertFalse(
+                b.asked(ms(at + 700), new Ballot(0, 8, 1, new Who("a", 0))).given(),
+                "no older term");
         assertFalse(b.asked(ms(at + 700), new Ballot(0, 10, 1, new Who("stranger", 0))).given());
     }
 
@@ -78,7 +82,8 @@
         Ballot anew = a.tick(ms(at + 100));
         assertNotNull(anew);
         assertEquals(a.term(), anew.term());
-        a.answered(ms(at + 110), new Vote(0, anew.term(), anew.round() - 1, "b", true, anew.term()));
+        a.answered(
+                ms(at + 110), new Vote(0, anew.term(), anew.round() - 1, "b", true, anew.term()));
         assertFalse(a.inOffice(ms(at + 320)));
         a.answered(ms(at + 110), c.asked(ms(at + 110), anew));
         assertTrue(a.inOffice(ms(at + 320)));
@@ -98,7 +103,10 @@
             win(a, at + 20, b, c);
         }
         assertEquals(1, keeper.asked(ms(at), ask).amount());
-        assertEquals(3, keeper.asked(ms(at), new LeaseAsk(NODE, new Who("c", 0), 1, 4, 8)).amount());
-        assertEquals(0, keeper.asked(ms(at + 400), new LeaseAsk(NODE, new Who("c", 0), 2, 4, 8)).amount());
+        assertEquals(
+                3, keeper.asked(ms(at), new LeaseAsk(NODE, new Who("c", 0), 1, 4, 8)).amount());
+        assertEquals(
+                0,
+                keeper.asked(ms(at + 400), new LeaseAsk(NODE, new Who("c", 0), 2, 4, 8)).amount());
     }
 }
--- a/src/test/java/postbeam/slices/CoordinatorTest.java
+++ b/src/test/java/postbeam/slices/CoordinatorTest.java
@@ -14,14 +14,25 @@
 import postbeam.state.Readiness;
 
 class CoordinatorTest {
-    private static final MoveLimits LIMITS = new MoveLimits(2, 1, 2, Duration.ofSeconds(10), Duration.ofSeconds(5),
-            Duration.ofSeconds(2), Duration.ofSeconds(1), 2, 2);
+    private static final MoveLimits LIMITS =
+            new MoveLimits(
+                    2,
+                    1,
+                    2,
+                    Duration.ofSeconds(10),
+                    Duration.ofSeconds(5),
+                    Duration.ofSeconds(2),
+                    Duration.ofSeconds(1),
+                    2,
+                    2);
 
     private final Map<String, Target.Known> nodes = new LinkedHashMap<>();
     private final List<Logged> records = new ArrayList<>();
     private final List<Layout> published = new ArrayList<>();
+
     /** Nodes that answer nothing. */
     private final List<String> silent = new ArrayList<>();
+
     private final List<Act.Tell> told = new ArrayList<>();
     private Coordinator coordinator;
     private Duration now = Duration.ofSeconds(100);
@@ -90,8 +101,11 @@
     }
 
     private MoveState until(long id, MoveState state) {
-        for (int i = 0; i < 200 && coordinator.book().move(id) != null
-                && coordinator.book().move(id).state != state; i++) {
+        for (int i = 0;
+                i < 200
+                        && coordinator.book().move(id) != null
+                        && coordinator.book().move(id).state != state;
+                i++) {
             carryOut(coordinator.tick(now), -1);
             if (coordinator.book().move(id) != null && coordinator.book().move(id).state != state) {
                 answer();
@@ -102,7 +116,10 @@
     }
 
     private Move over(long id) {
-        return coordinator.book().over().stream().filter(move -> move.id == id).findFirst().orElseThrow();
+        return coordinator.book().over().stream()
+                .filter(move -> move.id == id)
+                .findFirst()
+                .orElseThrow();
     }
 
     private Layout layout() {
@@ -115,7 +132,9 @@
         List<Order> orders = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             carryOut(coordinator.tick(now), -1);
-            told.stream().filter(tell -> tell.move() == id).forEach(tell -> orders.add(tell.order()));
+            told.stream()
+                    .filter(tell -> tell.move() == id)
+                    .forEach(tell -> orders.add(tell.order()));
             answer();
         }
         assertEquals(List.of(Order.COPY, Order.HOLD, Order.FENCE, Order.SERVE, Order.DROP), orders);
@@ -153,24 +172,46 @@
         bad.put(new Change.Move(0, "d", "c"), "is not held by d");
         bad.put(new Change.Move(0, "a", null), "1 holders, at least 2 are needed");
         bad.put(new Change.Move(0, "a", "d"), "holders in 1 zones, at least 2 are needed");
-        bad.forEach((change, why) -> {
-            String said = assertThrows(IllegalArgumentException.class, () -> coordinator.plan(change, now)).getMessage();
-            assertTrue(said.contains(why), change + ": " + said);
-            assertFalse(said.contains("\n"));
-        });
+        bad.forEach(
+                (change, why) -> {
+                    String said =
+                            assertThrows(
+                                            IllegalArgumentException.class,
+                                            () -> coordinator.plan(change, now))
+                                    .getMessage();
+                    assertTrue(said.contains(why), change + ": " + said);
+                    assertFalse(said.contains("\n"));
+                });
         assertEquals(before, records.size());
     }
 
     @Test
     void aBadTargetIsToldLineByLine() {
         KeyRange low = new KeyRange(0, 100);
-        assertEquals(List.of("gap: no slice holds the keys 100-" + KeyRange.KEYS),
-                coordinator.problems(new Target(List.of(new Target.Wanted(low, List.of("a", "b"))))));
-        assertEquals(List.of("overlap: two slices hold the keys 50-100"), coordinator.problems(new Target(List.of(
-                new Target.Wanted(low, List.of("a", "b")),
-                new Target.Wanted(new KeyRange(50, KeyRange.KEYS), List.of("a", "b"))))));
-        assertEquals(3, coordinator.problems(new Target(List.of(new Target.Wanted(low, List.of("a", "x")),
-                new Target.Wanted(new KeyRange(100, KeyRange.KEYS), List.of("a", "a"))))).size());
+        assertEquals(
+                List.of("gap: no slice holds the keys 100-" + KeyRange.KEYS),
+                coordinator.problems(
+                        new Target(List.of(new Target.Wanted(low, List.of("a", "b"))))));
+        assertEquals(
+                List.of("overlap: two slices hold the keys 50-100"),
+                coordinator.problems(
+                        new Target(
+                                List.of(
+                                        new Target.Wanted(low, List.of("a", "b")),
+                                        new Target.Wanted(
+                                                new KeyRange(50, KeyRange.KEYS),
+                                                List.of("a", "b"))))));
+        assertEquals(
+                3,
+                coordinator
+                        .problems(
+                                new Target(
+                                        List.of(
+                                                new Target.Wanted(low, List.of("a", "x")),
+                                                new Target.Wanted(
+                                                        new KeyRange(100, KeyRange.KEYS),
+                                                        List.of("a", "a")))))
+                        .size());
     }
 
     @Test
@@ -213,7 +254,9 @@
     void aDrainingSourceIsSparedWhereAnotherHolderHasTheData() {
         readiness("a", Readiness.DRAINING);
         long id = plan(new Change.Move(0, "a", "c"));
-        assertEquals(List.of("b"), coordinator.book().move(id).gains.stream().map(Move.Gain::source).toList());
+        assertEquals(
+                List.of("b"),
+                coordinator.book().move(id).gains.stream().map(Move.Gain::source).toList());
         goOn(Duration.ofSeconds(3));
         assertEquals(MoveState.FORGOTTEN, over(id).state);
     }
@@ -268,26 +311,41 @@
 
     @Test
     void aMoveCanBeAbandonedInEachState() {
-        for (MoveState state : List.of(MoveState.PLANNED, MoveState.COPYING, MoveState.HOLDING_BOTH, MoveState.FENCED,
-                MoveState.CUT_OVER)) {
+        for (MoveState state :
+                List.of(
+                        MoveState.PLANNED,
+                        MoveState.COPYING,
+                        MoveState.HOLDING_BOTH,
+                        MoveState.FENCED,
+                        MoveState.CUT_OVER)) {
             long version = layout().version;
             long id = plan(new Change.Split(layout().slices().get(0).number(), List.of(77L)));
             assertEquals(state, until(id, state));
             carryOut(coordinator.abandon(id, "asked", now), -1);
-            assertThrows(IllegalArgumentException.class, () -> coordinator.abandon(id, "again", now));
+            assertThrows(
+                    IllegalArgumentException.class, () -> coordinator.abandon(id, "again", now));
             goOn(Duration.ofSeconds(8));
             assertEquals(0, coordinator.book().moves().size(), state.toString());
             assertEquals(4, layout().slices().size(), state + ": the old slices are in force");
             assertTrue(layout().version > version, state + ": under a higher version");
-            assertEquals(state == MoveState.CUT_OVER ? MoveState.FORGOTTEN : MoveState.ABANDONED, over(id).state);
+            assertEquals(
+                    state == MoveState.CUT_OVER ? MoveState.FORGOTTEN : MoveState.ABANDONED,
+                    over(id).state);
         }
     }
 
-    /** All cut points: dies right after each record of a run, and after each with what follows it already told. */
+    /**
+     * All cut points: dies right after each record of a run, and after each with what follows it
+     * already told.
+     */
     @Test
     void aCoordinatorKilledAtAnyRecordGoesOnOrAbandons() {
-        List<Change> changes = List.of(new Change.Split(0, List.of(100L)), new Change.Move(2, "c", "a"),
-                new Change.Merge(List.of(4, 5)), new Change.Move(2, "a", "c"));
+        List<Change> changes =
+                List.of(
+                        new Change.Split(0, List.of(100L)),
+                        new Change.Move(2, "c", "a"),
+                        new Change.Merge(List.of(4, 5)),
+                        new Change.Move(2, "a", "c"));
         boolean died = true;
         int cuts = 0;
         for (int at = 1; died; at++) {
@@ -310,7 +368,10 @@
                     acts = run.coordinator.tick(run.now);
                 }
                 run.carryOut(acts, -1);
-                assertEquals(0, run.coordinator.book().moves().size(), "killed at record " + at + ", " + change);
+                assertEquals(
+                        0,
+                        run.coordinator.book().moves().size(),
+                        "killed at record " + at + ", " + change);
             }
             assertEquals(4, run.layout().slices().size(), "killed at record " + at);
             assertEquals(4, run.records.stream().filter(Logged.Planned.class::isInstance).count());
@@ -330,7 +391,11 @@
         goOn(Duration.ofSeconds(1));
         readiness("a", Readiness.READY);
         carryOut(coordinator.tick(now), -1);
-        assertEquals(2, told.stream().filter(tell -> tell.node().equals("a") && tell.order() == Order.SERVE).count());
+        assertEquals(
+                2,
+                told.stream()
+                        .filter(tell -> tell.node().equals("a") && tell.order() == Order.SERVE)
+                        .count());
         goOn(Duration.ofSeconds(1));
         assertEquals(0, told.size());
     }
@@ -341,7 +406,9 @@
         coordinator.listed(nodes, List.of());
         goOn(Duration.ofSeconds(1));
         readiness("a", Readiness.GONE);
-        assertEquals(List.of(new Change.Move(0, "a", "e"), new Change.Move(3, "a", "e")), coordinator.mends());
+        assertEquals(
+                List.of(new Change.Move(0, "a", "e"), new Change.Move(3, "a", "e")),
+                coordinator.mends());
         plan(coordinator.mends().get(0));
         goOn(Duration.ofSeconds(20));
         assertEquals(List.of("e", "b"), layout().slice(0).nodes());
@@ -349,8 +416,12 @@
         restart();
         readiness("a", Readiness.READY);
         carryOut(coordinator.tick(now), -1);
-        assertEquals(List.of(0), told.stream().filter(tell -> tell.node().equals("a") && tell.order() == Order.DROP)
-                .map(Act.Tell::slice).toList());
+        assertEquals(
+                List.of(0),
+                told.stream()
+                        .filter(tell -> tell.node().equals("a") && tell.order() == Order.DROP)
+                        .map(Act.Tell::slice)
+                        .toList());
         goOn(Duration.ofSeconds(2));
         assertEquals(0, coordinator.book().owed().size());
     }
@@ -381,9 +452,14 @@
 
     @Test
     void aTargetIsReachedThoughMovesOnTheWayFail() {
-        Target target = new Target(List.of(
-                new Target.Wanted(new KeyRange(0, KeyRange.KEYS / 3), List.of("c", "d")),
-                new Target.Wanted(new KeyRange(KeyRange.KEYS / 3, KeyRange.KEYS), List.of("a", "b"))));
+        Target target =
+                new Target(
+                        List.of(
+                                new Target.Wanted(
+                                        new KeyRange(0, KeyRange.KEYS / 3), List.of("c", "d")),
+                                new Target.Wanted(
+                                        new KeyRange(KeyRange.KEYS / 3, KeyRange.KEYS),
+                                        List.of("a", "b"))));
         carryOut(coordinator.aim(target), -1);
         silent.add("d");
         goOn(Duration.ofSeconds(30));
--- a/src/test/java/postbeam/slices/SlicingTest.java
+++ b/src/test/java/postbeam/slices/SlicingTest.java
@@ -37,8 +37,19 @@
     }
 
     private static Query query(Effect effect, double floor) {
-        return new Query(new Vertical(Duration.ofSeconds(1), effect, Duration.ofSeconds(1), 1, 0.1, 1, floor, 0.9),
-                null, Duration.ZERO, Duration.ofSeconds(3));
+        return new Query(
+                new Vertical(
+                        Duration.ofSeconds(1),
+                        effect,
+                        Duration.ofSeconds(1),
+                        1,
+                        0.1,
+                        1,
+                        floor,
+                        0.9),
+                null,
+                Duration.ZERO,
+                Duration.ofSeconds(3));
     }
 
     /** Asks for these slices of the layout told first, with even weights. */
@@ -61,7 +72,13 @@
     }
 
     private void after(Change change, Query... open) {
-        layout = layout.after(change, births(change), layout.version + 1, Duration.ofSeconds(layout.version), 100);
+        layout =
+                layout.after(
+                        change,
+                        births(change),
+                        layout.version + 1,
+                        Duration.ofSeconds(layout.version),
+                        100);
         assertTrue(slicing.told(layout));
         for (Query query : open) {
             slicing.recut(query);
@@ -91,7 +108,10 @@
         assertTrue(slicing.recut(query));
         assertNull(part(query, 0));
         for (int slice : new int[] {4, 5}) {
-            assertEquals(Duration.ofMillis(5), part(query, slice).mayHaveExecutedSince(), "a child may have run");
+            assertEquals(
+                    Duration.ofMillis(5),
+                    part(query, slice).mayHaveExecutedSince(),
+                    "a child may have run");
             assertEquals(List.of(call), part(query, slice).calls);
         }
         assertEquals(0.125, part(query, 4).weight, 1e-9);
@@ -107,14 +127,23 @@
         call.end();
         part(query, 1).mayHaveRun(call.sentAt);
         Query fresh = asked(Effect.SIDE_EFFECTING, 1, 1, 2);
-        layout = layout.after(new Change.Move(2, layout.slice(2).nodes().get(1), layout.slice(1).nodes().get(0)),
-                List.of(), 2, Duration.ZERO, 9);
+        layout =
+                layout.after(
+                        new Change.Move(
+                                2, layout.slice(2).nodes().get(1), layout.slice(1).nodes().get(0)),
+                        List.of(),
+                        2,
+                        Duration.ZERO,
+                        9);
         after(new Change.Merge(List.of(1, 2)), query, fresh);
         assertEquals(2, query.parts.size());
         assertEquals(1, query.count(part -> part.mayHaveExecutedSince() != null));
         assertEquals(1, query.count(part -> part.calls.isEmpty()));
         assertTrue(query.parts.stream().allMatch(part -> part.shard == 4));
-        assertEquals(1, fresh.parts.size(), "parts that nothing was sent for are joined: one answer for both");
+        assertEquals(
+                1,
+                fresh.parts.size(),
+                "parts that nothing was sent for are joined: one answer for both");
         assertEquals(1.0, fresh.parts.get(0).weight, 1e-9);
     }
 
@@ -129,15 +158,27 @@
         slicing.recut(query);
         assertEquals(1, query.parts.size());
         assertEquals(6, query.parts.get(0).shard);
-        assertEquals(Duration.ofMillis(7), query.parts.get(0).mayHaveExecutedSince(), "the window counts from the first send");
+        assertEquals(
+                Duration.ofMillis(7),
+                query.parts.get(0).mayHaveExecutedSince(),
+                "the window counts from the first send");
     }
 
     @Test
     void whatWasJoinedAndIsCutAgainHasTheWeightsThatItsClientGave() throws Unroutable {
         Query query = query(Effect.REPEATABLE, 1);
-        layout = layout.after(new Change.Move(1, layout.slice(1).nodes().get(1), "a"), List.of(), 2, Duration.ZERO, 9);
+        layout =
+                layout.after(
+                        new Change.Move(1, layout.slice(1).nodes().get(1), "a"),
+                        List.of(),
+                        2,
+                        Duration.ZERO,
+                        9);
         slicing.told(layout);
-        slicing.take(query, 1, List.of(new Asking(0, 0.9, Duration.ofMillis(9)), new Asking(1, 0.1, null)));
+        slicing.take(
+                query,
+                1,
+                List.of(new Asking(0, 0.9, Duration.ofMillis(9)), new Asking(1, 0.1, null)));
         after(new Change.Merge(List.of(0, 1)), query);
         assertNull(query.parts.get(0).work);
         after(new Change.Split(4, List.of(QUARTER)), query);
@@ -165,11 +206,17 @@
         LeafCall call = sent(part(query, 1), 5);
         after(new Change.Split(0, List.of(QUARTER / 2)), query);
         sent(part(query, 5), 6);
-        layout = layout.after(new Change.Move(1, layout.slice(1).nodes().get(1), "a"), List.of(), layout.version + 1,
-                Duration.ZERO, 9);
+        layout =
+                layout.after(
+                        new Change.Move(1, layout.slice(1).nodes().get(1), "a"),
+                        List.of(),
+                        layout.version + 1,
+                        Duration.ZERO,
+                        9);
         after(new Change.Merge(List.of(5, 1)), query);
         part(query, 5).markAnswered();
-        assertEquals(0, query.mergedWeight(), 1e-9, "half of 0 is in, and half of 6: neither slice is");
+        assertEquals(
+                0, query.mergedWeight(), 1e-9, "half of 0 is in, and half of 6: neither slice is");
         part(query, 4).markAnswered();
         assertEquals(0.5, query.mergedWeight(), 1e-9, "0 is in, by the layout that was named");
         Pin.Counted counted = slicing.pinOf(query).counted(query);
@@ -182,14 +229,23 @@
 
     @Test
     void anAnswerTellsWhichNamedSlicesAValueIsFor() throws Unroutable {
-        layout = layout.after(new Change.Move(1, layout.slice(1).nodes().get(1), "a"), List.of(), 2, Duration.ZERO, 9);
+        layout =
+                layout.after(
+                        new Change.Move(1, layout.slice(1).nodes().get(1), "a"),
+                        List.of(),
+                        2,
+                        Duration.ZERO,
+                        9);
         after(new Change.Merge(List.of(0, 1)));
         Query query = asked(Effect.REPEATABLE, 1, 0, 1, 2);
         assertEquals(2, query.parts.size());
         query.parts.forEach(part -> part.markAnswered());
         Pin pin = slicing.pinOf(query);
-        assertEquals(List.of(List.of(0, 1), List.of(2)), pin.counted(query).pieces().stream()
-                .map(piece -> pin.namesOf(piece.keys)).toList());
+        assertEquals(
+                List.of(List.of(0, 1), List.of(2)),
+                pin.counted(query).pieces().stream()
+                        .map(piece -> pin.namesOf(piece.keys))
+                        .toList());
     }
 
     // ---- versions
@@ -208,7 +264,9 @@
         for (int i = 0; i < 6; i++) {
             layout = layout.again(layout.version + 1);
         }
-        layout = layout.after(new Change.Split(0, List.of(100L)), List.of(4, 5), 8, Duration.ZERO, 3);
+        layout =
+                layout.after(
+                        new Change.Split(0, List.of(100L)), List.of(4, 5), 8, Duration.ZERO, 3);
         slicing.told(layout);
         assertEquals(Unroutable.Reason.NO_LONGER_KEPT, refused(4, 0));
         assertEquals(Unroutable.Reason.NOT_KNOWN_YET, refused(9, 0));
@@ -219,7 +277,8 @@
     }
 
     private Unroutable.Reason refused(long version, int slice) {
-        return assertThrows(Unroutable.class, () -> asked(Effect.REPEATABLE, version, slice)).reason;
+        return assertThrows(Unroutable.class, () -> asked(Effect.REPEATABLE, version, slice))
+                .reason;
     }
 
     // ---- replica lists
@@ -234,7 +293,10 @@
         assertEquals(List.of(node), slicing.holders().replicas(0));
         slicing.left(part(query, 0), node);
         after(new Change.Split(1, List.of(QUARTER + 5)));
-        assertEquals(List.of(node), slicing.holders().replicas(0), "a new version clears what was said of the last");
+        assertEquals(
+                List.of(node),
+                slicing.holders().replicas(0),
+                "a new version clears what was said of the last");
     }
 
     @Test
--- a/src/test/java/postbeam/slices/TranslationBenchmark.java
+++ b/src/test/java/postbeam/slices/TranslationBenchmark.java
@@ -22,9 +22,10 @@
 import postbeam.state.Vertical;
 
 /**
- * What translation costs a query of 100 parts over a layout of 10,000 slices: by the version in force, and by one 100
- * re-cuts back. After {@code mvn -q test-compile dependency:build-classpath -Dmdep.outputFile=target/cp} run it with
- * {@code java -cp target/classes:target/test-classes:$(cat target/cp) postbeam.slices.TranslationBenchmark}.
+ * What translation costs a query of 100 parts over a layout of 10,000 slices: by the version in
+ * force, and by one 100 re-cuts back. After {@code mvn -q test-compile dependency:build-classpath
+ * -Dmdep.outputFile=target/cp} run it with {@code java -cp target/classes:target/test-classes:$(cat
+ * target/cp) postbeam.slices.TranslationBenchmark}.
  */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
@@ -36,8 +37,8 @@
     private static final int SLICES = 10_000;
     private static final int PARTS = 100;
     private static final int RECUTS = 100;
-    private static final Vertical SEARCH = new Vertical(Duration.ofSeconds(1), Effect.REPEATABLE, null, 1, 0.1, 0.75,
-            0.75, 0.9);
+    private static final Vertical SEARCH =
+            new Vertical(Duration.ofSeconds(1), Effect.REPEATABLE, null, 1, 0.1, 0.75, 0.75, 0.9);
 
     private final Slicing slicing = new Slicing();
     private final List<Asking> now = new ArrayList<>();
@@ -54,8 +55,13 @@
         old = layout;
         for (int i = 0; i < RECUTS; i++) {
             Slice slice = layout.slices().get(50 * i);
-            layout = layout.after(new Change.Split(slice.number(), List.of(slice.keys().from() + 100)),
-                    List.of(SLICES + 2 * i, SLICES + 2 * i + 1), layout.version + 1, Duration.ZERO, 1000);
+            layout =
+                    layout.after(
+                            new Change.Split(slice.number(), List.of(slice.keys().from() + 100)),
+                            List.of(SLICES + 2 * i, SLICES + 2 * i + 1),
+                            layout.version + 1,
+                            Duration.ZERO,
+                            1000);
         }
         slicing.told(layout);
         for (int i = 0; i < PARTS; i++) {
@@ -91,6 +97,7 @@
     }
 
     public static void main(String[] args) throws RunnerException {
-        new Runner(new OptionsBuilder().include(TranslationBenchmark.class.getSimpleName()).build()).run();
+        new Runner(new OptionsBuilder().include(TranslationBenchmark.class.getSimpleName()).build())
+                .run();
     }
 }
