--- a/src/main/java/postbeam/MoreLibraries.java
+++ b/src/main/java/postbeam/cli/ExtendedClassPathLauncher.java
@@ -1,4 +1,4 @@
-package postbeam;
+package postbeam.cli;
 
 import java.io.File;
 import java.io.IOException;
@@ -18,14 +18,14 @@
  * platform does without. Guards the start of a router against them: each jar on the class path is
  * opened and its table of contents kept.
  */
-final class MoreLibraries {
-    private MoreLibraries() {}
+final class ExtendedClassPathLauncher {
+    private ExtendedClassPathLauncher() {}
 
     /**
      * True once the program has been started so, and nothing is left to do; false where they are
      * there already.
      */
-    static boolean started(String[] args) {
+    static boolean relaunched(String[] args) {
         try {
             Path jar =
                     Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
--- a/src/main/java/postbeam/Main.java
+++ b/src/main/java/postbeam/cli/Main.java
@@ -1,4 +1,4 @@
-package postbeam;
+package postbeam.cli;
 
 import com.beust.jcommander.JCommander;
 import com.beust.jcommander.Parameter;
@@ -13,22 +13,21 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
-import postbeam.benchlink.Door;
-import postbeam.benchlink.MalformedLine;
-import postbeam.errors.ExplainedException;
-import postbeam.layouts.LayoutsCommand;
-import postbeam.rig.TrialCommand;
-import postbeam.rig.TryOut;
-import postbeam.router.Beside;
-import postbeam.router.Logs;
-import postbeam.router.Paging;
+import postbeam.clients.RouterExtension;
+import postbeam.config.InstanceSettings;
+import postbeam.config.RouterConfig;
+import postbeam.config.SubsystemSettings;
+import postbeam.errors.OperatorErrorException;
+import postbeam.layoutservice.LayoutsCommand;
+import postbeam.peers.FleetConfigReader;
+import postbeam.peers.PeerCoordinator;
+import postbeam.router.PagingService;
 import postbeam.router.Router;
-import postbeam.setup.Info;
-import postbeam.setup.OwnSettings;
-import postbeam.setup.Startup;
-import postbeam.slices.Slicing;
-import postbeam.together.Together;
-import postbeam.together.TogetherForm;
+import postbeam.simulator.MalformedLineException;
+import postbeam.simulator.SimulatorSession;
+import postbeam.slices.SliceTranslator;
+import postbeam.testbed.demo.DemoCommand;
+import postbeam.testbed.trials.TrialCommand;
 import sun.misc.Signal;
 
 /** Command line entry: each way of running postbeam is a sub-command. */
@@ -36,7 +35,7 @@
     private static final System.Logger LOG = System.getLogger(Main.class.getName());
 
     /** Queries of a rehearsal: as many as it takes until nothing new is loaded. */
-    private static final int REHEARSED = 5;
+    private static final int REHEARSAL_QUERIES = 5;
 
     @Parameter(
             names = {"-h", "--help"},
@@ -77,12 +76,15 @@
     private static final class Version {}
 
     /** Ways to run that a router's own libraries are enough for. */
-    private static final List<String> PLAIN = List.of("serve", "benchlink", "rehearse", "version");
+    private static final List<String> CORE_COMMANDS =
+            List.of("serve", "benchlink", "rehearse", "version");
 
     public static void main(String[] args) throws InterruptedException {
         boolean plain =
-                args.length > 0 && PLAIN.contains(args[0]) && !List.of(args).contains("--settings");
-        if (!plain && MoreLibraries.started(args)) {
+                args.length > 0
+                        && CORE_COMMANDS.contains(args[0])
+                        && !List.of(args).contains("--settings");
+        if (!plain && ExtendedClassPathLauncher.relaunched(args)) {
             return;
         }
         Main main = new Main();
@@ -101,7 +103,7 @@
         Map<String, Running> others =
                 args.length > 0 && line.getCommands().containsKey(args[0])
                         ? Map.of()
-                        : others(line);
+                        : registerOptionalCommands(line);
         try {
             line.parse(args);
         } catch (ParameterException e) {
@@ -121,7 +123,7 @@
                         case "benchlink" -> benchlink();
                         case "rehearse" -> rehearse(rehearse.config);
                         case "version" -> version();
-                        default -> quietly(others.get(line.getParsedCommand()));
+                        default -> runWithBoundedLogs(others.get(line.getParsedCommand()));
                     });
         }
     }
@@ -141,16 +143,16 @@
     private static final class Reload {
         private final String config;
         private Router router;
-        private boolean asked;
+        private boolean reloadRequested;
 
         Reload(String config) {
             this.config = config;
             Signal.handle(new Signal("HUP"), signal -> reload());
         }
 
-        synchronized void of(Router running) {
+        synchronized void attach(Router running) {
             router = running;
-            if (asked) {
+            if (reloadRequested) {
                 reload();
             }
         }
@@ -158,11 +160,11 @@
         /** What is wrong in the file is told, and all stays as it was. */
         private synchronized void reload() {
             if (router == null) {
-                asked = true;
+                reloadRequested = true;
                 return;
             }
             try {
-                router.reload(Startup.read(config));
+                router.reload(RouterConfig.read(config));
             } catch (IOException | RuntimeException e) {
                 LOG.log(
                         System.Logger.Level.ERROR,
@@ -181,10 +183,10 @@
         int run() throws InterruptedException;
     }
 
-    private static Map<String, Running> others(JCommander line) {
+    private static Map<String, Running> registerOptionalCommands(JCommander line) {
         LayoutsCommand layouts = new LayoutsCommand();
         TrialCommand trial = new TrialCommand();
-        TryOut tryOut = new TryOut();
+        DemoCommand tryOut = new DemoCommand();
         line.addCommand("layouts", layouts);
         line.addCommand("trial", trial);
         line.addCommand("try", tryOut);
@@ -197,23 +199,23 @@
                 () -> tryOut.run(System.out));
     }
 
-    private static int quietly(Running command) throws InterruptedException {
-        Logs.bound();
+    private static int runWithBoundedLogs(Running command) throws InterruptedException {
+        LogRateLimiter.install();
         return command.run();
     }
 
     /** What our own settings switch on. */
-    private static Router router(Startup startup, String settings) throws IOException {
+    private static Router router(RouterConfig startup, String settings) throws IOException {
         if (settings == null) {
             return new Router(startup);
         }
-        Info own = OwnSettings.read(Path.of(settings));
+        InstanceSettings own = SubsystemSettings.read(Path.of(settings));
         boolean follows = Boolean.TRUE.equals(own.flag("layouts.follow.enabled"));
         boolean pages = Boolean.TRUE.equals(own.flag("pages.enabled"));
         if (pages && !follows) {
             throw new IOException("pages.enabled needs layouts.follow.enabled");
         }
-        String service = follows ? own.needed("layouts.follow.service") : null;
+        String service = follows ? own.required("layouts.follow.service") : null;
         Router router =
                 pages
                         ? Paged.router(startup, service, own)
@@ -221,56 +223,58 @@
                                 ? new Router(startup, slicing(own), service)
                                 : new Router(startup);
         return Boolean.TRUE.equals(own.flag("together.enabled"))
-                ? router.with(together(own))
+                ? router.withExtension(together(own))
                 : router;
     }
 
     /** Where members migrate a layout is held for a lease. */
-    private static Slicing slicing(Info own) {
-        Slicing slicing = new Slicing();
+    private static SliceTranslator slicing(InstanceSettings own) {
+        SliceTranslator slicing = new SliceTranslator();
         if (Boolean.TRUE.equals(own.flag("layouts.migration.enabled"))) {
-            slicing.lease(Duration.ofMillis(own.atLeast("layouts.migration.leaseMs", 1)));
+            slicing.leaseDuration(
+                    Duration.ofMillis(own.integerAtLeast("layouts.migration.leaseMs", 1)));
         }
         return slicing;
     }
 
     /** Apart, so that nothing of pages is loaded where they are off. */
     private static final class Paged {
-        static Router router(Startup startup, String service, Info own) throws IOException {
+        static Router router(RouterConfig startup, String service, InstanceSettings own)
+                throws IOException {
             try {
                 return new Router(
                         startup,
                         slicing(own),
                         service,
-                        new Paging(
-                                own.needed("pages.key"),
+                        new PagingService(
+                                own.required("pages.key"),
                                 own.text("pages.oldKey"),
-                                own.atLeast("pages.rows", 1)));
-            } catch (ExplainedException e) {
+                                own.integerAtLeast("pages.rows", 1)));
+            } catch (OperatorErrorException e) {
                 throw new IOException(e.getMessage(), e);
             }
         }
     }
 
-    private static Beside together(Info own) throws IOException {
+    private static RouterExtension together(InstanceSettings own) throws IOException {
         try {
-            return new Together(TogetherForm.place(own));
-        } catch (ExplainedException e) {
+            return new PeerCoordinator(FleetConfigReader.read(own));
+        } catch (OperatorErrorException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
 
     private static int serve(String config, String settings) throws InterruptedException {
-        Logs.bound();
+        LogRateLimiter.install();
         Reload reload = new Reload(config);
         Router router;
         try {
-            router = router(Startup.read(config), settings);
+            router = router(RouterConfig.read(config), settings);
         } catch (IOException | IllegalArgumentException e) {
             System.err.println("postbeam: configuration " + config + ": " + firstLine(e));
             return 1;
         }
-        reload.of(router);
+        reload.attach(router);
         Thread stop =
                 new Thread(
                         () -> {
@@ -298,12 +302,12 @@
     }
 
     private static int rehearse(String config) throws InterruptedException {
-        Logs.bound();
+        LogRateLimiter.install();
         Signal.handle(new Signal("HUP"), signal -> {});
         try {
-            Router router = new Router(Startup.read(config));
+            Router router = new Router(RouterConfig.read(config));
             router.start();
-            for (int i = 0; i < REHEARSED; i++) {
+            for (int i = 0; i < REHEARSAL_QUERIES; i++) {
                 HttpURLConnection call =
                         (HttpURLConnection)
                                 URI.create("http://" + router.address() + "/search?obj=1")
@@ -332,11 +336,11 @@
 
     private static int benchlink() {
         try {
-            new Door(System.in, System.out).run();
+            new SimulatorSession(System.in, System.out).run();
             return 0;
         } catch (IOException e) {
             System.err.println("benchlink: " + e.getMessage());
-            return e instanceof MalformedLine ? 1 : 3;
+            return e instanceof MalformedLineException ? 1 : 3;
         }
     }
 
--- a/src/main/java/postbeam/clients/ClientConnection.java
+++ b/src/main/java/postbeam/clients/ClientConnection.java
@@ -23,7 +23,7 @@
  * A client's socket, on the I/O thread alone. Closing it while the client still sends would have
  * its machine throw away the answer before the client reads it; so whatever closes it, what the
  * client still sends is read off and dropped for a while before the socket goes. It is given back
- * in {@link #cut}, and only there.
+ * in {@link #closeImmediately}, and only there.
  */
 final class ClientConnection extends StreamConnection {
     /**
@@ -35,50 +35,50 @@
     /**
      * Bytes read off at once: a whole body of the protocol's size and its head take three turns.
      */
-    private static final int READ_OFF = 32 << 10;
+    private static final int DRAIN_CHUNK_BYTES = 32 << 10;
 
     /**
      * Bytes read off at full speed; what is beyond is read at a pace: sending without end must not
      * take the core.
      */
-    private static final int READ_OFF_FAST = 1 << 20;
+    private static final int UNPACED_DRAIN_BYTES = 1 << 20;
 
     /**
      * Between reads beyond it: some 3 MB a second, so that the end behind what a client sent at
      * once is seen soon.
      */
-    private static final Duration READ_OFF_PACE = Duration.ofMillis(10);
+    private static final Duration DRAIN_INTERVAL = Duration.ofMillis(10);
 
     /** Shared by all connections: what is in it is thrown away. */
-    private static final ByteBuffer DROPPED = ByteBuffer.allocateDirect(READ_OFF);
+    private static final ByteBuffer DISCARD_BUFFER = ByteBuffer.allocateDirect(DRAIN_CHUNK_BYTES);
 
     private final StreamConnection socket;
     private final StreamSourceConduit input;
     private final StreamSinkConduit output;
-    private XnioExecutor.Key timer;
-    private boolean ending;
+    private XnioExecutor.Key lingerTimer;
+    private boolean closing;
     private int readOff;
 
     /** When something may be read off again, beyond what goes at full speed. */
-    private long readOffAt = System.nanoTime();
+    private long nextDrainAtNanos = System.nanoTime();
 
     /** Bytes came after a whole request and before its answer: what they ask for is lost. */
-    boolean sentOn;
+    boolean pipelined;
 
     /** Its query is served, so that only a look at the socket shows that the client leaves. */
     boolean watched;
 
     /** Since when it waits for its next request to be there as a whole. */
-    long waitsSince = System.nanoTime();
+    long idleSinceNanos = System.nanoTime();
 
     /** Nothing had been read of it at the last look, though its time was over. */
-    boolean lookedAt;
+    boolean markedForClose;
 
     /** A whole request has come on it. */
-    boolean hasAsked;
+    boolean hasRequested;
 
     /** A whole request is in, and its answer not yet out. */
-    boolean busy;
+    boolean requestInProgress;
 
     ClientConnection(StreamConnection socket) {
         super(socket.getIoThread());
@@ -90,15 +90,15 @@
     }
 
     /** Gives the socket back at once; no bytes are owed on it any more. */
-    void cut() {
-        if (timer != null) {
-            timer.remove();
+    void closeImmediately() {
+        if (lingerTimer != null) {
+            lingerTimer.remove();
         }
         IoUtils.safeClose(socket);
         IoUtils.safeClose(this);
     }
 
-    boolean gone() {
+    boolean isSocketClosed() {
         return !socket.isOpen();
     }
 
@@ -106,7 +106,7 @@
      * Answers in place of the HTTP library, which would wait for the rest of the request, and
      * closes.
      */
-    void turnAway(int status, String reason) {
+    void rejectAndClose(int status, String reason) {
         ByteBuffer answer =
                 ByteBuffer.wrap(
                         ("HTTP/1.1 "
@@ -125,7 +125,7 @@
             // has to tell.
             output.write(answer);
         } catch (IOException e) {
-            cut();
+            closeImmediately();
         }
         IoUtils.safeClose(this);
     }
@@ -141,23 +141,23 @@
 
         @Override
         public long transferTo(long at, long count, FileChannel to) throws IOException {
-            return ending ? 0 : super.transferTo(at, count, to);
+            return closing ? 0 : super.transferTo(at, count, to);
         }
 
         @Override
         public long transferTo(long count, ByteBuffer through, StreamSinkChannel to)
                 throws IOException {
-            return ending ? 0 : super.transferTo(count, through, to);
+            return closing ? 0 : super.transferTo(count, through, to);
         }
 
         @Override
         public int read(ByteBuffer to) throws IOException {
-            return ending ? 0 : super.read(to);
+            return closing ? 0 : super.read(to);
         }
 
         @Override
         public long read(ByteBuffer[] to, int at, int count) throws IOException {
-            return ending ? 0 : super.read(to, at, count);
+            return closing ? 0 : super.read(to, at, count);
         }
 
         @Override
@@ -171,7 +171,7 @@
         }
 
         private void check() throws IOException {
-            if (ending) {
+            if (closing) {
                 throw new ClosedChannelException();
             }
         }
@@ -204,7 +204,7 @@
     /** Lingers once this event is over: until then the HTTP library may still set up. */
     @Override
     protected void closeAction() {
-        ending = true;
+        closing = true;
         getIoThread().execute(this::linger);
     }
 
@@ -215,49 +215,53 @@
                 getSinkChannel()
                         .setWriteListener(
                                 ChannelListeners.flushingChannelListener(
-                                        null, (channel, e) -> cut()));
+                                        null, (channel, e) -> closeImmediately()));
                 output.resumeWrites();
             }
         } catch (IOException e) {
-            cut();
+            closeImmediately();
             return;
         }
-        timer = getIoThread().executeAfter(this::cut, LINGER.toMillis(), TimeUnit.MILLISECONDS);
-        getSourceChannel().setReadListener(channel -> readToTheEnd());
+        lingerTimer =
+                getIoThread()
+                        .executeAfter(
+                                this::closeImmediately, LINGER.toMillis(), TimeUnit.MILLISECONDS);
+        getSourceChannel().setReadListener(channel -> drainUntilClosed());
         input.resumeReads();
-        readToTheEnd();
+        drainUntilClosed();
     }
 
-    private void readToTheEnd() {
+    private void drainUntilClosed() {
         try {
             if (readOff() < 0) {
-                cut();
+                closeImmediately();
             }
         } catch (IOException e) {
-            cut();
+            closeImmediately();
         }
     }
 
     /** Reads what has come and drops it: how much, or -1 at the end. */
     int readOff() throws IOException {
-        if (readOff > READ_OFF_FAST) {
-            long wait = readOffAt - System.nanoTime();
+        if (readOff > UNPACED_DRAIN_BYTES) {
+            long wait = nextDrainAtNanos - System.nanoTime();
             if (wait > 0) {
                 input.suspendReads();
                 getIoThread()
-                        .executeAfter(this::readOn, wait / 1_000_000 + 1, TimeUnit.MILLISECONDS);
+                        .executeAfter(
+                                this::resumeDraining, wait / 1_000_000 + 1, TimeUnit.MILLISECONDS);
                 return 0;
             }
-            readOffAt = System.nanoTime() + READ_OFF_PACE.toNanos();
+            nextDrainAtNanos = System.nanoTime() + DRAIN_INTERVAL.toNanos();
         }
-        int got = input.read(DROPPED.clear());
+        int got = input.read(DISCARD_BUFFER.clear());
         readOff += Math.max(0, got);
-        sentOn |= got > 0;
+        pipelined |= got > 0;
         return got;
     }
 
-    private void readOn() {
-        if (socket.isOpen() && (watched || ending)) {
+    private void resumeDraining() {
+        if (socket.isOpen() && (watched || closing)) {
             input.resumeReads();
         }
     }
@@ -266,7 +270,7 @@
      * Whether the client has closed or reset it, by a look at the socket itself; while a request of
      * it is served.
      */
-    boolean hasLeft() {
+    boolean isDisconnected() {
         try {
             int got = 1;
             while (got > 0) {
--- a/src/main/java/postbeam/clients/PageQueryForm.java
+++ b/src/main/java/postbeam/clients/PageQueryCodec.java
@@ -4,46 +4,49 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
-import postbeam.pages.Order;
-import postbeam.pages.PageAsked;
+import postbeam.json.Json;
 import postbeam.pages.PageError;
-import postbeam.pages.PageGiven;
-import postbeam.pages.RowForm;
-import postbeam.setup.Json;
+import postbeam.pages.PageRequest;
+import postbeam.pages.PageResult;
+import postbeam.pages.RowCodec;
+import postbeam.pages.SortOrder;
 import postbeam.slices.KeyRange;
 
 /**
  * What pages add to the clients' form: order, page and cursor in a query; page and cursor in an
  * answer.
  */
-final class PageQueryForm {
-    private PageQueryForm() {}
+final class PageQueryCodec {
+    private PageQueryCodec() {}
 
     /** An IOException says what can't be used. */
-    static PageAsked read(Map<String, Object> query, int rowsMost) throws IOException {
+    static PageRequest decode(Map<String, Object> query, int rowsMost) throws IOException {
         if (!(query.get("page") instanceof Integer rows) || rows < 1 || rows > rowsMost) {
             throw new IOException(
-                    new PageError.BadRequest("page", "it takes 1 to " + rowsMost + " rows").line());
+                    new PageError.InvalidRequestMember(
+                                    "page", "it takes 1 to " + rowsMost + " rows")
+                            .message());
         }
-        Order order;
+        SortOrder order;
         try {
-            order = RowForm.order(Json.member(query, "order", List.class));
+            order = RowCodec.readOrder(Json.member(query, "order", List.class));
         } catch (IOException e) {
-            throw new IOException(new PageError.BadRequest("order", e.getMessage()).line(), e);
+            throw new IOException(
+                    new PageError.InvalidRequestMember("order", e.getMessage()).message(), e);
         }
         Object cursor = query.get("cursor");
         if (cursor != null && !(cursor instanceof String)) {
-            throw new IOException(new PageError.Altered().line());
+            throw new IOException(new PageError.InvalidCursor().message());
         }
-        return new PageAsked(order, rows, (String) cursor);
+        return new PageRequest(order, rows, (String) cursor);
     }
 
-    static void write(JsonGenerator json, PageGiven given) throws IOException {
+    static void encode(JsonGenerator json, PageResult given) throws IOException {
         json.writeObjectFieldStart("page");
-        RowForm.rows(json, given.page().rows());
-        json.writeBooleanField("short", given.page().isShort());
+        RowCodec.writeRows(json, given.page().rows());
+        json.writeBooleanField("short", given.page().truncated());
         json.writeArrayFieldStart("missing");
-        for (KeyRange keys : given.page().missing()) {
+        for (KeyRange keys : given.page().missingRanges()) {
             json.writeStartObject();
             json.writeNumberField("from", keys.from());
             json.writeNumberField("to", keys.to());
--- a/src/main/java/postbeam/clients/QueryForm.java
+++ b/src/main/java/postbeam/clients/QueryCodec.java
@@ -13,32 +13,32 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import postbeam.pages.PageAsked;
-import postbeam.router.Asked;
-import postbeam.router.Step;
-import postbeam.setup.Json;
+import postbeam.dispatch.ClientRequest;
+import postbeam.dispatch.QueryAction;
+import postbeam.json.Json;
+import postbeam.pages.PageRequest;
 
 /** The query and the answer in the clients' form. */
-final class QueryForm {
-    private static final HttpString ID = new HttpString("Req-Id");
-    private static final HttpString OWNER = new HttpString("Req-Owner");
+final class QueryCodec {
+    private static final HttpString REQUEST_ID = new HttpString("Req-Id");
+    private static final HttpString TENANT = new HttpString("Req-Owner");
     private static final HttpString DEADLINE = new HttpString("Req-Deadline-Ms");
-    private static final HttpString REPEAT = new HttpString("Req-Retry");
+    private static final HttpString RETRY = new HttpString("Req-Retry");
     private static final HttpString LAYOUT = new HttpString("Req-Layout");
 
     /** Characters: an id travels in each frame. */
-    private static final int LONGEST_ID = 64;
+    private static final int MAX_ID_LENGTH = 64;
 
     /** Milliseconds: a day; no client waits so long. */
-    private static final long LONGEST_WAIT = 86_400_000;
+    private static final long MAX_TIMEOUT_MILLIS = 86_400_000;
 
     /** Of a whole: what is lost where portions are written with few digits. */
-    private static final double ROUNDING = 0.005;
+    private static final double WEIGHT_SUM_TOLERANCE = 0.005;
 
-    private QueryForm() {}
+    private QueryCodec() {}
 
     /** An IOException says what can't be used. */
-    static Asked read(
+    static ClientRequest decode(
             HttpServerExchange exchange,
             byte[] body,
             String vertical,
@@ -47,41 +47,41 @@
             Duration usualWait,
             int pageRows)
             throws IOException {
-        String id = header(exchange, ID);
+        String id = header(exchange, REQUEST_ID);
         if (id == null
-                || id.length() > LONGEST_ID
+                || id.length() > MAX_ID_LENGTH
                 || !id.chars().allMatch(c -> c > ' ' && c < 127 && c != '.')) {
             throw new IOException("Req-Id is missing or can't be used");
         }
-        String owner = header(exchange, OWNER);
+        String owner = header(exchange, TENANT);
         if (!owners.isEmpty() && !owners.contains(owner)) {
             throw new IOException("Req-Owner is missing or unknown");
         }
-        Map<String, Object> query = Json.object(body);
-        PageAsked page =
+        Map<String, Object> query = Json.parseObject(body);
+        PageRequest page =
                 pageRows > 0 && query.containsKey("page")
-                        ? PageQueryForm.read(query, pageRows)
+                        ? PageQueryCodec.decode(query, pageRows)
                         : null;
-        List<Asked.AskedPart> parts =
-                page != null && page.cursor() != null ? List.of() : parts(query, shards);
+        List<ClientRequest.RequestedShard> parts =
+                page != null && page.cursor() != null ? List.of() : decodeParts(query, shards);
         byte[] text =
                 Json.member(query, "predicate", String.class).getBytes(StandardCharsets.UTF_8);
-        return new Asked(
+        return new ClientRequest(
                 id,
                 vertical,
                 owner,
-                wait(header(exchange, DEADLINE), usualWait),
+                decodeTimeout(header(exchange, DEADLINE), usualWait),
                 parts,
                 text,
-                layout(header(exchange, LAYOUT)),
-                "1".equals(exchange.getRequestHeaders().getFirst(REPEAT)),
+                decodeLayoutVersion(header(exchange, LAYOUT)),
+                "1".equals(exchange.getRequestHeaders().getFirst(RETRY)),
                 page);
     }
 
-    private static List<Asked.AskedPart> parts(Map<String, Object> query, int shards)
-            throws IOException {
+    private static List<ClientRequest.RequestedShard> decodeParts(
+            Map<String, Object> query, int shards) throws IOException {
         Set<Integer> seen = new HashSet<>();
-        List<Asked.AskedPart> parts = new ArrayList<>();
+        List<ClientRequest.RequestedShard> parts = new ArrayList<>();
         for (Object range : Json.member(query, "ranges", List.class)) {
             if (!(range instanceof Map<?, ?> part)) {
                 throw new IOException("ranges holds something else than objects");
@@ -91,26 +91,26 @@
             if (shard < 0
                     || shard >= shards
                     || !seen.add(shard)
-                    || !(weight > 0 && weight <= 1 + ROUNDING)) {
+                    || !(weight > 0 && weight <= 1 + WEIGHT_SUM_TOLERANCE)) {
                 throw new IOException("range or portion can't be used: " + shard + ", " + weight);
             }
             parts.add(
-                    new Asked.AskedPart(
+                    new ClientRequest.RequestedShard(
                             shard,
                             weight,
                             part.get("price") instanceof Integer micros && micros > 0
                                     ? Duration.ofNanos(micros * 1000L)
                                     : null));
         }
-        double sum = parts.stream().mapToDouble(Asked.AskedPart::weight).sum();
-        if (Math.abs(sum - 1) > ROUNDING) {
+        double sum = parts.stream().mapToDouble(ClientRequest.RequestedShard::weight).sum();
+        if (Math.abs(sum - 1) > WEIGHT_SUM_TOLERANCE) {
             throw new IOException("the portions of ranges add up to " + sum + ", not 1");
         }
         return parts;
     }
 
     /** The version by which slices are named; 0 where none is told. */
-    private static long layout(String header) throws IOException {
+    private static long decodeLayoutVersion(String header) throws IOException {
         try {
             long version = header == null ? 0 : Long.parseLong(header);
             if (version >= 0) {
@@ -122,13 +122,13 @@
         throw new IOException("Req-Layout can't be used");
     }
 
-    private static Duration wait(String header, Duration usual) throws IOException {
+    private static Duration decodeTimeout(String header, Duration usual) throws IOException {
         if (header == null && usual != null) {
             return usual;
         }
         try {
             long millis = Long.parseLong(String.valueOf(header));
-            if (millis > 0 && millis <= LONGEST_WAIT) {
+            if (millis > 0 && millis <= MAX_TIMEOUT_MILLIS) {
                 return Duration.ofMillis(millis);
             }
         } catch (NumberFormatException e) {
@@ -147,40 +147,41 @@
     }
 
     /** Which keys the value is for, and which of the named slices they lie in. */
-    private static void write(JsonGenerator json, Step.Cover cover) throws IOException {
+    private static void encode(JsonGenerator json, QueryAction.KeyCoverage cover)
+            throws IOException {
         json.writeNumberField("from", cover.from());
         json.writeNumberField("to", cover.to());
         json.writeArrayFieldStart("named");
-        for (int slice : cover.named()) {
+        for (int slice : cover.sliceNumbers()) {
             json.writeNumber(slice);
         }
         json.writeEndArray();
     }
 
-    static byte[] write(Step.Answer answer) throws IOException {
+    static byte[] encode(QueryAction.Answer answer) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator json = Json.FACTORY.createGenerator(bytes)) {
             json.writeStartObject();
-            json.writeBooleanField("total", answer.whole());
-            if (answer.layout() > 0) {
-                json.writeNumberField("layout", answer.layout());
+            json.writeBooleanField("total", answer.complete());
+            if (answer.layoutVersion() > 0) {
+                json.writeNumberField("layout", answer.layoutVersion());
             }
             json.writeArrayFieldStart("answers");
-            for (Step.Value value : answer.values()) {
+            for (QueryAction.ShardValue value : answer.values()) {
                 json.writeStartObject();
                 json.writeNumberField("range", value.shard());
-                if (value.cover() != null) {
-                    write(json, value.cover());
+                if (value.coverage() != null) {
+                    encode(json, value.coverage());
                 }
-                if (value.text() != null) {
+                if (value.payload() != null) {
                     json.writeFieldName("blob");
-                    json.writeUTF8String(value.text(), 0, value.text().length);
+                    json.writeUTF8String(value.payload(), 0, value.payload().length);
                 }
                 json.writeEndObject();
             }
             json.writeEndArray();
             if (answer.page() != null) {
-                PageQueryForm.write(json, answer.page());
+                PageQueryCodec.encode(json, answer.page());
             }
             json.writeEndObject();
         }
--- a/src/main/java/postbeam/clients/ClientDoor.java
+++ b/src/main/java/postbeam/clients/QueryServer.java
@@ -38,34 +38,34 @@
 import org.xnio.channels.Channels;
 import org.xnio.channels.StreamSourceChannel;
 import org.xnio.conduits.StreamSourceConduit;
+import postbeam.dispatch.ClientRequest;
 import postbeam.dispatch.PendingQuery;
-import postbeam.errors.ExplainedException;
-import postbeam.router.Asked;
-import postbeam.router.Step;
-import postbeam.slices.Unroutable;
+import postbeam.dispatch.QueryAction;
+import postbeam.errors.OperatorErrorException;
+import postbeam.slices.UnroutableQueryException;
 
 /**
  * Where clients connect: reads queries, gives each a thread, writes answers, and notices clients
  * that leave.
  */
-public final class ClientDoor implements HttpHandler {
-    private static final System.Logger LOG = System.getLogger(ClientDoor.class.getName());
+public final class QueryServer implements HttpHandler {
+    private static final System.Logger LOG = System.getLogger(QueryServer.class.getName());
 
     /** Bytes: the protocol's limit for a body. */
-    private static final long LONGEST_BODY = 64 << 10;
+    private static final long MAX_BODY_BYTES = 64 << 10;
 
     private static final String TOO_LARGE = "the body is over 64 KiB";
 
     /** Bytes: heads here hold a few hundred; what is longer is no query. */
-    private static final int LONGEST_HEAD = 8 << 10;
+    private static final int MAX_HEAD_BYTES = 8 << 10;
 
     /** Bytes in a buffer of the HTTP library: a usual head or answer fits into one. */
-    private static final int BUFFER = 1024;
+    private static final int BUFFER_BYTES = 1024;
 
     /**
      * Buffers kept for the next request; a buffer is held only while bytes of a request are in it.
      */
-    private static final int BUFFERS_KEPT = 64;
+    private static final int POOLED_BUFFERS = 64;
 
     /**
      * How long a connection may be without a whole request, from its opening or its last answer:
@@ -73,24 +73,24 @@
      * connecting. Silent connections, heads that never end and bodies that don't come all end by
      * it; it could hurt a client that sends a query that slowly.
      */
-    private static final Duration WAIT_MOST = Duration.ofMillis(2200);
+    private static final Duration MAX_IDLE = Duration.ofMillis(2200);
 
     /**
      * Between looks for such connections: fine beside what is left of the 3 s, coarse beside a
      * turn.
      */
-    private static final Duration SWEEP = Duration.ofMillis(100);
+    private static final Duration REAP_INTERVAL = Duration.ofMillis(100);
 
     /**
      * Connections kept free, so that a client soon finds room while another one only stands idle.
      */
-    private static final int KEPT_FREE = 8;
+    private static final int RESERVED_CONNECTIONS = 8;
 
     /**
      * How long each is left to ask, however many connect: a client's first bytes follow its
      * connecting.
      */
-    private static final Duration LEFT_TO_ASK = Duration.ofMillis(200);
+    private static final Duration MIN_IDLE = Duration.ofMillis(200);
 
     /** Connections that the machine holds until they are accepted. */
     private static final int BACKLOG = 1000;
@@ -99,106 +99,107 @@
      * When a client may ask again that is ahead of the layout known here: watches tell it sooner,
      * mostly.
      */
-    private static final Duration LAYOUT_COMES = Duration.ofMillis(200);
+    private static final Duration LAYOUT_RETRY_AFTER = Duration.ofMillis(200);
 
     /** How long a query's thread is kept for the next. */
-    private static final Duration THREAD_KEPT = Duration.ofSeconds(30);
+    private static final Duration THREAD_KEEP_ALIVE = Duration.ofSeconds(30);
 
     /** What stands behind the door. */
-    public interface Queries {
+    public interface QueryHandler {
         /** Takes a query so long after its first byte; null where one of its id is open. */
-        PendingQuery take(Asked asked, Duration age) throws Unroutable;
+        PendingQuery submit(ClientRequest clientRequest, Duration age)
+                throws UnroutableQueryException;
 
-        boolean ready();
+        boolean isReady();
     }
 
     /**
      * Answers a request that is no query, on a thread of the door's own; what can't be answered is
      * told in a line.
      */
-    public interface Form {
-        byte[] answer(byte[] body) throws IOException, ExplainedException;
+    public interface RequestHandler {
+        byte[] handle(byte[] body) throws IOException, OperatorErrorException;
     }
 
-    private final Queries queries;
+    private final QueryHandler queries;
 
     /** By path; empty where our own settings switch nothing on. */
-    private Map<String, Form> forms = Map.of();
+    private Map<String, RequestHandler> handlersByPath = Map.of();
 
-    private final Map<String, Duration> usualWaits;
-    private final Set<String> owners;
-    private final int shards;
-    private final int connectionsMost;
+    private final Map<String, Duration> defaultTimeouts;
+    private final Set<String> tenants;
+    private final int shardCount;
+    private final int maxConnections;
     private final XnioWorker worker;
-    private final XnioIoThread io;
-    private final InetSocketAddress listen;
-    private final HttpOpenListener http;
+    private final XnioIoThread ioThread;
+    private final InetSocketAddress listenAddress;
+    private final HttpOpenListener httpListener;
 
     /** The most rows of a page; 0 where no pages are given. */
-    private int pageRows;
+    private int maxPageRows;
 
     private AcceptingChannel<StreamConnection> server;
-    private final ExecutorService threads;
+    private final ExecutorService queryThreads;
 
     /** On the I/O thread alone: all that are open, those that have waited longest first. */
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
-    private volatile boolean leaving;
-    private volatile long leaveAt;
+    private volatile boolean draining;
+    private volatile long drainDeadlineNanos;
     private volatile boolean closing;
 
     /** On the I/O thread alone: no connection is left that is between requests. */
-    private boolean closed;
+    private boolean idleConnectionsClosed;
 
     /** The usual wait of a vertical is null where the settings state none. */
-    public ClientDoor(
+    public QueryServer(
             XnioWorker worker,
             InetSocketAddress listen,
-            Queries queries,
+            QueryHandler queries,
             Map<String, Duration> usualWaits,
             Set<String> owners,
             int shards,
             int connectionsMost) {
         this.queries = queries;
         this.worker = worker;
-        this.io = worker.getIoThread();
-        this.listen = listen;
-        this.usualWaits = usualWaits;
-        this.owners = owners;
-        this.shards = shards;
-        this.connectionsMost = connectionsMost;
+        this.ioThread = worker.getIoThread();
+        this.listenAddress = listen;
+        this.defaultTimeouts = usualWaits;
+        this.tenants = owners;
+        this.shardCount = shards;
+        this.maxConnections = connectionsMost;
         // One for each connection, and as many again that are just ending: no query ever waits for
         // a thread.
-        this.threads =
+        this.queryThreads =
                 new ThreadPoolExecutor(
                         0,
                         2 * connectionsMost,
-                        THREAD_KEPT.toMillis(),
+                        THREAD_KEEP_ALIVE.toMillis(),
                         TimeUnit.MILLISECONDS,
                         new SynchronousQueue<>(),
                         run -> new Thread(run, "query"));
-        this.http =
+        this.httpListener =
                 new HttpOpenListener(
-                        new DefaultByteBufferPool(false, BUFFER, BUFFERS_KEPT, 0),
+                        new DefaultByteBufferPool(false, BUFFER_BYTES, POOLED_BUFFERS, 0),
                         OptionMap.builder()
                                 .set(UndertowOptions.BUFFER_PIPELINED_DATA, true)
                                 .set(UndertowOptions.MAX_ENTITY_SIZE, -1L)
-                                .set(UndertowOptions.MAX_HEADER_SIZE, LONGEST_HEAD)
+                                .set(UndertowOptions.MAX_HEADER_SIZE, MAX_HEAD_BYTES)
                                 .set(UndertowOptions.ALWAYS_SET_DATE, false)
                                 .getMap());
-        http.setRootHandler(this);
+        httpListener.setRootHandler(this);
     }
 
     /** Lets clients ask for pages of so many rows at most; to be called before it starts. */
-    public void pages(int rowsMost) {
-        pageRows = rowsMost;
+    public void enablePages(int rowsMost) {
+        maxPageRows = rowsMost;
     }
 
     /** Adds a form; to be called before it starts. */
-    public void form(String path, Form form) {
-        Map<String, Form> more = new LinkedHashMap<>(forms);
+    public void addHandler(String path, RequestHandler form) {
+        Map<String, RequestHandler> more = new LinkedHashMap<>(handlersByPath);
         more.put(path, form);
-        forms = more;
+        handlersByPath = more;
     }
 
     /** Starts to listen; an IOException tells why it can't. */
@@ -206,17 +207,18 @@
         ChannelListener<AcceptingChannel<StreamConnection>> accept = this::accept;
         server =
                 worker.createStreamConnectionServer(
-                        listen,
+                        listenAddress,
                         accept,
                         OptionMap.builder()
                                 .set(Options.TCP_NODELAY, true)
                                 .set(Options.REUSE_ADDRESSES, true)
                                 .set(Options.BACKLOG, BACKLOG)
-                                .set(Options.CONNECTION_HIGH_WATER, connectionsMost)
-                                .set(Options.CONNECTION_LOW_WATER, connectionsMost)
+                                .set(Options.CONNECTION_HIGH_WATER, maxConnections)
+                                .set(Options.CONNECTION_LOW_WATER, maxConnections)
                                 .getMap());
         server.resumeAccepts();
-        io.executeAfter(this::sweep, SWEEP.toMillis(), TimeUnit.MILLISECONDS);
+        ioThread.executeAfter(
+                this::reapIdleConnections, REAP_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     /** HOST:PORT that it listens on. */
@@ -232,7 +234,7 @@
         try {
             StreamConnection socket = from.accept();
             if (socket != null) {
-                accepted(socket);
+                register(socket);
                 return true;
             }
         } catch (IOException e) {
@@ -244,7 +246,7 @@
         return false;
     }
 
-    private void accepted(StreamConnection socket) {
+    private void register(StreamConnection socket) {
         ClientConnection connection = new ClientConnection(socket);
         connections.add(connection);
         socket.setCloseListener(
@@ -252,7 +254,7 @@
                     connections.remove(connection);
                     IoUtils.safeClose(connection);
                 });
-        http.handleEvent(connection);
+        httpListener.handleEvent(connection);
     }
 
     /**
@@ -260,14 +262,14 @@
      * within the program: before the first client comes, and with no socket. Each request is made
      * for an id of its own.
      */
-    public void rehearse(Function<String, byte[]> request, int times, Duration most)
+    public void warmUp(Function<String, byte[]> request, int times, Duration most)
             throws IOException {
         ChannelPipe<StreamConnection, StreamConnection> pipe =
                 worker.createFullDuplexPipeConnection();
         long end = System.nanoTime() + most.toNanos();
         try (StreamConnection client = pipe.getRightSide()) {
-            io.execute(() -> accepted(pipe.getLeftSide()));
-            ByteBuffer answer = ByteBuffer.allocate(LONGEST_HEAD);
+            ioThread.execute(() -> register(pipe.getLeftSide()));
+            ByteBuffer answer = ByteBuffer.allocate(MAX_HEAD_BYTES);
             for (int i = 0; i < times && System.nanoTime() < end; i++) {
                 Channels.writeBlocking(
                         client.getSinkChannel(), ByteBuffer.wrap(request.apply("rehearsal" + i)));
@@ -287,12 +289,16 @@
      * first. Where all are busy, further clients wait to be accepted. It could hurt a client that
      * is slow to ask while hundreds connect.
      */
-    private void sweep() {
-        io.executeAfter(this::sweep, SWEEP.toMillis(), TimeUnit.MILLISECONDS);
-        cut(connections.size(), WAIT_MOST, connection -> true);
-        if (connections.size() + KEPT_FREE > connectionsMost) {
-            cut(connections.size(), LEFT_TO_ASK, connection -> !connection.hasAsked);
-            cut(connections.size() + KEPT_FREE - connectionsMost, LEFT_TO_ASK, connection -> true);
+    private void reapIdleConnections() {
+        ioThread.executeAfter(
+                this::reapIdleConnections, REAP_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
+        closeIdle(connections.size(), MAX_IDLE, connection -> true);
+        if (connections.size() + RESERVED_CONNECTIONS > maxConnections) {
+            closeIdle(connections.size(), MIN_IDLE, connection -> !connection.hasRequested);
+            closeIdle(
+                    connections.size() + RESERVED_CONNECTIONS - maxConnections,
+                    MIN_IDLE,
+                    connection -> true);
         }
     }
 
@@ -301,22 +307,22 @@
      * a request that has come but could not be read yet, because the router itself is late, is read
      * between the two looks.
      */
-    private void cut(int most, Duration waited, Predicate<ClientConnection> which) {
+    private void closeIdle(int most, Duration waited, Predicate<ClientConnection> which) {
         long since = System.nanoTime() - waited.toNanos();
         List<ClientConnection> due =
                 connections.stream()
                         .filter(
                                 connection ->
-                                        !connection.busy
-                                                && connection.waitsSince - since < 0
+                                        !connection.requestInProgress
+                                                && connection.idleSinceNanos - since < 0
                                                 && which.test(connection))
                         .limit(Math.max(0, most))
                         .toList();
         for (ClientConnection connection : due) {
-            if (connection.lookedAt) {
-                connection.cut();
+            if (connection.markedForClose) {
+                connection.closeImmediately();
             }
-            connection.lookedAt = true;
+            connection.markedForClose = true;
         }
     }
 
@@ -330,31 +336,31 @@
     public void handleRequest(HttpServerExchange exchange) {
         long begun = System.nanoTime();
         ClientConnection connection = connection(exchange);
-        connection.lookedAt = false;
-        if (connection.hasAsked) {
-            connection.waitsSince = begun;
+        connection.markedForClose = false;
+        if (connection.hasRequested) {
+            connection.idleSinceNanos = begun;
         }
         if (closing) {
             exchange.setPersistent(false);
         }
         String path = exchange.getRequestPath();
-        if (!lengthFits(exchange)) {
-            say(exchange, 413, TOO_LARGE);
+        if (!bodyFits(exchange)) {
+            respondWithText(exchange, 413, TOO_LARGE);
             return;
         }
         if (path.equals("/healthz")) {
-            boolean ready = queries.ready() && !leaving;
+            boolean ready = queries.isReady() && !draining;
             if (!ready) {
                 // It is asked again and again, each time on a new connection: none is kept beside
                 // the clients'.
                 exchange.setPersistent(false);
             }
-            say(exchange, ready ? 200 : 503, ready ? "ready" : "not ready");
+            respondWithText(exchange, ready ? 200 : 503, ready ? "ready" : "not ready");
             return;
         }
-        Form form = forms.get(path);
+        RequestHandler form = handlersByPath.get(path);
         if (form != null) {
-            read(
+            readBody(
                     exchange,
                     exchange.getRequestChannel(),
                     new ByteArrayOutputStream(),
@@ -363,13 +369,13 @@
         }
         int end = path.indexOf('/', 1);
         String vertical = path.isEmpty() ? "" : path.substring(1, end < 0 ? path.length() : end);
-        if (!usualWaits.containsKey(vertical)) {
-            say(exchange, 404, "no such vertical");
+        if (!defaultTimeouts.containsKey(vertical)) {
+            respondWithText(exchange, 404, "no such vertical");
         } else if (!exchange.getRequestMethod().equals(Methods.POST)) {
             exchange.getResponseHeaders().put(Headers.ALLOW, "POST");
-            say(exchange, 405, "queries are POSTed");
+            respondWithText(exchange, 405, "queries are POSTed");
         } else {
-            read(
+            readBody(
                     exchange,
                     exchange.getRequestChannel(),
                     new ByteArrayOutputStream(),
@@ -381,19 +387,19 @@
      * Reads on as long as the body fits; the library's own limit would print a trace for each that
      * does not.
      */
-    private static void read(
+    private static void readBody(
             HttpServerExchange exchange,
             StreamSourceChannel from,
             ByteArrayOutputStream body,
             Consumer<byte[]> whole) {
-        ByteBuffer some = ByteBuffer.allocate(BUFFER);
+        ByteBuffer some = ByteBuffer.allocate(BUFFER_BYTES);
         try {
             int got;
-            while ((got = from.read(some.clear())) > 0 && body.size() <= LONGEST_BODY) {
+            while ((got = from.read(some.clear())) > 0 && body.size() <= MAX_BODY_BYTES) {
                 body.write(some.array(), 0, got);
             }
-            if (body.size() > LONGEST_BODY) {
-                connection(exchange).turnAway(413, TOO_LARGE);
+            if (body.size() > MAX_BODY_BYTES) {
+                connection(exchange).rejectAndClose(413, TOO_LARGE);
             } else if (got < 0) {
                 whole.accept(body.toByteArray());
             } else {
@@ -401,25 +407,25 @@
                         .set(
                                 channel -> {
                                     channel.suspendReads();
-                                    read(exchange, channel, body, whole);
+                                    readBody(exchange, channel, body, whole);
                                 });
                 from.resumeReads();
             }
         } catch (IOException e) {
-            connection(exchange).turnAway(400, "the body can't be read");
+            connection(exchange).rejectAndClose(400, "the body can't be read");
         }
     }
 
-    private void answer(HttpServerExchange exchange, Form form, byte[] body) {
-        begin(exchange);
+    private void answer(HttpServerExchange exchange, RequestHandler form, byte[] body) {
+        beginRequest(exchange);
         exchange.dispatch(
-                threads,
+                queryThreads,
                 () -> {
                     byte[] answer = null;
                     String wrong = "";
                     try {
-                        answer = form.answer(body);
-                    } catch (IOException | ExplainedException e) {
+                        answer = form.handle(body);
+                    } catch (IOException | OperatorErrorException e) {
                         wrong = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
                     }
                     byte[] bytes = answer;
@@ -428,7 +434,7 @@
                             exchange.getIoThread(),
                             () -> {
                                 if (bytes == null) {
-                                    say(exchange, 400, why);
+                                    respondWithText(exchange, 400, why);
                                 } else {
                                     exchange.getResponseHeaders()
                                             .put(Headers.CONTENT_TYPE, "application/json");
@@ -438,9 +444,9 @@
                 });
     }
 
-    private static boolean lengthFits(HttpServerExchange exchange) {
+    private static boolean bodyFits(HttpServerExchange exchange) {
         try {
-            return exchange.getRequestContentLength() <= LONGEST_BODY;
+            return exchange.getRequestContentLength() <= MAX_BODY_BYTES;
         } catch (NumberFormatException e) {
             // Only digits get so far: more of them than any number here has.
             return false;
@@ -448,14 +454,14 @@
     }
 
     /** Counts the request as open until its answer is written. */
-    private void begin(HttpServerExchange exchange) {
+    private void beginRequest(HttpServerExchange exchange) {
         ClientConnection connection = connection(exchange);
-        connection.busy = true;
-        connection.hasAsked = true;
+        connection.requestInProgress = true;
+        connection.hasRequested = true;
         exchange.addExchangeCompleteListener(
                 (done, next) -> {
-                    connection.busy = false;
-                    connection.waitsSince = System.nanoTime();
+                    connection.requestInProgress = false;
+                    connection.idleSinceNanos = System.nanoTime();
                     if (connections.remove(connection)) {
                         connections.add(connection);
                     }
@@ -470,85 +476,89 @@
 
     /** The last byte has been read: the decisions see the query now, on this thread. */
     private void take(HttpServerExchange exchange, byte[] body, String vertical, long begun) {
-        Asked asked;
+        ClientRequest clientRequest;
         try {
-            asked =
-                    QueryForm.read(
+            clientRequest =
+                    QueryCodec.decode(
                             exchange,
                             body,
                             vertical,
-                            owners,
-                            shards,
-                            usualWaits.get(vertical),
-                            pageRows);
+                            tenants,
+                            shardCount,
+                            defaultTimeouts.get(vertical),
+                            maxPageRows);
         } catch (IOException e) {
-            say(exchange, 400, e.getMessage().lines().findFirst().orElse(""));
+            respondWithText(exchange, 400, e.getMessage().lines().findFirst().orElse(""));
             return;
         }
         ClientConnection connection = connection(exchange);
-        if (connection.hasLeft()) {
+        if (connection.isDisconnected()) {
             // It asked and went before the router, being late, came to it: nothing of it is to
             // begin.
-            connection.cut();
+            connection.closeImmediately();
             exchange.endExchange();
             return;
         }
-        if (leaving) {
+        if (draining) {
             // What is still open when the program is ended would be lost.
-            asked = asked.within(Duration.ofNanos(Math.max(0, leaveAt - begun)));
+            clientRequest =
+                    clientRequest.withTimeoutAtMost(
+                            Duration.ofNanos(Math.max(0, drainDeadlineNanos - begun)));
         }
         PendingQuery q;
         try {
-            q = queries.take(asked, Duration.ofNanos(System.nanoTime() - begun));
-        } catch (Unroutable e) {
-            unroutable(exchange, e);
+            q = queries.submit(clientRequest, Duration.ofNanos(System.nanoTime() - begun));
+        } catch (UnroutableQueryException e) {
+            respondUnroutable(exchange, e);
             return;
         }
         if (q == null) {
-            say(exchange, 400, "a query of this Req-Id is open");
+            respondWithText(exchange, 400, "a query of this Req-Id is open");
             return;
         }
-        begin(exchange);
-        q.clientCheck(
+        beginRequest(exchange);
+        q.setClientCheck(
                 () -> {
-                    if (connection.hasLeft()) {
-                        connection.cut();
-                        q.clientLeft();
+                    if (connection.isDisconnected()) {
+                        connection.closeImmediately();
+                        q.clientDisconnected();
                     }
                 });
         // Once this event is over: until then Undertow sets up and stops reading by itself. And
         // before the query's end
         // can be, whose turn comes by the same queue.
-        io.execute(() -> watch(exchange, q));
-        exchange.dispatch(threads, () -> serve(exchange, q));
+        ioThread.execute(() -> watchForDisconnect(exchange, q));
+        exchange.dispatch(queryThreads, () -> serve(exchange, q));
     }
 
     /**
      * Nothing of it has run: the client may ask again, by the layout that is told, or after a wait.
      */
-    private static void unroutable(HttpServerExchange exchange, Unroutable e) {
-        if (e.reason == Unroutable.Reason.NOT_KNOWN_YET) {
+    private static void respondUnroutable(HttpServerExchange exchange, UnroutableQueryException e) {
+        if (e.reason == UnroutableQueryException.Reason.LAYOUT_UNKNOWN) {
             exchange.getResponseHeaders()
-                    .put(Headers.RETRY_AFTER, String.valueOf(LAYOUT_COMES.toMillis() / 1000.0));
+                    .put(
+                            Headers.RETRY_AFTER,
+                            String.valueOf(LAYOUT_RETRY_AFTER.toMillis() / 1000.0));
         }
-        say(
+        respondWithText(
                 exchange,
                 switch (e.reason) {
-                    case NO_LONGER_KEPT -> 410;
-                    case NOT_KNOWN_YET -> 503;
-                    case NO_SUCH_SLICE -> 400;
+                    case LAYOUT_EXPIRED -> 410;
+                    case LAYOUT_UNKNOWN -> 503;
+                    case UNKNOWN_SLICE -> 400;
                 },
                 e.getMessage());
     }
 
     /** Notices that the client closes its connection while its query is served. */
-    private void watch(HttpServerExchange exchange, PendingQuery q) {
+    private void watchForDisconnect(HttpServerExchange exchange, PendingQuery q) {
         HttpServerConnection connection = (HttpServerConnection) exchange.getConnection();
         if (exchange.isComplete()) {
             return;
         }
         if (!connection.isOpen()) {
-            q.clientLeft();
+            q.clientDisconnected();
             return;
         }
         // The socket itself: the channel over it ends with the request's body, and then tells no
@@ -561,72 +571,72 @@
                 .getSourceChannel()
                 .setReadListener(
                         channel -> {
-                            if (client.hasLeft()) {
+                            if (client.isDisconnected()) {
                                 socket.suspendReads();
-                                client.cut();
-                                q.clientLeft();
+                                client.closeImmediately();
+                                q.clientDisconnected();
                             }
                         });
         socket.resumeReads();
     }
 
     private void serve(HttpServerExchange exchange, PendingQuery q) {
-        Step last;
+        QueryAction last;
         try {
             last = q.serve();
         } catch (InterruptedException | RuntimeException | Error e) {
             LOG.log(System.Logger.Level.ERROR, "serving a query failed", e);
-            q.clientLeft();
-            last = new Step.Abort();
+            q.clientDisconnected();
+            last = new QueryAction.Abort();
         }
-        Step end = last;
-        exchange.dispatch(exchange.getIoThread(), () -> end(exchange, end));
+        QueryAction end = last;
+        exchange.dispatch(exchange.getIoThread(), () -> respond(exchange, end));
     }
 
-    private void end(HttpServerExchange exchange, Step last) {
+    private void respond(HttpServerExchange exchange, QueryAction last) {
         HttpServerConnection connection = (HttpServerConnection) exchange.getConnection();
         connection.getOriginalSourceConduit().suspendReads();
         connection(exchange).watched = false;
-        if (last instanceof Step.Over || !connection.isOpen()) {
-            connection(exchange).cut();
+        if (last instanceof QueryAction.ClientGone || !connection.isOpen()) {
+            connection(exchange).closeImmediately();
             exchange.endExchange();
             return;
         }
         // What is sent on before the answer can't be kept in order: the query that was taken is
         // answered, and the
         // connection closed after it.
-        if (closing || connection(exchange).sentOn) {
+        if (closing || connection(exchange).pipelined) {
             exchange.setPersistent(false);
         }
-        if (last instanceof Step.Answer answer) {
+        if (last instanceof QueryAction.Answer answer) {
             try {
                 exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-                exchange.getResponseSender().send(ByteBuffer.wrap(QueryForm.write(answer)));
+                exchange.getResponseSender().send(ByteBuffer.wrap(QueryCodec.encode(answer)));
             } catch (IOException e) {
                 LOG.log(System.Logger.Level.ERROR, "an answer can't be encoded", e);
-                say(exchange, 500, "the answer can't be encoded");
+                respondWithText(exchange, 500, "the answer can't be encoded");
             }
-        } else if (last instanceof Step.Reject reject) {
-            if (!reject.comeBack().isZero()) {
+        } else if (last instanceof QueryAction.Reject reject) {
+            if (!reject.retryAfter().isZero()) {
                 exchange.getResponseHeaders()
                         .put(
                                 Headers.RETRY_AFTER,
-                                String.valueOf(reject.comeBack().toMillis() / 1000.0));
+                                String.valueOf(reject.retryAfter().toMillis() / 1000.0));
             }
-            say(exchange, 503, "rejected; asking again is harmless");
-        } else if (last instanceof Step.Refused refused) {
-            LOG.log(System.Logger.Level.WARNING, refused.why().line());
-            say(exchange, 503, refused.why().line());
+            respondWithText(exchange, 503, "rejected; asking again is harmless");
+        } else if (last instanceof QueryAction.RejectWithReason refused) {
+            LOG.log(System.Logger.Level.WARNING, refused.reason().message());
+            respondWithText(exchange, 503, refused.reason().message());
         } else {
-            say(exchange, 504, "aborted");
+            respondWithText(exchange, 504, "aborted");
         }
     }
 
-    private static void say(HttpServerExchange exchange, int status, String text) {
+    private static void respondWithText(HttpServerExchange exchange, int status, String text) {
         if (!exchange.isRequestComplete()
-                && !(lengthFits(exchange) && exchange.getRequestContentLength() >= 0)) {
+                && !(bodyFits(exchange) && exchange.getRequestContentLength() >= 0)) {
             // The library would read the rest first, however much it is.
-            connection(exchange).turnAway(status, text);
+            connection(exchange).rejectAndClose(status, text);
             return;
         }
         exchange.setStatusCode(status);
@@ -637,13 +647,13 @@
     // ---- the way out
 
     /** From now on no query is to be open longer than until so long from now. */
-    public void leave(Duration end) {
-        leaveAt = System.nanoTime() + end.toNanos();
-        leaving = true;
+    public void beginDraining(Duration end) {
+        drainDeadlineNanos = System.nanoTime() + end.toNanos();
+        draining = true;
     }
 
     /** Whether no client is connected; to be asked on the I/O thread. */
-    public boolean unused() {
+    public boolean hasNoConnections() {
         return connections.isEmpty();
     }
 
@@ -651,8 +661,9 @@
      * Whether it is closed and all requests are answered to their last byte; to be asked on the I/O
      * thread.
      */
-    public boolean idle() {
-        return closed && connections.stream().noneMatch(connection -> connection.busy);
+    public boolean isDrained() {
+        return idleConnectionsClosed
+                && connections.stream().noneMatch(connection -> connection.requestInProgress);
     }
 
     /**
@@ -661,7 +672,7 @@
      */
     public void close() {
         closing = true;
-        io.execute(this::closeUnused);
+        ioThread.execute(this::closeIdleConnections);
     }
 
     /**
@@ -676,36 +687,38 @@
     }
 
     /**
-     * Each is looked at twice, as in {@link #cut}: clients send on every connection that stays
-     * open, and what has come while the router is late is no crossing of its closing, but a request
-     * that would get no answer.
+     * Each is looked at twice, as in {@link #closeIdle}: clients send on every connection that
+     * stays open, and what has come while the router is late is no crossing of its closing, but a
+     * request that would get no answer.
      */
-    private void closeUnused() {
+    private void closeIdleConnections() {
         closeListener();
         boolean again = false;
         for (ClientConnection connection : List.copyOf(connections)) {
-            if (!connection.busy && connection.lookedAt) {
+            if (!connection.requestInProgress && connection.markedForClose) {
                 IoUtils.safeClose(connection);
-            } else if (!connection.busy) {
-                connection.lookedAt = true;
+            } else if (!connection.requestInProgress) {
+                connection.markedForClose = true;
                 again = true;
             }
         }
-        closed = !again;
+        idleConnectionsClosed = !again;
         if (again) {
             // In two steps: where the thread is so late that the first is due at once, it has read
             // by the second.
-            io.executeAfter(
+            ioThread.executeAfter(
                     () ->
-                            io.executeAfter(
-                                    this::closeUnused, SWEEP.toMillis() / 2, TimeUnit.MILLISECONDS),
-                    SWEEP.toMillis() / 2,
+                            ioThread.executeAfter(
+                                    this::closeIdleConnections,
+                                    REAP_INTERVAL.toMillis() / 2,
+                                    TimeUnit.MILLISECONDS),
+                    REAP_INTERVAL.toMillis() / 2,
                     TimeUnit.MILLISECONDS);
         }
     }
 
     /** Gives the threads back, once all is answered. */
     public void stop() {
-        threads.shutdown();
+        queryThreads.shutdown();
     }
 }
--- a/src/main/java/postbeam/router/Beside.java
+++ b/src/main/java/postbeam/clients/RouterExtension.java
@@ -1,13 +1,11 @@
-package postbeam.router;
-
-import postbeam.clients.ClientDoor;
+package postbeam.clients;
 
 /**
  * What runs beside a router where our own settings switch it on: it adds forms to the door before
  * it opens.
  */
-public interface Beside {
-    void forms(ClientDoor door);
+public interface RouterExtension {
+    void registerHandlers(QueryServer door);
 
     void start();
 
--- a/src/main/java/postbeam/setup/Info.java
+++ b/src/main/java/postbeam/config/InstanceSettings.java
@@ -1,4 +1,4 @@
-package postbeam.setup;
+package postbeam.config;
 
 import java.time.Duration;
 import java.util.LinkedHashMap;
@@ -10,9 +10,9 @@
 import java.util.stream.Collectors;
 
 /** What an instance is told at its start, as path=value pairs; what is absent is null. */
-public final class Info {
+public final class InstanceSettings {
     /** Nanoseconds: the unit of spans here is the microsecond, of {@link Duration} this. */
-    private static final int NANOS_A_MICRO = 1000;
+    private static final int NANOS_PER_MICRO = 1000;
 
     private final Map<String, String> values = new LinkedHashMap<>();
 
@@ -20,18 +20,18 @@
     private final String prefix;
 
     /** Empty; to be filled pair by pair. */
-    public Info() {
+    public InstanceSettings() {
         this.prefix = "";
     }
 
-    private Info(Info other) {
+    private InstanceSettings(InstanceSettings other) {
         this.prefix = other.prefix;
         values.putAll(other.values);
     }
 
     /** The same with one value told otherwise. */
-    public Info with(String path, String value) {
-        Info other = new Info(this);
+    public InstanceSettings withValue(String path, String value) {
+        InstanceSettings other = new InstanceSettings(this);
         other.values.put(path, value);
         return other;
     }
@@ -40,12 +40,12 @@
      * From an object of JSON, whose nested names become paths; messages name its paths with the
      * prefix.
      */
-    public Info(Map<String, Object> object, String prefix) {
+    public InstanceSettings(Map<String, Object> object, String prefix) {
         this.prefix = prefix;
         object.forEach(this::flatten);
     }
 
-    public void put(String pair) {
+    public void putPair(String pair) {
         int eq = pair.indexOf('=');
         if (eq < 0) {
             throw new IllegalArgumentException("no = in " + pair);
@@ -69,7 +69,7 @@
     }
 
     /** The paths that stand otherwise in the other, in order, as messages name them. */
-    public List<String> changed(Info other) {
+    public List<String> changedPaths(InstanceSettings other) {
         Set<String> paths = new TreeSet<>(values.keySet());
         paths.addAll(other.values.keySet());
         return paths.stream()
@@ -84,33 +84,33 @@
     }
 
     /** The value, which must be there. */
-    public String needed(String path) {
+    public String required(String path) {
         String value = text(path);
         if (value == null) {
-            throw bad(path, "is missing");
+            throw invalid(path, "is missing");
         }
         return value;
     }
 
     public Double number(String path) {
         String value = text(path);
-        return value == null ? null : parsed(path, value);
+        return value == null ? null : parseNumber(path, value);
     }
 
-    public Integer whole(String path) {
+    public Integer integer(String path) {
         Double value = number(path);
         if (value != null && Math.abs(value) > Integer.MAX_VALUE) {
-            throw bad(path, "is too large: " + text(path));
+            throw invalid(path, "is too large: " + text(path));
         }
         return value == null ? null : (int) Math.round(value);
     }
 
     /** A whole number that must be there, and at least so large. */
-    public int atLeast(String path, int least) {
-        needed(path);
-        int value = whole(path);
+    public int integerAtLeast(String path, int least) {
+        required(path);
+        int value = integer(path);
         if (value < least) {
-            throw bad(path, "must be " + least + " or more, not " + text(path));
+            throw invalid(path, "must be " + least + " or more, not " + text(path));
         }
         return value;
     }
@@ -122,58 +122,58 @@
             return null;
         }
         if (!Set.of("true", "1", "false", "0").contains(value)) {
-            throw bad(path, "must be true or false, not " + value);
+            throw invalid(path, "must be true or false, not " + value);
         }
         return value.equals("true") || value.equals("1");
     }
 
-    public Duration span(String path) {
+    public Duration duration(String path) {
         Double value = number(path);
-        if (value != null && Math.abs(value) >= (double) Long.MAX_VALUE / NANOS_A_MICRO) {
-            throw bad(path, "is beyond any time: " + text(path));
+        if (value != null && Math.abs(value) >= (double) Long.MAX_VALUE / NANOS_PER_MICRO) {
+            throw invalid(path, "is beyond any time: " + text(path));
         }
-        return value == null ? null : Duration.ofNanos(Math.round(value * NANOS_A_MICRO));
+        return value == null ? null : Duration.ofNanos(Math.round(value * NANOS_PER_MICRO));
     }
 
     /** One entry of a list of plain values. */
-    public Double listed(String path, int i) {
+    public Double listEntry(String path, int i) {
         String value = text(path);
         List<String> list = value == null ? List.of() : List.of(value.split(","));
-        return i < list.size() ? parsed(path, list.get(i)) : null;
+        return i < list.size() ? parseNumber(path, list.get(i)) : null;
     }
 
     /** Whether something stands under the path, or it has a value itself. */
-    public boolean told(String path) {
+    public boolean isPresent(String path) {
         return text(path) != null
                 || values.keySet().stream().anyMatch(one -> one.startsWith(path + "."));
     }
 
     /** How many entries a list of plain values has; 0 where it is absent or empty. */
-    public int entries(String path) {
+    public int listSize(String path) {
         String value = text(path);
         return value == null ? 0 : value.split(",", -1).length;
     }
 
-    public int count(String path) {
-        Integer value = whole(path + ".count");
+    public int objectCount(String path) {
+        Integer value = integer(path + ".count");
         return value == null ? 0 : value;
     }
 
     /** What to throw where a value can't be used. */
-    public IllegalArgumentException bad(String path, String what) {
+    public IllegalArgumentException invalid(String path, String what) {
         return new IllegalArgumentException(prefix + path + " " + what);
     }
 
-    private Double parsed(String path, String value) {
+    private Double parseNumber(String path, String value) {
         double number;
         try {
             number = Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw bad(path, "is not a number: " + value);
+            throw invalid(path, "is not a number: " + value);
         }
         // Neither of these compares as a bound expects, and a span of NaN would be 0.
         if (!Double.isFinite(number)) {
-            throw bad(path, "is not a finite number: " + value);
+            throw invalid(path, "is not a finite number: " + value);
         }
         return number;
     }
--- a/src/main/java/postbeam/setup/Startup.java
+++ b/src/main/java/postbeam/config/RouterConfig.java
@@ -1,18 +1,19 @@
-package postbeam.setup;
+package postbeam.config;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import postbeam.json.Json;
 
 /**
  * Reads and checks what a router is told at its start, in a file of JSON; messages name the faulty
  * key.
  */
-public final class Startup {
+public final class RouterConfig {
     /** What stands in a variable of the environment too, for a file that lacks it. */
-    private static final Map<String, String> FROM_ENVIRONMENT =
+    private static final Map<String, String> ENVIRONMENT_VARIABLES =
             Map.of(
                     "name",
                     "BALANCER_NAME",
@@ -25,27 +26,27 @@
      * Descriptors and MB where no limits are told: what the deploy page names for scored days,
      * which tell theirs.
      */
-    private static final Map<String, Integer> USUAL_LIMITS =
+    private static final Map<String, Integer> DEFAULT_LIMITS =
             Map.of("sockets", 1024, "memory_mb", 192);
 
     /** MB: 16 TB, beyond any machine; what is worked out of it stays a whole number. */
-    private static final int MOST_MB = 1 << 24;
+    private static final int MAX_MEMORY_MB = 1 << 24;
 
-    private final Map<String, Object> told;
+    private final Map<String, Object> document;
 
     /** All of it but the list, by path; and the settings, as the simulator's wire names them. */
-    public final Info info;
+    public final InstanceSettings instance;
 
-    public final Info settings;
+    public final InstanceSettings settings;
 
-    private Startup(Map<String, Object> told, Map<String, Object> settings) {
-        this.told = told;
-        this.info = new Info(told, "");
-        this.settings = new Info(settings, "settings.");
+    private RouterConfig(Map<String, Object> told, Map<String, Object> settings) {
+        this.document = told;
+        this.instance = new InstanceSettings(told, "");
+        this.settings = new InstanceSettings(settings, "settings.");
     }
 
     /** An IOException or IllegalArgumentException says what is wrong with it. */
-    public static Startup read(String file) throws IOException {
+    public static RouterConfig read(String file) throws IOException {
         if (file == null || file.isEmpty()) {
             throw new IllegalArgumentException(
                     "BALANCER_CONFIG is not set and no --config is given");
@@ -56,28 +57,32 @@
         } catch (IOException e) {
             throw new IOException("can't be read (" + e.getClass().getSimpleName() + ")", e);
         }
-        return of(bytes);
+        return parse(bytes);
     }
 
     /** From the file's bytes. */
-    public static Startup of(byte[] bytes) throws IOException {
-        Map<String, Object> told = Json.object(bytes);
-        FROM_ENVIRONMENT.forEach(
+    public static RouterConfig parse(byte[] bytes) throws IOException {
+        Map<String, Object> told = Json.parseObject(bytes);
+        ENVIRONMENT_VARIABLES.forEach(
                 (key, variable) -> {
                     if (System.getenv(variable) != null) {
                         told.putIfAbsent(key, System.getenv(variable));
                     }
                 });
-        return new Startup(told, map(Json.member(told, "settings", Map.class)));
+        return new RouterConfig(told, map(Json.member(told, "settings", Map.class)));
     }
 
     /** A limit of the machine; where none is told, the usual one. */
     public int limit(String name, int least) {
-        Checks.object(info, "limits");
+        SettingsValidator.requireObject(instance, "limits");
         String path = "limits." + name;
-        int limit = info.text(path) == null ? USUAL_LIMITS.get(name) : info.atLeast(path, least);
-        if (name.equals("memory_mb") && limit > MOST_MB) {
-            throw info.bad(path, "must be " + MOST_MB + " or less, not " + info.text(path));
+        int limit =
+                instance.text(path) == null
+                        ? DEFAULT_LIMITS.get(name)
+                        : instance.integerAtLeast(path, least);
+        if (name.equals("memory_mb") && limit > MAX_MEMORY_MB) {
+            throw instance.invalid(
+                    path, "must be " + MAX_MEMORY_MB + " or less, not " + instance.text(path));
         }
         return limit;
     }
@@ -88,8 +93,8 @@
     }
 
     /** The list as this router last held it, in discovery's form; null where none is given. */
-    public Map<String, Object> known() {
-        return told.get("known") instanceof Map<?, ?> list ? map(list) : null;
+    public Map<String, Object> initialEndpointList() {
+        return document.get("known") instanceof Map<?, ?> list ? map(list) : null;
     }
 
     /** HOST:PORT as where to connect or listen. */
@@ -101,10 +106,10 @@
 
     /** An address with its port. */
     public String address(String path) {
-        String value = info.needed(path);
+        String value = instance.required(path);
         if (!value.matches("[^:]+:[0-9]{1,5}")
                 || Integer.parseInt(value.replaceAll(".*:", "")) > 65_535) {
-            throw info.bad(path, "must be HOST:PORT, not " + value);
+            throw instance.invalid(path, "must be HOST:PORT, not " + value);
         }
         return value;
     }
@@ -112,9 +117,9 @@
     /** The seed: 16 hex digits. */
     public long seed() {
         try {
-            return Long.parseUnsignedLong(info.needed("seed"), 16);
+            return Long.parseUnsignedLong(instance.required("seed"), 16);
         } catch (NumberFormatException e) {
-            throw info.bad("seed", "must be up to 16 hex digits");
+            throw instance.invalid("seed", "must be up to 16 hex digits");
         }
     }
 }
--- a/src/main/java/postbeam/setup/OwnSettings.java
+++ b/src/main/java/postbeam/config/SubsystemSettings.java
@@ -1,4 +1,4 @@
-package postbeam.setup;
+package postbeam.config;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -21,12 +21,13 @@
 import java.util.List;
 import java.util.Map;
 import org.apache.commons.text.similarity.LevenshteinDistance;
+import postbeam.json.Json;
 
 /**
  * Our own settings, in JSON5, checked by a schema: what is wrong is told with its key, its line and
  * the reason, an unknown key with the nearest known one. Loaded only where a flag names the file.
  */
-public final class OwnSettings {
+public final class SubsystemSettings {
     private static final String SCHEMA = "/postbeam/config/settings.schema.json";
     private static final JsonFactory JSON5 =
             JsonFactory.builder()
@@ -43,15 +44,15 @@
                     .build();
 
     /** Letters that an unknown key may differ from the one that is meant. */
-    private static final int NEAR = 4;
+    private static final int MAX_EDIT_DISTANCE = 4;
 
-    private OwnSettings() {}
+    private SubsystemSettings() {}
 
     /**
      * The settings by path; an IOException names the file, and the line and key of the first thing
      * wrong.
      */
-    public static Info read(Path file) throws IOException {
+    public static InstanceSettings read(Path file) throws IOException {
         String text;
         try {
             text = Files.readString(file);
@@ -62,7 +63,7 @@
         return read(file.toString(), text);
     }
 
-    static Info read(String name, String text) throws IOException {
+    static InstanceSettings read(String name, String text) throws IOException {
         Map<String, Integer> lines = new LinkedHashMap<>();
         Map<String, Object> told;
         try (JsonParser parser = JSON5.createParser(text)) {
@@ -82,8 +83,8 @@
                     name + ": line " + e.getLocation().getLineNr() + ": " + e.getOriginalMessage(),
                     e);
         }
-        check(name, told, lines);
-        return new Info(told, "");
+        validate(name, told, lines);
+        return new InstanceSettings(told, "");
     }
 
     private static Map<String, Object> members(
@@ -119,10 +120,10 @@
         };
     }
 
-    private static void check(String name, Map<String, Object> told, Map<String, Integer> lines)
+    private static void validate(String name, Map<String, Object> told, Map<String, Integer> lines)
             throws IOException {
         Schema schema;
-        try (InputStream in = OwnSettings.class.getResourceAsStream(SCHEMA)) {
+        try (InputStream in = SubsystemSettings.class.getResourceAsStream(SCHEMA)) {
             schema =
                     SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
                             .getSchema(
@@ -140,7 +141,7 @@
             String what = first.getMessage();
             if ("additionalProperties".equals(first.getKeyword())) {
                 String unknown = first.getProperty();
-                what = "unknown key" + near(schema, path, unknown);
+                what = "unknown key" + suggestion(schema, path, unknown);
                 path += "/" + unknown;
             } else if ("required".equals(first.getKeyword())) {
                 path += "/" + first.getProperty();
@@ -149,8 +150,8 @@
             throw new IOException(
                     name
                             + ": "
-                            + at(path, lines)
-                            + key(path)
+                            + linePrefix(path, lines)
+                            + displayName(path)
                             + ": "
                             + what
                             + (errors.size() > 1 ? " (and " + (errors.size() - 1) + " more)" : ""));
@@ -158,7 +159,7 @@
     }
 
     /** The line of the key or, where it is missing, of what it is missing in. */
-    private static String at(String path, Map<String, Integer> lines) {
+    private static String linePrefix(String path, Map<String, Integer> lines) {
         String near = path;
         while (!near.isEmpty() && !lines.containsKey(near)) {
             near = near.substring(0, near.lastIndexOf('/'));
@@ -166,21 +167,21 @@
         return "line " + lines.getOrDefault(near, 1) + ": ";
     }
 
-    private static String key(String path) {
+    private static String displayName(String path) {
         return path.isEmpty() ? "the settings" : path.substring(1).replace('/', '.');
     }
 
     /** The known key of that place that is spelt most alike. */
-    private static String near(Schema schema, String path, String unknown) {
+    private static String suggestion(Schema schema, String path, String unknown) {
         var at = schema.getSchemaNode();
         for (String step : path.split("/")) {
             at = step.isEmpty() ? at : at.path("properties").path(step);
         }
         String best = null;
-        int least = NEAR + 1;
+        int least = MAX_EDIT_DISTANCE + 1;
         for (var names = at.path("properties").fieldNames(); names.hasNext(); ) {
             String known = names.next();
-            int far = new LevenshteinDistance(NEAR).apply(known, unknown);
+            int far = new LevenshteinDistance(MAX_EDIT_DISTANCE).apply(known, unknown);
             if (far >= 0 && far < least) {
                 best = known;
                 least = far;
--- a/src/main/java/postbeam/shared/SharedError.java
+++ b/src/main/java/postbeam/coordination/CoordinationError.java
@@ -1,92 +1,94 @@
-package postbeam.shared;
+package postbeam.coordination;
 
-import postbeam.errors.Explained;
+import postbeam.errors.OperatorError;
 
 /** What can go wrong among routers. */
-public sealed interface SharedError extends Explained {
+public sealed interface CoordinationError extends OperatorError {
     /** Another router has other names or terms. */
-    record OtherTerms(String router) implements SharedError {
+    record MismatchedTerms(String router) implements CoordinationError {
         @Override
-        public String happened() {
+        public String problem() {
             return "router " + router + " has other names or terms of the fleet in its settings";
         }
 
         @Override
-        public String advice() {
+        public String remedy() {
             return "give all routers the same section 'together', but for their own names, and"
                     + " restart the one that is behind";
         }
     }
 
     /** A second process speaks under this router's name. */
-    record NameTwice(String router, long mine, long other) implements SharedError {
+    record DuplicateName(String router, long ownIncarnation, long otherIncarnation)
+            implements CoordinationError {
         @Override
-        public String happened() {
+        public String problem() {
             return "a second process speaks as router "
                     + router
                     + ": this one began at "
-                    + mine
+                    + ownIncarnation
                     + ", the other at "
-                    + other;
+                    + otherIncarnation;
         }
 
         @Override
-        public String advice() {
+        public String remedy() {
             return "end one of the two, and give each router a name of its own";
         }
     }
 
     /** A router that is not in the settings. */
-    record Stranger(String router) implements SharedError {
+    record UnknownRouter(String router) implements CoordinationError {
         @Override
-        public String happened() {
+        public String problem() {
             return "router " + router + " speaks, but is not named in the settings";
         }
 
         @Override
-        public String advice() {
+        public String remedy() {
             return "add it to together.routers on every router, as the page on growing a fleet"
                     + " says, or stop it";
         }
     }
 
     /** A message that can't be read. */
-    record Garbled(String from, String why) implements SharedError {
+    record MalformedMessage(String sender, String cause) implements CoordinationError {
         @Override
-        public String happened() {
-            return "a message from " + from + " can't be read: " + why;
+        public String problem() {
+            return "a message from " + sender + " can't be read: " + cause;
         }
 
         @Override
-        public String advice() {
+        public String remedy() {
             return "see whether another program answers at that address, and whether both run the"
                     + " same version";
         }
     }
 
     /** No answer, for so many asks. */
-    record Silent(String router, String why, int asks) implements SharedError {
+    record UnresponsiveRouter(String router, String cause, int requests)
+            implements CoordinationError {
         @Override
-        public String happened() {
-            return "router " + router + " has not answered " + asks + " asks (" + why + ")";
+        public String problem() {
+            return "router " + router + " has not answered " + requests + " asks (" + cause + ")";
         }
 
         @Override
-        public String advice() {
+        public String remedy() {
             return "see whether it runs and whether this machine reaches its address; until then"
                     + " this router does with less";
         }
     }
 
     /** Our settings name no such router. */
-    record Unnamed(String router) implements SharedError {
+    record NotAMember(String router) implements CoordinationError {
         @Override
-        public String happened() {
+        public String problem() {
             return "this router, " + router + ", is not among together.routers";
         }
 
         @Override
-        public String advice() {
+        public String remedy() {
             return "set together.name to one of the names there, or add it on every router";
         }
     }
--- a/src/main/java/postbeam/shared/OfficeTerms.java
+++ b/src/main/java/postbeam/coordination/ElectionTimeouts.java
@@ -1,4 +1,4 @@
-package postbeam.shared;
+package postbeam.coordination;
 
 import java.time.Duration;
 
@@ -10,29 +10,30 @@
  *     memory waits so long
  * @param drift d: what two clocks may differ by over the longest span here
  */
-public record OfficeTerms(Duration office, Duration longest, Duration drift) {
-    public OfficeTerms {
-        if (office.isNegative()
-                || office.isZero()
-                || longest.compareTo(office) < 0
-                || drift.isNegative()) {
+public record ElectionTimeouts(
+        Duration leaderLease, Duration maxLeaderLease, Duration maxClockDrift) {
+    public ElectionTimeouts {
+        if (leaderLease.isNegative()
+                || leaderLease.isZero()
+                || maxLeaderLease.compareTo(leaderLease) < 0
+                || maxClockDrift.isNegative()) {
             throw new IllegalArgumentException(
                     "terms of office can't be used: office "
-                            + office
+                            + leaderLease
                             + ", longest "
-                            + longest
+                            + maxLeaderLease
                             + ", drift "
-                            + drift);
+                            + maxClockDrift);
         }
     }
 
     /** How long a vote binds who gave it. */
-    Duration promise() {
-        return office.plus(drift);
+    Duration voteHold() {
+        return leaderLease.plus(maxClockDrift);
     }
 
     /** When a keeper asks for its office anew: two asks may be lost. */
-    Duration renew() {
-        return office.dividedBy(3);
+    Duration renewalInterval() {
+        return leaderLease.dividedBy(3);
     }
 }
--- a/src/main/java/postbeam/shared/Report.java
+++ b/src/main/java/postbeam/coordination/HealthReport.java
@@ -1,4 +1,4 @@
-package postbeam.shared;
+package postbeam.coordination;
 
 import java.time.Duration;
 
@@ -6,19 +6,19 @@
  * What one router holds of a data node from its own calls: how, in its zone, on so many calls, so
  * long ago.
  */
-public record Report(
+public record HealthReport(
         String router,
         String zone,
-        NodeKey node,
+        NodeIncarnation node,
         Kind kind,
         double slowness,
         int calls,
         Duration age) {
     /** How a node is. */
     public enum Kind {
-        WELL,
-        COLD,
-        SILENT,
+        HEALTHY,
+        WARMING_UP,
+        UNRESPONSIVE,
         FAILING,
         SLOW
     }
--- a/src/main/java/postbeam/shared/LeaseTerms.java
+++ b/src/main/java/postbeam/coordination/LeaseParameters.java
@@ -1,4 +1,4 @@
-package postbeam.shared;
+package postbeam.coordination;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -23,39 +23,39 @@
  *     know of new terms
  * @param callMost the largest leaf call's work, in the budget's unit
  */
-public record LeaseTerms(
-        Duration use,
+public record LeaseParameters(
+        Duration duration,
         Duration window,
-        Duration drift,
-        double reserved,
-        double underWay,
-        int shares,
-        double callMost) {
-    public LeaseTerms {
-        if (reserved <= 0
-                || underWay <= 0
-                || reserved + underWay >= 1
-                || shares < 1
-                || callMost < 0
-                || use.isNegative()
-                || use.isZero()
+        Duration maxClockDrift,
+        double reservedFraction,
+        double inFlight,
+        int maxRouters,
+        double maxAttemptWork) {
+    public LeaseParameters {
+        if (reservedFraction <= 0
+                || inFlight <= 0
+                || reservedFraction + inFlight >= 1
+                || maxRouters < 1
+                || maxAttemptWork < 0
+                || duration.isNegative()
+                || duration.isZero()
                 || window.isNegative()
-                || drift.isNegative()) {
+                || maxClockDrift.isNegative()) {
             throw new IllegalArgumentException(
                     "terms of leases can't be used: reserved "
-                            + reserved
+                            + reservedFraction
                             + ", under way "
-                            + underWay
+                            + inFlight
                             + ", shares "
-                            + shares
+                            + maxRouters
                             + ", largest call "
-                            + callMost
+                            + maxAttemptWork
                             + ", use "
-                            + use
+                            + duration
                             + ", window "
                             + window
                             + ", drift "
-                            + drift);
+                            + maxClockDrift);
         }
     }
 
@@ -64,36 +64,39 @@
      * counts in windows that reach so much further, and the grant came after the question. A keeper
      * new in office grants nothing for as long: by then all is past that others can have granted.
      */
-    public Duration counted() {
-        return use.plus(window).plus(drift);
+    public Duration countedFor() {
+        return duration.plus(window).plus(maxClockDrift);
     }
 
     /** Of a budget, what the keeper may lease out. */
     public double leasable(double budget) {
-        return budget * (1 - reserved - underWay);
+        return budget * (1 - reservedFraction - inFlight);
     }
 
     /** Of a budget, what each of so many may use whatever it hears. */
-    public double own(double budget, int sharers) {
-        return budget * reserved / sharers;
+    public double reservedQuota(double budget, int sharers) {
+        return budget * reservedFraction / sharers;
     }
 
     /** Of a budget, what each of so many may have checked and not yet sent. */
-    public double underWay(double budget, int sharers) {
-        return budget * underWay / sharers;
+    public double inFlight(double budget, int sharers) {
+        return budget * inFlight / sharers;
     }
 
     /**
      * What the parts of a node are divided by whose budget begins with this: a part that holds no
      * leaf call helps nobody, so where there is too little for all, fewer share it.
      */
-    public int sharers(double firstBudget) {
-        return callMost <= 0
-                ? shares
+    public int participants(double firstBudget) {
+        return maxAttemptWork <= 0
+                ? maxRouters
                 : (int)
                         Math.min(
-                                shares,
-                                Math.max(2, Math.floor(firstBudget * underWay / callMost + 1e-9)));
+                                maxRouters,
+                                Math.max(
+                                        2,
+                                        Math.floor(
+                                                firstBudget * inFlight / maxAttemptWork + 1e-9)));
     }
 
     /**
@@ -101,17 +104,18 @@
      * same names. One fewer than the parts are drawn, so that two lists that differ in one name
      * together draw no more than there are parts.
      */
-    public boolean drawn(NodeKey node, String router, List<String> routers, int sharers) {
-        return sharers >= routers.size() && sharers >= shares
+    public boolean participates(
+            NodeIncarnation node, String router, List<String> routers, int sharers) {
+        return sharers >= routers.size() && sharers >= maxRouters
                 || routers.stream()
                         .sorted(
-                                Comparator.<String>comparingLong(name -> lot(node, name))
+                                Comparator.<String>comparingLong(name -> rank(node, name))
                                         .thenComparing(name -> name))
                         .limit(sharers - 1)
                         .anyMatch(router::equals);
     }
 
-    private static long lot(NodeKey node, String router) {
+    private static long rank(NodeIncarnation node, String router) {
         try {
             return ByteBuffer.wrap(
                             MessageDigest.getInstance("SHA-256")
--- a/src/main/java/postbeam/shared/Who.java
+++ b/src/main/java/postbeam/coordination/ProcessIdentity.java
@@ -1,12 +1,13 @@
-package postbeam.shared;
+package postbeam.coordination;
 
 /**
  * One run of a router's process: its configured name, and a number that is higher for each later
  * start.
  */
-public record Who(String name, long incarnation) implements Comparable<Who> {
+public record ProcessIdentity(String name, long incarnation)
+        implements Comparable<ProcessIdentity> {
     @Override
-    public int compareTo(Who other) {
+    public int compareTo(ProcessIdentity other) {
         int byName = name.compareTo(other.name);
         return byName != 0 ? byName : Long.compare(incarnation, other.incarnation);
     }
--- a/src/main/java/postbeam/shared/Budget.java
+++ b/src/main/java/postbeam/coordination/SlowStartBudget.java
@@ -1,7 +1,7 @@
-package postbeam.shared;
+package postbeam.coordination;
 
 /**
  * What a node may be sent in a window: when its ramp begins, and for a window that ends now (that
  * is, as of the window's start). It never falls while the node's incarnation lasts.
  */
-public record Budget(double first, double now) {}
+public record SlowStartBudget(double initial, double current) {}
--- a/src/main/java/postbeam/shared/Ramp.java
+++ b/src/main/java/postbeam/coordination/SlowStartRamp.java
@@ -1,4 +1,4 @@
-package postbeam.shared;
+package postbeam.coordination;
 
 import java.time.Duration;
 
@@ -6,19 +6,19 @@
  * How a cold node's budget rises while it warms up: linearly, from the first to so many times that,
  * within so long.
  */
-public record Ramp(double first, double risesTo, Duration length, Duration window) {
+public record SlowStartRamp(double initial, double peakFactor, Duration duration, Duration window) {
     /**
      * For a window that ends at this age, as of its start; an age that is told too low does no
      * harm.
      */
-    public Budget at(Duration age) {
+    public SlowStartBudget budgetAt(Duration age) {
         double risen =
                 Math.max(
                         0,
                         Math.min(
                                 1,
                                 (double) age.minus(window).toNanos()
-                                        / Math.max(1, length.toNanos())));
-        return new Budget(first, first * (1 + (risesTo - 1) * risen));
+                                        / Math.max(1, duration.toNanos())));
+        return new SlowStartBudget(initial, initial * (1 + (peakFactor - 1) * risen));
     }
 }
--- a/src/main/java/postbeam/shared/Stripes.java
+++ b/src/main/java/postbeam/coordination/StripedCoordinator.java
@@ -1,4 +1,4 @@
-package postbeam.shared;
+package postbeam.coordination;
 
 import java.time.Duration;
 import java.util.List;
@@ -12,12 +12,13 @@
  * threads enter. No two locks are held at once, and none while anything waits. The clock is read
  * under the lock, so that a stripe's time never goes back.
  */
-public final class Stripes {
-    private final Stripe[] stripes;
+public final class StripedCoordinator {
+    private final CoordinationStripe[] stripes;
     private final Supplier<Duration> clock;
 
-    public Stripes(int count, IntFunction<Stripe> stripe, Supplier<Duration> clock) {
-        this.stripes = new Stripe[count];
+    public StripedCoordinator(
+            int count, IntFunction<CoordinationStripe> stripe, Supplier<Duration> clock) {
+        this.stripes = new CoordinationStripe[count];
         for (int i = 0; i < count; i++) {
             stripes[i] = stripe.apply(i);
         }
@@ -25,18 +26,18 @@
     }
 
     /** As a router has them from its terms. */
-    public static Stripes of(
+    public static StripedCoordinator of(
             int count,
-            Who self,
+            ProcessIdentity self,
             List<String> fleet,
-            LeaseTerms terms,
-            OfficeTerms offices,
+            LeaseParameters terms,
+            ElectionTimeouts offices,
             Supplier<Duration> clock,
             Random chance) {
-        return new Stripes(
+        return new StripedCoordinator(
                 count,
                 i ->
-                        new Stripe(
+                        new CoordinationStripe(
                                 i,
                                 self,
                                 fleet,
@@ -48,8 +49,8 @@
     }
 
     /** What is done with a stripe at a time that was read under its lock. */
-    public interface Turn<T> {
-        T at(Duration now, Stripe stripe);
+    public interface StripeOperation<T> {
+        T apply(Duration now, CoordinationStripe stripe);
     }
 
     public int count() {
@@ -61,27 +62,29 @@
         return Math.floorMod(hash ^ hash >>> 16, stripes.length);
     }
 
-    public <T> T on(int stripe, Turn<T> turn) {
+    public <T> T withStripe(int stripe, StripeOperation<T> turn) {
         synchronized (stripes[stripe]) {
-            return turn.at(clock.get(), stripes[stripe]);
+            return turn.apply(clock.get(), stripes[stripe]);
         }
     }
 
-    public boolean take(NodeKey node, double amount, Function<Duration, Budget> budget) {
-        return on(
+    public boolean tryAcquire(
+            NodeIncarnation node, double amount, Function<Duration, SlowStartBudget> budget) {
+        return withStripe(
                 of(node.node()),
-                (now, stripe) -> stripe.take(now, node, amount, budget.apply(now)));
+                (now, stripe) -> stripe.tryAcquire(now, node, amount, budget.apply(now)));
     }
 
-    public double room(NodeKey node, Function<Duration, Budget> budget) {
-        return on(of(node.node()), (now, stripe) -> stripe.room(now, node, budget.apply(now)));
+    public double available(NodeIncarnation node, Function<Duration, SlowStartBudget> budget) {
+        return withStripe(
+                of(node.node()), (now, stripe) -> stripe.available(now, node, budget.apply(now)));
     }
 
-    public void out(NodeKey node, double amount) {
-        on(
+    public void release(NodeIncarnation node, double amount) {
+        withStripe(
                 of(node.node()),
                 (now, stripe) -> {
-                    stripe.out(node, amount);
+                    stripe.release(node, amount);
                     return null;
                 });
     }
--- a/src/main/java/postbeam/datanodes/DataNodes.java
+++ b/src/main/java/postbeam/datanodes/DataNodeClient.java
@@ -8,35 +8,36 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.xnio.XnioIoThread;
+import postbeam.config.RouterConfig;
 import postbeam.dispatch.AttemptListener;
-import postbeam.router.Call;
-import postbeam.router.Ending;
-import postbeam.setup.Startup;
-import postbeam.state.Outcome;
+import postbeam.dispatch.AttemptResult;
+import postbeam.dispatch.DispatchedAttempt;
+import postbeam.model.AttemptOutcome;
 
 /**
  * The connections to data nodes. All of it lives on one I/O thread; calls from others are handed
  * over to it. Owner of the connections: each is kept here from its opening until {@link
  * NodeConnection#close}.
  */
-public final class DataNodes {
-    private static final System.Logger LOG = System.getLogger(DataNodes.class.getName());
+public final class DataNodeClient {
+    private static final System.Logger LOG = System.getLogger(DataNodeClient.class.getName());
 
-    private final XnioIoThread io;
+    private final XnioIoThread ioThread;
     private final AttemptListener listener;
-    private final int partsAConnection;
-    private final Duration connectWithin;
-    private final Duration idleMost;
-    private final int connectionsMost;
+    private final int maxPartsPerConnection;
+    private final Duration connectTimeout;
+    private final Duration maxIdle;
+    private final int maxConnections;
     private final char probeLetter;
-    private final Map<String, List<NodeConnection>> peers = new LinkedHashMap<>();
+    private final Map<String, List<NodeConnection>> connectionsByAddress = new LinkedHashMap<>();
 
     /** Which connection each call is out on, from its writing to its end. */
-    private final Map<Call, NodeConnection> carriers = new IdentityHashMap<>();
+    private final Map<DispatchedAttempt, NodeConnection> connectionByAttempt =
+            new IdentityHashMap<>();
 
-    private int connections;
+    private int connectionCount;
 
-    public DataNodes(
+    public DataNodeClient(
             XnioIoThread io,
             AttemptListener listener,
             int partsAConnection,
@@ -44,28 +45,31 @@
             Duration idleMost,
             int connectionsMost,
             boolean loadReports) {
-        this.io = io;
+        this.ioThread = io;
         this.listener = listener;
-        this.partsAConnection = partsAConnection;
-        this.connectWithin = connectWithin;
-        this.idleMost = idleMost;
-        this.connectionsMost = connectionsMost;
-        this.probeLetter = loadReports ? Frames.LOAD_PROBE : Frames.PROBE;
-        io.executeAfter(this::sweep, sweepEvery(), TimeUnit.MILLISECONDS);
+        this.maxPartsPerConnection = partsAConnection;
+        this.connectTimeout = connectWithin;
+        this.maxIdle = idleMost;
+        this.maxConnections = connectionsMost;
+        this.probeLetter = loadReports ? FrameCodec.LOAD_PROBE : FrameCodec.PROBE;
+        io.executeAfter(this::closeIdleConnections, sweepIntervalMillis(), TimeUnit.MILLISECONDS);
     }
 
     /**
      * Sends these calls to the node at the address, together in one frame; may be called on any
      * thread.
      */
-    public void send(String address, List<Call> calls) {
-        io.execute(
+    public void send(String address, List<DispatchedAttempt> calls) {
+        ioThread.execute(
                 () -> {
                     NodeConnection connection = connection(address, calls.size());
                     if (connection == null) {
-                        listener.report(
+                        listener.onAttemptResults(
                                 calls.stream()
-                                        .map(call -> new Ending(call, Outcome.UNREACHABLE))
+                                        .map(
+                                                call ->
+                                                        new AttemptResult(
+                                                                call, AttemptOutcome.UNREACHABLE))
                                         .toList());
                     } else {
                         connection.send(calls);
@@ -74,23 +78,23 @@
     }
 
     /** Tells the call's node that nobody waits for it any more; may be called on any thread. */
-    public void giveUp(Call call) {
-        io.execute(
+    public void cancel(DispatchedAttempt call) {
+        ioThread.execute(
                 () -> {
-                    NodeConnection carrier = carriers.get(call);
+                    NodeConnection carrier = connectionByAttempt.get(call);
                     if (carrier != null) {
-                        carrier.giveUp(call);
+                        carrier.cancel(call);
                     }
                 });
     }
 
     /** Asks the node at the address how it is; may be called on any thread. */
     public void probe(String node, String address) {
-        io.execute(
+        ioThread.execute(
                 () -> {
                     NodeConnection connection = connection(address, 0);
                     if (connection == null) {
-                        listener.probed(node, false);
+                        listener.onHealthCheck(node, false);
                     } else {
                         connection.probe(node, probeLetter);
                     }
@@ -102,66 +106,70 @@
      * had.
      */
     private NodeConnection connection(String address, int parts) {
-        for (NodeConnection connection : peers.getOrDefault(address, List.of())) {
-            if (connection.takes(parts, partsAConnection)) {
+        for (NodeConnection connection : connectionsByAddress.getOrDefault(address, List.of())) {
+            if (connection.hasCapacityFor(parts, maxPartsPerConnection)) {
                 return connection;
             }
         }
-        if (connections >= connectionsMost) {
+        if (connectionCount >= maxConnections) {
             LOG.log(
                     System.Logger.Level.WARNING,
                     "no connection to {0}: the limit of {1} is reached",
                     address,
-                    connectionsMost);
+                    maxConnections);
             return null;
         }
         NodeConnection connection =
-                new NodeConnection(this, listener, address, connectWithin, idleMost);
+                new NodeConnection(this, listener, address, connectTimeout, maxIdle);
         try {
-            connection.open(io, Startup.socketAddress(address));
+            connection.open(ioThread, RouterConfig.socketAddress(address));
         } catch (RuntimeException e) {
             LOG.log(System.Logger.Level.ERROR, "no connection to " + address, e);
             return null;
         }
         // Kept from here on: what failed to open at once has nothing to give back, and its end
         // comes later.
-        peers.computeIfAbsent(address, key -> new ArrayList<>()).add(connection);
-        connections++;
+        connectionsByAddress.computeIfAbsent(address, key -> new ArrayList<>()).add(connection);
+        connectionCount++;
         return connection;
     }
 
     /** Calls that are out on the sockets, and connections; to be asked on the I/O thread. */
-    public String carrying() {
-        return carriers.size() + " calls on " + connections + " connections to data nodes";
+    public String describe() {
+        return connectionByAttempt.size()
+                + " calls on "
+                + connectionCount
+                + " connections to data nodes";
     }
 
-    void carried(Call call, NodeConnection connection) {
-        carriers.put(call, connection);
+    void attemptStarted(DispatchedAttempt call, NodeConnection connection) {
+        connectionByAttempt.put(call, connection);
     }
 
-    void over(Call call) {
-        carriers.remove(call);
+    void attemptEnded(DispatchedAttempt call) {
+        connectionByAttempt.remove(call);
     }
 
     /** A connection has been closed. */
-    void closed(NodeConnection connection) {
-        List<NodeConnection> peer = peers.get(connection.address);
+    void connectionClosed(NodeConnection connection) {
+        List<NodeConnection> peer = connectionsByAddress.get(connection.address);
         if (peer != null && peer.remove(connection)) {
-            connections--;
+            connectionCount--;
             if (peer.isEmpty()) {
-                peers.remove(connection.address);
+                connectionsByAddress.remove(connection.address);
             }
         }
     }
 
-    private long sweepEvery() {
-        return Math.max(100, idleMost.toMillis() / 10);
+    private long sweepIntervalMillis() {
+        return Math.max(100, maxIdle.toMillis() / 10);
     }
 
     /** Closes what has stood idle. */
-    private void sweep() {
-        io.executeAfter(this::sweep, sweepEvery(), TimeUnit.MILLISECONDS);
-        for (List<NodeConnection> peer : List.copyOf(peers.values())) {
+    private void closeIdleConnections() {
+        ioThread.executeAfter(
+                this::closeIdleConnections, sweepIntervalMillis(), TimeUnit.MILLISECONDS);
+        for (List<NodeConnection> peer : List.copyOf(connectionsByAddress.values())) {
             for (NodeConnection connection : List.copyOf(peer)) {
                 connection.closeIfIdle();
             }
--- a/src/main/java/postbeam/datanodes/Frames.java
+++ b/src/main/java/postbeam/datanodes/FrameCodec.java
@@ -5,58 +5,58 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
-import postbeam.router.Call;
-import postbeam.state.Outcome;
+import postbeam.dispatch.DispatchedAttempt;
+import postbeam.model.AttemptOutcome;
 
 /** The frames that a router and a data node send each other: a length, a letter, the rest. */
-final class Frames {
+final class FrameCodec {
     static final char CALL = 'm';
-    static final char GIVE_UP = 'n';
+    static final char CANCEL = 'n';
     static final char PROBE = 'o';
     static final char LOAD_PROBE = 'p';
-    static final char ANSWER = 'q';
-    static final char UNUSABLE = 'r';
+    static final char RESPONSE = 'q';
+    static final char PROTOCOL_ERROR = 'r';
 
     /** Bytes of the length. */
-    static final int HEAD = 4;
+    static final int LENGTH_BYTES = 4;
 
     /** Bytes: a body of the client's protocol holds 64 KiB, and no value may be larger. */
-    static final int LONGEST = (64 << 10) + 1024;
+    static final int MAX_PAYLOAD_BYTES = (64 << 10) + 1024;
 
     /** A part's answer. */
-    record Answer(String id, Outcome outcome, byte[] value) {}
+    record ShardResponse(String attemptId, AttemptOutcome outcome, byte[] value) {}
 
-    private Frames() {}
+    private FrameCodec() {}
 
     /** One call with these parts, each with its text. */
-    static ByteBuffer call(List<Call> parts) {
+    static ByteBuffer encodeCall(List<DispatchedAttempt> parts) {
         byte[][] heads = new byte[parts.size()][];
         int size = 0;
         for (int i = 0; i < heads.length; i++) {
-            heads[i] = parts.get(i).head();
-            size += heads[i].length + parts.get(i).text.length;
+            heads[i] = parts.get(i).frameHeader();
+            size += heads[i].length + parts.get(i).payload.length;
         }
-        ByteBuffer frame = start(CALL, size);
+        ByteBuffer frame = allocate(CALL, size);
         for (int i = 0; i < heads.length; i++) {
-            frame.put(heads[i]).put(parts.get(i).text);
+            frame.put(heads[i]).put(parts.get(i).payload);
         }
         return frame.flip();
     }
 
-    static ByteBuffer of(char letter, String rest) {
+    static ByteBuffer encode(char letter, String rest) {
         byte[] bytes = rest.getBytes(StandardCharsets.UTF_8);
-        return start(letter, bytes.length).put(bytes).flip();
+        return allocate(letter, bytes.length).put(bytes).flip();
     }
 
-    private static ByteBuffer start(char letter, int size) {
-        return ByteBuffer.allocate(HEAD + 1 + size)
+    private static ByteBuffer allocate(char letter, int size) {
+        return ByteBuffer.allocate(LENGTH_BYTES + 1 + size)
                 .order(ByteOrder.LITTLE_ENDIAN)
                 .putInt(1 + size)
                 .put((byte) letter);
     }
 
     /** The rest of an answer's frame: ID END SCORE REPORT, a line feed, the value. */
-    static Answer answer(byte[] rest) throws BadFrame {
+    static ShardResponse decodeResponse(byte[] rest) throws MalformedFrameException {
         int end = 0;
         while (end < rest.length && rest[end] != '\n') {
             end++;
@@ -65,31 +65,34 @@
         // answer.
         String[] words = new String(rest, 0, end, StandardCharsets.UTF_8).split(" ", 4);
         if (end == rest.length || words.length != 4 || !words[2].matches("-?[0-9]+")) {
-            throw new BadFrame("an answer without its line of id, end, score and report");
+            throw new MalformedFrameException(
+                    "an answer without its line of id, end, score and report");
         }
-        Outcome outcome =
+        AttemptOutcome outcome =
                 switch (words[1]) {
-                    case "good" -> Outcome.MERGED;
-                    case "bad" -> Outcome.ERROR;
-                    case "later" -> Outcome.FULL;
-                    case "moved" -> Outcome.MOVED;
-                    default -> throw new BadFrame("an answer that ended in an unknown way");
+                    case "good" -> AttemptOutcome.SUCCESS;
+                    case "bad" -> AttemptOutcome.ERROR;
+                    case "later" -> AttemptOutcome.OVERLOADED;
+                    case "moved" -> AttemptOutcome.MOVED;
+                    default ->
+                            throw new MalformedFrameException(
+                                    "an answer that ended in an unknown way");
                 };
         byte[] value = Arrays.copyOfRange(rest, end + 1, rest.length);
         for (byte b : value) {
             if (b >= 0 && b < ' ') {
                 // A length that reaches into the next frame brings that frame's head along.
-                throw new BadFrame("a value that is no text");
+                throw new MalformedFrameException("a value that is no text");
             }
         }
-        return new Answer(words[0], outcome, value);
+        return new ShardResponse(words[0], outcome, value);
     }
 
     /** A frame that does not follow the protocol. */
-    static final class BadFrame extends Exception {
+    static final class MalformedFrameException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        BadFrame(String what) {
+        MalformedFrameException(String what) {
             super(what);
         }
     }
--- a/src/main/java/postbeam/datanodes/NodeConnection.java
+++ b/src/main/java/postbeam/datanodes/NodeConnection.java
@@ -25,9 +25,9 @@
 import org.xnio.conduits.ConduitStreamSinkChannel;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 import postbeam.dispatch.AttemptListener;
-import postbeam.router.Call;
-import postbeam.router.Ending;
-import postbeam.state.Outcome;
+import postbeam.dispatch.AttemptResult;
+import postbeam.dispatch.DispatchedAttempt;
+import postbeam.model.AttemptOutcome;
 
 /**
  * One connection to a data node, on the I/O thread alone. It is given back in {@link #close}, and
@@ -37,65 +37,66 @@
     private static final System.Logger LOG = System.getLogger(NodeConnection.class.getName());
 
     /** Bytes read at once, and kept while nothing larger comes. */
-    private static final int READ = 4096;
+    private static final int READ_BUFFER_BYTES = 4096;
 
     /**
      * How long the rest of a frame may take: a node sends it together, and a router on part of a
      * core may stall.
      */
-    private static final Duration FRAME_MOST = Duration.ofMillis(400);
+    private static final Duration MAX_FRAME_DURATION = Duration.ofMillis(400);
 
     /**
      * Ids of ended calls that are kept: a second answer, or one that crossed its giving up, comes
      * soon.
      */
-    private static final int ENDED_KEPT = 128;
+    private static final int MAX_REMEMBERED_IDS = 128;
 
     /** A frame that waits for its turn: leaf calls, encoded when they go, or bytes. */
-    private record Waiting(List<Call> calls, ByteBuffer bytes) {}
+    private record QueuedFrame(List<DispatchedAttempt> calls, ByteBuffer bytes) {}
 
-    private static final class Out {
-        final Call call;
+    private static final class InFlightAttempt {
+        final DispatchedAttempt call;
         boolean written;
 
         /** When its frame was written or, before that, taken up. */
-        long since = System.nanoTime();
+        long sinceNanos = System.nanoTime();
 
-        Out(Call call) {
+        InFlightAttempt(DispatchedAttempt call) {
             this.call = call;
         }
     }
 
     final String address;
-    private final DataNodes owner;
+    private final DataNodeClient owner;
     private final AttemptListener listener;
-    private final Duration connectWithin;
-    private final Duration idleMost;
-    private final Deque<Waiting> waiting = new ArrayDeque<>();
-    private final Map<String, Out> out = new LinkedHashMap<>();
+    private final Duration connectTimeout;
+    private final Duration maxIdle;
+    private final Deque<QueuedFrame> writeQueue = new ArrayDeque<>();
+    private final Map<String, InFlightAttempt> inFlight = new LinkedHashMap<>();
 
     /** The latest calls that ended on it, by id. */
-    private final Set<String> ended = new LinkedHashSet<>();
+    private final Set<String> recentlyEnded = new LinkedHashSet<>();
 
-    private final Deque<String> probes = new ArrayDeque<>();
+    private final Deque<String> pendingProbes = new ArrayDeque<>();
     private StreamConnection channel;
     private XnioExecutor.Key connectTimer;
-    private ByteBuffer in = ByteBuffer.allocate(READ).order(ByteOrder.LITTLE_ENDIAN);
-    private ByteBuffer writing;
-    private long writingSince;
-    private List<Out> writingCalls = List.of();
-    private int callsWaiting;
-    private long usedAt = System.nanoTime();
-    private long heardAt = usedAt;
+    private ByteBuffer readBuffer =
+            ByteBuffer.allocate(READ_BUFFER_BYTES).order(ByteOrder.LITTLE_ENDIAN);
+    private ByteBuffer currentFrame;
+    private long currentFrameSinceNanos;
+    private List<InFlightAttempt> currentAttempts = List.of();
+    private int queuedAttempts;
+    private long lastUsedNanos = System.nanoTime();
+    private long lastReceivedNanos = lastUsedNanos;
 
     /** Since when a frame has begun to come; 0 while none has. */
-    private long frameSince;
+    private long partialFrameSinceNanos;
 
-    private boolean doubtful;
+    private boolean suspect;
     private boolean closed;
 
     NodeConnection(
-            DataNodes owner,
+            DataNodeClient owner,
             AttemptListener listener,
             String address,
             Duration connectWithin,
@@ -103,8 +104,8 @@
         this.owner = owner;
         this.listener = listener;
         this.address = address;
-        this.connectWithin = connectWithin;
-        this.idleMost = idleMost;
+        this.connectTimeout = connectWithin;
+        this.maxIdle = idleMost;
     }
 
     void open(XnioIoThread io, InetSocketAddress to) {
@@ -117,7 +118,7 @@
                             opening.cancel();
                             close("no connection in time");
                         },
-                        connectWithin.toMillis(),
+                        connectTimeout.toMillis(),
                         TimeUnit.MILLISECONDS);
         opening.addNotifier((future, none) -> io.execute(() -> opened(future)), null);
     }
@@ -153,74 +154,78 @@
      * Whether so many parts more may go on it; one that was silent where an answer was due takes no
      * more.
      */
-    boolean takes(int parts, int most) {
-        int load = out.size() + callsWaiting;
+    boolean hasCapacityFor(int parts, int most) {
+        int load = inFlight.size() + queuedAttempts;
         return !closed
-                && !doubtful
+                && !suspect
                 && (load == 0 || load + parts <= most)
-                && (load > 0 || channel == null || System.nanoTime() - usedAt < idleMost.toNanos())
-                && (writing == null || !past(writingSince));
+                && (load > 0
+                        || channel == null
+                        || System.nanoTime() - lastUsedNanos < maxIdle.toNanos())
+                && (currentFrame == null || !connectTimeoutPassedSince(currentFrameSinceNanos));
     }
 
     /** So long ago that a new connection would be up by now. */
-    private boolean past(long since) {
-        return System.nanoTime() - since > connectWithin.toNanos();
+    private boolean connectTimeoutPassedSince(long since) {
+        return System.nanoTime() - since > connectTimeout.toNanos();
     }
 
-    void send(List<Call> calls) {
-        callsWaiting += calls.size();
-        enqueue(new Waiting(calls, null));
+    void send(List<DispatchedAttempt> calls) {
+        queuedAttempts += calls.size();
+        enqueue(new QueuedFrame(calls, null));
     }
 
     void probe(String node, char letter) {
-        probes.add(node);
-        enqueue(new Waiting(null, Frames.of(letter, "")));
+        pendingProbes.add(node);
+        enqueue(new QueuedFrame(null, FrameCodec.encode(letter, "")));
     }
 
-    void giveUp(Call call) {
-        Out given = out.get(call.id);
+    void cancel(DispatchedAttempt call) {
+        InFlightAttempt given = inFlight.get(call.id);
         if (given == null || given.call != call) {
             return;
         }
-        over(call);
+        attemptEnded(call);
         // Guards against a connection that leads nowhere any more, which nothing tells: the machine
         // vanished
         // or was cut off. Further calls go on a new one, which comes up or fails in time.
-        doubtful |= heardAt < given.since && past(given.since);
-        enqueue(new Waiting(null, Frames.of(Frames.GIVE_UP, call.id)));
-        closeIfDone();
+        suspect |=
+                lastReceivedNanos < given.sinceNanos && connectTimeoutPassedSince(given.sinceNanos);
+        enqueue(new QueuedFrame(null, FrameCodec.encode(FrameCodec.CANCEL, call.id)));
+        closeIfSuspectAndDone();
     }
 
     void closeIfIdle() {
         if (channel != null
-                && out.isEmpty()
-                && callsWaiting == 0
-                && probes.isEmpty()
-                && System.nanoTime() - usedAt >= idleMost.toNanos()) {
+                && inFlight.isEmpty()
+                && queuedAttempts == 0
+                && pendingProbes.isEmpty()
+                && System.nanoTime() - lastUsedNanos >= maxIdle.toNanos()) {
             close(null);
         }
     }
 
-    private void closeIfDone() {
-        if (doubtful
-                && out.isEmpty()
-                && probes.isEmpty()
-                && waiting.stream()
+    private void closeIfSuspectAndDone() {
+        if (suspect
+                && inFlight.isEmpty()
+                && pendingProbes.isEmpty()
+                && writeQueue.stream()
                         .allMatch(
                                 frame ->
                                         frame.calls() == null
-                                                || frame.calls().stream().allMatch(Call::over))) {
+                                                || frame.calls().stream()
+                                                        .allMatch(DispatchedAttempt::abandoned))) {
             close(null);
         }
     }
 
-    private void enqueue(Waiting frame) {
+    private void enqueue(QueuedFrame frame) {
         if (closed) {
             return;
         }
-        waiting.add(frame);
-        usedAt = System.nanoTime();
-        if (channel != null && writing == null) {
+        writeQueue.add(frame);
+        lastUsedNanos = System.nanoTime();
+        if (channel != null && currentFrame == null) {
             write();
         }
     }
@@ -230,23 +235,23 @@
     private void write() {
         ConduitStreamSinkChannel sink = channel.getSinkChannel();
         try {
-            while (writing != null || next()) {
-                if (writing.position() > 0 && unwanted(writingCalls)) {
+            while (currentFrame != null || takeNextFrame()) {
+                if (currentFrame.position() > 0 && anyUnsendable(currentAttempts)) {
                     close("a frame that can't go on, as part of it is not wanted any more");
                     return;
                 }
-                sink.write(writing);
-                if (writing.hasRemaining()) {
+                sink.write(currentFrame);
+                if (currentFrame.hasRemaining()) {
                     sink.resumeWrites();
                     return;
                 }
                 long now = System.nanoTime();
-                for (Out call : writingCalls) {
+                for (InFlightAttempt call : currentAttempts) {
                     call.written = true;
-                    call.since = now;
+                    call.sinceNanos = now;
                 }
-                writing = null;
-                writingCalls = List.of();
+                currentFrame = null;
+                currentAttempts = List.of();
             }
             sink.suspendWrites();
         } catch (IOException | RuntimeException e) {
@@ -259,42 +264,42 @@
      * or its time passed: its last byte would begin the attempt. It costs the other calls on a
      * connection whose node does not read.
      */
-    private static boolean unwanted(List<Out> calls) {
-        Call.checkClients(calls.stream().map(out -> out.call).toList());
-        return calls.stream().anyMatch(out -> out.call.unsendable() != null);
+    private static boolean anyUnsendable(List<InFlightAttempt> calls) {
+        DispatchedAttempt.checkClientPresence(calls.stream().map(out -> out.call).toList());
+        return calls.stream().anyMatch(out -> out.call.unsentOutcome() != null);
     }
 
     /** Takes up the next frame; leaf calls that are not to be sent any more are left out. */
-    private boolean next() {
-        while (!waiting.isEmpty()) {
-            Waiting first = waiting.poll();
+    private boolean takeNextFrame() {
+        while (!writeQueue.isEmpty()) {
+            QueuedFrame first = writeQueue.poll();
             if (first.calls() == null) {
-                writing = first.bytes();
-                writingSince = System.nanoTime();
+                currentFrame = first.bytes();
+                currentFrameSinceNanos = System.nanoTime();
                 return true;
             }
-            callsWaiting -= first.calls().size();
-            Call.checkClients(first.calls());
-            List<Call> live = new ArrayList<>();
-            List<Ending> endings = new ArrayList<>();
-            for (Call call : first.calls()) {
-                Outcome outcome = call.unsendable();
+            queuedAttempts -= first.calls().size();
+            DispatchedAttempt.checkClientPresence(first.calls());
+            List<DispatchedAttempt> live = new ArrayList<>();
+            List<AttemptResult> endings = new ArrayList<>();
+            for (DispatchedAttempt call : first.calls()) {
+                AttemptOutcome outcome = call.unsentOutcome();
                 if (outcome == null) {
                     live.add(call);
                 } else {
-                    endings.add(new Ending(call, outcome));
+                    endings.add(new AttemptResult(call, outcome));
                 }
             }
             if (!endings.isEmpty()) {
-                listener.report(endings);
+                listener.onAttemptResults(endings);
             }
             if (!live.isEmpty()) {
-                writing = Frames.call(live);
-                writingSince = System.nanoTime();
-                writingCalls = live.stream().map(Out::new).toList();
-                for (Out call : writingCalls) {
-                    out.put(call.call.id, call);
-                    owner.carried(call.call, this);
+                currentFrame = FrameCodec.encodeCall(live);
+                currentFrameSinceNanos = System.nanoTime();
+                currentAttempts = live.stream().map(InFlightAttempt::new).toList();
+                for (InFlightAttempt call : currentAttempts) {
+                    inFlight.put(call.call.id, call);
+                    owner.attemptStarted(call.call, this);
                 }
                 return true;
             }
@@ -308,31 +313,31 @@
         if (closed) {
             return;
         }
-        List<Ending> endings = new ArrayList<>();
+        List<AttemptResult> endings = new ArrayList<>();
         String broken = null;
         boolean spoilt = false;
         try {
             int got;
-            while ((got = source.read(in)) > 0) {
-                heardAt = System.nanoTime();
-                usedAt = heardAt;
-                frames(endings);
+            while ((got = source.read(readBuffer)) > 0) {
+                lastReceivedNanos = System.nanoTime();
+                lastUsedNanos = lastReceivedNanos;
+                decodeFrames(endings);
             }
             broken = got < 0 ? "closed by the node" : null;
-            watchFrame();
-        } catch (Frames.BadFrame e) {
+            checkPartialFrame();
+        } catch (FrameCodec.MalformedFrameException e) {
             broken = e.getMessage();
             spoilt = true;
         } catch (IOException | RuntimeException e) {
             broken = "read failed: " + e;
         }
         if (!endings.isEmpty()) {
-            listener.report(endings);
+            listener.onAttemptResults(endings);
         }
         if (broken != null) {
             close(broken, spoilt);
         } else {
-            closeIfDone();
+            closeIfSuspectAndDone();
         }
     }
 
@@ -341,84 +346,89 @@
      * where nothing is owed, or for too long, leads nowhere any more. It could hurt where a good
      * frame's bytes stall for so long.
      */
-    private void watchFrame() throws Frames.BadFrame {
-        if (in.position() == 0) {
-            frameSince = 0;
-        } else if (out.isEmpty() && probes.isEmpty()) {
-            throw new Frames.BadFrame("bytes that belong to nothing");
-        } else if (frameSince == 0) {
-            frameSince = heardAt;
+    private void checkPartialFrame() throws FrameCodec.MalformedFrameException {
+        if (readBuffer.position() == 0) {
+            partialFrameSinceNanos = 0;
+        } else if (inFlight.isEmpty() && pendingProbes.isEmpty()) {
+            throw new FrameCodec.MalformedFrameException("bytes that belong to nothing");
+        } else if (partialFrameSinceNanos == 0) {
+            partialFrameSinceNanos = lastReceivedNanos;
             channel.getIoThread()
                     .executeAfter(
                             () -> read(channel.getSourceChannel()),
-                            FRAME_MOST.toMillis() + 1,
+                            MAX_FRAME_DURATION.toMillis() + 1,
                             TimeUnit.MILLISECONDS);
-        } else if (System.nanoTime() - frameSince > FRAME_MOST.toNanos()) {
-            throw new Frames.BadFrame("a frame that does not end");
+        } else if (System.nanoTime() - partialFrameSinceNanos > MAX_FRAME_DURATION.toNanos()) {
+            throw new FrameCodec.MalformedFrameException("a frame that does not end");
         }
     }
 
     /** Takes the whole frames out of what was read, and makes room for the rest. */
-    private void frames(List<Ending> endings) throws Frames.BadFrame {
-        in.flip();
-        int needs = READ;
-        while (in.remaining() >= Frames.HEAD) {
-            int length = in.getInt(in.position());
-            if (length < 1 || length > Frames.LONGEST) {
-                throw new Frames.BadFrame("a frame of " + length + " bytes");
+    private void decodeFrames(List<AttemptResult> endings)
+            throws FrameCodec.MalformedFrameException {
+        readBuffer.flip();
+        int needs = READ_BUFFER_BYTES;
+        while (readBuffer.remaining() >= FrameCodec.LENGTH_BYTES) {
+            int length = readBuffer.getInt(readBuffer.position());
+            if (length < 1 || length > FrameCodec.MAX_PAYLOAD_BYTES) {
+                throw new FrameCodec.MalformedFrameException("a frame of " + length + " bytes");
             }
-            if (in.remaining() < Frames.HEAD + length) {
-                needs = Frames.HEAD + length;
+            if (readBuffer.remaining() < FrameCodec.LENGTH_BYTES + length) {
+                needs = FrameCodec.LENGTH_BYTES + length;
                 break;
             }
-            frameSince = 0;
-            in.getInt();
-            char letter = (char) in.get();
+            partialFrameSinceNanos = 0;
+            readBuffer.getInt();
+            char letter = (char) readBuffer.get();
             byte[] rest = new byte[length - 1];
-            in.get(rest);
-            frame(letter, rest, endings);
+            readBuffer.get(rest);
+            handleFrame(letter, rest, endings);
         }
-        if (needs > in.capacity() || needs == READ && in.capacity() > READ) {
-            in = ByteBuffer.allocate(needs).order(ByteOrder.LITTLE_ENDIAN).put(in);
+        if (needs > readBuffer.capacity()
+                || needs == READ_BUFFER_BYTES && readBuffer.capacity() > READ_BUFFER_BYTES) {
+            readBuffer = ByteBuffer.allocate(needs).order(ByteOrder.LITTLE_ENDIAN).put(readBuffer);
         } else {
-            in.compact();
+            readBuffer.compact();
         }
     }
 
-    private void frame(char letter, byte[] rest, List<Ending> endings) throws Frames.BadFrame {
+    private void handleFrame(char letter, byte[] rest, List<AttemptResult> endings)
+            throws FrameCodec.MalformedFrameException {
         switch (letter) {
-            case Frames.ANSWER -> {
-                Frames.Answer answer = Frames.answer(rest);
-                Out answered = out.get(answer.id());
+            case FrameCodec.RESPONSE -> {
+                FrameCodec.ShardResponse answer = FrameCodec.decodeResponse(rest);
+                InFlightAttempt answered = inFlight.get(answer.attemptId());
                 if (answered != null) {
-                    over(answered.call);
-                    endings.add(new Ending(answered.call, answer.outcome(), answer.value()));
-                } else if (!ended.contains(answer.id())) {
-                    throw new Frames.BadFrame("an answer to nothing that was sent on it");
+                    attemptEnded(answered.call);
+                    endings.add(new AttemptResult(answered.call, answer.outcome(), answer.value()));
+                } else if (!recentlyEnded.contains(answer.attemptId())) {
+                    throw new FrameCodec.MalformedFrameException(
+                            "an answer to nothing that was sent on it");
                 }
             }
-            case Frames.PROBE, Frames.LOAD_PROBE -> {
-                String node = probes.poll();
+            case FrameCodec.PROBE, FrameCodec.LOAD_PROBE -> {
+                String node = pendingProbes.poll();
                 if (node == null) {
-                    throw new Frames.BadFrame("an answer to no probe");
+                    throw new FrameCodec.MalformedFrameException("an answer to no probe");
                 }
-                listener.probed(node, !"bad".equals(new String(rest, StandardCharsets.UTF_8)));
+                listener.onHealthCheck(
+                        node, !"bad".equals(new String(rest, StandardCharsets.UTF_8)));
             }
-            case Frames.UNUSABLE ->
-                    throw new Frames.BadFrame(
+            case FrameCodec.PROTOCOL_ERROR ->
+                    throw new FrameCodec.MalformedFrameException(
                             "the node could not use a frame: "
                                     + new String(rest, StandardCharsets.UTF_8));
-            default -> throw new Frames.BadFrame("a frame of an unknown letter");
+            default -> throw new FrameCodec.MalformedFrameException("a frame of an unknown letter");
         }
     }
 
     /** A call has ended on it; late or second answers to it are known from now on. */
-    private void over(Call call) {
-        out.remove(call.id);
-        owner.over(call);
-        ended.add(call.id);
-        if (ended.size() > ENDED_KEPT) {
-            ended.remove(ended.iterator().next());
+    private void attemptEnded(DispatchedAttempt call) {
+        inFlight.remove(call.id);
+        owner.attemptEnded(call);
+        recentlyEnded.add(call.id);
+        if (recentlyEnded.size() > MAX_REMEMBERED_IDS) {
+            recentlyEnded.remove(recentlyEnded.iterator().next());
         }
     }
 
@@ -442,23 +452,28 @@
         if (channel != null) {
             IoUtils.safeClose(channel);
         }
-        owner.closed(this);
-        List<Ending> endings = new ArrayList<>();
-        for (Out call : out.values()) {
-            owner.over(call.call);
+        owner.connectionClosed(this);
+        List<AttemptResult> endings = new ArrayList<>();
+        for (InFlightAttempt call : inFlight.values()) {
+            owner.attemptEnded(call.call);
             endings.add(
-                    new Ending(
+                    new AttemptResult(
                             call.call,
                             !call.written
-                                    ? Outcome.UNREACHABLE
-                                    : spoilt ? Outcome.ERROR : Outcome.RESET));
+                                    ? AttemptOutcome.UNREACHABLE
+                                    : spoilt ? AttemptOutcome.ERROR : AttemptOutcome.RESET));
         }
-        for (Waiting frame : waiting) {
+        for (QueuedFrame frame : writeQueue) {
             if (frame.calls() != null) {
-                frame.calls().forEach(call -> endings.add(new Ending(call, Outcome.UNREACHABLE)));
+                frame.calls()
+                        .forEach(
+                                call ->
+                                        endings.add(
+                                                new AttemptResult(
+                                                        call, AttemptOutcome.UNREACHABLE)));
             }
         }
-        if (why != null && (!endings.isEmpty() || !probes.isEmpty())) {
+        if (why != null && (!endings.isEmpty() || !pendingProbes.isEmpty())) {
             LOG.log(
                     System.Logger.Level.DEBUG,
                     "connection to {0}: {1}; {2} calls end",
@@ -467,8 +482,8 @@
                     endings.size());
         }
         if (!endings.isEmpty()) {
-            listener.report(endings);
+            listener.onAttemptResults(endings);
         }
-        probes.forEach(node -> listener.probed(node, false));
+        pendingProbes.forEach(node -> listener.onHealthCheck(node, false));
     }
 }
--- a/src/main/java/postbeam/discovery/ListForm.java
+++ b/src/main/java/postbeam/discovery/EndpointListCodec.java
@@ -6,21 +6,21 @@
 import java.util.List;
 import java.util.Map;
 import java.util.regex.Pattern;
-import postbeam.roster.Entry;
-import postbeam.roster.Told;
-import postbeam.setup.Json;
-import postbeam.state.Readiness;
+import postbeam.endpoints.Endpoint;
+import postbeam.endpoints.EndpointUpdate;
+import postbeam.json.Json;
+import postbeam.model.Readiness;
 
 /** The data-node list in discovery's form. */
-public final class ListForm {
+public final class EndpointListCodec {
     private static final Pattern ADDRESS =
             Pattern.compile("((25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])(\\.|(?=:))){4}:[0-9]{1,5}");
 
-    private ListForm() {}
+    private EndpointListCodec() {}
 
     /** An IOException says what can't be used of it; cells are numbered from 0 up to so many. */
-    public static Told read(Map<String, Object> list, int cells) throws IOException {
-        List<Entry> entries = new ArrayList<>();
+    public static EndpointUpdate decode(Map<String, Object> list, int cells) throws IOException {
+        List<Endpoint> entries = new ArrayList<>();
         Map<String, String> addresses = new LinkedHashMap<>();
         for (Object line : Json.member(list, "hosts", List.class)) {
             if (!(line instanceof Map<?, ?> host)) {
@@ -31,13 +31,13 @@
                     switch (Json.member(host, "health", String.class)) {
                         case "up" -> Readiness.READY;
                         case "draining" -> Readiness.DRAINING;
-                        case "removed" -> Readiness.GONE;
+                        case "removed" -> Readiness.REMOVED;
                         default ->
                                 throw new IOException("health is unknown: " + host.get("health"));
                     };
-            boolean gone = readiness == Readiness.GONE;
+            boolean gone = readiness == Readiness.REMOVED;
             if (!gone || host.get("dial") instanceof String) {
-                addresses.put(name, address(Json.member(host, "dial", String.class)));
+                addresses.put(name, checkedAddress(Json.member(host, "dial", String.class)));
             }
             Object born = host.get("born_ms");
             int cell = gone ? 0 : Json.member(host, "block", Integer.class);
@@ -45,14 +45,14 @@
                 throw new IOException("block is no cell: " + cell);
             }
             entries.add(
-                    new Entry(
+                    new Endpoint(
                             name,
                             String.valueOf(host.get("site")),
                             cell,
                             born instanceof Number millis ? millis.longValue() * 1000 : 0,
                             readiness));
         }
-        return new Told(
+        return new EndpointUpdate(
                 Json.member(list, "seq", Number.class).longValue(),
                 Json.member(list, "whole", Boolean.class),
                 entries,
@@ -60,7 +60,7 @@
     }
 
     /** Numbers alone: a name would have to be looked up, and that waits. */
-    private static String address(String dial) throws IOException {
+    private static String checkedAddress(String dial) throws IOException {
         if (!ADDRESS.matcher(dial).matches()
                 || Integer.parseInt(dial.substring(dial.indexOf(':') + 1)) > 65_535) {
             throw new IOException("dial is not an address: " + dial);
--- a/src/main/java/postbeam/discovery/HttpGet.java
+++ b/src/main/java/postbeam/discovery/HttpGetClient.java
@@ -11,7 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.Locale;
-import postbeam.setup.Startup;
+import postbeam.config.RouterConfig;
 
 /**
  * GETs from one address, one at a time, over a connection that is kept between them. Each has one
@@ -23,11 +23,11 @@
  * alone): one header name without end filled a heap of 48 MB within about 1 s, from 21 MB sent, and
  * held the thread that serves clients for up to 0.9 s of it. Here it ends after 8 KiB.
  */
-final class HttpGet implements Closeable {
+final class HttpGetClient implements Closeable {
     /** Bytes: a head here holds a hundred or two, and so does a line between chunks. */
-    private static final int LONGEST_HEAD = 8 << 10;
+    private static final int MAX_HEAD_BYTES = 8 << 10;
 
-    private static final int BUFFER = 4 << 10;
+    private static final int BUFFER_BYTES = 4 << 10;
 
     /**
      * Reads: what has come is read before time is judged, as a thread may have waited for its core
@@ -36,33 +36,33 @@
      * hurt where an answer trickles faster than that: it is given up so many ms late, some 70 for a
      * list of 256 KiB.
      */
-    private static final int READS_LATE = 6;
+    private static final int MIN_LATE_READS = 6;
 
     /**
      * The longest that connecting may take, the beginning of an answer from its question, the rest
      * of it from there, and all of it.
      */
-    record Limits(Duration connect, Duration begin, Duration rest, Duration whole) {}
+    record Timeouts(Duration connect, Duration firstByte, Duration remainder, Duration total) {}
 
     private final String address;
-    private final byte[] buffer = new byte[BUFFER];
-    private int at;
-    private int filled;
+    private final byte[] buffer = new byte[BUFFER_BYTES];
+    private int position;
+    private int bufferLimit;
 
     /** When the whole answer has to be there, on the clock of System.nanoTime. */
-    private long end;
+    private long totalDeadlineNanos;
 
     /** When what is read next has to be there. */
-    private long due;
+    private long readDeadlineNanos;
 
     /** How often something may still be read once that has passed. */
-    private int readsLate;
+    private int lateReadsLeft;
 
-    private InputStream in;
+    private InputStream input;
     private volatile Socket socket;
     private boolean closed;
 
-    HttpGet(String address) {
+    HttpGetClient(String address) {
         this.address = address;
     }
 
@@ -70,40 +70,40 @@
      * The body of a 200 of up to so many bytes; an IOException says why there is none within these
      * limits.
      */
-    byte[] get(String path, int longest, Limits limits) throws IOException {
-        end = System.nanoTime() + limits.whole().toNanos();
-        readsLate = READS_LATE + longest / BUFFER;
+    byte[] get(String path, int longest, Timeouts limits) throws IOException {
+        totalDeadlineNanos = System.nanoTime() + limits.total().toNanos();
+        lateReadsLeft = MIN_LATE_READS + longest / BUFFER_BYTES;
         boolean whole = false;
         try {
             Socket to = socket;
             if (to == null) {
-                due = by(limits.connect());
+                readDeadlineNanos = deadlineAfter(limits.connect());
                 to = connect();
             }
             to.getOutputStream()
                     .write(
                             ("GET " + path + " HTTP/1.1\r\nHost: " + address + "\r\n\r\n")
                                     .getBytes(StandardCharsets.ISO_8859_1));
-            due = by(limits.begin());
-            if (at == filled && !fill()) {
+            readDeadlineNanos = deadlineAfter(limits.firstByte());
+            if (position == bufferLimit && !fillBuffer()) {
                 throw new EOFException("closed before an answer");
             }
-            due = by(limits.rest());
-            String[] status = line().split(" ", 3);
+            readDeadlineNanos = deadlineAfter(limits.remainder());
+            String[] status = readLine().split(" ", 3);
             if (!status[0].startsWith("HTTP/1.") || status.length < 2) {
                 throw new IOException("not an answer of HTTP/1.1");
             }
             if (!status[1].equals("200")) {
                 throw new IOException("status " + status[1]);
             }
-            byte[] body = body(longest);
-            whole = at == filled;
+            byte[] body = readBody(longest);
+            whole = position == bufferLimit;
             return body;
         } catch (SocketTimeoutException e) {
             throw new IOException("no whole answer in time", e);
         } finally {
             if (!whole) {
-                drop();
+                closeConnection();
             }
         }
     }
@@ -116,74 +116,74 @@
             }
             socket = opening;
         }
-        at = 0;
-        filled = 0;
-        opening.connect(Startup.socketAddress(address), left());
-        in = opening.getInputStream();
+        position = 0;
+        bufferLimit = 0;
+        opening.connect(RouterConfig.socketAddress(address), millisUntilReadDeadline());
+        input = opening.getInputStream();
         return opening;
     }
 
-    private long by(Duration limit) {
-        return Math.min(end, System.nanoTime() + limit.toNanos());
+    private long deadlineAfter(Duration limit) {
+        return Math.min(totalDeadlineNanos, System.nanoTime() + limit.toNanos());
     }
 
     /**
      * What is left until what is read next is due, in ms; at least 1, also when that has passed.
      */
-    private int left() {
-        return (int) Math.max(1, (due - System.nanoTime()) / 1_000_000 + 1);
+    private int millisUntilReadDeadline() {
+        return (int) Math.max(1, (readDeadlineNanos - System.nanoTime()) / 1_000_000 + 1);
     }
 
     /** The next byte, or -1 at the end. */
-    private int next() throws IOException {
-        return at < filled || fill() ? buffer[at++] & 0xff : -1;
+    private int nextByte() throws IOException {
+        return position < bufferLimit || fillBuffer() ? buffer[position++] & 0xff : -1;
     }
 
-    private boolean fill() throws IOException {
+    private boolean fillBuffer() throws IOException {
         Socket from = socket;
         if (from == null) {
             throw new IOException("closed");
         }
-        if (due - System.nanoTime() <= 0 && readsLate-- == 0) {
+        if (readDeadlineNanos - System.nanoTime() <= 0 && lateReadsLeft-- == 0) {
             throw new SocketTimeoutException();
         }
-        from.setSoTimeout(left());
-        at = 0;
-        filled = Math.max(0, in.read(buffer));
-        return filled > 0;
+        from.setSoTimeout(millisUntilReadDeadline());
+        position = 0;
+        bufferLimit = Math.max(0, input.read(buffer));
+        return bufferLimit > 0;
     }
 
-    private String line() throws IOException {
+    private String readLine() throws IOException {
         StringBuilder line = new StringBuilder();
         int next;
-        while ((next = next()) != '\n') {
+        while ((next = nextByte()) != '\n') {
             if (next < 0) {
                 throw new EOFException("closed before the answer's end");
             }
-            if (line.length() == LONGEST_HEAD) {
-                throw new IOException("a line of over " + LONGEST_HEAD + " bytes");
+            if (line.length() == MAX_HEAD_BYTES) {
+                throw new IOException("a line of over " + MAX_HEAD_BYTES + " bytes");
             }
             line.append((char) next);
         }
         return line.toString().stripTrailing();
     }
 
-    private byte[] body(int longest) throws IOException {
+    private byte[] readBody(int longest) throws IOException {
         long length = -1;
         boolean chunked = false;
         boolean kept = true;
         int head = 0;
         String line;
-        while (!(line = line()).isEmpty()) {
+        while (!(line = readLine()).isEmpty()) {
             head += line.length();
-            if (head > LONGEST_HEAD) {
-                throw new IOException("a head of over " + LONGEST_HEAD + " bytes");
+            if (head > MAX_HEAD_BYTES) {
+                throw new IOException("a head of over " + MAX_HEAD_BYTES + " bytes");
             }
             int colon = line.indexOf(':');
             String name = line.substring(0, Math.max(0, colon)).toLowerCase(Locale.ROOT);
             String value = line.substring(colon + 1).strip();
             switch (name) {
-                case "content-length" -> length = size(value, 10);
+                case "content-length" -> length = parseLength(value, 10);
                 case "transfer-encoding" -> chunked = value.equalsIgnoreCase("chunked");
                 case "connection" -> kept = !value.equalsIgnoreCase("close");
                 default -> {}
@@ -192,30 +192,30 @@
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         if (chunked) {
             long chunk;
-            while ((chunk = size(line().replaceFirst(";.*", "").strip(), 16)) > 0) {
-                take(body, chunk, longest);
-                if (!line().isEmpty()) {
+            while ((chunk = parseLength(readLine().replaceFirst(";.*", "").strip(), 16)) > 0) {
+                copyBody(body, chunk, longest);
+                if (!readLine().isEmpty()) {
                     throw new IOException("a chunk that is longer than it says");
                 }
             }
-            if (!line().isEmpty()) {
+            if (!readLine().isEmpty()) {
                 kept = false;
             }
         } else if (length >= 0) {
-            take(body, length, longest);
+            copyBody(body, length, longest);
         } else {
             kept = false;
-            while (at < filled || fill()) {
-                take(body, filled - at, longest);
+            while (position < bufferLimit || fillBuffer()) {
+                copyBody(body, bufferLimit - position, longest);
             }
         }
         if (!kept) {
-            drop();
+            closeConnection();
         }
         return body.toByteArray();
     }
 
-    private static long size(String digits, int radix) throws IOException {
+    private static long parseLength(String digits, int radix) throws IOException {
         try {
             long size = Long.parseLong(digits, radix);
             if (size >= 0) {
@@ -227,24 +227,24 @@
         throw new IOException("a length that can't be read");
     }
 
-    private void take(ByteArrayOutputStream body, long length, int longest) throws IOException {
+    private void copyBody(ByteArrayOutputStream body, long length, int longest) throws IOException {
         if (length > longest - body.size()) {
             throw new IOException("an answer of over " + longest + " bytes");
         }
         int missing = (int) length;
         while (missing > 0) {
-            if (at == filled && !fill()) {
+            if (position == bufferLimit && !fillBuffer()) {
                 throw new EOFException("closed before the answer's end");
             }
-            int some = Math.min(missing, filled - at);
-            body.write(buffer, at, some);
-            at += some;
+            int some = Math.min(missing, bufferLimit - position);
+            body.write(buffer, position, some);
+            position += some;
             missing -= some;
         }
     }
 
     /** Gives the connection back; what is asked next gets a new one. */
-    private void drop() {
+    private void closeConnection() {
         Socket dropped = socket;
         socket = null;
         if (dropped != null) {
@@ -262,6 +262,6 @@
         synchronized (this) {
             closed = true;
         }
-        drop();
+        closeConnection();
     }
 }
--- a/src/main/java/postbeam/discovery/LongPoll.java
+++ b/src/main/java/postbeam/discovery/LongPollWatcher.java
@@ -5,19 +5,19 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import java.util.function.ToLongFunction;
-import postbeam.roster.DiscoveryPacing;
+import postbeam.endpoints.PollSchedule;
 
 /**
  * Follows something that has versions over HTTP, on a thread of its own, so that nothing stands
  * before what is told: asks for the whole of it, then waits for what is newer, and asks for the
  * whole again after every failure.
  */
-public final class LongPoll<T> implements Runnable {
-    private static final System.Logger LOG = System.getLogger(LongPoll.class.getName());
+public final class LongPollWatcher<T> implements Runnable {
+    private static final System.Logger LOG = System.getLogger(LongPollWatcher.class.getName());
 
     /** Decodes a body; an IOException says what can't be used. */
-    public interface Reading<T> {
-        T read(byte[] body) throws IOException;
+    public interface Decoder<T> {
+        T decode(byte[] body) throws IOException;
     }
 
     /**
@@ -25,46 +25,50 @@
      * is said with each question.
      */
     public record Source(
-            String name, String address, String path, int longest, Supplier<String> says) {
+            String name,
+            String address,
+            String path,
+            int maxBytes,
+            Supplier<String> queryParameters) {
         public Source(String name, String address, String path, int longest) {
             this(name, address, path, longest, () -> "");
         }
     }
 
     private final Source source;
-    private final HttpGet http;
-    private final Reading<T> reading;
+    private final HttpGetClient http;
+    private final Decoder<T> decoder;
     private final ToLongFunction<T> version;
-    private final Consumer<T> told;
-    private final DiscoveryPacing.Pace pace;
-    private final Runnable followed;
+    private final Consumer<T> onUpdate;
+    private final PollSchedule.PollTimings timings;
+    private final Runnable onPollDone;
     private volatile boolean stopped;
-    private int failures;
+    private int consecutiveFailures;
 
-    public LongPoll(
+    public LongPollWatcher(
             Source source,
-            Reading<T> reading,
+            Decoder<T> reading,
             ToLongFunction<T> version,
             Consumer<T> told,
-            DiscoveryPacing.Pace pace) {
+            PollSchedule.PollTimings pace) {
         this(source, reading, version, told, pace, () -> {});
     }
 
     /** The last is run after each call, whether it told or failed. */
-    public LongPoll(
+    public LongPollWatcher(
             Source source,
-            Reading<T> reading,
+            Decoder<T> reading,
             ToLongFunction<T> version,
             Consumer<T> told,
-            DiscoveryPacing.Pace pace,
+            PollSchedule.PollTimings pace,
             Runnable followed) {
-        this.followed = followed;
+        this.onPollDone = followed;
         this.source = source;
-        this.http = new HttpGet(source.address());
-        this.reading = reading;
+        this.http = new HttpGetClient(source.address());
+        this.decoder = reading;
         this.version = version;
-        this.told = told;
-        this.pace = pace;
+        this.onUpdate = told;
+        this.timings = pace;
     }
 
     @Override
@@ -73,7 +77,7 @@
         while (!stopped) {
             try {
                 long asked = System.nanoTime();
-                T next = last < 0 ? whole() : newer(last);
+                T next = last < 0 ? fetchAll() : fetchChanges(last);
                 long is = version.applyAsLong(next);
                 if (is < Math.max(0, last)) {
                     // Changes of something else than what is held; a whole list is taken as it is.
@@ -83,29 +87,31 @@
                     if (stopped) {
                         return;
                     }
-                    told.accept(next);
+                    onUpdate.accept(next);
                 }
-                followed.run();
+                onPollDone.run();
                 // A watch that is answered with nothing new before its wait is over would be asked
                 // without end.
-                boolean idle = is == last && System.nanoTime() - asked < pace.hold().toNanos() / 2;
+                boolean idle =
+                        is == last
+                                && System.nanoTime() - asked < timings.longPollWait().toNanos() / 2;
                 last = is;
-                if (failures > 0) {
+                if (consecutiveFailures > 0) {
                     LOG.log(
                             System.Logger.Level.INFO,
                             "{0} answers again, version {1}",
                             source.name(),
                             last);
                 }
-                failures = 0;
+                consecutiveFailures = 0;
                 if (idle) {
-                    pause(1);
+                    backOff(1);
                 }
             } catch (IOException | RuntimeException | Error e) {
                 if (stopped) {
                     return;
                 }
-                if (failures++ == 0) {
+                if (consecutiveFailures++ == 0) {
                     LOG.log(
                             System.Logger.Level.WARNING,
                             "{0} at {1}: {2}; what is held stays",
@@ -113,41 +119,48 @@
                             source.address(),
                             e.toString());
                 }
-                followed.run();
+                onPollDone.run();
                 // The whole again: what a half answer would have told is not lost.
                 last = -1;
-                pause(failures);
+                backOff(consecutiveFailures);
             }
         }
     }
 
-    private void pause(int after) {
+    private void backOff(int after) {
         try {
-            Thread.sleep(pace.pause().apply(after).toMillis());
+            Thread.sleep(timings.backoff().apply(after).toMillis());
         } catch (InterruptedException e) {
             stopped = true;
         }
     }
 
-    private T whole() throws IOException {
-        Duration begin = pace.begin().apply(failures);
-        return ask("", new HttpGet.Limits(begin, begin, pace.answer(), pace.answer()));
+    private T fetchAll() throws IOException {
+        Duration begin = timings.firstByteTimeout().apply(consecutiveFailures);
+        return fetch(
+                "",
+                new HttpGetClient.Timeouts(
+                        begin, begin, timings.responseTimeout(), timings.responseTimeout()));
     }
 
-    private T newer(long last) throws IOException {
-        Duration waited = pace.hold().plus(pace.over());
-        return ask(
-                "?index=" + last + "&wait=" + pace.hold().toMillis(),
-                new HttpGet.Limits(pace.begin().apply(failures), waited, pace.answer(), waited));
+    private T fetchChanges(long last) throws IOException {
+        Duration waited = timings.longPollWait().plus(timings.longPollGrace());
+        return fetch(
+                "?index=" + last + "&wait=" + timings.longPollWait().toMillis(),
+                new HttpGetClient.Timeouts(
+                        timings.firstByteTimeout().apply(consecutiveFailures),
+                        waited,
+                        timings.responseTimeout(),
+                        waited));
     }
 
-    private T ask(String query, HttpGet.Limits limits) throws IOException {
-        String says = source.says().get();
+    private T fetch(String query, HttpGetClient.Timeouts limits) throws IOException {
+        String says = source.queryParameters().get();
         String asked =
                 source.path()
                         + query
                         + (says.isEmpty() ? "" : (query.isEmpty() ? "?" : "&") + says);
-        return reading.read(http.get(asked, source.longest(), limits));
+        return decoder.decode(http.get(asked, source.maxBytes(), limits));
     }
 
     /** Once it returns nothing more is told; a call that waits is broken off. */
--- a/src/main/java/postbeam/router/Call.java
+++ b/src/main/java/postbeam/dispatch/DispatchedAttempt.java
@@ -1,66 +1,65 @@
-package postbeam.router;
+package postbeam.dispatch;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Collection;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import postbeam.dispatch.ClientPresence;
-import postbeam.state.LeafCall;
-import postbeam.state.Outcome;
+import postbeam.model.Attempt;
+import postbeam.model.AttemptOutcome;
 
 /** A leaf call as the network sees it. */
-public class Call {
-    public final LeafCall leaf;
+public class DispatchedAttempt {
+    public final Attempt attempt;
 
     /** Its part's id, the shard and the text to carry. */
     public final String id;
 
     public final int shard;
-    public final byte[] text;
+    public final byte[] payload;
 
     /** What a data node is told beside how long is waited; empty but where slices move. */
-    private final String more;
+    private final String headerFields;
 
-    private final long untilNanos;
+    private final long deadlineNanos;
     private final ClientPresence client;
-    private volatile boolean over;
+    private volatile boolean abandoned;
 
     /** How it ends where it is not written by then; null: it may be written at any time. */
-    private volatile Limit limit;
+    private volatile SendDeadline sendDeadline;
 
-    private record Limit(long nanos, Outcome outcome) {}
+    private record SendDeadline(long nanos, AttemptOutcome outcome) {}
 
-    public Call(
+    public DispatchedAttempt(
             ClientPresence client,
-            LeafCall leaf,
+            Attempt attempt,
             String id,
             String more,
             byte[] text,
             long untilNanos) {
         this.client = client;
-        this.leaf = leaf;
-        this.shard = leaf.part.shard;
+        this.attempt = attempt;
+        this.shard = attempt.shardRequest.shard;
         this.id = id;
-        this.more = more;
-        this.text = text;
-        this.untilNanos = untilNanos;
+        this.headerFields = more;
+        this.payload = text;
+        this.deadlineNanos = untilNanos;
     }
 
     /** Nobody waits for it from here on. */
-    public void end() {
-        over = true;
+    public void abandon() {
+        abandoned = true;
     }
 
     /** Nobody waits for it any more: what is not written yet is not to be written. */
-    public boolean over() {
-        return over;
+    public boolean abandoned() {
+        return abandoned;
     }
 
     /** It is not to be written after this; where it is not by then it ends so. */
-    public void notAfter(long nanos, Outcome outcome) {
-        Limit held = limit;
+    public void requireSentBy(long nanos, AttemptOutcome outcome) {
+        SendDeadline held = sendDeadline;
         if (held == null || held.nanos - nanos > 0) {
-            limit = new Limit(nanos, outcome);
+            sendDeadline = new SendDeadline(nanos, outcome);
         }
     }
 
@@ -68,10 +67,10 @@
      * How it ends as not written, where it is not to be written any more; null where it still may
      * be.
      */
-    public Outcome unsendable() {
-        Limit held = limit;
-        return over
-                ? Outcome.NEVER_SENT
+    public AttemptOutcome unsentOutcome() {
+        SendDeadline held = sendDeadline;
+        return abandoned
+                ? AttemptOutcome.NEVER_SENT
                 : held != null && System.nanoTime() - held.nanos > 0 ? held.outcome : null;
     }
 
@@ -81,10 +80,10 @@
      * connection to the node, or a router that is late. It costs a read that finds nothing for each
      * query.
      */
-    public static void checkClients(Collection<Call> calls) {
+    public static void checkClientPresence(Collection<DispatchedAttempt> calls) {
         Set<ClientPresence> clients = new LinkedHashSet<>();
-        for (Call call : calls) {
-            if (!call.over) {
+        for (DispatchedAttempt call : calls) {
+            if (!call.abandoned) {
                 clients.add(call.client);
             }
         }
@@ -92,13 +91,21 @@
     }
 
     /** How long its answer will be waited for; at least 1. */
-    public long millisLeft() {
-        return Math.max(1, (untilNanos - System.nanoTime()) / 1_000_000);
+    public long remainingMillis() {
+        return Math.max(1, (deadlineNanos - System.nanoTime()) / 1_000_000);
     }
 
     /** The first bytes that stand for it in a frame, up to its text. */
-    public byte[] head() {
-        return (id + " " + shard + " d=" + millisLeft() + more + " " + text.length + "\n")
+    public byte[] frameHeader() {
+        return (id
+                        + " "
+                        + shard
+                        + " d="
+                        + remainingMillis()
+                        + headerFields
+                        + " "
+                        + payload.length
+                        + "\n")
                 .getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/src/main/java/postbeam/setup/Json.java
+++ b/src/main/java/postbeam/json/Json.java
@@ -1,4 +1,4 @@
-package postbeam.setup;
+package postbeam.json;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -14,18 +14,18 @@
 /** Reads JSON into maps, lists, strings, numbers and truth values. */
 public final class Json {
     /** Levels: the deepest form here, the settings, has five. */
-    private static final int DEEPEST = 32;
+    private static final int MAX_DEPTH = 32;
 
     public static final JsonFactory FACTORY =
             JsonFactory.builder()
                     .streamReadConstraints(
-                            StreamReadConstraints.builder().maxNestingDepth(DEEPEST).build())
+                            StreamReadConstraints.builder().maxNestingDepth(MAX_DEPTH).build())
                     .build();
 
     private Json() {}
 
     /** The one object that the bytes hold. */
-    public static Map<String, Object> object(byte[] bytes) throws IOException {
+    public static Map<String, Object> parseObject(byte[] bytes) throws IOException {
         try (JsonParser parser = FACTORY.createParser(bytes)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new IOException("not a JSON object");
@@ -66,7 +66,7 @@
         };
     }
 
-    /** Writes what {@link #object} reads. */
+    /** Writes what {@link #parseObject} reads. */
     public static void write(JsonGenerator json, Object value) throws IOException {
         if (value instanceof Map<?, ?> map) {
             json.writeStartObject();
--- a/src/main/java/postbeam/layouts/NodeOrders.java
+++ b/src/main/java/postbeam/layoutservice/HandoffClient.java
@@ -1,4 +1,4 @@
-package postbeam.layouts;
+package postbeam.layoutservice;
 
 import static java.util.Map.entry;
 
@@ -18,12 +18,12 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.stream.Collectors;
 import org.xnio.IoUtils;
-import postbeam.migration.Doing;
-import postbeam.migration.Said;
-import postbeam.setup.Json;
-import postbeam.setup.Startup;
-import postbeam.slices.Act;
-import postbeam.slices.Order;
+import postbeam.config.RouterConfig;
+import postbeam.json.Json;
+import postbeam.migration.MigrationAction;
+import postbeam.migration.RangeDigest;
+import postbeam.slices.CoordinatorAction;
+import postbeam.slices.HandoffCommand;
 
 /**
  * Tells data nodes what to do with slices, over the frames that they speak: letter s, then a line
@@ -32,56 +32,56 @@
  * hangs holds up no other. What is not answered, for whatever cause, is told again by the one who
  * decides: each order may come twice.
  */
-final class NodeOrders implements Closeable {
-    private static final System.Logger LOG = System.getLogger(NodeOrders.class.getName());
-    static final char ORDER = 's';
+final class HandoffClient implements Closeable {
+    private static final System.Logger LOG = System.getLogger(HandoffClient.class.getName());
+    static final char FRAME_TYPE = 's';
 
     /** Orders that wait for one node; what finds no room is told again later. */
-    private static final int WAITING_MOST = 256;
+    private static final int MAX_QUEUED_PER_NODE = 256;
 
     /** How long an answer is waited for; nodes answer at once, with busy where the work goes on. */
-    private static final Duration ANSWER_MOST = Duration.ofSeconds(1);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(1);
 
-    private static final int ANSWER_LONGEST = 1024;
+    private static final int MAX_RESPONSE_BYTES = 1024;
 
     /** What a node says of up to 256 ranges of keys. */
-    private static final int SAID_LONGEST = 128 << 10;
+    private static final int MAX_DIGEST_RESPONSE_BYTES = 128 << 10;
 
     /**
      * Asks a node what it has: this, a number, the slice and ranges; answered with this, both, and
      * JSON.
      */
-    private static final String SAY = "SAY";
+    private static final String DIGEST_REQUEST = "SAY";
 
-    private static final WireNames<Order> ORDERS =
+    private static final WireNames<HandoffCommand> COMMAND_NAMES =
             WireNames.of(
-                    Order.class,
+                    HandoffCommand.class,
                     "an unknown order",
-                    entry(Order.COPY, "COPY"),
-                    entry(Order.HOLD, "HOLD"),
-                    entry(Order.FENCE, "FENCE"),
-                    entry(Order.SERVE, "SERVE"),
-                    entry(Order.DROP, "DROP"));
+                    entry(HandoffCommand.COPY, "COPY"),
+                    entry(HandoffCommand.HOLD, "HOLD"),
+                    entry(HandoffCommand.FENCE, "FENCE"),
+                    entry(HandoffCommand.SERVE, "SERVE"),
+                    entry(HandoffCommand.DROP, "DROP"));
 
     /** Hears which orders were done. */
-    interface Done {
-        void done(long move, String node, Order order, int slice);
+    interface CompletionListener {
+        void onDone(long move, String node, HandoffCommand command, int slice);
     }
 
     /** Hears what nodes say of what they have. */
-    interface Heard {
-        void said(long number, String node, List<Said> said);
+    interface DigestListener {
+        void onDigests(long number, String node, List<RangeDigest> said);
     }
 
-    private final Done done;
-    private final Map<String, Worker> workers = new LinkedHashMap<>();
+    private final CompletionListener done;
+    private final Map<String, NodeWorker> workers = new LinkedHashMap<>();
     private final Map<String, String> addresses = new LinkedHashMap<>();
 
-    private Heard heard;
-    private Runnable stale;
+    private DigestListener digestListener;
+    private Runnable onSuperseded;
     private long term;
 
-    NodeOrders(Done done) {
+    HandoffClient(CompletionListener done) {
         this.done = done;
     }
 
@@ -89,14 +89,14 @@
      * From now on orders carry this term; whoever is listening hears once that a node has taken one
      * of a higher term.
      */
-    synchronized void office(long next, Heard listener, Runnable overtaken) {
+    synchronized void startTerm(long next, DigestListener listener, Runnable overtaken) {
         term = next;
-        heard = listener;
-        stale = overtaken;
+        digestListener = listener;
+        onSuperseded = overtaken;
     }
 
     /** Where nodes are; threads and connections of those that have gone are given back. */
-    synchronized void reachedAt(Map<String, String> now) {
+    synchronized void updateAddresses(Map<String, String> now) {
         addresses.clear();
         addresses.putAll(now);
         workers.entrySet()
@@ -111,38 +111,44 @@
                         });
     }
 
-    synchronized void tell(Act.Tell tell) {
+    synchronized void send(CoordinatorAction.SendCommand tell) {
         String address = addresses.get(tell.node());
         if (address != null) {
             String source =
                     tell.source() == null ? "-" : addresses.getOrDefault(tell.source(), "-");
-            workers.computeIfAbsent(tell.node(), node -> new Worker(node, address))
+            workers.computeIfAbsent(tell.node(), node -> new NodeWorker(node, address))
                     .waiting
                     .offer(
-                            new Asked(
+                            new PendingRequest(
                                     tell, null, line(tell, source) + (term > 0 ? " " + term : "")));
         }
     }
 
-    synchronized void ask(Doing.Ask ask) {
+    synchronized void requestDigests(MigrationAction.RequestDigests ask) {
         String address = addresses.get(ask.node());
         if (address != null) {
             String ranges =
                     ask.ranges().stream()
                             .map(keys -> keys.from() + "-" + keys.to())
                             .collect(Collectors.joining(","));
-            workers.computeIfAbsent(ask.node(), node -> new Worker(node, address))
+            workers.computeIfAbsent(ask.node(), node -> new NodeWorker(node, address))
                     .waiting
                     .offer(
-                            new Asked(
+                            new PendingRequest(
                                     null,
                                     ask,
-                                    SAY + " " + ask.number() + " " + ask.slice() + " " + ranges));
+                                    DIGEST_REQUEST
+                                            + " "
+                                            + ask.requestId()
+                                            + " "
+                                            + ask.slice()
+                                            + " "
+                                            + ranges));
         }
     }
 
-    private static String line(Act.Tell tell, String source) {
-        return ORDERS.of(tell.order())
+    private static String line(CoordinatorAction.SendCommand tell, String source) {
+        return COMMAND_NAMES.of(tell.command())
                 + " "
                 + tell.move()
                 + " "
@@ -159,22 +165,24 @@
 
     @Override
     public synchronized void close() {
-        workers.values().forEach(Worker::close);
+        workers.values().forEach(NodeWorker::close);
         workers.clear();
     }
 
-    private record Asked(Act.Tell tell, Doing.Ask ask, String line) {}
+    private record PendingRequest(
+            CoordinatorAction.SendCommand tell, MigrationAction.RequestDigests ask, String line) {}
 
     /** Owner of one node's connection and thread. */
-    private final class Worker implements Runnable, Closeable {
+    private final class NodeWorker implements Runnable, Closeable {
         private final String node;
         private final String address;
-        private final BlockingQueue<Asked> waiting = new ArrayBlockingQueue<>(WAITING_MOST);
+        private final BlockingQueue<PendingRequest> waiting =
+                new ArrayBlockingQueue<>(MAX_QUEUED_PER_NODE);
         private final Thread thread;
         private Socket socket;
         private boolean failing;
 
-        Worker(String node, String address) {
+        NodeWorker(String node, String address) {
             this.node = node;
             this.address = address;
             thread = new Thread(this, "orders-" + node);
@@ -195,37 +203,40 @@
             }
         }
 
-        private void ask(Asked asked) {
+        private void ask(PendingRequest asked) {
             try {
                 if (socket == null) {
                     Socket next = new Socket();
                     socket = next;
                     next.setTcpNoDelay(true);
-                    next.connect(Startup.socketAddress(address), (int) ANSWER_MOST.toMillis());
-                    next.setSoTimeout((int) ANSWER_MOST.toMillis());
+                    next.connect(
+                            RouterConfig.socketAddress(address), (int) RESPONSE_TIMEOUT.toMillis());
+                    next.setSoTimeout((int) RESPONSE_TIMEOUT.toMillis());
                 }
-                send(socket.getOutputStream(), ORDER + asked.line);
+                send(socket.getOutputStream(), FRAME_TYPE + asked.line);
                 if (asked.ask != null) {
                     said(
                             asked.ask,
-                            read(new DataInputStream(socket.getInputStream()), SAID_LONGEST));
+                            read(
+                                    new DataInputStream(socket.getInputStream()),
+                                    MAX_DIGEST_RESPONSE_BYTES));
                     return;
                 }
                 String[] answer =
-                        read(new DataInputStream(socket.getInputStream()), ANSWER_LONGEST)
+                        read(new DataInputStream(socket.getInputStream()), MAX_RESPONSE_BYTES)
                                 .split(" ");
-                Act.Tell tell = asked.tell;
+                CoordinatorAction.SendCommand tell = asked.tell;
                 if (answer.length < 4
-                        || !answer[0].equals(ORDER + ORDERS.of(tell.order()))
+                        || !answer[0].equals(FRAME_TYPE + COMMAND_NAMES.of(tell.command()))
                         || !answer[1].equals(String.valueOf(tell.move()))
                         || !answer[2].equals(String.valueOf(tell.slice()))) {
                     throw new IOException("an answer to no order: " + String.join(" ", answer));
                 }
                 failing = false;
                 if (answer[3].equals("stale")) {
-                    stale.run();
+                    onSuperseded.run();
                 } else if (answer[3].equals("done")) {
-                    done.done(tell.move(), node, tell.order(), tell.slice());
+                    done.onDone(tell.move(), node, tell.command(), tell.slice());
                 }
             } catch (IOException | RuntimeException e) {
                 IoUtils.safeClose(socket);
@@ -242,17 +253,18 @@
             }
         }
 
-        private void said(Doing.Ask ask, String answer) throws IOException {
-            String head = ORDER + SAY + " " + ask.number() + " " + ask.slice() + " ";
+        private void said(MigrationAction.RequestDigests ask, String answer) throws IOException {
+            String head =
+                    FRAME_TYPE + DIGEST_REQUEST + " " + ask.requestId() + " " + ask.slice() + " ";
             if (!answer.startsWith(head)) {
                 throw new IOException("an answer to no question");
             }
             failing = false;
-            heard.said(
-                    ask.number(),
+            digestListener.onDigests(
+                    ask.requestId(),
                     node,
-                    NotedForm.said(
-                            Json.object(
+                    MigrationRecordCodec.digests(
+                            Json.parseObject(
                                     answer.substring(head.length())
                                             .getBytes(StandardCharsets.UTF_8))));
         }
