--- a/src/main/java/postbeam/layouts/LayoutForm.java
+++ b/src/main/java/postbeam/layoutservice/LayoutCodec.java
@@ -1,4 +1,4 @@
-package postbeam.layouts;
+package postbeam.layoutservice;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.ByteArrayOutputStream;
@@ -7,31 +7,31 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import postbeam.setup.Json;
-import postbeam.slices.Change;
+import postbeam.json.Json;
 import postbeam.slices.Holder;
 import postbeam.slices.KeyRange;
 import postbeam.slices.Layout;
-import postbeam.slices.Retired;
+import postbeam.slices.LayoutChange;
+import postbeam.slices.RetiredSlice;
 import postbeam.slices.Slice;
-import postbeam.slices.Target;
+import postbeam.slices.TargetLayout;
 
 /**
  * Layouts, changes and targets in JSON; an IOException says what can't be used. Times are
  * milliseconds since 1970.
  */
-public final class LayoutForm {
-    private LayoutForm() {}
+public final class LayoutCodec {
+    private LayoutCodec() {}
 
     /** Writes something to a generator. */
-    interface Writing {
-        void to(JsonGenerator json) throws IOException;
+    interface JsonWriter {
+        void writeTo(JsonGenerator json) throws IOException;
     }
 
-    static byte[] bytes(Writing writing) {
+    static byte[] toBytes(JsonWriter writing) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator json = Json.FACTORY.createGenerator(bytes)) {
-            writing.to(json);
+            writing.writeTo(json);
         } catch (IOException e) {
             throw new IllegalStateException("memory can't be written to", e);
         }
@@ -41,24 +41,24 @@
     // ---- layouts
 
     public static byte[] write(Layout layout) {
-        return bytes(json -> write(json, layout));
+        return toBytes(json -> write(json, layout));
     }
 
     static void write(JsonGenerator json, Layout layout) throws IOException {
         json.writeStartObject();
         json.writeNumberField("version", layout.version);
-        json.writeNumberField("oldest", layout.oldest);
+        json.writeNumberField("oldest", layout.oldestVersion);
         json.writeArrayFieldStart("slices");
         for (Slice slice : layout.slices()) {
             json.writeStartObject();
             json.writeNumberField("slice", slice.number());
             write(json, slice.keys());
-            json.writeNumberField("born", slice.bornIn());
+            json.writeNumberField("born", slice.createdVersion());
             json.writeArrayFieldStart("holders");
             for (Holder holder : slice.holders()) {
                 json.writeStartObject();
                 json.writeStringField("node", holder.node());
-                json.writeNumberField("took_ms", holder.tookAt().toMillis());
+                json.writeNumberField("took_ms", holder.acquiredAt().toMillis());
                 json.writeEndObject();
             }
             json.writeEndArray();
@@ -66,12 +66,12 @@
         }
         json.writeEndArray();
         json.writeArrayFieldStart("retired");
-        for (Retired old : layout.retired()) {
+        for (RetiredSlice old : layout.retiredSlices()) {
             json.writeStartObject();
             json.writeNumberField("slice", old.number());
             write(json, old.keys());
-            json.writeNumberField("born", old.bornIn());
-            json.writeNumberField("died", old.diedIn());
+            json.writeNumberField("born", old.createdVersion());
+            json.writeNumberField("died", old.retiredVersion());
             writeInts(json, "children", old.children());
             json.writeEndObject();
         }
@@ -95,52 +95,52 @@
 
     public static Layout read(Map<String, Object> object) throws IOException {
         List<Slice> slices = new ArrayList<>();
-        for (Map<?, ?> slice : objects(object, "slices")) {
+        for (Map<?, ?> slice : readObjects(object, "slices")) {
             List<Holder> holders = new ArrayList<>();
-            for (Map<?, ?> holder : objects(slice, "holders")) {
+            for (Map<?, ?> holder : readObjects(slice, "holders")) {
                 holders.add(
                         new Holder(
                                 Json.member(holder, "node", String.class),
-                                Duration.ofMillis(number(holder, "took_ms"))));
+                                Duration.ofMillis(readLong(holder, "took_ms"))));
             }
             slices.add(
                     new Slice(
-                            (int) number(slice, "slice"),
-                            keys(slice),
-                            number(slice, "born"),
+                            (int) readLong(slice, "slice"),
+                            readKeys(slice),
+                            readLong(slice, "born"),
                             holders));
         }
-        List<Retired> retired = new ArrayList<>();
-        for (Map<?, ?> old : objects(object, "retired")) {
+        List<RetiredSlice> retired = new ArrayList<>();
+        for (Map<?, ?> old : readObjects(object, "retired")) {
             retired.add(
-                    new Retired(
-                            (int) number(old, "slice"),
-                            keys(old),
-                            number(old, "born"),
-                            number(old, "died"),
-                            ints(old, "children")));
+                    new RetiredSlice(
+                            (int) readLong(old, "slice"),
+                            readKeys(old),
+                            readLong(old, "born"),
+                            readLong(old, "died"),
+                            readInts(old, "children")));
         }
         try {
-            return Layout.checked(
-                    number(object, "version"), number(object, "oldest"), slices, retired);
+            return Layout.validated(
+                    readLong(object, "version"), readLong(object, "oldest"), slices, retired);
         } catch (IllegalArgumentException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
 
-    static long number(Map<?, ?> object, String name) throws IOException {
+    static long readLong(Map<?, ?> object, String name) throws IOException {
         return Json.member(object, name, Number.class).longValue();
     }
 
-    static KeyRange keys(Map<?, ?> object) throws IOException {
+    static KeyRange readKeys(Map<?, ?> object) throws IOException {
         try {
-            return new KeyRange(number(object, "from"), number(object, "to"));
+            return new KeyRange(readLong(object, "from"), readLong(object, "to"));
         } catch (IllegalArgumentException e) {
             throw new IOException(e.getMessage(), e);
         }
     }
 
-    static List<Integer> ints(Map<?, ?> object, String name) throws IOException {
+    static List<Integer> readInts(Map<?, ?> object, String name) throws IOException {
         List<Integer> ints = new ArrayList<>();
         for (Object one : Json.member(object, name, List.class)) {
             if (!(one instanceof Integer number)) {
@@ -151,7 +151,7 @@
         return ints;
     }
 
-    static List<Map<?, ?>> objects(Map<?, ?> object, String name) throws IOException {
+    static List<Map<?, ?>> readObjects(Map<?, ?> object, String name) throws IOException {
         List<Map<?, ?>> objects = new ArrayList<>();
         for (Object one : Json.member(object, name, List.class)) {
             if (!(one instanceof Map<?, ?> map)) {
@@ -162,7 +162,7 @@
         return objects;
     }
 
-    static List<String> texts(Map<?, ?> object, String name) throws IOException {
+    static List<String> readStrings(Map<?, ?> object, String name) throws IOException {
         List<String> texts = new ArrayList<>();
         for (Object one : Json.member(object, name, List.class)) {
             if (!(one instanceof String text)) {
@@ -175,18 +175,18 @@
 
     // ---- changes
 
-    static void write(JsonGenerator json, Change change) throws IOException {
+    static void write(JsonGenerator json, LayoutChange change) throws IOException {
         json.writeStartObject();
-        if (change instanceof Change.Split split) {
+        if (change instanceof LayoutChange.Split split) {
             json.writeNumberField("split", split.slice());
             json.writeArrayFieldStart("at");
             for (long cut : split.cuts()) {
                 json.writeNumber(cut);
             }
             json.writeEndArray();
-        } else if (change instanceof Change.Merge merge) {
+        } else if (change instanceof LayoutChange.Merge merge) {
             writeInts(json, "merge", merge.slices());
-        } else if (change instanceof Change.Move move) {
+        } else if (change instanceof LayoutChange.Transfer move) {
             json.writeNumberField("move", move.slice());
             if (move.from() != null) {
                 json.writeStringField("off", move.from());
@@ -199,7 +199,7 @@
     }
 
     /** {"split": 3, "at": [KEY]}, {"merge": [3, 4]} or {"move": 3, "off": "n1", "onto": "n2"}. */
-    static Change change(Map<?, ?> object) throws IOException {
+    static LayoutChange readChange(Map<?, ?> object) throws IOException {
         if (object.containsKey("split")) {
             List<Long> cuts = new ArrayList<>();
             for (Object cut : Json.member(object, "at", List.class)) {
@@ -208,10 +208,10 @@
                 }
                 cuts.add(key.longValue());
             }
-            return new Change.Split((int) number(object, "split"), cuts);
+            return new LayoutChange.Split((int) readLong(object, "split"), cuts);
         }
         if (object.containsKey("merge")) {
-            return new Change.Merge(ints(object, "merge"));
+            return new LayoutChange.Merge(readInts(object, "merge"));
         }
         if (object.containsKey("move")) {
             String from =
@@ -221,17 +221,17 @@
             if (from == null && to == null) {
                 throw new IOException("a move needs off, onto or both");
             }
-            return new Change.Move((int) number(object, "move"), from, to);
+            return new LayoutChange.Transfer((int) readLong(object, "move"), from, to);
         }
         throw new IOException("a change needs split, merge or move");
     }
 
     // ---- targets
 
-    static void write(JsonGenerator json, Target target) throws IOException {
+    static void write(JsonGenerator json, TargetLayout targetLayout) throws IOException {
         json.writeStartObject();
         json.writeArrayFieldStart("slices");
-        for (Target.Wanted wanted : target.slices()) {
+        for (TargetLayout.DesiredSlice wanted : targetLayout.slices()) {
             json.writeStartObject();
             write(json, wanted.keys());
             json.writeArrayFieldStart("nodes");
@@ -246,14 +246,14 @@
     }
 
     /** {"slices": [{"from": KEY, "to": KEY, "nodes": ["n1", "n2"]}]}. */
-    static Target target(Map<?, ?> object) throws IOException {
-        List<Target.Wanted> wanted = new ArrayList<>();
-        for (Map<?, ?> slice : objects(object, "slices")) {
-            wanted.add(new Target.Wanted(keys(slice), texts(slice, "nodes")));
+    static TargetLayout readTarget(Map<?, ?> object) throws IOException {
+        List<TargetLayout.DesiredSlice> wanted = new ArrayList<>();
+        for (Map<?, ?> slice : readObjects(object, "slices")) {
+            wanted.add(new TargetLayout.DesiredSlice(readKeys(slice), readStrings(slice, "nodes")));
         }
         if (wanted.isEmpty()) {
             throw new IOException("slices is empty");
         }
-        return new Target(wanted);
+        return new TargetLayout(wanted);
     }
 }
--- a/src/main/java/postbeam/layouts/LayoutService.java
+++ b/src/main/java/postbeam/layoutservice/LayoutService.java
@@ -1,4 +1,4 @@
-package postbeam.layouts;
+package postbeam.layoutservice;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import io.undertow.Undertow;
@@ -22,32 +22,32 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import postbeam.discovery.LongPoll;
-import postbeam.discovery.Watch;
-import postbeam.errors.ExplainedException;
-import postbeam.migration.Doing;
-import postbeam.migration.MigrationBook;
+import postbeam.config.RouterConfig;
+import postbeam.discovery.EndpointListWatch;
+import postbeam.discovery.LongPollWatcher;
+import postbeam.endpoints.Endpoint;
+import postbeam.endpoints.EndpointUpdate;
+import postbeam.endpoints.PollSchedule;
+import postbeam.errors.OperatorErrorException;
+import postbeam.json.Json;
+import postbeam.migration.MigrationAction;
 import postbeam.migration.MigrationError;
+import postbeam.migration.MigrationJournalState;
 import postbeam.migration.MigrationLimits;
-import postbeam.migration.Migrations;
-import postbeam.migration.Said;
-import postbeam.roster.DiscoveryPacing;
-import postbeam.roster.Entry;
-import postbeam.roster.Told;
-import postbeam.setup.Json;
-import postbeam.setup.Startup;
-import postbeam.slices.Act;
-import postbeam.slices.Book;
-import postbeam.slices.Change;
+import postbeam.migration.MigrationManager;
+import postbeam.migration.RangeDigest;
+import postbeam.model.Readiness;
 import postbeam.slices.Coordinator;
+import postbeam.slices.CoordinatorAction;
+import postbeam.slices.JournalRecord;
 import postbeam.slices.Layout;
-import postbeam.slices.Logged;
+import postbeam.slices.LayoutChange;
 import postbeam.slices.Move;
+import postbeam.slices.MoveJournalState;
 import postbeam.slices.MoveLimits;
-import postbeam.slices.Placement;
 import postbeam.slices.Planner;
-import postbeam.slices.Target;
-import postbeam.state.Readiness;
+import postbeam.slices.SlicePlacement;
+import postbeam.slices.TargetLayout;
 
 /**
  * The one process that moves slices: keeps the log, carries out what the {@link Coordinator}
@@ -75,16 +75,16 @@
      * Where it listens and keeps its log, the discovery, limits, the first layout's size; null: no
      * migrations.
      */
-    public record Place(
+    public record Config(
             String listen,
             Path log,
             String discovery,
             long history,
             MoveLimits limits,
-            int firstSlices,
-            int firstHolders,
-            MigrationLimits migration) {
-        public Place(
+            int initialSlices,
+            int initialHolders,
+            MigrationLimits migrationLimits) {
+        public Config(
                 String listen,
                 Path log,
                 String discovery,
@@ -96,53 +96,54 @@
         }
     }
 
-    private final Place place;
+    private final Config place;
     private final Consumer<Layout> listener;
-    private final Book book;
+    private final MoveJournalState journalState;
     private final Coordinator coordinator;
-    private final NodeOrders orders;
-    private final LongPoll<Told> watch;
-    private final Map<String, Entry> nodes = new TreeMap<>();
+    private final HandoffClient orders;
+    private final LongPollWatcher<EndpointUpdate> watch;
+    private final Map<String, Endpoint> nodes = new TreeMap<>();
     private final Map<String, String> addresses = new LinkedHashMap<>();
-    private final List<Waiting> watchers = new ArrayList<>();
+    private final List<WaitingWatcher> watchers = new ArrayList<>();
     private final Thread moves = new Thread(this::run, "moves");
     private Undertow http;
-    private MoveLog log;
+    private MoveJournal log;
     private Layout published;
     private byte[] publishedBytes;
     private boolean changed;
 
     /** Null where migrations are off, or there is no log yet. */
-    private MigrationDesk desk;
+    private MigrationHandler desk;
 
     private volatile boolean stopped;
 
-    private record Waiting(HttpServerExchange exchange, long version, long untilNanos) {}
+    private record WaitingWatcher(HttpServerExchange exchange, long version, long untilNanos) {}
 
     /** A request that can't be done: its status and why. */
-    private static final class Refused extends Exception {
+    private static final class RequestRejectedException extends Exception {
         private static final long serialVersionUID = 1L;
         final int status;
 
-        Refused(int status, String why) {
+        RequestRejectedException(int status, String why) {
             super(why);
             this.status = status;
         }
     }
 
-    public LayoutService(Place place) {
+    public LayoutService(Config place) {
         this(place, layout -> {});
     }
 
     /** The one who listens hears each layout before anybody else is told. */
-    public LayoutService(Place place, Consumer<Layout> listener) {
+    public LayoutService(Config place, Consumer<Layout> listener) {
         this.place = place;
         this.listener = listener;
-        this.book = new Book(place.history());
-        this.coordinator = new Coordinator(book, place.limits());
-        this.orders = new NodeOrders(this::done);
+        this.journalState = new MoveJournalState(place.history());
+        this.coordinator = new Coordinator(journalState, place.limits());
+        this.orders = new HandoffClient(this::done);
         this.watch =
-                Watch.of(place.discovery(), Integer.MAX_VALUE, this::listed, DiscoveryPacing.SOON);
+                EndpointListWatch.create(
+                        place.discovery(), Integer.MAX_VALUE, this::listed, PollSchedule.RELAXED);
         moves.setDaemon(true);
     }
 
@@ -169,42 +170,44 @@
         moves.start();
     }
 
-    private void open(Logged.Whole first) throws IOException {
-        MigrationBook migrations = place.migration() == null ? null : new MigrationBook();
-        book.others(migrations);
-        log = MoveLog.open(place.log(), book, first);
+    private void open(JournalRecord.Snapshot first) throws IOException {
+        MigrationJournalState migrations =
+                place.migrationLimits() == null ? null : new MigrationJournalState();
+        journalState.workflow(migrations);
+        log = MoveJournal.open(place.log(), journalState, first);
         if (migrations != null) {
-            orders.office(log.takeOffice(book), this::said, this::overtaken);
+            orders.startTerm(log.startTerm(journalState), this::said, this::overtaken);
             desk =
-                    new MigrationDesk(
-                            new Migrations(coordinator, migrations, place.migration(), now()),
+                    new MigrationHandler(
+                            new MigrationManager(
+                                    coordinator, migrations, place.migrationLimits(), now()),
                             coordinator,
-                            place.migration());
+                            place.migrationLimits());
         }
-        if (log.cut() > 0) {
+        if (log.tornBytes() > 0) {
             LOG.log(
                     System.Logger.Level.WARNING,
                     "{0}: a torn record of {1} bytes was cut off; the layout goes on as "
                             + "version {2}",
                     place.log(),
-                    log.cut(),
-                    book.layout().version);
+                    log.tornBytes(),
+                    journalState.layout().version);
         }
         LOG.log(
                 System.Logger.Level.INFO,
                 "layout {0}: {1} slices, {2} moves under way",
-                book.layout().version,
-                book.layout().slices().size(),
-                book.moves().size());
-        publish(book.layout());
+                journalState.layout().version,
+                journalState.layout().slices().size(),
+                journalState.activeMoves().size());
+        publish(journalState.layout());
     }
 
     private String host() {
-        return Startup.socketAddress(place.listen()).getHostString();
+        return RouterConfig.socketAddress(place.listen()).getHostString();
     }
 
     private int port() {
-        return Startup.socketAddress(place.listen()).getPort();
+        return RouterConfig.socketAddress(place.listen()).getPort();
     }
 
     /** HOST:PORT that it listens on. */
@@ -222,8 +225,8 @@
                 START_MILLIS + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - START_NANOS));
     }
 
-    private synchronized void said(long number, String node, List<Said> said) {
-        desk.migrations().answered(number, node, said, now());
+    private synchronized void said(long number, String node, List<RangeDigest> said) {
+        desk.migrations().onRangeDigests(number, node, said, now());
         wake();
     }
 
@@ -231,56 +234,57 @@
     private void overtaken() {
         LOG.log(
                 System.Logger.Level.ERROR,
-                new MigrationError.OfficeLost(book.term(), "a node").line());
+                new MigrationError.LeadershipLost(journalState.term(), "a node").message());
         stopped = true;
     }
 
     // ---- what happens
 
-    private synchronized void listed(Told told) {
+    private synchronized void listed(EndpointUpdate update) {
         List<String> started = new ArrayList<>();
-        if (told.whole()) {
+        if (update.complete()) {
             nodes.replaceAll(
-                    (name, entry) ->
-                            told.entries().stream().anyMatch(one -> one.name().equals(name))
-                                    ? entry
-                                    : new Entry(
+                    (name, endpoint) ->
+                            update.endpoints().stream().anyMatch(one -> one.name().equals(name))
+                                    ? endpoint
+                                    : new Endpoint(
                                             name,
-                                            entry.zone(),
-                                            entry.cell(),
-                                            entry.startedMicros(),
-                                            Readiness.GONE));
+                                            endpoint.zone(),
+                                            endpoint.cell(),
+                                            endpoint.startedMicros(),
+                                            Readiness.REMOVED));
         }
-        for (Entry entry : told.entries()) {
-            Entry before = nodes.put(entry.name(), entry);
-            if (before != null && before.startedMicros() != entry.startedMicros()) {
-                started.add(entry.name());
+        for (Endpoint endpoint : update.endpoints()) {
+            Endpoint before = nodes.put(endpoint.name(), endpoint);
+            if (before != null && before.startedMicros() != endpoint.startedMicros()) {
+                started.add(endpoint.name());
             }
         }
-        addresses.putAll(told.addresses());
-        Map<String, Target.Known> known = new TreeMap<>();
+        addresses.putAll(update.addresses());
+        Map<String, TargetLayout.NodeInfo> known = new TreeMap<>();
         nodes.forEach(
-                (name, entry) ->
+                (name, endpoint) ->
                         known.put(
                                 name,
-                                new Target.Known(String.valueOf(entry.zone()), entry.readiness())));
+                                new TargetLayout.NodeInfo(
+                                        String.valueOf(endpoint.zone()), endpoint.readiness())));
         addresses
                 .keySet()
                 .removeIf(
                         name ->
                                 !known.containsKey(name)
-                                        || known.get(name).readiness() == Readiness.GONE);
-        orders.reachedAt(addresses);
+                                        || known.get(name).readiness() == Readiness.REMOVED);
+        orders.updateAddresses(addresses);
         coordinator.listed(known, started);
         if (desk != null && !started.isEmpty() && !stopped) {
             try {
-                carryOutAll(desk.migrations().started(started, now()));
+                carryOutAll(desk.migrations().onNodesStarted(started, now()));
             } catch (IOException e) {
                 return;
             }
         }
-        List<String> spread = Placement.spread(known);
-        if (log == null && spread.size() >= place.firstHolders()) {
+        List<String> spread = SlicePlacement.spreadOverZones(known);
+        if (log == null && spread.size() >= place.initialHolders()) {
             begin(spread);
         }
         wake();
@@ -289,9 +293,9 @@
     /** The first layout of an installation: even slices over the nodes that are listed. */
     private void begin(List<String> spread) {
         try {
-            Layout first = Layout.first(place.firstSlices(), spread, place.firstHolders());
+            Layout first = Layout.initial(place.initialSlices(), spread, place.initialHolders());
             open(
-                    new Logged.Whole(
+                    new JournalRecord.Snapshot(
                             first,
                             first.version,
                             0,
@@ -304,8 +308,9 @@
         }
     }
 
-    private synchronized void done(long move, String node, postbeam.slices.Order order, int slice) {
-        coordinator.done(move, node, order, slice);
+    private synchronized void done(
+            long move, String node, postbeam.slices.HandoffCommand command, int slice) {
+        coordinator.acknowledged(move, node, command, slice);
         wake();
     }
 
@@ -320,11 +325,11 @@
                 synchronized (this) {
                     if (log != null) {
                         if (desk != null) {
-                            log.stillInOffice();
+                            log.requireLeadership();
                             carryOutAll(desk.migrations().tick(now()));
                         }
                         carryOut(coordinator.tick(now()));
-                        log.compact(book);
+                        log.compact(journalState);
                     }
                     endWaits();
                     if (!changed) {
@@ -347,7 +352,7 @@
      * on disk.
      */
     private synchronized void fail(Exception e) {
-        if (e instanceof MoveLog.OfficeLost) {
+        if (e instanceof MoveJournal.LeadershipLostException) {
             LOG.log(System.Logger.Level.ERROR, e.getMessage());
             stopped = true;
             return;
@@ -359,28 +364,28 @@
         stopped = true;
     }
 
-    private void carryOutAll(List<Doing> doings) throws IOException {
-        for (Doing doing : doings) {
-            if (doing instanceof Doing.Of of) {
-                carryOut(List.of(of.act()));
-            } else if (doing instanceof Doing.Ask ask) {
-                orders.ask(ask);
+    private void carryOutAll(List<MigrationAction> doings) throws IOException {
+        for (MigrationAction doing : doings) {
+            if (doing instanceof MigrationAction.Delegated of) {
+                carryOut(List.of(of.action()));
+            } else if (doing instanceof MigrationAction.RequestDigests ask) {
+                orders.requestDigests(ask);
             }
         }
     }
 
-    private void carryOut(List<Act> acts) throws IOException {
-        for (Act act : acts) {
-            if (act instanceof Act.Write write) {
+    private void carryOut(List<CoordinatorAction> acts) throws IOException {
+        for (CoordinatorAction act : acts) {
+            if (act instanceof CoordinatorAction.AppendRecord write) {
                 try {
                     log.append(write.record());
                 } catch (IOException e) {
                     fail(e);
                     throw e;
                 }
-            } else if (act instanceof Act.Tell tell) {
-                orders.tell(tell);
-            } else if (act instanceof Act.Publish publish) {
+            } else if (act instanceof CoordinatorAction.SendCommand tell) {
+                orders.send(tell);
+            } else if (act instanceof CoordinatorAction.PublishLayout publish) {
                 publish(publish.layout());
             }
         }
@@ -389,8 +394,8 @@
     private void publish(Layout layout) {
         listener.accept(layout);
         published = layout;
-        publishedBytes = LayoutForm.write(layout);
-        List<Waiting> all = List.copyOf(watchers);
+        publishedBytes = LayoutCodec.write(layout);
+        List<WaitingWatcher> all = List.copyOf(watchers);
         watchers.clear();
         all.forEach(waiting -> answerLayout(waiting.exchange));
     }
@@ -403,14 +408,14 @@
             return;
         }
         if (desk != null && router != null) {
-            desk.migrations().routers().answered(router, published.version, now());
+            desk.migrations().routerAcknowledgements().onResponse(router, published.version, now());
         }
         answer(exchange, publishedBytes);
     }
 
     private void endWaits() {
         long now = System.nanoTime();
-        List<Waiting> over =
+        List<WaitingWatcher> over =
                 watchers.stream().filter(waiting -> waiting.untilNanos - now <= 0).toList();
         watchers.removeAll(over);
         over.forEach(waiting -> answerLayout(waiting.exchange));
@@ -444,9 +449,9 @@
                             said = said(asked, path, body);
                         }
                         say(asked, 200, said);
-                    } catch (ExplainedException e) {
+                    } catch (OperatorErrorException e) {
                         say(asked, 409, e.getMessage());
-                    } catch (Refused e) {
+                    } catch (RequestRejectedException e) {
                         say(asked, e.status, e.getMessage());
                     } catch (IllegalArgumentException | IOException e) {
                         say(
@@ -467,9 +472,11 @@
         long wait = Math.min(WAIT_MOST_MS, number(exchange, "wait", 0));
         String router = text(exchange, LayoutWatch.ROUTER);
         if (desk != null && router != null) {
-            desk.migrations().routers().asked(router, number(exchange, LayoutWatch.HELD, 1), now());
+            desk.migrations()
+                    .routerAcknowledgements()
+                    .onRequest(router, number(exchange, LayoutWatch.HELD, 1), now());
             // So that a lease is renewed while nothing changes.
-            wait = Math.min(wait, place.migration().lease().toMillis() / 3);
+            wait = Math.min(wait, place.migrationLimits().routerLease().toMillis() / 3);
         }
         if (version < published.version || wait <= 0) {
             answerLayout(exchange);
@@ -481,7 +488,7 @@
             exchange.dispatch(
                     () -> {
                         synchronized (this) {
-                            Waiting waiting = new Waiting(exchange, version, until);
+                            WaitingWatcher waiting = new WaitingWatcher(exchange, version, until);
                             if (published.version > version) {
                                 answerLayout(exchange);
                             } else {
@@ -503,7 +510,7 @@
 
     private boolean inOffice() {
         try {
-            return !stopped && log.inOffice();
+            return !stopped && log.isLeader();
         } catch (IOException e) {
             return false;
         }
@@ -517,9 +524,9 @@
 
     /** The answer to a request of operators. */
     private String said(HttpServerExchange exchange, String path, byte[] body)
-            throws Refused, IOException, ExplainedException {
+            throws RequestRejectedException, IOException, OperatorErrorException {
         if (log == null || stopped) {
-            throw new Refused(
+            throw new RequestRejectedException(
                     503,
                     log == null ? "there is no layout yet" : "the log failed: restart the service");
         }
@@ -531,16 +538,16 @@
                 return verify();
             }
             case "POST /v1/plan" -> {
-                return String.join("\n", plan(Json.object(body)));
+                return String.join("\n", plan(Json.parseObject(body)));
             }
             case "POST /v1/start" -> {
-                return start(Json.object(body));
+                return start(Json.parseObject(body));
             }
             case "POST /v1/abandon" -> {
                 long id = number(exchange, "move", -1);
                 String why = "abandoned by an operator";
                 if (exchange.getQueryParameters().containsKey("target")) {
-                    carryOut(coordinator.aim(null));
+                    carryOut(coordinator.setTarget(null));
                     wake();
                     return "the target is dropped; moves under way go on";
                 }
@@ -549,17 +556,17 @@
                 return "move " + id + " is being abandoned";
             }
             default -> {
-                if (!MigrationDesk.knows(path)) {
-                    throw new Refused(404, "no such request");
+                if (!MigrationHandler.handles(path)) {
+                    throw new RequestRejectedException(404, "no such request");
                 }
                 if (desk == null) {
-                    throw new ExplainedException(new MigrationError.SwitchedOff());
+                    throw new OperatorErrorException(new MigrationError.MigrationsDisabled());
                 }
-                MigrationDesk.Answer answer =
-                        desk.ordered(path, exchange.getQueryParameters(), body, now());
-                carryOutAll(answer.doings());
+                MigrationHandler.Response answer =
+                        desk.handle(path, exchange.getQueryParameters(), body, now());
+                carryOutAll(answer.actions());
                 wake();
-                return answer.said().get();
+                return answer.text().get();
             }
         }
     }
@@ -570,17 +577,17 @@
      */
     private List<String> plan(Map<String, Object> asked) throws IOException {
         if (!asked.containsKey("slices")) {
-            Change change = LayoutForm.change(asked);
+            LayoutChange change = LayoutCodec.readChange(asked);
             coordinator
-                    .problem(change)
+                    .rejectionReason(change)
                     .ifPresent(
                             problem -> {
                                 throw new IllegalArgumentException(problem);
                             });
             return List.of("possible: " + change);
         }
-        Target target = LayoutForm.target(asked);
-        List<String> problems = coordinator.problems(target);
+        TargetLayout targetLayout = LayoutCodec.readTarget(asked);
+        List<String> problems = coordinator.targetProblems(targetLayout);
         if (!problems.isEmpty()) {
             throw new IllegalArgumentException(
                     problems.get(0)
@@ -589,7 +596,7 @@
                                     : ""));
         }
         List<String> lines = new ArrayList<>();
-        Planner.next(book.layout(), target, book.busy())
+        Planner.nextChanges(journalState.layout(), targetLayout, journalState.busy())
                 .forEach(change -> lines.add("first: " + change));
         return lines.isEmpty() ? List.of("nothing is to be done") : lines;
     }
@@ -597,11 +604,11 @@
     private String start(Map<String, Object> asked) throws IOException {
         String said;
         if (asked.containsKey("slices")) {
-            carryOut(coordinator.aim(LayoutForm.target(asked)));
+            carryOut(coordinator.setTarget(LayoutCodec.readTarget(asked)));
             said = "the target is taken";
         } else {
-            long id = book.nextMove();
-            Change change = LayoutForm.change(asked);
+            long id = journalState.nextMove();
+            LayoutChange change = LayoutCodec.readChange(asked);
             carryOut(coordinator.plan(change, now()));
             said = "move " + id + ": " + change;
         }
@@ -611,20 +618,20 @@
 
     private String status() {
         return new String(
-                LayoutForm.bytes(
+                LayoutCodec.toBytes(
                         json -> {
                             json.writeStartObject();
-                            json.writeNumberField("version", book.layout().version);
-                            json.writeNumberField("slices", book.layout().slices().size());
+                            json.writeNumberField("version", journalState.layout().version);
+                            json.writeNumberField("slices", journalState.layout().slices().size());
                             json.writeNumberField("watchers", watchers.size());
-                            json.writeBooleanField("target", book.target() != null);
+                            json.writeBooleanField("target", journalState.target() != null);
                             json.writeArrayFieldStart("moves");
-                            for (Move move : book.moves()) {
+                            for (Move move : journalState.activeMoves()) {
                                 write(json, move);
                             }
                             json.writeEndArray();
                             json.writeArrayFieldStart("over");
-                            for (Move move : book.over()) {
+                            for (Move move : journalState.finishedMoves()) {
                                 write(json, move);
                             }
                             json.writeEndArray();
@@ -637,10 +644,10 @@
         json.writeStartObject();
         json.writeNumberField("move", move.id);
         json.writeStringField("change", move.change.toString());
-        json.writeStringField("state", RecordForm.STATES.of(move.state));
-        json.writeNumberField("for_ms", Math.max(0, now().minus(move.since).toMillis()));
-        if (move.why != null) {
-            json.writeStringField("why", move.why);
+        json.writeStringField("state", MoveRecordCodec.STATE_NAMES.of(move.state));
+        json.writeNumberField("for_ms", Math.max(0, now().minus(move.stateSince).toMillis()));
+        if (move.abandonReason != null) {
+            json.writeStringField("why", move.abandonReason);
         }
         json.writeEndObject();
     }
@@ -651,11 +658,11 @@
      */
     private String verify() {
         List<String> lines = new ArrayList<>();
-        for (var slice : book.layout().slices()) {
+        for (var slice : journalState.layout().slices()) {
             List<String> there = new ArrayList<>();
             for (String holder : slice.nodes()) {
-                Entry node = nodes.get(holder);
-                if (node == null || node.readiness() == Readiness.GONE) {
+                Endpoint node = nodes.get(holder);
+                if (node == null || node.readiness() == Readiness.REMOVED) {
                     lines.add("slice " + slice.number() + ": holder " + holder + " is not listed");
                 } else if (node.readiness() == Readiness.DRAINING) {
                     lines.add("slice " + slice.number() + ": holder " + holder + " is draining");
@@ -663,27 +670,27 @@
                     there.add(holder);
                 }
             }
-            if (there.size() < place.limits().holders()) {
+            if (there.size() < place.limits().minHolders()) {
                 lines.add(
                         "slice "
                                 + slice.number()
                                 + ": "
                                 + there.size()
                                 + " holders are ready, at least "
-                                + place.limits().holders()
+                                + place.limits().minHolders()
                                 + " are needed");
             }
         }
         int findings = lines.size();
         coordinator
-                .mends()
+                .repairs()
                 .forEach(change -> lines.add("to mend it, if the node is dead: " + change));
         lines.add(
                 (lines.isEmpty() ? "sound: " : findings + " findings: ")
                         + "layout "
-                        + book.layout().version
+                        + journalState.layout().version
                         + ", "
-                        + book.layout().slices().size()
+                        + journalState.layout().slices().size()
                         + " slices");
         return String.join("\n", lines);
     }
@@ -706,10 +713,10 @@
     }
 
     /** Moves that are under way or were lately over, for those who run it within their process. */
-    public synchronized List<String> movesSeen() {
+    public synchronized List<String> describeMoves() {
         List<String> seen = new ArrayList<>();
-        book.over().forEach(move -> seen.add(Objects.toString(move)));
-        book.moves().forEach(move -> seen.add(Objects.toString(move)));
+        journalState.finishedMoves().forEach(move -> seen.add(Objects.toString(move)));
+        journalState.activeMoves().forEach(move -> seen.add(Objects.toString(move)));
         return seen;
     }
 }
--- a/src/main/java/postbeam/layouts/LayoutWatch.java
+++ b/src/main/java/postbeam/layoutservice/LayoutWatch.java
@@ -1,18 +1,18 @@
-package postbeam.layouts;
+package postbeam.layoutservice;
 
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import postbeam.discovery.LongPoll;
-import postbeam.roster.DiscoveryPacing;
-import postbeam.setup.Json;
+import postbeam.discovery.LongPollWatcher;
+import postbeam.endpoints.PollSchedule;
+import postbeam.json.Json;
 import postbeam.slices.Layout;
 
 /** The watch of the layout, for a router; while the service is absent the layout held stays. */
 public final class LayoutWatch {
     /** Bytes: some 20,000 slices with the lineage of the last versions. */
-    static final int LONGEST = 8 << 20;
+    static final int MAX_LAYOUT_BYTES = 8 << 20;
 
     static final String ROUTER = "router";
     static final String HELD = "held";
@@ -20,7 +20,7 @@
     private LayoutWatch() {}
 
     /** What a router of this name says with each question that holds this version, 0 for none. */
-    public static String says(String router, long version) {
+    public static String queryParameters(String router, long version) {
         return ROUTER
                 + "="
                 + URLEncoder.encode(router, StandardCharsets.UTF_8)
@@ -30,18 +30,22 @@
                 + version;
     }
 
-    public static LongPoll<Layout> of(String address, Consumer<Layout> told) {
+    public static LongPollWatcher<Layout> of(String address, Consumer<Layout> told) {
         return of(address, told, () -> "");
     }
 
-    /** A router that says at each question who it is and which layout it holds: {@link #says}. */
-    public static LongPoll<Layout> of(
+    /**
+     * A router that says at each question who it is and which layout it holds: {@link
+     * #queryParameters}.
+     */
+    public static LongPollWatcher<Layout> of(
             String address, Consumer<Layout> told, Supplier<String> says) {
-        return new LongPoll<>(
-                new LongPoll.Source("layouts", address, "/v1/layout", LONGEST, says),
-                body -> LayoutForm.read(Json.object(body)),
+        return new LongPollWatcher<>(
+                new LongPollWatcher.Source(
+                        "layouts", address, "/v1/layout", MAX_LAYOUT_BYTES, says),
+                body -> LayoutCodec.read(Json.parseObject(body)),
                 layout -> layout.version,
                 told,
-                DiscoveryPacing.SOON);
+                PollSchedule.RELAXED);
     }
 }
--- a/src/main/java/postbeam/layouts/LayoutsCommand.java
+++ b/src/main/java/postbeam/layoutservice/LayoutsCommand.java
@@ -1,4 +1,4 @@
-package postbeam.layouts;
+package postbeam.layoutservice;
 
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
@@ -16,9 +16,9 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import postbeam.config.InstanceSettings;
+import postbeam.config.SubsystemSettings;
 import postbeam.migration.MigrationLimits;
-import postbeam.setup.Info;
-import postbeam.setup.OwnSettings;
 import postbeam.slices.MoveLimits;
 
 /** The layout service, and what operators ask of one that runs. */
@@ -154,7 +154,7 @@
     }
 
     private int serve() throws IOException, InterruptedException {
-        Info info = OwnSettings.read(Paths.get(settings));
+        InstanceSettings info = SubsystemSettings.read(Paths.get(settings));
         if (!Boolean.TRUE.equals(info.flag("layouts.serve.enabled"))) {
             throw new IllegalArgumentException(settings + ": layouts.serve.enabled is not true");
         }
@@ -175,53 +175,53 @@
         return 0;
     }
 
-    private static LayoutService.Place place(Info info) {
+    private static LayoutService.Config place(InstanceSettings info) {
         String path = "layouts.serve.";
         String limits = path + "limits.";
-        return new LayoutService.Place(
-                info.needed(path + "listen"),
-                Path.of(info.needed(path + "log")),
-                info.needed(path + "discovery"),
-                info.atLeast(path + "history", 1),
+        return new LayoutService.Config(
+                info.required(path + "listen"),
+                Path.of(info.required(path + "log")),
+                info.required(path + "discovery"),
+                info.integerAtLeast(path + "history", 1),
                 new MoveLimits(
-                        info.atLeast(limits + "moves", 1),
-                        info.atLeast(limits + "movesANode", 1),
-                        info.atLeast(limits + "movesAZone", 1),
+                        info.integerAtLeast(limits + "moves", 1),
+                        info.integerAtLeast(limits + "movesANode", 1),
+                        info.integerAtLeast(limits + "movesAZone", 1),
                         millis(info, limits + "copyMs"),
                         millis(info, limits + "stepMs"),
                         millis(info, limits + "restMs"),
                         millis(info, limits + "againMs"),
-                        info.atLeast(limits + "holders", 1),
-                        info.atLeast(limits + "zones", 1)),
-                info.atLeast(path + "firstSlices", 1),
-                info.atLeast(path + "firstHolders", 1),
+                        info.integerAtLeast(limits + "holders", 1),
+                        info.integerAtLeast(limits + "zones", 1)),
+                info.integerAtLeast(path + "firstSlices", 1),
+                info.integerAtLeast(path + "firstHolders", 1),
                 migration(info));
     }
 
     /** Null where migrations are off. */
-    private static MigrationLimits migration(Info info) {
+    private static MigrationLimits migration(InstanceSettings info) {
         String path = "layouts.migration.";
         if (!Boolean.TRUE.equals(info.flag(path + "enabled"))) {
             return null;
         }
         return new MigrationLimits(
-                info.atLeast(path + "atOnce", 1),
-                info.atLeast(path + "batch", 1),
-                info.atLeast(path + "movesASecond", 1),
-                info.atLeast(path + "bytesASecond", 1),
+                info.integerAtLeast(path + "atOnce", 1),
+                info.integerAtLeast(path + "batch", 1),
+                info.integerAtLeast(path + "movesASecond", 1),
+                info.integerAtLeast(path + "bytesASecond", 1),
                 millis(info, path + "starvedMs"),
                 millis(info, path + "coldMs"),
                 millis(info, path + "watchMs"),
                 info.number(path + "leastUtility"),
                 millis(info, path + "againMs"),
-                info.atLeast(path + "patience", 1),
+                info.integerAtLeast(path + "patience", 1),
                 info.number(path + "finestKeys").longValue(),
                 millis(info, path + "leaseMs"),
                 millis(info, path + "driftMs"));
     }
 
-    private static Duration millis(Info info, String path) {
-        return Duration.ofMillis(info.atLeast(path, 0));
+    private static Duration millis(InstanceSettings info, String path) {
+        return Duration.ofMillis(info.integerAtLeast(path, 0));
     }
 
     private int ask(String method, String path, String body, PrintStream out, PrintStream err)
@@ -229,7 +229,8 @@
         String at =
                 service != null
                         ? service
-                        : OwnSettings.read(Paths.get(settings)).needed("layouts.serve.listen");
+                        : SubsystemSettings.read(Paths.get(settings))
+                                .required("layouts.serve.listen");
         HttpURLConnection call =
                 (HttpURLConnection)
                         URI.create("http://" + at + path).toURL().openConnection(Proxy.NO_PROXY);
@@ -246,7 +247,8 @@
                     answer == null
                             ? ""
                             : new String(
-                                    answer.readNBytes(LayoutWatch.LONGEST), StandardCharsets.UTF_8);
+                                    answer.readNBytes(LayoutWatch.MAX_LAYOUT_BYTES),
+                                    StandardCharsets.UTF_8);
             (status < 400 ? out : err).println(text.stripTrailing());
         }
         return status < 400 ? 0 : 1;
--- a/src/main/java/postbeam/layouts/MigrationDesk.java
+++ b/src/main/java/postbeam/layoutservice/MigrationHandler.java
@@ -1,4 +1,4 @@
-package postbeam.layouts;
+package postbeam.layoutservice;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -8,19 +8,20 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Supplier;
-import postbeam.errors.ExplainedException;
+import postbeam.errors.OperatorErrorException;
+import postbeam.json.Json;
 import postbeam.migration.Checkpoint;
-import postbeam.migration.Doing;
-import postbeam.migration.Hop;
 import postbeam.migration.Migration;
+import postbeam.migration.MigrationAction;
 import postbeam.migration.MigrationError;
 import postbeam.migration.MigrationLimits;
-import postbeam.migration.Migrations;
-import postbeam.setup.Json;
+import postbeam.migration.MigrationManager;
+import postbeam.migration.SliceTransfer;
 import postbeam.slices.Coordinator;
 
 /** Operators' orders about migrations, as the layout service hears them. */
-record MigrationDesk(Migrations migrations, Coordinator coordinator, MigrationLimits limits) {
+record MigrationHandler(
+        MigrationManager migrations, Coordinator coordinator, MigrationLimits limits) {
     private static final Set<String> PATHS =
             Set.of(
                     "GET /v1/migrations",
@@ -33,58 +34,62 @@
     private static final int MEMBER_LONGEST = 200;
 
     /** What is to be done, and what is said once it is. */
-    record Answer(List<Doing> doings, Supplier<String> said) {}
+    record Response(List<MigrationAction> actions, Supplier<String> text) {}
 
-    static boolean knows(String path) {
+    static boolean handles(String path) {
         return PATHS.contains(path);
     }
 
-    Answer ordered(String path, Map<String, Deque<String>> asked, byte[] body, Duration now)
-            throws ExplainedException {
+    Response handle(String path, Map<String, Deque<String>> asked, byte[] body, Duration now)
+            throws OperatorErrorException {
         switch (path) {
             case "GET /v1/migrations" -> {
-                return new Answer(List.of(), () -> all(now));
+                return new Response(List.of(), () -> all(now));
             }
             case "POST /v1/migrate" -> {
                 return migrate(body, now);
             }
             case "POST /v1/utility" -> {
-                migrations.utility(text(asked, "member"), number(asked, "permille") / 1000.0);
-                return new Answer(List.of(), () -> "noted");
+                migrations.updateUtility(text(asked, "member"), number(asked, "permille") / 1000.0);
+                return new Response(List.of(), () -> "noted");
             }
             default -> {}
         }
         long id = number(asked, "migration");
-        List<Doing> doings =
+        List<MigrationAction> doings =
                 switch (path) {
                     case "POST /v1/pause" -> migrations.pause(id, "by an operator", now);
                     case "POST /v1/resume" -> migrations.resume(id, now);
                     case "POST /v1/rollback" -> migrations.rollBack(id, "by an operator", now);
                     default ->
-                            migrations.pass(
+                            migrations.passCheckpoint(
                                     id,
                                     new Checkpoint(number(asked, "version"), text(asked, "digest")),
                                     now);
                 };
-        return new Answer(doings, () -> text(migrations.book().of(id)));
+        return new Response(doings, () -> text(migrations.journalState().find(id)));
     }
 
-    private Answer migrate(byte[] body, Duration now) throws ExplainedException {
+    private Response migrate(byte[] body, Duration now) throws OperatorErrorException {
         String member;
-        List<Hop> hops;
+        List<SliceTransfer> hops;
         try {
-            Map<String, Object> asked = Json.object(body);
+            Map<String, Object> asked = Json.parseObject(body);
             member = Json.member(asked, "member", String.class);
-            hops = NotedForm.hops(asked);
+            hops = MigrationRecordCodec.transfers(asked);
         } catch (IOException e) {
-            throw new ExplainedException(new MigrationError.BadOrder(e.getMessage()), e);
+            throw new OperatorErrorException(
+                    new MigrationError.MalformedCommand(e.getMessage()), e);
         }
         if (member.isEmpty() || member.length() > MEMBER_LONGEST) {
-            throw new ExplainedException(
-                    new MigrationError.BadOrder("a member of " + member.length() + " letters"));
+            throw new OperatorErrorException(
+                    new MigrationError.MalformedCommand(
+                            "a member of " + member.length() + " letters"));
         }
-        long id = migrations.book().next();
-        return new Answer(migrations.open(member, hops, now), () -> text(migrations.book().of(id)));
+        long id = migrations.journalState().nextId();
+        return new Response(
+                migrations.createMigration(member, hops, now),
+                () -> text(migrations.journalState().find(id)));
     }
 
     /** One migration in a line, as operators read it. */
@@ -96,9 +101,9 @@
                         + " of "
                         + one.member
                         + " "
-                        + NotedForm.STAGES.of(one.stage())
-                        + (one.paused() ? ", paused: " + one.pausedWhy() : "")
-                        + (one.rollbackWhy() == null ? "" : ", back: " + one.rollbackWhy());
+                        + MigrationRecordCodec.STATE_NAMES.of(one.state())
+                        + (one.isPaused() ? ", paused: " + one.pauseDetail() : "")
+                        + (one.rollbackReason() == null ? "" : ", back: " + one.rollbackReason());
     }
 
     /**
@@ -106,21 +111,22 @@
      */
     private String all(Duration now) {
         return new String(
-                LayoutForm.bytes(
+                LayoutCodec.toBytes(
                         json -> {
                             json.writeStartObject();
                             json.writeArrayFieldStart("migrations");
-                            for (Migration one : migrations.book().all()) {
+                            for (Migration one : migrations.journalState().migrations()) {
                                 json.writeStartObject();
                                 json.writeNumberField("migration", one.id);
                                 json.writeStringField("member", one.member);
-                                json.writeStringField("stage", NotedForm.STAGES.of(one.stage()));
+                                json.writeStringField(
+                                        "stage", MigrationRecordCodec.STATE_NAMES.of(one.state()));
                                 json.writeNumberField(
                                         "for_ms", Math.max(0, now.minus(one.since()).toMillis()));
-                                json.writeNumberField("hops", one.hops.size());
+                                json.writeNumberField("hops", one.transfers.size());
                                 json.writeNumberField(
                                         "moved",
-                                        one.hops.stream()
+                                        one.transfers.stream()
                                                 .filter(
                                                         hop -> {
                                                             var slice =
@@ -129,17 +135,20 @@
                                                                             .layout()
                                                                             .slice(hop.slice());
                                                             return slice != null
-                                                                    && slice.heldBy(hop.to());
+                                                                    && slice.heldBy(hop.target());
                                                         })
                                                 .count());
-                                if (one.paused()) {
+                                if (one.isPaused()) {
                                     json.writeStringField(
-                                            "cause", NotedForm.CAUSES.of(one.cause()));
-                                    json.writeStringField("paused", one.pausedWhy());
+                                            "cause",
+                                            MigrationRecordCodec.PAUSE_REASON_NAMES.of(
+                                                    one.pauseReason()));
+                                    json.writeStringField("paused", one.pauseDetail());
                                 }
-                                NotedForm.checkpoint(json, "checkpoint", one.open());
-                                if (one.rollbackWhy() != null) {
-                                    json.writeStringField("back", one.rollbackWhy());
+                                MigrationRecordCodec.checkpoint(
+                                        json, "checkpoint", one.openCheckpoint());
+                                if (one.rollbackReason() != null) {
+                                    json.writeStringField("back", one.rollbackReason());
                                 }
                                 json.writeEndObject();
                             }
@@ -147,8 +156,9 @@
                             json.writeArrayFieldStart("behind");
                             for (String router :
                                     migrations
-                                            .routers()
-                                            .behind(coordinator.book().layout().version, now)) {
+                                            .routerAcknowledgements()
+                                            .routersBehind(
+                                                    coordinator.book().layout().version, now)) {
                                 json.writeString(router);
                             }
                             json.writeEndArray();
@@ -158,21 +168,22 @@
     }
 
     private static String text(Map<String, Deque<String>> asked, String name)
-            throws ExplainedException {
+            throws OperatorErrorException {
         Deque<String> values = asked.get(name);
         if (values == null || values.getFirst().isEmpty()) {
-            throw new ExplainedException(new MigrationError.BadOrder(name + " is missing"));
+            throw new OperatorErrorException(
+                    new MigrationError.MalformedCommand(name + " is missing"));
         }
         return values.getFirst();
     }
 
     private static long number(Map<String, Deque<String>> asked, String name)
-            throws ExplainedException {
+            throws OperatorErrorException {
         try {
             return Long.parseLong(text(asked, name));
         } catch (NumberFormatException e) {
-            throw new ExplainedException(
-                    new MigrationError.BadOrder(name + " is no whole number"), e);
+            throw new OperatorErrorException(
+                    new MigrationError.MalformedCommand(name + " is no whole number"), e);
         }
     }
 }
--- a/src/main/java/postbeam/layouts/MoveLog.java
+++ b/src/main/java/postbeam/layoutservice/MoveJournal.java
@@ -1,4 +1,4 @@
-package postbeam.layouts;
+package postbeam.layoutservice;
 
 import java.io.Closeable;
 import java.io.EOFException;
@@ -16,10 +16,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.zip.CRC32C;
+import postbeam.json.Json;
 import postbeam.migration.MigrationError;
-import postbeam.setup.Json;
-import postbeam.slices.Book;
-import postbeam.slices.Logged;
+import postbeam.slices.JournalRecord;
+import postbeam.slices.MoveJournalState;
 
 /**
  * The log of moves in a file: a mark of its form, then records of a length, a CRC-32C over length
@@ -28,27 +28,28 @@
  * not used: its place is named, nothing is changed. Compaction writes a new file that begins with
  * all that is known and puts it in the old one's place.
  */
-public final class MoveLog implements Closeable {
-    private static final byte[] MARK = "postbeam moves 1\n".getBytes(StandardCharsets.US_ASCII);
-    private static final int HEAD = Integer.BYTES + Integer.BYTES;
+public final class MoveJournal implements Closeable {
+    private static final byte[] FORMAT_MARK =
+            "postbeam moves 1\n".getBytes(StandardCharsets.US_ASCII);
+    private static final int HEADER_BYTES = Integer.BYTES + Integer.BYTES;
 
     /** Bytes: a whole layout of some 100,000 slices; a longer length is a fault. */
-    private static final int LONGEST = 64 << 20;
+    private static final int MAX_RECORD_BYTES = 64 << 20;
 
     /** Records after which the log is written anew, beginning with all that is known. */
-    private static final int COMPACT_AFTER = 1000;
+    private static final int COMPACT_AFTER_RECORDS = 1000;
 
     private final Path file;
     private final FileChannel lockFile;
     private FileChannel channel;
     private int records;
-    private long cut;
+    private long tornBytes;
     private long term;
 
     /** Where the next record begins, as far as this process knows. */
     private long end;
 
-    private MoveLog(Path file, FileChannel lockFile) {
+    private MoveJournal(Path file, FileChannel lockFile) {
         this.file = file;
         this.lockFile = lockFile;
     }
@@ -58,7 +59,9 @@
      * begun with this record. An IOException says what is wrong: another process has it, or it is
      * damaged.
      */
-    public static MoveLog open(Path file, Book book, Logged.Whole first) throws IOException {
+    public static MoveJournal open(
+            Path file, MoveJournalState journalState, JournalRecord.Snapshot first)
+            throws IOException {
         Path lock = file.resolveSibling(file.getFileName() + ".lock");
         FileChannel lockFile =
                 FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
@@ -67,15 +70,15 @@
             if (held == null) {
                 throw new IOException(file + " is in use by another process");
             }
-            MoveLog log = new MoveLog(file, lockFile);
+            MoveJournal log = new MoveJournal(file, lockFile);
             if (!Files.exists(file)) {
                 if (first == null) {
                     throw new IOException(file + " is not there, and no first layout is given");
                 }
-                book.apply(first);
-                log.begin(first, List.of());
+                journalState.apply(first);
+                log.writeNewFile(first, List.of());
             } else {
-                log.read(book);
+                log.read(journalState);
             }
             return log;
         } catch (OverlappingFileLockException e) {
@@ -88,50 +91,50 @@
     }
 
     /** Bytes of a torn record that were cut off when it was opened. */
-    public long cut() {
-        return cut;
+    public long tornBytes() {
+        return tornBytes;
     }
 
-    private void read(Book book) throws IOException {
+    private void read(MoveJournalState journalState) throws IOException {
         channel = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE);
         try {
-            byte[] mark = new byte[MARK.length];
+            byte[] mark = new byte[FORMAT_MARK.length];
             long size = channel.size();
-            if (size < MARK.length || !Arrays.equals(bytes(mark), MARK)) {
+            if (size < FORMAT_MARK.length || !Arrays.equals(bytes(mark), FORMAT_MARK)) {
                 throw new IOException(file + " is no log of moves of a form that is known");
             }
-            long at = MARK.length;
+            long at = FORMAT_MARK.length;
             while (at < size) {
                 byte[] record = record(at, size);
                 if (record == null) {
                     break;
                 }
-                apply(book, record, at);
-                at += HEAD + record.length;
+                apply(journalState, record, at);
+                at += HEADER_BYTES + record.length;
                 records++;
             }
             if (records == 0) {
                 throw new IOException(file + " holds no whole record");
             }
-            cut = size - at;
+            tornBytes = size - at;
             channel.truncate(at);
             channel.position(at);
             end = at;
-            if (cut > 0) {
+            if (tornBytes > 0) {
                 // Perhaps what was cut off had been whole once, and its version told: that one is
                 // not used again.
-                Logged.Whole whole = book.whole();
+                JournalRecord.Snapshot whole = journalState.snapshot();
                 long next = whole.lastVersion() + 2;
                 whole =
-                        new Logged.Whole(
-                                whole.layout().again(next),
+                        new JournalRecord.Snapshot(
+                                whole.layout().withVersion(next),
                                 next,
                                 whole.lastMove(),
                                 whole.lastSlice(),
                                 whole.moves(),
                                 whole.target(),
-                                whole.owed());
-                book.apply(whole);
+                                whole.pendingDrops());
+                journalState.apply(whole);
                 append(whole);
             }
         } catch (IOException | RuntimeException e) {
@@ -140,16 +143,16 @@
         }
     }
 
-    private void apply(Book book, byte[] record, long at) throws IOException {
+    private void apply(MoveJournalState journalState, byte[] record, long at) throws IOException {
         try {
-            Map<String, Object> object = Json.object(record);
-            long written = RecordForm.term(object);
-            if (written > 0 && written < book.term()) {
+            Map<String, Object> object = Json.parseObject(record);
+            long written = MoveRecordCodec.term(object);
+            if (written > 0 && written < journalState.term()) {
                 // Slipped in behind a successor's office by one that had been stopped: nothing was
                 // done on it.
                 return;
             }
-            book.apply(RecordForm.read(object));
+            journalState.apply(MoveRecordCodec.read(object));
         } catch (IOException | IllegalArgumentException e) {
             throw new IOException(file + ", byte " + at + ": " + e.getMessage(), e);
         }
@@ -157,20 +160,21 @@
 
     /** The record at this place; null where it is the torn last one. */
     private byte[] record(long at, long size) throws IOException {
-        if (size - at < HEAD) {
+        if (size - at < HEADER_BYTES) {
             return null;
         }
-        ByteBuffer head = ByteBuffer.wrap(bytes(new byte[HEAD]));
+        ByteBuffer head = ByteBuffer.wrap(bytes(new byte[HEADER_BYTES]));
         int length = head.getInt();
         int sum = head.getInt();
-        boolean fits = length > 0 && length <= LONGEST && at + HEAD + length <= size;
+        boolean fits =
+                length > 0 && length <= MAX_RECORD_BYTES && at + HEADER_BYTES + length <= size;
         byte[] record = fits ? bytes(new byte[length]) : null;
-        if (fits && sum(length, record) == sum) {
+        if (fits && checksum(length, record) == sum) {
             return record;
         }
         // A tear leaves the last record short, or its bytes not all written; a whole one behind it
         // proves a fault.
-        if (!soundBehind(at + 1, size)) {
+        if (!validRecordFollows(at + 1, size)) {
             return null;
         }
         throw new IOException(
@@ -182,20 +186,20 @@
     }
 
     /** Whether a whole record begins anywhere from here on. */
-    private boolean soundBehind(long from, long size) throws IOException {
-        if (size - from > LONGEST) {
+    private boolean validRecordFollows(long from, long size) throws IOException {
+        if (size - from > MAX_RECORD_BYTES) {
             return true;
         }
         ByteBuffer rest = ByteBuffer.allocate((int) (size - from));
         while (rest.hasRemaining() && channel.read(rest, from + rest.position()) >= 0) {
             // Until it is all there.
         }
-        for (int i = 0; i + HEAD < rest.position(); i++) {
+        for (int i = 0; i + HEADER_BYTES < rest.position(); i++) {
             int length = rest.getInt(i);
-            if (length > 0 && length <= rest.position() - i - HEAD) {
+            if (length > 0 && length <= rest.position() - i - HEADER_BYTES) {
                 byte[] record = new byte[length];
-                rest.get(i + HEAD, record);
-                if (sum(length, record) == rest.getInt(i + Integer.BYTES)) {
+                rest.get(i + HEADER_BYTES, record);
+                if (checksum(length, record) == rest.getInt(i + Integer.BYTES)) {
                     return true;
                 }
             }
@@ -213,7 +217,7 @@
         return into;
     }
 
-    private static int sum(int length, byte[] record) {
+    private static int checksum(int length, byte[] record) {
         CRC32C sum = new CRC32C();
         sum.update(ByteBuffer.allocate(Integer.BYTES).putInt(length).flip());
         sum.update(record);
@@ -221,15 +225,15 @@
     }
 
     /** A record as it stands in the file. */
-    static ByteBuffer framed(Logged record) {
-        return framed(record, 0);
+    static ByteBuffer frame(JournalRecord record) {
+        return frame(record, 0);
     }
 
-    private static ByteBuffer framed(Logged record, long term) {
-        byte[] bytes = RecordForm.write(record, term);
-        return ByteBuffer.allocate(HEAD + bytes.length)
+    private static ByteBuffer frame(JournalRecord record, long term) {
+        byte[] bytes = MoveRecordCodec.write(record, term);
+        return ByteBuffer.allocate(HEADER_BYTES + bytes.length)
                 .putInt(bytes.length)
-                .putInt(sum(bytes.length, bytes))
+                .putInt(checksum(bytes.length, bytes))
                 .put(bytes)
                 .flip();
     }
@@ -238,10 +242,10 @@
      * Once it returns the record is on disk. After an IOException nothing further may be written:
      * the end is unsure.
      */
-    public void append(Logged record) throws IOException {
-        ByteBuffer framed = framed(record, term);
+    public void append(JournalRecord record) throws IOException {
+        ByteBuffer framed = frame(record, term);
         if (term > 0) {
-            stillInOffice();
+            requireLeadership();
             // At the end, wherever that is by now: a successor's records are never written over.
             channel.position(channel.size());
         }
@@ -257,10 +261,10 @@
      * From now on records carry a term above all before; what others write with a lower one counts
      * no more.
      */
-    public long takeOffice(Book book) throws IOException {
-        term = book.term() + 1;
-        Logged.Office office = new Logged.Office(term);
-        book.apply(office);
+    public long startTerm(MoveJournalState journalState) throws IOException {
+        term = journalState.term() + 1;
+        JournalRecord.TermStarted office = new JournalRecord.TermStarted(term);
+        journalState.apply(office);
         append(office);
         return term;
     }
@@ -270,35 +274,36 @@
      * is longer than it left it, or another stands in its place. Hurts where somebody else writes
      * to the file, which nobody may.
      */
-    public void stillInOffice() throws IOException {
-        if (!inOffice()) {
-            throw new OfficeLost(
-                    new MigrationError.OfficeLost(term, file + ", which others have written to,"));
+    public void requireLeadership() throws IOException {
+        if (!isLeader()) {
+            throw new LeadershipLostException(
+                    new MigrationError.LeadershipLost(
+                            term, file + ", which others have written to,"));
         }
     }
 
     /** Nobody else has written to the log since this process did, as far as one can see. */
-    public boolean inOffice() throws IOException {
+    public boolean isLeader() throws IOException {
         return channel.size() == end && Files.size(file) == end;
     }
 
     /** Somebody else writes to the log. */
-    static final class OfficeLost extends IOException {
+    static final class LeadershipLostException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        OfficeLost(MigrationError.OfficeLost error) {
-            super(error.line());
+        LeadershipLostException(MigrationError.LeadershipLost error) {
+            super(error.message());
         }
     }
 
     /** Writes the log anew where it has grown long. */
-    public void compact(Book book) throws IOException {
-        if (records > COMPACT_AFTER) {
+    public void compact(MoveJournalState journalState) throws IOException {
+        if (records > COMPACT_AFTER_RECORDS) {
             FileChannel old = channel;
             if (term > 0) {
-                stillInOffice();
+                requireLeadership();
             }
-            begin(book.whole(), book.rest());
+            writeNewFile(journalState.snapshot(), journalState.recordsAfterSnapshot());
             old.close();
         }
     }
@@ -307,7 +312,8 @@
      * A new file, synced, in place of the old one, and the directory synced: at no time is there no
      * whole log.
      */
-    private void begin(Logged.Whole whole, List<Logged> rest) throws IOException {
+    private void writeNewFile(JournalRecord.Snapshot whole, List<JournalRecord> rest)
+            throws IOException {
         Path fresh = file.resolveSibling(file.getFileName() + ".new");
         FileChannel next =
                 FileChannel.open(
@@ -317,10 +323,10 @@
                         StandardOpenOption.WRITE);
         try {
             ByteBuffer[] bytes = new ByteBuffer[2 + rest.size()];
-            bytes[0] = ByteBuffer.wrap(MARK);
-            bytes[1] = framed(whole, term);
+            bytes[0] = ByteBuffer.wrap(FORMAT_MARK);
+            bytes[1] = frame(whole, term);
             for (int i = 0; i < rest.size(); i++) {
-                bytes[2 + i] = framed(rest.get(i), term);
+                bytes[2 + i] = frame(rest.get(i), term);
             }
             while (bytes[bytes.length - 1].hasRemaining()) {
                 next.write(bytes);
--- a/src/main/java/postbeam/layouts/WireNames.java
+++ b/src/main/java/postbeam/layoutservice/WireNames.java
@@ -1,4 +1,4 @@
-package postbeam.layouts;
+package postbeam.layoutservice;
 
 import java.io.IOException;
 import java.util.EnumMap;
--- a/src/main/java/postbeam/layouts/package-info.java
+++ b/src/main/java/postbeam/layoutservice/package-info.java
@@ -4,4 +4,4 @@
  * follows. What is decided stands in postbeam.slices. Switched on by a file of settings alone;
  * nothing of it is loaded without.
  */
-package postbeam.layouts;
+package postbeam.layoutservice;
--- a/src/main/java/postbeam/migration/Checkpoint.java
+++ b/src/main/java/postbeam/migration/Checkpoint.java
@@ -3,4 +3,4 @@
 /**
  * What a checkpoint was opened for: a version of the layout and a digest over what was verified.
  */
-public record Checkpoint(long version, String digest) {}
+public record Checkpoint(long layoutVersion, String digest) {}
--- a/src/main/java/postbeam/migration/Migration.java
+++ b/src/main/java/postbeam/migration/Migration.java
@@ -9,116 +9,122 @@
 public final class Migration {
     public final long id;
     public final String member;
-    public final List<Hop> hops;
+    public final List<SliceTransfer> transfers;
 
     /** Of the layout when it was opened. */
-    public final long version;
+    public final long initialLayoutVersion;
 
     /** The member's utility then; 0 where none was told. */
-    public final double utility;
+    public final double initialUtility;
 
-    Stage stage = Stage.PLANNED;
+    MigrationState state = MigrationState.PLANNED;
     Duration since;
-    Cause cause;
-    String pausedWhy;
+    PauseReason pauseReason;
+    String pauseDetail;
 
     /** Digests by move. */
-    final Map<Long, String> verified = new TreeMap<>();
-
-    int openings;
-    Checkpoint open;
-    Checkpoint passed;
-    String rollbackWhy;
-
-    Migration(long id, String member, List<Hop> hops, long version, double utility, Duration at) {
+    final Map<Long, String> verifiedDigests = new TreeMap<>();
+
+    int checkpointsOpened;
+    Checkpoint openCheckpoint;
+    Checkpoint passedCheckpoint;
+    String rollbackReason;
+
+    Migration(
+            long id,
+            String member,
+            List<SliceTransfer> hops,
+            long version,
+            double utility,
+            Duration at) {
         this.id = id;
         this.member = member;
-        this.hops = List.copyOf(hops);
-        this.version = version;
-        this.utility = utility;
+        this.transfers = List.copyOf(hops);
+        this.initialLayoutVersion = version;
+        this.initialUtility = utility;
         this.since = at;
     }
 
-    public Stage stage() {
-        return stage;
+    public MigrationState state() {
+        return state;
     }
 
     public Duration since() {
         return since;
     }
 
-    public boolean paused() {
-        return cause != null;
+    public boolean isPaused() {
+        return pauseReason != null;
     }
 
     /** Null where it is not paused. */
-    public Cause cause() {
-        return cause;
+    public PauseReason pauseReason() {
+        return pauseReason;
     }
 
-    public String pausedWhy() {
-        return pausedWhy;
+    public String pauseDetail() {
+        return pauseDetail;
     }
 
     /** The checkpoint that waits for an operator; null where none does. */
-    public Checkpoint open() {
-        return open;
+    public Checkpoint openCheckpoint() {
+        return openCheckpoint;
     }
 
     /** The one that was passed last; null before the first. */
-    public Checkpoint passed() {
-        return passed;
+    public Checkpoint passedCheckpoint() {
+        return passedCheckpoint;
     }
 
     /** How many checkpoints it has opened. */
-    public int openings() {
-        return openings;
+    public int checkpointsOpened() {
+        return checkpointsOpened;
     }
 
-    public String rollbackWhy() {
-        return rollbackWhy;
+    public String rollbackReason() {
+        return rollbackReason;
     }
 
     /** Null where the slice is none of its own. */
-    public Hop hop(int slice) {
-        return hops.stream().filter(hop -> hop.slice() == slice).findFirst().orElse(null);
+    public SliceTransfer transferOf(int slice) {
+        return transfers.stream().filter(hop -> hop.slice() == slice).findFirst().orElse(null);
     }
 
-    Noted.Standing standing() {
-        return new Noted.Standing(
+    MigrationRecord.Snapshot snapshot() {
+        return new MigrationRecord.Snapshot(
                 id,
                 member,
-                hops,
-                version,
-                utility,
-                stage,
+                transfers,
+                initialLayoutVersion,
+                initialUtility,
+                state,
                 since,
-                cause,
-                pausedWhy,
-                new TreeMap<>(verified),
-                openings,
-                open,
-                passed,
-                rollbackWhy);
+                pauseReason,
+                pauseDetail,
+                new TreeMap<>(verifiedDigests),
+                checkpointsOpened,
+                openCheckpoint,
+                passedCheckpoint,
+                rollbackReason);
     }
 
-    static Migration of(Noted.Standing one) {
+    static Migration fromSnapshot(MigrationRecord.Snapshot one) {
         Migration made =
                 new Migration(
                         one.id(),
                         one.member(),
-                        one.hops(),
-                        one.version(),
-                        one.utility(),
+                        one.transfers(),
+                        one.initialLayoutVersion(),
+                        one.initialUtility(),
                         one.since());
-        made.stage = one.stage();
-        made.cause = one.cause();
-        made.pausedWhy = one.pausedWhy();
-        made.verified.putAll(one.verified());
-        made.openings = one.openings();
-        made.open = one.open();
-        made.passed = one.passed();
-        made.rollbackWhy = one.rollbackWhy();
+        made.state = one.state();
+        made.pauseReason = one.pauseReason();
+        made.pauseDetail = one.pauseDetail();
+        made.verifiedDigests.putAll(one.verifiedDigests());
+        made.checkpointsOpened = one.checkpointsOpened();
+        made.openCheckpoint = one.openCheckpoint();
+        made.passedCheckpoint = one.passedCheckpoint();
+        made.rollbackReason = one.rollbackReason();
         return made;
     }
 
@@ -129,9 +135,9 @@
                 + " of "
                 + member
                 + " "
-                + stage.wireName()
-                + (paused() ? ", paused: " + pausedWhy : "")
-                + (rollbackWhy == null ? "" : ", back: " + rollbackWhy);
+                + state.wireName()
+                + (isPaused() ? ", paused: " + pauseDetail : "")
+                + (rollbackReason == null ? "" : ", back: " + rollbackReason);
     }
 
     @Override
--- a/src/main/java/postbeam/migration/MigrationError.java
+++ b/src/main/java/postbeam/migration/MigrationError.java
@@ -1,170 +1,175 @@
 package postbeam.migration;
 
-import postbeam.errors.Explained;
+import postbeam.errors.OperatorError;
 
 /**
  * What can be wrong with an order about migrations, or with who gives it. Nothing has been done
  * then.
  */
-public sealed interface MigrationError extends Explained {
-    record NoSuch(long id) implements MigrationError {
+public sealed interface MigrationError extends OperatorError {
+    record NotFound(long id) implements MigrationError {
         @Override
-        public String happened() {
+        public String problem() {
             return "there is no open migration " + id;
         }
 
         @Override
-        public String advice() {
+        public String remedy() {
             return "see 'layouts migrations' for those that there are";
         }
     }
 
-    record CantPlan(String member, String why) implements MigrationError {
+    record InvalidPlan(String member, String reason) implements MigrationError {
         @Override
-        public String happened() {
-            return "the migration of " + member + " can't be planned: " + why;
+        public String problem() {
+            return "the migration of " + member + " can't be planned: " + reason;
         }
 
         @Override
-        public String advice() {
+        public String remedy() {
             return "change its hops, or wait until what they need is free";
         }
     }
 
-    record NoCheckpoint(long id, Stage stage) implements MigrationError {
+    record NoOpenCheckpoint(long id, MigrationState state) implements MigrationError {
         @Override
-        public String happened() {
+        public String problem() {
             return "no checkpoint of migration "
                     + id
                     + " is open, it stands at "
-                    + stage.wireName();
+                    + state.wireName();
         }
 
         @Override
-        public String advice() {
+        public String remedy() {
             return "wait until 'layouts migrations' shows one";
         }
     }
 
-    record Stale(long id, Checkpoint named, Checkpoint open) implements MigrationError {
+    record StaleCheckpoint(long id, Checkpoint requested, Checkpoint openCheckpoint)
+            implements MigrationError {
         @Override
-        public String happened() {
+        public String problem() {
             return "the order names version "
-                    + named.version()
+                    + requested.layoutVersion()
                     + " and digest "
-                    + named.digest()
+                    + requested.digest()
                     + ", but the checkpoint of migration "
                     + id
                     + " was opened for version "
-                    + open.version()
+                    + openCheckpoint.layoutVersion()
                     + " and digest "
-                    + open.digest();
+                    + openCheckpoint.digest();
         }
 
         @Override
-        public String advice() {
+        public String remedy() {
             return "look at 'layouts migrations' again and decide anew";
         }
     }
 
-    record Doubled(long id, Checkpoint named) implements MigrationError {
+    record CheckpointAlreadyPassed(long id, Checkpoint requested) implements MigrationError {
         @Override
-        public String happened() {
+        public String problem() {
             return "the checkpoint of version "
-                    + named.version()
+                    + requested.layoutVersion()
                     + " and digest "
-                    + named.digest()
+                    + requested.digest()
                     + " of migration "
                     + id
                     + " was passed already";
         }
 
         @Override
-        public String advice() {
+        public String remedy() {
             return "do nothing: the first order stands";
         }
     }
 
-    record IsPaused(long id, String why) implements MigrationError {
+    record MigrationPaused(long id, String reason) implements MigrationError {
         @Override
-        public String happened() {
-            return "migration " + id + " is paused: " + why;
+        public String problem() {
+            return "migration " + id + " is paused: " + reason;
         }
 
         @Override
-        public String advice() {
+        public String remedy() {
             return "mend the cause and resume it, or roll it back";
         }
     }
 
     record NotPaused(long id) implements MigrationError {
         @Override
-        public String happened() {
+        public String problem() {
             return "migration " + id + " is not paused";
         }
 
         @Override
-        public String advice() {
+        public String remedy() {
             return "do nothing: it goes on";
         }
     }
 
-    record StillSo(long id, String why) implements MigrationError {
+    record PauseReasonPersists(long id, String reason) implements MigrationError {
         @Override
-        public String happened() {
-            return "migration " + id + " stays paused: " + why;
+        public String problem() {
+            return "migration " + id + " stays paused: " + reason;
         }
 
         @Override
-        public String advice() {
+        public String remedy() {
             return "mend the cause first, or roll it back";
         }
     }
 
-    record TooLate(long id, Stage stage) implements MigrationError {
+    record RollbackTooLate(long id, MigrationState state) implements MigrationError {
         @Override
-        public String happened() {
-            return "migration " + id + " can't be rolled back, it stands at " + stage.wireName();
+        public String problem() {
+            return "migration " + id + " can't be rolled back, it stands at " + state.wireName();
         }
 
         @Override
-        public String advice() {
+        public String remedy() {
             return "plan a migration the other way";
         }
     }
 
-    record BadOrder(String what) implements MigrationError {
+    record MalformedCommand(String detail) implements MigrationError {
         @Override
-        public String happened() {
-            return "the order can't be read: " + what;
+        public String problem() {
+            return "the order can't be read: " + detail;
         }
 
         @Override
-        public String advice() {
+        public String remedy() {
             return "see docs/operators/migration-of-members.md for its form";
         }
     }
 
-    record OfficeLost(long term, String seenBy) implements MigrationError {
+    record LeadershipLost(long term, String evidence) implements MigrationError {
         @Override
-        public String happened() {
-            return "another service has taken over from term " + term + ", as " + seenBy + " shows";
+        public String problem() {
+            return "another service has taken over from term "
+                    + term
+                    + ", as "
+                    + evidence
+                    + " shows";
         }
 
         @Override
-        public String advice() {
+        public String remedy() {
             return "leave this process ended and ask the other one";
         }
     }
 
-    record SwitchedOff() implements MigrationError {
+    record MigrationsDisabled() implements MigrationError {
         @Override
-        public String happened() {
+        public String problem() {
             return "migrations are switched off in this layout service";
         }
 
         @Override
-        public String advice() {
+        public String remedy() {
             return "set layouts.migration.enabled and start it again";
         }
     }
--- a/src/main/java/postbeam/migration/MigrationLimits.java
+++ b/src/main/java/postbeam/migration/MigrationLimits.java
@@ -20,16 +20,16 @@
  * @param drift what two clocks may differ by over a lease
  */
 public record MigrationLimits(
-        int atOnce,
-        int batch,
-        int movesASecond,
-        long bytesASecond,
-        Duration starved,
-        Duration cold,
-        Duration watch,
-        double leastUtility,
-        Duration again,
-        int patience,
-        long finest,
-        Duration lease,
-        Duration drift) {}
+        int maxActiveMigrations,
+        int maxConcurrentCopies,
+        int movesPerSecond,
+        long bytesPerSecond,
+        Duration stallTimeout,
+        Duration warmUpPeriod,
+        Duration observationPeriod,
+        double minUtilityRatio,
+        Duration requestInterval,
+        int mismatchesToConfirm,
+        long minRangeSize,
+        Duration routerLease,
+        Duration clockDrift) {}
--- a/src/main/java/postbeam/migration/Stage.java
+++ b/src/main/java/postbeam/migration/MigrationState.java
@@ -1,7 +1,7 @@
 package postbeam.migration;
 
 /** Where a migration stands. Up to CHECKPOINT the old side serves, from WATCHED on the new one. */
-public enum Stage {
+public enum MigrationState {
     /** Waits until the limits allow it to begin. */
     PLANNED("PLANNED"),
     /** Targets copy, in batches. */
@@ -11,13 +11,13 @@
     /** Both sides are compared. */
     VERIFYING("VERIFYING"),
     /** Waits for an operator before the switch. */
-    CHECKPOINT("CHECKPOINT"),
+    SWITCH_CHECKPOINT("CHECKPOINT"),
     /** Each slice is fenced at its old holder and cut over to the new one. */
     SWITCHING("SWITCHING"),
     /** The new side serves; the old holders are fenced and keep what they have. */
-    WATCHED("WATCHED"),
+    OBSERVING("WATCHED"),
     /** Waits for an operator before the old side is dropped. */
-    LAST_CHECKPOINT("LAST_CHECKPOINT"),
+    RETIREMENT_CHECKPOINT("LAST_CHECKPOINT"),
     /** The old side is being dropped: no way back. */
     RETIRING("RETIRING"),
     /** Over: the new side serves. */
@@ -29,7 +29,7 @@
 
     private final String wireName;
 
-    Stage(String wireName) {
+    MigrationState(String wireName) {
         this.wireName = wireName;
     }
 
@@ -38,12 +38,12 @@
         return wireName;
     }
 
-    public boolean over() {
+    public boolean isFinal() {
         return this == RETIRED || this == ROLLED_BACK;
     }
 
     /** The migration may still be taken back. */
-    public boolean mayGoBack() {
-        return ordinal() <= LAST_CHECKPOINT.ordinal();
+    public boolean allowsRollback() {
+        return ordinal() <= RETIREMENT_CHECKPOINT.ordinal();
     }
 }
--- a/src/main/java/postbeam/migration/Cause.java
+++ b/src/main/java/postbeam/migration/PauseReason.java
@@ -1,24 +1,24 @@
 package postbeam.migration;
 
 /** Why a migration is paused. */
-public enum Cause {
+public enum PauseReason {
     OPERATOR("OPERATOR"),
     /** A node that is to take a slice started lately. */
-    TARGET_COLD("TARGET_COLD"),
+    TARGET_WARMING_UP("TARGET_COLD"),
     /** A slice has one ready holder left. */
-    SHARD_THIN("SHARD_THIN"),
+    TOO_FEW_READY_REPLICAS("SHARD_THIN"),
     /** The member's utility fell. */
-    UTILITY_FELL("UTILITY_FELL"),
+    UTILITY_DROPPED("UTILITY_FELL"),
     /** A copy, or an answer about one, takes too long. */
-    STARVED("STARVED"),
+    STALLED("STARVED"),
     /** The two sides differ. */
-    DIFFERS("DIFFERS"),
+    DIGEST_MISMATCH("DIFFERS"),
     /** A move was abandoned, or can't be planned. */
     MOVE_FAILED("MOVE_FAILED");
 
     private final String wireName;
 
-    Cause(String wireName) {
+    PauseReason(String wireName) {
         this.wireName = wireName;
     }
 
--- a/src/main/java/postbeam/migration/Said.java
+++ b/src/main/java/postbeam/migration/RangeDigest.java
@@ -11,13 +11,14 @@
  * @param bytes what a copy of them takes
  * @param digest SHA-256 over the rows in the order of their keys, in hexadecimal digits
  */
-public record Said(KeyRange keys, int open, long mark, long rows, long bytes, String digest) {
+public record RangeDigest(
+        KeyRange range, int pendingWrites, long lastWrite, long rows, long bytes, String digest) {
     /** Both stand at the same write and have the same. */
-    boolean agrees(Said other) {
-        return open == 0 && other.open == 0 && same(other);
+    boolean matches(RangeDigest other) {
+        return pendingWrites == 0 && other.pendingWrites == 0 && hasSameContent(other);
     }
 
-    boolean same(Said other) {
-        return mark == other.mark && rows == other.rows && digest.equals(other.digest);
+    boolean hasSameContent(RangeDigest other) {
+        return lastWrite == other.lastWrite && rows == other.rows && digest.equals(other.digest);
     }
 }
--- a/src/main/java/postbeam/state/LeafCall.java
+++ b/src/main/java/postbeam/model/Attempt.java
@@ -1,10 +1,10 @@
-package postbeam.state;
+package postbeam.model;
 
 import java.time.Duration;
 
 /** One sending of a part to a data node. */
-public final class LeafCall {
-    public final Part part;
+public final class Attempt {
+    public final ShardRequest shardRequest;
     public final DataNode node;
     public final Duration sentAt;
 
@@ -12,7 +12,7 @@
     public final Duration timeout;
 
     /** Place among the leaf calls of the part, from 0. */
-    public final int number;
+    public final int index;
 
     /**
      * Its bytes may not go later than this, however long they wait for their turn; null: at any
@@ -26,15 +26,15 @@
     private boolean cancellationRequested;
     private boolean ended;
 
-    public LeafCall(Part part, DataNode node, Duration sentAt, Duration timeout) {
-        this.part = part;
+    public Attempt(ShardRequest request, DataNode node, Duration sentAt, Duration timeout) {
+        this.shardRequest = request;
         this.node = node;
         this.sentAt = sentAt;
         this.timeout = timeout;
-        this.number = part.calls.size();
-        part.calls.add(this);
-        part.out.add(this);
-        node.out.add(this);
+        this.index = request.attempts.size();
+        request.attempts.add(this);
+        request.attemptsInFlight.add(this);
+        node.attemptsInFlight.add(this);
     }
 
     /** Its bytes may not be sent later than this; null where they may at any time. */
@@ -75,7 +75,7 @@
     /** Its outcome is known: it is in flight no more. */
     public void end() {
         ended = true;
-        part.out.remove(this);
-        node.out.remove(this);
+        shardRequest.attemptsInFlight.remove(this);
+        node.attemptsInFlight.remove(this);
     }
 }
--- a/src/main/java/postbeam/state/Outcome.java
+++ b/src/main/java/postbeam/model/AttemptOutcome.java
@@ -1,10 +1,10 @@
-package postbeam.state;
+package postbeam.model;
 
 /** How a leaf call ended. */
-public enum Outcome {
-    MERGED(false),
+public enum AttemptOutcome {
+    SUCCESS(false),
     ERROR(false),
-    FULL(true),
+    OVERLOADED(true),
     TIMEOUT(false),
     UNREACHABLE(true),
     RESET(false),
@@ -14,9 +14,9 @@
     MOVED(true);
 
     /** True where the outcome proves that the part never ran. */
-    public final boolean provesNotRun;
+    public final boolean provesNotExecuted;
 
-    Outcome(boolean provesNotRun) {
-        this.provesNotRun = provesNotRun;
+    AttemptOutcome(boolean provesNotRun) {
+        this.provesNotExecuted = provesNotRun;
     }
 }
--- a/src/main/java/postbeam/state/Cells.java
+++ b/src/main/java/postbeam/model/CellPlacement.java
@@ -1,4 +1,4 @@
-package postbeam.state;
+package postbeam.model;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** The fixed rule: a shard is held by the nodes of its cell and of the next ones. */
-public final class Cells implements Holders {
+public final class CellPlacement implements ReplicaPlacement {
     private final List<List<DataNode>> cells = new ArrayList<>();
 
     /** The holders of a cell's shards, in order; null after a change. */
@@ -17,7 +17,7 @@
 
     private Comparator<DataNode> order;
 
-    public Cells(int cellCount, int reach) {
+    public CellPlacement(int cellCount, int reach) {
         for (int i = 0; i < cellCount; i++) {
             cells.add(new ArrayList<>());
             holders.add(null);
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public void order(Comparator<DataNode> order) {
+    public void setReplicaOrder(Comparator<DataNode> order) {
         this.order = order;
     }
 
@@ -66,13 +66,13 @@
     }
 
     @Override
-    public int reach() {
+    public int replicationFactor() {
         return reach;
     }
 
     /** Shards stay where they are. */
     @Override
-    public Duration tookAt(int shard, DataNode node) {
+    public Duration acquiredAt(int shard, DataNode node) {
         return null;
     }
 }
--- a/src/main/java/postbeam/state/Fleet.java
+++ b/src/main/java/postbeam/model/Cluster.java
@@ -1,4 +1,4 @@
-package postbeam.state;
+package postbeam.model;
 
 import java.time.Duration;
 import java.util.Comparator;
@@ -7,46 +7,46 @@
 import java.util.Set;
 
 /** The data nodes on this router's list, which of them hold a shard, and which answered last. */
-public final class Fleet {
-    private final Holders holders;
+public final class Cluster {
+    private final ReplicaPlacement placement;
     private final Set<DataNode> nodes = new LinkedHashSet<>();
 
     /** Those that have answered, the latest last. */
-    private final LinkedHashSet<DataNode> answered = new LinkedHashSet<>();
+    private final LinkedHashSet<DataNode> recordAnswer = new LinkedHashSet<>();
 
     /** Shards are held by the fixed rule. */
-    public Fleet(int cellCount, int reach) {
-        this(new Cells(cellCount, reach));
+    public Cluster(int cellCount, int reach) {
+        this(new CellPlacement(cellCount, reach));
     }
 
-    public Fleet(Holders holders) {
-        this.holders = holders;
+    public Cluster(ReplicaPlacement placement) {
+        this.placement = placement;
     }
 
     /** The order of replica lists; nodes that it holds equal stand in the order of the source. */
-    public void order(Comparator<DataNode> order) {
-        holders.order(order);
+    public void setReplicaOrder(Comparator<DataNode> order) {
+        placement.setReplicaOrder(order);
     }
 
     public void add(DataNode node) {
         nodes.add(node);
-        holders.add(node);
+        placement.add(node);
     }
 
     public void remove(DataNode node) {
         nodes.remove(node);
-        answered.remove(node);
-        holders.remove(node);
+        recordAnswer.remove(node);
+        placement.remove(node);
     }
 
     public int size() {
         return nodes.size();
     }
 
-    public void answered(DataNode node) {
+    public void recordAnswer(DataNode node) {
         if (nodes.contains(node)) {
-            answered.remove(node);
-            answered.add(node);
+            recordAnswer.remove(node);
+            recordAnswer.add(node);
         }
     }
 
@@ -54,17 +54,17 @@
      * Slowness of the node at this place, from 0 to 1, among those that answered since; 0 where
      * none did.
      */
-    public double slowness(double place, Duration since) {
-        while (!answered.isEmpty()) {
-            DataNode oldest = answered.iterator().next();
-            if (oldest.lastAnswerAt.compareTo(since) > 0) {
+    public double slowdownAtQuantile(double place, Duration since) {
+        while (!recordAnswer.isEmpty()) {
+            DataNode oldest = recordAnswer.iterator().next();
+            if (oldest.lastAnsweredAt.compareTo(since) > 0) {
                 break;
             }
-            answered.remove(oldest);
+            recordAnswer.remove(oldest);
         }
         double[] slow =
-                answered.stream()
-                        .mapToDouble(node -> node.slowness)
+                recordAnswer.stream()
+                        .mapToDouble(node -> node.slowdown)
                         .filter(s -> s > 0)
                         .sorted()
                         .toArray();
@@ -73,16 +73,16 @@
 
     /** The nodes that hold the shard, as a list that is not to be changed. */
     public List<DataNode> replicas(int shard) {
-        return holders.replicas(shard);
+        return placement.replicas(shard);
     }
 
     /** How many nodes hold a shard. */
-    public int reach() {
-        return holders.reach();
+    public int replicationFactor() {
+        return placement.replicationFactor();
     }
 
     /** When this node took the shard over from another; null: not known, or long ago. */
-    public Duration tookAt(int shard, DataNode node) {
-        return holders.tookAt(shard, node);
+    public Duration acquiredAt(int shard, DataNode node) {
+        return placement.acquiredAt(shard, node);
     }
 }
--- a/src/main/java/postbeam/state/Counting.java
+++ b/src/main/java/postbeam/model/CompletenessRule.java
@@ -1,4 +1,4 @@
-package postbeam.state;
+package postbeam.model;
 
 import java.util.function.Predicate;
 
@@ -6,10 +6,10 @@
  * How the weight of a query's parts counts where their slices were re-cut since the client named
  * them.
  */
-public interface Counting {
+public interface CompletenessRule {
     /**
      * The weight that such parts make together, against one layout that the query may be held
      * against.
      */
-    double weight(Query query, Predicate<Part> which);
+    double weight(Query query, Predicate<ShardRequest> which);
 }
--- a/src/main/java/postbeam/state/DataNode.java
+++ b/src/main/java/postbeam/model/DataNode.java
@@ -1,44 +1,44 @@
-package postbeam.state;
+package postbeam.model;
 
 import java.time.Duration;
 import java.util.LinkedHashSet;
 import java.util.Set;
 
 /** A data node as this router knows it. */
-public final class DataNode extends Health {
+public final class DataNode extends HealthState {
     public final int cell;
     public final Zone zone;
     private Readiness readiness = Readiness.READY;
     private Duration startedAt;
 
     /** When it last could not be reached, unless it is known to have started since; null: never. */
-    public Duration downAt;
+    public Duration unreachableAt;
 
     /** The leaf calls without an outcome yet, oldest first. */
-    public final Set<LeafCall> out = new LinkedHashSet<>();
+    public final Set<Attempt> attemptsInFlight = new LinkedHashSet<>();
 
     /** What it was lately sent, in seconds of work; set up by the one who measures. */
-    public TimeRing workSent;
+    public SlidingWindowCounter recentWorkSent;
 
     /** The same for shards it has lately taken over from others; null until there are such. */
-    public TimeRing takenSent;
+    public SlidingWindowCounter recentWorkOnAcquiredShards;
 
     /** Drawn from 0 to 1 when it was first listed; set up by the one who measures. */
-    public double lot;
+    public double samplingThreshold;
 
     /** Smoothed time of its answers beside the quiet time of their vertical; 0 before the first. */
-    public double slowness;
+    public double slowdown;
 
-    public Duration lastAnswerAt;
+    public Duration lastAnsweredAt;
 
     /** When the last sent of its answered calls was sent. */
-    public Duration answeredSentAt;
+    public Duration latestAnsweredSendTime;
 
     /** When its zone last counted it. */
-    public Duration countedAt;
+    public Duration countedByZoneAt;
 
     /** A probe is out. */
-    public boolean probing;
+    public boolean probeInFlight;
 
     public DataNode(int cell, Zone zone) {
         this.cell = cell;
@@ -65,38 +65,38 @@
      * From when on it may have been cold: the list tells of a start late. Null: not known, or long
      * ago.
      */
-    public Duration coldSince() {
-        return downAt == null || startedAt != null && startedAt.compareTo(downAt) > 0
+    public Duration warmingUpSince() {
+        return unreachableAt == null || startedAt != null && startedAt.compareTo(unreachableAt) > 0
                 ? startedAt
-                : downAt;
+                : unreachableAt;
     }
 
     /** Calls out, where parts sent in one turn count as one. */
-    public int callsOut() {
+    public int batchesInFlight() {
         int calls = 0;
         Duration last = null;
-        for (LeafCall call : out) {
-            if (!call.sentAt.equals(last)) {
+        for (Attempt attempt : attemptsInFlight) {
+            if (!attempt.sentAt.equals(last)) {
                 calls++;
-                last = call.sentAt;
+                last = attempt.sentAt;
             }
         }
         return calls;
     }
 
-    public LeafCall oldestOut() {
-        return out.isEmpty() ? null : out.iterator().next();
+    public Attempt oldestAttemptInFlight() {
+        return attemptsInFlight.isEmpty() ? null : attemptsInFlight.iterator().next();
     }
 
-    public boolean answeredSince(Duration since) {
-        return lastAnswerAt != null && lastAnswerAt.compareTo(since) >= 0;
+    public boolean hasAnsweredSince(Duration since) {
+        return lastAnsweredAt != null && lastAnsweredAt.compareTo(since) >= 0;
     }
 
     /** It has answered a call sent then. */
-    public void answered(Duration now, Duration sentAt) {
-        lastAnswerAt = now;
-        if (answeredSentAt == null || answeredSentAt.compareTo(sentAt) < 0) {
-            answeredSentAt = sentAt;
+    public void recordAnswer(Duration now, Duration sentAt) {
+        lastAnsweredAt = now;
+        if (latestAnsweredSendTime == null || latestAnsweredSendTime.compareTo(sentAt) < 0) {
+            latestAnsweredSendTime = sentAt;
         }
     }
 }
--- a/src/main/java/postbeam/state/Query.java
+++ b/src/main/java/postbeam/model/Query.java
@@ -1,4 +1,4 @@
-package postbeam.state;
+package postbeam.model;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -8,10 +8,10 @@
 /** A query that this router has taken. */
 public final class Query {
     /** That of the step it is in. */
-    private Vertical vertical;
+    private QueryClass queryClass;
 
     /** Null where the deployment has no customers. */
-    public final Customer customer;
+    public final Tenant tenant;
 
     public final Duration arrivedAt;
 
@@ -27,7 +27,7 @@
     /** When the client stops waiting. */
     public final Duration deadline;
 
-    public final List<Part> parts = new ArrayList<>();
+    public final List<ShardRequest> shardRequests = new ArrayList<>();
 
     /** Place in the replica lists of its shards; below 0 before it is chosen. */
     private int replicaOffset = -1;
@@ -37,10 +37,10 @@
     /**
      * Parts of its first step, once that is answered; empty before, and where there is no second.
      */
-    public final List<Part> firstStep = new ArrayList<>();
+    public final List<ShardRequest> firstStepRequests = new ArrayList<>();
 
     /** How weights count where slices are re-cut; null: each part counts by itself. */
-    private Counting completenessRule;
+    private CompletenessRule completenessRule;
 
     /** Its leaf calls that were reset; and it is held to crash the nodes that begin its parts. */
     private int resetCount;
@@ -50,17 +50,17 @@
     /** It came beyond its customer's share. */
     private boolean overQuota;
 
-    public Query(Vertical vertical, Customer customer, Duration arrivedAt, Duration deadline) {
-        this.vertical = vertical;
-        this.customer = customer;
+    public Query(QueryClass queryClass, Tenant tenant, Duration arrivedAt, Duration deadline) {
+        this.queryClass = queryClass;
+        this.tenant = tenant;
         this.arrivedAt = arrivedAt;
         this.firstRequestedAt = arrivedAt;
         this.deadline = deadline;
     }
 
     /** The class of the step it is in: what its parts are now. */
-    public Vertical queryClass() {
-        return vertical;
+    public QueryClass queryClass() {
+        return queryClass;
     }
 
     /**
@@ -112,12 +112,12 @@
     }
 
     /** How its weights count where slices are re-cut; null where each part counts by itself. */
-    public Counting completenessRule() {
+    public CompletenessRule completenessRule() {
         return completenessRule;
     }
 
     /** Weights count by this rule from now on. */
-    public void useCompletenessRule(Counting rule) {
+    public void useCompletenessRule(CompletenessRule rule) {
         completenessRule = rule;
     }
 
@@ -151,62 +151,64 @@
         overQuota = true;
     }
 
-    public Duration sloAt() {
-        return firstRequestedAt.plus(vertical.sloTime);
+    public Duration sloDeadline() {
+        return firstRequestedAt.plus(queryClass.latencyObjective);
     }
 
-    public double mergedWeight() {
-        return weightOf(part -> part.isAnswered());
+    public double answeredWeight() {
+        return weightOf(request -> request.isAnswered());
     }
 
     /** The weight that such parts make together. */
-    public double weightOf(Predicate<Part> which) {
+    public double weightOf(Predicate<ShardRequest> which) {
         if (completenessRule != null) {
             return completenessRule.weight(this, which);
         }
         double sum = 0;
-        for (Part part : parts) {
-            if (which.test(part)) {
-                sum += part.weight;
+        for (ShardRequest request : shardRequests) {
+            if (which.test(request)) {
+                sum += request.weight;
             }
         }
         return sum;
     }
 
-    public int count(Predicate<Part> which) {
+    public int countRequests(Predicate<ShardRequest> which) {
         int count = 0;
-        for (Part part : parts) {
-            count += which.test(part) ? 1 : 0;
+        for (ShardRequest request : shardRequests) {
+            count += which.test(request) ? 1 : 0;
         }
         return count;
     }
 
     /** Parts still needed, taking those left at their mean weight. */
-    public int alpha() {
-        int unmerged = count(part -> !part.isAnswered());
+    public int requestsNeeded() {
+        int unmerged = countRequests(request -> !request.isAnswered());
         double weight = 0;
-        for (Part part : parts) {
-            weight += part.isAnswered() ? 0 : part.weight;
+        for (ShardRequest request : shardRequests) {
+            weight += request.isAnswered() ? 0 : request.weight;
         }
-        double share = (vertical.need - mergedWeight()) * unmerged / weight;
+        double share = (queryClass.requiredWeight - answeredWeight()) * unmerged / weight;
         return weight <= 0 ? unmerged : (int) Math.min(unmerged, Math.ceil(share - 0.001));
     }
 
     /** Parts with a leaf call out and not merged. */
-    public int out() {
-        return count(part -> !part.isAnswered() && !part.out.isEmpty());
+    public int requestsInFlight() {
+        return countRequests(
+                request -> !request.isAnswered() && !request.attemptsInFlight.isEmpty());
     }
 
     /** The first step is answered: its parts are over, those of the second are to come. */
-    public void secondStep() {
-        firstStep.addAll(parts);
-        parts.clear();
-        vertical = vertical.second;
+    public void beginSecondStep() {
+        firstStepRequests.addAll(shardRequests);
+        shardRequests.clear();
+        queryClass = queryClass.secondStep;
         replicaOffset = -1;
     }
 
     /** No leaf call was sent for it. */
-    public boolean untouched() {
-        return firstStep.isEmpty() && count(part -> !part.calls.isEmpty()) == 0;
+    public boolean hasNotStarted() {
+        return firstStepRequests.isEmpty()
+                && countRequests(request -> !request.attempts.isEmpty()) == 0;
     }
 }
--- a/src/main/java/postbeam/state/Vertical.java
+++ b/src/main/java/postbeam/model/QueryClass.java
@@ -1,14 +1,14 @@
-package postbeam.state;
+package postbeam.model;
 
 import java.time.Duration;
 
 /** A kind of query: what its clients were promised, and what has been seen of its parts. */
-public final class Vertical {
-    public final Duration sloTime;
-    public final Effect effect;
+public final class QueryClass {
+    public final Duration latencyObjective;
+    public final SideEffects sideEffects;
 
     /** How long a repeat of a deduplicated part is dropped; null where not stated. */
-    public final Duration repeatWindow;
+    public final Duration deduplicationWindow;
 
     public final double utility;
 
@@ -16,36 +16,36 @@
     public final double lateUtility;
 
     /** Share of the weight that makes a whole answer, and the least share for any answer. */
-    public final double need;
+    public final double requiredWeight;
 
-    public final double floor;
+    public final double minimumWeight;
 
     /** What a partial answer earns, times share / need. */
-    public final double shortUtility;
+    public final double partialUtility;
 
     /**
      * What the parts are that come once a first answer is put together; null where a query has one
      * step.
      */
-    public final Vertical second;
+    public final QueryClass secondStep;
 
     /** How long a client waits in all, with its repeats; null where not stated. Set up once. */
-    public Duration allWait;
+    public Duration totalClientTimeout;
 
     /** What clients wait at their first try, the shorter of late; null before one. */
-    public Duration firstWait;
+    public Duration firstTryTimeout;
 
     /**
      * Time that a part takes at a node with nothing else to do, as learnt; null before the first.
      */
-    public Duration quietTime;
+    public Duration baselineLatency;
 
     /** When an answer last told of it. */
-    public Duration quietAt = Duration.ZERO;
+    public Duration baselineUpdatedAt = Duration.ZERO;
 
-    public Vertical(
+    public QueryClass(
             Duration sloTime,
-            Effect effect,
+            SideEffects effect,
             Duration repeatWindow,
             double utility,
             double lateUtility,
@@ -55,45 +55,45 @@
         this(sloTime, effect, repeatWindow, utility, lateUtility, need, floor, shortUtility, null);
     }
 
-    private Vertical(
+    private QueryClass(
             Duration sloTime,
-            Effect effect,
+            SideEffects effect,
             Duration repeatWindow,
             double utility,
             double lateUtility,
             double need,
             double floor,
             double shortUtility,
-            Vertical second) {
-        this.sloTime = sloTime;
-        this.effect = effect;
-        this.repeatWindow = repeatWindow;
+            QueryClass second) {
+        this.latencyObjective = sloTime;
+        this.sideEffects = effect;
+        this.deduplicationWindow = repeatWindow;
         this.utility = utility;
         this.lateUtility = lateUtility;
-        this.need = need;
-        this.floor = floor;
-        this.shortUtility = shortUtility;
-        this.second = second;
+        this.requiredWeight = need;
+        this.minimumWeight = floor;
+        this.partialUtility = shortUtility;
+        this.secondStep = second;
     }
 
     /** The same with a second step. */
-    public Vertical followedBy(Vertical second) {
-        Vertical both =
-                new Vertical(
-                        sloTime,
-                        effect,
-                        repeatWindow,
+    public QueryClass withSecondStep(QueryClass second) {
+        QueryClass both =
+                new QueryClass(
+                        latencyObjective,
+                        sideEffects,
+                        deduplicationWindow,
                         utility,
                         lateUtility,
-                        need,
-                        floor,
-                        shortUtility,
+                        requiredWeight,
+                        minimumWeight,
+                        partialUtility,
                         second);
-        both.allWait = allWait;
+        both.totalClientTimeout = totalClientTimeout;
         return both;
     }
 
-    public boolean anyN() {
-        return need < 1;
+    public boolean acceptsSubset() {
+        return requiredWeight < 1;
     }
 }
--- a/src/main/java/postbeam/state/Readiness.java
+++ b/src/main/java/postbeam/model/Readiness.java
@@ -1,8 +1,8 @@
-package postbeam.state;
+package postbeam.model;
 
 /** What the host list says of a data node. */
 public enum Readiness {
     READY,
     DRAINING,
-    GONE
+    REMOVED
 }
--- a/src/main/java/postbeam/state/Holders.java
+++ b/src/main/java/postbeam/model/ReplicaPlacement.java
@@ -1,4 +1,4 @@
-package postbeam.state;
+package postbeam.model;
 
 import java.time.Duration;
 import java.util.Comparator;
@@ -8,12 +8,12 @@
  * Which of the listed data nodes hold a shard. A fleet has one source of it: cells in a row, or a
  * layout.
  */
-public interface Holders {
+public interface ReplicaPlacement {
     /**
      * The order of replica lists; nodes that it holds equal keep the order that the source gives
      * them.
      */
-    void order(Comparator<DataNode> order);
+    void setReplicaOrder(Comparator<DataNode> order);
 
     /** The node has come onto the list. */
     void add(DataNode node);
@@ -27,8 +27,8 @@
     List<DataNode> replicas(int shard);
 
     /** How many nodes hold a shard, on the mean and rounded up; 1 at least. */
-    int reach();
+    int replicationFactor();
 
     /** When this node took the shard over from another; null: not known, or long ago. */
-    Duration tookAt(int shard, DataNode node);
+    Duration acquiredAt(int shard, DataNode node);
 }
--- a/src/main/java/postbeam/state/Part.java
+++ b/src/main/java/postbeam/model/ShardRequest.java
@@ -1,26 +1,26 @@
-package postbeam.state;
+package postbeam.model;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 
 /** The part of a query that one shard answers. */
-public class Part {
+public class ShardRequest {
     public final Query query;
 
     /** What its query was when it came: that of its step. */
-    public final Vertical vertical;
+    public final QueryClass queryClass;
 
     public final int shard;
     public final double weight;
 
     /** Expected work; null where no hint came. */
-    public final Duration work;
+    public final Duration estimatedWork;
 
-    public final List<LeafCall> calls = new ArrayList<>();
+    public final List<Attempt> attempts = new ArrayList<>();
 
     /** The leaf calls without an outcome yet, oldest first. */
-    public final List<LeafCall> out = new ArrayList<>();
+    public final List<Attempt> attemptsInFlight = new ArrayList<>();
 
     private boolean answered;
 
@@ -30,13 +30,13 @@
     /** When the first leaf call that may have run was sent; null while none may. */
     private Duration mayHaveExecutedSince;
 
-    public Part(Query query, int shard, double weight, Duration work) {
+    public ShardRequest(Query query, int shard, double weight, Duration work) {
         this.query = query;
-        this.vertical = query.queryClass();
+        this.queryClass = query.queryClass();
         this.shard = shard;
         this.weight = weight;
-        this.work = work;
-        query.parts.add(this);
+        this.estimatedWork = work;
+        query.shardRequests.add(this);
     }
 
     /** Whether an attempt has brought its answer. */
@@ -70,16 +70,16 @@
      * This part stands for keys of the other, which is over: what may have run there may have run
      * here.
      */
-    public void inherit(Part other) {
-        calls.addAll(other.calls);
+    public void inheritAttempts(ShardRequest other) {
+        attempts.addAll(other.attempts);
         closed |= other.closed;
         if (other.mayHaveExecutedSince != null) {
-            mayHaveRun(other.mayHaveExecutedSince);
+            recordPossibleExecution(other.mayHaveExecutedSince);
         }
     }
 
     /** A leaf call sent then may have run. */
-    public void mayHaveRun(Duration sentAt) {
+    public void recordPossibleExecution(Duration sentAt) {
         if (mayHaveExecutedSince == null || mayHaveExecutedSince.compareTo(sentAt) > 0) {
             mayHaveExecutedSince = sentAt;
         }
--- a/src/main/java/postbeam/state/TimeRing.java
+++ b/src/main/java/postbeam/model/SlidingWindowCounter.java
@@ -1,16 +1,16 @@
-package postbeam.state;
+package postbeam.model;
 
 import java.time.Duration;
 import java.util.Arrays;
 
 /** A sum over the recent past, kept in fixed buckets of time that are used again in a ring. */
-public final class TimeRing {
+public final class SlidingWindowCounter {
     private final long width;
     private final double[] sums;
     private final long[] slots;
 
     /** Covers at least the span with so many buckets. */
-    public TimeRing(Duration span, int buckets) {
+    public SlidingWindowCounter(Duration span, int buckets) {
         width = Math.max(1, span.toNanos() / buckets);
         sums = new double[buckets + 2];
         slots = new long[buckets + 2];
@@ -28,12 +28,12 @@
     }
 
     /** All that was added within the span, and at the most one bucket's width before it. */
-    public double atLeast(Duration now, Duration span) {
+    public double upperBoundSum(Duration now, Duration span) {
         return sum(now, Math.floorDiv(now.minus(span).toNanos(), width));
     }
 
     /** What was added within the span, less what shares a bucket with its start. */
-    public double atMost(Duration now, Duration span) {
+    public double lowerBoundSum(Duration now, Duration span) {
         return sum(now, Math.floorDiv(now.minus(span).toNanos(), width) + 1);
     }
 
--- a/src/main/java/postbeam/state/Zone.java
+++ b/src/main/java/postbeam/model/Zone.java
@@ -1,14 +1,14 @@
-package postbeam.state;
+package postbeam.model;
 
 /** A location of data nodes as this router meets it. */
-public final class Zone extends Health {
+public final class Zone extends HealthState {
     /** This router's own. */
-    public final boolean ours;
+    public final boolean local;
 
     /** The one call that shows whether it is sound again. */
-    public LeafCall trial;
+    public Attempt trialAttempt;
 
     public Zone(boolean ours) {
-        this.ours = ours;
+        this.local = ours;
     }
 }
--- a/src/main/java/postbeam/pages/Cursor.java
+++ b/src/main/java/postbeam/pages/Cursor.java
@@ -6,8 +6,8 @@
  * Where a chain of pages stands: the layout it was made under, the digest of its query, and its
  * ranges in order.
  */
-public record Cursor(long layout, long query, List<Standing> standings) {
+public record Cursor(long layoutVersion, long queryDigest, List<RangeProgress> ranges) {
     public Cursor {
-        standings = List.copyOf(standings);
+        ranges = List.copyOf(ranges);
     }
 }
--- a/src/main/java/postbeam/pages/CursorSeal.java
+++ b/src/main/java/postbeam/pages/CursorCodec.java
@@ -16,7 +16,7 @@
 import java.util.stream.Collectors;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
-import postbeam.errors.ExplainedException;
+import postbeam.errors.OperatorErrorException;
 import postbeam.slices.KeyRange;
 
 /**
@@ -24,16 +24,16 @@
  * Bytes: form 1, key's fingerprint 4, layout, query 8, marks, ranges, HMAC 16; whole numbers in
  * groups of 7 bits, the least first.
  */
-public final class CursorSeal {
+public final class CursorCodec {
     /**
      * Characters: RANGES_MOST of 19 bytes, MARKS_MOST of 280 and 41 more, at 4/3; a query's body
      * has room for it.
      */
-    static final int TEXT_MOST = 25_000;
+    static final int MAX_TEXT_LENGTH = 25_000;
 
-    private static final byte FORM = 1;
-    private static final int FINGERPRINT = 4;
-    private static final int SIGNATURE = 16;
+    private static final byte FORMAT_VERSION = 1;
+    private static final int FINGERPRINT_BYTES = 4;
+    private static final int SIGNATURE_BYTES = 16;
     private static final int KEY_BYTES = 32;
     private static final String HMAC = "HmacSHA256";
     private static final int MISSING = 0;
@@ -41,17 +41,17 @@
     private static final int TEXT = 2;
 
     private final Map<Integer, SecretKeySpec> keys = new LinkedHashMap<>();
-    private final int newest;
+    private final int signingFingerprint;
 
     /** The key to sign with and the one before it, null where there is none; each 64 hex digits. */
-    public CursorSeal(String key, String oldKey) throws ExplainedException {
-        newest = hold(key, "pages.key");
+    public CursorCodec(String key, String oldKey) throws OperatorErrorException {
+        signingFingerprint = addKey(key, "pages.key");
         if (oldKey != null) {
-            hold(oldKey, "pages.oldKey");
+            addKey(oldKey, "pages.oldKey");
         }
     }
 
-    private int hold(String hex, String setting) throws ExplainedException {
+    private int addKey(String hex, String setting) throws OperatorErrorException {
         byte[] bytes;
         try {
             bytes = HexFormat.of().parseHex(hex == null ? "" : hex);
@@ -59,7 +59,7 @@
             bytes = new byte[0];
         }
         if (bytes.length != KEY_BYTES) {
-            throw new PageError.BadKey(setting).thrown();
+            throw new PageError.InvalidSigningKey(setting).toException();
         }
         int fingerprint = ByteBuffer.wrap(digest("SHA-256", bytes)).getInt();
         keys.put(fingerprint, new SecretKeySpec(bytes, HMAC));
@@ -75,8 +75,8 @@
     }
 
     /** What marks a query: it is the same for each page of a chain. */
-    public static long digest(String vertical, String owner, byte[] text, Order order) {
-        String head = vertical + "\n" + owner + "\n" + text(order) + "\n";
+    public static long digest(String vertical, String owner, byte[] text, SortOrder order) {
+        String head = vertical + "\n" + owner + "\n" + canonicalText(order) + "\n";
         byte[] first = head.getBytes(StandardCharsets.UTF_8);
         byte[] all = Arrays.copyOf(first, first.length + text.length);
         System.arraycopy(text, 0, all, first.length, text.length);
@@ -84,11 +84,11 @@
     }
 
     /** The order as it stands in digests, which cursors carry: its form stays. */
-    private static String text(Order order) {
+    private static String canonicalText(SortOrder order) {
         return order.keys().stream()
                 .map(
                         key ->
-                                key.by()
+                                key.field()
                                         + (key.descending() ? " descending" : " ascending")
                                         + (key.missingFirst()
                                                 ? ", missing first"
@@ -101,7 +101,7 @@
             Mac mac = Mac.getInstance(HMAC);
             mac.init(key);
             mac.update(bytes, 0, length);
-            return Arrays.copyOf(mac.doFinal(), SIGNATURE);
+            return Arrays.copyOf(mac.doFinal(), SIGNATURE_BYTES);
         } catch (GeneralSecurityException e) {
             throw new LinkageError("every Java platform has " + HMAC, e);
         }
@@ -109,45 +109,45 @@
 
     // ---- out
 
-    /** The text for the client; a TooMuchOwed where it would not be bounded. */
-    public String sealed(Cursor cursor) throws ExplainedException {
-        Map<Mark, Integer> marks = new LinkedHashMap<>();
-        for (Standing one : cursor.standings()) {
+    /** The text for the client; a CursorTooLarge where it would not be bounded. */
+    public String encode(Cursor cursor) throws OperatorErrorException {
+        Map<RowPosition, Integer> marks = new LinkedHashMap<>();
+        for (RangeProgress one : cursor.ranges()) {
             if (one.after() != null) {
                 marks.putIfAbsent(one.after(), marks.size() + 1);
             }
         }
-        if (cursor.standings().size() > Assembly.RANGES_MOST
-                || marks.size() > Assembly.MARKS_MOST) {
-            throw new PageError.TooMuchOwed(cursor.standings().size(), marks.size()).thrown();
+        if (cursor.ranges().size() > PageAssembler.MAX_RANGES
+                || marks.size() > PageAssembler.MAX_POSITIONS) {
+            throw new PageError.CursorTooLarge(cursor.ranges().size(), marks.size()).toException();
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.write(FORM);
-        out.writeBytes(ByteBuffer.allocate(FINGERPRINT).putInt(newest).array());
-        number(out, cursor.layout());
-        out.writeBytes(ByteBuffer.allocate(Long.BYTES).putLong(cursor.query()).array());
+        out.write(FORMAT_VERSION);
+        out.writeBytes(ByteBuffer.allocate(FINGERPRINT_BYTES).putInt(signingFingerprint).array());
+        number(out, cursor.layoutVersion());
+        out.writeBytes(ByteBuffer.allocate(Long.BYTES).putLong(cursor.queryDigest()).array());
         number(out, marks.size());
-        marks.keySet().forEach(mark -> mark(out, mark));
-        number(out, cursor.standings().size());
+        marks.keySet().forEach(mark -> writePosition(out, mark));
+        number(out, cursor.ranges().size());
         long at = 0;
-        for (Standing one : cursor.standings()) {
-            number(out, one.keys().from() - at);
-            number(out, one.keys().size());
+        for (RangeProgress one : cursor.ranges()) {
+            number(out, one.range().from() - at);
+            number(out, one.range().size());
             out.writeBytes(ByteBuffer.allocate(Float.BYTES).putFloat((float) one.weight()).array());
             number(out, one.after() == null ? 0 : marks.get(one.after()));
-            at = one.keys().to();
+            at = one.range().to();
         }
-        out.writeBytes(signature(keys.get(newest), out.toByteArray(), out.size()));
-        return written(out.toByteArray());
+        out.writeBytes(signature(keys.get(signingFingerprint), out.toByteArray(), out.size()));
+        return toBase64(out.toByteArray());
     }
 
-    private static String written(byte[] bytes) {
+    private static String toBase64(byte[] bytes) {
         return Base64.getUrlEncoder().withoutPadding().encodeToString(bytes);
     }
 
-    private static void mark(ByteArrayOutputStream out, Mark mark) {
-        number(out, mark.sort().size());
-        for (Object value : mark.sort()) {
+    private static void writePosition(ByteArrayOutputStream out, RowPosition mark) {
+        number(out, mark.sortValues().size());
+        for (Object value : mark.sortValues()) {
             if (value == null) {
                 out.write(MISSING);
             } else if (value instanceof Long whole) {
@@ -179,68 +179,74 @@
      * The cursor, if it is one of this query that this router can go on from; else the error that
      * says why not.
      */
-    public Cursor opened(String text, long query, Lineage lineage) throws ExplainedException {
+    public Cursor decode(String text, long query, LayoutHistory lineage)
+            throws OperatorErrorException {
         byte[] bytes;
         try {
-            bytes = Base64.getUrlDecoder().decode(text.length() > TEXT_MOST ? "" : text);
+            bytes = Base64.getUrlDecoder().decode(text.length() > MAX_TEXT_LENGTH ? "" : text);
         } catch (IllegalArgumentException e) {
-            throw new PageError.Altered().thrown();
+            throw new PageError.InvalidCursor().toException();
         }
-        int signed = bytes.length - SIGNATURE;
+        int signed = bytes.length - SIGNATURE_BYTES;
         // The last letter has bits that stand for nothing: other ones are another text.
-        if (signed < 1 + FINGERPRINT || !written(bytes).equals(text)) {
-            throw new PageError.Altered().thrown();
+        if (signed < 1 + FINGERPRINT_BYTES || !toBase64(bytes).equals(text)) {
+            throw new PageError.InvalidCursor().toException();
         }
-        if (bytes[0] != FORM) {
-            throw new PageError.UnknownForm(bytes[0]).thrown();
+        if (bytes[0] != FORMAT_VERSION) {
+            throw new PageError.UnsupportedCursorFormat(bytes[0]).toException();
         }
-        int fingerprint = ByteBuffer.wrap(bytes, 1, FINGERPRINT).getInt();
+        int fingerprint = ByteBuffer.wrap(bytes, 1, FINGERPRINT_BYTES).getInt();
         SecretKeySpec key = keys.get(fingerprint);
         if (key == null) {
-            throw new PageError.UnknownKey(String.format("%08x", fingerprint)).thrown();
+            throw new PageError.UnknownSigningKey(String.format("%08x", fingerprint)).toException();
         }
         if (!MessageDigest.isEqual(
                 signature(key, bytes, signed), Arrays.copyOfRange(bytes, signed, bytes.length))) {
-            throw new PageError.Altered().thrown();
+            throw new PageError.InvalidCursor().toException();
         }
         Cursor cursor;
         try {
-            cursor = read(ByteBuffer.wrap(bytes, 1 + FINGERPRINT, signed - 1 - FINGERPRINT));
+            cursor =
+                    readCursor(
+                            ByteBuffer.wrap(
+                                    bytes, 1 + FINGERPRINT_BYTES, signed - 1 - FINGERPRINT_BYTES));
         } catch (BufferUnderflowException
                 | IllegalArgumentException
                 | IndexOutOfBoundsException e) {
-            throw new ExplainedException(new PageError.Altered(), e);
+            throw new OperatorErrorException(new PageError.InvalidCursor(), e);
         }
-        if (cursor.query() != query) {
-            throw new PageError.OfAnotherQuery().thrown();
+        if (cursor.queryDigest() != query) {
+            throw new PageError.QueryMismatch().toException();
         }
-        if (cursor.layout() > lineage.version()) {
-            throw new PageError.Ahead(cursor.layout(), lineage.version()).thrown();
+        if (cursor.layoutVersion() > lineage.currentVersion()) {
+            throw new PageError.LayoutNotYetKnown(cursor.layoutVersion(), lineage.currentVersion())
+                    .toException();
         }
-        if (cursor.layout() < lineage.oldest()) {
-            throw new PageError.TooOld(cursor.layout(), lineage.oldest()).thrown();
+        if (cursor.layoutVersion() < lineage.oldestVersion()) {
+            throw new PageError.LayoutNoLongerKept(cursor.layoutVersion(), lineage.oldestVersion())
+                    .toException();
         }
         return cursor;
     }
 
-    private static Cursor read(ByteBuffer in) {
+    private static Cursor readCursor(ByteBuffer in) {
         long layout = number(in);
         long query = in.getLong();
-        List<Mark> marks = new ArrayList<>();
-        int count = count(in, Assembly.MARKS_MOST);
+        List<RowPosition> marks = new ArrayList<>();
+        int count = readCount(in, PageAssembler.MAX_POSITIONS);
         for (int i = 0; i < count; i++) {
-            marks.add(readMark(in));
+            marks.add(readPosition(in));
         }
-        List<Standing> standings = new ArrayList<>();
-        count = count(in, Assembly.RANGES_MOST);
+        List<RangeProgress> standings = new ArrayList<>();
+        count = readCount(in, PageAssembler.MAX_RANGES);
         long at = 0;
         for (int i = 0; i < count; i++) {
             long from = at + number(in);
             at = from + number(in);
             KeyRange keys = new KeyRange(from, at);
             float weight = in.getFloat();
-            int mark = count(in, marks.size());
-            standings.add(new Standing(keys, weight, mark == 0 ? null : marks.get(mark - 1)));
+            int mark = readCount(in, marks.size());
+            standings.add(new RangeProgress(keys, weight, mark == 0 ? null : marks.get(mark - 1)));
         }
         if (in.hasRemaining() || standings.isEmpty()) {
             throw new IllegalArgumentException("not as it was written");
@@ -248,23 +254,23 @@
         return new Cursor(layout, query, standings);
     }
 
-    private static Mark readMark(ByteBuffer in) {
+    private static RowPosition readPosition(ByteBuffer in) {
         List<Object> sort = new ArrayList<>();
-        int count = count(in, Order.KEYS_MOST);
+        int count = readCount(in, SortOrder.MAX_KEYS);
         for (int i = 0; i < count; i++) {
             byte kind = in.get();
             if (kind == TEXT) {
-                byte[] text = new byte[count(in, Mark.TEXT_MOST)];
+                byte[] text = new byte[readCount(in, RowPosition.MAX_TEXT_BYTES)];
                 in.get(text);
                 sort.add(new String(text, StandardCharsets.UTF_8));
             } else {
                 sort.add(kind == NUMBER ? (Object) in.getLong() : null);
             }
         }
-        return new Mark(sort, number(in), in.getLong());
+        return new RowPosition(sort, number(in), in.getLong());
     }
 
-    private static int count(ByteBuffer in, int most) {
+    private static int readCount(ByteBuffer in, int most) {
         long count = number(in);
         if (count < 0 || count > most) {
             throw new IllegalArgumentException("more than there can be");
--- a/src/main/java/postbeam/pages/Lineage.java
+++ b/src/main/java/postbeam/pages/LayoutHistory.java
@@ -6,12 +6,12 @@
 /**
  * What pages need to know of the layout in force: whose versions it knows, and what became of keys.
  */
-public interface Lineage {
-    long version();
+public interface LayoutHistory {
+    long currentVersion();
 
     /** The oldest version whose slices it knows. */
-    long oldest();
+    long oldestVersion();
 
     /** These keys, cut along the slices in force. */
-    List<KeyRange> cut(KeyRange keys);
+    List<KeyRange> splitBySlices(KeyRange keys);
 }
--- a/src/main/java/postbeam/pages/Page.java
+++ b/src/main/java/postbeam/pages/Page.java
@@ -10,7 +10,7 @@
  */
 public record Page(
         List<Row> rows,
-        List<KeyRange> missing,
-        List<Standing> next,
-        boolean isShort,
-        int fetched) {}
+        List<KeyRange> missingRanges,
+        List<RangeProgress> remaining,
+        boolean truncated,
+        int rowsFetched) {}
--- a/src/main/java/postbeam/pages/PageGiven.java
+++ b/src/main/java/postbeam/pages/PageResult.java
@@ -1,4 +1,4 @@
 package postbeam.pages;
 
 /** A page and the cursor for what follows it; null: nothing does. */
-public record PageGiven(Page page, String cursor) {}
+public record PageResult(Page page, String cursor) {}
--- a/src/main/java/postbeam/pages/Row.java
+++ b/src/main/java/postbeam/pages/Row.java
@@ -1,4 +1,4 @@
 package postbeam.pages;
 
 /** A row: where it stands, and what it says. */
-public record Row(Mark at, String text) {}
+public record Row(RowPosition position, String text) {}
--- a/src/main/java/postbeam/pages/RowForm.java
+++ b/src/main/java/postbeam/pages/RowCodec.java
@@ -9,7 +9,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import postbeam.setup.Json;
+import postbeam.json.Json;
 import postbeam.slices.KeyRange;
 
 /**
@@ -19,48 +19,48 @@
  * MARK being a place in marks or -1. What a part gives:
  * {"rows":[[[SORT..],KEY,SEQ,TEXT]],"next":[[SORT..],KEY,SEQ]}, without next where it has no more.
  */
-public final class RowForm {
-    private RowForm() {}
+public final class RowCodec {
+    private RowCodec() {}
 
     /** What a data node is asked. */
-    public record Asked(Order order, List<Ask> asks) {}
+    public record FetchRequest(SortOrder sortOrder, List<RowFetch> fetches) {}
 
     // ---- asks
 
-    public static byte[] asked(Order order, List<Ask> asks) {
-        Map<Mark, Integer> marks = new LinkedHashMap<>();
+    public static byte[] fetchRequest(SortOrder order, List<RowFetch> asks) {
+        Map<RowPosition, Integer> marks = new LinkedHashMap<>();
         asks.forEach(
                 ask -> {
                     if (ask.after() != null) {
                         marks.putIfAbsent(ask.after(), marks.size());
                     }
                 });
-        return written(
+        return toBytes(
                 json -> {
                     json.writeStartObject();
                     json.writeArrayFieldStart("order");
                     for (SortKey key : order.keys()) {
                         json.writeStartObject();
-                        json.writeStringField("by", key.by());
+                        json.writeStringField("by", key.field());
                         json.writeBooleanField("descending", key.descending());
                         json.writeStringField("missing", key.missingFirst() ? "first" : "last");
                         json.writeEndObject();
                     }
                     json.writeEndArray();
                     json.writeArrayFieldStart("asks");
-                    for (Ask ask : asks) {
+                    for (RowFetch ask : asks) {
                         json.writeStartArray();
-                        json.writeNumber(ask.keys().from());
-                        json.writeNumber(ask.keys().to());
-                        json.writeNumber(ask.rows());
+                        json.writeNumber(ask.range().from());
+                        json.writeNumber(ask.range().to());
+                        json.writeNumber(ask.maxRows());
                         json.writeNumber(ask.after() == null ? -1 : marks.get(ask.after()));
                         json.writeEndArray();
                     }
                     json.writeEndArray();
                     json.writeArrayFieldStart("marks");
-                    for (Mark mark : marks.keySet()) {
+                    for (RowPosition mark : marks.keySet()) {
                         json.writeStartArray();
-                        write(json, mark);
+                        writePosition(json, mark);
                         json.writeEndArray();
                     }
                     json.writeEndArray();
@@ -68,42 +68,42 @@
                 });
     }
 
-    /** What {@link #asked} wrote; an IOException says what it is not. */
-    public static Asked asked(byte[] bytes) throws IOException {
-        Map<String, Object> told = Json.object(bytes);
-        Order order = order(Json.member(told, "order", List.class));
-        List<Mark> marks = new ArrayList<>();
+    /** What {@link #fetchRequest} wrote; an IOException says what it is not. */
+    public static FetchRequest fetchRequest(byte[] bytes) throws IOException {
+        Map<String, Object> told = Json.parseObject(bytes);
+        SortOrder order = readOrder(Json.member(told, "order", List.class));
+        List<RowPosition> marks = new ArrayList<>();
         for (Object mark : Json.member(told, "marks", List.class)) {
-            marks.add(mark(list(mark, 3)));
+            marks.add(readPosition(listOf(mark, 3)));
         }
-        List<Ask> asks = new ArrayList<>();
+        List<RowFetch> asks = new ArrayList<>();
         for (Object one : Json.member(told, "asks", List.class)) {
-            List<?> ask = list(one, 4);
-            int mark = (int) whole(ask.get(3));
+            List<?> ask = listOf(one, 4);
+            int mark = (int) wholeNumber(ask.get(3));
             if (mark >= marks.size()) {
                 throw new IOException("an ask without its mark");
             }
             asks.add(
-                    new Ask(
-                            keys(whole(ask.get(0)), whole(ask.get(1))),
+                    new RowFetch(
+                            rangeOf(wholeNumber(ask.get(0)), wholeNumber(ask.get(1))),
                             mark < 0 ? null : marks.get(mark),
-                            (int) whole(ask.get(2))));
+                            (int) wholeNumber(ask.get(2))));
         }
-        return new Asked(order, asks);
+        return new FetchRequest(order, asks);
     }
 
     /** From a list of objects, as clients and asks have it. */
-    public static Order order(List<?> told) throws IOException {
-        if (told.isEmpty() || told.size() > Order.KEYS_MOST) {
+    public static SortOrder readOrder(List<?> told) throws IOException {
+        if (told.isEmpty() || told.size() > SortOrder.MAX_KEYS) {
             throw new IOException(
-                    "1 to " + Order.KEYS_MOST + " sort keys can be used, not " + told.size());
+                    "1 to " + SortOrder.MAX_KEYS + " sort keys can be used, not " + told.size());
         }
         List<SortKey> keys = new ArrayList<>();
         for (Object one : told) {
             if (!(one instanceof Map<?, ?> key)
                     || !(key.get("by") instanceof String by)
                     || by.isEmpty()
-                    || by.length() > Mark.TEXT_MOST) {
+                    || by.length() > RowPosition.MAX_TEXT_BYTES) {
                 throw new IOException("a sort key has no name in \"by\", or too long a one");
             }
             Object missing = key.containsKey("missing") ? key.get("missing") : "last";
@@ -115,57 +115,59 @@
             }
             keys.add(new SortKey(by, (Boolean) descending, "first".equals(missing)));
         }
-        return new Order(keys);
+        return new SortOrder(keys);
     }
 
     // ---- rows
 
-    public static byte[] partial(Partial partial) {
-        return written(
+    public static byte[] partialPage(PartialPage partial) {
+        return toBytes(
                 json -> {
                     json.writeStartObject();
-                    rows(json, partial.rows());
-                    if (partial.next() != null) {
+                    writeRows(json, partial.rows());
+                    if (partial.nextPosition() != null) {
                         json.writeArrayFieldStart("next");
-                        write(json, partial.next());
+                        writePosition(json, partial.nextPosition());
                         json.writeEndArray();
                     }
                     json.writeEndObject();
                 });
     }
 
-    /** What {@link #partial} wrote of these keys; an IOException says what it is not. */
-    public static Partial partial(KeyRange keys, byte[] bytes) throws IOException {
-        Map<String, Object> told = Json.object(bytes);
+    /** What {@link #partialPage} wrote of these keys; an IOException says what it is not. */
+    public static PartialPage partialPage(KeyRange keys, byte[] bytes) throws IOException {
+        Map<String, Object> told = Json.parseObject(bytes);
         List<Row> rows = new ArrayList<>();
         for (Object one : Json.member(told, "rows", List.class)) {
-            List<?> row = list(one, 4);
+            List<?> row = listOf(one, 4);
             if (!(row.get(3) instanceof String text)) {
                 throw new IOException("a row without its text");
             }
-            rows.add(new Row(mark(row), text));
+            rows.add(new Row(readPosition(row), text));
         }
-        return new Partial(
-                keys, rows, told.containsKey("next") ? mark(list(told.get("next"), 3)) : null);
+        return new PartialPage(
+                keys,
+                rows,
+                told.containsKey("next") ? readPosition(listOf(told.get("next"), 3)) : null);
     }
 
     /**
      * Writes the rows as a member of the object that is open: alike for like rows, from any router.
      */
-    public static void rows(JsonGenerator json, List<Row> rows) throws IOException {
+    public static void writeRows(JsonGenerator json, List<Row> rows) throws IOException {
         json.writeArrayFieldStart("rows");
         for (Row row : rows) {
             json.writeStartArray();
-            write(json, row.at());
+            writePosition(json, row.position());
             json.writeString(row.text());
             json.writeEndArray();
         }
         json.writeEndArray();
     }
 
-    private static void write(JsonGenerator json, Mark mark) throws IOException {
+    private static void writePosition(JsonGenerator json, RowPosition mark) throws IOException {
         json.writeStartArray();
-        for (Object value : mark.sort()) {
+        for (Object value : mark.sortValues()) {
             Json.write(json, value);
         }
         json.writeEndArray();
@@ -173,25 +175,26 @@
         json.writeNumber(mark.sequence());
     }
 
-    private static Mark mark(List<?> row) throws IOException {
+    private static RowPosition readPosition(List<?> row) throws IOException {
         if (!(row.get(0) instanceof List<?> told)) {
             throw new IOException("a row without its sort values");
         }
         List<Object> sort = new ArrayList<>();
         for (Object value : told) {
-            sort.add(value == null || value instanceof String ? value : (Object) whole(value));
+            sort.add(
+                    value == null || value instanceof String ? value : (Object) wholeNumber(value));
         }
-        return new Mark(sort, whole(row.get(1)), whole(row.get(2)));
+        return new RowPosition(sort, wholeNumber(row.get(1)), wholeNumber(row.get(2)));
     }
 
-    private static List<?> list(Object value, int size) throws IOException {
+    private static List<?> listOf(Object value, int size) throws IOException {
         if (!(value instanceof List<?> list) || list.size() != size) {
             throw new IOException("something else than a list of " + size);
         }
         return list;
     }
 
-    private static KeyRange keys(long from, long to) throws IOException {
+    private static KeyRange rangeOf(long from, long to) throws IOException {
         try {
             return new KeyRange(from, to);
         } catch (IllegalArgumentException e) {
@@ -199,18 +202,18 @@
         }
     }
 
-    private static long whole(Object value) throws IOException {
+    private static long wholeNumber(Object value) throws IOException {
         if (!(value instanceof Number) || value instanceof Double || value instanceof BigInteger) {
             throw new IOException("a value is no whole number of 64 bits");
         }
         return ((Number) value).longValue();
     }
 
-    private interface Writing {
+    private interface JsonWriter {
         void to(JsonGenerator json) throws IOException;
     }
 
-    private static byte[] written(Writing writing) {
+    private static byte[] toBytes(JsonWriter writing) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator json = Json.FACTORY.createGenerator(bytes)) {
             // Nodes that count characters where bytes are meant read it alike.
--- a/src/main/java/postbeam/pages/Shares.java
+++ b/src/main/java/postbeam/pages/RowDistribution.java
@@ -8,82 +8,87 @@
  * space, and how far rows are spread beyond chance. It decides what a page costs, never what is on
  * it. It has a lock of its own, under which nothing waits.
  */
-public final class Shares {
+public final class RowDistribution {
     /** Even buckets of the key space: finer than a tenth of a slice for a hundred slices. */
-    private static final int BUCKETS = 1024;
+    private static final int BUCKET_COUNT = 1024;
 
-    private static final long WIDTH = KeyRange.KEYS / BUCKETS;
+    private static final long BUCKET_WIDTH = KeyRange.KEY_SPACE_SIZE / BUCKET_COUNT;
 
     /** Rows that the client's own weights count for against those learnt. */
-    private static final double OWN_ROWS = 200;
+    private static final double CLIENT_WEIGHT_ROWS = 200;
 
     /**
      * Rows after which counts are halved: some tens of pages, so that it follows how queries
      * change.
      */
-    private static final double KEPT_ROWS = 4096;
+    private static final double MAX_COUNTED_ROWS = 4096;
 
     /**
      * Rows fetched over rows given that slack may cost as long as each part has many rows on a
      * page.
      */
-    private static final double FETCHED_MOST = 1.3;
+    private static final double MAX_FETCH_RATIO = 1.3;
 
     /**
      * Times the spread that is ever asked for beyond the expected: one part in a hundred then runs
      * out.
      */
-    private static final double SPREADS_MOST = 2.5;
+    private static final double MAX_DEVIATIONS = 2.5;
 
     /**
      * What a further ask costs, in rows: one row more pays while it saves more than one of so many
      * asks.
      */
-    private static final double ASK_COST = 8;
+    private static final double FETCH_COST_ROWS = 8;
 
     /** Of a page in how far rows are spread more or less than by chance, and the bounds of that. */
-    private static final double SPREAD_STEP = 0.05;
+    private static final double DISPERSION_STEP = 0.05;
 
-    private static final double SPREAD_LEAST = 0.25;
-    private static final double SPREAD_MOST = 9;
+    private static final double MIN_DISPERSION = 0.25;
+    private static final double MAX_DISPERSION = 9;
 
     /** Rows of a page that says anything about spread. */
-    private static final int ROWS_TELL = 10;
+    private static final int MIN_SAMPLE_ROWS = 10;
 
     /**
      * Times its share that a range is asked for that still owes rows: it has a page's rows to make
      * up.
      */
-    private static final double OWING = 2;
+    private static final double OWING_FACTOR = 2;
 
-    private final double[] seen = new double[BUCKETS];
-    private double kept;
+    private final double[] rowsByBucket = new double[BUCKET_COUNT];
+    private double countedRows;
 
     /** Squared distance of rows from what was expected, over what chance alone makes. */
-    private double spread = 1;
+    private double dispersion = 1;
 
     /** The share of the rows to come that each is expected to have; they add up to 1. */
-    synchronized double[] of(List<Standing> ranges) {
+    synchronized double[] expectedShares(List<RangeProgress> ranges) {
         double[] shares = new double[ranges.size()];
         double weights = 0;
         double rows = 0;
         for (int i = 0; i < shares.length; i++) {
             weights += ranges.get(i).weight();
-            shares[i] = seenIn(ranges.get(i).keys());
+            shares[i] = rowsIn(ranges.get(i).range());
             rows += shares[i];
         }
         for (int i = 0; i < shares.length; i++) {
             double own = weights > 0 ? ranges.get(i).weight() / weights : 1.0 / shares.length;
-            shares[i] = (shares[i] + OWN_ROWS * own) / (rows + OWN_ROWS);
+            shares[i] = (shares[i] + CLIENT_WEIGHT_ROWS * own) / (rows + CLIENT_WEIGHT_ROWS);
         }
         return shares;
     }
 
-    private double seenIn(KeyRange keys) {
+    private double rowsIn(KeyRange keys) {
         double sum = 0;
-        for (int i = (int) (keys.from() / WIDTH); i <= (int) ((keys.to() - 1) / WIDTH); i++) {
-            long from = Math.max(keys.from(), i * WIDTH);
-            sum += seen[i] * (Math.min(keys.to(), (i + 1) * WIDTH) - from) / WIDTH;
+        for (int i = (int) (keys.from() / BUCKET_WIDTH);
+                i <= (int) ((keys.to() - 1) / BUCKET_WIDTH);
+                i++) {
+            long from = Math.max(keys.from(), i * BUCKET_WIDTH);
+            sum +=
+                    rowsByBucket[i]
+                            * (Math.min(keys.to(), (i + 1) * BUCKET_WIDTH) - from)
+                            / BUCKET_WIDTH;
         }
         return sum;
     }
@@ -92,54 +97,54 @@
      * How many rows to ask of ranges with these shares for a page of this size; some still owe
      * rows.
      */
-    public synchronized int[] rows(int size, double[] shares, boolean[] owing) {
+    public synchronized int[] rowsToFetch(int size, double[] shares, boolean[] owing) {
         double spreads = 0;
         for (double share : shares) {
-            spreads += spread(size, share);
+            spreads += dispersion(size, share);
         }
         double times =
                 Math.min(
-                        SPREADS_MOST,
-                        (FETCHED_MOST - 1) * size / Math.max(spreads, Double.MIN_NORMAL));
+                        MAX_DEVIATIONS,
+                        (MAX_FETCH_RATIO - 1) * size / Math.max(spreads, Double.MIN_NORMAL));
         int[] rows = new int[shares.length];
         for (int i = 0; i < rows.length; i++) {
             double expected = size * shares[i];
-            double sigma = spread(size, shares[i]);
+            double sigma = dispersion(size, shares[i]);
             // Where the chance of one row more is 1 in ASK_COST, by the bell curve.
-            double height = sigma * Math.sqrt(2 * Math.PI) / ASK_COST;
+            double height = sigma * Math.sqrt(2 * Math.PI) / FETCH_COST_ROWS;
             double pays =
                     height < 1 && height > 0
                             ? Math.floor(expected + sigma * Math.sqrt(-2 * Math.log(height)))
                             : 0;
             double most = Math.max(expected + times * sigma, pays);
-            rows[i] = bounded(owing[i] ? Math.max(most, OWING * expected) : most, size);
+            rows[i] = clampRows(owing[i] ? Math.max(most, OWING_FACTOR * expected) : most, size);
         }
         return rows;
     }
 
-    private double spread(int size, double share) {
-        return Math.sqrt(spread * size * share * Math.max(0, 1 - share));
+    private double dispersion(int size, double share) {
+        return Math.sqrt(dispersion * size * share * Math.max(0, 1 - share));
     }
 
     /**
      * How many more of a range that ran out too early and is expected to have so many more on the
      * page.
      */
-    int further(double expected, int size) {
-        return bounded(1 + expected + Math.sqrt(expected), size);
+    int followUpRows(double expected, int size) {
+        return clampRows(1 + expected + Math.sqrt(expected), size);
     }
 
-    private static int bounded(double rows, int size) {
+    private static int clampRows(double rows, int size) {
         return (int) Math.max(1, Math.min(size, Math.round(rows)));
     }
 
     /** A page was given of these ranges, which had answered. */
-    synchronized void learnt(List<Row> rows, List<Standing> ranges) {
-        if (rows.size() >= ROWS_TELL && ranges.size() > 1) {
-            double[] expected = of(ranges);
+    synchronized void recordPage(List<Row> rows, List<RangeProgress> ranges) {
+        if (rows.size() >= MIN_SAMPLE_ROWS && ranges.size() > 1) {
+            double[] expected = expectedShares(ranges);
             int[] had = new int[expected.length];
             for (Row row : rows) {
-                had[range(ranges, row.at().key())]++;
+                had[indexOf(ranges, row.position().key())]++;
             }
             double sum = 0;
             for (int i = 0; i < expected.length; i++) {
@@ -147,30 +152,32 @@
                 sum +=
                         (had[i] - mean)
                                 * (had[i] - mean)
-                                / Math.max(SPREAD_LEAST, mean * (1 - expected[i]));
+                                / Math.max(MIN_DISPERSION, mean * (1 - expected[i]));
             }
-            spread += SPREAD_STEP * (Math.min(SPREAD_MOST, sum / expected.length) - spread);
-            spread = Math.max(SPREAD_LEAST, spread);
+            dispersion +=
+                    DISPERSION_STEP
+                            * (Math.min(MAX_DISPERSION, sum / expected.length) - dispersion);
+            dispersion = Math.max(MIN_DISPERSION, dispersion);
         }
         for (Row row : rows) {
-            seen[(int) (row.at().key() / WIDTH)]++;
+            rowsByBucket[(int) (row.position().key() / BUCKET_WIDTH)]++;
         }
-        kept += rows.size();
-        if (kept > KEPT_ROWS) {
-            kept /= 2;
-            for (int i = 0; i < BUCKETS; i++) {
-                seen[i] /= 2;
+        countedRows += rows.size();
+        if (countedRows > MAX_COUNTED_ROWS) {
+            countedRows /= 2;
+            for (int i = 0; i < BUCKET_COUNT; i++) {
+                rowsByBucket[i] /= 2;
             }
         }
     }
 
     /** The place of the one that has the key; they are in order. */
-    private static int range(List<Standing> ranges, long key) {
+    private static int indexOf(List<RangeProgress> ranges, long key) {
         int low = 0;
         int high = ranges.size() - 1;
         while (low < high) {
             int middle = (low + high + 1) >>> 1;
-            if (ranges.get(middle).keys().from() <= key) {
+            if (ranges.get(middle).range().from() <= key) {
                 low = middle;
             } else {
                 high = middle - 1;
--- a/src/main/java/postbeam/pages/Merge.java
+++ b/src/main/java/postbeam/pages/RowMerger.java
@@ -6,46 +6,46 @@
 import java.util.PriorityQueue;
 
 /** Sorted lists of rows to one, no more of it than is wanted. */
-public final class Merge {
-    private static final class Head {
+public final class RowMerger {
+    private static final class ListHead {
         final List<Row> rows;
-        int at;
+        int index;
 
-        Head(List<Row> rows) {
+        ListHead(List<Row> rows) {
             this.rows = rows;
         }
 
-        Mark mark() {
-            return rows.get(at).at();
+        RowPosition position() {
+            return rows.get(index).position();
         }
     }
 
-    private Merge() {}
+    private RowMerger() {}
 
     /**
      * The first rows of all lists, so many at the most, and only what comes before the bound, if
      * that is not null.
      */
-    public static List<Row> first(
-            Comparator<Mark> order, List<List<Row>> lists, int most, Mark bound) {
-        PriorityQueue<Head> heads =
+    public static List<Row> mergeFirst(
+            Comparator<RowPosition> order, List<List<Row>> lists, int most, RowPosition bound) {
+        PriorityQueue<ListHead> heads =
                 new PriorityQueue<>(
                         Math.max(1, lists.size()),
-                        (one, other) -> order.compare(one.mark(), other.mark()));
+                        (one, other) -> order.compare(one.position(), other.position()));
         for (List<Row> rows : lists) {
             if (!rows.isEmpty()) {
-                heads.add(new Head(rows));
+                heads.add(new ListHead(rows));
             }
         }
         List<Row> merged = new ArrayList<>();
         while (merged.size() < most && !heads.isEmpty()) {
-            Head least = heads.poll();
-            Row row = least.rows.get(least.at);
-            if (bound != null && order.compare(row.at(), bound) >= 0) {
+            ListHead least = heads.poll();
+            Row row = least.rows.get(least.index);
+            if (bound != null && order.compare(row.position(), bound) >= 0) {
                 break;
             }
             merged.add(row);
-            if (++least.at < least.rows.size()) {
+            if (++least.index < least.rows.size()) {
                 heads.add(least);
             }
         }
--- a/src/main/java/postbeam/pages/Mark.java
+++ b/src/main/java/postbeam/pages/RowPosition.java
@@ -10,27 +10,27 @@
  * A row's place in the total order: sort values, key in the key space, and sequence, the same at
  * all holders.
  */
-public record Mark(List<Object> sort, long key, long sequence) {
+public record RowPosition(List<Object> sortValues, long key, long sequence) {
     /** Bytes in UTF-8 of a sort value: marks travel in cursors. */
-    static final int TEXT_MOST = 64;
+    static final int MAX_TEXT_BYTES = 64;
 
-    public Mark {
+    public RowPosition {
         // Values may be missing, which List.copyOf does not take.
-        sort = Collections.unmodifiableList(new ArrayList<>(sort));
+        sortValues = Collections.unmodifiableList(new ArrayList<>(sortValues));
     }
 
     /** What keeps it from being a mark of this order, in a clause; null where nothing does. */
-    String problem(Order order) {
-        if (sort.size() != order.keys().size()) {
-            return "it has " + sort.size() + " sort values, not " + order.keys().size();
+    String findProblem(SortOrder order) {
+        if (sortValues.size() != order.keys().size()) {
+            return "it has " + sortValues.size() + " sort values, not " + order.keys().size();
         }
-        if (key < 0 || key >= KeyRange.KEYS) {
+        if (key < 0 || key >= KeyRange.KEY_SPACE_SIZE) {
             return "its key " + key + " is outside the key space";
         }
-        for (Object value : sort) {
+        for (Object value : sortValues) {
             if (value instanceof String text) {
-                if (text.length() > TEXT_MOST || !plain(text) && !fits(text)) {
-                    return "a sort value is longer than " + TEXT_MOST + " bytes, or no text";
+                if (text.length() > MAX_TEXT_BYTES || !isAscii(text) && !fitsInUtf8(text)) {
+                    return "a sort value is longer than " + MAX_TEXT_BYTES + " bytes, or no text";
                 }
             } else if (value != null && !(value instanceof Long)) {
                 return "a sort value is neither a whole number nor a text";
@@ -39,7 +39,7 @@
         return null;
     }
 
-    private static boolean plain(String text) {
+    private static boolean isAscii(String text) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) >= 0x80) {
                 return false;
@@ -49,8 +49,8 @@
     }
 
     /** Half a code point has no bytes of its own: its mark would come back as another. */
-    private static boolean fits(String text) {
+    private static boolean fitsInUtf8(String text) {
         return StandardCharsets.UTF_8.newEncoder().canEncode(text)
-                && text.getBytes(StandardCharsets.UTF_8).length <= TEXT_MOST;
+                && text.getBytes(StandardCharsets.UTF_8).length <= MAX_TEXT_BYTES;
     }
 }
--- a/src/main/java/postbeam/pages/Order.java
+++ b/src/main/java/postbeam/pages/SortOrder.java
@@ -4,18 +4,18 @@
 import java.util.List;
 
 /** The total order of a query's rows: its sort keys, then the key, then the sequence. */
-public record Order(List<SortKey> keys) implements Comparator<Mark> {
+public record SortOrder(List<SortKey> keys) implements Comparator<RowPosition> {
     /** Sort keys: marks travel in cursors. */
-    public static final int KEYS_MOST = 4;
+    public static final int MAX_KEYS = 4;
 
-    public Order {
+    public SortOrder {
         keys = List.copyOf(keys);
     }
 
     @Override
-    public int compare(Mark one, Mark other) {
+    public int compare(RowPosition one, RowPosition other) {
         for (int i = 0; i < keys.size(); i++) {
-            int way = keys.get(i).compare(one.sort().get(i), other.sort().get(i));
+            int way = keys.get(i).compare(one.sortValues().get(i), other.sortValues().get(i));
             if (way != 0) {
                 return way;
             }
@@ -25,7 +25,7 @@
     }
 
     /** The later; null is before all. */
-    Mark later(Mark one, Mark other) {
+    RowPosition later(RowPosition one, RowPosition other) {
         return one == null || other != null && compare(one, other) < 0 ? other : one;
     }
 }
--- a/src/main/java/postbeam/together/Bounded.java
+++ b/src/main/java/postbeam/peers/BoundedBodySubscriber.java
@@ -1,4 +1,4 @@
-package postbeam.together;
+package postbeam.peers;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -10,14 +10,14 @@
 import java.util.concurrent.Flow;
 
 /** Reads an answer of so many bytes at most: who sends more is cut off. */
-final class Bounded implements HttpResponse.BodySubscriber<byte[]> {
-    private final int most;
+final class BoundedBodySubscriber implements HttpResponse.BodySubscriber<byte[]> {
+    private final int maxBytes;
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     private final CompletableFuture<byte[]> body = new CompletableFuture<>();
-    private Flow.Subscription from;
+    private Flow.Subscription upstream;
 
-    Bounded(int most) {
-        this.most = most;
+    BoundedBodySubscriber(int most) {
+        this.maxBytes = most;
     }
 
     @Override
@@ -27,16 +27,17 @@
 
     @Override
     public void onSubscribe(Flow.Subscription subscription) {
-        from = subscription;
-        from.request(Long.MAX_VALUE);
+        upstream = subscription;
+        upstream.request(Long.MAX_VALUE);
     }
 
     @Override
     public void onNext(List<ByteBuffer> some) {
         for (ByteBuffer one : some) {
-            if (body.isDone() || bytes.size() + one.remaining() > most) {
-                from.cancel();
-                body.completeExceptionally(new IOException("it is longer than " + most + " bytes"));
+            if (body.isDone() || bytes.size() + one.remaining() > maxBytes) {
+                upstream.cancel();
+                body.completeExceptionally(
+                        new IOException("it is longer than " + maxBytes + " bytes"));
                 return;
             }
             byte[] read = new byte[one.remaining()];
--- a/src/main/java/postbeam/together/PeerForm.java
+++ b/src/main/java/postbeam/peers/PeerMessageCodec.java
@@ -1,4 +1,4 @@
-package postbeam.together;
+package postbeam.peers;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.ByteArrayOutputStream;
@@ -7,37 +7,43 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import postbeam.setup.Json;
-import postbeam.shared.Ballot;
-import postbeam.shared.LeaseAsk;
-import postbeam.shared.LeaseGrant;
-import postbeam.shared.NodeKey;
-import postbeam.shared.Vote;
-import postbeam.shared.Who;
+import postbeam.coordination.LeaseGrant;
+import postbeam.coordination.LeaseRequest;
+import postbeam.coordination.NodeIncarnation;
+import postbeam.coordination.ProcessIdentity;
+import postbeam.coordination.VoteRequest;
+import postbeam.coordination.VoteResponse;
+import postbeam.json.Json;
 
 /** What routers tell each other, in JSON; an IOException says what can't be read. */
-final class PeerForm {
+final class PeerMessageCodec {
     /**
      * Items of each kind in a message: ballots of all stripes, and as many asks as a keeper is
      * asked at once.
      */
-    private static final int ITEMS_MOST = 1024;
+    private static final int MAX_ITEMS = 1024;
 
     /** Letters of a name. */
-    private static final int NAME_MOST = 256;
+    private static final int MAX_NAME_LENGTH = 256;
 
     /** What one router asks another. */
-    record Asks(
-            String digest, Who from, List<Ballot> ballots, Map<Integer, List<LeaseAsk>> leases) {}
+    record PeerRequest(
+            String digest,
+            ProcessIdentity sender,
+            List<VoteRequest> voteRequests,
+            Map<Integer, List<LeaseRequest>> leaseRequests) {}
 
     /** And is answered. */
-    record Answers(Who from, List<Vote> votes, Map<Integer, List<LeaseGrant>> grants) {}
+    record PeerResponse(
+            ProcessIdentity sender,
+            List<VoteResponse> votes,
+            Map<Integer, List<LeaseGrant>> grants) {}
 
-    private PeerForm() {}
+    private PeerMessageCodec() {}
 
-    static byte[] write(Asks asks) throws IOException {
+    static byte[] encode(PeerRequest asks) throws IOException {
         List<Object> leases = new ArrayList<>();
-        asks.leases()
+        asks.leaseRequests()
                 .forEach(
                         (stripe, all) ->
                                 all.forEach(
@@ -48,48 +54,51 @@
                                                                 ask.node().node(),
                                                                 ask.node().incarnation(),
                                                                 ask.number(),
-                                                                ask.wanted(),
-                                                                ask.budget()))));
-        return bytes(
+                                                                ask.requested(),
+                                                                ask.nodeBudget()))));
+        return toJson(
                 Map.of(
                         "digest",
                         asks.digest(),
                         "from",
-                        asks.from().name(),
+                        asks.sender().name(),
                         "run",
-                        asks.from().incarnation(),
+                        asks.sender().incarnation(),
                         "ballots",
-                        asks.ballots().stream()
+                        asks.voteRequests().stream()
                                 .map(one -> List.of(one.stripe(), one.term(), one.round()))
                                 .toList(),
                         "leases",
                         leases));
     }
 
-    static Asks asks(byte[] body) throws IOException {
-        Map<String, Object> object = Json.object(body);
-        Who from = who(object);
-        List<Ballot> ballots = new ArrayList<>();
-        for (List<?> one : items(object, "ballots", 3)) {
+    static PeerRequest decodeRequest(byte[] body) throws IOException {
+        Map<String, Object> object = Json.parseObject(body);
+        ProcessIdentity from = readIdentity(object);
+        List<VoteRequest> ballots = new ArrayList<>();
+        for (List<?> one : readTuples(object, "ballots", 3)) {
             ballots.add(
-                    new Ballot(
-                            (int) whole(one.get(0)), whole(one.get(1)), whole(one.get(2)), from));
+                    new VoteRequest(
+                            (int) readLong(one.get(0)),
+                            readLong(one.get(1)),
+                            readLong(one.get(2)),
+                            from));
         }
-        Map<Integer, List<LeaseAsk>> leases = new LinkedHashMap<>();
-        for (List<?> one : items(object, "leases", 6)) {
-            leases.computeIfAbsent((int) whole(one.get(0)), key -> new ArrayList<>())
+        Map<Integer, List<LeaseRequest>> leases = new LinkedHashMap<>();
+        for (List<?> one : readTuples(object, "leases", 6)) {
+            leases.computeIfAbsent((int) readLong(one.get(0)), key -> new ArrayList<>())
                     .add(
-                            new LeaseAsk(
-                                    new NodeKey(name(one.get(1)), whole(one.get(2))),
+                            new LeaseRequest(
+                                    new NodeIncarnation(readName(one.get(1)), readLong(one.get(2))),
                                     from,
-                                    whole(one.get(3)),
-                                    number(one.get(4)),
-                                    number(one.get(5))));
+                                    readLong(one.get(3)),
+                                    readDouble(one.get(4)),
+                                    readDouble(one.get(5))));
         }
-        return new Asks(name(object.get("digest")), from, ballots, leases);
+        return new PeerRequest(readName(object.get("digest")), from, ballots, leases);
     }
 
-    static byte[] write(Answers answers) throws IOException {
+    static byte[] encode(PeerResponse answers) throws IOException {
         List<Object> grants = new ArrayList<>();
         answers.grants()
                 .forEach(
@@ -103,12 +112,12 @@
                                                                 grant.node().incarnation(),
                                                                 grant.number(),
                                                                 grant.amount()))));
-        return bytes(
+        return toJson(
                 Map.of(
                         "from",
-                        answers.from().name(),
+                        answers.sender().name(),
                         "run",
-                        answers.from().incarnation(),
+                        answers.sender().incarnation(),
                         "votes",
                         answers.votes().stream()
                                 .map(
@@ -117,42 +126,42 @@
                                                         one.stripe(),
                                                         one.term(),
                                                         one.round(),
-                                                        one.given() ? 1 : 0,
-                                                        one.highest()))
+                                                        one.granted() ? 1 : 0,
+                                                        one.highestTerm()))
                                 .toList(),
                         "grants",
                         grants));
     }
 
     /** Grants are for the router that asked. */
-    static Answers answers(byte[] body, Who asker) throws IOException {
-        Map<String, Object> object = Json.object(body);
-        Who from = who(object);
-        List<Vote> votes = new ArrayList<>();
-        for (List<?> one : items(object, "votes", 5)) {
+    static PeerResponse decodeResponse(byte[] body, ProcessIdentity asker) throws IOException {
+        Map<String, Object> object = Json.parseObject(body);
+        ProcessIdentity from = readIdentity(object);
+        List<VoteResponse> votes = new ArrayList<>();
+        for (List<?> one : readTuples(object, "votes", 5)) {
             votes.add(
-                    new Vote(
-                            (int) whole(one.get(0)),
-                            whole(one.get(1)),
-                            whole(one.get(2)),
+                    new VoteResponse(
+                            (int) readLong(one.get(0)),
+                            readLong(one.get(1)),
+                            readLong(one.get(2)),
                             from.name(),
-                            whole(one.get(3)) == 1,
-                            whole(one.get(4))));
+                            readLong(one.get(3)) == 1,
+                            readLong(one.get(4))));
         }
         Map<Integer, List<LeaseGrant>> grants = new LinkedHashMap<>();
-        for (List<?> one : items(object, "grants", 5)) {
-            grants.computeIfAbsent((int) whole(one.get(0)), key -> new ArrayList<>())
+        for (List<?> one : readTuples(object, "grants", 5)) {
+            grants.computeIfAbsent((int) readLong(one.get(0)), key -> new ArrayList<>())
                     .add(
                             new LeaseGrant(
-                                    new NodeKey(name(one.get(1)), whole(one.get(2))),
+                                    new NodeIncarnation(readName(one.get(1)), readLong(one.get(2))),
                                     asker,
-                                    whole(one.get(3)),
-                                    number(one.get(4))));
+                                    readLong(one.get(3)),
+                                    readDouble(one.get(4))));
         }
-        return new Answers(from, votes, grants);
+        return new PeerResponse(from, votes, grants);
     }
 
-    static byte[] bytes(Object value) throws IOException {
+    static byte[] toJson(Object value) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator json = Json.FACTORY.createGenerator(bytes)) {
             Json.write(json, value);
@@ -160,15 +169,15 @@
         return bytes.toByteArray();
     }
 
-    private static Who who(Map<String, Object> object) throws IOException {
-        return new Who(name(object.get("from")), whole(object.get("run")));
+    private static ProcessIdentity readIdentity(Map<String, Object> object) throws IOException {
+        return new ProcessIdentity(readName(object.get("from")), readLong(object.get("run")));
     }
 
-    private static List<List<?>> items(Map<String, Object> object, String name, int size)
+    private static List<List<?>> readTuples(Map<String, Object> object, String name, int size)
             throws IOException {
         List<List<?>> all = new ArrayList<>();
         for (Object one : Json.member(object, name, List.class)) {
-            if (!(one instanceof List<?> list) || list.size() != size || all.size() >= ITEMS_MOST) {
+            if (!(one instanceof List<?> list) || list.size() != size || all.size() >= MAX_ITEMS) {
                 throw new IOException(name + " are not so many lists of " + size);
             }
             all.add(list);
@@ -176,21 +185,21 @@
         return all;
     }
 
-    static String name(Object value) throws IOException {
-        if (value instanceof String text && text.length() <= NAME_MOST) {
+    static String readName(Object value) throws IOException {
+        if (value instanceof String text && text.length() <= MAX_NAME_LENGTH) {
             return text;
         }
         throw new IOException("a name is missing or too long");
     }
 
-    static long whole(Object value) throws IOException {
+    static long readLong(Object value) throws IOException {
         if (value instanceof Integer || value instanceof Long) {
             return ((Number) value).longValue();
         }
         throw new IOException("a whole number is missing");
     }
 
-    static double number(Object value) throws IOException {
+    static double readDouble(Object value) throws IOException {
         if (value instanceof Number number
                 && number.doubleValue() >= 0
                 && number.doubleValue() < 1e15) {
--- a/src/main/java/postbeam/Host.java
+++ b/src/main/java/postbeam/policy/PolicyActions.java
@@ -1,21 +1,21 @@
-package postbeam;
+package postbeam.policy;
 
 import java.time.Duration;
-import postbeam.state.DataNode;
-import postbeam.state.LeafCall;
-import postbeam.state.Query;
+import postbeam.model.Attempt;
+import postbeam.model.DataNode;
+import postbeam.model.Query;
 
 /**
  * What the decisions can have done. A protocol's door implements it, one for each running instance,
  * and carries out every call at once and in order. A second protocol brings a second door, not a
  * second Decide.
  */
-public interface Host {
+public interface PolicyActions {
     /** Sends a leaf call; those sent to one node in one turn travel together. */
-    void send(LeafCall call);
+    void send(Attempt attempt);
 
     /** Stops waiting for a leaf call; its outcome is still reported. */
-    void cancel(LeafCall call);
+    void cancel(Attempt attempt);
 
     /** Answers the query from its merged parts. */
     void answer(Query query, boolean whole);
@@ -29,10 +29,10 @@
     /** Ends the query without a promise about its effect. */
     void abort(Query query);
 
-    /** Asks for {@link Decide#woken} after this time. */
+    /** Asks for {@link RoutingPolicy#onWakeUp} after this time. */
     void wakeAfter(Duration wait);
 
-    /** Asks a node how it is; the result comes to {@link Decide#probed}. */
+    /** Asks a node how it is; the result comes to {@link RoutingPolicy#onProbeResult}. */
     void probe(DataNode node);
 
     /** Adds a line to the operators' log. */
--- a/src/main/java/postbeam/roster/Entry.java
+++ /dev/null
@@ -1,9 +0,0 @@
-package postbeam.roster;
-
-import postbeam.state.Readiness;
-
-/**
- * A line of a data-node list as told; the start is on the teller's clock in microseconds, 0 for
- * long ago.
- */
-public record Entry(String name, String zone, int cell, long startedMicros, Readiness readiness) {}
--- a/src/main/java/postbeam/router/LayoutLineage.java
+++ b/src/main/java/postbeam/router/LayoutLineage.java
@@ -1,24 +1,26 @@
 package postbeam.router;
 
 import java.util.List;
-import postbeam.pages.Lineage;
+import postbeam.pages.LayoutHistory;
 import postbeam.slices.KeyRange;
 import postbeam.slices.Layout;
 
 /** What pages need to know of a layout. */
-public record LayoutLineage(Layout layout) implements Lineage {
+public record LayoutLineage(Layout layout) implements LayoutHistory {
     @Override
-    public long version() {
+    public long currentVersion() {
         return layout.version;
     }
 
     @Override
-    public long oldest() {
-        return layout.oldest;
+    public long oldestVersion() {
+        return layout.oldestVersion;
     }
 
     @Override
-    public List<KeyRange> cut(KeyRange keys) {
-        return layout.meeting(keys).stream().map(slice -> slice.keys().common(keys)).toList();
+    public List<KeyRange> splitBySlices(KeyRange keys) {
+        return layout.overlapping(keys).stream()
+                .map(slice -> slice.keys().intersection(keys))
+                .toList();
     }
 }
