--- a/src/main/java/postbeam/router/Router.java
+++ b/src/main/java/postbeam/router/Router.java
@@ -16,26 +16,29 @@
 import org.xnio.Options;
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
-import postbeam.clients.ClientDoor;
-import postbeam.datanodes.DataNodes;
-import postbeam.discovery.ListForm;
-import postbeam.discovery.LongPoll;
-import postbeam.discovery.Watch;
+import postbeam.clients.QueryServer;
+import postbeam.clients.RouterExtension;
+import postbeam.config.InstanceSettings;
+import postbeam.config.PolicyFactory;
+import postbeam.config.RouterConfig;
+import postbeam.config.SettingsValidator;
+import postbeam.datanodes.DataNodeClient;
+import postbeam.discovery.EndpointListCodec;
+import postbeam.discovery.EndpointListWatch;
+import postbeam.discovery.LongPollWatcher;
+import postbeam.dispatch.ClientRequest;
 import postbeam.dispatch.PendingQuery;
-import postbeam.layouts.LayoutWatch;
-import postbeam.pages.Ask;
-import postbeam.roster.DiscoveryPacing;
-import postbeam.roster.Told;
-import postbeam.setup.Assembly;
-import postbeam.setup.Checks;
-import postbeam.setup.Info;
-import postbeam.setup.Startup;
+import postbeam.dispatch.QueryAction;
+import postbeam.endpoints.EndpointUpdate;
+import postbeam.endpoints.PollSchedule;
+import postbeam.layoutservice.LayoutWatch;
+import postbeam.pages.RowFetch;
 import postbeam.slices.Layout;
-import postbeam.slices.Slicing;
-import postbeam.slices.Unroutable;
+import postbeam.slices.SliceTranslator;
+import postbeam.slices.UnroutableQueryException;
 
 /** One query router: wires its parts, starts them and stops them. */
-public final class Router implements ClientDoor.Queries {
+public final class Router implements QueryServer.QueryHandler {
     private static final System.Logger LOG = System.getLogger(Router.class.getName());
 
     /** Descriptors for the program itself: jars, standard streams, selectors, discovery. */
@@ -70,29 +73,29 @@
 
     private static final Duration LOOK = Duration.ofMillis(10);
 
-    private final Decisions decisions;
-    private final DataNodes dataNodes;
-    private final ClientDoor clients;
+    private final PolicyExecutor decisions;
+    private final DataNodeClient dataNodes;
+    private final QueryServer clients;
     private final int cells;
-    private final Rehearsal rehearsal;
-    private final ClientDoor rehearsalDoor;
-    private Startup held;
-    private LongPoll<Told> watch;
+    private final WarmUp rehearsal;
+    private final QueryServer rehearsalDoor;
+    private RouterConfig currentStartup;
+    private LongPollWatcher<EndpointUpdate> watch;
 
     /** How discovery is asked. */
-    private final DiscoveryPacing.Pace pace;
+    private final PollSchedule.PollTimings pace;
 
     private final XnioWorker worker;
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final String started;
-    private final LeaveTimes leaveTimes;
+    private final ShutdownDeadlines leaveTimes;
     private final boolean sliced;
 
     /** Null where no pages are given. */
-    private final Paging paging;
+    private final PagingService paging;
 
     /** Null where no slices move. */
-    private final LongPoll<Layout> layoutWatch;
+    private final LongPollWatcher<Layout> layoutWatch;
 
     /**
      * Of the question for the layout that is answered next; touched by the watch's thread alone.
@@ -100,7 +103,7 @@
     private long layoutAskedNanos;
 
     /** Null where nothing runs beside it. */
-    private Beside beside;
+    private RouterExtension extension;
 
     private volatile boolean listed;
     private volatile boolean laidOut;
@@ -108,26 +111,28 @@
     private boolean listening;
     private boolean stopping;
 
-    public Router(Startup startup) throws IOException {
+    public Router(RouterConfig startup) throws IOException {
         this(startup, null, null);
     }
 
     /**
      * Where slices move: what makes of the layout what it decides, and where the layout is told.
      */
-    public Router(Startup startup, Slicing slicing, String layouts) throws IOException {
+    public Router(RouterConfig startup, SliceTranslator slicing, String layouts)
+            throws IOException {
         this(startup, slicing, layouts, null);
     }
 
     /** Where pages are given too: the paging, else null. It needs slices. */
-    public Router(Startup startup, Slicing slicing, String layouts, Paging paging)
+    public Router(
+            RouterConfig startup, SliceTranslator slicing, String layouts, PagingService paging)
             throws IOException {
         check(startup);
-        Info settings = startup.settings;
+        InstanceSettings settings = startup.settings;
         String listen = startup.address("listen");
         String discovery = startup.address("discovery");
-        Duration connectWithin = settings.span("caps.connectTimeout");
-        Duration idleMost = settings.span("caps.keepalive");
+        Duration connectWithin = settings.duration("caps.connectTimeout");
+        Duration idleMost = settings.duration("caps.keepalive");
         int descriptors = startup.limit("sockets", LEAST_DESCRIPTORS) - OWN_DESCRIPTORS;
         int clientsMost =
                 Math.min(
@@ -136,21 +141,23 @@
                                 LEAST_CLIENTS,
                                 CLIENTS_A_MB * (startup.limit("memory_mb", LEAST_MB) - OWN_MB)));
         Map<String, Duration> usualWaits = new LinkedHashMap<>();
-        for (int i = 0; i < settings.count("classes"); i++) {
+        for (int i = 0; i < settings.objectCount("classes"); i++) {
             usualWaits.put(
-                    settings.needed("classes." + i + ".name"),
-                    settings.span("classes." + i + ".deadline"));
+                    settings.required("classes." + i + ".name"),
+                    settings.duration("classes." + i + ".deadline"));
         }
         // Where slices move, the layout knows which there are.
-        int shards = slicing == null ? settings.atLeast("domain.shards", 1) : Integer.MAX_VALUE;
-        int rehearsedShards = settings.atLeast("domain.shards", 1);
-        Set<String> owners = Assembly.customers(settings).keySet();
-        int partsACall = settings.atLeast("domain.partsACall", 1);
+        int shards =
+                slicing == null ? settings.integerAtLeast("domain.shards", 1) : Integer.MAX_VALUE;
+        int rehearsedShards = settings.integerAtLeast("domain.shards", 1);
+        Set<String> owners = PolicyFactory.tenants(settings).keySet();
+        int partsACall = settings.integerAtLeast("domain.partsACall", 1);
         decisions =
-                new Decisions(settings, startup.seed(), partsACall, connectWithin, slicing, paging);
+                new PolicyExecutor(
+                        settings, startup.seed(), partsACall, connectWithin, slicing, paging);
         this.paging = paging;
         sliced = slicing != null;
-        String named = startup.info.text("name") + "/" + Long.toHexString(System.nanoTime());
+        String named = startup.instance.text("name") + "/" + Long.toHexString(System.nanoTime());
         layoutWatch =
                 sliced
                         ? LayoutWatch.of(
@@ -158,12 +165,13 @@
                                 this::laidOut,
                                 () -> {
                                     layoutAskedNanos = System.nanoTime();
-                                    return LayoutWatch.says(named, decisions.layoutHeld());
+                                    return LayoutWatch.queryParameters(
+                                            named, decisions.layoutVersion());
                                 })
                         : null;
-        cells = settings.atLeast("domain.cells", 1);
-        if (startup.known() != null) {
-            listed(ListForm.read(startup.known(), cells));
+        cells = settings.integerAtLeast("domain.cells", 1);
+        if (startup.initialEndpointList() != null) {
+            listed(EndpointListCodec.decode(startup.initialEndpointList(), cells));
         }
         worker =
                 Xnio.getInstance()
@@ -174,109 +182,116 @@
                                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
                                         .getMap());
         dataNodes =
-                new DataNodes(
+                new DataNodeClient(
                         worker.getIoThread(),
                         decisions,
-                        settings.atLeast("caps.maxStreams", 1),
+                        settings.integerAtLeast("caps.maxStreams", 1),
                         connectWithin,
                         shortOf(idleMost, connectWithin),
                         descriptors - clientsMost,
                         !"none".equals(String.valueOf(settings.text("report.how"))));
         clients =
-                new ClientDoor(
+                new QueryServer(
                         worker,
-                        Startup.socketAddress(listen),
+                        RouterConfig.socketAddress(listen),
                         this,
                         usualWaits,
                         owners,
                         shards,
                         clientsMost);
         if (paging != null) {
-            clients.pages(paging.rowsMost());
+            clients.enablePages(paging.maxRows());
         }
         rehearsal =
-                new Rehearsal(
-                        new Decisions(settings, startup.seed(), partsACall, connectWithin, null),
+                new WarmUp(
+                        new PolicyExecutor(
+                                settings, startup.seed(), partsACall, connectWithin, null),
                         settings.text("zone"),
                         cells,
                         List.copyOf(usualWaits.keySet()),
                         owners.stream().findFirst().orElse(null),
                         rehearsedShards);
         rehearsalDoor =
-                new ClientDoor(worker, null, rehearsal, usualWaits, owners, rehearsedShards, 1);
-        held = startup;
+                new QueryServer(worker, null, rehearsal, usualWaits, owners, rehearsedShards, 1);
+        currentStartup = startup;
         Random chance = new Random(startup.seed());
-        Duration askEvery = settings.span("obligations.askEvery");
+        Duration askEvery = settings.duration("obligations.askEvery");
         pace =
                 "subscribe".equals(settings.text("discovery"))
-                        ? DiscoveryPacing.priced(askEvery, chance)
-                        : DiscoveryPacing.FREE;
-        watch = Watch.of(discovery, cells, this::listed, pace, decisions::followed);
-        leaveTimes = LeaveTimes.of(usualWaits.values());
+                        ? PollSchedule.discoveryServer(askEvery, chance)
+                        : PollSchedule.LOCAL_AGENT;
+        watch =
+                EndpointListWatch.create(
+                        discovery, cells, this::listed, pace, decisions::onDiscoveryAnswer);
+        leaveTimes = ShutdownDeadlines.of(usualWaits.values());
         started =
                 String.format(
                         "%s serves at %s: at most %d client connections, %d to data nodes",
-                        startup.info.text("name"), listen, clientsMost, descriptors - clientsMost);
+                        startup.instance.text("name"),
+                        listen,
+                        clientsMost,
+                        descriptors - clientsMost);
     }
 
     /**
      * Whether a router could start with it; an IOException or IllegalArgumentException names what
      * is wrong.
      */
-    private static void check(Startup startup) throws IOException {
-        Info settings = startup.settings;
+    private static void check(RouterConfig startup) throws IOException {
+        InstanceSettings settings = startup.settings;
         startup.address("listen");
         startup.address("discovery");
         startup.seed();
         startup.limit("sockets", LEAST_DESCRIPTORS);
         startup.limit("memory_mb", LEAST_MB);
-        Checks.settings(settings);
-        for (int i = 0; i < settings.count("classes"); i++) {
-            if (settings.listed("domain.followUp", i) != null
-                    && settings.listed("domain.followUp", i) > 0) {
-                throw settings.bad(
+        SettingsValidator.validate(settings);
+        for (int i = 0; i < settings.objectCount("classes"); i++) {
+            if (settings.listEntry("domain.followUp", i) != null
+                    && settings.listEntry("domain.followUp", i) > 0) {
+                throw settings.invalid(
                         "domain.followUp", "asks for a second step, which has no form on sockets");
             }
         }
-        Assembly.verticals(settings);
-        Assembly.customers(settings);
-        Assembly.asking(settings, new Random());
-        Assembly.decide(null, new Random(), Assembly.fleet(settings), settings);
-        if (startup.known() != null) {
-            ListForm.read(startup.known(), settings.atLeast("domain.cells", 1));
+        PolicyFactory.queryClasses(settings);
+        PolicyFactory.tenants(settings);
+        PolicyFactory.pollSchedule(settings, new Random());
+        PolicyFactory.routingPolicy(null, new Random(), PolicyFactory.fleet(settings), settings);
+        if (startup.initialEndpointList() != null) {
+            EndpointListCodec.decode(
+                    startup.initialEndpointList(), settings.integerAtLeast("domain.cells", 1));
         }
     }
 
-    private void listed(Told told) {
-        decisions.listed(told);
-        listed |= !told.entries().isEmpty();
+    private void listed(EndpointUpdate update) {
+        decisions.onEndpointUpdate(update);
+        listed |= !update.endpoints().isEmpty();
         ready = listed && (!sliced || laidOut);
     }
 
     private void laidOut(Layout layout) {
-        decisions.laidOut(layout, layoutAskedNanos);
+        decisions.onLayout(layout, layoutAskedNanos);
         laidOut = true;
         ready = listed;
     }
 
     /** What runs beside it; to be called before it starts. */
-    public Router with(Beside other) {
-        beside = other;
-        other.forms(clients);
+    public Router withExtension(RouterExtension other) {
+        extension = other;
+        other.registerHandlers(clients);
         return this;
     }
 
     /** Starts to serve; an IOException says why it can't listen. */
     public void start() throws IOException {
-        thread("ticks", this::ticks);
+        startDaemon("ticks", this::ticks);
         synchronized (this) {
-            thread("discovery", watch);
+            startDaemon("discovery", watch);
         }
         if (layoutWatch != null) {
-            thread("layouts", layoutWatch);
+            startDaemon("layouts", layoutWatch);
         }
         LOG.log(System.Logger.Level.DEBUG, "rehearsed with {0} queries", rehearsal.run());
-        rehearsalDoor.rehearse(rehearsal::request, REHEARSED, REHEARSAL_MOST);
+        rehearsalDoor.warmUp(rehearsal::request, REHEARSED, REHEARSAL_MOST);
         rehearsalDoor.stop();
         synchronized (this) {
             if (stopping) {
@@ -285,8 +300,8 @@
             clients.start();
             listening = true;
         }
-        if (beside != null) {
-            beside.start();
+        if (extension != null) {
+            extension.start();
         }
         LOG.log(System.Logger.Level.INFO, started);
     }
@@ -297,30 +312,33 @@
      * it counts as told; the list held stays until it answers. An IOException or
      * IllegalArgumentException says what can't be used; then all stays as it was.
      */
-    public synchronized void reload(Startup startup) throws IOException {
+    public synchronized void reload(RouterConfig startup) throws IOException {
         check(startup);
         String discovery = startup.address("discovery");
-        List<String> fixed = new ArrayList<>(held.info.changed(startup.info));
+        List<String> fixed =
+                new ArrayList<>(currentStartup.instance.changedPaths(startup.instance));
         fixed.removeIf(
                 path ->
                         path.equals("discovery")
                                 || path.equals("seed")
                                 || path.startsWith("known")
                                 || path.startsWith("settings."));
-        fixed.addAll(held.settings.changed(startup.settings));
+        fixed.addAll(currentStartup.settings.changedPaths(startup.settings));
         if (!fixed.isEmpty()) {
             LOG.log(
                     System.Logger.Level.WARNING,
                     "configuration: these wait for a restart: {0}",
                     fixed.subList(0, Math.min(fixed.size(), MOST_NAMED)));
         }
-        boolean moved = !discovery.equals(held.address("discovery"));
+        boolean moved = !discovery.equals(currentStartup.address("discovery"));
         if (moved && stopped.getCount() > 0) {
             watch.stop();
-            watch = Watch.of(discovery, cells, this::listed, pace, decisions::followed);
-            thread("discovery", watch);
+            watch =
+                    EndpointListWatch.create(
+                            discovery, cells, this::listed, pace, decisions::onDiscoveryAnswer);
+            startDaemon("discovery", watch);
         }
-        held = startup;
+        currentStartup = startup;
         LOG.log(
                 System.Logger.Level.INFO,
                 "configuration read again; discovery {0} {1}",
@@ -332,8 +350,8 @@
                                 LOG.log(
                                         System.Logger.Level.INFO,
                                         "{0}; on the sockets {1}",
-                                        decisions.beliefs(),
-                                        dataNodes.carrying()));
+                                        decisions.summary(),
+                                        dataNodes.describe()));
     }
 
     /** Where it listens. */
@@ -353,7 +371,7 @@
     }
 
     /** Asks it on the I/O thread. */
-    private boolean on(BooleanSupplier question) throws InterruptedException {
+    private boolean onIoThread(BooleanSupplier question) throws InterruptedException {
         FutureTask<Boolean> asked = new FutureTask<>(question::getAsBoolean);
         worker.getIoThread().execute(asked);
         try {
@@ -363,7 +381,7 @@
         }
     }
 
-    private static void thread(String name, Runnable work) {
+    private static void startDaemon(String name, Runnable work) {
         Thread thread = new Thread(work, name);
         thread.setDaemon(true);
         thread.start();
@@ -372,7 +390,7 @@
     private void ticks() {
         while (true) {
             try {
-                decisions.tick().forEach(this::carryOut);
+                decisions.awaitBackgroundActions().forEach(this::execute);
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException | Error e) {
@@ -381,72 +399,74 @@
         }
     }
 
-    private void carryOut(Step step) {
-        if (step instanceof Step.Send send) {
-            dataNodes.send(send.address(), send.calls());
-        } else if (step instanceof Step.GiveUp up) {
-            dataNodes.giveUp(up.call());
-        } else if (step instanceof Step.Probe probe) {
+    private void execute(QueryAction step) {
+        if (step instanceof QueryAction.Send send) {
+            dataNodes.send(send.address(), send.attempts());
+        } else if (step instanceof QueryAction.CancelAttempt up) {
+            dataNodes.cancel(up.attempt());
+        } else if (step instanceof QueryAction.HealthCheck probe) {
             dataNodes.probe(probe.node(), probe.address());
         }
     }
 
     @Override
-    public PendingQuery take(Asked asked, Duration age) throws Unroutable {
-        OpenQuery q = decisions.take(asked, age);
+    public PendingQuery submit(ClientRequest clientRequest, Duration age)
+            throws UnroutableQueryException {
+        InFlightQuery q = decisions.accept(clientRequest, age);
         return q == null ? null : new ServedQuery(q);
     }
 
     /** A query as its client's connection sees it. */
     private final class ServedQuery implements PendingQuery {
-        private final OpenQuery query;
+        private final InFlightQuery query;
 
-        ServedQuery(OpenQuery query) {
+        ServedQuery(InFlightQuery query) {
             this.query = query;
         }
 
         @Override
-        public Step serve() throws InterruptedException {
+        public QueryAction serve() throws InterruptedException {
             return Router.this.serve(query);
         }
 
         @Override
-        public void clientLeft() {
-            decisions.left(query);
+        public void clientDisconnected() {
+            decisions.clientDisconnected(query);
         }
 
         @Override
-        public void clientCheck(Runnable check) {
-            query.clientCheck(check);
+        public void setClientCheck(Runnable check) {
+            query.setClientCheck(check);
         }
     }
 
-    private Step serve(OpenQuery q) throws InterruptedException {
-        Step last = served(q);
-        return q.paged != null && last instanceof Step.Answer answer
-                ? paging.given(q, answer, asks -> further(q, asks))
+    private QueryAction serve(InFlightQuery q) throws InterruptedException {
+        QueryAction last = serveToEnd(q);
+        return q.pagedQuery != null && last instanceof QueryAction.Answer answer
+                ? paging.completePage(q, answer, asks -> fetchFollowUp(q, asks))
                 : last;
     }
 
     /** Asks again for the page; null where that may not be. */
-    private Paged further(OpenQuery first, List<Ask> asks) throws InterruptedException {
-        OpenQuery q = decisions.takeFurther(first, asks);
+    private PagedQuery fetchFollowUp(InFlightQuery first, List<RowFetch> asks)
+            throws InterruptedException {
+        InFlightQuery q = decisions.acceptFollowUp(first, asks);
         if (q == null) {
             return null;
         }
-        served(q);
-        return q.paged;
+        serveToEnd(q);
+        return q.pagedQuery;
     }
 
     /** Serves the query until its last step. */
-    private Step served(OpenQuery q) throws InterruptedException {
+    private QueryAction serveToEnd(InFlightQuery q) throws InterruptedException {
         while (true) {
-            Step step = decisions.pick(q);
-            if (step instanceof Step.Send || step instanceof Step.GiveUp) {
-                carryOut(step);
+            QueryAction step = decisions.awaitAction(q);
+            if (step instanceof QueryAction.Send || step instanceof QueryAction.CancelAttempt) {
+                execute(step);
             } else {
-                if (q.paged != null) {
-                    decisions.cameFor(q);
+                if (q.pagedQuery != null) {
+                    decisions.collectPartialPages(q);
                 }
                 return step;
             }
@@ -454,15 +474,15 @@
     }
 
     @Override
-    public boolean ready() {
+    public boolean isReady() {
         return ready;
     }
 
     /**
-     * Serves on for as long as {@link LeaveTimes} has it, so that clients with connections are
-     * served while what replaces this router starts; then stops taking queries, answers all that
-     * was taken, and lets {@link #await} return. Ends as soon as no client is connected, once none
-     * can be on its way. One that does not listen yet has taken nothing, and never will.
+     * Serves on for as long as {@link ShutdownDeadlines} has it, so that clients with connections
+     * are served while what replaces this router starts; then stops taking queries, answers all
+     * that was taken, and lets {@link #await} return. Ends as soon as no client is connected, once
+     * none can be on its way. One that does not listen yet has taken nothing, and never will.
      */
     public void stop() throws InterruptedException {
         LOG.log(System.Logger.Level.INFO, "stopping");
@@ -474,23 +494,24 @@
                 return;
             }
         }
-        clients.leave(leaveTimes.lastWord());
-        Thread.sleep(LeaveTimes.STILL_COMING.toMillis());
-        while (System.nanoTime() - asked < leaveTimes.servesOn().toNanos()
-                && !on(clients::unused)) {
+        clients.beginDraining(leaveTimes.finalAnswersBy());
+        Thread.sleep(ShutdownDeadlines.LATE_CONNECT_WINDOW.toMillis());
+        while (System.nanoTime() - asked < leaveTimes.servingEnds().toNanos()
+                && !onIoThread(clients::hasNoConnections)) {
             Thread.sleep(LOOK.toMillis());
         }
-        if (beside != null) {
-            beside.stop();
+        if (extension != null) {
+            extension.stop();
         }
         clients.close();
         // The last look is taken where requests are read, so none can be begun after it.
-        while (!on(clients::idle)) {
+        while (!onIoThread(clients::isDrained)) {
             Thread.sleep(LOOK.toMillis());
         }
         // The process' end closes what is left: over unread bytes that is a reset, which takes the
         // last answer along.
-        while (System.nanoTime() - asked < leaveTimes.readOff().toNanos() && !on(clients::unused)) {
+        while (System.nanoTime() - asked < leaveTimes.readsDrainedBy().toNanos()
+                && !onIoThread(clients::hasNoConnections)) {
             Thread.sleep(LOOK.toMillis());
         }
         stopped.countDown();
--- a/src/main/java/postbeam/benchlink/Lines.java
+++ b/src/main/java/postbeam/simulator/LineReader.java
@@ -1,22 +1,22 @@
-package postbeam.benchlink;
+package postbeam.simulator;
 
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.util.NoSuchElementException;
 
 /** Reads the wire line by line, and a line field by field. */
-final class Lines {
+final class LineReader {
     private final BufferedReader in;
     private String line;
     private int at;
     private long number;
 
-    Lines(BufferedReader in) {
+    LineReader(BufferedReader in) {
         this.in = in;
     }
 
     /** Moves on to the next line that is not empty; false at the end of the input. */
-    boolean next() throws IOException {
+    boolean nextLine() throws IOException {
         do {
             line = in.readLine();
             number++;
@@ -25,13 +25,13 @@
         return line != null;
     }
 
-    boolean more() {
+    boolean hasMoreFields() {
         return at <= line.length();
     }
 
     /** The next field; null where it is absent. */
-    String field() {
-        if (!more()) {
+    String nextField() {
+        if (!hasMoreFields()) {
             throw new NoSuchElementException("a field is missing");
         }
         int tab = line.indexOf('\t', at);
@@ -40,8 +40,8 @@
         return value.equals("-") ? null : value;
     }
 
-    String text() {
-        String value = field();
+    String requiredText() {
+        String value = nextField();
         if (value == null) {
             throw new NoSuchElementException("a field that must be there is absent");
         }
@@ -49,20 +49,20 @@
     }
 
     long number() {
-        return Long.parseLong(text());
+        return Long.parseLong(requiredText());
     }
 
     /** A number where one stands, else the given one. */
     long number(long otherwise) {
-        String value = field();
+        String value = nextField();
         return value == null ? otherwise : Long.parseLong(value);
     }
 
-    MalformedLine malformed(String what) {
+    MalformedLineException malformed(String what) {
         String head =
                 line == null
                         ? ""
                         : line.substring(0, Math.min(80, line.length())).replace('\t', ' ');
-        return new MalformedLine(number, what + (head.isEmpty() ? "" : ", in: " + head));
+        return new MalformedLineException(number, what + (head.isEmpty() ? "" : ", in: " + head));
     }
 }
--- a/src/main/java/postbeam/benchlink/MalformedLine.java
+++ b/src/main/java/postbeam/simulator/MalformedLineException.java
@@ -1,12 +1,12 @@
-package postbeam.benchlink;
+package postbeam.simulator;
 
 import java.io.IOException;
 
 /** Input that does not follow the wire. */
-public final class MalformedLine extends IOException {
+public final class MalformedLineException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    MalformedLine(long line, String what) {
+    MalformedLineException(long line, String what) {
         super("line " + line + ": " + what);
     }
 }
--- a/src/main/java/postbeam/benchlink/Door.java
+++ b/src/main/java/postbeam/simulator/SimulatorSession.java
@@ -1,4 +1,4 @@
-package postbeam.benchlink;
+package postbeam.simulator;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -14,31 +14,31 @@
 import java.util.Map;
 import java.util.NoSuchElementException;
 import java.util.Set;
-import postbeam.Decide;
-import postbeam.roster.Entry;
-import postbeam.setup.Info;
-import postbeam.state.Readiness;
+import postbeam.config.InstanceSettings;
+import postbeam.endpoints.Endpoint;
+import postbeam.model.Readiness;
+import postbeam.policy.RoutingPolicy;
 
 /**
  * The simulator's wire: reads batches of events, hands each to its instance, writes one reply a
  * batch.
  */
-public final class Door {
+public final class SimulatorSession {
     private static final int BUFFER = 1 << 16;
     private static final int SCOPE_FULL = 1;
     private static final int SCOPE_CACHED = 2;
     private static final int SCOPE_FAILED = 3;
 
-    private final Lines in;
+    private final LineReader in;
     private final OutputStream sink;
     private final StringBuilder out = new StringBuilder();
-    private final Map<Integer, Instance> instances = new HashMap<>();
-    private final Map<Integer, List<Entry>> lists = new HashMap<>();
-    private final Set<Instance> touched = new LinkedHashSet<>();
+    private final Map<Integer, SimulatedRouter> routers = new HashMap<>();
+    private final Map<Integer, List<Endpoint>> endpointLists = new HashMap<>();
+    private final Set<SimulatedRouter> touchedRouters = new LinkedHashSet<>();
 
-    public Door(InputStream source, OutputStream sink) {
+    public SimulatorSession(InputStream source, OutputStream sink) {
         this.in =
-                new Lines(
+                new LineReader(
                         new BufferedReader(
                                 new InputStreamReader(source, StandardCharsets.UTF_8), BUFFER));
         this.sink = sink;
@@ -46,12 +46,12 @@
 
     /** Serves batches until the input ends. */
     public void run() throws IOException {
-        while (in.next()) {
+        while (in.nextLine()) {
             try {
-                if (!"SYNC".equals(in.field())) {
+                if (!"SYNC".equals(in.nextField())) {
                     throw in.malformed("a batch starts with SYNC");
                 }
-                batch(in.number());
+                readBatch(in.number());
             } catch (NoSuchElementException | IllegalArgumentException e) {
                 throw in.malformed(e.getMessage());
             }
@@ -62,25 +62,25 @@
         }
     }
 
-    private void batch(long clock) throws IOException {
-        touched.clear();
+    private void readBatch(long clock) throws IOException {
+        touchedRouters.clear();
         while (true) {
-            if (!in.next()) {
+            if (!in.nextLine()) {
                 throw in.malformed("the input ends within a batch");
             }
-            String name = in.text();
+            String name = in.requiredText();
             if (name.equals("EOF_BATCH")) {
                 break;
             }
-            event(name, clock);
+            readEvent(name, clock);
         }
-        for (Instance instance : touched) {
-            decided(instance, () -> instance.decide().turnEnded(instance.since(clock)));
-            instance.askDiscovery(instance.since(clock));
+        for (SimulatedRouter instance : touchedRouters) {
+            runGuarded(instance, () -> instance.policy().onBatchEnd(instance.sinceStart(clock)));
+            instance.pollDiscovery(instance.sinceStart(clock));
         }
     }
 
-    private void event(String name, long clock) throws IOException {
+    private void readEvent(String name, long clock) throws IOException {
         if (name.equals("SNAPSHOT_ROWS")) {
             readList();
             return;
@@ -88,99 +88,99 @@
         int id = (int) in.number();
         if (name.equals("CREATE")) {
             long seed = in.number();
-            Info info = new Info();
-            while (in.more()) {
-                info.put(in.text());
+            InstanceSettings info = new InstanceSettings();
+            while (in.hasMoreFields()) {
+                info.putPair(in.requiredText());
             }
-            Instance created = new Instance(id, seed, info, clock, out);
-            touched.remove(instances.put(id, created));
-            touched.add(created);
+            SimulatedRouter created = new SimulatedRouter(id, seed, info, clock, out);
+            touchedRouters.remove(routers.put(id, created));
+            touchedRouters.add(created);
             return;
         }
-        Instance instance = instances.get(id);
+        SimulatedRouter instance = routers.get(id);
         if (instance == null) {
             throw in.malformed("no instance " + id);
         }
         if (name.equals("DETACH")) {
-            instances.remove(id);
-            touched.remove(instance);
+            routers.remove(id);
+            touchedRouters.remove(instance);
             return;
         }
-        touched.add(instance);
-        Duration now = instance.since(clock);
-        decided(instance, () -> handOver(name, instance, now));
+        touchedRouters.add(instance);
+        Duration now = instance.sinceStart(clock);
+        runGuarded(instance, () -> dispatch(name, instance, now));
     }
 
-    private void handOver(String name, Instance instance, Duration now) {
+    private void dispatch(String name, SimulatedRouter instance, Duration now) {
         switch (name) {
-            case "INGRESS" -> instance.taken(now, in);
-            case "REPORT_BACK" -> instance.reportedBack(now, in);
-            case "RING" -> instance.rung(now, in);
-            case "REGISTRY" -> registry(now, instance);
-            case "ABANDONED" -> instance.abandoned(now, in);
-            case "CHECKED" -> instance.probed(now, in);
+            case "INGRESS" -> instance.onRequest(now, in);
+            case "REPORT_BACK" -> instance.onAttemptReport(now, in);
+            case "RING" -> instance.onTimer(now, in);
+            case "REGISTRY" -> onRegistry(now, instance);
+            case "ABANDONED" -> instance.onClientAbandoned(now, in);
+            case "CHECKED" -> instance.onProbeResult(now, in);
             // No vertical is streamed, and the routers tell each other nothing.
             case "FIRST", "NEIGHBOUR_SAYS" -> {}
             default -> throw new IllegalArgumentException("unknown message " + name);
         }
     }
 
-    private void registry(Duration now, Instance instance) {
+    private void onRegistry(Duration now, SimulatedRouter instance) {
         int slot = (int) in.number(0);
         int scope = (int) in.number();
         if (scope != SCOPE_CACHED) {
-            instance.listAnswered(now, scope == SCOPE_FAILED);
+            instance.onListResponse(now, scope == SCOPE_FAILED);
         }
         if (scope == SCOPE_FAILED) {
             return;
         }
-        List<Entry> entries = lists.get(slot);
+        List<Endpoint> entries = endpointLists.get(slot);
         if (entries == null) {
             throw new IllegalArgumentException("no list " + slot);
         }
-        instance.listed(now, entries, scope == SCOPE_FULL || scope == SCOPE_CACHED);
+        instance.onEndpointList(now, entries, scope == SCOPE_FULL || scope == SCOPE_CACHED);
     }
 
     private void readList() throws IOException {
         int slot = (int) in.number();
         long count = in.number();
-        List<Entry> entries = new ArrayList<>();
+        List<Endpoint> entries = new ArrayList<>();
         for (long i = 0; i < count; i++) {
-            if (!in.next() || !"ROW".equals(in.field())) {
+            if (!in.nextLine() || !"ROW".equals(in.nextField())) {
                 throw in.malformed("the list has too few rows");
             }
-            entries.add(row());
+            entries.add(readRow());
         }
-        lists.put(slot, entries);
+        endpointLists.put(slot, entries);
     }
 
-    private Entry row() {
-        String zone = in.field();
+    private Endpoint readRow() {
+        String zone = in.nextField();
         int cell = (int) in.number(0);
-        String address = in.text();
-        in.field();
+        String address = in.requiredText();
+        in.nextField();
         long started = in.number(0);
-        in.field();
+        in.nextField();
         Readiness readiness =
                 switch ((int) in.number()) {
-                    case 0 -> Readiness.GONE;
+                    case 0 -> Readiness.REMOVED;
                     case 1 -> Readiness.READY;
                     case 2 -> Readiness.DRAINING;
                     default -> throw new IllegalArgumentException("unknown readiness");
                 };
-        return new Entry(address, zone, cell, started, readiness);
+        return new Endpoint(address, zone, cell, started, readiness);
     }
 
     /**
      * A failure of the decisions is told to the simulator; a field that can't be read ends the run.
      */
-    private void decided(Instance instance, Runnable step) {
+    private void runGuarded(SimulatedRouter instance, Runnable step) {
         try {
             step.run();
         } catch (RuntimeException e) {
             for (StackTraceElement frame : e.getStackTrace()) {
-                if (frame.getClassName().startsWith(Decide.class.getName())) {
-                    instance.panic(e);
+                if (frame.getClassName().startsWith(RoutingPolicy.class.getName())) {
+                    instance.reportPanic(e);
                     return;
                 }
             }
--- a/src/main/java/postbeam/slices/Coordinator.java
+++ b/src/main/java/postbeam/slices/Coordinator.java
@@ -10,52 +10,52 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Function;
-import postbeam.state.Readiness;
+import postbeam.model.Readiness;
 
 /**
  * Decides how moves go on: when each begins, what its nodes are told, when it is cut over and when
- * it is abandoned. All that must outlive it is in the {@link Book}; whoever was told what and has
- * answered is not, since each order may come twice. So one that died goes on from its log: it tells
- * the nodes of each move under way what the state that is logged asks for, and an answer to what
- * its forerunner told is as good as one to its own.
+ * it is abandoned. All that must outlive it is in the {@link MoveJournalState}; whoever was told
+ * what and has answered is not, since each order may come twice. So one that died goes on from its
+ * log: it tells the nodes of each move under way what the state that is logged asks for, and an
+ * answer to what its forerunner told is as good as one to its own.
  */
 public final class Coordinator {
     /** What a node was told for a move: when last, and whether it has done it. */
-    private static final class Told {
-        Duration at;
-        boolean done;
+    private static final class Delivery {
+        Duration sentAt;
+        boolean acknowledged;
     }
 
-    private record Key(String node, Order order, int slice) {}
+    private record CommandKey(String node, HandoffCommand command, int slice) {}
 
     /** Moves of this number are none: what is told for them belongs to no move. */
     private static final long NO_MOVE = 0;
 
     /** Slices that a node is reminded of at once, until it has answered: its queue is bounded. */
-    private static final int REMINDED_MOST = 64;
+    private static final int MAX_REMINDERS_IN_FLIGHT = 64;
 
-    private final Book book;
+    private final MoveJournalState journalState;
     private final MoveLimits limits;
-    private final Map<Long, Map<Key, Told>> told = new HashMap<>();
-    private final Map<String, Target.Known> nodes = new LinkedHashMap<>();
+    private final Map<Long, Map<CommandKey, Delivery>> deliveries = new HashMap<>();
+    private final Map<String, TargetLayout.NodeInfo> nodes = new LinkedHashMap<>();
 
     /** Nodes that came onto the list and are to be told what they hold. */
-    private final Map<String, Map<Key, Told>> reminded = new LinkedHashMap<>();
+    private final Map<String, Map<CommandKey, Delivery>> pendingReminders = new LinkedHashMap<>();
 
-    private Gate gate = Gate.OPEN;
+    private MoveAdmission admission = MoveAdmission.UNRESTRICTED;
 
-    public Coordinator(Book book, MoveLimits limits) {
-        this.book = book;
+    public Coordinator(MoveJournalState journalState, MoveLimits limits) {
+        this.journalState = journalState;
         this.limits = limits;
     }
 
-    public Book book() {
-        return book;
+    public MoveJournalState book() {
+        return journalState;
     }
 
     /** From now on asked before moves go on. */
-    public void gate(Gate next) {
-        gate = next;
+    public void admission(MoveAdmission next) {
+        admission = next;
     }
 
     /** Whether a list of nodes has come yet. */
@@ -64,7 +64,7 @@
     }
 
     /** What is known of a node; null where nothing is. */
-    public Target.Known known(String node) {
+    public TargetLayout.NodeInfo nodeInfo(String node) {
         return nodes.get(node);
     }
 
@@ -72,16 +72,17 @@
      * What discovery tells of data nodes; one that comes, or comes back, is told what it is to
      * serve.
      */
-    public void listed(Map<String, Target.Known> list, List<String> started) {
-        for (Map.Entry<String, Target.Known> entry : list.entrySet()) {
-            Target.Known before = nodes.put(entry.getKey(), entry.getValue());
-            boolean gone = entry.getValue().readiness() == Readiness.GONE;
+    public void listed(Map<String, TargetLayout.NodeInfo> list, List<String> started) {
+        for (Map.Entry<String, TargetLayout.NodeInfo> entry : list.entrySet()) {
+            TargetLayout.NodeInfo before = nodes.put(entry.getKey(), entry.getValue());
+            boolean gone = entry.getValue().readiness() == Readiness.REMOVED;
             if (!gone
                     && (before == null
-                            || before.readiness() == Readiness.GONE
+                            || before.readiness() == Readiness.REMOVED
                             || started.contains(entry.getKey()))) {
-                reminded.put(entry.getKey(), new LinkedHashMap<>());
-                told.values()
+                pendingReminders.put(entry.getKey(), new LinkedHashMap<>());
+                deliveries
+                        .values()
                         .forEach(
                                 keys ->
                                         keys.keySet()
@@ -94,42 +95,49 @@
     // ---- what operators ask
 
     /** Why the change can't be planned now, in one line; empty where it can. */
-    public Optional<String> problem(Change change) {
+    public Optional<String> rejectionReason(LayoutChange change) {
         for (int number : change.slices()) {
-            if (book.layout().slice(number) == null) {
+            if (journalState.layout().slice(number) == null) {
                 return Optional.of("there is no slice " + number);
             }
-            if (book.busy(number)) {
+            if (journalState.busy(number)) {
                 return Optional.of("slice " + number + " is moving already");
             }
         }
-        Optional<String> reserved = gate.reserved(change);
+        Optional<String> reserved = admission.reservationConflict(change);
         if (reserved.isPresent()) {
             return reserved;
         }
         Layout then;
         try {
             then =
-                    book.layout()
-                            .after(change, births(change), book.nextVersion(), Duration.ZERO, 1);
+                    journalState
+                            .layout()
+                            .withChange(
+                                    change,
+                                    allocateSliceNumbers(change),
+                                    journalState.nextVersion(),
+                                    Duration.ZERO,
+                                    1);
         } catch (IllegalArgumentException e) {
             return Optional.of(e.getMessage());
         }
-        if (change instanceof Change.Move move) {
-            Target.Known to = nodes.get(move.to());
-            if (move.to() != null && (to == null || to.readiness() == Readiness.GONE)) {
+        if (change instanceof LayoutChange.Transfer move) {
+            TargetLayout.NodeInfo to = nodes.get(move.to());
+            if (move.to() != null && (to == null || to.readiness() == Readiness.REMOVED)) {
                 return Optional.of("there is no node " + move.to());
             }
             if (move.to() != null && to.readiness() == Readiness.DRAINING) {
                 return Optional.of("node " + move.to() + " is draining");
             }
-            if (move.to() != null && source(move) == null) {
+            if (move.to() != null && copySource(move) == null) {
                 return Optional.of("slice " + move.slice() + " has no holder left to copy from");
             }
-            return weaker(book.layout().slice(move.slice()), then.slice(move.slice()));
+            return replicationProblem(
+                    journalState.layout().slice(move.slice()), then.slice(move.slice()));
         }
-        return book.layout().slice(change.slices().get(0)).nodes().stream()
-                .filter(this::gone)
+        return journalState.layout().slice(change.slices().get(0)).nodes().stream()
+                .filter(this::isGone)
                 .findFirst()
                 .map(
                         node ->
@@ -144,92 +152,92 @@
      * Why the slice would be worse off than it may be, among the holders that are not gone; what is
      * bad may get better.
      */
-    private Optional<String> weaker(Slice before, Slice after) {
-        List<String> had = before.nodes().stream().filter(node -> !gone(node)).toList();
-        List<String> has = after.nodes().stream().filter(node -> !gone(node)).toList();
-        if (has.size() < limits.holders() && has.size() < had.size()) {
+    private Optional<String> replicationProblem(Slice before, Slice after) {
+        List<String> had = before.nodes().stream().filter(node -> !isGone(node)).toList();
+        List<String> has = after.nodes().stream().filter(node -> !isGone(node)).toList();
+        if (has.size() < limits.minHolders() && has.size() < had.size()) {
             return Optional.of(
                     "slice "
                             + after.number()
                             + ": "
                             + has.size()
                             + " holders, at least "
-                            + limits.holders()
+                            + limits.minHolders()
                             + " are needed");
         }
         long zones = has.stream().map(this::zone).distinct().count();
-        return zones < limits.zones() && zones < had.stream().map(this::zone).distinct().count()
+        return zones < limits.minZones() && zones < had.stream().map(this::zone).distinct().count()
                 ? Optional.of(
                         "slice "
                                 + after.number()
                                 + ": holders in "
                                 + zones
                                 + " zones, at least "
-                                + limits.zones()
+                                + limits.minZones()
                                 + " are needed")
                 : Optional.empty();
     }
 
     private String zone(String node) {
-        Target.Known known = nodes.get(node);
+        TargetLayout.NodeInfo known = nodes.get(node);
         return known == null ? "" : known.zone();
     }
 
     /** Plans a change; an IllegalArgumentException says why not, and then nothing has changed. */
-    public List<Act> plan(Change change, Duration now) {
-        problem(change)
+    public List<CoordinatorAction> plan(LayoutChange change, Duration now) {
+        rejectionReason(change)
                 .ifPresent(
                         problem -> {
                             throw new IllegalArgumentException(problem);
                         });
-        List<Act> acts = new ArrayList<>();
-        write(
+        List<CoordinatorAction> acts = new ArrayList<>();
+        append(
                 acts,
-                new Logged.Planned(
-                        book.nextMove(),
+                new JournalRecord.Planned(
+                        journalState.nextMove(),
                         change,
-                        births(change),
-                        change instanceof Change.Move move && move.to() != null
-                                ? source(move)
+                        allocateSliceNumbers(change),
+                        change instanceof LayoutChange.Transfer move && move.to() != null
+                                ? copySource(move)
                                 : null,
                         now));
         return acts;
     }
 
     /** What is wrong with a target, a line each; empty where it can be aimed at. */
-    public List<String> problems(Target target) {
-        return target.problems(nodes, limits.holders(), limits.zones());
+    public List<String> targetProblems(TargetLayout targetLayout) {
+        return targetLayout.problems(nodes, limits.minHolders(), limits.minZones());
     }
 
     /** From now on changes are planned that lead there; null: no further ones. */
-    public List<Act> aim(Target target) {
-        List<String> problems = target == null ? List.of() : problems(target);
+    public List<CoordinatorAction> setTarget(TargetLayout targetLayout) {
+        List<String> problems = targetLayout == null ? List.of() : targetProblems(targetLayout);
         if (!problems.isEmpty()) {
             throw new IllegalArgumentException(problems.get(0));
         }
-        List<Act> acts = new ArrayList<>();
-        write(acts, new Logged.Aimed(target));
+        List<CoordinatorAction> acts = new ArrayList<>();
+        append(acts, new JournalRecord.TargetSet(targetLayout));
         return acts;
     }
 
     /** Takes a move back; one that is cut over is finished and its opposite planned. */
-    public List<Act> abandon(long id, String why, Duration now) {
-        Move move = book.move(id);
+    public List<CoordinatorAction> abandon(long id, String why, Duration now) {
+        Move move = journalState.move(id);
         if (move == null) {
             throw new IllegalArgumentException("no move " + id + " is under way");
         }
-        if (move.state == MoveState.ABANDONING || move.turnsBack) {
+        if (move.state == MoveState.ABANDONING || move.reverseWhenDone) {
             throw new IllegalArgumentException("move " + id + " is being abandoned already");
         }
-        List<Act> acts = new ArrayList<>();
+        List<CoordinatorAction> acts = new ArrayList<>();
         abandon(acts, move, why, now);
         return acts;
     }
 
-    private List<Integer> births(Change change) {
+    private List<Integer> allocateSliceNumbers(LayoutChange change) {
         List<Integer> births = new ArrayList<>();
-        for (int i = 0; i < change.births(); i++) {
-            births.add(book.nextSlice() + i);
+        for (int i = 0; i < change.newSliceCount(); i++) {
+            births.add(journalState.nextSlice() + i);
         }
         return births;
     }
@@ -238,15 +246,15 @@
      * The node that hands a slice over: who lets it go, or another holder that is there; null where
      * none is.
      */
-    private String source(Change.Move move) {
-        if (move.from() != null && ready(move.from())) {
+    private String copySource(LayoutChange.Transfer move) {
+        if (move.from() != null && isReady(move.from())) {
             return move.from();
         }
-        List<String> holders = book.layout().slice(move.slice()).nodes();
+        List<String> holders = journalState.layout().slice(move.slice()).nodes();
         return holders.stream()
-                .filter(this::ready)
+                .filter(this::isReady)
                 .findFirst()
-                .or(() -> holders.stream().filter(node -> !gone(node)).findFirst())
+                .or(() -> holders.stream().filter(node -> !isGone(node)).findFirst())
                 .orElse(null);
     }
 
@@ -254,149 +262,173 @@
      * Moves that would bring slices off nodes that are gone: for operators, who alone know that
      * these are dead.
      */
-    public List<Change> mends() {
+    public List<LayoutChange> repairs() {
         Set<String> gone = new LinkedHashSet<>();
-        nodes.keySet().stream().filter(this::gone).forEach(gone::add);
-        List<Change> mends =
+        nodes.keySet().stream().filter(this::isGone).forEach(gone::add);
+        List<LayoutChange> mends =
                 new ArrayList<>(
-                        Placement.repairs(
-                                book.layout(), nodes, gone, book.busy(), 2 * limits.most()));
-        mends.removeIf(change -> problem(change).isPresent());
+                        SlicePlacement.repairs(
+                                journalState.layout(),
+                                nodes,
+                                gone,
+                                journalState.busy(),
+                                2 * limits.maxMoves()));
+        mends.removeIf(change -> rejectionReason(change).isPresent());
         return mends;
     }
 
     // ---- what time and nodes bring
 
     /** A node has answered an order; one for a move that is no more is passed over. */
-    public void done(long id, String node, Order order, int slice) {
-        Map<Key, Told> keys =
-                id == NO_MOVE && order == Order.SERVE ? reminded.get(node) : told.get(id);
-        Told one = keys == null ? null : keys.get(new Key(node, order, slice));
+    public void acknowledged(long id, String node, HandoffCommand command, int slice) {
+        Map<CommandKey, Delivery> keys =
+                id == NO_MOVE && command == HandoffCommand.SERVE
+                        ? pendingReminders.get(node)
+                        : deliveries.get(id);
+        Delivery one = keys == null ? null : keys.get(new CommandKey(node, command, slice));
         if (one != null) {
-            one.done = true;
+            one.acknowledged = true;
         }
     }
 
     /** What is to be done now. */
-    public List<Act> tick(Duration now) {
-        List<Act> acts = new ArrayList<>();
-        for (Move move : List.copyOf(book.moves())) {
+    public List<CoordinatorAction> tick(Duration now) {
+        List<CoordinatorAction> acts = new ArrayList<>();
+        for (Move move : List.copyOf(journalState.activeMoves())) {
             MoveState before;
             do {
                 before = move.state;
                 step(acts, move, now);
-            } while (move.state != before && !move.state.over());
+            } while (move.state != before && !move.state.isFinal());
         }
-        if (book.target() != null) {
-            planAll(acts, Planner.next(book.layout(), book.target(), book.busy()), now);
+        if (journalState.target() != null) {
+            planChanges(
+                    acts,
+                    Planner.nextChanges(
+                            journalState.layout(), journalState.target(), journalState.busy()),
+                    now);
         }
-        told.keySet().removeIf(id -> id != NO_MOVE && book.move(id) == null);
-        collect(acts, now);
-        remind(acts, now);
+        deliveries.keySet().removeIf(id -> id != NO_MOVE && journalState.move(id) == null);
+        sendPendingDrops(acts, now);
+        remindNodes(acts, now);
         return acts;
     }
 
     /** As many as there is room for; the others are found again at the next tick. */
-    private void planAll(List<Act> acts, List<Change> changes, Duration now) {
-        for (Change change : changes) {
-            if (book.moves().stream().filter(move -> !idle(move)).count() < 2L * limits.most()
-                    && problem(change).isEmpty()) {
+    private void planChanges(
+            List<CoordinatorAction> acts, List<LayoutChange> changes, Duration now) {
+        for (LayoutChange change : changes) {
+            if (journalState.activeMoves().stream().filter(move -> !awaitsApproval(move)).count()
+                            < 2L * limits.maxMoves()
+                    && rejectionReason(change).isEmpty()) {
                 acts.addAll(plan(change, now));
             }
         }
     }
 
     /** It waits for others' say, and needs nothing of its nodes but what they do all the time. */
-    private boolean idle(Move move) {
-        return move.state == MoveState.HOLDING_BOTH && !gate.may(move, MoveState.FENCED)
+    private boolean awaitsApproval(Move move) {
+        return move.state == MoveState.REPLICATING && !admission.permits(move, MoveState.FENCED)
                 || move.state == MoveState.CUT_OVER
-                        && !move.turnsBack
-                        && !gate.may(move, MoveState.FORGOTTEN);
+                        && !move.reverseWhenDone
+                        && !admission.permits(move, MoveState.COMPLETED);
     }
 
     /** Each node that gains by the move has done this order lately told. */
-    public boolean gained(Move move, Order order) {
-        return move.gains.stream()
+    public boolean destinationsAcknowledged(Move move, HandoffCommand command) {
+        return move.destinations.stream()
                 .allMatch(
                         gain -> {
-                            Told one =
-                                    told.getOrDefault(move.id, Map.of())
-                                            .get(new Key(gain.node(), order, gain.slice()));
-                            return one != null && one.done;
+                            Delivery one =
+                                    deliveries
+                                            .getOrDefault(move.id, Map.of())
+                                            .get(
+                                                    new CommandKey(
+                                                            gain.node(), command, gain.slice()));
+                            return one != null && one.acknowledged;
                         });
     }
 
-    private void step(List<Act> acts, Move move, Duration now) {
-        boolean copying = move.state == MoveState.COPYING || move.state == MoveState.HOLDING_BOTH;
+    private void step(List<CoordinatorAction> acts, Move move, Duration now) {
+        boolean copying = move.state == MoveState.COPYING || move.state == MoveState.REPLICATING;
         boolean late =
-                now.minus(move.since)
+                now.minus(move.stateSince)
                                         .compareTo(
                                                 move.state == MoveState.COPYING
-                                                        ? limits.copyMost()
-                                                        : limits.stepMost())
+                                                        ? limits.copyTimeout()
+                                                        : limits.stepTimeout())
                                 > 0
-                        && (!copying || gate.timed(move));
+                        && (!copying || admission.copyTimeoutApplies(move));
         switch (move.state) {
             case PLANNED -> {
-                if (lost(move) != null) {
-                    abandon(acts, move, "node " + lost(move) + " is gone", now);
-                } else if (mayBegin(move, now) && gate.may(move, MoveState.COPYING)) {
+                if (missingNode(move) != null) {
+                    abandon(acts, move, "node " + missingNode(move) + " is gone", now);
+                } else if (mayStart(move, now) && admission.permits(move, MoveState.COPYING)) {
                     advance(acts, move, MoveState.COPYING, now);
                 }
             }
             case COPYING -> {
-                if (lost(move) != null || late) {
+                if (missingNode(move) != null || late) {
                     abandon(
                             acts,
                             move,
-                            late ? "the copy is stuck" : "node " + lost(move) + " is gone",
+                            late ? "the copy is stuck" : "node " + missingNode(move) + " is gone",
                             now);
-                } else if (gate.may(move, MoveState.HOLDING_BOTH)
-                        && gains(acts, move, Order.COPY, now)) {
-                    advance(acts, move, MoveState.HOLDING_BOTH, now);
+                } else if (admission.permits(move, MoveState.REPLICATING)
+                        && commandDestinations(acts, move, HandoffCommand.COPY, now)) {
+                    advance(acts, move, MoveState.REPLICATING, now);
                 }
             }
-            case HOLDING_BOTH -> {
-                if (lost(move) != null || late) {
+            case REPLICATING -> {
+                if (missingNode(move) != null || late) {
                     abandon(
                             acts,
                             move,
-                            late ? "nodes don't keep up" : "node " + lost(move) + " is gone",
+                            late ? "nodes don't keep up" : "node " + missingNode(move) + " is gone",
                             now);
-                } else if (gains(acts, move, Order.HOLD, now) && gate.may(move, MoveState.FENCED)) {
+                } else if (commandDestinations(acts, move, HandoffCommand.HOLD, now)
+                        && admission.permits(move, MoveState.FENCED)) {
                     advance(acts, move, MoveState.FENCED, now);
                 }
             }
-            case FENCED -> fenced(acts, move, late, now);
+            case FENCED -> advanceFenced(acts, move, late, now);
             case CUT_OVER -> {
-                if (move.turnsBack && move.change instanceof Change.Move) {
+                if (move.reverseWhenDone && move.change instanceof LayoutChange.Transfer) {
                     // What the old holders have is wanted again: the opposite move copies onto it,
                     // and owes no drop.
-                    move.losses.forEach(loss -> write(acts, new Logged.Owed(loss, true)));
-                    advance(acts, move, MoveState.FORGOTTEN, now);
-                    turnBack(acts, move, now);
+                    move.oldHolders.forEach(
+                            loss -> append(acts, new JournalRecord.PendingDrop(loss, true)));
+                    advance(acts, move, MoveState.COMPLETED, now);
+                    planReverse(acts, move, now);
                     return;
                 }
-                if (!gate.may(move, MoveState.FORGOTTEN)) {
+                if (!admission.permits(move, MoveState.COMPLETED)) {
                     return;
                 }
                 // Who does not answer is told again when it is there: what it was fenced from harms
                 // nobody so long.
-                if (losses(acts, move, Order.DROP, now) || late) {
-                    move.losses.stream()
-                            .filter(loss -> !done(move.id, loss, Order.DROP))
-                            .forEach(loss -> write(acts, new Logged.Owed(loss, true)));
-                    advance(acts, move, MoveState.FORGOTTEN, now);
-                    turnBack(acts, move, now);
+                if (commandOldHolders(acts, move, HandoffCommand.DROP, now) || late) {
+                    move.oldHolders.stream()
+                            .filter(loss -> !acknowledged(move.id, loss, HandoffCommand.DROP))
+                            .forEach(
+                                    loss ->
+                                            append(
+                                                    acts,
+                                                    new JournalRecord.PendingDrop(loss, true)));
+                    advance(acts, move, MoveState.COMPLETED, now);
+                    planReverse(acts, move, now);
                 }
             }
             case ABANDONING -> {
-                boolean dropped = gains(acts, move, Order.DROP, now) || late;
+                boolean dropped = commandDestinations(acts, move, HandoffCommand.DROP, now) || late;
                 // Until each old holder takes the slice again: one that stays fenced would be a
                 // holder in name.
-                if ((!move.fenced || losses(acts, move, Order.SERVE, now)) && dropped) {
-                    write(acts, new Logged.Back(move.id, book.nextVersion(), now));
-                    acts.add(new Act.Publish(book.layout()));
+                if ((!move.mayBeFenced || commandOldHolders(acts, move, HandoffCommand.SERVE, now))
+                        && dropped) {
+                    append(
+                            acts,
+                            new JournalRecord.RolledBack(move.id, journalState.nextVersion(), now));
+                    acts.add(new CoordinatorAction.PublishLayout(journalState.layout()));
                 }
             }
             default -> {}
@@ -408,30 +440,31 @@
      * take calls for a slice that changes hands. A source that dies once it is fenced is not needed
      * any more.
      */
-    private void fenced(List<Act> acts, Move move, boolean late, Duration now) {
+    private void advanceFenced(
+            List<CoordinatorAction> acts, Move move, boolean late, Duration now) {
         boolean fenced = true;
-        for (Move.Loss loss : move.losses) {
+        for (Move.OldHolder loss : move.oldHolders) {
             boolean done =
-                    tell(
+                    sendCommand(
                             acts,
                             move,
                             loss.node(),
-                            Order.FENCE,
+                            HandoffCommand.FENCE,
                             loss.slice(),
                             loss.keys(),
                             null,
                             now);
-            if (!done && gone(loss.node()) && !gone(move, loss.node())) {
+            if (!done && isGone(loss.node()) && !isGone(move, loss.node())) {
                 // Perhaps it is only cut off from here, and still takes calls of the old version.
                 abandon(acts, move, "node " + loss.node() + " is gone before it was fenced", now);
                 return;
             }
-            fenced &= done || gone(loss.node());
+            fenced &= done || isGone(loss.node());
         }
         String target =
-                move.gains.stream()
-                        .map(Move.Gain::node)
-                        .filter(this::gone)
+                move.destinations.stream()
+                        .map(Move.Destination::node)
+                        .filter(this::isGone)
                         .findFirst()
                         .orElse(null);
         if (target != null || late) {
@@ -440,31 +473,32 @@
                     move,
                     late ? "nodes don't answer while it is fenced" : "node " + target + " is gone",
                     now);
-        } else if (fenced && gains(acts, move, Order.SERVE, now)) {
-            write(acts, new Logged.CutOver(move.id, book.nextVersion(), now));
-            acts.add(new Act.Publish(book.layout()));
+        } else if (fenced && commandDestinations(acts, move, HandoffCommand.SERVE, now)) {
+            append(acts, new JournalRecord.CutOver(move.id, journalState.nextVersion(), now));
+            acts.add(new CoordinatorAction.PublishLayout(journalState.layout()));
         }
     }
 
-    private void turnBack(List<Act> acts, Move move, Duration now) {
-        if (!move.turnsBack) {
+    private void planReverse(List<CoordinatorAction> acts, Move move, Duration now) {
+        if (!move.reverseWhenDone) {
             return;
         }
-        Change back =
-                move.change instanceof Change.Move moved
-                        ? new Change.Move(moved.slice(), moved.to(), moved.from())
-                        : move.change instanceof Change.Split
-                                ? new Change.Merge(move.births)
-                                : new Change.Split(move.births.get(0), inner(move));
-        if (problem(back).isEmpty()) {
+        LayoutChange back =
+                move.change instanceof LayoutChange.Transfer moved
+                        ? new LayoutChange.Transfer(moved.slice(), moved.to(), moved.from())
+                        : move.change instanceof LayoutChange.Split
+                                ? new LayoutChange.Merge(move.newSlices)
+                                : new LayoutChange.Split(
+                                        move.newSlices.get(0), mergeBoundaries(move));
+        if (rejectionReason(back).isEmpty()) {
             acts.addAll(plan(back, now));
         }
     }
 
     /** Where the slices that a merge joined met. */
-    private static List<Long> inner(Move merge) {
-        String node = merge.losses.get(0).node();
-        return merge.losses.stream()
+    private static List<Long> mergeBoundaries(Move merge) {
+        String node = merge.oldHolders.get(0).node();
+        return merge.oldHolders.stream()
                 .filter(loss -> loss.node().equals(node))
                 .skip(1)
                 .map(loss -> loss.keys().from())
@@ -474,12 +508,12 @@
     // ---- when a move may begin
 
     /** A node without which a move can't go on, and that is gone; null where there is none. */
-    private String lost(Move move) {
-        for (Move.Gain gain : move.gains) {
-            if (gone(gain.node())) {
+    private String missingNode(Move move) {
+        for (Move.Destination gain : move.destinations) {
+            if (isGone(gain.node())) {
                 return gain.node();
             }
-            if (gone(gain.source())) {
+            if (isGone(gain.source())) {
                 return gain.source();
             }
         }
@@ -488,41 +522,41 @@
     }
 
     /** It was planned without this node: what it held was lost already. */
-    private static boolean gone(Move move, String node) {
-        return move.change instanceof Change.Move
-                && move.gains.stream().noneMatch(gain -> gain.source().equals(node));
+    private static boolean isGone(Move move, String node) {
+        return move.change instanceof LayoutChange.Transfer
+                && move.destinations.stream().noneMatch(gain -> gain.source().equals(node));
     }
 
-    private boolean mayBegin(Move move, Duration now) {
+    private boolean mayStart(Move move, Duration now) {
         int inAll = 0;
         Map<String, Integer> byNode = new HashMap<>();
         Map<String, Integer> byZone = new HashMap<>();
-        for (Move other : book.moves()) {
-            if (other.state != MoveState.PLANNED && !idle(other)) {
+        for (Move other : journalState.activeMoves()) {
+            if (other.state != MoveState.PLANNED && !awaitsApproval(other)) {
                 inAll++;
-                other.nodes().forEach(node -> byNode.merge(node, 1, Integer::sum));
+                other.requiredNodes().forEach(node -> byNode.merge(node, 1, Integer::sum));
                 zones(other).forEach(zone -> byZone.merge(zone, 1, Integer::sum));
             }
         }
-        return inAll < limits.most()
-                && move.nodes().stream()
-                        .allMatch(node -> byNode.getOrDefault(node, 0) < limits.mostANode())
+        return inAll < limits.maxMoves()
+                && move.requiredNodes().stream()
+                        .allMatch(node -> byNode.getOrDefault(node, 0) < limits.maxMovesPerNode())
                 && zones(move).stream()
-                        .allMatch(zone -> byZone.getOrDefault(zone, 0) < limits.mostAZone())
-                && move.gains.stream()
+                        .allMatch(zone -> byZone.getOrDefault(zone, 0) < limits.maxMovesPerZone())
+                && move.destinations.stream()
                         .allMatch(
                                 gain ->
-                                        ready(gain.source())
-                                                && ready(gain.node())
+                                        isReady(gain.source())
+                                                && isReady(gain.node())
                                                 && (gain.node().equals(gain.source())
-                                                        || rested(gain.node(), now)));
+                                                        || cooledDown(gain.node(), now)));
     }
 
     private List<String> zones(Move move) {
-        return move.nodes().stream()
+        return move.requiredNodes().stream()
                 .map(nodes::get)
                 .filter(node -> node != null)
-                .map(Target.Known::zone)
+                .map(TargetLayout.NodeInfo::zone)
                 .distinct()
                 .toList();
     }
@@ -530,11 +564,11 @@
     /**
      * Guards against a node that is given slice after slice while it is still cold with the last.
      */
-    private boolean rested(String node, Duration now) {
-        for (Slice slice : book.layout().slices()) {
+    private boolean cooledDown(String node, Duration now) {
+        for (Slice slice : journalState.layout().slices()) {
             for (Holder holder : slice.holders()) {
                 if (holder.node().equals(node)
-                        && now.minus(holder.tookAt()).compareTo(limits.rest()) < 0) {
+                        && now.minus(holder.acquiredAt()).compareTo(limits.nodeCooldown()) < 0) {
                     return false;
                 }
             }
@@ -542,56 +576,66 @@
         return true;
     }
 
-    private boolean ready(String node) {
-        Target.Known known = nodes.get(node);
+    private boolean isReady(String node) {
+        TargetLayout.NodeInfo known = nodes.get(node);
         return known != null && known.readiness() == Readiness.READY;
     }
 
     /** It was listed once and is no more; one that was never told of is waited for. */
-    private boolean gone(String node) {
-        Target.Known known = nodes.get(node);
-        return known != null && known.readiness() == Readiness.GONE;
+    private boolean isGone(String node) {
+        TargetLayout.NodeInfo known = nodes.get(node);
+        return known != null && known.readiness() == Readiness.REMOVED;
     }
 
     // ---- acts
 
-    private void write(List<Act> acts, Logged record) {
-        book.apply(record);
-        acts.add(new Act.Write(record));
+    private void append(List<CoordinatorAction> acts, JournalRecord record) {
+        journalState.apply(record);
+        acts.add(new CoordinatorAction.AppendRecord(record));
     }
 
-    private void advance(List<Act> acts, Move move, MoveState state, Duration now) {
-        write(acts, new Logged.Advanced(move.id, state, now));
+    private void advance(List<CoordinatorAction> acts, Move move, MoveState state, Duration now) {
+        append(acts, new JournalRecord.Advanced(move.id, state, now));
     }
 
-    private void abandon(List<Act> acts, Move move, String why, Duration now) {
-        write(acts, new Logged.Abandoning(move.id, why, now));
+    private void abandon(List<CoordinatorAction> acts, Move move, String why, Duration now) {
+        append(acts, new JournalRecord.AbandonRequested(move.id, why, now));
     }
 
     /** True once all who gain have done it. */
-    private boolean gains(List<Act> acts, Move move, Order order, Duration now) {
+    private boolean commandDestinations(
+            List<CoordinatorAction> acts, Move move, HandoffCommand command, Duration now) {
         return all(
-                move.gains,
+                move.destinations,
                 gain ->
-                        tell(
+                        sendCommand(
                                         acts,
                                         move,
                                         gain.node(),
-                                        order,
+                                        command,
                                         gain.slice(),
                                         gain.keys(),
                                         gain.source(),
                                         now)
-                                || order == Order.DROP && gone(gain.node()));
+                                || command == HandoffCommand.DROP && isGone(gain.node()));
     }
 
     /** True once all who lose have done it, but for those that are gone. */
-    private boolean losses(List<Act> acts, Move move, Order order, Duration now) {
+    private boolean commandOldHolders(
+            List<CoordinatorAction> acts, Move move, HandoffCommand command, Duration now) {
         return all(
-                move.losses,
+                move.oldHolders,
                 loss ->
-                        tell(acts, move, loss.node(), order, loss.slice(), loss.keys(), null, now)
-                                || gone(loss.node()));
+                        sendCommand(
+                                        acts,
+                                        move,
+                                        loss.node(),
+                                        command,
+                                        loss.slice(),
+                                        loss.keys(),
+                                        null,
+                                        now)
+                                || isGone(loss.node()));
     }
 
     private static <T> boolean all(List<T> list, Function<T, Boolean> each) {
@@ -602,53 +646,61 @@
         return all;
     }
 
-    private boolean tell(
-            List<Act> acts,
+    private boolean sendCommand(
+            List<CoordinatorAction> acts,
             Move move,
             String node,
-            Order order,
+            HandoffCommand command,
             int slice,
             KeyRange keys,
             String source,
             Duration now) {
-        return tell(
+        return sendCommand(
                 acts,
-                told.computeIfAbsent(move.id, id -> new HashMap<>()),
+                deliveries.computeIfAbsent(move.id, id -> new HashMap<>()),
                 move.id,
                 node,
-                order,
+                command,
                 slice,
                 keys,
-                book.nextVersion(),
+                journalState.nextVersion(),
                 source,
                 now);
     }
 
     /** Tells it where it has not been told lately; true once it has been done. */
-    private boolean tell(
-            List<Act> acts,
-            Map<Key, Told> keysTold,
+    private boolean sendCommand(
+            List<CoordinatorAction> acts,
+            Map<CommandKey, Delivery> keysTold,
             long move,
             String node,
-            Order order,
+            HandoffCommand command,
             int slice,
             KeyRange keys,
             long version,
             String source,
             Duration now) {
-        Told one = keysTold.computeIfAbsent(new Key(node, order, slice), key -> new Told());
-        if (!one.done
-                && !gone(node)
-                && (one.at == null || now.minus(one.at).compareTo(limits.againEvery()) >= 0)) {
-            one.at = now;
-            acts.add(new Act.Tell(move, node, order, slice, keys, version, source));
+        Delivery one =
+                keysTold.computeIfAbsent(
+                        new CommandKey(node, command, slice), key -> new Delivery());
+        if (!one.acknowledged
+                && !isGone(node)
+                && (one.sentAt == null
+                        || now.minus(one.sentAt).compareTo(limits.resendInterval()) >= 0)) {
+            one.sentAt = now;
+            acts.add(
+                    new CoordinatorAction.SendCommand(
+                            move, node, command, slice, keys, version, source));
         }
-        return one.done;
+        return one.acknowledged;
     }
 
-    private boolean done(long move, Move.Loss loss, Order order) {
-        Told one = told.getOrDefault(move, Map.of()).get(new Key(loss.node(), order, loss.slice()));
-        return one != null && one.done;
+    private boolean acknowledged(long move, Move.OldHolder loss, HandoffCommand command) {
+        Delivery one =
+                deliveries
+                        .getOrDefault(move, Map.of())
+                        .get(new CommandKey(loss.node(), command, loss.slice()));
+        return one != null && one.acknowledged;
     }
 
     /**
@@ -656,21 +708,23 @@
      * thinks that it holds it, and would serve old data to a router that is as far behind. It is
      * told to drop it first of all.
      */
-    private void collect(List<Act> acts, Duration now) {
-        for (Move.Loss loss : List.copyOf(book.owed())) {
-            if (tell(
+    private void sendPendingDrops(List<CoordinatorAction> acts, Duration now) {
+        for (Move.OldHolder loss : List.copyOf(journalState.pendingDrops())) {
+            if (sendCommand(
                     acts,
-                    told.computeIfAbsent(NO_MOVE, id -> new HashMap<>()),
+                    deliveries.computeIfAbsent(NO_MOVE, id -> new HashMap<>()),
                     NO_MOVE,
                     loss.node(),
-                    Order.DROP,
+                    HandoffCommand.DROP,
                     loss.slice(),
                     loss.keys(),
                     0,
                     null,
                     now)) {
-                told.get(NO_MOVE).remove(new Key(loss.node(), Order.DROP, loss.slice()));
-                write(acts, new Logged.Owed(loss, false));
+                deliveries
+                        .get(NO_MOVE)
+                        .remove(new CommandKey(loss.node(), HandoffCommand.DROP, loss.slice()));
+                append(acts, new JournalRecord.PendingDrop(loss, false));
             }
         }
     }
@@ -680,19 +734,21 @@
      * heard that a move was abandoned: it is told of each slice that the layout in force gives it
      * and that no move is about.
      */
-    private void remind(List<Act> acts, Duration now) {
-        reminded.entrySet()
+    private void remindNodes(List<CoordinatorAction> acts, Duration now) {
+        pendingReminders
+                .entrySet()
                 .removeIf(
                         entry -> {
                             boolean all = true;
                             int open = 0;
-                            for (Slice slice : book.layout().slices()) {
-                                if (!slice.heldBy(entry.getKey()) || open >= REMINDED_MOST) {
+                            for (Slice slice : journalState.layout().slices()) {
+                                if (!slice.heldBy(entry.getKey())
+                                        || open >= MAX_REMINDERS_IN_FLIGHT) {
                                     continue;
                                 }
                                 // What a move is about is reminded of once that is over.
                                 boolean moving =
-                                        book.moves().stream()
+                                        journalState.activeMoves().stream()
                                                 .anyMatch(
                                                         move ->
                                                                 (move.change
@@ -700,28 +756,28 @@
                                                                                         .contains(
                                                                                                 slice
                                                                                                         .number())
-                                                                                || move.births
+                                                                                || move.newSlices
                                                                                         .contains(
                                                                                                 slice
                                                                                                         .number()))
-                                                                        && !idle(move));
+                                                                        && !awaitsApproval(move));
                                 boolean done =
                                         !moving
-                                                && tell(
+                                                && sendCommand(
                                                         acts,
                                                         entry.getValue(),
                                                         NO_MOVE,
                                                         entry.getKey(),
-                                                        Order.SERVE,
+                                                        HandoffCommand.SERVE,
                                                         slice.number(),
                                                         slice.keys(),
-                                                        slice.bornIn(),
+                                                        slice.createdVersion(),
                                                         null,
                                                         now);
                                 open += done ? 0 : 1;
                                 all &= done;
                             }
-                            return all || gone(entry.getKey());
+                            return all || isGone(entry.getKey());
                         });
     }
 }
--- a/src/main/java/postbeam/slices/Act.java
+++ b/src/main/java/postbeam/slices/CoordinatorAction.java
@@ -3,23 +3,23 @@
 /**
  * What the coordinator has done, in this order; what follows a record waits until that is on disk.
  */
-public sealed interface Act {
-    record Write(Logged record) implements Act {}
+public sealed interface CoordinatorAction {
+    record AppendRecord(JournalRecord record) implements CoordinatorAction {}
 
     /**
-     * Tells a node what to do with a slice; the version counts for {@link Order#SERVE}, the source
-     * for COPY.
+     * Tells a node what to do with a slice; the version counts for {@link HandoffCommand#SERVE},
+     * the source for COPY.
      */
-    record Tell(
+    record SendCommand(
             long move,
             String node,
-            Order order,
+            HandoffCommand command,
             int slice,
             KeyRange keys,
             long version,
             String source)
-            implements Act {}
+            implements CoordinatorAction {}
 
     /** From now on this layout is told to all. */
-    record Publish(Layout layout) implements Act {}
+    record PublishLayout(Layout layout) implements CoordinatorAction {}
 }
--- a/src/main/java/postbeam/slices/Coverage.java
+++ b/src/main/java/postbeam/slices/Coverage.java
@@ -11,7 +11,7 @@
      * The first gap or overlap of ranges that are sorted, in a line; empty where they cover all
      * keys once.
      */
-    static Optional<String> problem(List<KeyRange> sorted) {
+    static Optional<String> firstProblem(List<KeyRange> sorted) {
         long end = 0;
         for (KeyRange keys : sorted) {
             if (keys.from() > end) {
@@ -26,8 +26,9 @@
             }
             end = keys.to();
         }
-        return end == KeyRange.KEYS
+        return end == KeyRange.KEY_SPACE_SIZE
                 ? Optional.empty()
-                : Optional.of("gap: no slice holds the keys " + end + "-" + KeyRange.KEYS);
+                : Optional.of(
+                        "gap: no slice holds the keys " + end + "-" + KeyRange.KEY_SPACE_SIZE);
     }
 }
--- a/src/main/java/postbeam/slices/Fragment.java
+++ b/src/main/java/postbeam/slices/Fragment.java
@@ -6,16 +6,16 @@
 /** Some keys of one slice of the layout in force, of which a query wants an answer. */
 public record Fragment(int slice, KeyRange keys) implements Comparable<Fragment> {
     /** Cut along the slices of the layout. */
-    public static List<Fragment> cut(Layout layout, KeyRange keys) {
+    public static List<Fragment> split(Layout layout, KeyRange keys) {
         List<Fragment> fragments = new ArrayList<>();
-        for (Slice slice : layout.meeting(keys)) {
-            fragments.add(new Fragment(slice.number(), keys.common(slice.keys())));
+        for (Slice slice : layout.overlapping(keys)) {
+            fragments.add(new Fragment(slice.number(), keys.intersection(slice.keys())));
         }
         return fragments;
     }
 
     /** With those that touch within one slice joined: one answer for both. */
-    public static List<Fragment> joined(List<Fragment> fragments) {
+    public static List<Fragment> merged(List<Fragment> fragments) {
         List<Fragment> sorted = new ArrayList<>(fragments);
         sorted.sort(null);
         List<Fragment> joined = new ArrayList<>();
@@ -23,7 +23,8 @@
             Fragment last = joined.isEmpty() ? null : joined.get(joined.size() - 1);
             if (last != null && last.slice == next.slice && last.keys.to() == next.keys.from()) {
                 joined.set(
-                        joined.size() - 1, new Fragment(last.slice, last.keys.joined(next.keys)));
+                        joined.size() - 1,
+                        new Fragment(last.slice, last.keys.joinedWith(next.keys)));
             } else {
                 joined.add(next);
             }
--- a/src/main/java/postbeam/slices/Order.java
+++ b/src/main/java/postbeam/slices/HandoffCommand.java
@@ -1,7 +1,7 @@
 package postbeam.slices;
 
 /** What a data node is told to do with a slice. Each may come twice and then does nothing more. */
-public enum Order {
+public enum HandoffCommand {
     /**
      * Copy the keys' data from another node, or take it up under another number where it holds it
      * itself.
--- a/src/main/java/postbeam/slices/Layout.java
+++ b/src/main/java/postbeam/slices/Layout.java
@@ -12,39 +12,40 @@
 
 /**
  * One version of which slices there are and who holds them, with the lineage of those that it has
- * replaced. It covers the key space once, by construction: {@link #checked} is the only way to one
- * from outside, {@link #after} the only way on. Never changed once made.
+ * replaced. It covers the key space once, by construction: {@link #validated} is the only way to
+ * one from outside, {@link #withChange} the only way on. Never changed once made.
  */
 public final class Layout {
     public final long version;
 
     /** The oldest version whose slices it still knows. */
-    public final long oldest;
+    public final long oldestVersion;
 
     private final List<Slice> slices;
     private final Map<Integer, Slice> byNumber = new LinkedHashMap<>();
-    private final Map<Integer, Retired> retired = new LinkedHashMap<>();
+    private final Map<Integer, RetiredSlice> retiredSlices = new LinkedHashMap<>();
 
-    private Layout(long version, long oldest, List<Slice> slices, Collection<Retired> retired) {
+    private Layout(
+            long version, long oldest, List<Slice> slices, Collection<RetiredSlice> retired) {
         this.version = version;
-        this.oldest = oldest;
+        this.oldestVersion = oldest;
         this.slices = List.copyOf(slices);
         slices.forEach(slice -> byNumber.put(slice.number(), slice));
         retired.stream()
-                .filter(old -> old.diedIn() > oldest)
-                .forEach(old -> this.retired.put(old.number(), old));
+                .filter(old -> old.retiredVersion() > oldest)
+                .forEach(old -> this.retiredSlices.put(old.number(), old));
     }
 
     /** From what somebody tells; an IllegalArgumentException names what is wrong with it. */
-    public static Layout checked(
-            long version, long oldest, List<Slice> slices, List<Retired> retired) {
+    public static Layout validated(
+            long version, long oldest, List<Slice> slices, List<RetiredSlice> retired) {
         if (version < 1 || oldest < 0 || oldest > version) {
             throw new IllegalArgumentException(
                     "versions can't be used: " + version + ", oldest " + oldest);
         }
         List<Slice> sorted = new ArrayList<>(slices);
         sorted.sort(Comparator.comparing(Slice::keys));
-        Coverage.problem(sorted.stream().map(Slice::keys).toList())
+        Coverage.firstProblem(sorted.stream().map(Slice::keys).toList())
                 .ifPresent(
                         problem -> {
                             throw new IllegalArgumentException(problem);
@@ -60,16 +61,16 @@
                 throw new IllegalArgumentException(
                         "slice " + slice.number() + " has no holder, or one twice");
             }
-            if (slice.bornIn() > version) {
+            if (slice.createdVersion() > version) {
                 throw new IllegalArgumentException(
                         "slice " + slice.number() + " is younger than its layout");
             }
         }
-        for (Retired old : retired) {
+        for (RetiredSlice old : retired) {
             if (!numbers.add(old.number())) {
                 throw new IllegalArgumentException("slice " + old.number() + " stands there twice");
             }
-            if (old.bornIn() >= old.diedIn() || old.diedIn() > version) {
+            if (old.createdVersion() >= old.retiredVersion() || old.retiredVersion() > version) {
                 throw new IllegalArgumentException(
                         "retired slice " + old.number() + " has ages that can't be");
             }
@@ -78,7 +79,7 @@
     }
 
     /** The first layout: so many slices of even size, each with these holders in turn. */
-    public static Layout first(int count, List<String> nodes, int holders) {
+    public static Layout initial(int count, List<String> nodes, int holders) {
         List<Slice> slices = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             List<Holder> held = new ArrayList<>();
@@ -89,14 +90,14 @@
                     new Slice(
                             i,
                             new KeyRange(
-                                    KeyRange.KEYS / count * i,
+                                    KeyRange.KEY_SPACE_SIZE / count * i,
                                     i + 1 == count
-                                            ? KeyRange.KEYS
-                                            : KeyRange.KEYS / count * (i + 1)),
+                                            ? KeyRange.KEY_SPACE_SIZE
+                                            : KeyRange.KEY_SPACE_SIZE / count * (i + 1)),
                             1,
                             held));
         }
-        return checked(1, 1, slices, List.of());
+        return validated(1, 1, slices, List.of());
     }
 
     public List<Slice> slices() {
@@ -108,8 +109,8 @@
         return byNumber.get(number);
     }
 
-    public Collection<Retired> retired() {
-        return retired.values();
+    public Collection<RetiredSlice> retiredSlices() {
+        return retiredSlices.values();
     }
 
     /**
@@ -119,14 +120,16 @@
     public KeyRange keysOf(int number, long in) {
         Slice slice = byNumber.get(number);
         if (slice != null) {
-            return slice.bornIn() <= in ? slice.keys() : null;
+            return slice.createdVersion() <= in ? slice.keys() : null;
         }
-        Retired old = retired.get(number);
-        return old != null && old.bornIn() <= in && in < old.diedIn() ? old.keys() : null;
+        RetiredSlice old = retiredSlices.get(number);
+        return old != null && old.createdVersion() <= in && in < old.retiredVersion()
+                ? old.keys()
+                : null;
     }
 
     /** The slices that hold any of these keys, in order. */
-    public List<Slice> meeting(KeyRange keys) {
+    public List<Slice> overlapping(KeyRange keys) {
         int low = 0;
         int high = slices.size() - 1;
         while (low < high) {
@@ -145,7 +148,7 @@
     }
 
     /** How many nodes hold a slice, on the mean and rounded up. */
-    public int reach() {
+    public int meanHolders() {
         int held = slices.stream().mapToInt(slice -> slice.holders().size()).sum();
         return Math.max(1, (held + slices.size() - 1) / slices.size());
     }
@@ -156,8 +159,9 @@
      * The same slices under a higher version: what was fenced may be taken up again by its old
      * holders.
      */
-    public Layout again(long next) {
-        return new Layout(higher(next), oldest, slices, retired.values());
+    public Layout withVersion(long next) {
+        return new Layout(
+                requireHigherVersion(next), oldestVersion, slices, retiredSlices.values());
     }
 
     /**
@@ -165,50 +169,52 @@
      * its slice at this time, and versions more than so many back are forgotten. An
      * IllegalArgumentException says why it can't be done.
      */
-    public Layout after(
-            Change change, List<Integer> births, long next, Duration now, long history) {
+    public Layout withChange(
+            LayoutChange change, List<Integer> births, long next, Duration now, long history) {
         List<Slice> then = new ArrayList<>(slices);
-        List<Retired> dead = new ArrayList<>(retired.values());
-        higher(next);
-        if (change instanceof Change.Move move) {
-            Slice slice = needed(move.slice());
+        List<RetiredSlice> dead = new ArrayList<>(retiredSlices.values());
+        requireHigherVersion(next);
+        if (change instanceof LayoutChange.Transfer move) {
+            Slice slice = requireSlice(move.slice());
             int at = then.indexOf(slice);
             then.set(
                     at,
                     new Slice(
                             slice.number(),
                             slice.keys(),
-                            slice.bornIn(),
+                            slice.createdVersion(),
                             holdersAfter(slice, move, now)));
         } else {
-            List<KeyRange> born = born(change);
+            List<KeyRange> born = newSliceRanges(change);
             if (births.size() != born.size()) {
                 throw new IllegalArgumentException(
                         change + " bears " + born.size() + " slices, not " + births.size());
             }
-            List<Holder> holders = needed(change.slices().get(0)).holders();
-            int at = then.indexOf(needed(change.slices().get(0)));
+            List<Holder> holders = requireSlice(change.slices().get(0)).holders();
+            int at = then.indexOf(requireSlice(change.slices().get(0)));
             for (int number : change.slices()) {
-                Slice slice = needed(number);
+                Slice slice = requireSlice(number);
                 then.remove(slice);
-                dead.add(new Retired(number, slice.keys(), slice.bornIn(), next, births));
-                holders = latest(holders, slice.holders());
+                dead.add(
+                        new RetiredSlice(
+                                number, slice.keys(), slice.createdVersion(), next, births));
+                holders = latestAcquired(holders, slice.holders());
             }
             for (int i = 0; i < born.size(); i++) {
                 then.add(at + i, new Slice(births.get(i), born.get(i), next, holders));
             }
         }
-        return new Layout(next, Math.max(oldest, next - history), then, dead);
+        return new Layout(next, Math.max(oldestVersion, next - history), then, dead);
     }
 
-    private long higher(long next) {
+    private long requireHigherVersion(long next) {
         if (next <= version) {
             throw new IllegalArgumentException("version " + next + " is not above " + version);
         }
         return next;
     }
 
-    private Slice needed(int number) {
+    private Slice requireSlice(int number) {
         Slice slice = byNumber.get(number);
         if (slice == null) {
             throw new IllegalArgumentException("there is no slice " + number);
@@ -217,9 +223,9 @@
     }
 
     /** The keys of the slices that a split or a merge bears. */
-    public List<KeyRange> born(Change change) {
-        if (change instanceof Change.Split split) {
-            KeyRange keys = needed(split.slice()).keys();
+    public List<KeyRange> newSliceRanges(LayoutChange change) {
+        if (change instanceof LayoutChange.Split split) {
+            KeyRange keys = requireSlice(split.slice()).keys();
             List<KeyRange> born = new ArrayList<>();
             long from = keys.from();
             for (long cut : split.cuts()) {
@@ -242,14 +248,14 @@
             born.add(new KeyRange(from, keys.to()));
             return born;
         }
-        if (change instanceof Change.Merge merge) {
+        if (change instanceof LayoutChange.Merge merge) {
             if (merge.slices().size() < 2) {
                 throw new IllegalArgumentException("a merge takes two slices or more");
             }
-            Slice first = needed(merge.slices().get(0));
+            Slice first = requireSlice(merge.slices().get(0));
             KeyRange keys = first.keys();
             for (int number : merge.slices().subList(1, merge.slices().size())) {
-                Slice next = needed(number);
+                Slice next = requireSlice(number);
                 if (keys.to() != next.keys().from()) {
                     throw new IllegalArgumentException(
                             "slices " + merge.slices() + " are no neighbours in order");
@@ -262,14 +268,15 @@
                                     + number
                                     + " are held by other nodes: move them together first");
                 }
-                keys = keys.joined(next.keys());
+                keys = keys.joinedWith(next.keys());
             }
             return List.of(keys);
         }
         return List.of();
     }
 
-    private static List<Holder> holdersAfter(Slice slice, Change.Move move, Duration now) {
+    private static List<Holder> holdersAfter(
+            Slice slice, LayoutChange.Transfer move, Duration now) {
         if (move.from() != null && !slice.heldBy(move.from())) {
             throw new IllegalArgumentException(
                     "slice " + slice.number() + " is not held by " + move.from());
@@ -297,7 +304,7 @@
     }
 
     /** Of slices joined each holder has what it took last. */
-    private static List<Holder> latest(List<Holder> holders, List<Holder> others) {
+    private static List<Holder> latestAcquired(List<Holder> holders, List<Holder> others) {
         return holders.stream()
                 .map(
                         holder ->
@@ -305,10 +312,10 @@
                                         .filter(
                                                 other ->
                                                         other.node().equals(holder.node())
-                                                                && other.tookAt()
+                                                                && other.acquiredAt()
                                                                                 .compareTo(
                                                                                         holder
-                                                                                                .tookAt())
+                                                                                                .acquiredAt())
                                                                         > 0)
                                         .findFirst()
                                         .orElse(holder))
--- a/src/main/java/postbeam/slices/Change.java
+++ b/src/main/java/postbeam/slices/LayoutChange.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /** What can be done to a layout. */
-public sealed interface Change {
+public sealed interface LayoutChange {
     /** The slices it is about. */
     List<Integer> slices();
 
     /** Cuts a slice at these keys, each strictly inside it, in order. */
-    record Split(int slice, List<Long> cuts) implements Change {
+    record Split(int slice, List<Long> cuts) implements LayoutChange {
         public Split {
             cuts = List.copyOf(cuts);
         }
@@ -25,7 +25,7 @@
     }
 
     /** Joins neighbours, in order, that the same nodes hold. */
-    record Merge(List<Integer> slices) implements Change {
+    record Merge(List<Integer> slices) implements LayoutChange {
         public Merge {
             slices = List.copyOf(slices);
         }
@@ -40,8 +40,8 @@
      * Hands a slice from one node to another; without the first a holder is added, without the
      * second one let go.
      */
-    record Move(int slice, String from, String to) implements Change {
-        public Move {
+    record Transfer(int slice, String from, String to) implements LayoutChange {
+        public Transfer {
             if (from == null && to == null) {
                 throw new IllegalArgumentException(
                         "a move of slice " + slice + " from nowhere to nowhere");
@@ -65,7 +65,7 @@
     }
 
     /** How many slices are born by it. */
-    default int births() {
+    default int newSliceCount() {
         return this instanceof Split split
                 ? split.cuts().size() + 1
                 : this instanceof Merge ? 1 : 0;
--- a/src/main/java/postbeam/slices/LayoutHolders.java
+++ b/src/main/java/postbeam/slices/LayoutReplicaPlacement.java
@@ -10,28 +10,28 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Function;
-import postbeam.state.DataNode;
-import postbeam.state.Holders;
+import postbeam.model.DataNode;
+import postbeam.model.ReplicaPlacement;
 
 /**
  * Replica lists by the layout in force: its holders that discovery lists, less those that said they
  * hold it no more.
  */
-public final class LayoutHolders implements Holders {
-    private final Map<String, DataNode> listed = new LinkedHashMap<>();
+public final class LayoutReplicaPlacement implements ReplicaPlacement {
+    private final Map<String, DataNode> listedNodes = new LinkedHashMap<>();
     private final Map<Integer, List<DataNode>> replicas = new HashMap<>();
     private final Map<Integer, Set<DataNode>> left = new HashMap<>();
-    private Function<DataNode, String> names;
-    private Function<Duration, Duration> spans = Function.identity();
+    private Function<DataNode, String> nodeNames;
+    private Function<Duration, Duration> toRouterTime = Function.identity();
     private Comparator<DataNode> order;
     private Layout layout;
 
     /**
      * Where nodes have their names, and how a time since 1970 is told in the router's own spans.
      */
-    public void know(Function<DataNode, String> names, Function<Duration, Duration> spans) {
-        this.names = names;
-        this.spans = spans;
+    public void configure(Function<DataNode, String> names, Function<Duration, Duration> spans) {
+        this.nodeNames = names;
+        this.toRouterTime = spans;
     }
 
     void layout(Layout next) {
@@ -41,19 +41,19 @@
     }
 
     @Override
-    public void order(Comparator<DataNode> order) {
+    public void setReplicaOrder(Comparator<DataNode> order) {
         this.order = order;
     }
 
     @Override
     public void add(DataNode node) {
-        listed.put(names.apply(node), node);
+        listedNodes.put(nodeNames.apply(node), node);
         replicas.clear();
     }
 
     @Override
     public void remove(DataNode node) {
-        listed.remove(names.apply(node), node);
+        listedNodes.remove(nodeNames.apply(node), node);
         replicas.clear();
     }
 
@@ -64,7 +64,7 @@
     }
 
     /** What it said is too long ago to be held against it. */
-    void forgiven(int slice, DataNode node) {
+    void readmit(int slice, DataNode node) {
         Set<DataNode> gone = left.get(slice);
         if (gone != null && gone.remove(node)) {
             replicas.remove(slice);
@@ -73,15 +73,15 @@
 
     @Override
     public List<DataNode> replicas(int shard) {
-        return replicas.computeIfAbsent(shard, this::found);
+        return replicas.computeIfAbsent(shard, this::findReplicas);
     }
 
-    private List<DataNode> found(int number) {
+    private List<DataNode> findReplicas(int number) {
         List<DataNode> found = new ArrayList<>();
         Slice slice = layout == null ? null : layout.slice(number);
         if (slice != null) {
             for (Holder holder : slice.holders()) {
-                DataNode node = listed.get(holder.node());
+                DataNode node = listedNodes.get(holder.node());
                 if (node != null && !left.getOrDefault(number, Set.of()).contains(node)) {
                     found.add(node);
                 }
@@ -94,18 +94,20 @@
     }
 
     @Override
-    public int reach() {
-        return layout == null ? 1 : layout.reach();
+    public int replicationFactor() {
+        return layout == null ? 1 : layout.meanHolders();
     }
 
     @Override
-    public Duration tookAt(int shard, DataNode node) {
+    public Duration acquiredAt(int shard, DataNode node) {
         Slice slice = layout == null ? null : layout.slice(shard);
         if (slice != null) {
-            String name = names.apply(node);
+            String name = nodeNames.apply(node);
             for (Holder holder : slice.holders()) {
                 if (holder.node().equals(name)) {
-                    return holder.tookAt().isZero() ? null : spans.apply(holder.tookAt());
+                    return holder.acquiredAt().isZero()
+                            ? null
+                            : toRouterTime.apply(holder.acquiredAt());
                 }
             }
         }
--- a/src/main/java/postbeam/slices/Move.java
+++ b/src/main/java/postbeam/slices/Move.java
@@ -12,79 +12,79 @@
      * A node that is to hold keys under a number, from a node that has them (itself, where only the
      * number is new).
      */
-    public record Gain(String node, int slice, KeyRange keys, String source) {}
+    public record Destination(String node, int slice, KeyRange keys, String source) {}
 
     /** A node that is to let a slice go. */
-    public record Loss(String node, int slice, KeyRange keys) {}
+    public record OldHolder(String node, int slice, KeyRange keys) {}
 
     public final long id;
-    public final Change change;
+    public final LayoutChange change;
 
     /** Numbers of the slices that it bears. */
-    public final List<Integer> births;
+    public final List<Integer> newSlices;
 
-    public final List<Gain> gains;
-    public final List<Loss> losses;
+    public final List<Destination> destinations;
+    public final List<OldHolder> oldHolders;
     public final Duration plannedAt;
     public MoveState state = MoveState.PLANNED;
 
     /** Since when it stands there. */
-    public Duration since;
+    public Duration stateSince;
 
     /** Why it is abandoned, or is to be turned back once it is over; null while it is not. */
-    public String why;
+    public String abandonReason;
 
     /** It was cut over already when it was abandoned: its opposite follows. */
-    public boolean turnsBack;
+    public boolean reverseWhenDone;
 
     /** Its old holders may have been fenced. */
-    public boolean fenced;
+    public boolean mayBeFenced;
 
     Move(
             long id,
-            Change change,
+            LayoutChange change,
             List<Integer> births,
-            List<Gain> gains,
-            List<Loss> losses,
+            List<Destination> gains,
+            List<OldHolder> losses,
             Duration plannedAt) {
         this.id = id;
         this.change = change;
-        this.births = List.copyOf(births);
-        this.gains = List.copyOf(gains);
-        this.losses = List.copyOf(losses);
+        this.newSlices = List.copyOf(births);
+        this.destinations = List.copyOf(gains);
+        this.oldHolders = List.copyOf(losses);
         this.plannedAt = plannedAt;
-        this.since = plannedAt;
+        this.stateSince = plannedAt;
     }
 
     /**
      * As the layout stands; data is copied from the source, which only a move with a new holder
      * has.
      */
-    static Move planned(
+    static Move plan(
             long id,
-            Change change,
+            LayoutChange change,
             List<Integer> births,
             String source,
             Layout layout,
             Duration at) {
-        List<Gain> gains = new ArrayList<>();
-        List<Loss> losses = new ArrayList<>();
-        if (change instanceof Change.Move move) {
+        List<Destination> gains = new ArrayList<>();
+        List<OldHolder> losses = new ArrayList<>();
+        if (change instanceof LayoutChange.Transfer move) {
             Slice slice = layout.slice(move.slice());
             if (move.to() != null) {
-                gains.add(new Gain(move.to(), slice.number(), slice.keys(), source));
+                gains.add(new Destination(move.to(), slice.number(), slice.keys(), source));
             }
             if (move.from() != null) {
-                losses.add(new Loss(move.from(), slice.number(), slice.keys()));
+                losses.add(new OldHolder(move.from(), slice.number(), slice.keys()));
             }
         } else {
-            List<KeyRange> born = layout.born(change);
+            List<KeyRange> born = layout.newSliceRanges(change);
             for (String node : layout.slice(change.slices().get(0)).nodes()) {
                 for (int i = 0; i < born.size(); i++) {
-                    gains.add(new Gain(node, births.get(i), born.get(i), node));
+                    gains.add(new Destination(node, births.get(i), born.get(i), node));
                 }
                 for (int number : change.slices()) {
-                    losses.add(new Loss(node, number, layout.slice(number).keys()));
+                    losses.add(new OldHolder(node, number, layout.slice(number).keys()));
                 }
             }
         }
@@ -92,29 +92,35 @@
     }
 
     /** All nodes that it needs. */
-    public Set<String> nodes() {
+    public Set<String> requiredNodes() {
         Set<String> nodes = new LinkedHashSet<>();
-        gains.forEach(
+        destinations.forEach(
                 gain -> {
                     nodes.add(gain.node());
                     nodes.add(gain.source());
                 });
-        losses.forEach(loss -> nodes.add(loss.node()));
+        oldHolders.forEach(loss -> nodes.add(loss.node()));
         return nodes;
     }
 
     /** It takes data from one node to another. */
-    public boolean copies() {
-        return gains.stream().anyMatch(gain -> !gain.node().equals(gain.source()));
+    public boolean copiesData() {
+        return destinations.stream().anyMatch(gain -> !gain.node().equals(gain.source()));
     }
 
     /** The new layout is in force. */
-    public boolean cutOver() {
-        return state == MoveState.CUT_OVER || state == MoveState.FORGOTTEN;
+    public boolean isCutOver() {
+        return state == MoveState.CUT_OVER || state == MoveState.COMPLETED;
     }
 
     @Override
     public String toString() {
-        return "move " + id + " (" + change + ") " + state.text() + (why == null ? "" : ", " + why);
+        return "move "
+                + id
+                + " ("
+                + change
+                + ") "
+                + state.text()
+                + (abandonReason == null ? "" : ", " + abandonReason);
     }
 }
--- a/src/main/java/postbeam/slices/Gate.java
+++ b/src/main/java/postbeam/slices/MoveAdmission.java
@@ -6,32 +6,32 @@
  * Who else has a say in moves: a workflow over several of them. Asked at each look, so it needs no
  * memory here.
  */
-public interface Gate {
+public interface MoveAdmission {
     /** All may go on. */
-    Gate OPEN =
-            new Gate() {
+    MoveAdmission UNRESTRICTED =
+            new MoveAdmission() {
                 @Override
-                public boolean may(Move move, MoveState next) {
+                public boolean permits(Move move, MoveState next) {
                     return true;
                 }
 
                 @Override
-                public boolean timed(Move move) {
+                public boolean copyTimeoutApplies(Move move) {
                     return true;
                 }
 
                 @Override
-                public Optional<String> reserved(Change change) {
+                public Optional<String> reservationConflict(LayoutChange change) {
                     return Optional.empty();
                 }
             };
 
     /** Whether the move may go on to COPYING, HOLDING_BOTH, FENCED or FORGOTTEN. */
-    boolean may(Move move, MoveState next);
+    boolean permits(Move move, MoveState next);
 
     /** Whether a copy that takes long is abandoned. */
-    boolean timed(Move move);
+    boolean copyTimeoutApplies(Move move);
 
     /** Why the change may not be planned now, in one line; empty where it may. */
-    Optional<String> reserved(Change change);
+    Optional<String> reservationConflict(LayoutChange change);
 }
--- a/src/main/java/postbeam/slices/MoveLimits.java
+++ b/src/main/java/postbeam/slices/MoveLimits.java
@@ -16,12 +16,12 @@
  * @param zones in how many zones they must be
  */
 public record MoveLimits(
-        int most,
-        int mostANode,
-        int mostAZone,
-        Duration copyMost,
-        Duration stepMost,
-        Duration rest,
-        Duration againEvery,
-        int holders,
-        int zones) {}
+        int maxMoves,
+        int maxMovesPerNode,
+        int maxMovesPerZone,
+        Duration copyTimeout,
+        Duration stepTimeout,
+        Duration nodeCooldown,
+        Duration resendInterval,
+        int minHolders,
+        int minZones) {}
--- a/src/main/java/postbeam/slices/MoveState.java
+++ b/src/main/java/postbeam/slices/MoveState.java
@@ -9,7 +9,7 @@
     /** Those who gain a slice copy its data. */
     COPYING("copying"),
     /** Those who gain hold all of it and are kept up to date; the old holders still serve. */
-    HOLDING_BOTH("holding both"),
+    REPLICATING("holding both"),
     /**
      * The old holders take nothing new for it and finish what they have; then the new ones are let
      * serve.
@@ -18,7 +18,7 @@
     /** The new layout is told; the old holders let go. */
     CUT_OVER("cut over"),
     /** All is done. */
-    FORGOTTEN("forgotten"),
+    COMPLETED("forgotten"),
     /** On the way back to the old layout. */
     ABANDONING("abandoning"),
     /** Back under a higher version. */
@@ -35,7 +35,7 @@
         return text;
     }
 
-    public boolean over() {
-        return this == FORGOTTEN || this == ABANDONED;
+    public boolean isFinal() {
+        return this == COMPLETED || this == ABANDONED;
     }
 }
--- a/src/main/java/postbeam/slices/Planner.java
+++ b/src/main/java/postbeam/slices/Planner.java
@@ -17,25 +17,26 @@
     /**
      * Changes that can be made now, each about slices of its own and none of those that are busy.
      */
-    public static List<Change> next(Layout layout, Target target, Set<Integer> busy) {
-        List<Change> changes = new ArrayList<>();
+    public static List<LayoutChange> nextChanges(
+            Layout layout, TargetLayout targetLayout, Set<Integer> busy) {
+        List<LayoutChange> changes = new ArrayList<>();
         int at = 0;
-        List<Target.Wanted> wanted = target.slices();
+        List<TargetLayout.DesiredSlice> wanted = targetLayout.slices();
         List<Slice> ready = new ArrayList<>();
         for (Slice slice : layout.slices()) {
             while (wanted.get(at).keys().to() <= slice.keys().from()) {
                 at++;
                 ready.clear();
             }
-            Target.Wanted here = wanted.get(at);
+            TargetLayout.DesiredSlice here = wanted.get(at);
             if (busy.contains(slice.number())) {
                 continue;
             }
             if (slice.keys().to() > here.keys().to()) {
-                changes.add(new Change.Split(slice.number(), cuts(slice, wanted, at)));
+                changes.add(new LayoutChange.Split(slice.number(), splitKeys(slice, wanted, at)));
                 continue;
             }
-            Change step = towards(slice, here.nodes());
+            LayoutChange step = transferTowards(slice, here.nodes());
             if (step != null) {
                 changes.add(step);
                 continue;
@@ -44,14 +45,15 @@
             if (ready.size() > 1
                     && ready.get(0).keys().from() == here.keys().from()
                     && slice.keys().to() == here.keys().to()
-                    && touching(ready)) {
-                changes.add(new Change.Merge(ready.stream().map(Slice::number).toList()));
+                    && contiguous(ready)) {
+                changes.add(new LayoutChange.Merge(ready.stream().map(Slice::number).toList()));
             }
         }
         return changes;
     }
 
-    private static List<Long> cuts(Slice slice, List<Target.Wanted> wanted, int at) {
+    private static List<Long> splitKeys(
+            Slice slice, List<TargetLayout.DesiredSlice> wanted, int at) {
         List<Long> cuts = new ArrayList<>();
         for (int i = at; i < wanted.size() && wanted.get(i).keys().to() < slice.keys().to(); i++) {
             cuts.add(wanted.get(i).keys().to());
@@ -60,7 +62,7 @@
     }
 
     /** Null where these nodes hold it. New holders come before old ones are let go. */
-    private static Change towards(Slice slice, List<String> nodes) {
+    private static LayoutChange transferTowards(Slice slice, List<String> nodes) {
         String missing =
                 nodes.stream().filter(node -> !slice.heldBy(node)).findFirst().orElse(null);
         String extra =
@@ -70,10 +72,10 @@
                         .orElse(null);
         return missing == null && extra == null
                 ? null
-                : new Change.Move(slice.number(), extra, missing);
+                : new LayoutChange.Transfer(slice.number(), extra, missing);
     }
 
-    private static boolean touching(List<Slice> slices) {
+    private static boolean contiguous(List<Slice> slices) {
         for (int i = 1; i < slices.size(); i++) {
             if (slices.get(i - 1).keys().to() != slices.get(i).keys().from()) {
                 return false;
--- a/src/main/java/postbeam/slices/Slice.java
+++ b/src/main/java/postbeam/slices/Slice.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** Keys that are held together; its number is never used for another. */
-public record Slice(int number, KeyRange keys, long bornIn, List<Holder> holders) {
+public record Slice(int number, KeyRange keys, long createdVersion, List<Holder> holders) {
     public Slice {
         holders = List.copyOf(holders);
     }
--- a/src/main/java/postbeam/slices/Placement.java
+++ b/src/main/java/postbeam/slices/SlicePlacement.java
@@ -9,17 +9,17 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import postbeam.state.Readiness;
+import postbeam.model.Readiness;
 
 /** Which nodes are to hold a slice: spread over zones first, then evenly over nodes. */
-public final class Placement {
-    private Placement() {}
+public final class SlicePlacement {
+    private SlicePlacement() {}
 
     /**
      * Nodes that want work, the zones by turns, so that neighbours in the list are in different
      * ones where they can be.
      */
-    public static List<String> spread(Map<String, Target.Known> nodes) {
+    public static List<String> spreadOverZones(Map<String, TargetLayout.NodeInfo> nodes) {
         Map<String, List<String>> zones = new LinkedHashMap<>();
         nodes.forEach(
                 (name, known) -> {
@@ -46,9 +46,9 @@
      * whom holds fewest before others. Slices with the fewest holders left come first; one without
      * any holder left is not among them, since nobody has its data.
      */
-    public static List<Change> repairs(
+    public static List<LayoutChange> repairs(
             Layout layout,
-            Map<String, Target.Known> nodes,
+            Map<String, TargetLayout.NodeInfo> nodes,
             Set<String> gone,
             Set<Integer> busy,
             int most) {
@@ -60,48 +60,49 @@
         for (Slice slice : layout.slices()) {
             if (!busy.contains(slice.number())
                     && slice.nodes().stream().anyMatch(gone::contains)
-                    && left(slice, nodes).size() > 0) {
+                    && listedHolders(slice, nodes).size() > 0) {
                 hurt.add(slice);
             }
         }
-        hurt.sort(Comparator.comparingInt(slice -> left(slice, nodes).size()));
-        List<Change> repairs = new ArrayList<>();
+        hurt.sort(Comparator.comparingInt(slice -> listedHolders(slice, nodes).size()));
+        List<LayoutChange> repairs = new ArrayList<>();
         for (Slice slice : hurt) {
             if (repairs.size() >= most) {
                 break;
             }
             String off = slice.nodes().stream().filter(gone::contains).findFirst().orElseThrow();
-            target(slice, nodes, holds)
+            bestTarget(slice, nodes, holds)
                     .ifPresent(
                             onto -> {
                                 holds.merge(onto, 1, Integer::sum);
-                                repairs.add(new Change.Move(slice.number(), off, onto));
+                                repairs.add(new LayoutChange.Transfer(slice.number(), off, onto));
                             });
         }
         return repairs;
     }
 
     /** Its holders that are listed. */
-    private static List<String> left(Slice slice, Map<String, Target.Known> nodes) {
+    private static List<String> listedHolders(
+            Slice slice, Map<String, TargetLayout.NodeInfo> nodes) {
         return slice.nodes().stream()
                 .filter(
                         node ->
                                 nodes.containsKey(node)
-                                        && nodes.get(node).readiness() != Readiness.GONE)
+                                        && nodes.get(node).readiness() != Readiness.REMOVED)
                 .toList();
     }
 
-    private static Optional<String> target(
-            Slice slice, Map<String, Target.Known> nodes, Map<String, Integer> holds) {
+    private static Optional<String> bestTarget(
+            Slice slice, Map<String, TargetLayout.NodeInfo> nodes, Map<String, Integer> holds) {
         Set<String> zones = new HashSet<>();
-        left(slice, nodes).forEach(node -> zones.add(nodes.get(node).zone()));
+        listedHolders(slice, nodes).forEach(node -> zones.add(nodes.get(node).zone()));
         return nodes.entrySet().stream()
                 .filter(
                         entry ->
                                 entry.getValue().readiness() == Readiness.READY
                                         && !slice.heldBy(entry.getKey()))
                 .min(
-                        Comparator.<Map.Entry<String, Target.Known>>comparingInt(
+                        Comparator.<Map.Entry<String, TargetLayout.NodeInfo>>comparingInt(
                                         entry -> zones.contains(entry.getValue().zone()) ? 1 : 0)
                                 .thenComparingInt(entry -> holds.getOrDefault(entry.getKey(), 0))
                                 .thenComparing(Map.Entry::getKey))
--- a/src/main/java/postbeam/slices/Target.java
+++ b/src/main/java/postbeam/slices/TargetLayout.java
@@ -6,31 +6,32 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import postbeam.state.Readiness;
+import postbeam.model.Readiness;
 
 /** Where a layout is to get: ranges that cover the key space, and who is to hold each. */
-public record Target(List<Wanted> slices) {
-    public record Wanted(KeyRange keys, List<String> nodes) {
-        public Wanted {
+public record TargetLayout(List<DesiredSlice> slices) {
+    public record DesiredSlice(KeyRange keys, List<String> nodes) {
+        public DesiredSlice {
             nodes = List.copyOf(nodes);
         }
     }
 
     /** What is known of a data node. */
-    public record Known(String zone, Readiness readiness) {}
+    public record NodeInfo(String zone, Readiness readiness) {}
 
-    public Target {
-        List<Wanted> sorted = new ArrayList<>(slices);
+    public TargetLayout {
+        List<DesiredSlice> sorted = new ArrayList<>(slices);
         sorted.sort((a, b) -> a.keys().compareTo(b.keys()));
         slices = List.copyOf(sorted);
     }
 
     /** What is wrong with it, a line each; empty where it can be aimed at. */
-    public List<String> problems(Map<String, Known> nodes, int holders, int zones) {
+    public List<String> problems(Map<String, NodeInfo> nodes, int holders, int zones) {
         List<String> problems = new ArrayList<>();
-        Optional<String> coverage = Coverage.problem(slices.stream().map(Wanted::keys).toList());
+        Optional<String> coverage =
+                Coverage.firstProblem(slices.stream().map(DesiredSlice::keys).toList());
         coverage.ifPresent(problems::add);
-        for (Wanted wanted : slices) {
+        for (DesiredSlice wanted : slices) {
             problems.addAll(
                     problems("keys " + wanted.keys(), wanted.nodes(), nodes, holders, zones));
         }
@@ -39,13 +40,13 @@
 
     /** What is wrong with these nodes as the holders of something. */
     static List<String> problems(
-            String of, List<String> held, Map<String, Known> nodes, int holders, int zones) {
+            String of, List<String> held, Map<String, NodeInfo> nodes, int holders, int zones) {
         List<String> problems = new ArrayList<>();
         Set<String> seen = new HashSet<>();
         Set<String> inZones = new HashSet<>();
         for (String name : held) {
-            Known node = nodes.get(name);
-            if (node == null || node.readiness() == Readiness.GONE) {
+            NodeInfo node = nodes.get(name);
+            if (node == null || node.readiness() == Readiness.REMOVED) {
                 problems.add(of + ": there is no node " + name);
             } else {
                 inZones.add(node.zone());
--- a/src/main/java/postbeam/rig/Relay.java
+++ b/src/main/java/postbeam/testbed/cluster/FaultProxy.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.cluster;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -19,15 +19,15 @@
  * has a thread and one chunk a way, so what it holds is bounded: a way that is not let through is
  * not read on. One lock over the state, not held over I/O.
  */
-final class Relay implements Closeable {
+public final class FaultProxy implements Closeable {
     /** From those who connect to the target, and back. */
-    enum Way {
+    public enum Way {
         THERE,
         BACK
     }
 
     /** What is done to a way. */
-    enum Fault {
+    public enum Fault {
         NONE,
         /**
          * Nothing passes and no connection comes up; what felt it is reset when it ends, as by a
@@ -79,7 +79,7 @@
     private InetSocketAddress target;
     private boolean closed;
 
-    Relay(String name, InetSocketAddress target) throws IOException {
+    FaultProxy(String name, InetSocketAddress target) throws IOException {
         this.name = name;
         this.target = target;
         thread(this::accept);
@@ -91,7 +91,7 @@
         thread.start();
     }
 
-    String address() {
+    public String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
@@ -102,7 +102,7 @@
         target = next;
     }
 
-    synchronized void set(Way way, Fault fault, Duration by) {
+    public synchronized void set(Way way, Fault fault, Duration by) {
         Side side = sides.get(way);
         boolean ends = side.fault == Fault.CUT || side.fault == Fault.SILENT;
         if (fault == Fault.CUT || fault == Fault.SILENT) {
@@ -117,7 +117,7 @@
         notifyAll();
     }
 
-    void both(Fault fault, Duration by) {
+    public void both(Fault fault, Duration by) {
         set(Way.THERE, fault, by);
         set(Way.BACK, fault, by);
     }
@@ -127,7 +127,7 @@
     }
 
     /** Ends all that are open, with a reset to both sides. */
-    synchronized void reset() {
+    public synchronized void reset() {
         List.copyOf(connections).forEach(this::reset);
     }
 
--- a/src/main/java/postbeam/rig/Load.java
+++ b/src/main/java/postbeam/testbed/cluster/LoadGenerator.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.cluster;
 
 import java.io.IOException;
 import java.net.URI;
@@ -18,16 +18,19 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.apache.commons.rng.UniformRandomProvider;
-import postbeam.setup.Json;
+import postbeam.json.Json;
 import postbeam.slices.KeyRange;
 import postbeam.slices.Layout;
 import postbeam.slices.Slice;
+import postbeam.testbed.simulation.SimulatedCluster;
+import postbeam.testbed.verification.InvariantChecker;
+import postbeam.testbed.verification.RunObserver;
 
 /**
  * Steady clients of some routers: they ask by a layout that they know, wait so long, and try a
  * rejected query again.
  */
-final class Load {
+public final class LoadGenerator {
     private static final Duration PATIENCE = Duration.ofSeconds(3);
     private static final Duration SLO = Duration.ofSeconds(1);
 
@@ -37,9 +40,9 @@
     private static final int RETRIES = 2;
 
     /** Version of the layout that stands for the fixed rule: a key a shard. */
-    static final long FIXED = 1;
+    public static final long FIXED = 1;
 
-    private final Place stage;
+    private final Target stage;
     private final boolean sliced;
     private final int shards;
     private final UniformRandomProvider chance;
@@ -66,13 +69,13 @@
     private volatile boolean stopped;
 
     /** Who is asked, and who hears of it. */
-    interface Place {
+    interface Target {
         List<String> routers();
 
         /** Since the start of the run. */
         Duration now();
 
-        Witness.AtClients seen();
+        RunObserver.ClientObserver seen();
 
         /** How much longer than its time an answer is waited for. */
         default Duration slack() {
@@ -84,31 +87,31 @@
             return null;
         }
 
-        default List<World.Kind> kinds() {
-            return World.kinds();
+        default List<SimulatedCluster.Kind> kinds() {
+            return SimulatedCluster.kinds();
         }
     }
 
     private record Query(
-            World.Kind kind,
+            SimulatedCluster.Kind kind,
             Layout layout,
-            List<Referee.Wanted> wanted,
+            List<InvariantChecker.Wanted> wanted,
             Duration askedAt,
             int tried) {}
 
-    Load(Place stage, boolean sliced, int shards, UniformRandomProvider chance) {
+    public LoadGenerator(Target stage, boolean sliced, int shards, UniformRandomProvider chance) {
         this.stage = stage;
         this.sliced = sliced;
         this.shards = shards;
         this.chance = chance;
     }
 
-    void known(Layout layout) {
+    public void known(Layout layout) {
         known.set(layout);
     }
 
     /** So many a second for so long, then waits for the last answers. */
-    void run(double rate, Duration length) throws InterruptedException {
+    public void run(double rate, Duration length) throws InterruptedException {
         long next = System.nanoTime();
         long end = next + length.toNanos();
         while (next < end && !stopped) {
@@ -126,9 +129,9 @@
     }
 
     private void ask() {
-        World.Kind kind = stage.kinds().get(chanceUpTo(stage.kinds().size()));
+        SimulatedCluster.Kind kind = stage.kinds().get(chanceUpTo(stage.kinds().size()));
         Layout layout = known.get();
-        List<Referee.Wanted> wanted = new ArrayList<>();
+        List<InvariantChecker.Wanted> wanted = new ArrayList<>();
         int count = 1 + chance.nextInt(6);
         if (sliced) {
             List<Slice> slices = layout.slices();
@@ -137,13 +140,13 @@
             named.forEach(
                     slice ->
                             wanted.add(
-                                    new Referee.Wanted(
+                                    new InvariantChecker.Wanted(
                                             slice.number(), slice.keys(), 1.0 / named.size())));
         } else {
             int first = chance.nextInt(Math.max(1, shards - count));
             for (int i = 0; i < count; i++) {
                 wanted.add(
-                        new Referee.Wanted(
+                        new InvariantChecker.Wanted(
                                 first + i, new KeyRange(first + i, first + i + 1), 1.0 / count));
             }
         }
@@ -167,7 +170,7 @@
                         query.wanted,
                         now.plus(PATIENCE));
         StringBuilder ranges = new StringBuilder();
-        for (Referee.Wanted one : query.wanted) {
+        for (InvariantChecker.Wanted one : query.wanted) {
             ranges.append(ranges.length() == 0 ? "" : ",")
                     .append("{\"range\":")
                     .append(one.slice())
@@ -227,7 +230,7 @@
             times.recordValue(Math.min(LONGEST_MICROS, took.toNanos() / 1000));
             good.addAndGet(took.compareTo(SLO) <= 0 ? 1 : 0);
             served.computeIfAbsent(router, key -> new AtomicInteger()).incrementAndGet();
-            judge(id, now, Json.object(response.body()));
+            judge(id, now, Json.parseObject(response.body()));
         } else if (status == 429 || status == 503 || status == 410) {
             stage.seen().rejected(now, id);
             if (query.tried < RETRIES && now.minus(query.askedAt).compareTo(PATIENCE) < 0) {
@@ -256,20 +259,22 @@
      */
     private void again(Query query) {
         Layout layout = known.get();
-        List<Referee.Wanted> wanted = query.wanted;
+        List<InvariantChecker.Wanted> wanted = query.wanted;
         if (sliced && layout.version != query.layout.version) {
             Map<Slice, Double> weights = new LinkedHashMap<>();
-            for (Referee.Wanted one : query.wanted) {
-                for (Slice slice : layout.meeting(one.keys())) {
+            for (InvariantChecker.Wanted one : query.wanted) {
+                for (Slice slice : layout.overlapping(one.keys())) {
                     weights.merge(
-                            slice, one.weight() * one.keys().share(slice.keys()), Double::sum);
+                            slice,
+                            one.weight() * one.keys().overlapFraction(slice.keys()),
+                            Double::sum);
                 }
             }
             wanted =
                     weights.entrySet().stream()
                             .map(
                                     entry ->
-                                            new Referee.Wanted(
+                                            new InvariantChecker.Wanted(
                                                     entry.getKey().number(),
                                                     entry.getKey().keys(),
                                                     entry.getValue()))
@@ -279,12 +284,12 @@
     }
 
     private void judge(String id, Duration now, Map<String, Object> body) throws IOException {
-        List<Referee.Value> values = new ArrayList<>();
+        List<InvariantChecker.Value> values = new ArrayList<>();
         for (Object one : Json.member(body, "answers", List.class)) {
             Map<?, ?> value = (Map<?, ?>) one;
             long from = Json.member(value, sliced ? "from" : "range", Number.class).longValue();
             values.add(
-                    new Referee.Value(
+                    new InvariantChecker.Value(
                             new KeyRange(
                                     from,
                                     sliced
@@ -309,19 +314,19 @@
 
     // ---- figures
 
-    int asked() {
+    public int asked() {
         return asked.get();
     }
 
-    double inTime() {
+    public double inTime() {
         return (double) good.get() / Math.max(1, asked.get());
     }
 
-    double millis(double percentile) {
+    public double millis(double percentile) {
         return times.getValueAtPercentile(percentile) / 1000.0;
     }
 
-    String statuses() {
+    public String statuses() {
         StringBuilder text = new StringBuilder();
         new java.util.TreeMap<>(statuses)
                 .forEach(
--- a/src/main/java/postbeam/rig/Stage.java
+++ b/src/main/java/postbeam/testbed/cluster/LoopbackCluster.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.cluster;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -21,31 +21,36 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import postbeam.layouts.LayoutService;
+import postbeam.config.RouterConfig;
+import postbeam.layoutservice.LayoutService;
 import postbeam.router.Router;
-import postbeam.setup.Startup;
 import postbeam.slices.KeyRange;
 import postbeam.slices.MoveLimits;
+import postbeam.testbed.fakes.FakeDataNode;
+import postbeam.testbed.fakes.FakeDiscovery;
+import postbeam.testbed.simulation.DefectiveSlicing;
+import postbeam.testbed.verification.InvariantChecker;
+import postbeam.testbed.verification.RunObserver;
 
 /**
  * Routers, a layout service, stand-in nodes and discovery in one process, all on loopback; gives
  * all of it back.
  */
-final class Stage implements Closeable, Load.Place {
+public final class LoopbackCluster implements Closeable, LoadGenerator.Target {
     /**
      * How large; the defect is null where none is planted; without slices the routers keep the
      * fixed rule.
      */
-    record Size(
+    public record Size(
             int nodes,
             int routers,
             int slices,
             int holders,
             boolean sliced,
-            PlantedSlicing.Defect defect) {}
+            DefectiveSlicing.Defect defect) {}
 
-    static final Referee.Rules RULES =
-            new Referee.Rules(
+    public static final InvariantChecker.Rules RULES =
+            new InvariantChecker.Rules(
                     0.2,
                     Duration.ofSeconds(2),
                     2,
@@ -75,29 +80,30 @@
     private static final AtomicInteger PORTS_TRIED = new AtomicInteger();
     private static final Duration READY_MOST = Duration.ofSeconds(30);
 
-    final Referee referee = new Referee(RULES, Duration.ofSeconds(2), Duration.ofMillis(150));
-    final List<StandInNode> nodes = new ArrayList<>();
-    final List<String> routerAddresses = new ArrayList<>();
+    public final InvariantChecker referee =
+            new InvariantChecker(RULES, Duration.ofSeconds(2), Duration.ofMillis(150));
+    public final List<FakeDataNode> nodes = new ArrayList<>();
+    public final List<String> routerAddresses = new ArrayList<>();
     final UniformRandomProvider chance;
-    final StandInDiscovery discovery;
+    final FakeDiscovery discovery;
     final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private final long startNanos = System.nanoTime();
     private final List<Router> routers = new ArrayList<>();
     private final Path directory = Files.createTempDirectory("postbeam-trial");
-    private final LayoutService.Place place;
+    private final LayoutService.Config place;
     private LayoutService service;
     private String serviceAddress;
 
-    Stage(Size size, long seed) throws IOException, InterruptedException {
+    public LoopbackCluster(Size size, long seed) throws IOException, InterruptedException {
         chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-        discovery = new StandInDiscovery();
+        discovery = new FakeDiscovery();
         Map<String, Map<KeyRange, Boolean>> runs = new ConcurrentHashMap<>();
         for (int i = 0; i < size.nodes(); i++) {
-            StandInNode node =
-                    new StandInNode(
+            FakeDataNode node =
+                    new FakeDataNode(
                             "n" + i,
                             "z" + i % 3,
-                            new StandInNode.Seen(referee, this::now, runs),
+                            new FakeDataNode.Seen(referee, this::now, runs),
                             RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 1009 + i),
                             !size.sliced());
             nodes.add(node);
@@ -105,7 +111,7 @@
         }
         serviceAddress = freeAddress();
         place =
-                new LayoutService.Place(
+                new LayoutService.Config(
                         serviceAddress,
                         directory.resolve("moves.log"),
                         discovery.address(),
@@ -120,7 +126,7 @@
             String address = freeAddress();
             Router router =
                     new Router(
-                            Startup.of(
+                            RouterConfig.parse(
                                     config(
                                                     "r" + i,
                                                     "z" + i % 3,
@@ -130,7 +136,7 @@
                                                     size.routers(),
                                                     size.slices())
                                             .getBytes(StandardCharsets.UTF_8)),
-                            size.sliced() ? PlantedSlicing.of(size.defect()) : null,
+                            size.sliced() ? DefectiveSlicing.of(size.defect()) : null,
                             size.sliced() ? serviceAddress : null);
             router.start();
             routers.add(router);
@@ -151,7 +157,7 @@
      * Nobody listens there. Guards against a port of the range that outgoing connections are given:
      * one of those could take it before the process that is told of it listens.
      */
-    static String freeAddress() throws IOException {
+    public static String freeAddress() throws IOException {
         while (true) {
             int port =
                     FIRST_PORT
@@ -173,7 +179,7 @@
     }
 
     @Override
-    public Witness.AtClients seen() {
+    public RunObserver.ClientObserver seen() {
         return referee;
     }
 
@@ -183,7 +189,8 @@
     }
 
     /**
-     * A router's configuration; its promises are those of {@link #RULES} and {@link World#kinds}.
+     * A router's configuration; its promises are those of {@link #RULES} and {@link
+     * SimulatedCluster#kinds}.
      */
     static String config(
             String name,
@@ -223,7 +230,7 @@
 
     // ---- the layout service
 
-    void startService() throws IOException {
+    public void startService() throws IOException {
         LayoutService next = new LayoutService(place, referee::layout);
         next.start();
         service = next;
@@ -233,14 +240,14 @@
      * Ends the service's process, as far as one can within this one: its log is closed, its socket
      * too.
      */
-    void stopService() throws IOException {
+    public void stopService() throws IOException {
         if (service != null) {
             service.close();
             service = null;
         }
     }
 
-    boolean serving() {
+    public boolean serving() {
         return service != null;
     }
 
@@ -251,7 +258,7 @@
     }
 
     /** Asks the layout service for something; the answer's text, an error's too. */
-    String post(String path, String body) throws IOException, InterruptedException {
+    public String post(String path, String body) throws IOException, InterruptedException {
         return http.send(
                         HttpRequest.newBuilder(URI.create("http://" + serviceAddress + path))
                                 .timeout(Duration.ofSeconds(5))
@@ -261,12 +268,12 @@
                 .body();
     }
 
-    String layouts() {
+    public String layouts() {
         return serviceAddress;
     }
 
-    List<String> movesSeen() {
-        return service == null ? List.of() : service.movesSeen();
+    public List<String> movesSeen() {
+        return service == null ? List.of() : service.describeMoves();
     }
 
     @Override
@@ -294,7 +301,7 @@
         }
         stopService();
         discovery.close();
-        nodes.forEach(StandInNode::close);
+        nodes.forEach(FakeDataNode::close);
         try (var files = Files.walk(directory)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
--- a/src/main/java/postbeam/rig/ProcessFleet.java
+++ b/src/main/java/postbeam/testbed/cluster/ProcessCluster.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.cluster;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -21,31 +21,36 @@
 import java.util.concurrent.Callable;
 import java.util.stream.IntStream;
 import org.apache.commons.rng.simple.RandomSource;
-import postbeam.discovery.LongPoll;
-import postbeam.layouts.LayoutWatch;
-import postbeam.setup.Startup;
+import postbeam.config.RouterConfig;
+import postbeam.discovery.LongPollWatcher;
+import postbeam.layoutservice.LayoutWatch;
+import postbeam.model.SideEffects;
 import postbeam.slices.Holder;
 import postbeam.slices.KeyRange;
 import postbeam.slices.Layout;
 import postbeam.slices.Slice;
-import postbeam.state.Effect;
+import postbeam.testbed.fakes.FakeDiscovery;
+import postbeam.testbed.fakes.FakeServerMain;
+import postbeam.testbed.simulation.SimulatedCluster;
+import postbeam.testbed.verification.InvariantChecker;
+import postbeam.testbed.verification.ObservedCalls;
 
 /**
  * The built program in processes of their own, routers r0.. and, where slices move, the layout
  * service; stand-in nodes n0.. and discovery likewise. A relay stands between any two. All end with
  * it, when the virtual machine ends, too.
  */
-final class ProcessFleet implements Closeable, Load.Place {
-    static final String DISCOVERY = "discovery";
-    static final String LAYOUTS = "layouts";
+public final class ProcessCluster implements Closeable, LoadGenerator.Target {
+    public static final String DISCOVERY = "discovery";
+    public static final String LAYOUTS = "layouts";
 
     /**
      * A cold node's budget binds with so much work a part; it warms up slowly enough to be looked
      * at.
      */
-    static final Duration WORK = Duration.ofMillis(20);
+    public static final Duration WORK = Duration.ofMillis(20);
 
-    static final Duration RAMP = Duration.ofSeconds(6);
+    public static final Duration RAMP = Duration.ofSeconds(6);
 
     /** After which what was waited for won't come. */
     private static final Duration LONG = Duration.ofSeconds(30);
@@ -54,13 +59,13 @@
      * For the ways of messages, delays by relays among them, where nothing else runs on the
      * machine.
      */
-    static final Duration STRICT = Duration.ofSeconds(1);
+    public static final Duration STRICT = Duration.ofSeconds(1);
 
     /**
      * Where others may keep a process from running: then only what comes much later, or never, is
      * held against it.
      */
-    static final Duration PATIENT = Duration.ofSeconds(10);
+    public static final Duration PATIENT = Duration.ofSeconds(10);
 
     /** Clients end by themselves at last; and answers that show that a router serves. */
     private static final Duration LOAD_MOST = Duration.ofMinutes(4);
@@ -79,11 +84,11 @@
      * Makes of a router's file, its configuration r0.json or our own settings r0.json5 (empty for
      * none), another.
      */
-    interface Altered {
-        String text(ProcessFleet fleet, String file, String text) throws IOException;
+    public interface Altered {
+        String text(ProcessCluster cluster, String file, String text) throws IOException;
     }
 
-    record Size(
+    public record Size(
             int nodes, int routers, int shards, boolean sliced, Duration slack, Altered altered) {}
 
     /** A process that can be started again under its name. */
@@ -110,18 +115,18 @@
     private final long startNanos = System.nanoTime();
     private final Map<String, Child> children = new LinkedHashMap<>();
     private final Map<String, String> addresses = new LinkedHashMap<>();
-    private final Map<String, Relay> ways = new LinkedHashMap<>();
+    private final Map<String, FaultProxy> ways = new LinkedHashMap<>();
     private final Map<String, Known> known = new LinkedHashMap<>();
     private final List<String> askers = new ArrayList<>();
-    private final Testimony testimony = new Testimony();
+    private final ObservedCalls testimony = new ObservedCalls();
     private final Thread ending = new Thread(this::killAll, "end of a fleet");
-    private LongPoll<Layout> watch;
+    private LongPollWatcher<Layout> watch;
     private Clients clients;
     private volatile Layout layout;
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-    ProcessFleet(Size size, long seed) throws IOException, InterruptedException {
+    public ProcessCluster(Size size, long seed) throws IOException, InterruptedException {
         this.size = size;
         Runtime.getRuntime().addShutdownHook(ending);
         try {
@@ -145,7 +150,7 @@
                                         WORK.toNanos() / 1000)));
             }
             for (String name : askers) {
-                addresses.put(name, Stage.freeAddress());
+                addresses.put(name, LoopbackCluster.freeAddress());
             }
             for (Child child : children.values()) {
                 launch(child, child.name.equals(DISCOVERY) ? null : "false");
@@ -188,24 +193,24 @@
     }
 
     /** The layout that stands for the fixed rule. */
-    static Layout fixed(int shards) {
+    public static Layout fixed(int shards) {
         List<Slice> slices = new ArrayList<>();
         for (int i = 0; i <= shards; i++) {
             slices.add(
                     new Slice(
                             i,
-                            new KeyRange(i, i < shards ? i + 1 : KeyRange.KEYS),
-                            Load.FIXED,
+                            new KeyRange(i, i < shards ? i + 1 : KeyRange.KEY_SPACE_SIZE),
+                            LoadGenerator.FIXED,
                             List.of(new Holder("any", Duration.ZERO))));
         }
-        return Layout.checked(Load.FIXED, Load.FIXED, slices, List.of());
+        return Layout.validated(LoadGenerator.FIXED, LoadGenerator.FIXED, slices, List.of());
     }
 
     /** What routers are promised here, with what the clients say of the work. */
-    static Referee referee(Duration slack) {
-        Referee.Rules rules = Stage.RULES;
-        return new Referee(
-                new Referee.Rules(
+    public static InvariantChecker referee(Duration slack) {
+        InvariantChecker.Rules rules = LoopbackCluster.RULES;
+        return new InvariantChecker(
+                new InvariantChecker.Rules(
                         rules.coldFrom(),
                         RAMP,
                         rules.fallMultiple(),
@@ -221,7 +226,7 @@
 
     // ---- processes
 
-    static List<String> built(String... words) {
+    public static List<String> built(String... words) {
         List<String> command = new ArrayList<>(JAVA);
         command.addAll(List.of("-jar", "target/postbeam.jar"));
         command.addAll(List.of(words));
@@ -234,14 +239,14 @@
                 List.of(
                         "-cp",
                         "target/postbeam.jar:target/lib/*:target/more/*",
-                        StandIns.class.getName()));
+                        FakeServerMain.class.getName()));
         Arrays.stream(words).map(String::valueOf).forEach(command::add);
         return command;
     }
 
     private Child router(String name, int number, long seed) throws IOException {
         String config =
-                Stage.config(
+                LoopbackCluster.config(
                                 name,
                                 "z" + number % 3,
                                 addresses.get(name),
@@ -312,7 +317,7 @@
         at = at.substring(at.lastIndexOf("at ") + 3);
         synchronized (ways) {
             addresses.put(name, at);
-            for (Map.Entry<String, Relay> way : ways.entrySet()) {
+            for (Map.Entry<String, FaultProxy> way : ways.entrySet()) {
                 if (way.getKey().endsWith("-" + name)) {
                     way.getValue().target(target(way.getKey().split("-")[0], name));
                 }
@@ -322,12 +327,12 @@
 
     private InetSocketAddress target(String from, String to) throws IOException {
         if (to.contains(".") && !addresses.containsKey(to)) {
-            addresses.put(to, Stage.freeAddress());
+            addresses.put(to, LoopbackCluster.freeAddress());
         }
         String at = addresses.get(to);
         return at == null
                 ? null
-                : Startup.socketAddress(
+                : RouterConfig.socketAddress(
                         to.equals(DISCOVERY) ? at.split(",")[askers.indexOf(from)] : at);
     }
 
@@ -335,13 +340,13 @@
      * The way from one to another by their names; made when it is first asked for. A name with a
      * dot is a further door of a process, r0.peers say, and gets an address of its own.
      */
-    Relay way(String from, String to) {
+    public FaultProxy way(String from, String to) {
         synchronized (ways) {
             return ways.computeIfAbsent(
                     from + "-" + to,
                     key -> {
                         try {
-                            return new Relay(key, target(from, to));
+                            return new FaultProxy(key, target(from, to));
                         } catch (IOException e) {
                             throw new UncheckedIOException(e);
                         }
@@ -349,9 +354,9 @@
         }
     }
 
-    void healAll() {
+    public void healAll() {
         synchronized (ways) {
-            ways.values().forEach(Relay::heal);
+            ways.values().forEach(FaultProxy::heal);
         }
     }
 
@@ -375,7 +380,8 @@
         testimony.add(now(), to -> to.routerBack(router));
     }
 
-    void until(String what, Callable<Boolean> condition) throws IOException, InterruptedException {
+    public void until(String what, Callable<Boolean> condition)
+            throws IOException, InterruptedException {
         long end = System.nanoTime() + LONG.toNanos();
         while (true) {
             try {
@@ -409,18 +415,18 @@
     }
 
     /** SIGKILL. */
-    void kill(String name) throws InterruptedException {
+    public void kill(String name) throws InterruptedException {
         away(name);
         children.get(name).process.destroyForcibly().waitFor();
     }
 
     /** SIGSTOP; {@link #wake} has it go on. */
-    void stop(String name) throws IOException, InterruptedException {
+    public void stop(String name) throws IOException, InterruptedException {
         away(name);
         signal(name, "-STOP");
     }
 
-    void wake(String name) throws IOException, InterruptedException {
+    public void wake(String name) throws IOException, InterruptedException {
         signal(name, "-CONT");
         if (askers.contains(name) && !name.equals(LAYOUTS)) {
             ready(name);
@@ -441,7 +447,7 @@
     }
 
     /** Starts what was killed, all at once; a node is back cold, and discovery tells of it. */
-    void start(String... names) throws IOException, InterruptedException {
+    public void start(String... names) throws IOException, InterruptedException {
         for (String name : names) {
             launch(children.get(name), known.containsKey(name) ? "true" : null);
         }
@@ -456,7 +462,7 @@
         }
     }
 
-    /** Has a stand-in node do as {@link StandIns} has it. */
+    /** Has a stand-in node do as {@link FakeServerMain} has it. */
     void order(String node, String line) throws IOException {
         say(children.get(node), line);
     }
@@ -467,19 +473,20 @@
     }
 
     /** A file of the fleet's folder, which goes with it. */
-    Path file(String name) {
+    public Path file(String name) {
         return folder.resolve(name);
     }
 
-    Path besides(String name, String text) throws IOException {
+    public Path besides(String name, String text) throws IOException {
         return Files.writeString(file(name), text);
     }
 
-    String get(String name, String path) throws IOException, InterruptedException {
+    public String get(String name, String path) throws IOException, InterruptedException {
         return ask(name, path, null);
     }
 
-    String post(String name, String path, String body) throws IOException, InterruptedException {
+    public String post(String name, String path, String body)
+            throws IOException, InterruptedException {
         return ask(name, path, body);
     }
 
@@ -501,7 +508,7 @@
     // ---- discovery
 
     /** Discovery tells all of this node; its health is up, draining or removed. */
-    void tell(String node, String health) throws IOException {
+    public void tell(String node, String health) throws IOException {
         known.put(node, new Known(health, known.get(node).bornMs));
         tellDiscovery();
         Duration now = now();
@@ -509,14 +516,14 @@
     }
 
     /** The layout last told to the clients; null where slices don't move. */
-    Layout layout() {
+    public Layout layout() {
         return layout;
     }
 
     /** Steady clients; where slices move they know the layout as it is told. */
-    Clients clients(double rate, long seed) throws IOException, InterruptedException {
-        Load load =
-                new Load(
+    public Clients clients(double rate, long seed) throws IOException, InterruptedException {
+        LoadGenerator generator =
+                new LoadGenerator(
                         this,
                         size.sliced(),
                         size.shards(),
@@ -529,29 +536,29 @@
                             next -> {
                                 testimony.add(Duration.ZERO, to -> to.layout(next));
                                 layout = next;
-                                load.known(next);
+                                generator.known(next);
                             });
             Thread watching = new Thread(watch, "layouts of a fleet");
             watching.setDaemon(true);
             watching.start();
             until("the layout is told", () -> layout != null);
         }
-        clients = new Clients(load, rate);
+        clients = new Clients(generator, rate);
         return clients;
     }
 
     /** Clients that ask until they are stopped. */
-    final class Clients {
-        final Load load;
+    public final class Clients {
+        public final LoadGenerator load;
         private final Thread thread;
 
-        private Clients(Load load, double rate) {
-            this.load = load;
+        private Clients(LoadGenerator generator, double rate) {
+            this.load = generator;
             thread =
                     new Thread(
                             () -> {
                                 try {
-                                    load.run(rate, LOAD_MOST);
+                                    generator.run(rate, LOAD_MOST);
                                 } catch (InterruptedException e) {
                                     Thread.currentThread().interrupt();
                                 }
@@ -562,7 +569,7 @@
         }
 
         /** Waits until each router has given some more answers. */
-        void allServe() throws IOException, InterruptedException {
+        public void allServe() throws IOException, InterruptedException {
             for (int i = 0; i < size.routers(); i++) {
                 int router = i;
                 int before = load.served(i);
@@ -570,21 +577,21 @@
             }
         }
 
-        void stop() throws InterruptedException {
+        public void stop() throws InterruptedException {
             load.stop();
             thread.join();
         }
 
         /** Stops them; which rules were broken by all that was seen. */
-        List<String> broken() throws IOException, InterruptedException {
+        public List<String> broken() throws IOException, InterruptedException {
             stop();
-            Referee judged = judged();
+            InvariantChecker judged = judged();
             return judged.runs() < SERVED ? List.of("nothing was run") : judged.broken();
         }
     }
 
     /** What the referee takes for told, though nobody is. */
-    void pretendTold(String node) {
+    public void pretendTold(String node) {
         Duration now = now();
         testimony.add(now, to -> to.told(now, node, true));
     }
@@ -595,7 +602,7 @@
             known.forEach(
                     (node, is) ->
                             hosts.add(
-                                    StandInDiscovery.entry(
+                                    FakeDiscovery.entry(
                                             node,
                                             way(asker, node).address(),
                                             "z" + Integer.parseInt(node.substring(1)) % 3,
@@ -613,7 +620,7 @@
         return IntStream.range(0, size.routers()).mapToObj(i -> addresses.get("r" + i)).toList();
     }
 
-    String address(String name) {
+    public String address(String name) {
         return addresses.get(name);
     }
 
@@ -623,7 +630,7 @@
     }
 
     @Override
-    public Testimony seen() {
+    public ObservedCalls seen() {
         return testimony;
     }
 
@@ -642,20 +649,22 @@
      * processes.
      */
     @Override
-    public List<World.Kind> kinds() {
-        return World.kinds().stream().filter(kind -> kind.effect() != Effect.DEDUPLICATED).toList();
+    public List<SimulatedCluster.Kind> kinds() {
+        return SimulatedCluster.kinds().stream()
+                .filter(kind -> kind.effect() != SideEffects.DEDUPLICATED)
+                .toList();
     }
 
     /** Calls that a node's present life was sent so far. */
-    long calls(String node) throws IOException {
+    public long calls(String node) throws IOException {
         return testimony.calls(folder, node);
     }
 
     /** Tells the referee all that was seen. */
-    Referee judged() throws IOException {
-        Referee referee = referee(size.slack());
-        testimony.tell(referee, folder, now());
-        return referee;
+    public InvariantChecker judged() throws IOException {
+        InvariantChecker checker = referee(size.slack());
+        testimony.tell(checker, folder, now());
+        return checker;
     }
 
     private void killAll() {
@@ -686,7 +695,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        ways.values().forEach(Relay::close);
+        ways.values().forEach(FaultProxy::close);
         try (var files = Files.walk(folder)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
--- a/src/main/java/postbeam/rig/TryOut.java
+++ b/src/main/java/postbeam/testbed/demo/DemoCommand.java
@@ -1,10 +1,11 @@
-package postbeam.rig;
+package postbeam.testbed.demo;
 
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.time.Duration;
+import postbeam.testbed.cluster.LoopbackCluster;
 
 /**
  * A router before a small stand-in fleet in one process, for those who want to see a query
@@ -13,7 +14,7 @@
 @Parameters(
         commandDescription =
                 "Run a router before a small stand-in fleet and print a query that it answers")
-public final class TryOut {
+public final class DemoCommand {
     @Parameter(names = "--seconds", description = "How long it runs")
     private int seconds = 600;
 
@@ -24,8 +25,9 @@
 
     /** The exit status. */
     public int run(PrintStream out) throws InterruptedException {
-        try (Stage stage = new Stage(new Stage.Size(3, 1, 4, 2, sliced, null), 1)) {
-            String router = stage.routerAddresses.get(0);
+        try (LoopbackCluster cluster =
+                new LoopbackCluster(new LoopbackCluster.Size(3, 1, 4, 2, sliced, null), 1)) {
+            String router = cluster.routerAddresses.get(0);
             out.println("A router serves at " + router + " before 3 stand-in data nodes. Ask it:");
             out.println();
             out.println(
@@ -39,12 +41,12 @@
             if (sliced) {
                 out.println(
                         "The layout is told at http://"
-                                + stage.layouts()
+                                + cluster.layouts()
                                 + "/v1/layout; to split slice 0:");
                 out.println();
                 out.println(
                         "    java -jar target/postbeam.jar layouts start --service "
-                                + stage.layouts()
+                                + cluster.layouts()
                                 + " --change '{\"split\": 0, \"at\": [1000]}'");
                 out.println();
             }
--- a/src/main/java/postbeam/rig/StandInNode.java
+++ b/src/main/java/postbeam/testbed/fakes/FakeDataNode.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.fakes;
 
 import java.io.Closeable;
 import java.io.DataInputStream;
@@ -24,18 +24,20 @@
 import java.util.function.Supplier;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.xnio.IoUtils;
-import postbeam.pages.Partial;
+import postbeam.pages.PartialPage;
 import postbeam.pages.Row;
-import postbeam.pages.RowForm;
+import postbeam.pages.RowCodec;
+import postbeam.slices.HandoffCommand;
 import postbeam.slices.KeyRange;
-import postbeam.slices.Order;
+import postbeam.testbed.verification.InvariantChecker;
+import postbeam.testbed.verification.RunObserver;
 
 /**
  * A data node on loopback that speaks the frames, holds slices by version, works on two parts at a
  * time, and tells the referee all that it is sent and runs. It can be slow, hang, die, drain, and
  * come back cold.
  */
-final class StandInNode implements Closeable {
+public final class FakeDataNode implements Closeable {
     private static final int CORES = 2;
     private static final int QUEUE = 64;
     private static final int LONGEST = 1 << 20;
@@ -50,8 +52,8 @@
     private static final Duration COPY_MOST = Duration.ofMillis(150);
 
     /** What a stand-in tells what it sees. */
-    record Seen(
-            Witness.AtNodes referee,
+    public record Seen(
+            RunObserver.NodeObserver referee,
             Supplier<Duration> now,
             Map<String, Map<KeyRange, Boolean>> runs) {}
 
@@ -60,14 +62,14 @@
             String query,
             String part,
             KeyRange keys,
-            HeldSlices.Held held,
+            FakeSliceStore.Held held,
             byte[] ask) {}
 
-    final String name;
+    public final String name;
     final String zone;
     private final Seen seen;
     private final UniformRandomProvider chance;
-    private final HeldSlices held = new HeldSlices();
+    private final FakeSliceStore held = new FakeSliceStore();
     private final Map<Integer, Long> copies = new HashMap<>();
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private final Set<String> givenUp = ConcurrentHashMap.newKeySet();
@@ -101,7 +103,8 @@
      */
     private final boolean unsliced;
 
-    StandInNode(String name, String zone, Seen seen, UniformRandomProvider chance, boolean unsliced)
+    public FakeDataNode(
+            String name, String zone, Seen seen, UniformRandomProvider chance, boolean unsliced)
             throws IOException {
         this.name = name;
         this.zone = zone;
@@ -216,7 +219,7 @@
             throws IOException {
         String query = part.substring(0, part.lastIndexOf('.'));
         seen.referee().called(seen.now().get(), name, query, part, keys, version, work);
-        HeldSlices.Held one = null;
+        FakeSliceStore.Held one = null;
         String turnedAway = null;
         synchronized (this) {
             if (!unsliced) {
@@ -273,7 +276,7 @@
                                     + work.part
                                     + " good 0 -\n"
                                     + (work.ask == null
-                                            ? Referee.valueOf(work.query, work.keys)
+                                            ? InvariantChecker.valueOf(work.query, work.keys)
                                             : page(work));
             if (chance() < lateAnswers) {
                 workers.schedule(
@@ -292,17 +295,18 @@
 
     /** Its rows of the part in the order asked for, and no more of them than fit into an answer. */
     private String page(Work work) throws IOException {
-        RowForm.Asked asked = RowForm.asked(work.ask);
+        RowCodec.FetchRequest asked = RowCodec.fetchRequest(work.ask);
         int most = Integer.MAX_VALUE;
         while (true) {
-            Partial partial = SortedRows.answer(asked.order(), asked.asks(), rows, work.keys, most);
+            PartialPage partial =
+                    SortedRows.answer(asked.sortOrder(), asked.fetches(), rows, work.keys, most);
             byte[] bytes =
-                    RowForm.partial(
+                    RowCodec.partialPage(
                             spoilsOrder && partial.rows().size() > 1
-                                    ? new Partial(
+                                    ? new PartialPage(
                                             work.keys,
                                             SortedRows.turned(partial.rows()),
-                                            partial.next())
+                                            partial.nextPosition())
                                     : partial);
             if (bytes.length <= ANSWER_MOST) {
                 return new String(bytes, StandardCharsets.UTF_8);
@@ -334,7 +338,7 @@
         Map<KeyRange, Boolean> ran =
                 seen.runs().computeIfAbsent(query, key -> new ConcurrentHashMap<>());
         synchronized (ran) {
-            boolean before = ran.keySet().stream().anyMatch(keys::meets);
+            boolean before = ran.keySet().stream().anyMatch(keys::overlaps);
             ran.put(keys, true);
             return before;
         }
@@ -352,14 +356,14 @@
             say(socket, words);
             return;
         }
-        Order order = Order.valueOf(words[0]);
+        HandoffCommand command = HandoffCommand.valueOf(words[0]);
         int slice = Integer.parseInt(words[2]);
         KeyRange keys = new KeyRange(Long.parseLong(words[3]), Long.parseLong(words[4]));
         boolean done;
         synchronized (this) {
             long by = words.length > 7 ? Long.parseLong(words[7]) : 0;
             if (by < term) {
-                send(socket, "s" + order + " " + words[1] + " " + slice + " stale");
+                send(socket, "s" + command + " " + words[1] + " " + slice + " stale");
                 return;
             }
             term = by;
@@ -370,13 +374,14 @@
                             key ->
                                     System.nanoTime()
                                             + (long) (chance.nextDouble() * COPY_MOST.toNanos()));
-            boolean copied = order == Order.COPY && (own || System.nanoTime() - readyAt >= 0);
-            if (order == Order.DROP) {
+            boolean copied =
+                    command == HandoffCommand.COPY && (own || System.nanoTime() - readyAt >= 0);
+            if (command == HandoffCommand.DROP) {
                 copies.remove(slice);
             }
-            done = !hanging && held.ordered(order, slice, keys, Long.parseLong(words[5]), copied);
+            done = !hanging && held.ordered(command, slice, keys, Long.parseLong(words[5]), copied);
         }
-        send(socket, "s" + order + " " + words[1] + " " + slice + " " + (done ? "done" : "busy"));
+        send(socket, "s" + command + " " + words[1] + " " + slice + " " + (done ? "done" : "busy"));
     }
 
     /**
@@ -429,7 +434,7 @@
     }
 
     /** From now on it says that its rows are others than they are. */
-    void spoil(boolean now) {
+    public void spoil(boolean now) {
         spoilt = now;
     }
 
@@ -449,18 +454,18 @@
     /**
      * What it has of the key space; of a slice it gives the rows that lie in the keys asked for.
      */
-    void rows(List<Row> all) {
+    public void rows(List<Row> all) {
         rows = List.copyOf(all);
     }
 
     /** From now on its rows come with two of them turned. */
-    void spoilOrder(boolean spoils) {
+    public void spoilOrder(boolean spoils) {
         spoilsOrder = spoils;
     }
 
     // ---- troubles
 
-    void troubles(double bad, double late) {
+    public void troubles(double bad, double late) {
         badAnswers = bad;
         lateAnswers = late;
     }
@@ -470,16 +475,16 @@
         work = each;
     }
 
-    void slow(int times) {
+    public void slow(int times) {
         slowness = times;
     }
 
-    void hang(boolean hangs) {
+    public void hang(boolean hangs) {
         hanging = hangs;
     }
 
     /** Ends all connections; what it had taken ends nowhere. */
-    synchronized void die() {
+    public synchronized void die() {
         life++;
         IoUtils.safeClose(server);
         for (Socket socket : sockets) {
@@ -496,7 +501,7 @@
     }
 
     /** Is back at its address, and holds what it is told. */
-    synchronized void back() throws IOException {
+    public synchronized void back() throws IOException {
         server = new ServerSocket();
         server.setReuseAddress(true);
         server.bind(address, 200);
--- a/src/main/java/postbeam/rig/StandInDiscovery.java
+++ b/src/main/java/postbeam/testbed/fakes/FakeDiscovery.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.fakes;
 
 import java.io.BufferedReader;
 import java.io.Closeable;
@@ -17,13 +17,13 @@
 import org.xnio.IoUtils;
 
 /** Discovery on loopback: the whole list at once, and again when it changes. */
-final class StandInDiscovery implements Closeable {
-    final ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
+public final class FakeDiscovery implements Closeable {
+    public final ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private final Map<String, String> entries = new LinkedHashMap<>();
 
     /** Paths that it was asked for. */
-    final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
+    public final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
 
     private long version = 1;
 
@@ -32,44 +32,44 @@
 
     private boolean half;
 
-    StandInDiscovery() throws IOException {
+    public FakeDiscovery() throws IOException {
         this(null);
     }
 
     /** Tells these hosts, as they are. */
-    StandInDiscovery(String hosts) throws IOException {
+    public FakeDiscovery(String hosts) throws IOException {
         raw = hosts;
         Thread thread = new Thread(this::accept, "stand-in discovery");
         thread.setDaemon(true);
         thread.start();
     }
 
-    String address() {
+    public String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
     /** The health is up, draining or removed. */
-    synchronized void tell(StandInNode node, String health, long bornMs) {
+    public synchronized void tell(FakeDataNode node, String health, long bornMs) {
         entries.put(node.name, entry(node.name, node.dial(), node.zone, health, bornMs));
         version++;
         notifyAll();
     }
 
     /** From now on these hosts, as they are. */
-    synchronized void tell(String hosts) {
+    public synchronized void tell(String hosts) {
         raw = hosts;
         version++;
         notifyAll();
     }
 
     /** The next answer breaks off in its middle. */
-    synchronized void tellHalf() {
+    public synchronized void tellHalf() {
         half = true;
         version++;
         notifyAll();
     }
 
-    static String entry(String name, String dial, String zone, String health, long bornMs) {
+    public static String entry(String name, String dial, String zone, String health, long bornMs) {
         return "{\"host\":\""
                 + name
                 + "\",\"dial\":\""
--- a/src/main/java/postbeam/rig/StandIns.java
+++ b/src/main/java/postbeam/testbed/fakes/FakeServerMain.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.fakes;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -12,13 +12,14 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.stream.Collectors;
 import org.apache.commons.rng.simple.RandomSource;
+import postbeam.testbed.verification.ObservedCalls;
 
 /**
  * A stand-in as a process of its own: says where it listens, does what its standard input says, a
  * line each, and ends with it, so that none outlives whoever started it.
  */
-final class StandIns {
-    private StandIns() {}
+public final class FakeServerMain {
+    private FakeServerMain() {}
 
     /**
      * "discovery", then how many that each are told another list; or "node", then as {@link #node}
@@ -37,15 +38,12 @@
 
     /** Hears "INDEX HOSTS": from now on that one is told these hosts. */
     private static void discovery(int count, BufferedReader told) throws IOException {
-        List<StandInDiscovery> all = new ArrayList<>();
+        List<FakeDiscovery> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            all.add(new StandInDiscovery(""));
+            all.add(new FakeDiscovery(""));
         }
         System.out.println(
-                "at "
-                        + all.stream()
-                                .map(StandInDiscovery::address)
-                                .collect(Collectors.joining(",")));
+                "at " + all.stream().map(FakeDiscovery::address).collect(Collectors.joining(",")));
         String line;
         while ((line = told.readLine()) != null) {
             int space = line.indexOf(' ');
@@ -58,17 +56,17 @@
      * Hears "hang BOOLEAN", "slow TIMES" and "troubles BAD LATE".
      */
     private static void node(String[] args, BufferedReader told) throws IOException {
-        Testimony.Node seen =
-                new Testimony.Node(Path.of(args[3]), args[1], Long.parseLong(args[4]));
+        ObservedCalls.Node seen =
+                new ObservedCalls.Node(Path.of(args[3]), args[1], Long.parseLong(args[4]));
         Map<String, Map<postbeam.slices.KeyRange, Boolean>> runs = new ConcurrentHashMap<>();
         if (Boolean.parseBoolean(args[8])) {
             seen.nodeStarted(seen.now(), args[1]);
         }
-        StandInNode node =
-                new StandInNode(
+        FakeDataNode node =
+                new FakeDataNode(
                         args[1],
                         args[2],
-                        new StandInNode.Seen(seen, seen::now, runs),
+                        new FakeDataNode.Seen(seen, seen::now, runs),
                         RandomSource.XO_RO_SHI_RO_128_PP.create(Long.parseLong(args[5])),
                         !Boolean.parseBoolean(args[6]));
         node.works(Duration.ofNanos(Long.parseLong(args[7]) * 1000));
--- a/src/main/java/postbeam/rig/HeldSlices.java
+++ b/src/main/java/postbeam/testbed/fakes/FakeSliceStore.java
@@ -1,16 +1,16 @@
-package postbeam.rig;
+package postbeam.testbed.fakes;
 
 import java.util.Map;
 import java.util.TreeMap;
+import postbeam.slices.HandoffCommand;
 import postbeam.slices.KeyRange;
-import postbeam.slices.Order;
 
 /**
  * What one stand-in node holds, as it was ordered: which calls it takes, and which it says it never
  * ran.
  */
-final class HeldSlices {
-    enum Standing {
+public final class FakeSliceStore {
+    public enum Standing {
         COPYING,
         HOLDING,
         SERVING,
@@ -18,9 +18,9 @@
     }
 
     /** A slice here; calls of an older version than this one are not for it. */
-    static final class Held {
+    public static final class Held {
         final KeyRange keys;
-        Standing standing = Standing.COPYING;
+        public Standing standing = Standing.COPYING;
         long from;
 
         /** Calls taken and not over. */
@@ -35,7 +35,7 @@
 
     private final Map<Integer, Held> held = new TreeMap<>();
 
-    Held of(int slice) {
+    public Held of(int slice) {
         return held.get(slice);
     }
 
@@ -43,24 +43,24 @@
      * Takes a call, which {@link #over} must end; null where it is not served here under that
      * version.
      */
-    Held take(int slice, long version, KeyRange keys) {
+    public Held take(int slice, long version, KeyRange keys) {
         Held one = held.get(slice);
         if (one == null
                 || one.standing != Standing.SERVING
                 || version < one.from
-                || !one.keys.holds(keys)) {
+                || !one.keys.contains(keys)) {
             return null;
         }
         one.running++;
         return one;
     }
 
-    void over(Held one) {
+    public void over(Held one) {
         one.running--;
     }
 
     /** A node that lost its disk holds nothing until it is told. */
-    void forgetAll() {
+    public void forgetAll() {
         held.clear();
     }
 
@@ -68,7 +68,7 @@
      * One that starts again knows from its disk what it serves and from which version; half a copy
      * is none.
      */
-    void restarted() {
+    public void restarted() {
         held.values().removeIf(one -> !one.copied);
         held.replaceAll(
                 (slice, one) -> {
@@ -84,9 +84,10 @@
      * Whether the order is done; else it goes on, and the same order later tells. The copying is
      * the caller's.
      */
-    boolean ordered(Order order, int slice, KeyRange keys, long version, boolean copied) {
+    public boolean ordered(
+            HandoffCommand command, int slice, KeyRange keys, long version, boolean copied) {
         Held one = held.get(slice);
-        switch (order) {
+        switch (command) {
             case COPY -> {
                 if (one == null
                         || one.standing == Standing.FENCED
--- a/src/main/java/postbeam/rig/ScriptedNode.java
+++ b/src/main/java/postbeam/testbed/fakes/ScriptedDataNode.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.fakes;
 
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
@@ -18,17 +18,17 @@
  * A data node that does with each part what it was told, spoilt answers among it, and remembers the
  * frames.
  */
-final class ScriptedNode implements Closeable {
-    final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    final BlockingQueue<String> frames = new LinkedBlockingQueue<>();
-    final List<Socket> sockets = new CopyOnWriteArrayList<>();
+public final class ScriptedDataNode implements Closeable {
+    public final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    public final BlockingQueue<String> frames = new LinkedBlockingQueue<>();
+    public final List<Socket> sockets = new CopyOnWriteArrayList<>();
 
     /**
      * good, bad, later, silent, twice, noisy, stray, endless, reset, garbage, unusable, oversized.
      */
-    volatile String mode = "good";
+    public volatile String mode = "good";
 
-    ScriptedNode() throws IOException {
+    public ScriptedDataNode() throws IOException {
         daemon(this::accept);
     }
 
@@ -113,7 +113,7 @@
         }
     }
 
-    void send(Socket socket, String frame) throws IOException {
+    public void send(Socket socket, String frame) throws IOException {
         byte[] bytes = frame.getBytes(StandardCharsets.UTF_8);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (int i = 0; i < Integer.BYTES; i++) {
@@ -123,12 +123,12 @@
         socket.getOutputStream().write(out.toByteArray());
     }
 
-    String dial() {
+    public String dial() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    String entry(String name, String health) {
-        return StandInDiscovery.entry(name, dial(), "a", health, 0);
+    public String entry(String name, String health) {
+        return FakeDiscovery.entry(name, dial(), "a", health, 0);
     }
 
     @Override
--- a/src/main/java/postbeam/rig/package-info.java
+++ b/src/main/java/postbeam/testbed/package-info.java
@@ -2,4 +2,4 @@
  * Stand-ins for all that postbeam speaks to, faults by seed, and a referee that sees all traffic
  * and checks the six rules. Nothing of it is loaded by a router that serves.
  */
-package postbeam.rig;
+package postbeam.testbed;
