--- a/src/main/java/postbeam/rig/BoundsWorld.java
+++ b/src/main/java/postbeam/testbed/simulation/CoordinationSimulation.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.simulation;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -14,14 +14,14 @@
 import java.util.stream.IntStream;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import postbeam.shared.Ballot;
-import postbeam.shared.Budget;
-import postbeam.shared.LeaseAsk;
-import postbeam.shared.LeaseTerms;
-import postbeam.shared.NodeKey;
-import postbeam.shared.OfficeTerms;
-import postbeam.shared.Stripe;
-import postbeam.shared.Who;
+import postbeam.coordination.CoordinationStripe;
+import postbeam.coordination.ElectionTimeouts;
+import postbeam.coordination.LeaseParameters;
+import postbeam.coordination.LeaseRequest;
+import postbeam.coordination.NodeIncarnation;
+import postbeam.coordination.ProcessIdentity;
+import postbeam.coordination.SlowStartBudget;
+import postbeam.coordination.VoteRequest;
 
 /**
  * The shared decisions of several routers on a clock that jumps: messages are lost, late, doubled
@@ -29,24 +29,24 @@
  * name, are stopped anywhere and wake, and their clocks run apart. A referee with the only true
  * clock sums what cold nodes were sent.
  */
-final class BoundsWorld {
+public final class CoordinationSimulation {
     /**
      * How large, how long and how rough; troubles come while the load does, but for the last part
      * of it.
      */
-    record Plan(
+    public record Plan(
             int routers,
             int nodes,
             int stripes,
             Duration length,
             boolean faults,
             int cutOff,
-            LeaseTerms leases,
-            OfficeTerms offices,
-            PlantedSharing.Defect defect) {}
+            LeaseParameters leases,
+            ElectionTimeouts offices,
+            DefectiveCoordination.Defect defect) {}
 
     /** What the routers sent of what they might: figures of a run. */
-    record Use(double used, double budget, int won, int sends, Duration evenAt) {}
+    public record Use(double used, double budget, int won, int sends, Duration evenAt) {}
 
     private static final Duration TICK = Duration.ofMillis(20);
 
@@ -83,8 +83,8 @@
         final String name;
         final double rate = 1 + RATES * (2 * chance.nextDouble() - 1);
         final Duration offset = Duration.ofNanos((long) (chance.nextDouble() * 1e12));
-        Who who;
-        List<Stripe> stripes;
+        ProcessIdentity who;
+        List<CoordinationStripe> stripes;
 
         /** Its threads get little time: sends follow their checks late. */
         final boolean starved = chance.nextDouble() < 0.3;
@@ -96,9 +96,9 @@
         final List<Runnable> held = new ArrayList<>();
 
         /** By node: the incarnation it knows, and when it heard of it. */
-        final Map<String, NodeKey> knows = new LinkedHashMap<>();
+        final Map<String, NodeIncarnation> knows = new LinkedHashMap<>();
 
-        final Map<NodeKey, Duration> heardAt = new LinkedHashMap<>();
+        final Map<NodeIncarnation, Duration> heardAt = new LinkedHashMap<>();
 
         Router(String name) {
             this.name = name;
@@ -110,13 +110,13 @@
 
         void start() {
             crashed = false;
-            who = new Who(name, ++incarnations);
+            who = new ProcessIdentity(name, ++incarnations);
             knows.clear();
             stripes =
                     IntStream.range(0, plan.stripes())
                             .mapToObj(
                                     i ->
-                                            PlantedSharing.of(
+                                            DefectiveCoordination.of(
                                                     plan.defect(),
                                                     i,
                                                     who,
@@ -131,8 +131,8 @@
             run(this::nextSend);
         }
 
-        void hears(NodeKey key) {
-            NodeKey known = knows.get(key.node());
+        void hears(NodeIncarnation key) {
+            NodeIncarnation known = knows.get(key.node());
             if (known == null || known.incarnation() < key.incarnation()) {
                 knows.put(key.node(), key);
                 heardAt.put(key, clock());
@@ -141,7 +141,7 @@
 
         /** Runs this now, once it goes on, or never, if this process is over by then. */
         void run(Runnable what) {
-            Who mine = who;
+            ProcessIdentity mine = who;
             Runnable still =
                     () -> {
                         if (mine.equals(who) && !crashed) {
@@ -156,7 +156,7 @@
         }
 
         void later(Duration wait, Runnable what) {
-            Who mine = who;
+            ProcessIdentity mine = who;
             after(
                     wait,
                     () -> {
@@ -194,43 +194,43 @@
         void tick() {
             later(TICK, this::tick);
             for (int i = 0; i < stripes.size(); i++) {
-                Stripe stripe = stripes.get(i);
-                boolean was = stripe.office().inOffice(clock());
-                Stripe.Due due = stripe.due(clock());
-                if (due.ballot() != null) {
+                CoordinationStripe stripe = stripes.get(i);
+                boolean was = stripe.election().isLeader(clock());
+                CoordinationStripe.OutgoingMessages due = stripe.pollMessages(clock());
+                if (due.voteRequest() != null) {
                     routers.stream()
                             .filter(other -> other != this)
-                            .forEach(other -> ask(other, due.ballot()));
+                            .forEach(other -> ask(other, due.voteRequest()));
                 }
                 int at = i;
-                due.asks()
+                due.leaseRequests()
                         .forEach(
                                 asked ->
                                         routers.stream()
                                                 .filter(
                                                         other ->
                                                                 other.name.equals(
-                                                                        due.keeper().name()))
+                                                                        due.leader().name()))
                                                 .forEach(other -> ask(other, at, asked)));
-                won += !was && stripe.office().inOffice(clock()) ? 1 : 0;
+                won += !was && stripe.election().isLeader(clock()) ? 1 : 0;
             }
         }
 
-        private void ask(Router other, Ballot ballot) {
-            Stripe mine = stripes.get(ballot.stripe());
+        private void ask(Router other, VoteRequest ballot) {
+            CoordinationStripe mine = stripes.get(ballot.stripe());
             message(
                     this,
                     other,
                     () -> {
-                        var vote = other.stripes.get(ballot.stripe()).asked(other.clock(), ballot);
+                        var vote = other.stripes.get(ballot.stripe()).handle(other.clock(), ballot);
                         message(
                                 other,
                                 this,
                                 mine,
                                 () -> {
-                                    boolean was = mine.office().inOffice(clock());
-                                    mine.answered(clock(), vote);
-                                    if (!was && mine.office().inOffice(clock())) {
+                                    boolean was = mine.election().isLeader(clock());
+                                    mine.onVote(clock(), vote);
+                                    if (!was && mine.election().isLeader(clock())) {
                                         won++;
                                         oneKeeper(ballot.stripe());
                                     }
@@ -238,14 +238,14 @@
                     });
         }
 
-        private void ask(Router other, int stripe, LeaseAsk asked) {
-            Stripe mine = stripes.get(stripe);
+        private void ask(Router other, int stripe, LeaseRequest asked) {
+            CoordinationStripe mine = stripes.get(stripe);
             message(
                     this,
                     other,
                     () -> {
-                        var grant = other.stripes.get(stripe).asked(other.clock(), asked);
-                        message(other, this, mine, () -> mine.granted(clock(), grant));
+                        var grant = other.stripes.get(stripe).handle(other.clock(), asked);
+                        message(other, this, mine, () -> mine.onGrant(clock(), grant));
                     });
         }
 
@@ -264,7 +264,8 @@
 
         private void sendAny() {
             if (!knows.isEmpty()) {
-                NodeKey key = new ArrayList<>(knows.values()).get(chance.nextInt(knows.size()));
+                NodeIncarnation key =
+                        new ArrayList<>(knows.values()).get(chance.nextInt(knows.size()));
                 for (int i = chance.nextInt(BURST_MOST); i >= 0; i--) {
                     send(key);
                 }
@@ -275,18 +276,18 @@
             }
         }
 
-        private void send(NodeKey key) {
-            Stripe stripe = stripes.get(stripeOf(key.node()));
-            double amount = plan.leases().callMost() * (0.2 + 0.8 * chance.nextDouble());
+        private void send(NodeIncarnation key) {
+            CoordinationStripe stripe = stripes.get(stripeOf(key.node()));
+            double amount = plan.leases().maxAttemptWork() * (0.2 + 0.8 * chance.nextDouble());
             // Its age as heard, by its own clock, is never above the true one.
             Duration age =
                     Duration.ofNanos(
                             (long) (clock().minus(heardAt.get(key)).toNanos() * (1 - 2 * RATES)));
-            if (!stripe.take(clock(), key, amount, budget(age))) {
+            if (!stripe.tryAcquire(clock(), key, amount, budget(age))) {
                 return;
             }
-            if (plan.defect() == PlantedSharing.Defect.CHECKS_NOT_HELD_DOWN) {
-                stripe.out(key, amount);
+            if (plan.defect() == DefectiveCoordination.Defect.CHECKS_NOT_HELD_DOWN) {
+                stripe.release(key, amount);
             }
             // The thread goes on to its send: at once, or whenever the process does.
             later(
@@ -298,8 +299,8 @@
                                                     * (chance.nextDouble() < 0.1 ? 3e7 : 1e6))),
                     () -> {
                         sent(key, amount);
-                        if (plan.defect() != PlantedSharing.Defect.CHECKS_NOT_HELD_DOWN) {
-                            stripe.out(key, amount);
+                        if (plan.defect() != DefectiveCoordination.Defect.CHECKS_NOT_HELD_DOWN) {
+                            stripe.release(key, amount);
                         }
                     });
         }
@@ -309,9 +310,10 @@
     private final UniformRandomProvider chance;
     private final List<String> names;
     private final List<Router> routers = new ArrayList<>();
-    private final Map<String, NodeKey> nodes = new LinkedHashMap<>();
-    private final Map<NodeKey, Duration> startedAt = new LinkedHashMap<>();
-    private final Map<NodeKey, Deque<Map.Entry<Duration, Double>>> sent = new LinkedHashMap<>();
+    private final Map<String, NodeIncarnation> nodes = new LinkedHashMap<>();
+    private final Map<NodeIncarnation, Duration> startedAt = new LinkedHashMap<>();
+    private final Map<NodeIncarnation, Deque<Map.Entry<Duration, Double>>> sent =
+            new LinkedHashMap<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparing(Event::at).thenComparingLong(Event::number));
     private final List<String> broken = new ArrayList<>();
@@ -326,7 +328,7 @@
     private double measured;
     private Duration carriesAt;
 
-    BoundsWorld(Plan plan, long seed) {
+    public CoordinationSimulation(Plan plan, long seed) {
         this.plan = plan;
         this.chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         this.names = IntStream.range(0, plan.routers()).mapToObj(i -> "r" + i).toList();
@@ -337,7 +339,7 @@
     // ---- the run
 
     /** What broke, a line each; empty where all held. */
-    List<String> run() {
+    public List<String> run() {
         IntStream.range(0, plan.nodes()).forEach(i -> restart("n" + i));
         routers.forEach(Router::start);
         troubled = plan.faults();
@@ -364,13 +366,13 @@
         return broken;
     }
 
-    Use use() {
+    public Use use() {
         double budget = 0;
-        for (NodeKey key : nodes.values()) {
+        for (NodeIncarnation key : nodes.values()) {
             for (Duration at = startedAt.get(key);
                     at.compareTo(now) < 0;
                     at = at.plus(plan.leases().window())) {
-                budget += budget(at.minus(startedAt.get(key))).now();
+                budget += budget(at.minus(startedAt.get(key))).current();
             }
         }
         return new Use(used, budget, won, sends, carriesAt);
@@ -381,7 +383,8 @@
         for (int i = 0; i < plan.stripes(); i++) {
             int stripe = i;
             if (routers.stream()
-                    .noneMatch(one -> one.stripes.get(stripe).keeper().grants(one.clock()))) {
+                    .noneMatch(
+                            one -> one.stripes.get(stripe).leaseIssuer().canGrant(one.clock()))) {
                 broken.add(
                         "stripe "
                                 + i
@@ -398,7 +401,7 @@
                                                 .flatMap(
                                                         stripe ->
                                                                 stripe
-                                                                        .leased(one.clock())
+                                                                        .leasedAmounts(one.clock())
                                                                         .entrySet()
                                                                         .stream()))
                         .filter(entry -> nodes.containsValue(entry.getKey()))
@@ -459,7 +462,7 @@
     }
 
     /** An answer is for the process that asked. */
-    private void message(Router from, Router to, Stripe asker, Runnable arrives) {
+    private void message(Router from, Router to, CoordinationStripe asker, Runnable arrives) {
         message(
                 from,
                 to,
@@ -509,8 +512,8 @@
                                         && one.stripes.stream()
                                                 .anyMatch(
                                                         stripe ->
-                                                                stripe.office()
-                                                                        .inOffice(one.clock())))
+                                                                stripe.election()
+                                                                        .isLeader(one.clock())))
                 .toList();
     }
 
@@ -570,7 +573,7 @@
 
     /** A node starts (again), cold; routers hear of it at different times. */
     private void restart(String node) {
-        NodeKey key = new NodeKey(node, ++incarnations);
+        NodeIncarnation key = new NodeIncarnation(node, ++incarnations);
         nodes.put(node, key);
         startedAt.put(key, now);
         sent.put(key, new ArrayDeque<>());
@@ -588,7 +591,7 @@
     // ---- the referee
 
     /** As of a window's start, for one that ends at this age of the node. */
-    private Budget budget(Duration age) {
+    private SlowStartBudget budget(Duration age) {
         double risen =
                 Math.max(
                         0,
@@ -596,10 +599,10 @@
                                 1,
                                 (double) age.minus(plan.leases().window()).toNanos()
                                         / RAMP.toNanos()));
-        return new Budget(FIRST_BUDGET, FIRST_BUDGET * (1 + (RISES_TO - 1) * risen));
+        return new SlowStartBudget(FIRST_BUDGET, FIRST_BUDGET * (1 + (RISES_TO - 1) * risen));
     }
 
-    private void sent(NodeKey key, double amount) {
+    private void sent(NodeIncarnation key, double amount) {
         sends++;
         used += amount;
         Deque<Map.Entry<Duration, Double>> all = sent.get(key);
@@ -608,7 +611,7 @@
             all.poll();
         }
         double sum = all.stream().mapToDouble(Map.Entry::getValue).sum();
-        double limit = budget(now.minus(startedAt.get(key))).now();
+        double limit = budget(now.minus(startedAt.get(key))).current();
         measured = Math.max(measured, sum / limit);
         if (carriesAt == null && sum > limit / 2) {
             carriesAt = now.minus(startedAt.get(key));
@@ -622,7 +625,7 @@
     }
 
     /** The largest share of a budget that was sent in any window. */
-    double fullest() {
+    public double fullest() {
         return measured;
     }
 
@@ -635,8 +638,8 @@
                                         !one.crashed
                                                 && one.stripes
                                                         .get(stripe)
-                                                        .office()
-                                                        .inOffice(one.clock()))
+                                                        .election()
+                                                        .isLeader(one.clock()))
                         .map(one -> one.name)
                         .toList();
         if (in.size() > 1) {
--- a/src/main/java/postbeam/rig/PlantedSharing.java
+++ b/src/main/java/postbeam/testbed/simulation/DefectiveCoordination.java
@@ -1,20 +1,20 @@
-package postbeam.rig;
+package postbeam.testbed.simulation;
 
 import java.time.Duration;
 import java.util.List;
 import java.util.Locale;
 import java.util.Random;
 import java.util.stream.Stream;
-import postbeam.shared.Keeper;
-import postbeam.shared.LeaseTerms;
-import postbeam.shared.NodeLeases;
-import postbeam.shared.Office;
-import postbeam.shared.OfficeTerms;
-import postbeam.shared.Stripe;
-import postbeam.shared.Who;
+import postbeam.coordination.ColdNodeQuota;
+import postbeam.coordination.CoordinationStripe;
+import postbeam.coordination.ElectionTimeouts;
+import postbeam.coordination.LeaderElection;
+import postbeam.coordination.LeaseIssuer;
+import postbeam.coordination.LeaseParameters;
+import postbeam.coordination.ProcessIdentity;
 
 /** A router's shared decisions with one defect, which the trial must catch. */
-final class PlantedSharing extends Stripe {
+public final class DefectiveCoordination extends CoordinationStripe {
     /** What can be planted. */
     enum Defect {
         /** A lease's end is looked at when answers come, not when it is used. */
@@ -46,60 +46,60 @@
 
     private final Defect defect;
 
-    private PlantedSharing(
+    private DefectiveCoordination(
             int stripe,
-            Who self,
+            ProcessIdentity self,
             List<String> fleet,
-            LeaseTerms terms,
-            OfficeTerms offices,
+            LeaseParameters terms,
+            ElectionTimeouts offices,
             Duration now,
             Random chance) {
         super(stripe, self, fleet, terms, offices, now, chance);
         defect = MAKING.get();
     }
 
-    static List<String> names() {
+    public static List<String> names() {
         return Stream.of(Defect.values()).map(Defect::spelt).toList();
     }
 
     /** Null where the name is null. */
-    static Defect defect(String name) {
+    public static Defect defect(String name) {
         return name == null
                 ? null
                 : Defect.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_'));
     }
 
-    static Stripe of(
+    static CoordinationStripe of(
             Defect defect,
             int stripe,
-            Who self,
+            ProcessIdentity self,
             List<String> fleet,
-            LeaseTerms terms,
-            OfficeTerms offices,
+            LeaseParameters terms,
+            ElectionTimeouts offices,
             Duration now,
             Random chance) {
         if (defect == null) {
-            return new Stripe(stripe, self, fleet, terms, offices, now, chance);
+            return new CoordinationStripe(stripe, self, fleet, terms, offices, now, chance);
         }
         MAKING.set(defect);
-        return new PlantedSharing(stripe, self, fleet, terms, offices, now, chance);
+        return new DefectiveCoordination(stripe, self, fleet, terms, offices, now, chance);
     }
 
     @Override
-    protected Office office(
+    protected LeaderElection election(
             int stripe,
-            Who who,
+            ProcessIdentity process,
             List<String> routers,
-            OfficeTerms offices,
+            ElectionTimeouts offices,
             Duration start,
             Random chance) {
         Defect planted = MAKING.get();
-        return new Office(who, stripe, routers, offices, start, chance) {
+        return new LeaderElection(process, stripe, routers, offices, start, chance) {
             @Override
-            protected int majority() {
+            protected int quorum() {
                 return planted == Defect.KEEPER_WITHOUT_MAJORITY
                         ? (routers.size() - 1) / 2
-                        : super.majority();
+                        : super.quorum();
             }
 
             @Override
@@ -110,12 +110,13 @@
     }
 
     @Override
-    protected Keeper keeper(Office of, LeaseTerms leaseTerms) {
+    protected LeaseIssuer leaseIssuer(LeaderElection of, LeaseParameters leaseTerms) {
         Defect planted = MAKING.get();
-        return new Keeper(of, leaseTerms) {
+        return new LeaseIssuer(of, leaseTerms) {
             @Override
-            protected boolean waited(Duration now, Duration wonAt) {
-                return planted == Defect.SUCCESSOR_GRANTS_AT_ONCE || super.waited(now, wonAt);
+            protected boolean waitedOutPredecessors(Duration now, Duration wonAt) {
+                return planted == Defect.SUCCESSOR_GRANTS_AT_ONCE
+                        || super.waitedOutPredecessors(now, wonAt);
             }
         };
     }
@@ -126,21 +127,21 @@
     }
 
     @Override
-    protected NodeLeases leases(LeaseTerms leaseTerms, int sharers, boolean drawn) {
+    protected ColdNodeQuota nodeQuota(LeaseParameters leaseTerms, int sharers, boolean drawn) {
         return defect != Defect.LEASE_USED_AFTER_STOP
-                ? super.leases(leaseTerms, sharers, drawn)
-                : new NodeLeases(leaseTerms, sharers, drawn) {
+                ? super.nodeQuota(leaseTerms, sharers, drawn)
+                : new ColdNodeQuota(leaseTerms, sharers, drawn) {
                     private Duration lookedAt = Duration.ZERO;
 
                     @Override
-                    public void granted(Duration now, long ofNumber, double amount) {
+                    public void onGrant(Duration now, long ofNumber, double amount) {
                         lookedAt = now;
-                        super.granted(now, ofNumber, amount);
+                        super.onGrant(now, ofNumber, amount);
                     }
 
                     @Override
-                    protected boolean over(Duration now, Duration end) {
-                        return super.over(lookedAt, end);
+                    protected boolean isExpired(Duration now, Duration end) {
+                        return super.isExpired(lookedAt, end);
                     }
                 };
     }
--- a/src/main/java/postbeam/rig/MigrationWorld.java
+++ b/src/main/java/postbeam/testbed/simulation/MigrationSimulation.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.simulation;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -17,29 +17,31 @@
 import java.util.TreeSet;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import postbeam.errors.ExplainedException;
-import postbeam.layouts.RecordForm;
-import postbeam.migration.Cause;
+import postbeam.errors.OperatorErrorException;
+import postbeam.layoutservice.MoveRecordCodec;
 import postbeam.migration.Checkpoint;
-import postbeam.migration.Hop;
 import postbeam.migration.Migration;
-import postbeam.migration.MigrationBook;
 import postbeam.migration.MigrationError;
-import postbeam.migration.Noted;
-import postbeam.migration.Stage;
-import postbeam.slices.Book;
+import postbeam.migration.MigrationJournalState;
+import postbeam.migration.MigrationRecord;
+import postbeam.migration.MigrationState;
+import postbeam.migration.PauseReason;
+import postbeam.migration.SliceTransfer;
+import postbeam.slices.JournalRecord;
 import postbeam.slices.KeyRange;
 import postbeam.slices.Layout;
-import postbeam.slices.Logged;
 import postbeam.slices.Move;
+import postbeam.slices.MoveJournalState;
 import postbeam.slices.Slice;
+import postbeam.testbed.trials.MigrationTrial;
+import postbeam.testbed.trials.Trial;
 
 /**
  * Two members' migrations in one thread on a clock that jumps, every choice from one seed:
  * coordinators, nodes, routers that send holds, an operator. It knows what ran, and checks what it
  * sees against that.
  */
-final class MigrationWorld {
+public final class MigrationSimulation {
     private static final int NODES = 7;
     private static final int SLICES = 6;
     private static final int HOLDERS = 3;
@@ -92,9 +94,9 @@
 
     final UniformRandomProvider chance;
     final MigrationTrial.Defect defect;
-    final List<MigrationNode> nodes = new ArrayList<>();
+    final List<SimulatedMigrationNode> nodes = new ArrayList<>();
     final Set<String> gone = new LinkedHashSet<>();
-    final List<MigrationChief.Stored> log = new ArrayList<>();
+    final List<SimulatedMigrationCoordinator.Stored> log = new ArrayList<>();
     Duration now = Duration.ZERO;
     int recordsLeft;
     int slipped;
@@ -113,42 +115,43 @@
 
     private final Map<Integer, Long> lastCut = new HashMap<>();
     private final Map<String, Tally> tallies = new TreeMap<>();
-    private final Map<Long, Stage> goBackAt = new HashMap<>();
+    private final Map<Long, MigrationState> goBackAt = new HashMap<>();
     private final Map<Long, Duration> pausedSince = new HashMap<>();
     private final List<String> broken = new ArrayList<>();
-    final Set<String> diedAt = new TreeSet<>();
-    final Map<String, Integer> seen = new TreeMap<>();
+    public final Set<String> diedAt = new TreeSet<>();
+    public final Map<String, Integer> seen = new TreeMap<>();
     private final Layout first;
-    private final List<List<Hop>> plans = new ArrayList<>();
-    private MigrationChief chief;
+    private final List<List<SliceTransfer>> plans = new ArrayList<>();
+    private SimulatedMigrationCoordinator chief;
     private long eventCount;
     private long marks;
     private long turns;
     private boolean calm;
 
-    MigrationWorld(long seed, MigrationTrial.Defect defect, boolean faults) {
+    public MigrationSimulation(long seed, MigrationTrial.Defect defect, boolean faults) {
         this.seed = seed;
         this.defect = defect;
         this.faults = faults;
         this.calm = !faults;
         chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         for (int i = 0; i < NODES; i++) {
-            nodes.add(new MigrationNode(this, "n" + i));
+            nodes.add(new SimulatedMigrationNode(this, "n" + i));
         }
-        first = Layout.first(SLICES, nodes.stream().map(node -> node.name).toList(), HOLDERS);
+        first = Layout.initial(SLICES, nodes.stream().map(node -> node.name).toList(), HOLDERS);
         for (Slice slice : first.slices()) {
             for (String node : slice.nodes()) {
-                MigrationNode.Copy copy =
-                        new MigrationNode.Copy(slice.keys(), MigrationNode.Standing.SERVING);
+                SimulatedMigrationNode.Copy copy =
+                        new SimulatedMigrationNode.Copy(
+                                slice.keys(), SimulatedMigrationNode.Standing.SERVING);
                 copy.copied = true;
                 node(node).copies.put(slice.number(), copy);
             }
         }
         log.add(
-                new MigrationChief.Stored(
+                new SimulatedMigrationCoordinator.Stored(
                         0,
-                        RecordForm.write(
-                                new Logged.Whole(
+                        MoveRecordCodec.write(
+                                new JournalRecord.Snapshot(
                                         first, 1, 0, SLICES - 1, List.of(), null, List.of()))));
         for (int i = 0; i < ROUTERS; i++) {
             routers.add(new Router("r" + i));
@@ -158,11 +161,11 @@
         recordsLeft = faults ? (int) (1 + seed % RECORDS) : 0;
     }
 
-    private Hop hop(int slice) {
+    private SliceTransfer hop(int slice) {
         List<String> held = first.slice(slice).nodes();
         List<String> others =
                 nodes.stream().map(node -> node.name).filter(node -> !held.contains(node)).toList();
-        return new Hop(
+        return new SliceTransfer(
                 slice,
                 held.get(chance.nextInt(held.size())),
                 others.get(chance.nextInt(others.size())));
@@ -199,12 +202,12 @@
         return ++turns;
     }
 
-    MigrationNode node(String name) {
+    SimulatedMigrationNode node(String name) {
         return nodes.get(Integer.parseInt(name.substring(1)));
     }
 
     /** A copy comes out wrong now and then: a row is missing. */
-    void spoil(TreeMap<Long, MigrationNode.Row> rows) {
+    void spoil(TreeMap<Long, SimulatedMigrationNode.Row> rows) {
         if (!calm && !rows.isEmpty() && with(SPOILT_COPIES)) {
             rows.remove(new ArrayList<>(rows.keySet()).get(chance.nextInt(rows.size())));
             count("copies spoilt");
@@ -221,13 +224,13 @@
 
     // ---- the run
 
-    Trial.Result run() {
-        chief = new MigrationChief(this);
+    public Trial.Result run() {
+        chief = new SimulatedMigrationCoordinator(this);
         routers.forEach(this::poll);
         after(Duration.ofMillis(100), this::load);
         after(Duration.ofMillis(300), this::operate);
         for (int i = 0; i < plans.size(); i++) {
-            List<Hop> hops = plans.get(i);
+            List<SliceTransfer> hops = plans.get(i);
             String member = "m" + i;
             after(Duration.ofMillis(700 + 300L * i), () -> open(member, hops));
         }
@@ -253,22 +256,22 @@
     private boolean atRest() {
         return now.compareTo(LOAD.plusSeconds(2)) > 0
                 && chief.works()
-                && chief.migrations.book().open().isEmpty()
-                && chief.coordinator.book().moves().isEmpty()
-                && chief.coordinator.book().owed().isEmpty();
+                && chief.migrations.journalState().activeMigrations().isEmpty()
+                && chief.coordinator.book().activeMoves().isEmpty()
+                && chief.coordinator.book().pendingDrops().isEmpty();
     }
 
     private void calm() {
         calm = true;
         recordsLeft = 0;
-        nodes.forEach(MigrationNode::back);
+        nodes.forEach(SimulatedMigrationNode::back);
         routers.forEach(router -> router.cutUntil = Duration.ZERO);
         if (chief.dead()) {
-            chief = new MigrationChief(this);
+            chief = new SimulatedMigrationCoordinator(this);
         }
     }
 
-    private void open(String member, List<Hop> hops) {
+    private void open(String member, List<SliceTransfer> hops) {
         if (!chief.works() || now.compareTo(LOAD) > 0) {
             after(
                     Duration.ofMillis(100),
@@ -279,8 +282,9 @@
                     });
             return;
         }
-        chief.migrations.utility(member, 1);
-        if (chief.ordered(migrations -> () -> migrations.open(member, hops, now)) != null) {
+        chief.migrations.updateUtility(member, 1);
+        if (chief.ordered(migrations -> () -> migrations.createMigration(member, hops, now))
+                != null) {
             after(Duration.ofMillis(100), () -> open(member, hops));
         }
     }
@@ -301,7 +305,9 @@
                                             && life == router.life
                                             && now.compareTo(router.cutUntil) >= 0) {
                                         router.leaseUntil =
-                                                asked.plus(MigrationChief.LIMITS.lease());
+                                                asked.plus(
+                                                        SimulatedMigrationCoordinator.LIMITS
+                                                                .routerLease());
                                         router.layout =
                                                 router.layout == null
                                                                 || layout.version
@@ -321,15 +327,16 @@
         }
         after(upTo(HOLD_EVERY.multipliedBy(2)), this::load);
         String id = "h" + keys.size();
-        long key = (long) (chance.nextDouble() * KeyRange.KEYS);
+        long key = (long) (chance.nextDouble() * KeyRange.KEY_SPACE_SIZE);
         keys.put(id, key);
         Router router = routers.get(chance.nextInt(routers.size()));
-        int slice = first.meeting(new KeyRange(key, key + 1)).get(0).number();
-        Migration one = chief.migrations.book().owning(slice);
+        int slice = first.overlapping(new KeyRange(key, key + 1)).get(0).number();
+        Migration one = chief.migrations.journalState().activeMigrationOf(slice);
         String phase =
-                one == null || one.stage() == Stage.PLANNED
+                one == null || one.state() == MigrationState.PLANNED
                         ? "before or after"
-                        : one.stage() == Stage.SWITCHING || one.stage() == Stage.ROLLING_BACK
+                        : one.state() == MigrationState.SWITCHING
+                                        || one.state() == MigrationState.ROLLING_BACK
                                 ? "switch"
                                 : "during";
         boolean moves = slice < 5;
@@ -338,7 +345,10 @@
                         (moves ? "member " : "others ")
                                 + (moves
                                         ? phase
-                                        : chief.migrations.book().open().isEmpty()
+                                        : chief.migrations
+                                                        .journalState()
+                                                        .activeMigrations()
+                                                        .isEmpty()
                                                 ? "before or after"
                                                 : "during"),
                         name -> new Tally());
@@ -364,7 +374,7 @@
             rejected.add(id);
             return;
         }
-        Slice slice = router.layout.meeting(new KeyRange(key, key + 1)).get(0);
+        Slice slice = router.layout.overlapping(new KeyRange(key, key + 1)).get(0);
         List<String> holders = slice.nodes().stream().filter(node -> !left.contains(node)).toList();
         if (holders.isEmpty()) {
             after(
@@ -407,15 +417,16 @@
 
     // ---- what coordinators write
 
-    void written(MigrationChief by, Logged record) {
-        if (record instanceof Logged.Planned planned) {
+    void written(SimulatedMigrationCoordinator by, JournalRecord record) {
+        if (record instanceof JournalRecord.Planned planned) {
             slicesOf.put(planned.id(), planned.change().slices().get(0));
-        } else if (record instanceof Logged.CutOver cut) {
+        } else if (record instanceof JournalRecord.CutOver cut) {
             lastCut.put(slicesOf.get(cut.id()), cut.version());
-        } else if (record instanceof Noted.Entered entered && entered.stage() == Stage.WATCHED) {
-            Migration one = by.migrations.book().of(entered.id());
+        } else if (record instanceof MigrationRecord.StateEntered entered
+                && entered.state() == MigrationState.OBSERVING) {
+            Migration one = by.migrations.journalState().find(entered.id());
             long version =
-                    one.hops.stream()
+                    one.transfers.stream()
                             .mapToLong(hop -> lastCut.getOrDefault(hop.slice(), 0L))
                             .max()
                             .orElse(0);
@@ -433,51 +444,54 @@
                 }
             }
         }
-        if (record instanceof Noted.Entered entered) {
-            count("entered " + entered.stage().wireName());
-        } else if (record instanceof Noted.Paused paused) {
-            count("paused " + paused.cause().wireName());
+        if (record instanceof MigrationRecord.StateEntered entered) {
+            count("entered " + entered.state().wireName());
+        } else if (record instanceof MigrationRecord.Paused paused) {
+            count("paused " + paused.reason().wireName());
         }
     }
 
-    private static String kind(Logged record) {
-        return record instanceof Noted migration
+    private static String kind(JournalRecord record) {
+        return record instanceof MigrationRecord migration
                 ? kind(migration)
-                : record instanceof Logged.Advanced advanced
+                : record instanceof JournalRecord.Advanced advanced
                         ? "Advanced " + advanced.state()
                         : record.getClass().getSimpleName();
     }
 
     /** As it stands in what the trials count, whatever the types are called. */
-    private static String kind(Noted record) {
-        if (record instanceof Noted.Entered entered) {
-            return "Entered " + entered.stage().wireName();
+    private static String kind(MigrationRecord record) {
+        if (record instanceof MigrationRecord.StateEntered entered) {
+            return "Entered " + entered.state().wireName();
         }
-        return record instanceof Noted.Opened
+        return record instanceof MigrationRecord.Created
                 ? "Opened"
-                : record instanceof Noted.Verified
+                : record instanceof MigrationRecord.MoveVerified
                         ? "Verified"
-                        : record instanceof Noted.Opening
+                        : record instanceof MigrationRecord.CheckpointOpened
                                 ? "Opening"
-                                : record instanceof Noted.Passed
+                                : record instanceof MigrationRecord.CheckpointPassed
                                         ? "Passed"
-                                        : record instanceof Noted.Paused
+                                        : record instanceof MigrationRecord.Paused
                                                 ? "Paused"
-                                                : record instanceof Noted.Resumed
+                                                : record instanceof MigrationRecord.Resumed
                                                         ? "Resumed"
-                                                        : record instanceof Noted.RollingBack
+                                                        : record
+                                                                        instanceof
+                                                                        MigrationRecord
+                                                                                .RollbackStarted
                                                                 ? "RollingBack"
                                                                 : "Standing";
     }
 
     /** The coordinator dies at this record; in turn a router or a source dies along with it. */
-    void killedAtRecord(Logged record) {
+    void killedAtRecord(JournalRecord record) {
         diedAt.add(kind(record));
         if (seed % 3 == 1) {
             restart(routers.get(chance.nextInt(routers.size())));
         } else if (seed % 3 == 2) {
-            List<Hop> hops = plans.get(chance.nextInt(plans.size()));
-            node(hops.get(chance.nextInt(hops.size())).from())
+            List<SliceTransfer> hops = plans.get(chance.nextInt(plans.size()));
+            node(hops.get(chance.nextInt(hops.size())).source())
                     .die(Duration.ofMillis(100).plus(upTo(Duration.ofSeconds(1))));
         }
         after(upTo(Duration.ofMillis(700)), this::succeed);
@@ -485,11 +499,11 @@
 
     private void succeed() {
         if (chief.dead()) {
-            chief = new MigrationChief(this);
+            chief = new SimulatedMigrationCoordinator(this);
         }
     }
 
-    void listed(MigrationNode node, boolean up) {
+    void listed(SimulatedMigrationNode node, boolean up) {
         if (up) {
             gone.remove(node.name);
         } else {
@@ -538,7 +552,7 @@
 
     /** One is stopped, its lock ends, a successor goes on, and the first wakes beside it. */
     private void twoCoordinators() {
-        MigrationChief old = chief;
+        SimulatedMigrationCoordinator old = chief;
         if (!old.works()) {
             return;
         }
@@ -547,7 +561,7 @@
                 upTo(Duration.ofMillis(300)),
                 () -> {
                     if (chief == old) {
-                        chief = new MigrationChief(this);
+                        chief = new SimulatedMigrationCoordinator(this);
                         count("successors beside a stopped one");
                     }
                 });
@@ -574,63 +588,68 @@
                                                     && (node.copies.get(slice.number()) == null
                                                             || node.copies.get(slice.number())
                                                                             .standing
-                                                                    != MigrationNode.Standing
-                                                                            .SERVING))
+                                                                    != SimulatedMigrationNode
+                                                                            .Standing.SERVING))
                             .count();
             if (away > 1) {
                 breaks(away + " holders of slice " + slice.number() + " do not serve it");
             }
         }
-        for (Migration one : List.copyOf(chief.migrations.book().open())) {
+        for (Migration one : List.copyOf(chief.migrations.journalState().activeMigrations())) {
             operate(one);
         }
     }
 
     private void operate(Migration one) {
-        Stage back =
+        MigrationState back =
                 goBackAt.computeIfAbsent(
                         one.id,
                         id ->
                                 !faults
-                                        ? Stage.RETIRED
-                                        : Stage.values()[chance.nextInt(Stage.values().length)]);
-        if (one.stage() == back && one.stage().mayGoBack() && with(0.3)) {
+                                        ? MigrationState.RETIRED
+                                        : MigrationState.values()[
+                                                chance.nextInt(MigrationState.values().length)]);
+        if (one.state() == back && one.state().allowsRollback() && with(0.3)) {
             chief.ordered(
                     migrations -> () -> migrations.rollBack(one.id, "an operator's wish", now));
             return;
         }
-        if (one.paused()) {
+        if (one.isPaused()) {
             Duration since = pausedSince.computeIfAbsent(one.id, id -> now);
             if (now.minus(since).compareTo(Duration.ofMillis(200)) > 0) {
                 pausedSince.remove(one.id);
-                if (one.cause() == Cause.DIFFERS && one.stage().mayGoBack() && with(0.5)) {
+                if (one.pauseReason() == PauseReason.DIGEST_MISMATCH
+                        && one.state().allowsRollback()
+                        && with(0.5)) {
                     chief.ordered(
-                            migrations -> () -> migrations.rollBack(one.id, one.pausedWhy(), now));
+                            migrations ->
+                                    () -> migrations.rollBack(one.id, one.pauseDetail(), now));
                 } else {
-                    chief.migrations.utility(one.member, 1);
+                    chief.migrations.updateUtility(one.member, 1);
                     chief.ordered(migrations -> () -> migrations.resume(one.id, now));
                 }
             }
             return;
         }
-        if (one.open() != null && (with(0.15) || calm)) {
-            Checkpoint right = one.open();
+        if (one.openCheckpoint() != null && (with(0.15) || calm)) {
+            Checkpoint right = one.openCheckpoint();
             refused(
                     one.id,
-                    new Checkpoint(right.version() + 1, right.digest()),
-                    MigrationError.Stale.class);
-            ExplainedException failed =
-                    chief.ordered(migrations -> () -> migrations.pass(one.id, right, now));
+                    new Checkpoint(right.layoutVersion() + 1, right.digest()),
+                    MigrationError.StaleCheckpoint.class);
+            OperatorErrorException failed =
+                    chief.ordered(
+                            migrations -> () -> migrations.passCheckpoint(one.id, right, now));
             if (failed != null) {
                 breaks("the right order was refused: " + failed.getMessage());
             }
             if (chief.works()) {
-                refused(one.id, right, MigrationError.Doubled.class);
+                refused(one.id, right, MigrationError.CheckpointAlreadyPassed.class);
             }
         } else if (!calm && with(0.01)) {
             chief.ordered(migrations -> () -> migrations.pause(one.id, "an operator's wish", now));
         } else if (!calm && with(0.004)) {
-            chief.migrations.utility(one.member, 0.5);
+            chief.migrations.updateUtility(one.member, 0.5);
         }
     }
 
@@ -638,8 +657,8 @@
         if (!chief.works()) {
             return;
         }
-        ExplainedException refused =
-                chief.ordered(migrations -> () -> migrations.pass(id, named, now));
+        OperatorErrorException refused =
+                chief.ordered(migrations -> () -> migrations.passCheckpoint(id, named, now));
         if (refused == null || refused.error().getClass() != as) {
             breaks("an order that is " + as.getSimpleName() + " was taken as " + refused);
         }
@@ -648,22 +667,22 @@
     // ---- at the end
 
     private void end() {
-        MigrationBook migrations = chief.migrations.book();
+        MigrationJournalState migrations = chief.migrations.journalState();
         Layout layout = chief.coordinator.book().layout();
-        for (Migration one : migrations.open()) {
+        for (Migration one : migrations.activeMigrations()) {
             breaks("progress: " + one + " does not end");
         }
-        for (Move move : chief.coordinator.book().moves()) {
+        for (Move move : chief.coordinator.book().activeMoves()) {
             breaks("progress: " + move + " does not end");
         }
-        for (Migration one : migrations.all()) {
-            count("ended " + one.stage().wireName());
-            for (Hop hop : one.hops) {
+        for (Migration one : migrations.migrations()) {
+            count("ended " + one.state().wireName());
+            for (SliceTransfer hop : one.transfers) {
                 Slice slice = layout.slice(hop.slice());
-                boolean old = slice.heldBy(hop.from()) && !slice.heldBy(hop.to());
-                boolean fresh = !slice.heldBy(hop.from()) && slice.heldBy(hop.to());
-                if (one.stage() == Stage.RETIRED && !fresh
-                        || one.stage() == Stage.ROLLED_BACK && !old) {
+                boolean old = slice.heldBy(hop.source()) && !slice.heldBy(hop.target());
+                boolean fresh = !slice.heldBy(hop.source()) && slice.heldBy(hop.target());
+                if (one.state() == MigrationState.RETIRED && !fresh
+                        || one.state() == MigrationState.ROLLED_BACK && !old) {
                     breaks(one + " left slice " + hop.slice() + " with " + slice.nodes());
                 }
             }
@@ -678,8 +697,8 @@
                             ran.add(hold);
                         }
                     });
-            for (MigrationNode node : nodes) {
-                MigrationNode.Copy copy = node.copies.get(slice.number());
+            for (SimulatedMigrationNode node : nodes) {
+                SimulatedMigrationNode.Copy copy = node.copies.get(slice.number());
                 if (slice.heldBy(node.name)) {
                     holds(slice, node, copy, ran);
                 } else if (copy != null) {
@@ -690,8 +709,12 @@
         replays();
     }
 
-    private void holds(Slice slice, MigrationNode node, MigrationNode.Copy copy, Set<String> ran) {
-        if (copy == null || copy.standing != MigrationNode.Standing.SERVING) {
+    private void holds(
+            Slice slice,
+            SimulatedMigrationNode node,
+            SimulatedMigrationNode.Copy copy,
+            Set<String> ran) {
+        if (copy == null || copy.standing != SimulatedMigrationNode.Standing.SERVING) {
             breaks("node " + node.name + " does not serve slice " + slice.number());
             return;
         }
@@ -714,26 +737,29 @@
 
     /** What is on disk adds up to what the coordinator has. */
     private void replays() {
-        Book moves = new Book(50);
-        MigrationBook again = new MigrationBook();
-        moves.others(again);
+        MoveJournalState moves = new MoveJournalState(50);
+        MigrationJournalState again = new MigrationJournalState();
+        moves.workflow(again);
         try {
-            for (MigrationChief.Stored stored : log) {
+            for (SimulatedMigrationCoordinator.Stored stored : log) {
                 if (stored.term() == 0 || stored.term() >= moves.term()) {
-                    moves.apply(RecordForm.read(stored.bytes()));
+                    moves.apply(MoveRecordCodec.read(stored.bytes()));
                 }
             }
         } catch (java.io.IOException | IllegalArgumentException e) {
             breaks("the log can't be read: " + e.getMessage());
             return;
         }
-        List<Logged.Other> here = chief.migrations.book().whole();
-        List<Logged.Other> there = again.whole();
+        List<JournalRecord.WorkflowRecord> here = chief.migrations.journalState().snapshotRecords();
+        List<JournalRecord.WorkflowRecord> there = again.snapshotRecords();
         boolean same =
                 here.size() == there.size()
                         && moves.layout().version == chief.coordinator.book().layout().version;
         for (int i = 0; same && i < here.size(); i++) {
-            same = Arrays.equals(RecordForm.write(here.get(i)), RecordForm.write(there.get(i)));
+            same =
+                    Arrays.equals(
+                            MoveRecordCodec.write(here.get(i)),
+                            MoveRecordCodec.write(there.get(i)));
         }
         if (!same) {
             breaks("the log adds up to something else than the coordinator has");
--- a/src/main/java/postbeam/rig/PagesWorld.java
+++ b/src/main/java/postbeam/testbed/simulation/PagingSimulation.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.simulation;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -11,35 +11,36 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import postbeam.errors.ExplainedException;
-import postbeam.pages.Ask;
-import postbeam.pages.Assembly;
+import postbeam.errors.OperatorErrorException;
 import postbeam.pages.Cursor;
-import postbeam.pages.CursorSeal;
-import postbeam.pages.Lineage;
-import postbeam.pages.Mark;
-import postbeam.pages.Order;
+import postbeam.pages.CursorCodec;
+import postbeam.pages.LayoutHistory;
 import postbeam.pages.Page;
+import postbeam.pages.PageAssembler;
 import postbeam.pages.PageError;
-import postbeam.pages.Partial;
+import postbeam.pages.PartialPage;
+import postbeam.pages.RangeProgress;
 import postbeam.pages.Row;
-import postbeam.pages.RowForm;
-import postbeam.pages.Shares;
+import postbeam.pages.RowCodec;
+import postbeam.pages.RowDistribution;
+import postbeam.pages.RowFetch;
+import postbeam.pages.RowPosition;
 import postbeam.pages.SortKey;
-import postbeam.pages.Standing;
+import postbeam.pages.SortOrder;
 import postbeam.router.LayoutLineage;
-import postbeam.slices.Change;
 import postbeam.slices.Fragment;
 import postbeam.slices.KeyRange;
 import postbeam.slices.Layout;
+import postbeam.slices.LayoutChange;
 import postbeam.slices.Slice;
+import postbeam.testbed.fakes.SortedRows;
 
 /**
  * One chain of pages over random rows, by routers that share nothing but the key that signs, while
  * slices are re-cut, ranges are missing and nodes spoil answers; every choice from one seed. What
  * comes is held against a plain sort.
  */
-final class PagesWorld {
+public final class PagingSimulation {
     private static final List<String> NODES = List.of("a", "b", "c", "d");
     private static final int ROUTERS = 3;
     private static final int FURTHER_ROUNDS = 2;
@@ -52,22 +53,22 @@
 
     /** A router: what it has learnt, how it signs, and which layout it has heard of. */
     private static final class Reader {
-        final Shares shares = new Shares();
-        final CursorSeal seal;
+        final RowDistribution shares = new RowDistribution();
+        final CursorCodec seal;
         int layout;
 
-        Reader(CursorSeal seal) {
+        Reader(CursorCodec seal) {
             this.seal = seal;
         }
     }
 
     private final Random chance;
-    private final PlantedPages.Defect defect;
+    private final DefectivePageAssembly.Defect defect;
     private final List<Row> rows = new ArrayList<>();
-    private final Order order;
+    private final SortOrder order;
     private final List<Layout> layouts = new ArrayList<>();
     private final List<Reader> readers = new ArrayList<>();
-    private final List<Standing> asked = new ArrayList<>();
+    private final List<RangeProgress> asked = new ArrayList<>();
     private final long history;
     private final double missing;
     private final double spoilt;
@@ -81,13 +82,13 @@
     private int calls;
     private int longestCursor;
 
-    PagesWorld(long seed, PlantedPages.Defect defect) {
+    public PagingSimulation(long seed, DefectivePageAssembly.Defect defect) {
         chance = new Random(seed);
         this.defect = defect;
         order = order();
         makeRows();
         nextSlice = 2 + chance.nextInt(20);
-        layouts.add(Layout.first(nextSlice, NODES, 2));
+        layouts.add(Layout.initial(nextSlice, NODES, 2));
         history = chance.nextInt(4) == 0 ? 4 : 1000;
         missing = chance.nextInt(2) * 0.2 * chance.nextDouble();
         spoilt = chance.nextInt(2) * 0.1 * chance.nextDouble();
@@ -96,29 +97,29 @@
                 readers.add(
                         new Reader(
                                 i % 2 == 0
-                                        ? new CursorSeal(KEYS.get(0), KEYS.get(1))
-                                        : new CursorSeal(KEYS.get(1), KEYS.get(0))));
-            } catch (ExplainedException e) {
+                                        ? new CursorCodec(KEYS.get(0), KEYS.get(1))
+                                        : new CursorCodec(KEYS.get(1), KEYS.get(0))));
+            } catch (OperatorErrorException e) {
                 throw new IllegalArgumentException(e);
             }
         }
         List<Slice> slices = layouts.get(0).slices();
         for (Slice slice : slices) {
             if (slices.size() < 4 || chance.nextInt(5) > 0) {
-                asked.add(new Standing(slice.keys(), 1.0 / slices.size(), null));
+                asked.add(new RangeProgress(slice.keys(), 1.0 / slices.size(), null));
             }
         }
         if (asked.isEmpty()) {
-            asked.add(new Standing(slices.get(0).keys(), 1, null));
+            asked.add(new RangeProgress(slices.get(0).keys(), 1, null));
         }
     }
 
-    private Order order() {
+    private SortOrder order() {
         List<SortKey> keys = new ArrayList<>();
         for (int i = 0; i <= chance.nextInt(3); i++) {
             keys.add(new SortKey("k" + i, chance.nextBoolean(), chance.nextBoolean()));
         }
-        return new Order(keys);
+        return new SortOrder(keys);
     }
 
     /**
@@ -136,13 +137,14 @@
                 int kind = chance.nextInt(10);
                 sort.add(kind < 2 ? null : kind < 5 ? "v" + value : (Object) value);
             }
-            long key = (long) (Math.pow(chance.nextDouble(), heap) * KeyRange.KEYS);
+            long key = (long) (Math.pow(chance.nextDouble(), heap) * KeyRange.KEY_SPACE_SIZE);
             // Some keys have several rows: then the sequence tells them apart.
-            Mark before = i > 0 && chance.nextInt(4) == 0 ? rows.get(i - 1).at() : null;
+            RowPosition before =
+                    i > 0 && chance.nextInt(4) == 0 ? rows.get(i - 1).position() : null;
             rows.add(
                     new Row(
-                            new Mark(
-                                    before == null ? sort : before.sort(),
+                            new RowPosition(
+                                    before == null ? sort : before.sortValues(),
                                     before == null ? key : before.key(),
                                     i),
                             "row " + i));
@@ -152,13 +154,13 @@
     // ---- the chain
 
     /** What was found, a line each. */
-    List<String> run() {
+    public List<String> run() {
         List<Row> chain = new ArrayList<>();
         Set<Long> excused = new HashSet<>();
-        Mark furthest = null;
+        RowPosition furthest = null;
         boolean everMissing = false;
         long digest =
-                CursorSeal.digest("search", "acme", "x".getBytes(StandardCharsets.UTF_8), order);
+                CursorCodec.digest("search", "acme", "x".getBytes(StandardCharsets.UTF_8), order);
         int size = 1 + chance.nextInt(60);
         String text = null;
         do {
@@ -168,42 +170,46 @@
             }
             recut();
             Reader reader = readers.get(chance.nextInt(ROUTERS));
-            Lineage lineage = heard(reader);
-            List<Standing> standings = asked;
+            LayoutHistory lineage = heard(reader);
+            List<RangeProgress> standings = asked;
             if (text != null) {
                 Cursor cursor = opened(reader, text, digest);
                 if (cursor == null) {
                     return broken;
                 }
                 lineage = lineage(reader);
-                standings = cursor.standings();
+                standings = cursor.ranges();
             }
             Page page = page(reader, lineage, standings, size);
             if (page == null) {
                 return broken;
             }
-            everMissing |= !page.missing().isEmpty();
+            everMissing |= !page.missingRanges().isEmpty();
             ordered(page, furthest, excused);
-            page.missing()
+            page.missingRanges()
                     .forEach(
                             keys ->
                                     rows.stream()
                                             .filter(
                                                     row ->
-                                                            keys.from() <= row.at().key()
-                                                                    && row.at().key() < keys.to())
-                                            .forEach(row -> excused.add(row.at().sequence())));
+                                                            keys.from() <= row.position().key()
+                                                                    && row.position().key()
+                                                                            < keys.to())
+                                            .forEach(
+                                                    row -> excused.add(row.position().sequence())));
             chain.addAll(page.rows());
             for (Row row : page.rows()) {
                 furthest =
-                        furthest == null || order.compare(furthest, row.at()) < 0
-                                ? row.at()
+                        furthest == null || order.compare(furthest, row.position()) < 0
+                                ? row.position()
                                 : furthest;
             }
             text =
-                    page.next().isEmpty()
+                    page.remaining().isEmpty()
                             ? null
-                            : sealed(reader, new Cursor(lineage.version(), digest, page.next()));
+                            : sealed(
+                                    reader,
+                                    new Cursor(lineage.currentVersion(), digest, page.remaining()));
         } while (text != null && broken.isEmpty());
         whole(chain, everMissing);
         return broken;
@@ -211,10 +217,10 @@
 
     private String sealed(Reader reader, Cursor cursor) {
         try {
-            String text = reader.seal.sealed(cursor);
+            String text = reader.seal.encode(cursor);
             longestCursor = Math.max(longestCursor, text.length());
             return text;
-        } catch (ExplainedException e) {
+        } catch (OperatorErrorException e) {
             broken.add("no cursor: " + e.getMessage());
             return null;
         }
@@ -226,15 +232,16 @@
      */
     private Cursor opened(Reader reader, String text, long digest) {
         while (true) {
-            Lineage held = lineage(reader);
+            LayoutHistory held = lineage(reader);
             try {
-                return reader.seal.opened(text, digest, held);
-            } catch (ExplainedException e) {
-                if (e.error() instanceof PageError.Ahead ahead && ahead.layout() > held.version()) {
+                return reader.seal.decode(text, digest, held);
+            } catch (OperatorErrorException e) {
+                if (e.error() instanceof PageError.LayoutNotYetKnown ahead
+                        && ahead.layoutVersion() > held.currentVersion()) {
                     reader.layout = layouts.size() - 1;
                 } else {
-                    if (!(e.error() instanceof PageError.TooOld old)
-                            || old.layout() >= held.oldest()) {
+                    if (!(e.error() instanceof PageError.LayoutNoLongerKept old)
+                            || old.layoutVersion() >= held.oldestVersion()) {
                         broken.add("refused: " + e.getMessage());
                     }
                     return null;
@@ -243,24 +250,26 @@
         }
     }
 
-    private Page page(Reader reader, Lineage lineage, List<Standing> standings, int size) {
-        Assembly assembly = PlantedPages.of(order, size, standings, reader.shares, defect);
-        List<Ask> asks = assembly.first(lineage);
+    private Page page(
+            Reader reader, LayoutHistory lineage, List<RangeProgress> standings, int size) {
+        PageAssembler assembly =
+                DefectivePageAssembly.of(order, size, standings, reader.shares, defect);
+        List<RowFetch> asks = assembly.initialFetches(lineage);
         for (int round = 0; round <= FURTHER_ROUNDS && !asks.isEmpty(); round++) {
             int bytes = chance.nextInt(6) == 0 ? 1 + chance.nextInt(5) : Integer.MAX_VALUE;
-            List<Partial> came = came(asks, bytes);
+            List<PartialPage> came = came(asks, bytes);
             if (round == 0 && came.isEmpty()) {
                 // Nothing at all: the query would have been turned away, and asked again.
                 came = came(asks, bytes);
             }
-            came.forEach(assembly::took);
-            asks = assembly.further();
+            came.forEach(assembly::add);
+            asks = assembly.followUpFetches();
         }
-        Page page = assembly.end();
-        pagesMissing += page.missing().isEmpty() ? 0 : 1;
-        pagesShort += page.isShort() ? 1 : 0;
+        Page page = assembly.finish();
+        pagesMissing += page.missingRanges().isEmpty() ? 0 : 1;
+        pagesShort += page.truncated() ? 1 : 0;
         given += page.rows().size();
-        fetched += page.fetched();
+        fetched += page.rowsFetched();
         if (page.rows().size() > size) {
             broken.add(
                     "a page of " + page.rows().size() + " rows where " + size + " were asked for");
@@ -273,25 +282,26 @@
      * Parts in the order in which they come: any. They are cut by the newest layout, as a router's
      * are by then.
      */
-    private List<Partial> came(List<Ask> asks, int bytes) {
+    private List<PartialPage> came(List<RowFetch> asks, int bytes) {
         List<Fragment> fragments = new ArrayList<>();
         Layout newest = layouts.get(layouts.size() - 1);
-        asks.forEach(ask -> fragments.addAll(Fragment.cut(newest, ask.keys())));
-        List<Partial> came = new ArrayList<>();
-        for (Fragment one : Fragment.joined(fragments)) {
+        asks.forEach(ask -> fragments.addAll(Fragment.split(newest, ask.range())));
+        List<PartialPage> came = new ArrayList<>();
+        for (Fragment one : Fragment.merged(fragments)) {
             calls++;
             boolean troubled = pages < TROUBLED_PAGES;
             if (troubled && chance.nextDouble() < missing) {
                 continue;
             }
-            Partial partial = travelled(SortedRows.answer(order, asks, rows, one.keys(), bytes));
+            PartialPage partial =
+                    travelled(SortedRows.answer(order, asks, rows, one.keys(), bytes));
             if (troubled && chance.nextDouble() < spoilt && partial.rows().size() > 1) {
                 List<Row> turned = new ArrayList<>(partial.rows());
                 Collections.swap(turned, 0, 1 + chance.nextInt(turned.size() - 1));
-                partial = new Partial(partial.keys(), turned, partial.next());
+                partial = new PartialPage(partial.range(), turned, partial.nextPosition());
             }
-            if (partial.problem(order, asks) == null
-                    || defect == PlantedPages.Defect.SPOILT_MERGED) {
+            if (partial.findProblem(order, asks) == null
+                    || defect == DefectivePageAssembly.Defect.SPOILT_MERGED) {
                 came.add(partial);
             }
         }
@@ -299,9 +309,9 @@
         return came;
     }
 
-    private Partial travelled(Partial partial) {
+    private PartialPage travelled(PartialPage partial) {
         try {
-            return RowForm.partial(partial.keys(), RowForm.partial(partial));
+            return RowCodec.partialPage(partial.range(), RowCodec.partialPage(partial));
         } catch (IOException e) {
             broken.add("rows that can't be read: " + e.getMessage());
             return partial;
@@ -314,10 +324,10 @@
         for (int i = chance.nextInt(3); i > 0; i--) {
             Layout layout = layouts.get(layouts.size() - 1);
             Slice slice = layout.slices().get(chance.nextInt(layout.slices().size()));
-            Change change =
+            LayoutChange change =
                     switch (chance.nextInt(3)) {
                         case 0 ->
-                                new Change.Split(
+                                new LayoutChange.Split(
                                         slice.number(),
                                         List.of(
                                                 slice.keys().from()
@@ -327,12 +337,12 @@
                                                                         * (slice.keys().size()
                                                                                 - 1))));
                         case 1 ->
-                                new Change.Move(
+                                new LayoutChange.Transfer(
                                         slice.number(),
                                         slice.nodes().get(0),
                                         NODES.get(chance.nextInt(NODES.size())));
                         default ->
-                                new Change.Merge(
+                                new LayoutChange.Merge(
                                         layout.slices().stream()
                                                 .map(Slice::number)
                                                 .skip(chance.nextInt(layout.slices().size()))
@@ -340,12 +350,13 @@
                                                 .toList());
                     };
             List<Integer> births = new ArrayList<>();
-            for (int j = 0; j < change.births(); j++) {
+            for (int j = 0; j < change.newSliceCount(); j++) {
                 births.add(nextSlice++);
             }
             try {
                 layouts.add(
-                        layout.after(change, births, layout.version + 1, Duration.ZERO, history));
+                        layout.withChange(
+                                change, births, layout.version + 1, Duration.ZERO, history));
             } catch (IllegalArgumentException e) {
                 // Not every change is possible: then nothing has changed.
             }
@@ -353,28 +364,28 @@
     }
 
     /** Hears of the newest layout, or is a little behind; never back. */
-    private Lineage heard(Reader reader) {
+    private LayoutHistory heard(Reader reader) {
         reader.layout = Math.max(reader.layout, layouts.size() - 1 - chance.nextInt(3));
         return lineage(reader);
     }
 
-    private Lineage lineage(Reader reader) {
+    private LayoutHistory lineage(Reader reader) {
         return new LayoutLineage(layouts.get(reader.layout));
     }
 
     // ---- what must hold
 
     /** Ascending, and before an earlier page's rows only what was told to be missing there. */
-    private void ordered(Page page, Mark furthest, Set<Long> excused) {
-        Mark last = null;
+    private void ordered(Page page, RowPosition furthest, Set<Long> excused) {
+        RowPosition last = null;
         for (Row row : page.rows()) {
-            if (last != null && order.compare(last, row.at()) >= 0) {
+            if (last != null && order.compare(last, row.position()) >= 0) {
                 broken.add("page " + pages + ": " + row + " does not follow " + last);
             }
-            last = row.at();
+            last = row.position();
             if (furthest != null
-                    && order.compare(row.at(), furthest) < 0
-                    && !excused.contains(row.at().sequence())) {
+                    && order.compare(row.position(), furthest) < 0
+                    && !excused.contains(row.position().sequence())) {
                 broken.add(
                         "page "
                                 + pages
@@ -389,48 +400,50 @@
      * Another router that is asked the same with nothing in its way gives the same rows, as far as
      * this page goes.
      */
-    private void alike(Page page, List<Standing> standings, int size) {
-        if (!page.missing().isEmpty() || defect != null) {
+    private void alike(Page page, List<RangeProgress> standings, int size) {
+        if (!page.missingRanges().isEmpty() || defect != null) {
             return;
         }
-        Assembly other = new Assembly(order, size, standings, new Shares());
+        PageAssembler other = new PageAssembler(order, size, standings, new RowDistribution());
         Layout newest = layouts.get(layouts.size() - 1);
-        List<Ask> asks = other.first(new LayoutLineage(newest));
+        List<RowFetch> asks = other.initialFetches(new LayoutLineage(newest));
         while (!asks.isEmpty()) {
-            List<Ask> now = asks;
+            List<RowFetch> now = asks;
             List<Fragment> fragments = new ArrayList<>();
-            now.forEach(ask -> fragments.addAll(Fragment.cut(newest, ask.keys())));
-            Fragment.joined(fragments)
+            now.forEach(ask -> fragments.addAll(Fragment.split(newest, ask.range())));
+            Fragment.merged(fragments)
                     .forEach(
                             one ->
-                                    other.took(
+                                    other.add(
                                             SortedRows.answer(
                                                     order,
                                                     now,
                                                     rows,
                                                     one.keys(),
                                                     Integer.MAX_VALUE)));
-            asks = other.further();
+            asks = other.followUpFetches();
         }
-        List<Row> same = other.end().rows();
+        List<Row> same = other.finish().rows();
         int length = page.rows().size();
         if (length > same.size()
                 || !written(page.rows()).equals(written(same.subList(0, length)))
-                || length < same.size() && !page.isShort()) {
+                || length < same.size() && !page.truncated()) {
             broken.add("page " + pages + " differs from another router's");
         }
     }
 
     private static String written(List<Row> rows) {
         return new String(
-                RowForm.partial(new Partial(KeyRange.ALL, rows, null)), StandardCharsets.UTF_8);
+                RowCodec.partialPage(new PartialPage(KeyRange.ALL, rows, null)),
+                StandardCharsets.UTF_8);
     }
 
     private void whole(List<Row> chain, boolean everMissing) {
         List<Row> expected = new ArrayList<>();
         for (Row row : SortedRows.sorted(order, rows, KeyRange.ALL)) {
-            long key = row.at().key();
-            if (asked.stream().anyMatch(one -> one.keys().from() <= key && key < one.keys().to())) {
+            long key = row.position().key();
+            if (asked.stream()
+                    .anyMatch(one -> one.range().from() <= key && key < one.range().to())) {
                 expected.add(row);
             }
         }
@@ -452,39 +465,39 @@
 
     // ---- figures
 
-    int rows() {
+    public int rows() {
         return rows.size();
     }
 
-    int pages() {
+    public int pages() {
         return pages;
     }
 
-    int pagesMissing() {
+    public int pagesMissing() {
         return pagesMissing;
     }
 
-    int pagesShort() {
+    public int pagesShort() {
         return pagesShort;
     }
 
-    int given() {
+    public int given() {
         return given;
     }
 
-    int fetched() {
+    public int fetched() {
         return fetched;
     }
 
-    int calls() {
+    public int calls() {
         return calls;
     }
 
-    int layouts() {
+    public int layouts() {
         return layouts.size();
     }
 
-    int longestCursor() {
+    public int longestCursor() {
         return longestCursor;
     }
 }
--- a/src/main/java/postbeam/rig/World.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedCluster.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.simulation;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -9,13 +9,14 @@
 import java.util.PriorityQueue;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import postbeam.roster.Entry;
+import postbeam.endpoints.Endpoint;
+import postbeam.model.QueryClass;
+import postbeam.model.Readiness;
+import postbeam.model.SideEffects;
 import postbeam.slices.KeyRange;
 import postbeam.slices.Layout;
 import postbeam.slices.Slice;
-import postbeam.state.Effect;
-import postbeam.state.Readiness;
-import postbeam.state.Vertical;
+import postbeam.testbed.verification.InvariantChecker;
 
 /**
  * Routers, nodes, clients and the one who moves slices in one thread on a clock that jumps, every
@@ -23,9 +24,9 @@
  * stand-ins. What it is for is rare meetings: answers that cross a re-cut, moves abandoned half
  * way, a coordinator that dies at any record.
  */
-final class World {
+public final class SimulatedCluster {
     /** How large, how long and how rough. */
-    record Plan(
+    public record Plan(
             int nodes,
             int routers,
             int slices,
@@ -34,7 +35,7 @@
             double queriesASecond,
             Duration recutEvery,
             boolean faults,
-            PlantedSlicing.Defect defect) {}
+            DefectiveSlicing.Defect defect) {}
 
     private static final Duration SLO = Duration.ofSeconds(1);
     private static final Duration PATIENCE = Duration.ofSeconds(3);
@@ -46,8 +47,8 @@
     /** The ways that messages take: mostly this and up to twice it. */
     private static final Duration HOP = Duration.ofMillis(1);
 
-    private static final Referee.Rules RULES =
-            new Referee.Rules(
+    private static final InvariantChecker.Rules RULES =
+            new InvariantChecker.Rules(
                     0.2,
                     Duration.ofSeconds(4),
                     2,
@@ -64,14 +65,39 @@
      */
     private static final List<Kind> KINDS =
             List.of(
-                    new Kind("search", Effect.REPEATABLE, Referee.Kind.REPEATABLE, 0.75, 0.75),
-                    new Kind("lookup", Effect.REPEATABLE, Referee.Kind.REPEATABLE, 1, 0.5),
-                    new Kind("book", Effect.DEDUPLICATED, Referee.Kind.DEDUPLICATED, 1, 1),
-                    new Kind("hold", Effect.SIDE_EFFECTING, Referee.Kind.SIDE_EFFECTING, 1, 1));
-
-    record Kind(String name, Effect effect, Referee.Kind promise, double need, double floor) {
-        Vertical vertical() {
-            return new Vertical(SLO, effect, REPEAT_WINDOW, 1, 0.1, need, floor, 0.9);
+                    new Kind(
+                            "search",
+                            SideEffects.IDEMPOTENT,
+                            InvariantChecker.Kind.REPEATABLE,
+                            0.75,
+                            0.75),
+                    new Kind(
+                            "lookup",
+                            SideEffects.IDEMPOTENT,
+                            InvariantChecker.Kind.REPEATABLE,
+                            1,
+                            0.5),
+                    new Kind(
+                            "book",
+                            SideEffects.DEDUPLICATED,
+                            InvariantChecker.Kind.DEDUPLICATED,
+                            1,
+                            1),
+                    new Kind(
+                            "hold",
+                            SideEffects.NON_IDEMPOTENT,
+                            InvariantChecker.Kind.SIDE_EFFECTING,
+                            1,
+                            1));
+
+    public record Kind(
+            String name,
+            SideEffects effect,
+            InvariantChecker.Kind promise,
+            double need,
+            double floor) {
+        QueryClass vertical() {
+            return new QueryClass(SLO, effect, REPEAT_WINDOW, 1, 0.1, need, floor, 0.9);
         }
     }
 
@@ -79,11 +105,12 @@
 
     final Plan plan;
     final UniformRandomProvider chance;
-    final Referee referee = new Referee(RULES, Duration.ofMillis(500), Duration.ofMillis(60));
-    final List<VirtualNode> nodes = new ArrayList<>();
-    final List<VirtualRouter> routers = new ArrayList<>();
-    final VirtualMoves moves;
-    final List<Layout> told = new ArrayList<>();
+    public final InvariantChecker referee =
+            new InvariantChecker(RULES, Duration.ofMillis(500), Duration.ofMillis(60));
+    final List<SimulatedDataNode> nodes = new ArrayList<>();
+    final List<SimulatedQueryRouter> routers = new ArrayList<>();
+    public final SimulatedMoveCoordinator moves;
+    public final List<Layout> told = new ArrayList<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparing(Event::at).thenComparingLong(Event::number));
     private long eventCount;
@@ -93,35 +120,35 @@
     private int asked;
     private int good;
 
-    World(Plan plan, long seed) {
+    public SimulatedCluster(Plan plan, long seed) {
         this.plan = plan;
         this.chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         for (int i = 0; i < plan.nodes(); i++) {
-            nodes.add(new VirtualNode(this, "n" + i, "z" + i % 3));
+            nodes.add(new SimulatedDataNode(this, "n" + i, "z" + i % 3));
         }
         moves =
-                new VirtualMoves(
+                new SimulatedMoveCoordinator(
                         this,
-                        Layout.first(
+                        Layout.initial(
                                 plan.slices(),
                                 nodes.stream().map(node -> node.name).toList(),
                                 plan.holders()));
         for (int i = 0; i < plan.routers(); i++) {
             routers.add(
-                    new VirtualRouter(
+                    new SimulatedQueryRouter(
                             this,
                             "r" + i,
                             "z" + i % 3,
-                            PlantedSlicing.of(plan.defect()),
+                            DefectiveSlicing.of(plan.defect()),
                             seed * 31 + i));
         }
     }
 
-    static Referee.Rules rules() {
+    static InvariantChecker.Rules rules() {
         return RULES;
     }
 
-    static List<Kind> kinds() {
+    public static List<Kind> kinds() {
         return KINDS;
     }
 
@@ -156,13 +183,13 @@
     // ---- the run
 
     /** The same with the one who moves slices away for so long, from soon after the start. */
-    List<String> runWithoutMoves(Duration away) {
+    public List<String> runWithoutMoves(Duration away) {
         after(Duration.ofSeconds(2), () -> moves.crash(away));
         return run();
     }
 
     /** What was found, a line each; empty where all rules held. */
-    List<String> run() {
+    public List<String> run() {
         troubled = plan.faults();
         listed();
         moves.start();
@@ -189,7 +216,7 @@
         referee.end(now);
         List<String> found = new ArrayList<>(referee.broken());
         found.addAll(moves.unsettled());
-        for (VirtualRouter router : routers) {
+        for (SimulatedQueryRouter router : routers) {
             found.addAll(router.leftOver());
         }
         return found;
@@ -198,16 +225,16 @@
     /** No new trouble, and the old ones end. */
     private void calm() {
         troubled = false;
-        nodes.forEach(VirtualNode::recover);
+        nodes.forEach(SimulatedDataNode::recover);
         moves.recover();
         listed();
     }
 
-    int asked() {
+    public int asked() {
         return asked;
     }
 
-    int good() {
+    public int good() {
         return good;
     }
 
@@ -215,11 +242,11 @@
 
     /** Tells all routers and the coordinator of the nodes, each on its own way. */
     void listed() {
-        List<Entry> entries =
+        List<Endpoint> entries =
                 nodes.stream()
                         .map(
                                 node ->
-                                        new Entry(
+                                        new Endpoint(
                                                 node.name,
                                                 node.zone,
                                                 0,
@@ -239,7 +266,7 @@
     void published(Layout layout) {
         told.add(layout);
         referee.layout(layout);
-        for (VirtualRouter router : routers) {
+        for (SimulatedQueryRouter router : routers) {
             Duration late = with(0.1) ? upTo(Duration.ofSeconds(2)) : upTo(Duration.ofMillis(40));
             after(late, () -> router.laidOut(layout));
             if (told.size() > 2 && with(0.1)) {
@@ -259,7 +286,7 @@
                 Duration.ofNanos(
                         (long) (-Math.log(1 - chance.nextDouble()) / plan.queriesASecond() * 1e9)),
                 this::nextQuery);
-        VirtualRouter router = routers.get(chance.nextInt(routers.size()));
+        SimulatedQueryRouter router = routers.get(chance.nextInt(routers.size()));
         Kind kind = KINDS.get(chance.nextInt(KINDS.size()));
         int back = with(0.4) ? 0 : chance.nextInt(8);
         Layout layout = told.get(Math.max(0, told.size() - 1 - back));
@@ -274,11 +301,11 @@
         Map<Slice, Double> weights = new LinkedHashMap<>();
         named.forEach(slice -> weights.put(slice, 0.2 + chance.nextDouble()));
         double sum = weights.values().stream().mapToDouble(Double::doubleValue).sum();
-        List<Referee.Wanted> wanted =
+        List<InvariantChecker.Wanted> wanted =
                 weights.entrySet().stream()
                         .map(
                                 entry ->
-                                        new Referee.Wanted(
+                                        new InvariantChecker.Wanted(
                                                 entry.getKey().number(),
                                                 entry.getKey().keys(),
                                                 entry.getValue() / sum))
@@ -318,7 +345,7 @@
             return;
         }
         after(upTo(Duration.ofSeconds(3)), this::nextTrouble);
-        VirtualNode node = nodes.get(chance.nextInt(nodes.size()));
+        SimulatedDataNode node = nodes.get(chance.nextInt(nodes.size()));
         switch (chance.nextInt(7)) {
             case 0 ->
                     node.crash(
@@ -339,7 +366,7 @@
         return keys.from() + 1 + (long) (chance.nextDouble() * (keys.size() - 1));
     }
 
-    VirtualNode node(String name) {
+    SimulatedDataNode node(String name) {
         return nodes.stream().filter(node -> node.name.equals(name)).findFirst().orElse(null);
     }
 
--- a/src/main/java/postbeam/rig/VirtualNode.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedDataNode.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.simulation;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -7,17 +7,19 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import postbeam.slices.Act;
+import postbeam.model.AttemptOutcome;
+import postbeam.model.Readiness;
+import postbeam.slices.CoordinatorAction;
+import postbeam.slices.HandoffCommand;
 import postbeam.slices.KeyRange;
-import postbeam.slices.Order;
-import postbeam.state.Outcome;
-import postbeam.state.Readiness;
+import postbeam.testbed.fakes.FakeSliceStore;
+import postbeam.testbed.verification.InvariantChecker;
 
 /**
  * A data node that holds slices by version, on the jumping clock: slow, hanging, dying, draining or
  * sound.
  */
-final class VirtualNode {
+final class SimulatedDataNode {
     /** Parts it works on at once, and parts that wait before it turns more away. */
     private static final int CORES = 2;
 
@@ -40,16 +42,16 @@
             String query,
             String part,
             KeyRange keys,
-            HeldSlices.Held held,
+            FakeSliceStore.Held held,
             boolean repeatsDropped,
-            VirtualRouter.Ended ended) {}
+            SimulatedQueryRouter.Ended ended) {}
 
     final String name;
     final String zone;
     Readiness readiness = Readiness.READY;
     Duration startedAt;
-    private final World world;
-    private final HeldSlices held = new HeldSlices();
+    private final SimulatedCluster cluster;
+    private final FakeSliceStore held = new FakeSliceStore();
     private final Deque<Work> waiting = new ArrayDeque<>();
     private final List<Work> working = new ArrayList<>();
     private final Map<Integer, Duration> copies = new HashMap<>();
@@ -60,8 +62,8 @@
     /** Counts its starts: what was begun before one ends nowhere. */
     private int life;
 
-    VirtualNode(World world, String name, String zone) {
-        this.world = world;
+    SimulatedDataNode(SimulatedCluster cluster, String name, String zone) {
+        this.cluster = cluster;
         this.name = name;
         this.zone = zone;
     }
@@ -76,22 +78,22 @@
             KeyRange keys,
             long version,
             boolean repeatsDropped,
-            VirtualRouter.Ended ended) {
+            SimulatedQueryRouter.Ended ended) {
         if (!alive) {
-            world.hop(() -> ended.ended(Outcome.UNREACHABLE, null));
+            cluster.hop(() -> ended.ended(AttemptOutcome.UNREACHABLE, null));
             return;
         }
-        world.referee.called(world.now(), name, query, part, keys, version, WORK);
-        HeldSlices.Held one = held.take(slice, version, keys);
+        cluster.referee.called(cluster.now(), name, query, part, keys, version, WORK);
+        FakeSliceStore.Held one = held.take(slice, version, keys);
         if (one == null
                 || waiting.size() >= QUEUE
-                || readiness == Readiness.DRAINING && world.with(0.5)) {
+                || readiness == Readiness.DRAINING && cluster.with(0.5)) {
             if (one != null) {
                 held.over(one);
             }
-            world.referee.over(query, part);
-            Outcome outcome = one == null ? Outcome.MOVED : Outcome.FULL;
-            world.hop(() -> ended.ended(outcome, null));
+            cluster.referee.over(query, part);
+            AttemptOutcome outcome = one == null ? AttemptOutcome.MOVED : AttemptOutcome.OVERLOADED;
+            cluster.hop(() -> ended.ended(outcome, null));
             return;
         }
         waiting.add(new Work(query, part, keys, one, repeatsDropped, ended));
@@ -103,8 +105,8 @@
             Work work = waiting.poll();
             working.add(work);
             int before = life;
-            world.after(
-                    WORK.multipliedBy(slowness).plus(world.upTo(WORK)),
+            cluster.after(
+                    WORK.multipliedBy(slowness).plus(cluster.upTo(WORK)),
                     () -> {
                         if (life == before) {
                             finished(work);
@@ -116,55 +118,56 @@
     private void finished(Work work) {
         working.remove(work);
         held.over(work.held);
-        if (!work.repeatsDropped || !world.moves.repeated(work.query, work.keys)) {
-            world.referee.ran(world.now(), work.query, work.part, work.keys);
+        if (!work.repeatsDropped || !cluster.moves.repeated(work.query, work.keys)) {
+            cluster.referee.ran(cluster.now(), work.query, work.part, work.keys);
         }
-        world.referee.over(work.query, work.part);
-        boolean bad = world.troubled() && world.with(BAD_ANSWERS);
+        cluster.referee.over(work.query, work.part);
+        boolean bad = cluster.troubled() && cluster.with(BAD_ANSWERS);
         Duration late =
-                world.troubled() && world.with(LATE_ANSWERS)
-                        ? world.upTo(LATE_MOST)
+                cluster.troubled() && cluster.with(LATE_ANSWERS)
+                        ? cluster.upTo(LATE_MOST)
                         : Duration.ZERO;
-        world.after(
+        cluster.after(
                 late,
                 () ->
-                        world.hop(
+                        cluster.hop(
                                 () ->
                                         work.ended.ended(
-                                                bad ? Outcome.ERROR : Outcome.MERGED,
+                                                bad ? AttemptOutcome.ERROR : AttemptOutcome.SUCCESS,
                                                 bad
                                                         ? null
-                                                        : Referee.valueOf(work.query, work.keys))));
+                                                        : InvariantChecker.valueOf(
+                                                                work.query, work.keys))));
         work();
     }
 
     // ---- orders
 
     /** Whether what it was told is done; silent where it is not there. */
-    void ordered(Act.Tell tell, Runnable done) {
+    void ordered(CoordinatorAction.SendCommand tell, Runnable done) {
         if (!alive || hanging) {
             return;
         }
         boolean copied = false;
-        if (tell.order() == Order.COPY) {
+        if (tell.command() == HandoffCommand.COPY) {
             // Its own data need no copying; the rest takes its time from the first order on.
             boolean own = name.equals(tell.source());
-            VirtualNode source = world.node(tell.source());
+            SimulatedDataNode source = cluster.node(tell.source());
             Duration ready =
                     copies.computeIfAbsent(
-                            tell.slice(), key -> world.now().plus(world.upTo(COPY_MOST)));
-            copied = own || source != null && source.alive && world.now().compareTo(ready) >= 0;
-        } else if (tell.order() == Order.DROP) {
+                            tell.slice(), key -> cluster.now().plus(cluster.upTo(COPY_MOST)));
+            copied = own || source != null && source.alive && cluster.now().compareTo(ready) >= 0;
+        } else if (tell.command() == HandoffCommand.DROP) {
             copies.remove(tell.slice());
         }
-        if (held.ordered(tell.order(), tell.slice(), tell.keys(), tell.version(), copied)) {
-            world.hop(done);
+        if (held.ordered(tell.command(), tell.slice(), tell.keys(), tell.version(), copied)) {
+            cluster.hop(done);
         }
     }
 
     boolean serves(int slice) {
-        HeldSlices.Held one = held.of(slice);
-        return one != null && one.standing == HeldSlices.Standing.SERVING;
+        FakeSliceStore.Held one = held.of(slice);
+        return one != null && one.standing == FakeSliceStore.Standing.SERVING;
     }
 
     // ---- troubles
@@ -182,54 +185,54 @@
         lost.addAll(waiting);
         // What it had begun has run, perhaps.
         for (Work work : working) {
-            if (world.with(0.5)
-                    && !(work.repeatsDropped && world.moves.repeated(work.query, work.keys))) {
-                world.referee.ran(world.now(), work.query, work.part, work.keys);
+            if (cluster.with(0.5)
+                    && !(work.repeatsDropped && cluster.moves.repeated(work.query, work.keys))) {
+                cluster.referee.ran(cluster.now(), work.query, work.part, work.keys);
             }
         }
         working.clear();
         waiting.clear();
         copies.clear();
-        if (world.with(LOST_DISKS)) {
+        if (cluster.with(LOST_DISKS)) {
             held.forgetAll();
         } else {
             held.restarted();
         }
         lost.forEach(
                 work -> {
-                    world.referee.over(work.query, work.part);
-                    world.hop(() -> work.ended.ended(Outcome.RESET, null));
+                    cluster.referee.over(work.query, work.part);
+                    cluster.hop(() -> work.ended.ended(AttemptOutcome.RESET, null));
                 });
-        world.after(
-                world.upTo(Duration.ofSeconds(1)),
+        cluster.after(
+                cluster.upTo(Duration.ofSeconds(1)),
                 () -> {
                     if (!alive) {
-                        readiness = Readiness.GONE;
-                        world.listed();
+                        readiness = Readiness.REMOVED;
+                        cluster.listed();
                     }
                 });
-        world.after(back, this::back);
+        cluster.after(back, this::back);
     }
 
     private void back() {
         if (!alive) {
             alive = true;
             readiness = Readiness.READY;
-            startedAt = world.now();
-            world.referee.nodeStarted(world.now(), name);
-            world.referee.told(world.now(), name, false);
-            world.listed();
+            startedAt = cluster.now();
+            cluster.referee.nodeStarted(cluster.now(), name);
+            cluster.referee.told(cluster.now(), name, false);
+            cluster.listed();
         }
     }
 
     void slow(int times, Duration span) {
         slowness = times;
-        world.after(span, () -> slowness = 1);
+        cluster.after(span, () -> slowness = 1);
     }
 
     void hang(Duration span) {
         hanging = true;
-        world.after(
+        cluster.after(
                 span,
                 () -> {
                     hanging = false;
@@ -240,17 +243,19 @@
     void drain(Duration span) {
         if (alive && readiness == Readiness.READY) {
             readiness = Readiness.DRAINING;
-            world.listed();
-            world.after(
+            cluster.listed();
+            cluster.after(
                     Duration.ofMillis(2),
-                    () -> world.referee.told(world.now(), name, readiness == Readiness.DRAINING));
-            world.after(
+                    () ->
+                            cluster.referee.told(
+                                    cluster.now(), name, readiness == Readiness.DRAINING));
+            cluster.after(
                     span,
                     () -> {
                         if (readiness == Readiness.DRAINING) {
                             readiness = Readiness.READY;
-                            world.referee.told(world.now(), name, false);
-                            world.listed();
+                            cluster.referee.told(cluster.now(), name, false);
+                            cluster.listed();
                         }
                     });
         }
@@ -263,7 +268,7 @@
         back();
         if (readiness != Readiness.READY) {
             readiness = Readiness.READY;
-            world.referee.told(world.now(), name, false);
+            cluster.referee.told(cluster.now(), name, false);
         }
         work();
     }
--- a/src/main/java/postbeam/rig/MigrationChief.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedMigrationCoordinator.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.simulation;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -10,29 +10,30 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import postbeam.errors.ExplainedException;
-import postbeam.layouts.RecordForm;
-import postbeam.migration.Doing;
+import postbeam.errors.OperatorErrorException;
+import postbeam.layoutservice.MoveRecordCodec;
 import postbeam.migration.Migration;
-import postbeam.migration.MigrationBook;
+import postbeam.migration.MigrationAction;
+import postbeam.migration.MigrationJournalState;
 import postbeam.migration.MigrationLimits;
-import postbeam.migration.Migrations;
-import postbeam.slices.Act;
-import postbeam.slices.Book;
+import postbeam.migration.MigrationManager;
+import postbeam.model.Readiness;
 import postbeam.slices.Coordinator;
+import postbeam.slices.CoordinatorAction;
+import postbeam.slices.HandoffCommand;
+import postbeam.slices.JournalRecord;
 import postbeam.slices.Layout;
-import postbeam.slices.Logged;
 import postbeam.slices.Move;
+import postbeam.slices.MoveJournalState;
 import postbeam.slices.MoveLimits;
-import postbeam.slices.Order;
-import postbeam.slices.Target;
-import postbeam.state.Readiness;
+import postbeam.slices.TargetLayout;
+import postbeam.testbed.trials.MigrationTrial;
 
 /**
  * One coordinator's process on the jumping clock: dies at a record, is stopped and woken, and has a
  * successor.
  */
-final class MigrationChief {
+public final class SimulatedMigrationCoordinator {
     static final MoveLimits MOVES =
             new MoveLimits(
                     4,
@@ -44,7 +45,7 @@
                     Duration.ofMillis(60),
                     2,
                     1);
-    static final MigrationLimits LIMITS =
+    public static final MigrationLimits LIMITS =
             new MigrationLimits(
                     2,
                     2,
@@ -70,9 +71,9 @@
     }
 
     final Coordinator coordinator;
-    final Migrations migrations;
-    private final MigrationWorld world;
-    private final MigrationBook book = new MigrationBook();
+    final MigrationManager migrations;
+    private final MigrationSimulation world;
+    private final MigrationJournalState book = new MigrationJournalState();
     private final long term;
 
     /** Records in the log when it last looked: a longer one has another owner. */
@@ -83,12 +84,12 @@
     private final Deque<Runnable> whileStopped = new ArrayDeque<>();
     private final Map<String, Duration> lastTold = new HashMap<>();
 
-    MigrationChief(MigrationWorld world) {
+    SimulatedMigrationCoordinator(MigrationSimulation world) {
         this.world = world;
-        Book moves = new Book(50);
-        moves.others(book);
+        MoveJournalState moves = new MoveJournalState(50);
+        moves.workflow(book);
         for (Stored stored : world.log) {
-            Logged record = read(stored);
+            JournalRecord record = read(stored);
             if (stored.term == 0 || stored.term >= moves.term()) {
                 moves.apply(record);
             }
@@ -96,32 +97,32 @@
         coordinator = new Coordinator(moves, MOVES);
         migrations = MigrationTrial.planted(world.defect, coordinator, book, world.now);
         term = moves.term() + 1;
-        Logged.Office office = new Logged.Office(term);
+        JournalRecord.TermStarted office = new JournalRecord.TermStarted(term);
         moves.apply(office);
-        world.log.add(new Stored(term, RecordForm.write(office, term)));
+        world.log.add(new Stored(term, MoveRecordCodec.write(office, term)));
         seen = world.log.size();
         coordinator.listed(list(), List.of());
         world.after(LOOK, this::look);
     }
 
-    private static Logged read(Stored stored) {
+    private static JournalRecord read(Stored stored) {
         try {
-            return RecordForm.read(stored.bytes);
+            return MoveRecordCodec.read(stored.bytes);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private Map<String, Target.Known> list() {
-        Map<String, Target.Known> list = new LinkedHashMap<>();
+    private Map<String, TargetLayout.NodeInfo> list() {
+        Map<String, TargetLayout.NodeInfo> list = new LinkedHashMap<>();
         world.nodes.forEach(
                 node ->
                         list.put(
                                 node.name,
-                                new Target.Known(
+                                new TargetLayout.NodeInfo(
                                         "z",
                                         world.gone.contains(node.name)
-                                                ? Readiness.GONE
+                                                ? Readiness.REMOVED
                                                 : Readiness.READY)));
         return list;
     }
@@ -141,8 +142,10 @@
         happens(
                 () -> {
                     carryOut(migrations.tick(world.now));
-                    List<Doing> moves = new ArrayList<>();
-                    coordinator.tick(world.now).forEach(act -> moves.add(new Doing.Of(act)));
+                    List<MigrationAction> moves = new ArrayList<>();
+                    coordinator
+                            .tick(world.now)
+                            .forEach(act -> moves.add(new MigrationAction.Delegated(act)));
                     carryOut(moves);
                 });
         world.after(LOOK, this::look);
@@ -166,9 +169,9 @@
         }
     }
 
-    private void carryOut(List<Doing> doings) {
-        for (Doing doing : doings) {
-            if (doing instanceof Doing.Ask ask) {
+    private void carryOut(List<MigrationAction> doings) {
+        for (MigrationAction doing : doings) {
+            if (doing instanceof MigrationAction.RequestDigests ask) {
                 if (!world.lost()) {
                     world.hop(
                             () ->
@@ -178,23 +181,28 @@
                                                     said ->
                                                             happens(
                                                                     () ->
-                                                                            migrations.answered(
-                                                                                    ask.number(),
-                                                                                    ask.node(),
-                                                                                    said,
-                                                                                    world.now))));
+                                                                            migrations
+                                                                                    .onRangeDigests(
+                                                                                            ask
+                                                                                                    .requestId(),
+                                                                                            ask
+                                                                                                    .node(),
+                                                                                            said,
+                                                                                            world.now))));
                 }
-            } else if (doing instanceof Doing.Of of && of.act() instanceof Act.Write write) {
+            } else if (doing instanceof MigrationAction.Delegated of
+                    && of.action() instanceof CoordinatorAction.AppendRecord write) {
                 write(write.record());
-            } else if (doing instanceof Doing.Of of && of.act() instanceof Act.Tell tell) {
+            } else if (doing instanceof MigrationAction.Delegated of
+                    && of.action() instanceof CoordinatorAction.SendCommand tell) {
                 tell(tell);
             }
             // A layout is told to routers when they ask.
         }
     }
 
-    private void write(Logged record) {
-        Stored stored = new Stored(term, RecordForm.write(record, term));
+    private void write(JournalRecord record) {
+        Stored stored = new Stored(term, MoveRecordCodec.write(record, term));
         if (world.log.size() != seen) {
             // It may have looked just before the successor wrote: then its record slips in behind.
             if (world.with(0.5)) {
@@ -212,7 +220,7 @@
         }
     }
 
-    private void tell(Act.Tell tell) {
+    private void tell(CoordinatorAction.SendCommand tell) {
         if (world.lost()) {
             return;
         }
@@ -223,7 +231,7 @@
         lastTold.put(tell.node(), at);
         boolean keepsOld =
                 world.defect == MigrationTrial.Defect.ROLLBACK_LOSES
-                        && tell.order() == Order.COPY
+                        && tell.command() == HandoffCommand.COPY
                         && goesBack(tell.move());
         world.after(
                 at.minus(world.now),
@@ -240,10 +248,10 @@
                                                             if (said.equals("stale")) {
                                                                 throw new Ended();
                                                             }
-                                                            coordinator.done(
+                                                            coordinator.acknowledged(
                                                                     tell.move(),
                                                                     tell.node(),
-                                                                    tell.order(),
+                                                                    tell.command(),
                                                                     tell.slice());
                                                         });
                                             }
@@ -252,18 +260,19 @@
 
     private boolean goesBack(long id) {
         Move move = coordinator.book().move(id);
-        Migration one = move == null ? null : book.owning(move.change.slices().get(0));
-        return one != null && move.change.equals(one.hop(move.change.slices().get(0)).back());
+        Migration one = move == null ? null : book.activeMigrationOf(move.change.slices().get(0));
+        return one != null
+                && move.change.equals(one.transferOf(move.change.slices().get(0)).reverseMove());
     }
 
     // ---- what comes to it
 
-    void listed(MigrationNode node, boolean up) {
+    void listed(SimulatedMigrationNode node, boolean up) {
         happens(
                 () -> {
                     coordinator.listed(list(), up ? List.of(node.name) : List.of());
                     if (up) {
-                        carryOut(migrations.started(List.of(node.name), world.now));
+                        carryOut(migrations.onNodesStarted(List.of(node.name), world.now));
                     }
                 });
     }
@@ -273,21 +282,21 @@
         if (!works()) {
             return null;
         }
-        migrations.routers().asked(router, version, world.now);
+        migrations.routerAcknowledgements().onRequest(router, version, world.now);
         Layout layout = coordinator.book().layout();
-        migrations.routers().answered(router, layout.version, world.now);
+        migrations.routerAcknowledgements().onResponse(router, layout.version, world.now);
         return layout;
     }
 
     /** An operator's order; the error where it was refused, else null. */
-    ExplainedException ordered(
-            java.util.function.Function<Migrations, MigrationTrial.Ordered> order) {
-        ExplainedException[] refused = new ExplainedException[1];
+    OperatorErrorException ordered(
+            java.util.function.Function<MigrationManager, MigrationTrial.Ordered> order) {
+        OperatorErrorException[] refused = new OperatorErrorException[1];
         happens(
                 () -> {
                     try {
                         carryOut(order.apply(migrations).give());
-                    } catch (ExplainedException e) {
+                    } catch (OperatorErrorException e) {
                         refused[0] = e;
                     }
                 });
--- a/src/main/java/postbeam/rig/MigrationNode.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedMigrationNode.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.simulation;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -10,16 +10,16 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import postbeam.migration.Doing;
-import postbeam.migration.Said;
-import postbeam.slices.Act;
+import postbeam.migration.MigrationAction;
+import postbeam.migration.RangeDigest;
+import postbeam.slices.CoordinatorAction;
 import postbeam.slices.KeyRange;
 
 /**
  * A data node that holds rows by slice and runs holds, on the jumping clock; it may die and be
  * slow.
  */
-final class MigrationNode {
+final class SimulatedMigrationNode {
     /** A row: which hold made it, and its mark, which goes up with each that is made anywhere. */
     record Row(long key, String hold, long mark) {}
 
@@ -64,12 +64,12 @@
     final Map<Integer, Copy> copies = new TreeMap<>();
     boolean alive = true;
     Duration slowUntil = Duration.ZERO;
-    private final MigrationWorld world;
+    private final MigrationSimulation world;
     private long term;
     private int life;
     private final List<Ended> waiting = new ArrayList<>();
 
-    MigrationNode(MigrationWorld world, String name) {
+    SimulatedMigrationNode(MigrationSimulation world, String name) {
         this.world = world;
         this.name = name;
     }
@@ -114,7 +114,7 @@
                         world.hop(() -> ended.ended("done"));
                     }
                 };
-        for (MigrationNode other : world.nodes) {
+        for (SimulatedMigrationNode other : world.nodes) {
             Copy theirs = other.copies.get(slice);
             if (other != this
                     && other.alive
@@ -139,7 +139,11 @@
      * Whether the order is done; 'stale' is told to a coordinator of an older term, silence to one
      * while it is dead.
      */
-    void ordered(Act.Tell tell, long by, boolean keepsOld, Consumer<String> answer) {
+    void ordered(
+            CoordinatorAction.SendCommand tell,
+            long by,
+            boolean keepsOld,
+            Consumer<String> answer) {
         if (!alive) {
             return;
         }
@@ -153,9 +157,9 @@
         }
     }
 
-    private boolean done(Act.Tell tell, boolean keepsOld) {
+    private boolean done(CoordinatorAction.SendCommand tell, boolean keepsOld) {
         Copy copy = copies.get(tell.slice());
-        switch (tell.order()) {
+        switch (tell.command()) {
             case COPY -> {
                 if (keepsOld && copy != null) {
                     copy.standing =
@@ -170,7 +174,7 @@
                     copy.readyAt = world.now.plus(world.upTo(Duration.ofMillis(250)));
                     copies.put(tell.slice(), copy);
                 }
-                MigrationNode source = world.node(tell.source());
+                SimulatedMigrationNode source = world.node(tell.source());
                 Copy theirs = source.copies.get(tell.slice());
                 if (!copy.copied
                         && source.alive
@@ -220,17 +224,17 @@
         }
     }
 
-    void asked(Doing.Ask ask, Consumer<List<Said>> answer) {
+    void asked(MigrationAction.RequestDigests ask, Consumer<List<RangeDigest>> answer) {
         Copy copy = copies.get(ask.slice());
         if (!alive || copy == null) {
             return;
         }
-        List<Said> said = ask.ranges().stream().map(range -> said(copy, range)).toList();
+        List<RangeDigest> said = ask.ranges().stream().map(range -> said(copy, range)).toList();
         world.hop(() -> answer.accept(said));
     }
 
     /** What a node says of a range of its rows. */
-    static Said said(Copy copy, KeyRange range) {
+    static RangeDigest said(Copy copy, KeyRange range) {
         int open =
                 (int)
                         copy.open.stream()
@@ -243,7 +247,7 @@
             mark = Math.max(mark, row.mark);
             sum.update((row.key + " " + row.hold + "\n").getBytes(StandardCharsets.UTF_8));
         }
-        return new Said(
+        return new RangeDigest(
                 range,
                 open,
                 mark,
--- a/src/main/java/postbeam/rig/VirtualMoves.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedMoveCoordinator.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.simulation;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -8,26 +8,26 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import postbeam.layouts.RecordForm;
-import postbeam.roster.Entry;
-import postbeam.slices.Act;
-import postbeam.slices.Book;
-import postbeam.slices.Change;
+import postbeam.endpoints.Endpoint;
+import postbeam.layoutservice.MoveRecordCodec;
+import postbeam.model.Readiness;
 import postbeam.slices.Coordinator;
+import postbeam.slices.CoordinatorAction;
+import postbeam.slices.JournalRecord;
 import postbeam.slices.KeyRange;
 import postbeam.slices.Layout;
-import postbeam.slices.Logged;
+import postbeam.slices.LayoutChange;
 import postbeam.slices.Move;
+import postbeam.slices.MoveJournalState;
 import postbeam.slices.MoveLimits;
 import postbeam.slices.Slice;
-import postbeam.slices.Target;
-import postbeam.state.Readiness;
+import postbeam.slices.TargetLayout;
 
 /**
  * The one who moves slices, on the jumping clock: dies at a record or at any time, and comes back
  * from its log.
  */
-final class VirtualMoves {
+public final class SimulatedMoveCoordinator {
     static final MoveLimits LIMITS =
             new MoveLimits(
                     4,
@@ -43,14 +43,14 @@
     private static final Duration LOOK = Duration.ofMillis(20);
     private static final double LOST_MESSAGES = 0.05;
 
-    private final World world;
+    private final SimulatedCluster cluster;
 
     /** What is on disk. */
     private final List<byte[]> records = new ArrayList<>();
 
     private final Map<String, Map<KeyRange, Boolean>> runs = new HashMap<>();
     private Coordinator coordinator;
-    private Map<String, Target.Known> list = new LinkedHashMap<>();
+    private Map<String, TargetLayout.NodeInfo> list = new LinkedHashMap<>();
     private final Map<String, Long> startedMicros = new HashMap<>();
     private long listVersion;
     private int life;
@@ -63,11 +63,11 @@
     private int cut;
     private int abandoned;
 
-    VirtualMoves(World world, Layout first) {
-        this.world = world;
+    SimulatedMoveCoordinator(SimulatedCluster cluster, Layout first) {
+        this.cluster = cluster;
         records.add(
-                RecordForm.write(
-                        new Logged.Whole(
+                MoveRecordCodec.write(
+                        new JournalRecord.Snapshot(
                                 first,
                                 first.version,
                                 0,
@@ -78,72 +78,72 @@
     }
 
     void start() {
-        Book book = new Book(HISTORY);
+        MoveJournalState journalState = new MoveJournalState(HISTORY);
         for (byte[] record : records) {
             try {
-                book.apply(RecordForm.read(record));
+                journalState.apply(MoveRecordCodec.read(record));
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
         }
-        coordinator = new Coordinator(book, LIMITS);
+        coordinator = new Coordinator(journalState, LIMITS);
         coordinator.listed(list, List.of());
-        world.published(book.layout());
+        cluster.published(journalState.layout());
         int now = ++life;
-        world.after(LOOK, () -> look(now));
+        cluster.after(LOOK, () -> look(now));
     }
 
     private void look(int mine) {
         if (mine != life) {
             return;
         }
-        carryOut(coordinator.tick(world.now()));
-        world.after(LOOK, () -> look(mine));
+        carryOut(coordinator.tick(cluster.now()));
+        cluster.after(LOOK, () -> look(mine));
     }
 
-    private void carryOut(List<Act> acts) {
-        for (Act act : acts) {
-            if (act instanceof Act.Write write) {
-                records.add(RecordForm.write(write.record()));
-                cut += write.record() instanceof Logged.CutOver ? 1 : 0;
-                abandoned += write.record() instanceof Logged.Back ? 1 : 0;
+    private void carryOut(List<CoordinatorAction> acts) {
+        for (CoordinatorAction act : acts) {
+            if (act instanceof CoordinatorAction.AppendRecord write) {
+                records.add(MoveRecordCodec.write(write.record()));
+                cut += write.record() instanceof JournalRecord.CutOver ? 1 : 0;
+                abandoned += write.record() instanceof JournalRecord.RolledBack ? 1 : 0;
                 if (recordsLeft > 0 && --recordsLeft == 0) {
                     recordsLeft = -1;
                     crash(awayFor);
                     return;
                 }
-            } else if (act instanceof Act.Tell tell) {
+            } else if (act instanceof CoordinatorAction.SendCommand tell) {
                 tell(tell);
-            } else if (act instanceof Act.Publish publish) {
-                world.published(publish.layout());
+            } else if (act instanceof CoordinatorAction.PublishLayout publish) {
+                cluster.published(publish.layout());
             }
         }
     }
 
-    private void tell(Act.Tell tell) {
-        if (world.troubled() && world.with(LOST_MESSAGES)) {
+    private void tell(CoordinatorAction.SendCommand tell) {
+        if (cluster.troubled() && cluster.with(LOST_MESSAGES)) {
             return;
         }
         int mine = life;
-        world.hop(
+        cluster.hop(
                 () ->
-                        world.node(tell.node())
+                        cluster.node(tell.node())
                                 .ordered(
                                         tell,
                                         () -> {
                                             if (mine == life
-                                                    && !(world.troubled()
-                                                            && world.with(LOST_MESSAGES))) {
-                                                coordinator.done(
+                                                    && !(cluster.troubled()
+                                                            && cluster.with(LOST_MESSAGES))) {
+                                                coordinator.acknowledged(
                                                         tell.move(),
                                                         tell.node(),
-                                                        tell.order(),
+                                                        tell.command(),
                                                         tell.slice());
                                             }
                                         }));
     }
 
-    void listed(long version, List<Entry> entries) {
+    void listed(long version, List<Endpoint> entries) {
         if (version < listVersion) {
             return;
         }
@@ -151,16 +151,20 @@
         List<String> started =
                 entries.stream()
                         .filter(
-                                entry -> {
+                                endpoint -> {
                                     Long before =
-                                            startedMicros.put(entry.name(), entry.startedMicros());
-                                    return before != null && before != entry.startedMicros();
+                                            startedMicros.put(
+                                                    endpoint.name(), endpoint.startedMicros());
+                                    return before != null && before != endpoint.startedMicros();
                                 })
-                        .map(Entry::name)
+                        .map(Endpoint::name)
                         .toList();
         list = new LinkedHashMap<>();
         entries.forEach(
-                entry -> list.put(entry.name(), new Target.Known(entry.zone(), entry.readiness())));
+                endpoint ->
+                        list.put(
+                                endpoint.name(),
+                                new TargetLayout.NodeInfo(endpoint.zone(), endpoint.readiness())));
         if (coordinator != null) {
             coordinator.listed(list, started);
         }
@@ -172,7 +176,7 @@
      */
     boolean repeated(String query, KeyRange keys) {
         Map<KeyRange, Boolean> ran = runs.computeIfAbsent(query, key -> new LinkedHashMap<>());
-        boolean before = ran.keySet().stream().anyMatch(keys::meets);
+        boolean before = ran.keySet().stream().anyMatch(keys::overlaps);
         ran.put(keys, true);
         return before;
     }
@@ -185,33 +189,33 @@
         }
         Layout layout = coordinator.book().layout();
         List<Slice> slices = layout.slices();
-        int at = world.chance.nextInt(slices.size());
+        int at = cluster.chance.nextInt(slices.size());
         Slice slice = slices.get(at);
-        List<String> ready = world.ready();
-        Change change;
-        int kind = world.chance.nextInt(slices.size() > 3 * world.plan.slices() ? 2 : 3);
+        List<String> ready = cluster.ready();
+        LayoutChange change;
+        int kind = cluster.chance.nextInt(slices.size() > 3 * cluster.plan.slices() ? 2 : 3);
         if (kind == 2 && slice.keys().size() > 1000) {
-            change = new Change.Split(slice.number(), List.of(world.within(slice.keys())));
+            change = new LayoutChange.Split(slice.number(), List.of(cluster.within(slice.keys())));
         } else if (kind == 1 && at + 1 < slices.size()) {
-            change = new Change.Merge(List.of(slice.number(), slices.get(at + 1).number()));
+            change = new LayoutChange.Merge(List.of(slice.number(), slices.get(at + 1).number()));
         } else if (ready.isEmpty()) {
             return;
         } else {
             change =
-                    new Change.Move(
+                    new LayoutChange.Transfer(
                             slice.number(),
-                            slice.nodes().get(world.chance.nextInt(slice.nodes().size())),
-                            ready.get(world.chance.nextInt(ready.size())));
+                            slice.nodes().get(cluster.chance.nextInt(slice.nodes().size())),
+                            ready.get(cluster.chance.nextInt(ready.size())));
         }
         // Now and then an operator takes a node that is gone for dead.
-        List<Change> mends = world.with(0.3) ? coordinator.mends() : List.of();
+        List<LayoutChange> mends = cluster.with(0.3) ? coordinator.repairs() : List.of();
         if (!mends.isEmpty()) {
             begun++;
-            carryOut(coordinator.plan(mends.get(0), world.now()));
-        } else if (coordinator.problem(change).isEmpty()) {
+            carryOut(coordinator.plan(mends.get(0), cluster.now()));
+        } else if (coordinator.rejectionReason(change).isEmpty()) {
             begun++;
-            carryOut(coordinator.plan(change, world.now()));
-        } else if (change instanceof Change.Merge merge) {
+            carryOut(coordinator.plan(change, cluster.now()));
+        } else if (change instanceof LayoutChange.Merge merge) {
             // Neighbours that other nodes hold are first brought together.
             Slice other = slices.get(at + 1);
             for (String node : slice.nodes()) {
@@ -220,13 +224,13 @@
                                 .filter(held -> !slice.heldBy(held))
                                 .findFirst()
                                 .orElse(null);
-                Change near =
+                LayoutChange near =
                         other.heldBy(node) || off == null
                                 ? null
-                                : new Change.Move(other.number(), off, node);
-                if (near != null && coordinator.problem(near).isEmpty()) {
+                                : new LayoutChange.Transfer(other.number(), off, node);
+                if (near != null && coordinator.rejectionReason(near).isEmpty()) {
                     begun++;
-                    carryOut(coordinator.plan(near, world.now()));
+                    carryOut(coordinator.plan(near, cluster.now()));
                     return;
                 }
             }
@@ -238,12 +242,12 @@
             return;
         }
         List<Move> moves =
-                coordinator.book().moves().stream()
-                        .filter(move -> move.why == null && !move.turnsBack)
+                coordinator.book().activeMoves().stream()
+                        .filter(move -> move.abandonReason == null && !move.reverseWhenDone)
                         .toList();
         if (!moves.isEmpty()) {
-            Move move = moves.get(world.chance.nextInt(moves.size()));
-            carryOut(coordinator.abandon(move.id, "an operator's wish", world.now()));
+            Move move = moves.get(cluster.chance.nextInt(moves.size()));
+            carryOut(coordinator.abandon(move.id, "an operator's wish", cluster.now()));
         }
     }
 
@@ -256,7 +260,7 @@
         }
         life++;
         coordinator = null;
-        world.after(
+        cluster.after(
                 away,
                 () -> {
                     if (coordinator == null) {
@@ -278,28 +282,28 @@
         }
     }
 
-    int cut() {
+    public int cut() {
         return cut;
     }
 
-    int abandoned() {
+    public int abandoned() {
         return abandoned;
     }
 
-    int begun() {
+    public int begun() {
         return begun;
     }
 
     /** What has not come to rest long after the last trouble. */
     List<String> unsettled() {
         List<String> found = new ArrayList<>();
-        for (Move move : coordinator.book().moves()) {
+        for (Move move : coordinator.book().activeMoves()) {
             found.add("progress: " + move + " does not end");
         }
         for (Slice slice : coordinator.book().layout().slices()) {
             for (String node : slice.nodes()) {
-                if (world.node(node).readiness == Readiness.READY
-                        && !world.node(node).serves(slice.number())) {
+                if (cluster.node(node).readiness == Readiness.READY
+                        && !cluster.node(node).serves(slice.number())) {
                     found.add(
                             "progress: node "
                                     + node
--- /dev/null
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedQueryRouter.java
@@ -0,0 +1,294 @@
+package postbeam.testbed.simulation;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.IdentityHashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import postbeam.endpoints.Endpoint;
+import postbeam.endpoints.EndpointRegistry;
+import postbeam.model.Attempt;
+import postbeam.model.AttemptOutcome;
+import postbeam.model.Cluster;
+import postbeam.model.DataNode;
+import postbeam.model.Query;
+import postbeam.model.QueryClass;
+import postbeam.model.ShardRequest;
+import postbeam.model.SideEffects;
+import postbeam.policy.PolicyActions;
+import postbeam.policy.RoutingPolicy;
+import postbeam.slices.KeyRange;
+import postbeam.slices.KeyRangeRequest;
+import postbeam.slices.Layout;
+import postbeam.slices.LayoutCompleteness;
+import postbeam.slices.SliceRequest;
+import postbeam.slices.SliceTranslator;
+import postbeam.slices.UnroutableQueryException;
+import postbeam.testbed.verification.InvariantChecker;
+
+/** The product's decisions and slicing behind a door of the jumping clock. */
+final class SimulatedQueryRouter implements PolicyActions {
+    /** Hears how a call ended. */
+    interface Ended {
+        void ended(AttemptOutcome outcome, String value);
+    }
+
+    private static final class Open {
+        final String id;
+        final Duration askedAt;
+        final Query query;
+        final Map<ShardRequest, String> values = new IdentityHashMap<>();
+
+        Open(String id, Duration askedAt, Query query) {
+            this.id = id;
+            this.askedAt = askedAt;
+            this.query = query;
+        }
+    }
+
+    final String name;
+    private final SimulatedCluster cluster;
+    private final SliceTranslator slicing;
+    private final EndpointRegistry registry;
+    private final RoutingPolicy policy;
+    private final Map<String, QueryClass> verticals = new LinkedHashMap<>();
+    private final Map<Query, Open> open = new IdentityHashMap<>();
+    private final Map<Attempt, Boolean> out = new IdentityHashMap<>();
+    private final List<Attempt> calledOff = new ArrayList<>();
+    private long listVersion;
+
+    SimulatedQueryRouter(
+            SimulatedCluster cluster,
+            String name,
+            String zone,
+            SliceTranslator slicing,
+            long seed) {
+        this.cluster = cluster;
+        this.name = name;
+        this.slicing = slicing;
+        this.registry = new EndpointRegistry(zone);
+        SimulatedCluster.kinds().forEach(kind -> verticals.put(kind.name(), kind.vertical()));
+        slicing.holders().configure(registry::nameOf, at -> at);
+        InvariantChecker.Rules rules = SimulatedCluster.rules();
+        policy =
+                new RoutingPolicy(
+                        this,
+                        new Random(seed),
+                        new Cluster(slicing.holders()),
+                        new RoutingPolicy.AdmissionControl(
+                                400, cluster.plan.routers(), null, Duration.ofMillis(500)),
+                        new RoutingPolicy.AttemptLimits(3, true, true, true, 16),
+                        new RoutingPolicy.RetryBudget(
+                                rules.freeFurther(), rules.furtherShare(), rules.furtherSpan()),
+                        new RoutingPolicy.SlowStart(
+                                rules.coldFrom(),
+                                rules.ramp(),
+                                rules.fallMultiple(),
+                                rules.fall(),
+                                cluster.plan.routers(),
+                                Duration.ofMillis(1),
+                                null));
+    }
+
+    // ---- what happens
+
+    /** Lists come in order, as over one connection: one that was overtaken is not heard. */
+    void listed(long version, List<Endpoint> entries) {
+        if (version < listVersion) {
+            return;
+        }
+        listVersion = version;
+        registry.update(
+                cluster.now(), entries, true, micros -> Duration.ofNanos(micros * 1000), policy);
+        turnEnded();
+    }
+
+    void laidOut(Layout layout) {
+        if (slicing.onUpdate(layout)) {
+            open.keySet().forEach(slicing::remapStaleParts);
+        }
+        turnEnded();
+    }
+
+    void take(
+            String id,
+            SimulatedCluster.Kind kind,
+            long version,
+            List<InvariantChecker.Wanted> wanted,
+            Duration until) {
+        Duration now = cluster.now();
+        Query query = new Query(verticals.get(kind.name()), null, now, until);
+        try {
+            slicing.assignParts(
+                    query,
+                    version,
+                    wanted.stream()
+                            .map(one -> new SliceRequest(one.slice(), one.weight(), null))
+                            .toList());
+        } catch (UnroutableQueryException e) {
+            cluster.referee.rejected(now, id);
+            return;
+        }
+        open.put(query, new Open(id, now, query));
+        policy.onQuery(now, query);
+        query.shardRequests.forEach(request -> policy.onShardRequest(now, request));
+        turnEnded();
+    }
+
+    private void turnEnded() {
+        while (true) {
+            policy.onBatchEnd(cluster.now());
+            if (calledOff.isEmpty()) {
+                return;
+            }
+            List<Attempt> over = List.copyOf(calledOff);
+            calledOff.clear();
+            over.forEach(attempt -> ended(attempt, AttemptOutcome.CANCELLED, null));
+        }
+    }
+
+    private void ended(Attempt attempt, AttemptOutcome outcome, String value) {
+        if (out.remove(attempt) == null) {
+            return;
+        }
+        Open q = open.get(attempt.shardRequest.query);
+        if (q != null && outcome == AttemptOutcome.SUCCESS) {
+            q.values.putIfAbsent(attempt.shardRequest, value);
+        }
+        policy.onAttemptEnded(
+                cluster.now(),
+                attempt,
+                outcome,
+                cluster.now().minus(attempt.sentAt),
+                attempt.shardRequest.query.hasEnded());
+        if (outcome == AttemptOutcome.MOVED) {
+            slicing.excludeReplica(attempt.shardRequest, attempt.node);
+            cluster.after(
+                    SliceTranslator.EXCLUSION_TIME,
+                    () -> {
+                        slicing.readmitReplica(attempt.shardRequest.shard, attempt.node);
+                        turnEnded();
+                    });
+        }
+        if (q != null) {
+            slicing.remapStaleParts(attempt.shardRequest.query);
+        }
+    }
+
+    /** Queries and calls that nothing will end any more. */
+    List<String> leftOver() {
+        List<String> left = new ArrayList<>();
+        open.values().forEach(q -> left.add("rule 1, query " + q.id + ": still open at the end"));
+        if (!out.isEmpty()) {
+            left.add("router " + name + " still waits for " + out.size() + " calls");
+        }
+        return left;
+    }
+
+    // ---- what is decided
+
+    @Override
+    public void send(Attempt attempt) {
+        out.put(attempt, true);
+        KeyRangeRequest piece = (KeyRangeRequest) attempt.shardRequest;
+        String query = open.get(piece.query).id;
+        SimulatedDataNode node = cluster.node(registry.nameOf(attempt.node));
+        long version = slicing.currentLayout().version;
+        String part =
+                query
+                        + "."
+                        + piece.shard
+                        + "-"
+                        + Long.toHexString(piece.keys.from())
+                        + "#"
+                        + attempt.index;
+        KeyRange keys = piece.keys;
+        boolean dropped = piece.query.queryClass().sideEffects == SideEffects.DEDUPLICATED;
+        cluster.hop(
+                () ->
+                        node.called(
+                                query,
+                                part,
+                                piece.shard,
+                                keys,
+                                version,
+                                dropped,
+                                (outcome, value) -> {
+                                    ended(attempt, outcome, value);
+                                    turnEnded();
+                                }));
+        Duration until = piece.query.deadline;
+        if (attempt.timeout != null && attempt.sentAt.plus(attempt.timeout).compareTo(until) < 0) {
+            until = attempt.sentAt.plus(attempt.timeout);
+        }
+        cluster.after(
+                until.minus(cluster.now()),
+                () -> {
+                    if (out.containsKey(attempt)) {
+                        ended(attempt, AttemptOutcome.TIMEOUT, null);
+                        turnEnded();
+                    }
+                });
+    }
+
+    @Override
+    public void cancel(Attempt attempt) {
+        if (out.containsKey(attempt)) {
+            calledOff.add(attempt);
+        }
+    }
+
+    @Override
+    public void answer(Query query, boolean whole) {
+        Open q = open.remove(query);
+        LayoutCompleteness.CompleteParts counted =
+                slicing.completenessOf(query).completeParts(query);
+        List<InvariantChecker.Value> values =
+                counted.requests().stream()
+                        .map(piece -> new InvariantChecker.Value(piece.keys, q.values.get(piece)))
+                        .toList();
+        cluster.referee.answered(cluster.now(), q.id, whole, counted.version(), values);
+        cluster.over(true, q.askedAt);
+    }
+
+    @Override
+    public void reject(Query query, Duration comeBack) {
+        cluster.referee.rejected(cluster.now(), open.remove(query).id);
+    }
+
+    @Override
+    public void abort(Query query) {
+        cluster.referee.failed(cluster.now(), open.remove(query).id);
+    }
+
+    @Override
+    public void wakeAfter(Duration wait) {
+        cluster.after(
+                wait,
+                () -> {
+                    policy.onWakeUp(cluster.now());
+                    turnEnded();
+                });
+    }
+
+    @Override
+    public void probe(DataNode node) {
+        SimulatedDataNode probed = cluster.node(registry.nameOf(node));
+        cluster.after(
+                Duration.ofMillis(4),
+                () -> {
+                    policy.onProbeResult(
+                            cluster.now(),
+                            node,
+                            probed.readiness != postbeam.model.Readiness.REMOVED);
+                    turnEnded();
+                });
+    }
+
+    @Override
+    public void log(String text) {
+        // Nothing is logged in a trial.
+    }
+}
--- a/src/main/java/postbeam/rig/BoundsTrial.java
+++ b/src/main/java/postbeam/testbed/trials/CoordinationTrial.java
@@ -1,17 +1,20 @@
-package postbeam.rig;
+package postbeam.testbed.trials;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import postbeam.shared.LeaseTerms;
-import postbeam.shared.OfficeTerms;
+import postbeam.coordination.ElectionTimeouts;
+import postbeam.coordination.LeaseParameters;
+import postbeam.testbed.simulation.CoordinationSimulation;
+import postbeam.testbed.simulation.DefectiveCoordination;
+import postbeam.testbed.simulation.GossipSimulation;
 
 /**
  * What routers share keeps its bounds under random schedules of all that can fail, on the jumping
  * clock.
  */
-final class BoundsTrial implements Trial {
+final class CoordinationTrial implements Trial {
     private static final Duration DRIFT = Duration.ofMillis(30);
     private static final Duration WINDOW = Duration.ofSeconds(1);
 
@@ -28,7 +31,7 @@
 
     @Override
     public List<String> defects() {
-        return PlantedSharing.names();
+        return DefectiveCoordination.names();
     }
 
     @Override
@@ -36,13 +39,13 @@
         return true;
     }
 
-    static LeaseTerms leases(
+    static LeaseParameters leases(
             int routers, Duration use, double reserved, double underWay, double callMost) {
-        return new LeaseTerms(use, WINDOW, DRIFT, reserved, underWay, routers, callMost);
+        return new LeaseParameters(use, WINDOW, DRIFT, reserved, underWay, routers, callMost);
     }
 
-    static OfficeTerms offices(Duration office) {
-        return new OfficeTerms(office, office.multipliedBy(4).dividedBy(3), DRIFT);
+    static ElectionTimeouts offices(Duration office) {
+        return new ElectionTimeouts(office, office.multipliedBy(4).dividedBy(3), DRIFT);
     }
 
     @Override
@@ -53,17 +56,17 @@
         boolean outlasts = seed % 2 == 0;
         int routers = seed % 4 == 0 ? 9 : seed % 4 == 1 ? 3 : 5;
         double underWay = seed % 3 == 0 ? 0.05 : 0.1;
-        LeaseTerms leases =
+        LeaseParameters leases =
                 leases(
                         routers,
                         Duration.ofMillis(outlasts ? 1500 : 600),
                         routers == 3 ? 0.6 : 0.25,
                         underWay,
                         underWay * 0.4);
-        OfficeTerms offices = offices(Duration.ofMillis(outlasts ? 500 : 900));
-        BoundsWorld world =
-                new BoundsWorld(
-                        new BoundsWorld.Plan(
+        ElectionTimeouts offices = offices(Duration.ofMillis(outlasts ? 500 : 900));
+        CoordinationSimulation world =
+                new CoordinationSimulation(
+                        new CoordinationSimulation.Plan(
                                 routers,
                                 2,
                                 2,
@@ -72,12 +75,13 @@
                                 0,
                                 leases,
                                 offices,
-                                PlantedSharing.defect(defect)),
+                                DefectiveCoordination.defect(defect)),
                         seed);
-        HearsayWorld hearsay = new HearsayWorld(routers, PlantedSharing.defect(defect), seed);
+        GossipSimulation hearsay =
+                new GossipSimulation(routers, DefectiveCoordination.defect(defect), seed);
         List<String> broken = new ArrayList<>(hearsay.run());
         broken.addAll(world.run());
-        BoundsWorld.Use use = world.use();
+        CoordinationSimulation.Use use = world.use();
         return new Result(
                 List.of(
                         String.format(
--- a/src/main/java/postbeam/rig/SlicesTrial.java
+++ b/src/main/java/postbeam/testbed/trials/LoopbackReshardingTrial.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.trials;
 
 import java.io.IOException;
 import java.time.Duration;
@@ -8,16 +8,20 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import postbeam.discovery.LongPoll;
-import postbeam.layouts.LayoutWatch;
+import postbeam.discovery.LongPollWatcher;
+import postbeam.layoutservice.LayoutWatch;
 import postbeam.slices.Layout;
 import postbeam.slices.Slice;
+import postbeam.testbed.cluster.LoadGenerator;
+import postbeam.testbed.cluster.LoopbackCluster;
+import postbeam.testbed.fakes.FakeDataNode;
+import postbeam.testbed.simulation.DefectiveSlicing;
 
 /**
  * Re-cuts under steady load on loopback sockets: the product's routers and layout service, stand-in
  * nodes. The same load runs with re-cuts and without, side by side in the figures.
  */
-final class SlicesTrial implements Trial {
+final class LoopbackReshardingTrial implements Trial {
     private static final int NODES = 12;
     private static final int ROUTERS = 3;
     private static final int SLICES = 24;
@@ -35,7 +39,8 @@
     private final boolean beside;
 
     /** Beside: the same load runs without re-cuts first. */
-    SlicesTrial(String name, Duration length, Duration recutEvery, double rate, boolean beside) {
+    LoopbackReshardingTrial(
+            String name, Duration length, Duration recutEvery, double rate, boolean beside) {
         this.name = name;
         this.beside = beside;
         this.length = length;
@@ -75,7 +80,7 @@
             if (defect == null && beside) {
                 one(seed, null, false, figures, broken);
             }
-            one(seed, RecutsTrial.defect(defect), true, figures, broken);
+            one(seed, ReshardingTrial.defect(defect), true, figures, broken);
         } catch (IOException e) {
             broken.add("the stage broke: " + e);
         } catch (InterruptedException e) {
@@ -86,23 +91,28 @@
 
     private void one(
             long seed,
-            PlantedSlicing.Defect defect,
+            DefectiveSlicing.Defect defect,
             boolean recuts,
             List<String> figures,
             List<String> broken)
             throws IOException, InterruptedException {
-        try (Stage stage =
-                new Stage(new Stage.Size(NODES, ROUTERS, SLICES, HOLDERS, true, defect), seed)) {
-            Load load =
-                    new Load(
-                            stage, true, SLICES, RandomSource.XO_RO_SHI_RO_128_PP.create(seed + 1));
+        try (LoopbackCluster cluster =
+                new LoopbackCluster(
+                        new LoopbackCluster.Size(NODES, ROUTERS, SLICES, HOLDERS, true, defect),
+                        seed)) {
+            LoadGenerator generator =
+                    new LoadGenerator(
+                            cluster,
+                            true,
+                            SLICES,
+                            RandomSource.XO_RO_SHI_RO_128_PP.create(seed + 1));
             AtomicReference<Layout> layout = new AtomicReference<>();
-            LongPoll<Layout> watch =
+            LongPollWatcher<Layout> watch =
                     LayoutWatch.of(
-                            stage.layouts(),
+                            cluster.layouts(),
                             next -> {
                                 layout.set(next);
-                                load.known(next);
+                                generator.known(next);
                             });
             Thread watching = new Thread(watch, "trial layouts");
             watching.setDaemon(true);
@@ -113,21 +123,22 @@
             // What a defect needs to show, an answer that is bad and late across a re-cut, comes
             // often then.
             double rougher = defect == null ? 1 : 10;
-            stage.nodes.forEach(
+            cluster.nodes.forEach(
                     node -> node.troubles(BAD_ANSWERS * rougher, LATE_ANSWERS * rougher));
             Duration beat = defect == null ? recutEvery : recutEvery.dividedBy(5);
             Thread operators =
                     new Thread(
-                            () -> operators(stage, layout, recuts, seed, beat), "trial operators");
+                            () -> operators(cluster, layout, recuts, seed, beat),
+                            "trial operators");
             operators.start();
-            load.run(rate, length);
+            generator.run(rate, length);
             operators.join();
             watch.stop();
-            stage.referee.end(stage.now());
+            cluster.referee.end(cluster.now());
             long usedMb =
                     (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 20;
             long over =
-                    stage.movesSeen().stream().filter(move -> move.contains("forgotten")).count();
+                    cluster.movesSeen().stream().filter(move -> move.contains("forgotten")).count();
             figures.add(
                     String.format(
                             Locale.ROOT,
@@ -136,15 +147,15 @@
                                 + " last moves %d done",
                             seed,
                             recuts ? "re-cuts" : "none   ",
-                            load.asked(),
-                            load.inTime(),
-                            (double) stage.referee.calls() / load.asked(),
-                            load.millis(99),
+                            generator.asked(),
+                            generator.inTime(),
+                            (double) cluster.referee.calls() / generator.asked(),
+                            generator.millis(99),
                             usedMb,
                             layout.get().version,
-                            load.statuses(),
+                            generator.statuses(),
                             over));
-            broken.addAll(stage.referee.broken());
+            broken.addAll(cluster.referee.broken());
         }
     }
 
@@ -153,7 +164,7 @@
      * are re-cuts.
      */
     private void operators(
-            Stage stage,
+            LoopbackCluster cluster,
             AtomicReference<Layout> layout,
             boolean recuts,
             long seed,
@@ -165,19 +176,19 @@
             while (System.nanoTime() < end) {
                 Thread.sleep(every.toMillis());
                 beat++;
-                StandInNode node = stage.nodes.get(chance.nextInt(stage.nodes.size()));
+                FakeDataNode node = cluster.nodes.get(chance.nextInt(cluster.nodes.size()));
                 if (beat % 7 == 3) {
                     node.slow(8);
                 } else if (beat % 7 == 5) {
-                    stage.nodes.forEach(all -> all.slow(1));
+                    cluster.nodes.forEach(all -> all.slow(1));
                 }
                 if (recuts && beat % 11 == 6) {
-                    stage.stopService();
-                } else if (recuts && beat % 11 == 8 && !stage.serving()) {
-                    stage.startService();
+                    cluster.stopService();
+                } else if (recuts && beat % 11 == 8 && !cluster.serving()) {
+                    cluster.startService();
                 }
-                if (recuts && stage.serving()) {
-                    recut(stage, layout.get(), chance);
+                if (recuts && cluster.serving()) {
+                    recut(cluster, layout.get(), chance);
                 }
             }
         } catch (IOException | InterruptedException e) {
@@ -188,7 +199,7 @@
     /**
      * Tries a few until one can be planned: a split, a merge, a move, now and then an abandoning.
      */
-    private static void recut(Stage stage, Layout layout, UniformRandomProvider chance)
+    private static void recut(LoopbackCluster cluster, Layout layout, UniformRandomProvider chance)
             throws InterruptedException {
         for (int i = 0; i < 8; i++) {
             List<Slice> slices = layout.slices();
@@ -220,7 +231,7 @@
                                         + "]}";
                     };
             try {
-                if (stage.post("/v1/start", change).startsWith("move ")) {
+                if (cluster.post("/v1/start", change).startsWith("move ")) {
                     return;
                 }
             } catch (IOException e) {
--- a/src/main/java/postbeam/rig/MigrationTrial.java
+++ b/src/main/java/postbeam/testbed/trials/MigrationTrial.java
@@ -1,24 +1,26 @@
-package postbeam.rig;
+package postbeam.testbed.trials;
 
 import java.time.Duration;
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.Stream;
-import postbeam.errors.ExplainedException;
-import postbeam.migration.Doing;
+import postbeam.errors.OperatorErrorException;
 import postbeam.migration.Migration;
-import postbeam.migration.MigrationBook;
-import postbeam.migration.Migrations;
+import postbeam.migration.MigrationAction;
+import postbeam.migration.MigrationJournalState;
+import postbeam.migration.MigrationManager;
 import postbeam.slices.Coordinator;
 import postbeam.slices.Move;
+import postbeam.testbed.simulation.MigrationSimulation;
+import postbeam.testbed.simulation.SimulatedMigrationCoordinator;
 
 /**
  * Members' migrations under load and troubles on the jumping clock, compared with what is known to
  * have run.
  */
-final class MigrationTrial implements Trial {
+public final class MigrationTrial implements Trial {
     /** What can be planted. */
-    enum Defect {
+    public enum Defect {
         /** The switch is over at once, whatever routers hold. */
         SWITCH_BEFORE_ALL_TOLD,
         /** Nothing is compared. */
@@ -28,8 +30,8 @@
     }
 
     /** An operator's order to a coordinator. */
-    interface Ordered {
-        List<Doing> give() throws ExplainedException;
+    public interface Ordered {
+        List<MigrationAction> give() throws OperatorErrorException;
     }
 
     /** Every so many seeds nothing goes wrong, for the figures. */
@@ -59,22 +61,23 @@
         return true;
     }
 
-    static Migrations planted(
-            Defect defect, Coordinator coordinator, MigrationBook book, Duration now) {
+    public static MigrationManager planted(
+            Defect defect, Coordinator coordinator, MigrationJournalState book, Duration now) {
         return defect == null
-                ? new Migrations(coordinator, book, MigrationChief.LIMITS, now)
-                : new Migrations(coordinator, book, MigrationChief.LIMITS, now) {
+                ? new MigrationManager(coordinator, book, SimulatedMigrationCoordinator.LIMITS, now)
+                : new MigrationManager(
+                        coordinator, book, SimulatedMigrationCoordinator.LIMITS, now) {
                     @Override
-                    protected boolean verified(Migration one, Move move) {
+                    protected boolean isVerified(Migration one, Move move) {
                         return defect == Defect.VERIFY_SKIPPED
-                                || defect == Defect.ROLLBACK_LOSES && one.rollbackWhy() != null
-                                || super.verified(one, move);
+                                || defect == Defect.ROLLBACK_LOSES && one.rollbackReason() != null
+                                || super.isVerified(one, move);
                     }
 
                     @Override
-                    protected boolean allTold(long version, Duration at) {
+                    protected boolean allRoutersAcknowledged(long version, Duration at) {
                         return defect == Defect.SWITCH_BEFORE_ALL_TOLD
-                                || super.allTold(version, at);
+                                || super.allRoutersAcknowledged(version, at);
                     }
                 };
     }
@@ -84,11 +87,11 @@
         return world(seed, defect).run();
     }
 
-    MigrationWorld world(long seed, String defect) {
+    MigrationSimulation world(long seed, String defect) {
         Defect planted =
                 defect == null
                         ? null
                         : Defect.valueOf(defect.toUpperCase(Locale.ROOT).replace('-', '_'));
-        return new MigrationWorld(seed, planted, seed % CALM_EVERY != 0);
+        return new MigrationSimulation(seed, planted, seed % CALM_EVERY != 0);
     }
 }
--- a/src/main/java/postbeam/rig/PagesTrial.java
+++ b/src/main/java/postbeam/testbed/trials/PagingTrial.java
@@ -1,14 +1,16 @@
-package postbeam.rig;
+package postbeam.testbed.trials;
 
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.Stream;
+import postbeam.testbed.simulation.DefectivePageAssembly;
+import postbeam.testbed.simulation.PagingSimulation;
 
 /**
  * Pages through changing routers while slices are re-cut and ranges go missing, against a plain
  * sort; no sockets.
  */
-final class PagesTrial implements Trial {
+final class PagingTrial implements Trial {
     @Override
     public boolean jumps() {
         return true;
@@ -27,17 +29,19 @@
 
     @Override
     public List<String> defects() {
-        return Stream.of(PlantedPages.Defect.values()).map(PlantedPages.Defect::spelt).toList();
+        return Stream.of(DefectivePageAssembly.Defect.values())
+                .map(DefectivePageAssembly.Defect::spelt)
+                .toList();
     }
 
     @Override
     public Result run(long seed, String defect) {
-        PagesWorld world =
-                new PagesWorld(
+        PagingSimulation world =
+                new PagingSimulation(
                         seed,
                         defect == null
                                 ? null
-                                : PlantedPages.Defect.valueOf(
+                                : DefectivePageAssembly.Defect.valueOf(
                                         defect.toUpperCase(Locale.ROOT).replace('-', '_')));
         List<String> broken = world.run();
         return new Result(
--- a/src/main/java/postbeam/rig/TogetherTrial.java
+++ b/src/main/java/postbeam/testbed/trials/ProcessClusterTrial.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.trials;
 
 import java.io.IOException;
 import java.time.Duration;
@@ -10,12 +10,16 @@
 import java.util.function.UnaryOperator;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
+import postbeam.testbed.cluster.FaultProxy;
+import postbeam.testbed.cluster.LoadGenerator;
+import postbeam.testbed.cluster.ProcessCluster;
+import postbeam.testbed.verification.InvariantChecker;
 
 /**
  * Processes of the built program under load, with faults between and to them, each drawn from the
  * seed.
  */
-final class TogetherTrial implements Trial {
+final class ProcessClusterTrial implements Trial {
     private static final int NODES = 6;
     private static final int ROUTERS = 4;
     private static final int SHARDS = 8;
@@ -79,21 +83,21 @@
         List<String> broken = new ArrayList<>();
         UnaryOperator<String> altered =
                 ALTERED.getOrDefault(String.valueOf(defect), config -> config);
-        try (ProcessFleet fleet =
-                new ProcessFleet(
-                        new ProcessFleet.Size(
+        try (ProcessCluster cluster =
+                new ProcessCluster(
+                        new ProcessCluster.Size(
                                 NODES,
                                 ROUTERS,
                                 SHARDS,
                                 false,
-                                ProcessFleet.PATIENT,
+                                ProcessCluster.PATIENT,
                                 (all, file, text) -> altered.apply(text)),
                         seed)) {
-            ProcessFleet.Clients clients = fleet.clients(RATE, seed + 1);
-            Load load = clients.load;
+            ProcessCluster.Clients clients = cluster.clients(RATE, seed + 1);
+            LoadGenerator generator = clients.load;
             try {
                 new Script(
-                                fleet,
+                                cluster,
                                 RandomSource.XO_RO_SHI_RO_128_PP.create(seed + 2),
                                 UNTOLD.equals(defect))
                         .play();
@@ -102,20 +106,20 @@
                 broken.add(e.getMessage());
             }
             clients.stop();
-            Referee judged = fleet.judged();
+            InvariantChecker judged = cluster.judged();
             figures.add(
                     String.format(
                             Locale.ROOT,
                             "seed %d: %d queries, %.4f in SLO time; %d calls, %d further, %d runs; "
                                     + "99th percentile %.0f ms; statuses %s",
                             seed,
-                            load.asked(),
-                            load.inTime(),
+                            generator.asked(),
+                            generator.inTime(),
                             judged.calls(),
                             judged.further(),
                             judged.runs(),
-                            load.millis(99),
-                            load.statuses()));
+                            generator.millis(99),
+                            generator.statuses()));
             broken.addAll(judged.broken());
         } catch (IOException e) {
             broken.add("the fleet broke: " + e);
@@ -127,7 +131,7 @@
     }
 
     /** The faults of a seed; each is over by the end. */
-    private record Script(ProcessFleet fleet, UniformRandomProvider chance, boolean untold) {
+    private record Script(ProcessCluster fleet, UniformRandomProvider chance, boolean untold) {
         void play() throws IOException, InterruptedException {
             if (untold) {
                 fleet.pretendTold("n0");
@@ -139,17 +143,17 @@
                 Thread.sleep(BEAT + chance.nextInt(BEAT_MORE));
                 String router = "r" + chance.nextInt(ROUTERS);
                 String node = "n" + chance.nextInt(NODES);
-                Relay way = fleet.way(router, node);
+                FaultProxy way = fleet.way(router, node);
                 switch (chance.nextInt(8)) {
                     case 0, 1 ->
                             way.set(
-                                    Relay.Way.values()[chance.nextInt(2)],
-                                    Relay.Fault.values()[1 + chance.nextInt(2)],
+                                    FaultProxy.Way.values()[chance.nextInt(2)],
+                                    FaultProxy.Fault.values()[1 + chance.nextInt(2)],
                                     Duration.ZERO);
-                    case 2 -> way.both(Relay.Fault.CUT, Duration.ZERO);
+                    case 2 -> way.both(FaultProxy.Fault.CUT, Duration.ZERO);
                     case 3 ->
                             way.both(
-                                    Relay.Fault.values()[3 + chance.nextInt(2)],
+                                    FaultProxy.Fault.values()[3 + chance.nextInt(2)],
                                     Duration.ofMillis(chance.nextInt(100)));
                     case 4 -> way.reset();
                     case 5 -> fleet.healAll();
--- a/src/main/java/postbeam/rig/RecutsTrial.java
+++ b/src/main/java/postbeam/testbed/trials/ReshardingTrial.java
@@ -1,14 +1,16 @@
-package postbeam.rig;
+package postbeam.testbed.trials;
 
 import java.time.Duration;
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.Stream;
+import postbeam.testbed.simulation.DefectiveSlicing;
+import postbeam.testbed.simulation.SimulatedCluster;
 
 /**
  * Re-cuts under load and troubles on the jumping clock: fast, so that many seeds meet rare things.
  */
-final class RecutsTrial implements Trial {
+final class ReshardingTrial implements Trial {
     @Override
     public String name() {
         return "recuts";
@@ -22,7 +24,7 @@
 
     @Override
     public List<String> defects() {
-        return Stream.of(PlantedSlicing.Defect.values()).map(RecutsTrial::spelt).toList();
+        return Stream.of(DefectiveSlicing.Defect.values()).map(ReshardingTrial::spelt).toList();
     }
 
     @Override
@@ -30,24 +32,24 @@
         return true;
     }
 
-    static String spelt(PlantedSlicing.Defect defect) {
+    static String spelt(DefectiveSlicing.Defect defect) {
         return defect.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     /** Null where the name is null. */
-    static PlantedSlicing.Defect defect(String name) {
+    static DefectiveSlicing.Defect defect(String name) {
         return name == null
                 ? null
-                : PlantedSlicing.Defect.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_'));
+                : DefectiveSlicing.Defect.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_'));
     }
 
     @Override
     public Result run(long seed, String defect) {
         // Every third seed is a small one where all is held nearly everywhere: there slices split
         // and merge all the time.
-        World.Plan plan =
+        SimulatedCluster.Plan plan =
                 seed % 3 == 0
-                        ? new World.Plan(
+                        ? new SimulatedCluster.Plan(
                                 5,
                                 3,
                                 8,
@@ -57,7 +59,7 @@
                                 Duration.ofMillis(60),
                                 true,
                                 defect(defect))
-                        : new World.Plan(
+                        : new SimulatedCluster.Plan(
                                 8,
                                 3,
                                 12,
@@ -67,8 +69,8 @@
                                 Duration.ofMillis(250),
                                 true,
                                 defect(defect));
-        World world = new World(plan, seed);
-        List<String> broken = world.run();
+        SimulatedCluster cluster = new SimulatedCluster(plan, seed);
+        List<String> broken = cluster.run();
         return new Result(
                 List.of(
                         String.format(
@@ -76,14 +78,14 @@
                                 "seed %d: %d queries, %.3f in SLO time; %d calls, %.3f a query; %d"
                                         + " re-cuts planned, %d cut over, %d abandoned, layout %d",
                                 seed,
-                                world.asked(),
-                                (double) world.good() / Math.max(1, world.asked()),
-                                world.referee.calls(),
-                                (double) world.referee.calls() / Math.max(1, world.asked()),
-                                world.moves.begun(),
-                                world.moves.cut(),
-                                world.moves.abandoned(),
-                                world.told.get(world.told.size() - 1).version)),
+                                cluster.asked(),
+                                (double) cluster.good() / Math.max(1, cluster.asked()),
+                                cluster.referee.calls(),
+                                (double) cluster.referee.calls() / Math.max(1, cluster.asked()),
+                                cluster.moves.begun(),
+                                cluster.moves.cut(),
+                                cluster.moves.abandoned(),
+                                cluster.told.get(cluster.told.size() - 1).version)),
                 broken);
     }
 }
--- a/src/main/java/postbeam/rig/ColdUseTrial.java
+++ b/src/main/java/postbeam/testbed/trials/SlowStartUsageTrial.java
@@ -1,16 +1,17 @@
-package postbeam.rig;
+package postbeam.testbed.trials;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import postbeam.shared.LeaseTerms;
+import postbeam.coordination.LeaseParameters;
+import postbeam.testbed.simulation.CoordinationSimulation;
 
 /**
  * How much of cold nodes' budgets routers use, one of three busier than the others: figures for
  * docs/together.md.
  */
-final class ColdUseTrial implements Trial {
+final class SlowStartUsageTrial implements Trial {
     private static final int ROUTERS = 5;
 
     @Override
@@ -42,11 +43,11 @@
         one(
                 seed,
                 "even parts alone",
-                BoundsTrial.leases(ROUTERS, use, 0.899, 0.1, 0.04),
+                CoordinationTrial.leases(ROUTERS, use, 0.899, 0.1, 0.04),
                 0,
                 figures,
                 broken);
-        LeaseTerms leases = BoundsTrial.leases(ROUTERS, use, 0.25, 0.1, 0.04);
+        LeaseParameters leases = CoordinationTrial.leases(ROUTERS, use, 0.25, 0.1, 0.04);
         one(seed, "leases", leases, 0, figures, broken);
         one(seed, "leases, 2 of 5 cut off", leases, 2, figures, broken);
         return new Result(figures, broken);
@@ -55,13 +56,13 @@
     private static void one(
             long seed,
             String name,
-            LeaseTerms leases,
+            LeaseParameters leases,
             int cutOff,
             List<String> figures,
             List<String> broken) {
-        BoundsWorld world =
-                new BoundsWorld(
-                        new BoundsWorld.Plan(
+        CoordinationSimulation world =
+                new CoordinationSimulation(
+                        new CoordinationSimulation.Plan(
                                 ROUTERS,
                                 2,
                                 2,
@@ -69,11 +70,11 @@
                                 false,
                                 cutOff,
                                 leases,
-                                BoundsTrial.offices(Duration.ofMillis(900)),
+                                CoordinationTrial.offices(Duration.ofMillis(900)),
                                 null),
                         seed);
         broken.addAll(world.run());
-        BoundsWorld.Use of = world.use();
+        CoordinationSimulation.Use of = world.use();
         figures.add(
                 String.format(
                         Locale.ROOT,
--- a/src/main/java/postbeam/rig/Trial.java
+++ b/src/main/java/postbeam/testbed/trials/Trial.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.trials;
 
 import java.util.List;
 
--- a/src/main/java/postbeam/rig/TrialCommand.java
+++ b/src/main/java/postbeam/testbed/trials/TrialCommand.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.trials;
 
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
@@ -22,21 +22,21 @@
 public final class TrialCommand {
     private static final List<Trial> TRIALS =
             List.of(
-                    new RecutsTrial(),
-                    new BoundsTrial(),
-                    new ColdUseTrial(),
-                    new PagesTrial(),
-                    new TogetherTrial(),
+                    new ReshardingTrial(),
+                    new CoordinationTrial(),
+                    new SlowStartUsageTrial(),
+                    new PagingTrial(),
+                    new ProcessClusterTrial(),
                     new MigrationTrial(),
-                    new SlicesTrial(
+                    new LoopbackReshardingTrial(
                             "slices", Duration.ofSeconds(60), Duration.ofSeconds(1), 150, true),
-                    new SlicesTrial(
+                    new LoopbackReshardingTrial(
                             "slices-alone",
                             Duration.ofSeconds(60),
                             Duration.ofSeconds(1),
                             150,
                             false),
-                    new SlicesTrial(
+                    new LoopbackReshardingTrial(
                             "slices-short",
                             Duration.ofSeconds(8),
                             Duration.ofMillis(250),
--- a/src/main/java/postbeam/rig/Referee.java
+++ b/src/main/java/postbeam/testbed/verification/InvariantChecker.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.verification;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -19,7 +19,8 @@
  * what ran from the nodes. To be called by one thread at a time; times are spans since the start of
  * the run.
  */
-final class Referee implements Witness.AtClients, Witness.AtNodes {
+public final class InvariantChecker
+        implements RunObserver.ClientObserver, RunObserver.NodeObserver {
     /** What is allowed for the way of a message and for a busy machine. */
     private final Duration slack;
 
@@ -43,7 +44,7 @@
     private long runs;
 
     /** What is counted on: zero spans and nulls where a rule is not stated. */
-    record Rules(
+    public record Rules(
             double coldFrom,
             Duration ramp,
             double fallMultiple,
@@ -55,17 +56,17 @@
             Duration repeatWindow) {}
 
     /** How a vertical is promised. */
-    enum Kind {
+    public enum Kind {
         REPEATABLE,
         DEDUPLICATED,
         SIDE_EFFECTING
     }
 
     /** One slice that a client named, with its share. */
-    record Wanted(int slice, KeyRange keys, double weight) {}
+    public record Wanted(int slice, KeyRange keys, double weight) {}
 
     /** A value in an answer. */
-    record Value(KeyRange keys, String text) {}
+    public record Value(KeyRange keys, String text) {}
 
     private static final class Watched {
         final String id;
@@ -122,7 +123,7 @@
         final TreeMap<Duration, Integer> further = new TreeMap<>();
     }
 
-    Referee(Rules rules, Duration drainGrace, Duration slack) {
+    public InvariantChecker(Rules rules, Duration drainGrace, Duration slack) {
         this.rules = rules;
         this.drainGrace = drainGrace;
         this.slack = slack;
@@ -130,7 +131,7 @@
 
     // ---- what is seen
 
-    synchronized void layout(Layout layout) {
+    public synchronized void layout(Layout layout) {
         layouts.put(layout.version, layout);
     }
 
@@ -151,7 +152,7 @@
         Watched q = queries.get(id);
         q.left = away.contains(router);
         Layout newest = layouts.lastEntry().getValue();
-        int parts = wanted.stream().mapToInt(one -> newest.meeting(one.keys).size()).sum();
+        int parts = wanted.stream().mapToInt(one -> newest.overlapping(one.keys).size()).sum();
         q.partsCounted = Math.max(wanted.size(), parts);
         budgets.computeIfAbsent(router, key -> new Budget())
                 .taken
@@ -159,14 +160,14 @@
     }
 
     /** It runs no more: killed, or stopped until it is back. */
-    synchronized void routerAway(String router) {
+    public synchronized void routerAway(String router) {
         away.add(router);
         queries.values().stream()
                 .filter(q -> q.router.equals(router) && !q.answered)
                 .forEach(q -> q.left = true);
     }
 
-    synchronized void routerBack(String router) {
+    public synchronized void routerBack(String router) {
         away.remove(router);
     }
 
@@ -176,7 +177,7 @@
         cold.put(node, new Cold());
     }
 
-    synchronized void told(Duration now, String node, boolean draining) {
+    public synchronized void told(Duration now, String node, boolean draining) {
         if (draining) {
             drainingSince.putIfAbsent(node, now);
         } else {
@@ -203,7 +204,7 @@
             breaks(now, 5, query, part, "a part that no client asked for");
             return;
         }
-        if (q.wanted.stream().noneMatch(one -> one.keys.meets(keys))) {
+        if (q.wanted.stream().noneMatch(one -> one.keys.overlaps(keys))) {
             breaks(now, 5, query, part, "keys that the client did not ask for: " + keys);
         }
         if (q.answered && !q.left && now.compareTo(q.until.plus(slack)) > 0) {
@@ -218,12 +219,12 @@
                     part,
                     "sent to " + node + ", which drains since " + since.toMillis() + " ms");
         }
-        if (q.kind != Kind.REPEATABLE && q.out.values().stream().anyMatch(keys::meets)) {
+        if (q.kind != Kind.REPEATABLE && q.out.values().stream().anyMatch(keys::overlaps)) {
             breaks(now, 2, query, part, "two calls out for the keys " + keys);
         }
         Duration first =
                 q.ran.entrySet().stream()
-                        .filter(entry -> entry.getKey().meets(keys))
+                        .filter(entry -> entry.getKey().overlaps(keys))
                         .map(Map.Entry::getValue)
                         .min(Duration::compareTo)
                         .orElse(null);
@@ -235,7 +236,7 @@
                 && now.minus(first).compareTo(rules.repeatWindow.plus(slack)) > 0) {
             breaks(now, 2, query, part, "sent again past the window of repeats");
         }
-        boolean again = q.sent.keySet().stream().anyMatch(keys::meets);
+        boolean again = q.sent.keySet().stream().anyMatch(keys::overlaps);
         q.sent.putIfAbsent(keys, now);
         q.out.put(part, keys);
         if (again) {
@@ -316,8 +317,13 @@
             return;
         }
         for (KeyRange before : q.ran.keySet()) {
-            if (q.kind != Kind.REPEATABLE && before.meets(keys)) {
-                breaks(now, 2, query, part, "the keys " + before.common(keys) + " have run twice");
+            if (q.kind != Kind.REPEATABLE && before.overlaps(keys)) {
+                breaks(
+                        now,
+                        2,
+                        query,
+                        part,
+                        "the keys " + before.intersection(keys) + " have run twice");
             }
         }
         if (q.rejected && q.kind != Kind.REPEATABLE) {
@@ -377,7 +383,7 @@
             if (!value.text.equals(valueOf(query, value.keys))) {
                 breaks(now, 5, query, "-", "a value that no node made: " + value);
             }
-            if (in.stream().anyMatch(value.keys::meets)) {
+            if (in.stream().anyMatch(value.keys::overlaps)) {
                 breaks(now, 5, query, "-", "the keys " + value.keys + " are answered twice");
             }
             in.add(value.keys);
@@ -425,7 +431,7 @@
     }
 
     /** At the end of a run: whoever still has no answer will have none. */
-    synchronized void end(Duration now) {
+    public synchronized void end(Duration now) {
         for (Watched q : queries.values()) {
             if (!q.answered && !q.left && now.compareTo(q.until.plus(slack)) > 0) {
                 breaks(now, 1, q.id, "-", "no answer" + q.seenInstead);
@@ -436,14 +442,14 @@
     // ---- reckoning
 
     /** What any node gives for these keys of a query. */
-    static String valueOf(String query, KeyRange keys) {
+    public static String valueOf(String query, KeyRange keys) {
         return "v" + query + ":" + keys;
     }
 
     private static boolean covered(KeyRange keys, List<KeyRange> in) {
         long held = 0;
         for (KeyRange one : in) {
-            held += one.meets(keys) ? one.common(keys).size() : 0;
+            held += one.overlaps(keys) ? one.intersection(keys).size() : 0;
         }
         return held == keys.size();
     }
@@ -459,14 +465,14 @@
     private static double weightBy(Watched q, Layout layout, List<KeyRange> in) {
         double sum = 0;
         for (Wanted one : q.wanted) {
-            for (Slice slice : layout.meeting(one.keys)) {
+            for (Slice slice : layout.overlapping(one.keys)) {
                 boolean all = true;
                 for (Wanted other : q.wanted) {
                     all &=
-                            !other.keys.meets(slice.keys())
-                                    || covered(other.keys.common(slice.keys()), in);
+                            !other.keys.overlaps(slice.keys())
+                                    || covered(other.keys.intersection(slice.keys()), in);
                 }
-                sum += all ? one.weight * one.keys.share(slice.keys()) : 0;
+                sum += all ? one.weight * one.keys.overlapFraction(slice.keys()) : 0;
             }
         }
         return sum;
@@ -486,19 +492,19 @@
                         + what);
     }
 
-    synchronized List<String> broken() {
+    public synchronized List<String> broken() {
         return List.copyOf(broken);
     }
 
-    synchronized long calls() {
+    public synchronized long calls() {
         return calls;
     }
 
-    synchronized long further() {
+    public synchronized long further() {
         return further;
     }
 
-    synchronized long runs() {
+    public synchronized long runs() {
         return runs;
     }
 }
--- a/src/main/java/postbeam/rig/Testimony.java
+++ b/src/main/java/postbeam/testbed/verification/ObservedCalls.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.verification;
 
 import java.io.Closeable;
 import java.io.FileOutputStream;
@@ -21,14 +21,14 @@
  * times. Times are spans on the machine's one monotonic clock, which all processes read; each is
  * taken before what it leads to.
  */
-final class Testimony implements Witness.AtClients {
+public final class ObservedCalls implements RunObserver.ClientObserver {
     private static final String SUFFIX = ".seen";
 
-    private record Event(Duration at, Consumer<Referee> what) {}
+    private record Event(Duration at, Consumer<InvariantChecker> what) {}
 
     private final List<Event> events = new ArrayList<>();
 
-    synchronized void add(Duration at, Consumer<Referee> what) {
+    public synchronized void add(Duration at, Consumer<InvariantChecker> what) {
         events.add(new Event(at, what));
     }
 
@@ -37,11 +37,11 @@
             Duration now,
             String id,
             String router,
-            Referee.Kind kind,
+            InvariantChecker.Kind kind,
             double need,
             double floor,
             long version,
-            List<Referee.Wanted> wanted,
+            List<InvariantChecker.Wanted> wanted,
             Duration until) {
         add(now, to -> to.asked(now, id, router, kind, need, floor, version, wanted, until));
     }
@@ -63,7 +63,11 @@
 
     @Override
     public void answered(
-            Duration now, String query, boolean whole, long counted, List<Referee.Value> values) {
+            Duration now,
+            String query,
+            boolean whole,
+            long counted,
+            List<InvariantChecker.Value> values) {
         add(now, to -> to.answered(now, query, whole, counted, values));
     }
 
@@ -71,7 +75,8 @@
      * Tells a referee all of it, with what nodes wrote in this folder; nothing may be added any
      * more.
      */
-    synchronized void tell(Referee referee, Path folder, Duration end) throws IOException {
+    public synchronized void tell(InvariantChecker checker, Path folder, Duration end)
+            throws IOException {
         List<Event> all = new ArrayList<>(events);
         try (Stream<Path> files = Files.list(folder)) {
             for (Path file :
@@ -84,12 +89,12 @@
             }
         }
         all.sort(Comparator.comparing(Event::at));
-        all.forEach(event -> event.what.accept(referee));
-        referee.end(end);
+        all.forEach(event -> event.what.accept(checker));
+        checker.end(end);
     }
 
     /** Calls to a node since it last started cold. */
-    long calls(Path folder, String node) throws IOException {
+    public long calls(Path folder, String node) throws IOException {
         String text = Files.readString(folder.resolve(node + SUFFIX));
         return text.substring(Math.max(0, text.lastIndexOf("started ")))
                 .lines()
@@ -129,17 +134,17 @@
      * A node's side: a line an event, in the file once it is written, whatever becomes of the
      * process.
      */
-    static final class Node implements Witness.AtNodes, Closeable {
+    public static final class Node implements RunObserver.NodeObserver, Closeable {
         private final OutputStream out;
         private final long startNanos;
 
         /** The start of the run is told by whoever started it. */
-        Node(Path folder, String name, long startNanos) throws IOException {
+        public Node(Path folder, String name, long startNanos) throws IOException {
             out = new FileOutputStream(folder.resolve(name + SUFFIX).toFile(), true);
             this.startNanos = startNanos;
         }
 
-        Duration now() {
+        public Duration now() {
             return Duration.ofNanos(System.nanoTime() - startNanos);
         }
 
--- a/src/main/java/postbeam/rig/Witness.java
+++ b/src/main/java/postbeam/testbed/verification/RunObserver.java
@@ -1,24 +1,24 @@
-package postbeam.rig;
+package postbeam.testbed.verification;
 
 import java.time.Duration;
 import java.util.List;
 import postbeam.slices.KeyRange;
 
 /** Who hears what is seen of a run; times are spans since its start. */
-final class Witness {
-    private Witness() {}
+public final class RunObserver {
+    private RunObserver() {}
 
     /** What is seen where clients are. */
-    interface AtClients {
+    public interface ClientObserver {
         void asked(
                 Duration now,
                 String id,
                 String router,
-                Referee.Kind kind,
+                InvariantChecker.Kind kind,
                 double need,
                 double floor,
                 long version,
-                List<Referee.Wanted> wanted,
+                List<InvariantChecker.Wanted> wanted,
                 Duration until);
 
         void rejected(Duration now, String query);
@@ -33,11 +33,11 @@
                 String query,
                 boolean whole,
                 long counted,
-                List<Referee.Value> values);
+                List<InvariantChecker.Value> values);
     }
 
     /** What is seen where data nodes are. */
-    interface AtNodes {
+    public interface NodeObserver {
         void nodeStarted(Duration now, String node);
 
         void called(
--- a/src/main/java/postbeam/rig/Takes.java
+++ b/src/main/java/postbeam/testbed/verification/SlowStartUsage.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.verification;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -9,21 +9,21 @@
  * and ended. Only what surely lies in a window is summed, so what it finds is a violation whatever
  * the machine was doing.
  */
-final class Takes {
+public final class SlowStartUsage {
     private record Take(Duration begun, Duration ended, double work) {}
 
     private final List<Take> takes = new ArrayList<>();
 
-    synchronized void taken(Duration begun, Duration ended, double work) {
+    public synchronized void taken(Duration begun, Duration ended, double work) {
         takes.add(new Take(begun, ended, work));
     }
 
-    synchronized int count() {
+    public synchronized int count() {
         return takes.size();
     }
 
     /** The most work that any window surely holds. */
-    synchronized double most(Duration window) {
+    public synchronized double most(Duration window) {
         double most = 0;
         for (Take first : takes) {
             Duration end = first.begun.plus(window);
