--- a/src/test/java/postbeam/pages/PageSamplesTest.java
+++ b/src/test/java/postbeam/pages/PageSamplesTest.java
@@ -9,9 +9,9 @@
 import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import postbeam.errors.ExplainedException;
+import postbeam.errors.OperatorErrorException;
 import postbeam.errors.SampleLines;
-import postbeam.setup.Json;
+import postbeam.json.Json;
 import postbeam.slices.KeyRange;
 
 /**
@@ -20,48 +20,54 @@
 class PageSamplesTest {
     private static final String KEY = "0f".repeat(32);
     private static final String OLD_KEY = "a7".repeat(32);
-    private static final Order ORDER =
-            new Order(List.of(new SortKey("fare", true, false), new SortKey("name", false, true)));
-    private static final KeyRange LOW = new KeyRange(0, KeyRange.KEYS / 4);
-    private static final KeyRange MIDDLE = new KeyRange(KeyRange.KEYS / 4, KeyRange.KEYS / 2);
-    private static final KeyRange HIGH = new KeyRange(KeyRange.KEYS / 2 + 5, KeyRange.KEYS);
-    private static final Mark FIRST = new Mark(Arrays.asList(4200L, "caf\u00e9"), 77, 1);
-    private static final Mark SECOND =
-            new Mark(Arrays.asList(-3L, null), KeyRange.KEYS - 1, Long.MIN_VALUE);
+    private static final SortOrder ORDER =
+            new SortOrder(
+                    List.of(new SortKey("fare", true, false), new SortKey("name", false, true)));
+    private static final KeyRange LOW = new KeyRange(0, KeyRange.KEY_SPACE_SIZE / 4);
+    private static final KeyRange MIDDLE =
+            new KeyRange(KeyRange.KEY_SPACE_SIZE / 4, KeyRange.KEY_SPACE_SIZE / 2);
+    private static final KeyRange HIGH =
+            new KeyRange(KeyRange.KEY_SPACE_SIZE / 2 + 5, KeyRange.KEY_SPACE_SIZE);
+    private static final RowPosition FIRST =
+            new RowPosition(Arrays.asList(4200L, "caf\u00e9"), 77, 1);
+    private static final RowPosition SECOND =
+            new RowPosition(Arrays.asList(-3L, null), KeyRange.KEY_SPACE_SIZE - 1, Long.MIN_VALUE);
     private static final long QUERY = 0x123456789abcdef0L;
     private static final Cursor CURSOR =
             new Cursor(
                     300,
                     QUERY,
                     List.of(
-                            new Standing(LOW, 0.25, FIRST),
-                            new Standing(MIDDLE, 0.5, SECOND),
-                            new Standing(HIGH, 0.25, null)));
-    private static final List<Ask> ASKS =
+                            new RangeProgress(LOW, 0.25, FIRST),
+                            new RangeProgress(MIDDLE, 0.5, SECOND),
+                            new RangeProgress(HIGH, 0.25, null)));
+    private static final List<RowFetch> ASKS =
             List.of(
-                    new Ask(LOW, FIRST, 12),
-                    new Ask(MIDDLE, null, 1),
-                    new Ask(HIGH, FIRST, 3),
-                    new Ask(KeyRange.ALL, SECOND, 1000));
+                    new RowFetch(LOW, FIRST, 12),
+                    new RowFetch(MIDDLE, null, 1),
+                    new RowFetch(HIGH, FIRST, 3),
+                    new RowFetch(KeyRange.ALL, SECOND, 1000));
     private static final List<Row> ROWS =
             List.of(
                     new Row(FIRST, "a \"quoted\"\ttext\n"),
-                    new Row(new Mark(Arrays.asList(4200L, null), 78, 2), "\u00e9\ud83d\ude00"));
+                    new Row(
+                            new RowPosition(Arrays.asList(4200L, null), 78, 2),
+                            "\u00e9\ud83d\ude00"));
 
-    private static final Lineage LINEAGE =
-            new Lineage() {
+    private static final LayoutHistory LINEAGE =
+            new LayoutHistory() {
                 @Override
-                public long version() {
+                public long currentVersion() {
                     return 300;
                 }
 
                 @Override
-                public long oldest() {
+                public long oldestVersion() {
                     return 1;
                 }
 
                 @Override
-                public List<KeyRange> cut(KeyRange keys) {
+                public List<KeyRange> splitBySlices(KeyRange keys) {
                     return List.of(keys);
                 }
             };
@@ -81,14 +87,14 @@
     }
 
     @Test
-    void cursorsUnderEachKeyAreReadAndWrittenAlike() throws IOException, ExplainedException {
-        CursorSeal seal = new CursorSeal(KEY, OLD_KEY);
-        CursorSeal before = new CursorSeal(OLD_KEY, null);
-        assertEquals(CURSOR, seal.opened(only("cursor-signed-with-the-key.txt"), QUERY, LINEAGE));
+    void cursorsUnderEachKeyAreReadAndWrittenAlike() throws IOException, OperatorErrorException {
+        CursorCodec seal = new CursorCodec(KEY, OLD_KEY);
+        CursorCodec before = new CursorCodec(OLD_KEY, null);
+        assertEquals(CURSOR, seal.decode(only("cursor-signed-with-the-key.txt"), QUERY, LINEAGE));
         assertEquals(
-                CURSOR, seal.opened(only("cursor-signed-with-the-old-key.txt"), QUERY, LINEAGE));
-        assertEquals(only("cursor-signed-with-the-key.txt"), seal.sealed(CURSOR));
-        assertEquals(only("cursor-signed-with-the-old-key.txt"), before.sealed(CURSOR));
+                CURSOR, seal.decode(only("cursor-signed-with-the-old-key.txt"), QUERY, LINEAGE));
+        assertEquals(only("cursor-signed-with-the-key.txt"), seal.encode(CURSOR));
+        assertEquals(only("cursor-signed-with-the-old-key.txt"), before.encode(CURSOR));
     }
 
     @Test
@@ -96,25 +102,25 @@
         assertEquals(
                 only("query-digest.txt"),
                 Long.toHexString(
-                        CursorSeal.digest(
+                        CursorCodec.digest(
                                 "flights", "acme", bytes("{\"from\":\"Z\u00fcrich\"}"), ORDER)));
     }
 
     @Test
     void aRequestForRowsIsReadAndWrittenAlike() throws IOException {
         String sample = only("rows-request.json");
-        RowForm.Asked read = RowForm.asked(bytes(sample));
-        assertEquals(new RowForm.Asked(ORDER, ASKS), read);
-        assertEquals(sample, text(RowForm.asked(read.order(), read.asks())));
+        RowCodec.FetchRequest read = RowCodec.fetchRequest(bytes(sample));
+        assertEquals(new RowCodec.FetchRequest(ORDER, ASKS), read);
+        assertEquals(sample, text(RowCodec.fetchRequest(read.sortOrder(), read.fetches())));
     }
 
     @Test
     void aNodesRowsAreReadAndWrittenAlike() throws IOException {
-        for (Mark next : new Mark[] {null, SECOND}) {
+        for (RowPosition next : new RowPosition[] {null, SECOND}) {
             String sample = only(next == null ? "rows-last.json" : "rows-with-more-to-come.json");
-            Partial read = RowForm.partial(LOW, bytes(sample));
-            assertEquals(new Partial(LOW, ROWS, next), read);
-            assertEquals(sample, text(RowForm.partial(read)));
+            PartialPage read = RowCodec.partialPage(LOW, bytes(sample));
+            assertEquals(new PartialPage(LOW, ROWS, next), read);
+            assertEquals(sample, text(RowCodec.partialPage(read)));
         }
     }
 
@@ -123,7 +129,7 @@
         StringWriter out = new StringWriter();
         try (JsonGenerator json = Json.FACTORY.createGenerator(out)) {
             json.writeStartObject();
-            RowForm.rows(json, ROWS);
+            RowCodec.writeRows(json, ROWS);
             json.writeEndObject();
         }
         assertEquals(only("rows-for-a-client.json"), out.toString());
--- a/src/test/java/postbeam/rig/PagesIT.java
+++ b/src/test/java/postbeam/pages/PagesIT.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.pages;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -27,14 +27,13 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import postbeam.pages.Mark;
-import postbeam.pages.Order;
-import postbeam.pages.Partial;
-import postbeam.pages.Row;
-import postbeam.pages.RowForm;
-import postbeam.pages.SortKey;
-import postbeam.setup.Json;
+import postbeam.json.Json;
 import postbeam.slices.KeyRange;
+import postbeam.testbed.cluster.LoopbackCluster;
+import postbeam.testbed.fakes.FakeDataNode;
+import postbeam.testbed.fakes.FakeDiscovery;
+import postbeam.testbed.fakes.SortedRows;
+import postbeam.testbed.verification.InvariantChecker;
 
 /**
  * Router processes that share nothing read one chain of pages, through a layout service's re-cuts
@@ -44,21 +43,23 @@
     private static final Duration LONG = Duration.ofSeconds(30);
     private static final int ROUTERS = 3;
     private static final int ROWS = 400;
-    private static final Order ORDER =
-            new Order(List.of(new SortKey("fare", true, true), new SortKey("to", false, false)));
+    private static final SortOrder ORDER =
+            new SortOrder(
+                    List.of(new SortKey("fare", true, true), new SortKey("to", false, false)));
     private static final String ASKED_ORDER =
             "[{\"by\":\"fare\",\"descending\":true,\"missing\":\"first\"},{\"by\":\"to\"}]";
 
     @TempDir private Path dir;
-    private final List<StandInNode> nodes = new ArrayList<>();
+    private final List<FakeDataNode> nodes = new ArrayList<>();
     private final List<Process> processes = new ArrayList<>();
     private final List<Process> routers = new ArrayList<>();
     private final List<String> addresses = new ArrayList<>();
     private final List<Row> rows = new ArrayList<>();
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private final Referee referee = new Referee(Stage.RULES, LONG, LONG);
-    private StandInDiscovery discovery;
+    private final InvariantChecker checker =
+            new InvariantChecker(LoopbackCluster.RULES, LONG, LONG);
+    private FakeDiscovery discovery;
     private String service;
     private int asked;
 
@@ -69,22 +70,22 @@
             int fare = chance.nextInt(9);
             rows.add(
                     new Row(
-                            new Mark(
+                            new RowPosition(
                                     Arrays.asList(
                                             fare == 0 ? null : (Object) (long) fare,
                                             "city " + chance.nextInt(4)),
-                                    (long) (chance.nextDouble() * KeyRange.KEYS),
+                                    (long) (chance.nextDouble() * KeyRange.KEY_SPACE_SIZE),
                                     i),
                             "seat " + i + " to K\u00f8ge"));
         }
-        discovery = new StandInDiscovery();
+        discovery = new FakeDiscovery();
         for (int i = 0; i < 4; i++) {
-            StandInNode node =
-                    new StandInNode(
+            FakeDataNode node =
+                    new FakeDataNode(
                             "n" + i,
                             "z" + i % 2,
-                            new StandInNode.Seen(
-                                    referee, () -> Duration.ZERO, new ConcurrentHashMap<>()),
+                            new FakeDataNode.Seen(
+                                    checker, () -> Duration.ZERO, new ConcurrentHashMap<>()),
                             RandomSource.XO_RO_SHI_RO_128_PP.create(i),
                             false);
             node.rows(rows);
@@ -157,7 +158,7 @@
             one.destroyForcibly().waitFor();
         }
         discovery.close();
-        nodes.forEach(StandInNode::close);
+        nodes.forEach(FakeDataNode::close);
     }
 
     private String own(String name, String file, String key, String old) throws IOException {
@@ -269,12 +270,12 @@
         }
         assertTrue(said.startsWith("200 "), said);
         Map<String, Object> answer =
-                Json.object(said.substring(4).getBytes(StandardCharsets.UTF_8));
+                Json.parseObject(said.substring(4).getBytes(StandardCharsets.UTF_8));
         Map<?, ?> page = Json.member(answer, "page", Map.class);
         assertFalse(said.contains("\"blob\""), said);
-        Order order = ORDER;
+        SortOrder order = ORDER;
         List<Row> came =
-                RowForm.partial(
+                RowCodec.partialPage(
                                 KeyRange.ALL,
                                 ("{\"rows\":"
                                                 + said.substring(
@@ -284,7 +285,9 @@
                                         .getBytes(StandardCharsets.UTF_8))
                         .rows();
         for (int i = 1; i < came.size(); i++) {
-            assertTrue(order.compare(came.get(i - 1).at(), came.get(i).at()) < 0, "a page ascends");
+            assertTrue(
+                    order.compare(came.get(i - 1).position(), came.get(i).position()) < 0,
+                    "a page ascends");
         }
         chain.addAll(came);
         answer.put("missing", page.get("missing"));
@@ -293,7 +296,8 @@
 
     private static String written(List<Row> rows) {
         return new String(
-                RowForm.partial(new Partial(KeyRange.ALL, rows, null)), StandardCharsets.UTF_8);
+                RowCodec.partialPage(new PartialPage(KeyRange.ALL, rows, null)),
+                StandardCharsets.UTF_8);
     }
 
     private List<Row> sorted() {
@@ -347,7 +351,8 @@
         nodes.get(0).die();
         nodes.get(1).die();
         page = page(1, next(50, (String) page.get("cursor")), chain);
-        assertEquals(List.of(Map.of("from", 0, "to", KeyRange.KEYS / 4)), page.get("missing"));
+        assertEquals(
+                List.of(Map.of("from", 0, "to", KeyRange.KEY_SPACE_SIZE / 4)), page.get("missing"));
         assertEquals(false, page.get("total"));
         nodes.get(0).back();
         nodes.get(1).back();
@@ -358,14 +363,14 @@
             page = came == null ? page : came;
             assertTrue(chain.size() <= ROWS, "more rows than there are");
         }
-        chain.sort((one, other) -> ORDER.compare(one.at(), other.at()));
+        chain.sort((one, other) -> ORDER.compare(one.position(), other.position()));
         assertEquals(written(sorted()), written(chain));
     }
 
     @Test
     void aCursorThatCantBeGoneOnFromIsRefusedBeforeAnythingIsSent() throws Exception {
         String cursor = (String) page(0, first(10), new ArrayList<>()).get("cursor");
-        long sent = referee.calls();
+        long sent = checker.calls();
         char last = cursor.charAt(30);
         assertEquals(
                 "400 the cursor is not as it was given; see whether the client keeps cursors whole,"
@@ -388,7 +393,7 @@
                 asked(1, "search", next(10, cursor).replace("true", "\"yes\""))
                         .startsWith("400 order can't be used: "));
         assertTrue(asked(1, "hold", first(10)).startsWith("400 vertical hold is not repeatable"));
-        assertEquals(sent, referee.calls());
+        assertEquals(sent, checker.calls());
         assertTrue(
                 asked(2, "search", next(10, cursor)).startsWith("200 "),
                 "and the sound one goes on, by the older key");
@@ -411,7 +416,7 @@
                         .start();
         assertEquals(0, rehearsed.waitFor());
         String classes = Files.readString(loaded);
-        assertTrue(classes.contains(" postbeam.router.Decisions "));
+        assertTrue(classes.contains(" postbeam.router.PolicyExecutor "));
         assertFalse(
                 classes.contains(" postbeam.pages.")
                         || classes.contains(" postbeam.router.Pag")
--- a/src/test/java/postbeam/pages/RowFormTest.java
+++ b/src/test/java/postbeam/pages/RowCodecTest.java
@@ -8,36 +8,38 @@
 import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import postbeam.setup.Json;
+import postbeam.json.Json;
 import postbeam.slices.KeyRange;
 
-class RowFormTest {
+class RowCodecTest {
     private static final KeyRange KEYS = new KeyRange(5, 9);
 
     @Test
     void rowsAndAsksComeBackAsTheyWere() throws IOException {
-        Mark mark =
-                new Mark(
+        RowPosition mark =
+                new RowPosition(
                         Arrays.asList(null, -3L, "\u00e9\n\ud83d\ude00"),
-                        KeyRange.KEYS - 1,
+                        KeyRange.KEY_SPACE_SIZE - 1,
                         Long.MIN_VALUE);
-        Partial partial =
-                new Partial(
+        PartialPage partial =
+                new PartialPage(
                         KEYS,
                         List.of(new Row(mark, "a \"b\"\t")),
-                        new Mark(Arrays.asList(null, -3L, "z"), 7, 0));
-        assertEquals(partial, RowForm.partial(KEYS, RowForm.partial(partial)));
-        Order order =
-                new Order(
+                        new RowPosition(Arrays.asList(null, -3L, "z"), 7, 0));
+        assertEquals(partial, RowCodec.partialPage(KEYS, RowCodec.partialPage(partial)));
+        SortOrder order =
+                new SortOrder(
                         List.of(new SortKey("fare", true, true), new SortKey("at", false, false)));
-        RowForm.Asked asked =
-                new RowForm.Asked(
+        RowCodec.FetchRequest asked =
+                new RowCodec.FetchRequest(
                         order,
                         List.of(
-                                new Ask(KEYS, mark, 7),
-                                new Ask(KeyRange.ALL, null, 1),
-                                new Ask(KEYS, mark, 3)));
-        assertEquals(asked, RowForm.asked(RowForm.asked(asked.order(), asked.asks())));
+                                new RowFetch(KEYS, mark, 7),
+                                new RowFetch(KeyRange.ALL, null, 1),
+                                new RowFetch(KEYS, mark, 3)));
+        assertEquals(
+                asked,
+                RowCodec.fetchRequest(RowCodec.fetchRequest(asked.sortOrder(), asked.fetches())));
     }
 
     @Test
@@ -61,7 +63,7 @@
                 }) {
             assertThrows(
                     IOException.class,
-                    () -> RowForm.partial(KEYS, bad.getBytes(StandardCharsets.UTF_8)),
+                    () -> RowCodec.partialPage(KEYS, bad.getBytes(StandardCharsets.UTF_8)),
                     bad);
         }
     }
@@ -80,15 +82,17 @@
                 }) {
             List<?> told =
                     (List<?>)
-                            Json.object(("{\"o\":" + bad + "}").getBytes(StandardCharsets.UTF_8))
+                            Json.parseObject(
+                                            ("{\"o\":" + bad + "}")
+                                                    .getBytes(StandardCharsets.UTF_8))
                                     .get("o");
-            assertThrows(IOException.class, () -> RowForm.order(told), bad);
+            assertThrows(IOException.class, () -> RowCodec.readOrder(told), bad);
         }
         assertEquals(
-                new Order(List.of(new SortKey("a", false, false))),
-                RowForm.order(
+                new SortOrder(List.of(new SortKey("a", false, false))),
+                RowCodec.readOrder(
                         (List<?>)
-                                Json.object(
+                                Json.parseObject(
                                                 "{\"o\":[{\"by\":\"a\"}]}"
                                                         .getBytes(StandardCharsets.UTF_8))
                                         .get("o")));
--- a/src/test/java/postbeam/pages/MergeBenchmark.java
+++ b/src/test/java/postbeam/pages/RowMergerBenchmark.java
@@ -19,7 +19,7 @@
 import org.openjdk.jmh.runner.Runner;
 import org.openjdk.jmh.runner.RunnerException;
 import org.openjdk.jmh.runner.options.OptionsBuilder;
-import postbeam.errors.ExplainedException;
+import postbeam.errors.OperatorErrorException;
 import postbeam.slices.KeyRange;
 
 /**
@@ -32,34 +32,35 @@
 @Fork(1)
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
-public class MergeBenchmark {
+public class RowMergerBenchmark {
     private static final int SIZE = 1000;
 
     @Param({"3", "20", "100"})
     public int parts;
 
-    private final Order order =
-            new Order(List.of(new SortKey("fare", true, true), new SortKey("to", false, false)));
+    private final SortOrder order =
+            new SortOrder(
+                    List.of(new SortKey("fare", true, true), new SortKey("to", false, false)));
     private final List<List<Row>> lists = new ArrayList<>();
-    private final List<Partial> partials = new ArrayList<>();
-    private final List<Ask> asks = new ArrayList<>();
+    private final List<PartialPage> partials = new ArrayList<>();
+    private final List<RowFetch> asks = new ArrayList<>();
     private final List<byte[]> told = new ArrayList<>();
     private Cursor cursor;
-    private CursorSeal seal;
+    private CursorCodec seal;
 
     @Setup
-    public void rows() throws ExplainedException {
+    public void rows() throws OperatorErrorException {
         Random chance = new Random(1);
-        seal = new CursorSeal("1d".repeat(32), null);
-        List<Standing> standings = new ArrayList<>();
-        long width = KeyRange.KEYS / parts;
+        seal = new CursorCodec("1d".repeat(32), null);
+        List<RangeProgress> standings = new ArrayList<>();
+        long width = KeyRange.KEY_SPACE_SIZE / parts;
         for (int i = 0; i < parts; i++) {
             KeyRange keys = new KeyRange(width * i, width * (i + 1));
             List<Row> rows = new ArrayList<>();
             for (int j = 0; j < SIZE / parts + 1; j++) {
                 rows.add(
                         new Row(
-                                new Mark(
+                                new RowPosition(
                                         List.of(
                                                 (long) chance.nextInt(50),
                                                 "city " + chance.nextInt(40)),
@@ -67,20 +68,22 @@
                                         j),
                                 "a row of some sixty bytes, as an answer to a search has them"));
             }
-            rows.sort((one, other) -> order.compare(one.at(), other.at()));
+            rows.sort((one, other) -> order.compare(one.position(), other.position()));
             lists.add(rows);
-            partials.add(new Partial(keys, rows, null));
-            asks.add(new Ask(keys, null, rows.size()));
-            told.add(RowForm.partial(partials.get(i)));
-            standings.add(new Standing(keys, 1.0 / parts, rows.get(0).at()));
+            partials.add(new PartialPage(keys, rows, null));
+            asks.add(new RowFetch(keys, null, rows.size()));
+            told.add(RowCodec.partialPage(partials.get(i)));
+            standings.add(new RangeProgress(keys, 1.0 / parts, rows.get(0).position()));
         }
-        cursor = new Cursor(1, 1, standings.subList(0, Math.min(parts, Assembly.MARKS_MOST)));
+        cursor =
+                new Cursor(
+                        1, 1, standings.subList(0, Math.min(parts, PageAssembler.MAX_POSITIONS)));
     }
 
     @Benchmark
     @OperationsPerInvocation(SIZE)
     public List<Row> merge() {
-        return Merge.first(order, lists, SIZE, null);
+        return RowMerger.mergeFirst(order, lists, SIZE, null);
     }
 
     /** Reading what nodes gave, and looking whether it is spoilt. */
@@ -90,7 +93,8 @@
         int sound = 0;
         for (int i = 0; i < parts; i++) {
             sound +=
-                    RowForm.partial(partials.get(i).keys(), told.get(i)).problem(order, asks)
+                    RowCodec.partialPage(partials.get(i).range(), told.get(i))
+                                            .findProblem(order, asks)
                                     == null
                             ? 1
                             : 0;
@@ -100,12 +104,12 @@
 
     /** Of one cursor, not of a row. */
     @Benchmark
-    public String seal() throws ExplainedException {
-        return seal.sealed(cursor);
+    public String seal() throws OperatorErrorException {
+        return seal.encode(cursor);
     }
 
     public static void main(String[] args) throws RunnerException {
-        new Runner(new OptionsBuilder().include(MergeBenchmark.class.getSimpleName()).build())
+        new Runner(new OptionsBuilder().include(RowMergerBenchmark.class.getSimpleName()).build())
                 .run();
     }
 }
--- a/src/test/java/postbeam/together/PeerSamplesTest.java
+++ b/src/test/java/postbeam/peers/PeerSamplesTest.java
@@ -1,4 +1,4 @@
-package postbeam.together;
+package postbeam.peers;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -22,17 +22,17 @@
 import org.xnio.Options;
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
-import postbeam.clients.ClientDoor;
-import postbeam.setup.Json;
-import postbeam.shared.Ballot;
-import postbeam.shared.LeaseAsk;
-import postbeam.shared.LeaseGrant;
-import postbeam.shared.LeaseTerms;
-import postbeam.shared.NodeKey;
-import postbeam.shared.OfficeTerms;
-import postbeam.shared.Ramp;
-import postbeam.shared.Vote;
-import postbeam.shared.Who;
+import postbeam.clients.QueryServer;
+import postbeam.coordination.ElectionTimeouts;
+import postbeam.coordination.LeaseGrant;
+import postbeam.coordination.LeaseParameters;
+import postbeam.coordination.LeaseRequest;
+import postbeam.coordination.NodeIncarnation;
+import postbeam.coordination.ProcessIdentity;
+import postbeam.coordination.SlowStartRamp;
+import postbeam.coordination.VoteRequest;
+import postbeam.coordination.VoteResponse;
+import postbeam.json.Json;
 
 /**
  * Peer messages as an earlier build wrote them, read and written again. JSON members have no fixed
@@ -42,23 +42,25 @@
 @Timeout(30)
 class PeerSamplesTest {
     private static final Path SAMPLES = Path.of("src/test/resources/samples/peers");
-    private static final Who R2 = new Who("r2", 1_790_000_000_000L);
-    private static final NodeKey NODE = new NodeKey("n:1", 7);
+    private static final ProcessIdentity R2 = new ProcessIdentity("r2", 1_790_000_000_000L);
+    private static final NodeIncarnation NODE = new NodeIncarnation("n:1", 7);
 
-    private static final PeerForm.Asks REQUEST =
-            new PeerForm.Asks(
+    private static final PeerMessageCodec.PeerRequest REQUEST =
+            new PeerMessageCodec.PeerRequest(
                     "5e2ec3eaea983616",
                     R2,
-                    List.of(new Ballot(3, 9, 4, R2), new Ballot(5, 1, 1, R2)),
+                    List.of(new VoteRequest(3, 9, 4, R2), new VoteRequest(5, 1, 1, R2)),
                     Map.of(
                             3,
                             List.of(
-                                    new LeaseAsk(NODE, R2, 5, 0.25, 8),
-                                    new LeaseAsk(NODE, R2, 6, 1e-9, 8.5))));
-    private static final PeerForm.Answers RESPONSE =
-            new PeerForm.Answers(
-                    new Who("r1", 2),
-                    List.of(new Vote(3, 9, 4, "r1", true, 9), new Vote(5, 1, 1, "r1", false, 2)),
+                                    new LeaseRequest(NODE, R2, 5, 0.25, 8),
+                                    new LeaseRequest(NODE, R2, 6, 1e-9, 8.5))));
+    private static final PeerMessageCodec.PeerResponse RESPONSE =
+            new PeerMessageCodec.PeerResponse(
+                    new ProcessIdentity("r1", 2),
+                    List.of(
+                            new VoteResponse(3, 9, 4, "r1", true, 9),
+                            new VoteResponse(5, 1, 1, "r1", false, 2)),
                     Map.of(
                             3,
                             List.of(
@@ -69,17 +71,18 @@
      * One of two routers, with spans so long that it neither votes nor sends before the test is
      * over.
      */
-    private static Together peer() throws Exception {
+    private static PeerCoordinator peer() throws Exception {
         Duration window = Duration.ofSeconds(60);
         Duration drift = Duration.ofMillis(30);
-        return new Together(
-                new Together.Place(
+        return new PeerCoordinator(
+                new PeerCoordinator.FleetConfig(
                         "r1",
                         Map.of("r1", "127.0.0.1:7070", "r2", "127.0.0.1:7071"),
                         8,
-                        new LeaseTerms(Duration.ofMillis(600), window, drift, 0.25, 0.1, 2, 0.05),
-                        new OfficeTerms(Duration.ofMillis(900), Duration.ofSeconds(60), drift),
-                        new Ramp(0.4, 5, Duration.ofSeconds(120), window)));
+                        new LeaseParameters(
+                                Duration.ofMillis(600), window, drift, 0.25, 0.1, 2, 0.05),
+                        new ElectionTimeouts(Duration.ofMillis(900), Duration.ofSeconds(60), drift),
+                        new SlowStartRamp(0.4, 5, Duration.ofSeconds(120), window)));
     }
 
     private static byte[] sample(String name) throws IOException {
@@ -87,19 +90,19 @@
     }
 
     private static void assertSample(String name, byte[] written) throws IOException {
-        assertEquals(Json.object(sample(name)), Json.object(written), name);
+        assertEquals(Json.parseObject(sample(name)), Json.parseObject(written), name);
     }
 
     @Test
     void requestIsReadAndWrittenAsBefore() throws IOException {
-        assertEquals(REQUEST, PeerForm.asks(sample("request.json")));
-        assertSample("request.json", PeerForm.write(REQUEST));
+        assertEquals(REQUEST, PeerMessageCodec.decodeRequest(sample("request.json")));
+        assertSample("request.json", PeerMessageCodec.encode(REQUEST));
     }
 
     @Test
     void responseIsReadAndWrittenAsBefore() throws IOException {
-        assertEquals(RESPONSE, PeerForm.answers(sample("response.json"), R2));
-        assertSample("response.json", PeerForm.write(RESPONSE));
+        assertEquals(RESPONSE, PeerMessageCodec.decodeResponse(sample("response.json"), R2));
+        assertSample("response.json", PeerMessageCodec.encode(RESPONSE));
     }
 
     /**
@@ -110,8 +113,8 @@
     void livePeerAnswersEachRequestAsBefore() throws Exception {
         XnioWorker worker =
                 Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        ClientDoor door =
-                new ClientDoor(
+        QueryServer door =
+                new QueryServer(
                         worker,
                         new InetSocketAddress("127.0.0.1", 0),
                         null,
@@ -119,9 +122,9 @@
                         Set.of(),
                         1,
                         8);
-        Together peer = peer();
+        PeerCoordinator peer = peer();
         try {
-            peer.forms(door);
+            peer.registerHandlers(door);
             door.start();
             String request = new String(sample("request.json"), StandardCharsets.UTF_8);
             assertSample("fresh-response.json", answer(door, "ask", request));
@@ -134,7 +137,7 @@
             refusals.put("unknown stripe", refusal(door, request.replace("[5,1,1]", "[8,1,1]")));
             refusals.put("unknown router", refusal(door, request.replace("\"r2\"", "\"r9\"")));
             refusals.put("other terms", refusal(door, request.replace("5e2e", "0000")));
-            assertSample("refusals.json", PeerForm.bytes(refusals));
+            assertSample("refusals.json", PeerMessageCodec.toJson(refusals));
         } finally {
             peer.stop();
             door.stop();
@@ -142,7 +145,7 @@
         }
     }
 
-    private static HttpResponse<String> post(ClientDoor door, String path, String body)
+    private static HttpResponse<String> post(QueryServer door, String path, String body)
             throws Exception {
         return HttpClient.newHttpClient()
                 .send(
@@ -157,7 +160,7 @@
                         HttpResponse.BodyHandlers.ofString());
     }
 
-    private static byte[] answer(ClientDoor door, String path, String body) throws Exception {
+    private static byte[] answer(QueryServer door, String path, String body) throws Exception {
         HttpResponse<String> response = post(door, path, body);
         assertEquals(200, response.statusCode(), response.body());
         return response.body()
@@ -165,7 +168,7 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    private static List<Object> refusal(ClientDoor door, String body) throws Exception {
+    private static List<Object> refusal(QueryServer door, String body) throws Exception {
         HttpResponse<String> response = post(door, "ask", body);
         return List.of(response.statusCode(), response.body());
     }
--- a/src/test/java/postbeam/DecideTest.java
+++ b/src/test/java/postbeam/policy/RoutingPolicyTest.java
@@ -1,4 +1,4 @@
-package postbeam;
+package postbeam.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,30 +6,30 @@
 import static org.junit.jupiter.api.Assertions.assertNotSame;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static postbeam.Given.ms;
+import static postbeam.policy.PolicyFixture.ms;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import postbeam.state.Customer;
-import postbeam.state.DataNode;
-import postbeam.state.Effect;
-import postbeam.state.LeafCall;
-import postbeam.state.Outcome;
-import postbeam.state.Part;
-import postbeam.state.Query;
-import postbeam.state.Readiness;
-import postbeam.state.Vertical;
-import postbeam.state.Zone;
+import postbeam.model.Attempt;
+import postbeam.model.AttemptOutcome;
+import postbeam.model.DataNode;
+import postbeam.model.Query;
+import postbeam.model.QueryClass;
+import postbeam.model.Readiness;
+import postbeam.model.ShardRequest;
+import postbeam.model.SideEffects;
+import postbeam.model.Tenant;
+import postbeam.model.Zone;
 
-class DecideTest {
-    private final Given given = new Given(3, true);
-    private final Vertical repeatable = Given.vertical(Effect.REPEATABLE, 1);
+class RoutingPolicyTest {
+    private final PolicyFixture given = new PolicyFixture(3, true);
+    private final QueryClass repeatable = PolicyFixture.vertical(SideEffects.IDEMPOTENT, 1);
 
-    private void ends(Given at, Duration now, LeafCall call, Outcome outcome) {
-        at.decide.leafCallEnded(now, call, outcome, now.minus(call.sentAt), false);
+    private void ends(PolicyFixture at, Duration now, Attempt attempt, AttemptOutcome outcome) {
+        at.policy.onAttemptEnded(now, attempt, outcome, now.minus(attempt.sentAt), false);
     }
 
     @Test
@@ -38,69 +38,78 @@
         Query small = given.begun(repeatable, 2);
         assertEquals(
                 List.of(small, small),
-                given.sent.subList(0, 2).stream().map(c -> c.part.query).toList());
+                given.sent.subList(0, 2).stream().map(c -> c.shardRequest.query).toList());
     }
 
     @Test
     void anyNAnswersOnTheFirstNAndCancelsTheRest() {
-        given.begun(Given.vertical(Effect.REPEATABLE, 1), 12);
-        given.begun(Given.vertical(Effect.REPEATABLE, 0.5), 4);
-        List<LeafCall> mine =
-                given.sent.stream().filter(c -> c.part.query.queryClass().anyN()).toList();
+        given.begun(PolicyFixture.vertical(SideEffects.IDEMPOTENT, 1), 12);
+        given.begun(PolicyFixture.vertical(SideEffects.IDEMPOTENT, 0.5), 4);
+        List<Attempt> mine =
+                given.sent.stream()
+                        .filter(c -> c.shardRequest.query.queryClass().acceptsSubset())
+                        .toList();
         assertEquals(3, mine.size());
-        ends(given, ms(100), mine.get(0), Outcome.MERGED);
-        ends(given, ms(100), mine.get(1), Outcome.MERGED);
-        given.decide.turnEnded(ms(100));
+        ends(given, ms(100), mine.get(0), AttemptOutcome.SUCCESS);
+        ends(given, ms(100), mine.get(1), AttemptOutcome.SUCCESS);
+        given.policy.onBatchEnd(ms(100));
         assertEquals(List.of("whole"), given.ended);
         assertEquals(List.of(mine.get(2)), given.cancelled);
     }
 
     @Test
     void thatHalfOfTheNodesAreSlowMakesNoQueryHopeless() {
-        Given four = new Given(4, true);
-        repeatable.quietTime = ms(100);
+        PolicyFixture four = new PolicyFixture(4, true);
+        repeatable.baselineLatency = ms(100);
         for (int i = 0; i < 4; i++) {
             four.begun(repeatable, 1);
         }
         for (int i = 0; i < 4; i++) {
-            ends(four, ms(i < 2 ? 100 : 1500), four.sent.get(i), Outcome.MERGED);
+            ends(four, ms(i < 2 ? 100 : 1500), four.sent.get(i), AttemptOutcome.SUCCESS);
         }
         four.query(ms(1500), repeatable, 1);
-        four.decide.turnEnded(ms(1500));
-        Query q = four.query(ms(1510), repeatable, 2);
-        four.decide.turnEnded(ms(1510));
-        assertEquals(2, q.out());
+        four.policy.onBatchEnd(ms(1500));
+        Query query = four.query(ms(1510), repeatable, 2);
+        four.policy.onBatchEnd(ms(1510));
+        assertEquals(2, query.requestsInFlight());
         assertFalse(four.ended.contains("rejected"));
     }
 
     @Test
     void aJamOfASecondDoesNotPassForQuietHoweverManyAnswersItBrings() {
-        repeatable.quietTime = ms(10);
+        repeatable.baselineLatency = ms(10);
         for (int i = 0; i < 100; i++) {
             given.query(ms(10 * i), repeatable, 1);
-            given.decide.turnEnded(ms(10 * i));
-            LeafCall call = given.sent.get(given.sent.size() - 1);
-            given.decide.leafCallEnded(ms(10 * i), call, Outcome.MERGED, ms(500), false);
+            given.policy.onBatchEnd(ms(10 * i));
+            Attempt attempt = given.sent.get(given.sent.size() - 1);
+            given.policy.onAttemptEnded(
+                    ms(10 * i), attempt, AttemptOutcome.SUCCESS, ms(500), false);
         }
-        assertTrue(repeatable.quietTime.compareTo(ms(50)) < 0, repeatable.quietTime.toString());
-        assertTrue(repeatable.quietTime.compareTo(ms(20)) > 0, repeatable.quietTime.toString());
+        assertTrue(
+                repeatable.baselineLatency.compareTo(ms(50)) < 0,
+                repeatable.baselineLatency.toString());
+        assertTrue(
+                repeatable.baselineLatency.compareTo(ms(20)) > 0,
+                repeatable.baselineLatency.toString());
     }
 
     @Test
     void whatCantBeSentAgainIsNoTrialOfANodeThatFailed() {
-        Given two = new Given(2, true);
+        PolicyFixture two = new PolicyFixture(2, true);
         two.begun(repeatable, 1);
         DataNode struck = two.sent.get(0).node;
-        ends(two, ms(10), two.sent.get(0), Outcome.RESET);
-        two.decide.probed(ms(600), struck, true);
+        ends(two, ms(10), two.sent.get(0), AttemptOutcome.RESET);
+        two.policy.onProbeResult(ms(600), struck, true);
         for (int i = 0; i < 8; i++) {
             two.sent.clear();
-            two.query(ms(700 + i), Given.vertical(Effect.SIDE_EFFECTING, 1), 1);
-            two.decide.turnEnded(ms(700 + i));
-            LeafCall call = two.sent.get(two.sent.size() - 1);
-            assertEquals(Effect.SIDE_EFFECTING, call.part.query.queryClass().effect);
-            assertNotSame(struck, call.node);
-            ends(two, ms(700 + i), call, Outcome.MERGED);
+            two.query(ms(700 + i), PolicyFixture.vertical(SideEffects.NON_IDEMPOTENT, 1), 1);
+            two.policy.onBatchEnd(ms(700 + i));
+            Attempt attempt = two.sent.get(two.sent.size() - 1);
+            assertEquals(
+                    SideEffects.NON_IDEMPOTENT,
+                    attempt.shardRequest.query.queryClass().sideEffects);
+            assertNotSame(struck, attempt.node);
+            ends(two, ms(700 + i), attempt, AttemptOutcome.SUCCESS);
         }
     }
 
@@ -112,47 +121,47 @@
 
     @Test
     void aSideEffectingPartThatMayHaveRunIsNeitherSentAgainNorRejected() {
-        given.begun(Given.vertical(Effect.SIDE_EFFECTING, 1), 1);
-        ends(given, ms(500), given.sent.get(0), Outcome.RESET);
-        given.decide.turnEnded(ms(500));
+        given.begun(PolicyFixture.vertical(SideEffects.NON_IDEMPOTENT, 1), 1);
+        ends(given, ms(500), given.sent.get(0), AttemptOutcome.RESET);
+        given.policy.onBatchEnd(ms(500));
         assertEquals(1, given.sent.size());
         assertEquals(List.of("aborted"), given.ended);
     }
 
     @Test
     void aSideEffectingPartThatNeverRanGoesElsewhere() {
-        given.begun(Given.vertical(Effect.SIDE_EFFECTING, 1), 1);
-        ends(given, ms(5), given.sent.get(0), Outcome.FULL);
-        given.decide.turnEnded(ms(5));
+        given.begun(PolicyFixture.vertical(SideEffects.NON_IDEMPOTENT, 1), 1);
+        ends(given, ms(5), given.sent.get(0), AttemptOutcome.OVERLOADED);
+        given.policy.onBatchEnd(ms(5));
         assertEquals(2, given.sent.size());
         assertNotSame(given.sent.get(0).node, given.sent.get(1).node);
     }
 
     @Test
     void aDeduplicatedPartIsNotSentAgainPastItsWindow() {
-        Query q = given.begun(Given.vertical(Effect.DEDUPLICATED, 1), 1);
-        ends(given, ms(2990), given.sent.get(0), Outcome.RESET);
-        given.decide.turnEnded(ms(2990));
+        Query query = given.begun(PolicyFixture.vertical(SideEffects.DEDUPLICATED, 1), 1);
+        ends(given, ms(2990), given.sent.get(0), AttemptOutcome.RESET);
+        given.policy.onBatchEnd(ms(2990));
         assertEquals(1, given.sent.size());
-        assertTrue(q.hasEnded());
+        assertTrue(query.hasEnded());
     }
 
     @Test
     void noSecondCopyWhereItIsBarred() {
-        Given barred = new Given(3, false);
+        PolicyFixture barred = new PolicyFixture(3, false);
         barred.begun(repeatable, 1);
-        barred.decide.turnEnded(ms(1500));
+        barred.policy.onBatchEnd(ms(1500));
         assertEquals(1, barred.sent.size());
         assertEquals(1, barred.cancelled.size());
-        ends(barred, ms(1505), barred.sent.get(0), Outcome.CANCELLED);
-        barred.decide.turnEnded(ms(1505));
+        ends(barred, ms(1505), barred.sent.get(0), AttemptOutcome.CANCELLED);
+        barred.policy.onBatchEnd(ms(1505));
         assertNotSame(barred.sent.get(0).node, barred.sent.get(1).node);
     }
 
     @Test
     void theLastWordComesBeforeTheClientLeaves() {
         given.begun(repeatable, 1);
-        given.decide.turnEnded(Given.DEADLINE.minus(ms(30)));
+        given.policy.onBatchEnd(PolicyFixture.DEADLINE.minus(ms(30)));
         assertEquals(List.of("rejected"), given.ended);
     }
 
@@ -161,31 +170,31 @@
         for (int i = 0; i < 4; i++) {
             given.query(ms(0), repeatable, 8);
         }
-        given.decide.turnEnded(ms(0));
+        given.policy.onBatchEnd(ms(0));
         Query waiting = given.query(ms(0), repeatable, 8);
-        given.decide.turnEnded(ms(250));
+        given.policy.onBatchEnd(ms(250));
         assertFalse(waiting.hasEnded());
-        given.decide.turnEnded(ms(850));
+        given.policy.onBatchEnd(ms(850));
         assertTrue(waiting.hasEnded());
         assertEquals(List.of("rejected"), given.ended);
     }
 
     @Test
     void aQueryThatNoNodeCanTakeIsRejectedSoonest() {
-        given.nodes.forEach(n -> given.decide.nodeListed(ms(0), n, Readiness.DRAINING, null));
+        given.nodes.forEach(n -> given.policy.onNodeUpdate(ms(0), n, Readiness.DRAINING, null));
         given.query(ms(0), repeatable, 1);
-        given.decide.turnEnded(ms(150));
+        given.policy.onBatchEnd(ms(150));
         assertEquals(List.of(), given.ended);
-        given.decide.turnEnded(ms(250));
+        given.policy.onBatchEnd(ms(250));
         assertEquals(List.of("rejected"), given.ended);
     }
 
     @Test
     void nothingGoesToADrainingNode() {
-        given.decide.nodeListed(ms(0), given.nodes.get(0), Readiness.DRAINING, null);
-        given.decide.nodeListed(ms(0), given.nodes.get(1), Readiness.GONE, null);
+        given.policy.onNodeUpdate(ms(0), given.nodes.get(0), Readiness.DRAINING, null);
+        given.policy.onNodeUpdate(ms(0), given.nodes.get(1), Readiness.REMOVED, null);
         given.query(ms(10), repeatable, 6);
-        given.decide.turnEnded(ms(10));
+        given.policy.onBatchEnd(ms(10));
         assertEquals(6, given.sent.size());
         assertTrue(given.sent.stream().allMatch(c -> c.node == given.nodes.get(2)));
     }
@@ -193,29 +202,29 @@
     @Test
     void aNodeThatSwallowsACallIsLeftAloneAndProbed() {
         given.begun(repeatable, 1);
-        LeafCall call = given.sent.get(0);
-        ends(given, ms(1200), call, Outcome.CANCELLED);
-        assertNotNull(call.node.avoidUntil);
-        given.decide.turnEnded(ms(1800));
-        assertEquals(List.of(call.node), given.probed);
-        given.decide.probed(ms(1801), call.node, true);
-        assertNull(call.node.avoidUntil);
+        Attempt attempt = given.sent.get(0);
+        ends(given, ms(1200), attempt, AttemptOutcome.CANCELLED);
+        assertNotNull(attempt.node.ejectedUntil);
+        given.policy.onBatchEnd(ms(1800));
+        assertEquals(List.of(attempt.node), given.probed);
+        given.policy.onProbeResult(ms(1801), attempt.node, true);
+        assertNull(attempt.node.ejectedUntil);
     }
 
     @Test
     void aNodeThatRejectsAtOnceDrawsNoMoreParts() {
         given.begun(repeatable, 2);
         DataNode full = given.sent.get(0).node;
-        ends(given, ms(1), given.sent.get(0), Outcome.FULL);
-        ends(given, ms(1), given.sent.get(1), Outcome.FULL);
+        ends(given, ms(1), given.sent.get(0), AttemptOutcome.OVERLOADED);
+        ends(given, ms(1), given.sent.get(1), AttemptOutcome.OVERLOADED);
         given.query(ms(2), repeatable, 4);
-        given.decide.turnEnded(ms(2));
+        given.policy.onBatchEnd(ms(2));
         assertTrue(given.sent.stream().skip(2).noneMatch(c -> c.node == full));
     }
 
     @Test
     void suspicionNeverShutsOutAllReplicas() {
-        given.nodes.forEach(n -> n.avoidUntil = ms(5000));
+        given.nodes.forEach(n -> n.ejectedUntil = ms(5000));
         given.begun(repeatable, 1);
         assertEquals(1, given.sent.size());
     }
@@ -225,40 +234,42 @@
         for (int i = 0; i < 4; i++) {
             given.query(ms(0), repeatable, 8);
         }
-        given.decide.turnEnded(ms(0));
+        given.policy.onBatchEnd(ms(0));
         assertEquals(32, given.sent.size());
-        given.sent.forEach(c -> c.node.avoidUntil = ms(5000));
-        Query q = given.query(ms(10), repeatable, 1);
-        given.decide.turnEnded(ms(10));
-        assertEquals(1, q.parts.get(0).out.size());
+        given.sent.forEach(c -> c.node.ejectedUntil = ms(5000));
+        Query query = given.query(ms(10), repeatable, 1);
+        given.policy.onBatchEnd(ms(10));
+        assertEquals(1, query.shardRequests.get(0).attemptsInFlight.size());
     }
 
     @Test
     void aLateQueryWhosePartsAreAllOutIsKept() {
-        Query q = given.begun(repeatable, 2);
-        given.decide.turnEnded(Given.SLO.plus(ms(100)));
-        assertFalse(q.hasEnded());
+        Query query = given.begun(repeatable, 2);
+        given.policy.onBatchEnd(PolicyFixture.SLO.plus(ms(100)));
+        assertFalse(query.hasEnded());
     }
 
     @Test
     void anHonestPartialAnswerComesBeforeTheSloTimePasses() {
-        Vertical floored = new Vertical(Given.SLO, Effect.REPEATABLE, null, 1, 0.1, 1, 0.5, 0.9);
+        QueryClass floored =
+                new QueryClass(
+                        PolicyFixture.SLO, SideEffects.IDEMPOTENT, null, 1, 0.1, 1, 0.5, 0.9);
         given.begun(floored, 2);
-        ends(given, ms(100), given.sent.get(0), Outcome.MERGED);
-        given.decide.turnEnded(ms(1900));
+        ends(given, ms(100), given.sent.get(0), AttemptOutcome.SUCCESS);
+        given.policy.onBatchEnd(ms(1900));
         assertEquals(List.of(), given.ended);
-        given.decide.turnEnded(ms(1960));
+        given.policy.onBatchEnd(ms(1960));
         assertEquals(List.of("partial"), given.ended);
     }
 
     @Test
     void aColdNodeGetsNoMoreThanThisRoutersShareOfEveryWindow() {
-        var cold = new Decide.ColdPacing(0.2, ms(10_000), 2.0, ms(1000), 2, ms(20), ms(250));
+        var cold = new RoutingPolicy.SlowStart(0.2, ms(10_000), 2.0, ms(1000), 2, ms(20), ms(250));
         DataNode node = new DataNode(0, new Zone(true));
-        node.workSent = cold.ring();
+        node.recentWorkSent = cold.ring();
         node.update(Readiness.READY, ms(0));
         assertTrue(cold.allows(ms(10), node, null, ms(150)));
-        node.workSent.add(ms(10), 0.3);
+        node.recentWorkSent.add(ms(10), 0.3);
         assertFalse(cold.allows(ms(900), node, null, ms(150)));
         // What was decided then may have gone 250 ms later, when its connection was up.
         assertFalse(cold.allows(ms(1200), node, null, ms(150)));
@@ -272,9 +283,9 @@
      */
     @Test
     void aRouterThatHasJustStartedSendsNothingToWhatIsCold() {
-        var cold = new Decide.ColdPacing(0.2, ms(10_000), 2.0, ms(1000), 2, ms(20), ms(250));
+        var cold = new RoutingPolicy.SlowStart(0.2, ms(10_000), 2.0, ms(1000), 2, ms(20), ms(250));
         DataNode node = new DataNode(0, new Zone(true));
-        node.workSent = cold.ring();
+        node.recentWorkSent = cold.ring();
         node.update(Readiness.READY, ms(-300));
         assertFalse(cold.allows(ms(1200), node, null, ms(150)));
         assertTrue(cold.allows(ms(1250), node, null, ms(150)));
@@ -285,16 +296,16 @@
      * differing work.
      */
     private static double mostInAWindow(Random chance, int routers, double multiple) {
-        List<Decide.ColdPacing> pacings = new ArrayList<>();
+        List<RoutingPolicy.SlowStart> pacings = new ArrayList<>();
         List<DataNode> views = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
             pacings.add(
-                    new Decide.ColdPacing(
+                    new RoutingPolicy.SlowStart(
                             0.2, ms(10_000), multiple, ms(1000), routers, ms(0), ms(250)));
             DataNode node = new DataNode(0, new Zone(true));
-            node.workSent = pacings.get(i).ring();
+            node.recentWorkSent = pacings.get(i).ring();
             node.update(Readiness.READY, ms(5000));
-            node.lot = chance.nextDouble();
+            node.samplingThreshold = chance.nextDouble();
             views.add(node);
         }
         double sum = 0;
@@ -348,21 +359,21 @@
 
     @Test
     void furtherLeafCallsStayWithinTheRation() {
-        var ration = new Decide.FurtherCalls(1.0, 0.1, ms(10_000));
+        var ration = new RoutingPolicy.RetryBudget(1.0, 0.1, ms(10_000));
         for (int i = 0; i < 10; i++) {
-            ration.taken().add(ms(0), 1);
+            ration.requests().add(ms(0), 1);
         }
-        ration.sent().add(ms(100), 1);
+        ration.retries().add(ms(100), 1);
         assertTrue(ration.allowed(ms(200)));
-        ration.sent().add(ms(200), 1);
+        ration.retries().add(ms(200), 1);
         assertFalse(ration.allowed(ms(300)));
     }
 
     @Test
     void aCustomerIsBeyondItsShareOnlyAheadOfTheOthers() {
-        var held = new Decide.Held(100, 1, 0.1, null);
-        Customer loud = new Customer(1.0);
-        Customer quiet = new Customer(9.0);
+        var held = new RoutingPolicy.AdmissionControl(100, 1, 0.1, null);
+        Tenant loud = new Tenant(1.0);
+        Tenant quiet = new Tenant(9.0);
         for (int i = 0; i < 12; i++) {
             held.beyondShare(ms(i), quiet);
         }
@@ -372,14 +383,16 @@
         }
         assertTrue(held.beyondShare(ms(30), loud));
         assertFalse(held.beyondShare(ms(30), quiet));
-        assertFalse(new Decide.Held(100, 10, 0.1, null).beyondShare(ms(0), new Customer(1.0)));
+        assertFalse(
+                new RoutingPolicy.AdmissionControl(100, 10, 0.1, null)
+                        .beyondShare(ms(0), new Tenant(1.0)));
     }
 
     @Test
     void aPartLostBesideAnsweredOnesOfItsCallGetsACopy() {
         given.begun(repeatable, 2);
-        ends(given, ms(100), given.sent.get(0), Outcome.MERGED);
-        given.decide.turnEnded(ms(1100));
+        ends(given, ms(100), given.sent.get(0), AttemptOutcome.SUCCESS);
+        given.policy.onBatchEnd(ms(1100));
         assertEquals(3, given.sent.size());
         assertNotSame(given.sent.get(1).node, given.sent.get(2).node);
     }
@@ -388,21 +401,21 @@
     void rejectionsOfOneTurnsCallsHalveTheWindowOnce() {
         given.begun(repeatable, 40);
         assertEquals(32, given.sent.size());
-        for (LeafCall call : List.copyOf(given.sent)) {
-            ends(given, ms(50), call, Outcome.FULL);
+        for (Attempt attempt : List.copyOf(given.sent)) {
+            ends(given, ms(50), attempt, AttemptOutcome.OVERLOADED);
         }
-        given.decide.turnEnded(ms(50));
+        given.policy.onBatchEnd(ms(50));
         assertEquals(32 + 16, given.sent.size());
     }
 
     @Test
     void whereCopiesAreBarredNothingIsRecalledWithoutTimeForASecondRun() {
         for (boolean mayDuplicate : List.of(true, false)) {
-            Given at = new Given(3, mayDuplicate);
-            Vertical vertical = Given.vertical(Effect.REPEATABLE, 1);
-            at.begun(vertical, 1);
-            vertical.quietTime = ms(600);
-            at.decide.turnEnded(ms(1300));
+            PolicyFixture at = new PolicyFixture(3, mayDuplicate);
+            QueryClass queryClass = PolicyFixture.vertical(SideEffects.IDEMPOTENT, 1);
+            at.begun(queryClass, 1);
+            queryClass.baselineLatency = ms(600);
+            at.policy.onBatchEnd(ms(1300));
             assertEquals(mayDuplicate ? 2 : 1, at.sent.size());
             assertEquals(0, at.cancelled.size());
         }
@@ -411,33 +424,34 @@
     @Test
     void whatItsClientWillNotWaitForIsRejectedUnbegun() {
         given.begun(repeatable, 2);
-        repeatable.quietTime = ms(300);
+        repeatable.baselineLatency = ms(300);
         Query brief = new Query(repeatable, null, ms(0), ms(500));
-        given.decide.queryArrived(ms(0), brief);
-        new Part(brief, 0, 0.5, null);
-        new Part(brief, 1, 0.5, null);
-        given.decide.turnEnded(ms(0));
+        given.policy.onQuery(ms(0), brief);
+        new ShardRequest(brief, 0, 0.5, null);
+        new ShardRequest(brief, 1, 0.5, null);
+        given.policy.onBatchEnd(ms(0));
         assertEquals(List.of("rejected"), given.ended);
     }
 
     @Test
     void whatItsClientMayNotWaitForIsTriedWhileNothingIsOut() {
-        repeatable.quietTime = ms(1900);
+        repeatable.baselineLatency = ms(1900);
         given.begun(repeatable, 2);
         assertEquals(2, given.sent.size());
     }
 
     @Test
     void manyRoutersDrawLotsForAColdNode() {
-        var cold = new Decide.ColdPacing(0.2, ms(10_000), 2.0, ms(1000), 100, ms(20), ms(250));
+        var cold =
+                new RoutingPolicy.SlowStart(0.2, ms(10_000), 2.0, ms(1000), 100, ms(20), ms(250));
         DataNode node = new DataNode(0, new Zone(true));
-        node.workSent = cold.ring();
+        node.recentWorkSent = cold.ring();
         node.update(Readiness.READY, ms(0));
-        node.lot = 0.01;
+        node.samplingThreshold = 0.01;
         assertTrue(cold.allows(ms(10), node, null, ms(80)));
         cold.sent(ms(10), node, null, ms(80));
         assertFalse(cold.allows(ms(500), node, null, ms(80)));
-        node.lot = 0.99;
+        node.samplingThreshold = 0.99;
         assertFalse(cold.allows(ms(2000), node, null, ms(80)));
     }
 
@@ -447,23 +461,23 @@
      */
     private DataNode otherZone(int called, int failed) {
         Zone zone = new Zone(false);
-        Query q = new Query(repeatable, null, ms(0), Given.DEADLINE);
+        Query query = new Query(repeatable, null, ms(0), PolicyFixture.DEADLINE);
         for (int i = 0; i < called; i++) {
             DataNode node = new DataNode(0, zone);
-            given.decide.nodeListed(ms(0), node, Readiness.READY, null);
+            given.policy.onNodeUpdate(ms(0), node, Readiness.READY, null);
             ends(
                     given,
                     ms(100),
-                    new LeafCall(new Part(q, i, 0.1, null), node, ms(0), null),
-                    i < failed ? Outcome.UNREACHABLE : Outcome.MERGED);
+                    new Attempt(new ShardRequest(query, i, 0.1, null), node, ms(0), null),
+                    i < failed ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
         }
         DataNode untouched = new DataNode(0, zone);
-        given.decide.nodeListed(ms(0), untouched, Readiness.READY, null);
+        given.policy.onNodeUpdate(ms(0), untouched, Readiness.READY, null);
         for (DataNode node : given.nodes) {
-            new LeafCall(new Part(q, 9, 0.1, null), node, ms(100), null);
+            new Attempt(new ShardRequest(query, 9, 0.1, null), node, ms(100), null);
         }
         given.query(ms(100), repeatable, 1);
-        given.decide.turnEnded(ms(100));
+        given.policy.onBatchEnd(ms(100));
         return untouched;
     }
 
@@ -482,71 +496,71 @@
 
     @Test
     void aPartDoesNotSpendItsCallsOnHoldersThatHaveJustFailedIt() {
-        Query q = given.begun(repeatable, 1);
+        Query query = given.begun(repeatable, 1);
         for (int i = 0; i < 3; i++) {
-            ends(given, ms(1 + i), given.sent.get(i), Outcome.UNREACHABLE);
-            given.decide.turnEnded(ms(1 + i));
+            ends(given, ms(1 + i), given.sent.get(i), AttemptOutcome.UNREACHABLE);
+            given.policy.onBatchEnd(ms(1 + i));
         }
         assertEquals(3, given.sent.size(), "each holder once");
-        Given more = new Given(2, false);
+        PolicyFixture more = new PolicyFixture(2, false);
         Query waits = more.begun(repeatable, 1);
         for (int i = 0; i < 2; i++) {
-            ends(more, ms(1 + i), more.sent.get(i), Outcome.UNREACHABLE);
-            more.decide.turnEnded(ms(1 + i));
+            ends(more, ms(1 + i), more.sent.get(i), AttemptOutcome.UNREACHABLE);
+            more.policy.onBatchEnd(ms(1 + i));
         }
-        more.decide.turnEnded(ms(20));
+        more.policy.onBatchEnd(ms(20));
         assertEquals(2, more.sent.size());
         assertFalse(waits.hasEnded());
-        more.decide.turnEnded(ms(600));
-        more.decide.probed(ms(610), more.probed.get(0), true);
-        more.decide.turnEnded(ms(610));
+        more.policy.onBatchEnd(ms(600));
+        more.policy.onProbeResult(ms(610), more.probed.get(0), true);
+        more.policy.onBatchEnd(ms(610));
         assertEquals(3, more.sent.size(), "one that answers its probe gets the part");
     }
 
     /** The list tells that the last two of so many nodes have died. */
-    private static Given withCrashes(int nodes) {
-        Given given = new Given(nodes, true);
+    private static PolicyFixture withCrashes(int nodes) {
+        PolicyFixture given = new PolicyFixture(nodes, true);
         for (int i = nodes - 2; i < nodes; i++) {
-            given.decide.nodeListed(ms(0), given.nodes.get(i), Readiness.GONE, null);
+            given.policy.onNodeUpdate(ms(0), given.nodes.get(i), Readiness.REMOVED, null);
         }
         return given;
     }
 
     @Test
     void whileNodesCrashOnePartGoesAheadAndTheOthersFollowOnceItIsMerged() {
-        Given crashing = withCrashes(6);
+        PolicyFixture crashing = withCrashes(6);
         crashing.begun(repeatable, 4);
         assertEquals(1, crashing.sent.size());
-        ends(crashing, ms(100), crashing.sent.get(0), Outcome.MERGED);
-        crashing.decide.turnEnded(ms(100));
+        ends(crashing, ms(100), crashing.sent.get(0), AttemptOutcome.SUCCESS);
+        crashing.policy.onBatchEnd(ms(100));
         assertEquals(4, crashing.sent.size());
         Query later = crashing.query(ms(11_000), repeatable, 4);
-        crashing.decide.turnEnded(ms(11_000));
-        assertEquals(4, later.out(), "crashes are forgotten");
+        crashing.policy.onBatchEnd(ms(11_000));
+        assertEquals(4, later.requestsInFlight(), "crashes are forgotten");
     }
 
     @Test
     void aQueryThatLostThePartThatWentAheadIsGivenUpAndOneThatMetACrashIsNot() {
-        Given crashing = withCrashes(8);
-        Query q = crashing.begun(repeatable, 4);
-        ends(crashing, ms(50), crashing.sent.get(0), Outcome.RESET);
-        crashing.decide.turnEnded(ms(50));
-        assertTrue(q.hasEnded());
+        PolicyFixture crashing = withCrashes(8);
+        Query query = crashing.begun(repeatable, 4);
+        ends(crashing, ms(50), crashing.sent.get(0), AttemptOutcome.RESET);
+        crashing.policy.onBatchEnd(ms(50));
+        assertTrue(query.hasEnded());
         assertEquals(List.of("rejected"), crashing.ended);
         Query one = given.begun(repeatable, 1);
-        ends(given, ms(50), given.sent.get(0), Outcome.RESET);
-        given.decide.turnEnded(ms(50));
+        ends(given, ms(50), given.sent.get(0), AttemptOutcome.RESET);
+        given.policy.onBatchEnd(ms(50));
         assertEquals(2, given.sent.size());
-        ends(given, ms(100), given.sent.get(1), Outcome.RESET);
-        given.decide.turnEnded(ms(100));
+        ends(given, ms(100), given.sent.get(1), AttemptOutcome.RESET);
+        given.policy.onBatchEnd(ms(100));
         assertTrue(one.hasEnded());
     }
 
     @Test
     void aDrainedNodeThatGoesIsNoCrash() {
         for (int i = 1; i < 3; i++) {
-            given.decide.nodeListed(ms(0), given.nodes.get(i), Readiness.DRAINING, null);
-            given.decide.nodeListed(ms(0), given.nodes.get(i), Readiness.GONE, null);
+            given.policy.onNodeUpdate(ms(0), given.nodes.get(i), Readiness.DRAINING, null);
+            given.policy.onNodeUpdate(ms(0), given.nodes.get(i), Readiness.REMOVED, null);
         }
         given.begun(repeatable, 4);
         assertEquals(4, given.sent.size());
@@ -556,112 +570,119 @@
     void aNodeThatCouldNotBeReachedCountsAsColdUntilItIsToldOfALaterStart() {
         DataNode node = given.nodes.get(0);
         node.update(Readiness.READY, ms(0));
-        given.decide.nodeListed(ms(50_000), node, Readiness.READY, ms(0));
-        Query q = new Query(repeatable, null, ms(60_000), ms(66_000));
+        given.policy.onNodeUpdate(ms(50_000), node, Readiness.READY, ms(0));
+        Query query = new Query(repeatable, null, ms(60_000), ms(66_000));
         ends(
                 given,
                 ms(60_000),
-                new LeafCall(new Part(q, 0, 1, null), node, ms(60_000), null),
-                Outcome.UNREACHABLE);
-        assertEquals(ms(60_000), node.coldSince());
-        given.decide.nodeListed(ms(63_000), node, Readiness.READY, ms(61_000));
-        assertEquals(ms(61_000), node.coldSince());
+                new Attempt(new ShardRequest(query, 0, 1, null), node, ms(60_000), null),
+                AttemptOutcome.UNREACHABLE);
+        assertEquals(ms(60_000), node.warmingUpSince());
+        given.policy.onNodeUpdate(ms(63_000), node, Readiness.READY, ms(61_000));
+        assertEquals(ms(61_000), node.warmingUpSince());
     }
 
     @Test
     void theFirstAnswerOfARareVerticalIsNoQuietTimeWhereItsNodeIsSlowToOthers() {
-        repeatable.quietTime = ms(100);
+        repeatable.baselineLatency = ms(100);
         given.begun(repeatable, 3);
-        given.sent.forEach(call -> ends(given, ms(500), call, Outcome.MERGED));
-        Vertical rare = Given.vertical(Effect.REPEATABLE, 1);
+        given.sent.forEach(attempt -> ends(given, ms(500), attempt, AttemptOutcome.SUCCESS));
+        QueryClass rare = PolicyFixture.vertical(SideEffects.IDEMPOTENT, 1);
         given.query(ms(500), rare, 1);
-        given.decide.turnEnded(ms(500));
-        ends(given, ms(1000), given.sent.get(3), Outcome.MERGED);
-        assertTrue(rare.quietTime.compareTo(ms(200)) < 0, rare.quietTime.toString());
+        given.policy.onBatchEnd(ms(500));
+        ends(given, ms(1000), given.sent.get(3), AttemptOutcome.SUCCESS);
+        assertTrue(rare.baselineLatency.compareTo(ms(200)) < 0, rare.baselineLatency.toString());
     }
 
     @Test
     void partsThatShareNoCallsGoToTheHolderWithFewestOfOurs() {
-        Given alone = new Given(4, true, 1);
+        PolicyFixture alone = new PolicyFixture(4, true, 1);
         alone.begun(repeatable, 4);
-        assertEquals(4, alone.sent.stream().map(call -> call.node).distinct().count());
+        assertEquals(4, alone.sent.stream().map(attempt -> attempt.node).distinct().count());
     }
 
     @Test
     void theSecondStepNeedsAllItsPartsAndOneThatIsGivenUpIsRejectedOnlyWhereNothingMayHaveRun() {
-        for (Effect effect : List.of(Effect.REPEATABLE, Effect.SIDE_EFFECTING)) {
-            Given two = new Given(3, true);
-            Query q =
-                    two.begun(Given.vertical(effect, 0.5).followedBy(Given.vertical(effect, 1)), 4);
+        for (SideEffects effect : List.of(SideEffects.IDEMPOTENT, SideEffects.NON_IDEMPOTENT)) {
+            PolicyFixture two = new PolicyFixture(3, true);
+            Query query =
+                    two.begun(
+                            PolicyFixture.vertical(effect, 0.5)
+                                    .withSecondStep(PolicyFixture.vertical(effect, 1)),
+                            4);
             for (int i = 0; i < 2; i++) {
-                ends(two, ms(50), two.sent.get(i), Outcome.MERGED);
+                ends(two, ms(50), two.sent.get(i), AttemptOutcome.SUCCESS);
             }
-            two.decide.turnEnded(ms(50));
+            two.policy.onBatchEnd(ms(50));
             assertEquals(List.of("whole"), two.ended, "any two of four will do in the first");
-            assertFalse(q.hasEnded());
-            two.decide.turnEnded(ms(70));
+            assertFalse(query.hasEnded());
+            two.policy.onBatchEnd(ms(70));
             int before = two.sent.size();
             for (int i = 0; i < 2; i++) {
-                two.decide.partArrived(ms(70), new Part(q, i, 0.5, null));
+                two.policy.onShardRequest(ms(70), new ShardRequest(query, i, 0.5, null));
             }
-            two.decide.turnEnded(ms(70));
+            two.policy.onBatchEnd(ms(70));
             assertEquals(2, two.sent.size() - before);
-            ends(two, ms(90), two.sent.get(before), Outcome.MERGED);
-            two.decide.turnEnded(ms(90));
+            ends(two, ms(90), two.sent.get(before), AttemptOutcome.SUCCESS);
+            two.policy.onBatchEnd(ms(90));
             assertEquals(1, two.ended.size(), "half of the second is not enough");
-            two.decide.turnEnded(Given.DEADLINE.minus(ms(30)));
-            assertEquals(effect == Effect.REPEATABLE ? "rejected" : "aborted", two.ended.get(1));
+            two.policy.onBatchEnd(PolicyFixture.DEADLINE.minus(ms(30)));
+            assertEquals(
+                    effect == SideEffects.IDEMPOTENT ? "rejected" : "aborted", two.ended.get(1));
         }
     }
 
     @Test
     void theSloTimeOfARepeatRunsFromItsFirstTryWhereItHasTheRestOfItsClientsTime() {
-        repeatable.allWait = Given.DEADLINE;
+        repeatable.totalClientTimeout = PolicyFixture.DEADLINE;
         Query first = given.begun(repeatable, 1);
-        assertEquals(Given.SLO, first.sloAt());
-        ends(given, ms(10), given.sent.get(0), Outcome.MERGED);
+        assertEquals(PolicyFixture.SLO, first.sloDeadline());
+        ends(given, ms(10), given.sent.get(0), AttemptOutcome.SUCCESS);
         Query short3 = repeat(ms(100), ms(3000));
         assertEquals(
-                ms(3100).minus(Given.DEADLINE).plus(Given.SLO),
-                short3.sloAt(),
+                ms(3100).minus(PolicyFixture.DEADLINE).plus(PolicyFixture.SLO),
+                short3.sloDeadline(),
                 "it has been 3 s since the first");
-        Query full = repeat(ms(100), Given.DEADLINE);
+        Query full = repeat(ms(100), PolicyFixture.DEADLINE);
         assertEquals(
-                ms(100).plus(Given.SLO), full.sloAt(), "how long ago it first came is not told");
+                ms(100).plus(PolicyFixture.SLO),
+                full.sloDeadline(),
+                "how long ago it first came is not told");
     }
 
     private Query repeat(Duration now, Duration wait) {
-        Query q = new Query(repeatable, null, now, now.plus(wait));
-        q.markClientRetry();
-        given.decide.queryArrived(now, q);
-        return q;
+        Query query = new Query(repeatable, null, now, now.plus(wait));
+        query.markClientRetry();
+        given.policy.onQuery(now, query);
+        return query;
     }
 
     @Test
     void aQueryThatMayDoWithLessThanAllBeginsWithItsQuickestNodes() {
-        Given cells = new Given(6, true, 1, 6);
-        Vertical floored = new Vertical(Given.SLO, Effect.REPEATABLE, null, 1, 0, 1, 0.5, 0.8);
-        floored.quietTime = ms(100);
+        PolicyFixture cells = new PolicyFixture(6, true, 1, 6);
+        QueryClass floored =
+                new QueryClass(PolicyFixture.SLO, SideEffects.IDEMPOTENT, null, 1, 0, 1, 0.5, 0.8);
+        floored.baselineLatency = ms(100);
         cells.begun(floored, 6);
         for (int i = 0; i < 6; i++) {
-            ends(cells, ms(i < 3 ? 900 : 100), cells.sent.get(i), Outcome.MERGED);
+            ends(cells, ms(i < 3 ? 900 : 100), cells.sent.get(i), AttemptOutcome.SUCCESS);
         }
         cells.query(ms(900), floored, 6);
-        cells.decide.turnEnded(ms(900));
+        cells.policy.onBatchEnd(ms(900));
         assertEquals(
                 cells.nodes.subList(3, 6),
-                cells.sent.subList(6, 9).stream().map(call -> call.node).toList());
+                cells.sent.subList(6, 9).stream().map(attempt -> attempt.node).toList());
     }
 
     @Test
     void aLargeQueryThatTheWindowWouldTakeInTooManyRoundsIsNotBegun() {
-        repeatable.quietTime = ms(100);
+        repeatable.baselineLatency = ms(100);
         given.begun(repeatable, 1);
         Query large = given.query(ms(0), repeatable, 1000);
-        given.decide.turnEnded(ms(0));
+        given.policy.onBatchEnd(ms(0));
         assertTrue(large.hasEnded(), "some thirty rounds of 100 ms are more than 2 s");
         Query fair = given.query(ms(0), repeatable, 100);
-        given.decide.turnEnded(ms(0));
+        given.policy.onBatchEnd(ms(0));
         assertFalse(fair.hasEnded());
     }
 }
--- a/src/test/java/postbeam/router/PagingTest.java
+++ b/src/test/java/postbeam/router/PagingServiceTest.java
@@ -17,54 +17,58 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import postbeam.errors.ExplainedException;
-import postbeam.pages.Mark;
-import postbeam.pages.Order;
-import postbeam.pages.PageAsked;
-import postbeam.pages.PageGiven;
-import postbeam.pages.Partial;
+import postbeam.config.InstanceSettings;
+import postbeam.dispatch.AttemptResult;
+import postbeam.dispatch.ClientRequest;
+import postbeam.dispatch.DispatchedAttempt;
+import postbeam.dispatch.QueryAction;
+import postbeam.endpoints.Endpoint;
+import postbeam.endpoints.EndpointUpdate;
+import postbeam.errors.OperatorErrorException;
+import postbeam.json.Json;
+import postbeam.model.AttemptOutcome;
+import postbeam.model.Readiness;
+import postbeam.pages.PageRequest;
+import postbeam.pages.PageResult;
+import postbeam.pages.PartialPage;
 import postbeam.pages.Row;
-import postbeam.pages.RowForm;
+import postbeam.pages.RowCodec;
+import postbeam.pages.RowPosition;
 import postbeam.pages.SortKey;
-import postbeam.roster.Entry;
-import postbeam.roster.Told;
-import postbeam.setup.Info;
-import postbeam.setup.Json;
+import postbeam.pages.SortOrder;
 import postbeam.slices.KeyRange;
 import postbeam.slices.Layout;
-import postbeam.slices.Slicing;
-import postbeam.slices.Unroutable;
-import postbeam.state.Outcome;
-import postbeam.state.Readiness;
+import postbeam.slices.SliceTranslator;
+import postbeam.slices.UnroutableQueryException;
 
 /**
  * Pages by the decisions, with the test as the data nodes: what is sent, and as whose leaf call it
  * counts.
  */
-class PagingTest {
-    private static final Order ORDER = new Order(List.of(new SortKey("k", false, false)));
-    private static final long HALF = KeyRange.KEYS / 2;
+class PagingServiceTest {
+    private static final SortOrder ORDER = new SortOrder(List.of(new SortKey("k", false, false)));
+    private static final long HALF = KeyRange.KEY_SPACE_SIZE / 2;
     private static final byte[] TEXT = "x".getBytes(StandardCharsets.UTF_8);
 
     /** Rows 0 to 19 by turns in two slices. */
     private final List<Row> rows = new ArrayList<>();
 
     private final Map<String, Integer> callsByKeys = new TreeMap<>();
-    private Paging paging;
-    private Decisions decisions;
+    private PagingService paging;
+    private PolicyExecutor decisions;
 
     /** Rows that a node gives at the most, whatever it is asked for. */
     private int most = 2;
 
-    private void router(int attempts, double free) throws IOException, ExplainedException {
+    private void router(int attempts, double free) throws IOException, OperatorErrorException {
         for (int i = 0; i < 20; i++) {
-            rows.add(new Row(new Mark(List.of((long) i), i % 2 * HALF + i, i), "row " + i));
+            rows.add(new Row(new RowPosition(List.of((long) i), i % 2 * HALF + i, i), "row " + i));
         }
-        paging = new Paging("0a".repeat(32), null, 100);
+        paging = new PagingService("0a".repeat(32), null, 100);
         decisions =
-                new Decisions(
-                        new Info(
-                                Json.object(
+                new PolicyExecutor(
+                        new InstanceSettings(
+                                Json.parseObject(
                                         ("{\"zone\":\"a\",\"nInstances\":1,\"domain\":{\"cells\":1,\"reach\":1},"
                                              + "\"caps\":{\"maxAttempts\":"
                                                         + attempts
@@ -78,19 +82,19 @@
                         1,
                         16,
                         Duration.ofMillis(50),
-                        new Slicing(),
+                        new SliceTranslator(),
                         paging);
-        decisions.listed(
-                new Told(
+        decisions.onEndpointUpdate(
+                new EndpointUpdate(
                         1,
                         true,
-                        List.of(new Entry("n1", "a", 0, 0, Readiness.READY)),
+                        List.of(new Endpoint("n1", "a", 0, 0, Readiness.READY)),
                         Map.of("n1", "127.0.0.1:1")));
-        decisions.laidOut(Layout.first(2, List.of("n1"), 1));
+        decisions.onLayout(Layout.initial(2, List.of("n1"), 1));
     }
 
-    private static Asked asked(String vertical, String cursor, int size) {
-        return new Asked(
+    private static ClientRequest asked(String vertical, String cursor, int size) {
+        return new ClientRequest(
                 "q",
                 vertical,
                 "acme",
@@ -98,104 +102,116 @@
                 cursor != null
                         ? List.of()
                         : List.of(
-                                new Asked.AskedPart(0, 0.5, null),
-                                new Asked.AskedPart(1, 0.5, null)),
+                                new ClientRequest.RequestedShard(0, 0.5, null),
+                                new ClientRequest.RequestedShard(1, 0.5, null)),
                 TEXT,
                 0,
                 false,
-                new PageAsked(ORDER, size, cursor));
+                new PageRequest(ORDER, size, cursor));
     }
 
     /** Serves it as a router's thread does; each call is answered at once. */
-    private Step served(OpenQuery q) {
+    private QueryAction served(InFlightQuery q) {
         return assertTimeoutPreemptively(
                 Duration.ofSeconds(10),
                 () -> {
                     while (true) {
-                        decisions.due();
-                        Step step = decisions.next(q);
+                        decisions.runDueTimers();
+                        QueryAction step = decisions.pollAction(q);
                         if (step == null) {
                             Thread.onSpinWait();
-                        } else if (step instanceof Step.Send send) {
-                            for (Call call : send.calls()) {
-                                decisions.report(
-                                        List.of(new Ending(call, Outcome.MERGED, answer(call))));
+                        } else if (step instanceof QueryAction.Send send) {
+                            for (DispatchedAttempt call : send.attempts()) {
+                                decisions.onAttemptResults(
+                                        List.of(
+                                                new AttemptResult(
+                                                        call,
+                                                        AttemptOutcome.SUCCESS,
+                                                        answer(call))));
                             }
-                        } else if (!(step instanceof Step.GiveUp)) {
-                            decisions.cameFor(q);
+                        } else if (!(step instanceof QueryAction.CancelAttempt)) {
+                            decisions.collectPartialPages(q);
                             return step;
                         }
                     }
                 });
     }
 
-    private byte[] answer(Call call) throws IOException {
-        String head = new String(call.head(), StandardCharsets.UTF_8);
+    private byte[] answer(DispatchedAttempt call) throws IOException {
+        String head = new String(call.frameHeader(), StandardCharsets.UTF_8);
         String[] keys = head.replaceAll("(?s).*,k=([0-9-]+),.*", "$1").split("-");
         KeyRange range = new KeyRange(Long.parseLong(keys[0]), Long.parseLong(keys[1]));
         callsByKeys.merge(range.toString(), 1, Integer::sum);
         int ask = Integer.parseInt(head.replaceAll("(?s).*,p=([0-9]+) .*", "$1"));
-        RowForm.Asked asked =
-                RowForm.asked(
-                        Arrays.copyOfRange(call.text, call.text.length - ask, call.text.length));
-        assertEquals("x", new String(call.text, 0, call.text.length - ask, StandardCharsets.UTF_8));
+        RowCodec.FetchRequest asked =
+                RowCodec.fetchRequest(
+                        Arrays.copyOfRange(
+                                call.payload, call.payload.length - ask, call.payload.length));
+        assertEquals(
+                "x",
+                new String(call.payload, 0, call.payload.length - ask, StandardCharsets.UTF_8));
         List<Row> found =
                 rows.stream()
                         .filter(
                                 row ->
-                                        asked.asks().stream()
+                                        asked.fetches().stream()
                                                 .anyMatch(
                                                         one ->
-                                                                one.keys().from() <= row.at().key()
-                                                                        && row.at().key()
-                                                                                < one.keys().to()
+                                                                one.range().from()
+                                                                                <= row.position()
+                                                                                        .key()
+                                                                        && row.position().key()
+                                                                                < one.range().to()
                                                                         && (one.after() == null
                                                                                 || ORDER.compare(
                                                                                                 row
-                                                                                                        .at(),
+                                                                                                        .position(),
                                                                                                 one
                                                                                                         .after())
                                                                                         > 0)))
                         .filter(
                                 row ->
-                                        range.from() <= row.at().key()
-                                                && row.at().key() < range.to())
+                                        range.from() <= row.position().key()
+                                                && row.position().key() < range.to())
                         .toList();
         int give = Math.min(found.size(), most);
-        return RowForm.partial(
-                new Partial(
+        return RowCodec.partialPage(
+                new PartialPage(
                         range,
                         found.subList(0, give),
-                        give < found.size() ? found.get(give).at() : null));
+                        give < found.size() ? found.get(give).position() : null));
     }
 
-    private PageGiven page(String cursor, int size) throws Unroutable, InterruptedException {
-        OpenQuery q = decisions.take(asked("search", cursor, size), Duration.ZERO);
-        Step.Answer answer = assertInstanceOf(Step.Answer.class, served(q));
+    private PageResult page(String cursor, int size)
+            throws UnroutableQueryException, InterruptedException {
+        InFlightQuery q = decisions.accept(asked("search", cursor, size), Duration.ZERO);
+        QueryAction.Answer answer = assertInstanceOf(QueryAction.Answer.class, served(q));
         return assertInstanceOf(
-                        Step.Answer.class,
-                        paging.given(
+                        QueryAction.Answer.class,
+                        paging.completePage(
                                 q,
                                 answer,
                                 asks -> {
-                                    OpenQuery more = decisions.takeFurther(q, asks);
+                                    InFlightQuery more = decisions.acceptFollowUp(q, asks);
                                     if (more == null) {
                                         return null;
                                     }
                                     served(more);
-                                    return more.paged;
+                                    return more.pagedQuery;
                                 }))
                 .page();
     }
 
-    private static List<Long> values(PageGiven page) {
-        return page.page().rows().stream().map(row -> (Long) row.at().sort().get(0)).toList();
+    private static List<Long> values(PageResult page) {
+        return page.page().rows().stream()
+                .map(row -> (Long) row.position().sortValues().get(0))
+                .toList();
     }
 
     @Test
     void aPageIsFilledByFurtherAsksAndItsCursorGoesOn() throws Exception {
         router(3, 50);
-        PageGiven first = page(null, 8);
+        PageResult first = page(null, 8);
         assertEquals(List.of(0L, 1L, 2L, 3L, 4L, 5L, 6L, 7L), values(first));
         assertTrue(
                 callsByKeys.values().stream().allMatch(calls -> calls == 2),
@@ -209,12 +225,12 @@
     @Test
     void theLimitOfCallsCountsFirstAndFurtherAsksTogether() throws Exception {
         router(2, 50);
-        PageGiven page = page(null, 12);
+        PageResult page = page(null, 12);
         assertEquals(
                 2,
                 callsByKeys.values().stream().mapToInt(calls -> calls).max().getAsInt(),
                 callsByKeys.toString());
-        assertTrue(page.page().isShort());
+        assertTrue(page.page().truncated());
         assertEquals(List.of(0L, 1L, 2L, 3L, 4L, 5L, 6L, 7L), values(page));
         assertNotNull(page.cursor());
     }
@@ -222,9 +238,9 @@
     @Test
     void withoutABudgetNothingIsAskedAgain() throws Exception {
         router(3, 0);
-        PageGiven page = page(null, 8);
+        PageResult page = page(null, 8);
         assertEquals(2, callsByKeys.values().stream().mapToInt(calls -> calls).sum());
-        assertTrue(page.page().isShort());
+        assertTrue(page.page().truncated());
         assertEquals(List.of(0L, 1L, 2L, 3L), values(page));
     }
 
@@ -241,7 +257,7 @@
         int pages = 0;
         int given = 0;
         do {
-            PageGiven page = page(cursor, 6);
+            PageResult page = page(cursor, 6);
             given += page.page().rows().size();
             cursor = page.cursor();
             pages++;
@@ -256,25 +272,25 @@
     void onlyRepeatableVerticalsGivePages() throws Exception {
         router(3, 50);
         assertEquals(
-                Unroutable.Reason.NO_SUCH_SLICE,
+                UnroutableQueryException.Reason.UNKNOWN_SLICE,
                 assertThrows(
-                                Unroutable.class,
-                                () -> decisions.take(asked("hold", null, 8), Duration.ZERO))
+                                UnroutableQueryException.class,
+                                () -> decisions.accept(asked("hold", null, 8), Duration.ZERO))
                         .reason);
     }
 
     @Test
     void aClientThatLeavesEndsWhatAsksAgainToo() throws Exception {
         router(3, 50);
-        OpenQuery q = decisions.take(asked("search", null, 8), Duration.ZERO);
+        InFlightQuery q = decisions.accept(asked("search", null, 8), Duration.ZERO);
         served(q);
-        OpenQuery more = decisions.takeFurther(q, q.paged.next(q.paged));
-        decisions.left(q);
-        Step step = decisions.next(more);
-        while (step instanceof Step.Send || step instanceof Step.GiveUp) {
-            step = decisions.next(more);
+        InFlightQuery more = decisions.acceptFollowUp(q, q.pagedQuery.nextFetches(q.pagedQuery));
+        decisions.clientDisconnected(q);
+        QueryAction step = decisions.pollAction(more);
+        while (step instanceof QueryAction.Send || step instanceof QueryAction.CancelAttempt) {
+            step = decisions.pollAction(more);
         }
-        assertInstanceOf(Step.Over.class, step);
-        assertNull(decisions.takeFurther(q, List.of()));
+        assertInstanceOf(QueryAction.ClientGone.class, step);
+        assertNull(decisions.acceptFollowUp(q, List.of()));
     }
 }
--- a/src/test/java/postbeam/rig/RouterIT.java
+++ b/src/test/java/postbeam/router/RouterIT.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.router;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -28,6 +28,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import postbeam.testbed.fakes.FakeDiscovery;
+import postbeam.testbed.fakes.ScriptedDataNode;
 
 /**
  * Starts the built program on loopback, with stand-ins for data nodes and discovery, and speaks to
@@ -41,8 +43,8 @@
 
     @TempDir private Path dir;
     private final List<AutoCloseable> toClose = new CopyOnWriteArrayList<>();
-    private ScriptedNode node;
-    private StandInDiscovery discovery;
+    private ScriptedDataNode node;
+    private FakeDiscovery discovery;
     private String address;
     private Process program;
     private BlockingQueue<String> log;
@@ -70,14 +72,14 @@
         discovery = discovery(node.entry("n1", "up"));
     }
 
-    private ScriptedNode node() throws IOException {
-        ScriptedNode made = new ScriptedNode();
+    private ScriptedDataNode node() throws IOException {
+        ScriptedDataNode made = new ScriptedDataNode();
         toClose.add(made);
         return made;
     }
 
-    private StandInDiscovery discovery(String hosts) throws IOException {
-        StandInDiscovery made = new StandInDiscovery(hosts);
+    private FakeDiscovery discovery(String hosts) throws IOException {
+        FakeDiscovery made = new FakeDiscovery(hosts);
         toClose.add(made);
         return made;
     }
@@ -405,7 +407,7 @@
     void theListIsFollowedThroughDrainMoveAndHalfAnswers() throws Exception {
         serving();
         assertEquals("200", status(query("lookup", "q1", 3000, 0)).substring(0, 3));
-        ScriptedNode moved = node();
+        ScriptedDataNode moved = node();
         discovery.tell(moved.entry("n1", "up"));
         until(
                 () ->
@@ -477,8 +479,8 @@
     void sighupReadsTheConfigurationAgainAndDiscoveryMoves() throws Exception {
         String config = config("null");
         serving(config);
-        ScriptedNode second = node();
-        StandInDiscovery next = discovery(second.entry("n2", "up"));
+        ScriptedDataNode second = node();
+        FakeDiscovery next = discovery(second.entry("n2", "up"));
         String moved =
                 config.replace(
                         "127.0.0.1:" + discovery.server.getLocalPort(),
@@ -1139,7 +1141,7 @@
                             return null;
                         });
         until(() -> descriptors() > 110);
-        StandInDiscovery back = discovery(node.entry("n1", "draining"));
+        FakeDiscovery back = discovery(node.entry("n1", "draining"));
         long start = System.nanoTime();
         reload(config.replace("127.0.0.1:" + discovery.server.getLocalPort(), back.address()));
         until(() -> status(query("hold", "q" + System.nanoTime(), 900, 0)).startsWith("503"));
--- a/src/test/java/postbeam/router/LeaveTimesTest.java
+++ b/src/test/java/postbeam/router/ShutdownDeadlinesTest.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class LeaveTimesTest {
+class ShutdownDeadlinesTest {
     private static void endsBefore(Duration killed, Duration... deadlines) {
-        LeaveTimes times = LeaveTimes.of(Arrays.asList(deadlines));
-        assertTrue(times.lastWord().compareTo(killed) < 0, times + " beside " + killed);
-        assertTrue(times.servesOn().compareTo(times.lastWord()) < 0, times.toString());
+        ShutdownDeadlines times = ShutdownDeadlines.of(Arrays.asList(deadlines));
+        assertTrue(times.finalAnswersBy().compareTo(killed) < 0, times + " beside " + killed);
+        assertTrue(times.servingEnds().compareTo(times.finalAnswersBy()) < 0, times.toString());
     }
 
     @Test
@@ -24,6 +24,6 @@
 
     @Test
     void whereNoDeadlineIsStatedThePagesMostIsTaken() {
-        assertEquals(Duration.ofSeconds(3), LeaveTimes.of(List.of()).servesOn());
+        assertEquals(Duration.ofSeconds(3), ShutdownDeadlines.of(List.of()).servingEnds());
     }
 }
--- a/src/test/java/postbeam/benchlink/RecordedSessionTest.java
+++ b/src/test/java/postbeam/simulator/RecordedSessionTest.java
@@ -1,4 +1,4 @@
-package postbeam.benchlink;
+package postbeam.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -53,7 +53,7 @@
         byte[] input = recorded(session + ".in.gz");
         byte[] expected = recorded(session + ".out.gz");
         ByteArrayOutputStream actual = new ByteArrayOutputStream();
-        new Door(new ByteArrayInputStream(input), actual).run();
+        new SimulatorSession(new ByteArrayInputStream(input), actual).run();
         assertSameLines(expected, actual.toByteArray());
         assertArrayEquals(expected, actual.toByteArray());
     }
--- a/src/test/java/postbeam/benchlink/DoorTest.java
+++ b/src/test/java/postbeam/simulator/SimulatorSessionTest.java
@@ -1,4 +1,4 @@
-package postbeam.benchlink;
+package postbeam.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-class DoorTest {
+class SimulatorSessionTest {
     private static final String CREATE =
             "CREATE\t3\t5\tclasses.count=1\tclasses.0.name=a\tclasses.0.promise=2000000"
                 + "\tclasses.0.effect=retryable\tcaps.maxAttempts=3\tdomain.cells=1\tdomain.reach=1"
@@ -23,7 +23,8 @@
 
     private static String reply(String wire) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Door(new ByteArrayInputStream(wire.getBytes(StandardCharsets.UTF_8)), out).run();
+        new SimulatorSession(new ByteArrayInputStream(wire.getBytes(StandardCharsets.UTF_8)), out)
+                .run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
@@ -96,7 +97,8 @@
 
     @Test
     void malformedInputNamesTheLine() {
-        MalformedLine e = assertThrows(MalformedLine.class, () -> reply("SYNC\t5\nINGRESS\tx\n"));
+        MalformedLineException e =
+                assertThrows(MalformedLineException.class, () -> reply("SYNC\t5\nINGRESS\tx\n"));
         assertTrue(e.getMessage().startsWith("line 2: "), e.getMessage());
     }
 
--- a/src/test/java/postbeam/slices/CoordinatorTest.java
+++ b/src/test/java/postbeam/slices/CoordinatorTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import postbeam.state.Readiness;
+import postbeam.model.Readiness;
 
 class CoordinatorTest {
     private static final MoveLimits LIMITS =
@@ -26,50 +26,52 @@
                     2,
                     2);
 
-    private final Map<String, Target.Known> nodes = new LinkedHashMap<>();
-    private final List<Logged> records = new ArrayList<>();
+    private final Map<String, TargetLayout.NodeInfo> nodes = new LinkedHashMap<>();
+    private final List<JournalRecord> records = new ArrayList<>();
     private final List<Layout> published = new ArrayList<>();
 
     /** Nodes that answer nothing. */
     private final List<String> silent = new ArrayList<>();
 
-    private final List<Act.Tell> told = new ArrayList<>();
+    private final List<CoordinatorAction.SendCommand> told = new ArrayList<>();
     private Coordinator coordinator;
     private Duration now = Duration.ofSeconds(100);
 
     CoordinatorTest() {
         for (String name : List.of("a", "b", "c", "d")) {
-            nodes.put(name, new Target.Known("z" + (name.charAt(0) - 'a') % 2, Readiness.READY));
+            nodes.put(
+                    name,
+                    new TargetLayout.NodeInfo("z" + (name.charAt(0) - 'a') % 2, Readiness.READY));
         }
-        Layout first = Layout.first(4, List.of("a", "b", "c", "d"), 2);
-        records.add(new Logged.Whole(first, 1, 0, 3, List.of(), null, List.of()));
+        Layout first = Layout.initial(4, List.of("a", "b", "c", "d"), 2);
+        records.add(new JournalRecord.Snapshot(first, 1, 0, 3, List.of(), null, List.of()));
         restart();
     }
 
     /** From what is on disk. */
     private void restart() {
-        Book book = new Book(100);
-        records.forEach(book::apply);
-        coordinator = new Coordinator(book, LIMITS);
+        MoveJournalState journalState = new MoveJournalState(100);
+        records.forEach(journalState::apply);
+        coordinator = new Coordinator(journalState, LIMITS);
         coordinator.listed(nodes, List.of());
     }
 
     private void readiness(String node, Readiness readiness) {
-        nodes.put(node, new Target.Known(nodes.get(node).zone(), readiness));
+        nodes.put(node, new TargetLayout.NodeInfo(nodes.get(node).zone(), readiness));
         coordinator.listed(nodes, List.of());
     }
 
     /** Carries acts out; false where it dies after so many more records. */
-    private boolean carryOut(List<Act> acts, int recordsLeft) {
-        for (Act act : acts) {
-            if (act instanceof Act.Write write) {
+    private boolean carryOut(List<CoordinatorAction> acts, int recordsLeft) {
+        for (CoordinatorAction act : acts) {
+            if (act instanceof CoordinatorAction.AppendRecord write) {
                 records.add(write.record());
                 if (--recordsLeft == 0) {
                     return false;
                 }
-            } else if (act instanceof Act.Publish publish) {
+            } else if (act instanceof CoordinatorAction.PublishLayout publish) {
                 published.add(publish.layout());
-            } else if (act instanceof Act.Tell tell) {
+            } else if (act instanceof CoordinatorAction.SendCommand tell) {
                 told.add(tell);
             }
         }
@@ -77,11 +79,11 @@
     }
 
     private void answer() {
-        List<Act.Tell> all = List.copyOf(told);
+        List<CoordinatorAction.SendCommand> all = List.copyOf(told);
         told.clear();
-        for (Act.Tell tell : all) {
+        for (CoordinatorAction.SendCommand tell : all) {
             if (!silent.contains(tell.node())) {
-                coordinator.done(tell.move(), tell.node(), tell.order(), tell.slice());
+                coordinator.acknowledged(tell.move(), tell.node(), tell.command(), tell.slice());
             }
         }
     }
@@ -95,7 +97,7 @@
         }
     }
 
-    private long plan(Change change) {
+    private long plan(LayoutChange change) {
         carryOut(coordinator.plan(change, now), -1);
         return coordinator.book().nextMove() - 1;
     }
@@ -116,7 +118,7 @@
     }
 
     private Move over(long id) {
-        return coordinator.book().over().stream()
+        return coordinator.book().finishedMoves().stream()
                 .filter(move -> move.id == id)
                 .findFirst()
                 .orElseThrow();
@@ -128,50 +130,59 @@
 
     @Test
     void aMoveGoesThroughItsStatesAndTheFenceComesBeforeTheCut() {
-        long id = plan(new Change.Move(0, "a", "c"));
-        List<Order> orders = new ArrayList<>();
+        long id = plan(new LayoutChange.Transfer(0, "a", "c"));
+        List<HandoffCommand> orders = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             carryOut(coordinator.tick(now), -1);
             told.stream()
                     .filter(tell -> tell.move() == id)
-                    .forEach(tell -> orders.add(tell.order()));
+                    .forEach(tell -> orders.add(tell.command()));
             answer();
         }
-        assertEquals(List.of(Order.COPY, Order.HOLD, Order.FENCE, Order.SERVE, Order.DROP), orders);
-        assertEquals(MoveState.FORGOTTEN, over(id).state);
+        assertEquals(
+                List.of(
+                        HandoffCommand.COPY,
+                        HandoffCommand.HOLD,
+                        HandoffCommand.FENCE,
+                        HandoffCommand.SERVE,
+                        HandoffCommand.DROP),
+                orders);
+        assertEquals(MoveState.COMPLETED, over(id).state);
         assertEquals(List.of("c", "b"), layout().slice(0).nodes());
         assertEquals(1, published.size());
     }
 
     @Test
     void splitsAndMergesGoTheSameWay() {
-        plan(new Change.Split(0, List.of(50L, 100L)));
+        plan(new LayoutChange.Split(0, List.of(50L, 100L)));
         goOn(Duration.ofSeconds(3));
         assertEquals(6, layout().slices().size());
-        plan(new Change.Merge(List.of(4, 5, 6)));
+        plan(new LayoutChange.Merge(List.of(4, 5, 6)));
         goOn(Duration.ofSeconds(3));
         assertEquals(4, layout().slices().size());
-        assertEquals(KeyRange.KEYS / 4, layout().slice(7).keys().size());
+        assertEquals(KeyRange.KEY_SPACE_SIZE / 4, layout().slice(7).keys().size());
     }
 
     @Test
     void badPlansGetOneLineAndChangeNothing() {
-        nodes.put("e", new Target.Known("z0", Readiness.DRAINING));
+        nodes.put("e", new TargetLayout.NodeInfo("z0", Readiness.DRAINING));
         coordinator.listed(nodes, List.of());
-        plan(new Change.Move(2, "c", "a"));
+        plan(new LayoutChange.Transfer(2, "c", "a"));
         int before = records.size();
-        Map<Change, String> bad = new LinkedHashMap<>();
-        bad.put(new Change.Split(9, List.of(5L)), "there is no slice 9");
-        bad.put(new Change.Split(0, List.of(KeyRange.KEYS - 1)), "can't be cut at");
-        bad.put(new Change.Merge(List.of(0, 2)), "slice 2 is moving already");
-        bad.put(new Change.Merge(List.of(0, 1)), "held by other nodes");
-        bad.put(new Change.Merge(List.of(1, 0)), "no neighbours in order");
-        bad.put(new Change.Move(0, "a", "x"), "there is no node x");
-        bad.put(new Change.Move(0, "a", "e"), "node e is draining");
-        bad.put(new Change.Move(0, "a", "b"), "is held by b already");
-        bad.put(new Change.Move(0, "d", "c"), "is not held by d");
-        bad.put(new Change.Move(0, "a", null), "1 holders, at least 2 are needed");
-        bad.put(new Change.Move(0, "a", "d"), "holders in 1 zones, at least 2 are needed");
+        Map<LayoutChange, String> bad = new LinkedHashMap<>();
+        bad.put(new LayoutChange.Split(9, List.of(5L)), "there is no slice 9");
+        bad.put(new LayoutChange.Split(0, List.of(KeyRange.KEY_SPACE_SIZE - 1)), "can't be cut at");
+        bad.put(new LayoutChange.Merge(List.of(0, 2)), "slice 2 is moving already");
+        bad.put(new LayoutChange.Merge(List.of(0, 1)), "held by other nodes");
+        bad.put(new LayoutChange.Merge(List.of(1, 0)), "no neighbours in order");
+        bad.put(new LayoutChange.Transfer(0, "a", "x"), "there is no node x");
+        bad.put(new LayoutChange.Transfer(0, "a", "e"), "node e is draining");
+        bad.put(new LayoutChange.Transfer(0, "a", "b"), "is held by b already");
+        bad.put(new LayoutChange.Transfer(0, "d", "c"), "is not held by d");
+        bad.put(new LayoutChange.Transfer(0, "a", null), "1 holders, at least 2 are needed");
+        bad.put(
+                new LayoutChange.Transfer(0, "a", "d"),
+                "holders in 1 zones, at least 2 are needed");
         bad.forEach(
                 (change, why) -> {
                     String said =
@@ -189,27 +200,29 @@
     void aBadTargetIsToldLineByLine() {
         KeyRange low = new KeyRange(0, 100);
         assertEquals(
-                List.of("gap: no slice holds the keys 100-" + KeyRange.KEYS),
-                coordinator.problems(
-                        new Target(List.of(new Target.Wanted(low, List.of("a", "b"))))));
+                List.of("gap: no slice holds the keys 100-" + KeyRange.KEY_SPACE_SIZE),
+                coordinator.targetProblems(
+                        new TargetLayout(
+                                List.of(new TargetLayout.DesiredSlice(low, List.of("a", "b"))))));
         assertEquals(
                 List.of("overlap: two slices hold the keys 50-100"),
-                coordinator.problems(
-                        new Target(
+                coordinator.targetProblems(
+                        new TargetLayout(
                                 List.of(
-                                        new Target.Wanted(low, List.of("a", "b")),
-                                        new Target.Wanted(
-                                                new KeyRange(50, KeyRange.KEYS),
+                                        new TargetLayout.DesiredSlice(low, List.of("a", "b")),
+                                        new TargetLayout.DesiredSlice(
+                                                new KeyRange(50, KeyRange.KEY_SPACE_SIZE),
                                                 List.of("a", "b"))))));
         assertEquals(
                 3,
                 coordinator
-                        .problems(
-                                new Target(
+                        .targetProblems(
+                                new TargetLayout(
                                         List.of(
-                                                new Target.Wanted(low, List.of("a", "x")),
-                                                new Target.Wanted(
-                                                        new KeyRange(100, KeyRange.KEYS),
+                                                new TargetLayout.DesiredSlice(
+                                                        low, List.of("a", "x")),
+                                                new TargetLayout.DesiredSlice(
+                                                        new KeyRange(100, KeyRange.KEY_SPACE_SIZE),
                                                         List.of("a", "a")))))
                         .size());
     }
@@ -217,69 +230,71 @@
     @Test
     void limitsHoldMovesBack() {
         // b is needed by both; one at a time may need a node.
-        long first = plan(new Change.Move(0, "a", "c"));
-        long second = plan(new Change.Move(1, "c", "a"));
+        long first = plan(new LayoutChange.Transfer(0, "a", "c"));
+        long second = plan(new LayoutChange.Transfer(1, "c", "a"));
         silent.add("c");
         goOn(Duration.ofSeconds(1));
         assertEquals(MoveState.COPYING, coordinator.book().move(first).state);
         assertEquals(MoveState.PLANNED, coordinator.book().move(second).state);
         silent.clear();
         goOn(Duration.ofSeconds(4));
-        assertEquals(MoveState.FORGOTTEN, over(second).state);
+        assertEquals(MoveState.COMPLETED, over(second).state);
     }
 
     @Test
     void aMoveWaitsWhileItsSourceDrainsOrItsTargetRests() {
         readiness("a", Readiness.DRAINING);
         readiness("b", Readiness.DRAINING);
-        long drains = plan(new Change.Move(0, "a", "c"));
+        long drains = plan(new LayoutChange.Transfer(0, "a", "c"));
         goOn(Duration.ofSeconds(3));
         assertEquals(MoveState.PLANNED, coordinator.book().move(drains).state);
         readiness("a", Readiness.READY);
         readiness("b", Readiness.READY);
         goOn(Duration.ofSeconds(3));
-        assertEquals(MoveState.FORGOTTEN, over(drains).state);
+        assertEquals(MoveState.COMPLETED, over(drains).state);
         // a then has just taken a slice: it is given no other for a while.
-        long first = plan(new Change.Move(0, "c", "a"));
+        long first = plan(new LayoutChange.Transfer(0, "c", "a"));
         goOn(Duration.ofSeconds(1));
-        assertEquals(MoveState.FORGOTTEN, over(first).state);
-        long rests = plan(new Change.Move(1, "c", "a"));
+        assertEquals(MoveState.COMPLETED, over(first).state);
+        long rests = plan(new LayoutChange.Transfer(1, "c", "a"));
         goOn(Duration.ofMillis(200));
         assertEquals(MoveState.PLANNED, coordinator.book().move(rests).state);
         goOn(Duration.ofSeconds(4));
-        assertEquals(MoveState.FORGOTTEN, over(rests).state);
+        assertEquals(MoveState.COMPLETED, over(rests).state);
     }
 
     @Test
     void aDrainingSourceIsSparedWhereAnotherHolderHasTheData() {
         readiness("a", Readiness.DRAINING);
-        long id = plan(new Change.Move(0, "a", "c"));
+        long id = plan(new LayoutChange.Transfer(0, "a", "c"));
         assertEquals(
                 List.of("b"),
-                coordinator.book().move(id).gains.stream().map(Move.Gain::source).toList());
+                coordinator.book().move(id).destinations.stream()
+                        .map(Move.Destination::source)
+                        .toList());
         goOn(Duration.ofSeconds(3));
-        assertEquals(MoveState.FORGOTTEN, over(id).state);
+        assertEquals(MoveState.COMPLETED, over(id).state);
     }
 
     @Test
     void aStuckCopyIsAbandonedAfterItsTime() {
         silent.add("c");
-        long id = plan(new Change.Move(0, "a", "c"));
+        long id = plan(new LayoutChange.Transfer(0, "a", "c"));
         goOn(Duration.ofSeconds(9));
         assertEquals(MoveState.COPYING, coordinator.book().move(id).state);
         goOn(Duration.ofSeconds(10));
         assertEquals(MoveState.ABANDONED, over(id).state);
-        assertEquals("the copy is stuck", over(id).why);
+        assertEquals("the copy is stuck", over(id).abandonReason);
         assertEquals(2, layout().version);
         assertEquals(List.of("a", "b"), layout().slice(0).nodes());
     }
 
     @Test
     void aTargetThatDiesWhileHoldingBothEndsTheMove() {
-        long id = plan(new Change.Move(0, "a", "c"));
-        assertEquals(MoveState.HOLDING_BOTH, until(id, MoveState.HOLDING_BOTH));
+        long id = plan(new LayoutChange.Transfer(0, "a", "c"));
+        assertEquals(MoveState.REPLICATING, until(id, MoveState.REPLICATING));
         silent.add("c");
-        readiness("c", Readiness.GONE);
+        readiness("c", Readiness.REMOVED);
         goOn(Duration.ofSeconds(10));
         assertEquals(MoveState.ABANDONED, over(id).state);
         assertEquals(List.of("a", "b"), layout().slice(0).nodes());
@@ -287,23 +302,23 @@
 
     @Test
     void aSourceThatDiesOnceItIsFencedIsNotNeededAnyMore() {
-        long id = plan(new Change.Move(0, "a", "c"));
+        long id = plan(new LayoutChange.Transfer(0, "a", "c"));
         assertEquals(MoveState.FENCED, until(id, MoveState.FENCED));
         answer();
         silent.add("a");
-        readiness("a", Readiness.GONE);
+        readiness("a", Readiness.REMOVED);
         goOn(Duration.ofSeconds(10));
-        assertEquals(MoveState.FORGOTTEN, over(id).state);
+        assertEquals(MoveState.COMPLETED, over(id).state);
         assertEquals(List.of("c", "b"), layout().slice(0).nodes());
     }
 
     @Test
     void aSourceThatIsGoneBeforeItWasFencedEndsTheMove() {
-        long id = plan(new Change.Move(0, "a", "c"));
+        long id = plan(new LayoutChange.Transfer(0, "a", "c"));
         assertEquals(MoveState.FENCED, until(id, MoveState.FENCED));
         silent.add("a");
         told.clear();
-        readiness("a", Readiness.GONE);
+        readiness("a", Readiness.REMOVED);
         goOn(Duration.ofSeconds(10));
         assertEquals(MoveState.ABANDONED, over(id).state);
         assertEquals(List.of("a", "b"), layout().slice(0).nodes());
@@ -315,21 +330,21 @@
                 List.of(
                         MoveState.PLANNED,
                         MoveState.COPYING,
-                        MoveState.HOLDING_BOTH,
+                        MoveState.REPLICATING,
                         MoveState.FENCED,
                         MoveState.CUT_OVER)) {
             long version = layout().version;
-            long id = plan(new Change.Split(layout().slices().get(0).number(), List.of(77L)));
+            long id = plan(new LayoutChange.Split(layout().slices().get(0).number(), List.of(77L)));
             assertEquals(state, until(id, state));
             carryOut(coordinator.abandon(id, "asked", now), -1);
             assertThrows(
                     IllegalArgumentException.class, () -> coordinator.abandon(id, "again", now));
             goOn(Duration.ofSeconds(8));
-            assertEquals(0, coordinator.book().moves().size(), state.toString());
+            assertEquals(0, coordinator.book().activeMoves().size(), state.toString());
             assertEquals(4, layout().slices().size(), state + ": the old slices are in force");
             assertTrue(layout().version > version, state + ": under a higher version");
             assertEquals(
-                    state == MoveState.CUT_OVER ? MoveState.FORGOTTEN : MoveState.ABANDONED,
+                    state == MoveState.CUT_OVER ? MoveState.COMPLETED : MoveState.ABANDONED,
                     over(id).state);
         }
     }
@@ -340,19 +355,19 @@
      */
     @Test
     void aCoordinatorKilledAtAnyRecordGoesOnOrAbandons() {
-        List<Change> changes =
+        List<LayoutChange> changes =
                 List.of(
-                        new Change.Split(0, List.of(100L)),
-                        new Change.Move(2, "c", "a"),
-                        new Change.Merge(List.of(4, 5)),
-                        new Change.Move(2, "a", "c"));
+                        new LayoutChange.Split(0, List.of(100L)),
+                        new LayoutChange.Transfer(2, "c", "a"),
+                        new LayoutChange.Merge(List.of(4, 5)),
+                        new LayoutChange.Transfer(2, "a", "c"));
         boolean died = true;
         int cuts = 0;
         for (int at = 1; died; at++) {
             CoordinatorTest run = new CoordinatorTest();
             died = false;
-            for (Change change : changes) {
-                List<Act> acts = run.coordinator.plan(change, run.now);
+            for (LayoutChange change : changes) {
+                List<CoordinatorAction> acts = run.coordinator.plan(change, run.now);
                 for (int i = 0; i < 100; i++) {
                     int before = run.records.size();
                     if (!died && !run.carryOut(acts, at - run.records.size() + 1)) {
@@ -370,11 +385,13 @@
                 run.carryOut(acts, -1);
                 assertEquals(
                         0,
-                        run.coordinator.book().moves().size(),
+                        run.coordinator.book().activeMoves().size(),
                         "killed at record " + at + ", " + change);
             }
             assertEquals(4, run.layout().slices().size(), "killed at record " + at);
-            assertEquals(4, run.records.stream().filter(Logged.Planned.class::isInstance).count());
+            assertEquals(
+                    4,
+                    run.records.stream().filter(JournalRecord.Planned.class::isInstance).count());
             long version = 0;
             for (Layout layout : run.published) {
                 assertTrue(layout.version > version, "killed at record " + at + ": versions go up");
@@ -387,14 +404,17 @@
     @Test
     void aNodeThatComesBackIsToldWhatItServes() {
         goOn(Duration.ofSeconds(1));
-        readiness("a", Readiness.GONE);
+        readiness("a", Readiness.REMOVED);
         goOn(Duration.ofSeconds(1));
         readiness("a", Readiness.READY);
         carryOut(coordinator.tick(now), -1);
         assertEquals(
                 2,
                 told.stream()
-                        .filter(tell -> tell.node().equals("a") && tell.order() == Order.SERVE)
+                        .filter(
+                                tell ->
+                                        tell.node().equals("a")
+                                                && tell.command() == HandoffCommand.SERVE)
                         .count());
         goOn(Duration.ofSeconds(1));
         assertEquals(0, told.size());
@@ -402,40 +422,45 @@
 
     @Test
     void slicesOfANodeThatIsDeadAreMendedIntoOtherZonesAndItDropsThemWhenItIsBack() {
-        nodes.put("e", new Target.Known("z0", Readiness.READY));
+        nodes.put("e", new TargetLayout.NodeInfo("z0", Readiness.READY));
         coordinator.listed(nodes, List.of());
         goOn(Duration.ofSeconds(1));
-        readiness("a", Readiness.GONE);
+        readiness("a", Readiness.REMOVED);
         assertEquals(
-                List.of(new Change.Move(0, "a", "e"), new Change.Move(3, "a", "e")),
-                coordinator.mends());
-        plan(coordinator.mends().get(0));
+                List.of(
+                        new LayoutChange.Transfer(0, "a", "e"),
+                        new LayoutChange.Transfer(3, "a", "e")),
+                coordinator.repairs());
+        plan(coordinator.repairs().get(0));
         goOn(Duration.ofSeconds(20));
         assertEquals(List.of("e", "b"), layout().slice(0).nodes());
-        assertEquals(1, coordinator.book().owed().size());
+        assertEquals(1, coordinator.book().pendingDrops().size());
         restart();
         readiness("a", Readiness.READY);
         carryOut(coordinator.tick(now), -1);
         assertEquals(
                 List.of(0),
                 told.stream()
-                        .filter(tell -> tell.node().equals("a") && tell.order() == Order.DROP)
-                        .map(Act.Tell::slice)
+                        .filter(
+                                tell ->
+                                        tell.node().equals("a")
+                                                && tell.command() == HandoffCommand.DROP)
+                        .map(CoordinatorAction.SendCommand::slice)
                         .toList());
         goOn(Duration.ofSeconds(2));
-        assertEquals(0, coordinator.book().owed().size());
+        assertEquals(0, coordinator.book().pendingDrops().size());
     }
 
     @Test
     void aNodeThatIsToHaveASliceAgainIsNotToldToDropItForWhatWasOnce() {
-        readiness("a", Readiness.GONE);
-        plan(new Change.Move(0, "a", "c"));
+        readiness("a", Readiness.REMOVED);
+        plan(new LayoutChange.Transfer(0, "a", "c"));
         goOn(Duration.ofSeconds(20));
-        assertEquals(1, coordinator.book().owed().size());
+        assertEquals(1, coordinator.book().pendingDrops().size());
         silent.add("a");
         readiness("a", Readiness.READY);
-        plan(new Change.Move(0, "c", "a"));
-        assertEquals(0, coordinator.book().owed().size());
+        plan(new LayoutChange.Transfer(0, "c", "a"));
+        assertEquals(0, coordinator.book().pendingDrops().size());
         silent.clear();
         goOn(Duration.ofSeconds(20));
         assertEquals(List.of("a", "b"), layout().slice(0).nodes());
@@ -443,30 +468,33 @@
 
     @Test
     void theFirstLayoutSpreadsOverZones() {
-        nodes.put("e", new Target.Known("z0", Readiness.READY));
-        nodes.put("f", new Target.Known("z2", Readiness.DRAINING));
-        assertEquals(List.of("a", "b", "c", "d", "e"), Placement.spread(nodes));
-        nodes.put("b", new Target.Known("z0", Readiness.READY));
-        assertEquals(List.of("a", "d", "b", "c", "e"), Placement.spread(nodes));
+        nodes.put("e", new TargetLayout.NodeInfo("z0", Readiness.READY));
+        nodes.put("f", new TargetLayout.NodeInfo("z2", Readiness.DRAINING));
+        assertEquals(List.of("a", "b", "c", "d", "e"), SlicePlacement.spreadOverZones(nodes));
+        nodes.put("b", new TargetLayout.NodeInfo("z0", Readiness.READY));
+        assertEquals(List.of("a", "d", "b", "c", "e"), SlicePlacement.spreadOverZones(nodes));
     }
 
     @Test
     void aTargetIsReachedThoughMovesOnTheWayFail() {
-        Target target =
-                new Target(
+        TargetLayout targetLayout =
+                new TargetLayout(
                         List.of(
-                                new Target.Wanted(
-                                        new KeyRange(0, KeyRange.KEYS / 3), List.of("c", "d")),
-                                new Target.Wanted(
-                                        new KeyRange(KeyRange.KEYS / 3, KeyRange.KEYS),
+                                new TargetLayout.DesiredSlice(
+                                        new KeyRange(0, KeyRange.KEY_SPACE_SIZE / 3),
+                                        List.of("c", "d")),
+                                new TargetLayout.DesiredSlice(
+                                        new KeyRange(
+                                                KeyRange.KEY_SPACE_SIZE / 3,
+                                                KeyRange.KEY_SPACE_SIZE),
                                         List.of("a", "b"))));
-        carryOut(coordinator.aim(target), -1);
+        carryOut(coordinator.setTarget(targetLayout), -1);
         silent.add("d");
         goOn(Duration.ofSeconds(30));
         silent.clear();
         restart();
         goOn(Duration.ofSeconds(120));
         assertEquals(2, layout().slices().size());
-        assertEquals(0, coordinator.book().moves().size());
+        assertEquals(0, coordinator.book().activeMoves().size());
     }
 }
--- a/src/test/java/postbeam/slices/LayoutPropertiesTest.java
+++ b/src/test/java/postbeam/slices/LayoutPropertiesTest.java
@@ -19,15 +19,15 @@
     /** So many random re-cuts of a small layout, each version kept. */
     private static List<Layout> recut(long seed, int steps, long history) {
         Random chance = new Random(seed);
-        List<Layout> all = new ArrayList<>(List.of(Layout.first(4, NODES, 2)));
+        List<Layout> all = new ArrayList<>(List.of(Layout.initial(4, NODES, 2)));
         int next = 4;
         for (int i = 0; i < steps; i++) {
             Layout layout = all.get(all.size() - 1);
             Slice slice = layout.slices().get(chance.nextInt(layout.slices().size()));
-            Change change =
+            LayoutChange change =
                     switch (chance.nextInt(3)) {
                         case 0 ->
-                                new Change.Split(
+                                new LayoutChange.Split(
                                         slice.number(),
                                         List.of(
                                                 slice.keys().from()
@@ -37,12 +37,12 @@
                                                                         * (slice.keys().size()
                                                                                 - 1))));
                         case 1 ->
-                                new Change.Move(
+                                new LayoutChange.Transfer(
                                         slice.number(),
                                         slice.nodes().get(0),
                                         NODES.get(chance.nextInt(5)));
                         default ->
-                                new Change.Merge(
+                                new LayoutChange.Merge(
                                         layout.slices().stream()
                                                 .map(Slice::number)
                                                 .skip(chance.nextInt(layout.slices().size()))
@@ -51,11 +51,11 @@
                     };
             try {
                 List<Integer> births = new ArrayList<>();
-                for (int j = 0; j < change.births(); j++) {
+                for (int j = 0; j < change.newSliceCount(); j++) {
                     births.add(next++);
                 }
                 all.add(
-                        layout.after(
+                        layout.withChange(
                                 change,
                                 births,
                                 layout.version + 1 + chance.nextInt(2),
@@ -73,7 +73,8 @@
             @ForAll long seed, @ForAll @IntRange(max = 40) int steps) {
         for (Layout layout : recut(seed, steps, 1000)) {
             assertTrue(
-                    Coverage.problem(layout.slices().stream().map(Slice::keys).toList()).isEmpty());
+                    Coverage.firstProblem(layout.slices().stream().map(Slice::keys).toList())
+                            .isEmpty());
         }
     }
 
@@ -88,13 +89,13 @@
         }
         Map<Integer, KeyRange> keys = new HashMap<>();
         last.slices().forEach(slice -> keys.put(slice.number(), slice.keys()));
-        last.retired().forEach(old -> keys.put(old.number(), old.keys()));
-        for (Retired old : last.retired()) {
+        last.retiredSlices().forEach(old -> keys.put(old.number(), old.keys()));
+        for (RetiredSlice old : last.retiredSlices()) {
             long held =
                     old.children().stream()
                             .map(keys::get)
-                            .filter(old.keys()::meets)
-                            .mapToLong(child -> old.keys().common(child).size())
+                            .filter(old.keys()::overlaps)
+                            .mapToLong(child -> old.keys().intersection(child).size())
                             .sum();
             assertEquals(
                     old.keys().size(),
@@ -113,35 +114,43 @@
         Layout last = all.get(all.size() - 1);
         Layout named = all.get(new Random(seed).nextInt(all.size()));
         List<Fragment> fragments = new ArrayList<>();
-        List<Pin.Named> names = new ArrayList<>();
+        List<LayoutCompleteness.RequestedSlice> names = new ArrayList<>();
         long size = 0;
         for (Slice slice : named.slices()) {
             if ((slice.number() + seed) % 3 != 0) {
-                fragments.addAll(Fragment.cut(last, last.keysOf(slice.number(), named.version)));
+                fragments.addAll(Fragment.split(last, last.keysOf(slice.number(), named.version)));
                 names.add(
-                        new Pin.Named(slice.number(), slice.keys(), 1 + slice.number() % 7, null));
+                        new LayoutCompleteness.RequestedSlice(
+                                slice.number(), slice.keys(), 1 + slice.number() % 7, null));
                 size += slice.keys().size();
             }
         }
-        List<Fragment> joined = Fragment.joined(fragments);
+        List<Fragment> joined = Fragment.merged(fragments);
         assertEquals(size, joined.stream().mapToLong(one -> one.keys().size()).sum());
-        Pin pin = new Pin(named.version, names, () -> last, true);
+        LayoutCompleteness completeness =
+                new LayoutCompleteness(named.version, names, () -> last, true);
         assertEquals(
-                names.stream().mapToDouble(Pin.Named::weight).sum(),
-                joined.stream().mapToDouble(one -> pin.weightOf(one.keys())).sum(),
+                names.stream().mapToDouble(LayoutCompleteness.RequestedSlice::weight).sum(),
+                joined.stream().mapToDouble(one -> completeness.weightOf(one.keys())).sum(),
                 1e-6);
-        for (Pin.Named name : names) {
+        for (LayoutCompleteness.RequestedSlice name : names) {
             List<Fragment> of =
                     joined.stream()
-                            .filter(one -> pin.namesOf(one.keys()).contains(name.slice()))
+                            .filter(
+                                    one ->
+                                            completeness
+                                                    .requestedSlicesIn(one.keys())
+                                                    .contains(name.slice()))
                             .toList();
             assertEquals(
                     name.keys().size(),
-                    of.stream().mapToLong(one -> one.keys().common(name.keys()).size()).sum());
+                    of.stream()
+                            .mapToLong(one -> one.keys().intersection(name.keys()).size())
+                            .sum());
         }
         for (int i = 0; i < joined.size(); i++) {
             Fragment one = joined.get(i);
-            assertTrue(last.slice(one.slice()).keys().holds(one.keys()));
+            assertTrue(last.slice(one.slice()).keys().contains(one.keys()));
             if (i > 0) {
                 assertTrue(joined.get(i - 1).keys().to() <= one.keys().from());
             }
@@ -152,9 +161,9 @@
     void versionsFurtherBackThanTheHistoryAreForgottenWhole(@ForAll long seed) {
         List<Layout> all = recut(seed, 40, 5);
         Layout last = all.get(all.size() - 1);
-        assertTrue(last.version - last.oldest <= 6);
+        assertTrue(last.version - last.oldestVersion <= 6);
         for (Layout layout : all) {
-            if (layout.version >= last.oldest) {
+            if (layout.version >= last.oldestVersion) {
                 layout.slices()
                         .forEach(
                                 slice ->
@@ -163,7 +172,7 @@
                                                 last.keysOf(slice.number(), layout.version)));
             }
         }
-        last.retired().forEach(old -> assertTrue(old.diedIn() > last.oldest));
+        last.retiredSlices().forEach(old -> assertTrue(old.retiredVersion() > last.oldestVersion));
     }
 
     @Property(tries = 100, seed = "1")
@@ -171,31 +180,35 @@
         List<Layout> from = recut(seed, steps, 10);
         List<Layout> to = recut(seed + 1, steps, 10);
         Layout layout = from.get(from.size() - 1);
-        Target target =
-                new Target(
+        TargetLayout targetLayout =
+                new TargetLayout(
                         to.get(to.size() - 1).slices().stream()
-                                .map(slice -> new Target.Wanted(slice.keys(), slice.nodes()))
+                                .map(
+                                        slice ->
+                                                new TargetLayout.DesiredSlice(
+                                                        slice.keys(), slice.nodes()))
                                 .toList());
         int next = 10_000;
         for (int i = 0; i < 500; i++) {
-            List<Change> changes = Planner.next(layout, target, java.util.Set.of());
+            List<LayoutChange> changes =
+                    Planner.nextChanges(layout, targetLayout, java.util.Set.of());
             if (changes.isEmpty()) {
                 break;
             }
-            for (Change change : changes) {
+            for (LayoutChange change : changes) {
                 List<Integer> births = new ArrayList<>();
-                for (int j = 0; j < change.births(); j++) {
+                for (int j = 0; j < change.newSliceCount(); j++) {
                     births.add(next++);
                 }
-                layout = layout.after(change, births, layout.version + 1, Duration.ZERO, 10);
+                layout = layout.withChange(change, births, layout.version + 1, Duration.ZERO, 10);
             }
         }
         assertEquals(
-                target.slices().stream().map(Target.Wanted::keys).toList(),
+                targetLayout.slices().stream().map(TargetLayout.DesiredSlice::keys).toList(),
                 layout.slices().stream().map(Slice::keys).toList());
-        for (int i = 0; i < target.slices().size(); i++) {
+        for (int i = 0; i < targetLayout.slices().size(); i++) {
             assertEquals(
-                    java.util.Set.copyOf(target.slices().get(i).nodes()),
+                    java.util.Set.copyOf(targetLayout.slices().get(i).nodes()),
                     java.util.Set.copyOf(layout.slices().get(i).nodes()));
         }
     }
--- /dev/null
+++ b/src/test/java/postbeam/slices/SliceTranslatorTest.java
@@ -0,0 +1,327 @@
+package postbeam.slices;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import postbeam.model.Attempt;
+import postbeam.model.DataNode;
+import postbeam.model.Query;
+import postbeam.model.QueryClass;
+import postbeam.model.ShardRequest;
+import postbeam.model.SideEffects;
+import postbeam.model.Zone;
+
+class SliceTranslatorTest {
+    private static final long QUARTER = KeyRange.KEY_SPACE_SIZE / 4;
+
+    private final SliceTranslator slicing = new SliceTranslator();
+    private final DataNode node = new DataNode(0, new Zone(true));
+    private final Map<DataNode, String> names = new HashMap<>(Map.of(node, "a"));
+    private Layout layout = Layout.initial(4, List.of("a", "b", "c"), 2);
+    private int births = 4;
+
+    SliceTranslatorTest() {
+        slicing.holders().configure(names::get, at -> at);
+        slicing.holders().add(node);
+        slicing.onUpdate(layout);
+    }
+
+    private static Query query(SideEffects effect, double floor) {
+        return new Query(
+                new QueryClass(
+                        Duration.ofSeconds(1),
+                        effect,
+                        Duration.ofSeconds(1),
+                        1,
+                        0.1,
+                        1,
+                        floor,
+                        0.9),
+                null,
+                Duration.ZERO,
+                Duration.ofSeconds(3));
+    }
+
+    /** Asks for these slices of the layout told first, with even weights. */
+    private Query asked(SideEffects effect, long version, int... slices)
+            throws UnroutableQueryException {
+        Query query = query(effect, 0.25);
+        List<SliceRequest> askings = new ArrayList<>();
+        for (int slice : slices) {
+            askings.add(new SliceRequest(slice, 1.0 / slices.length, Duration.ofMillis(8)));
+        }
+        slicing.assignParts(query, version, askings);
+        return query;
+    }
+
+    private List<Integer> births(LayoutChange change) {
+        List<Integer> born = new ArrayList<>();
+        for (int i = 0; i < change.newSliceCount(); i++) {
+            born.add(births++);
+        }
+        return born;
+    }
+
+    private void after(LayoutChange change, Query... open) {
+        layout =
+                layout.withChange(
+                        change,
+                        births(change),
+                        layout.version + 1,
+                        Duration.ofSeconds(layout.version),
+                        100);
+        assertTrue(slicing.onUpdate(layout));
+        for (Query query : open) {
+            slicing.remapStaleParts(query);
+        }
+    }
+
+    private Attempt sent(ShardRequest request, int atMs) {
+        return new Attempt(request, node, Duration.ofMillis(atMs), null);
+    }
+
+    private static ShardRequest part(Query query, int slice) {
+        return query.shardRequests.stream()
+                .filter(request -> request.shard == slice)
+                .findFirst()
+                .orElse(null);
+    }
+
+    // ---- lineage
+
+    @Test
+    void aSplitDividesWeightsAndWorkHintsAndKeepsThePast() throws UnroutableQueryException {
+        Query query = asked(SideEffects.NON_IDEMPOTENT, 1, 0, 1);
+        Attempt attempt = sent(part(query, 0), 5);
+        LayoutChange split = new LayoutChange.Split(0, List.of(QUARTER / 4));
+        after(split, query);
+        assertNotNull(part(query, 0), "what is out stays as it was sent");
+        // Its answer is an error: it may have run.
+        attempt.end();
+        part(query, 0).recordPossibleExecution(attempt.sentAt);
+        assertTrue(slicing.remapStaleParts(query));
+        assertNull(part(query, 0));
+        for (int slice : new int[] {4, 5}) {
+            assertEquals(
+                    Duration.ofMillis(5),
+                    part(query, slice).mayHaveExecutedSince(),
+                    "a child may have run");
+            assertEquals(List.of(attempt), part(query, slice).attempts);
+        }
+        assertEquals(0.125, part(query, 4).weight, 1e-9);
+        assertEquals(0.375, part(query, 5).weight, 1e-9);
+        assertEquals(Duration.ofMillis(2), part(query, 4).estimatedWork);
+        assertEquals(Duration.ofMillis(6), part(query, 5).estimatedWork);
+    }
+
+    @Test
+    void aMergeOfAPartThatMayHaveRunAndOneThatNeverWasSentKeepsBothPasts()
+            throws UnroutableQueryException {
+        Query query = asked(SideEffects.NON_IDEMPOTENT, 1, 1, 2);
+        Attempt attempt = sent(part(query, 1), 5);
+        attempt.end();
+        part(query, 1).recordPossibleExecution(attempt.sentAt);
+        Query fresh = asked(SideEffects.NON_IDEMPOTENT, 1, 1, 2);
+        layout =
+                layout.withChange(
+                        new LayoutChange.Transfer(
+                                2, layout.slice(2).nodes().get(1), layout.slice(1).nodes().get(0)),
+                        List.of(),
+                        2,
+                        Duration.ZERO,
+                        9);
+        after(new LayoutChange.Merge(List.of(1, 2)), query, fresh);
+        assertEquals(2, query.shardRequests.size());
+        assertEquals(1, query.countRequests(request -> request.mayHaveExecutedSince() != null));
+        assertEquals(1, query.countRequests(request -> request.attempts.isEmpty()));
+        assertTrue(query.shardRequests.stream().allMatch(request -> request.shard == 4));
+        assertEquals(
+                1,
+                fresh.shardRequests.size(),
+                "parts that nothing was sent for are joined: one answer for both");
+        assertEquals(1.0, fresh.shardRequests.get(0).weight, 1e-9);
+    }
+
+    @Test
+    void twoRecutsDuringOneQueryKeepThePastOfEach() throws UnroutableQueryException {
+        Query query = asked(SideEffects.DEDUPLICATED, 1, 0);
+        Attempt attempt = sent(part(query, 0), 7);
+        after(new LayoutChange.Split(0, List.of(100L)), query);
+        after(new LayoutChange.Merge(List.of(4, 5)), query);
+        attempt.end();
+        part(query, 0).recordPossibleExecution(attempt.sentAt);
+        slicing.remapStaleParts(query);
+        assertEquals(1, query.shardRequests.size());
+        assertEquals(6, query.shardRequests.get(0).shard);
+        assertEquals(
+                Duration.ofMillis(7),
+                query.shardRequests.get(0).mayHaveExecutedSince(),
+                "the window counts from the first send");
+    }
+
+    @Test
+    void whatWasJoinedAndIsCutAgainHasTheWeightsThatItsClientGave()
+            throws UnroutableQueryException {
+        Query query = query(SideEffects.IDEMPOTENT, 1);
+        layout =
+                layout.withChange(
+                        new LayoutChange.Transfer(1, layout.slice(1).nodes().get(1), "a"),
+                        List.of(),
+                        2,
+                        Duration.ZERO,
+                        9);
+        slicing.onUpdate(layout);
+        slicing.assignParts(
+                query,
+                1,
+                List.of(
+                        new SliceRequest(0, 0.9, Duration.ofMillis(9)),
+                        new SliceRequest(1, 0.1, null)));
+        after(new LayoutChange.Merge(List.of(0, 1)), query);
+        assertNull(query.shardRequests.get(0).estimatedWork);
+        after(new LayoutChange.Split(4, List.of(QUARTER)), query);
+        assertEquals(0.9, part(query, 5).weight, 1e-9);
+        assertEquals(0.1, part(query, 6).weight, 1e-9);
+        assertEquals(Duration.ofMillis(9), part(query, 5).estimatedWork);
+    }
+
+    @Test
+    void whatIsMergedStaysAndIsNotAskedAgain() throws UnroutableQueryException {
+        Query query = asked(SideEffects.IDEMPOTENT, 1, 0, 1);
+        part(query, 0).markAnswered();
+        after(new LayoutChange.Split(0, List.of(100L)), query);
+        assertFalse(slicing.remapStaleParts(query));
+        assertEquals(2, query.shardRequests.size());
+        assertEquals(0.5, query.answeredWeight(), 1e-9);
+    }
+
+    // ---- the floor and the whole mark
+
+    @Test
+    void halvesOfTwoSlicesAreNoSliceOfEitherLayout() throws UnroutableQueryException {
+        // Named: 0 and 1. Then 0 is cut into 4 and 5, and 5 joined with 1 to 6.
+        Query query = asked(SideEffects.IDEMPOTENT, 1, 0, 1);
+        Attempt attempt = sent(part(query, 1), 5);
+        after(new LayoutChange.Split(0, List.of(QUARTER / 2)), query);
+        sent(part(query, 5), 6);
+        layout =
+                layout.withChange(
+                        new LayoutChange.Transfer(1, layout.slice(1).nodes().get(1), "a"),
+                        List.of(),
+                        layout.version + 1,
+                        Duration.ZERO,
+                        9);
+        after(new LayoutChange.Merge(List.of(5, 1)), query);
+        part(query, 5).markAnswered();
+        assertEquals(
+                0,
+                query.answeredWeight(),
+                1e-9,
+                "half of 0 is in, and half of 6: neither slice is");
+        part(query, 4).markAnswered();
+        assertEquals(0.5, query.answeredWeight(), 1e-9, "0 is in, by the layout that was named");
+        LayoutCompleteness.CompleteParts counted =
+                slicing.completenessOf(query).completeParts(query);
+        assertEquals(1, counted.version());
+        assertEquals(2, counted.requests().size());
+        attempt.end();
+        part(query, 1).markAnswered();
+        assertEquals(1, query.answeredWeight(), 1e-9);
+    }
+
+    @Test
+    void anAnswerTellsWhichNamedSlicesAValueIsFor() throws UnroutableQueryException {
+        layout =
+                layout.withChange(
+                        new LayoutChange.Transfer(1, layout.slice(1).nodes().get(1), "a"),
+                        List.of(),
+                        2,
+                        Duration.ZERO,
+                        9);
+        after(new LayoutChange.Merge(List.of(0, 1)));
+        Query query = asked(SideEffects.IDEMPOTENT, 1, 0, 1, 2);
+        assertEquals(2, query.shardRequests.size());
+        query.shardRequests.forEach(request -> request.markAnswered());
+        LayoutCompleteness completeness = slicing.completenessOf(query);
+        assertEquals(
+                List.of(List.of(0, 1), List.of(2)),
+                completeness.completeParts(query).requests().stream()
+                        .map(piece -> completeness.requestedSlicesIn(piece.keys))
+                        .toList());
+    }
+
+    // ---- versions
+
+    @Test
+    void aLayoutThatGoesBackIsRefused() {
+        Layout first = layout;
+        after(new LayoutChange.Split(0, List.of(100L)));
+        assertFalse(slicing.onUpdate(first));
+        assertEquals(2, slicing.currentLayout().version);
+        assertEquals(1, slicing.rejectedLayouts());
+    }
+
+    @Test
+    void whatCantBeRoutedIsToldApart() throws UnroutableQueryException {
+        for (int i = 0; i < 6; i++) {
+            layout = layout.withVersion(layout.version + 1);
+        }
+        layout =
+                layout.withChange(
+                        new LayoutChange.Split(0, List.of(100L)),
+                        List.of(4, 5),
+                        8,
+                        Duration.ZERO,
+                        3);
+        slicing.onUpdate(layout);
+        assertEquals(UnroutableQueryException.Reason.LAYOUT_EXPIRED, refused(4, 0));
+        assertEquals(UnroutableQueryException.Reason.LAYOUT_UNKNOWN, refused(9, 0));
+        assertEquals(UnroutableQueryException.Reason.UNKNOWN_SLICE, refused(8, 0));
+        assertEquals(UnroutableQueryException.Reason.UNKNOWN_SLICE, refused(7, 4));
+        asked(SideEffects.IDEMPOTENT, 7, 0);
+        asked(SideEffects.IDEMPOTENT, 0, 4);
+    }
+
+    private UnroutableQueryException.Reason refused(long version, int slice) {
+        return assertThrows(
+                        UnroutableQueryException.class,
+                        () -> asked(SideEffects.IDEMPOTENT, version, slice))
+                .reason;
+    }
+
+    // ---- replica lists
+
+    @Test
+    void aNodeThatSaysItHoldsASliceNoMoreIsLeftOutForAWhile() throws UnroutableQueryException {
+        assertEquals(List.of(node), slicing.holders().replicas(0));
+        Query query = asked(SideEffects.IDEMPOTENT, 1, 0);
+        slicing.excludeReplica(part(query, 0), node);
+        assertEquals(List.of(), slicing.holders().replicas(0));
+        slicing.readmitReplica(0, node);
+        assertEquals(List.of(node), slicing.holders().replicas(0));
+        slicing.excludeReplica(part(query, 0), node);
+        after(new LayoutChange.Split(1, List.of(QUARTER + 5)));
+        assertEquals(
+                List.of(node),
+                slicing.holders().replicas(0),
+                "a new version clears what was said of the last");
+    }
+
+    @Test
+    void aHolderThatTookASliceIsKnownToBeCold() {
+        assertNull(slicing.holders().acquiredAt(1, node));
+        after(new LayoutChange.Transfer(1, layout.slice(1).nodes().get(1), "a"));
+        assertEquals(Duration.ofSeconds(1), slicing.holders().acquiredAt(1, node));
+        assertEquals(2, slicing.holders().replicationFactor());
+    }
+}
--- a/src/test/java/postbeam/slices/TranslationBenchmark.java
+++ b/src/test/java/postbeam/slices/TranslationBenchmark.java
@@ -17,9 +17,9 @@
 import org.openjdk.jmh.runner.Runner;
 import org.openjdk.jmh.runner.RunnerException;
 import org.openjdk.jmh.runner.options.OptionsBuilder;
-import postbeam.state.Effect;
-import postbeam.state.Query;
-import postbeam.state.Vertical;
+import postbeam.model.Query;
+import postbeam.model.QueryClass;
+import postbeam.model.SideEffects;
 
 /**
  * What translation costs a query of 100 parts over a layout of 10,000 slices: by the version in
@@ -37,12 +37,13 @@
     private static final int SLICES = 10_000;
     private static final int PARTS = 100;
     private static final int RECUTS = 100;
-    private static final Vertical SEARCH =
-            new Vertical(Duration.ofSeconds(1), Effect.REPEATABLE, null, 1, 0.1, 0.75, 0.75, 0.9);
+    private static final QueryClass SEARCH =
+            new QueryClass(
+                    Duration.ofSeconds(1), SideEffects.IDEMPOTENT, null, 1, 0.1, 0.75, 0.75, 0.9);
 
-    private final Slicing slicing = new Slicing();
-    private final List<Asking> now = new ArrayList<>();
-    private final List<Asking> then = new ArrayList<>();
+    private final SliceTranslator slicing = new SliceTranslator();
+    private final List<SliceRequest> now = new ArrayList<>();
+    private final List<SliceRequest> then = new ArrayList<>();
     private Layout old;
 
     @Setup
@@ -51,22 +52,23 @@
         for (int i = 0; i < 200; i++) {
             nodes.add("n" + i);
         }
-        Layout layout = Layout.first(SLICES, nodes, 3);
+        Layout layout = Layout.initial(SLICES, nodes, 3);
         old = layout;
         for (int i = 0; i < RECUTS; i++) {
             Slice slice = layout.slices().get(50 * i);
             layout =
-                    layout.after(
-                            new Change.Split(slice.number(), List.of(slice.keys().from() + 100)),
+                    layout.withChange(
+                            new LayoutChange.Split(
+                                    slice.number(), List.of(slice.keys().from() + 100)),
                             List.of(SLICES + 2 * i, SLICES + 2 * i + 1),
                             layout.version + 1,
                             Duration.ZERO,
                             1000);
         }
-        slicing.told(layout);
+        slicing.onUpdate(layout);
         for (int i = 0; i < PARTS; i++) {
-            then.add(new Asking(old.slices().get(97 * i).number(), 1.0 / PARTS, null));
-            now.add(new Asking(layout.slices().get(97 * i).number(), 1.0 / PARTS, null));
+            then.add(new SliceRequest(old.slices().get(97 * i).number(), 1.0 / PARTS, null));
+            now.add(new SliceRequest(layout.slices().get(97 * i).number(), 1.0 / PARTS, null));
         }
     }
 
@@ -75,25 +77,25 @@
     }
 
     @Benchmark
-    public Query byTheVersionInForce() throws Unroutable {
+    public Query byTheVersionInForce() throws UnroutableQueryException {
         Query query = query();
-        slicing.take(query, 0, now);
+        slicing.assignParts(query, 0, now);
         return query;
     }
 
     @Benchmark
-    public Query byAVersionOfAHundredRecutsAgo() throws Unroutable {
+    public Query byAVersionOfAHundredRecutsAgo() throws UnroutableQueryException {
         Query query = query();
-        slicing.take(query, old.version, then);
+        slicing.assignParts(query, old.version, then);
         return query;
     }
 
     /** What Decide asks for some times a turn. */
     @Benchmark
-    public double weightAcrossRecuts() throws Unroutable {
+    public double weightAcrossRecuts() throws UnroutableQueryException {
         Query query = query();
-        slicing.take(query, old.version, then);
-        return query.mergedWeight();
+        slicing.assignParts(query, old.version, then);
+        return query.answeredWeight();
     }
 
     public static void main(String[] args) throws RunnerException {
--- a/src/test/java/postbeam/rig/RelayTest.java
+++ b/src/test/java/postbeam/testbed/cluster/FaultProxyTest.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.cluster;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -25,7 +25,7 @@
  * one waits.
  */
 @Timeout(value = 90, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class RelayTest {
+class FaultProxyTest {
     private static final int LONG_MS = 20_000;
 
     /** How long is waited for what a fault holds back for good. */
@@ -35,7 +35,7 @@
 
     private final List<Socket> sockets = new ArrayList<>();
     private ServerSocket target;
-    private Relay relay;
+    private FaultProxy proxy;
 
     /** Both ends of a connection. */
     private record Pair(Socket near, Socket far) {}
@@ -44,12 +44,12 @@
     void stage() throws IOException {
         target = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         target.setSoTimeout(LONG_MS);
-        relay = new Relay("a-b", (InetSocketAddress) target.getLocalSocketAddress());
+        proxy = new FaultProxy("a-b", (InetSocketAddress) target.getLocalSocketAddress());
     }
 
     @AfterEach
     void giveBack() throws IOException {
-        relay.close();
+        proxy.close();
         target.close();
         sockets.forEach(IoUtils::safeClose);
     }
@@ -58,7 +58,7 @@
         Socket near =
                 new Socket(
                         InetAddress.getLoopbackAddress(),
-                        Integer.parseInt(relay.address().split(":")[1]));
+                        Integer.parseInt(proxy.address().split(":")[1]));
         near.setSoTimeout(LONG_MS);
         sockets.add(near);
         return near;
@@ -103,7 +103,7 @@
         Pair other = pair();
         passes(one.near, one.far, 1);
         passes(other.far, other.near, 2);
-        assertEquals(2, relay.open());
+        assertEquals(2, proxy.open());
         one.near.shutdownOutput();
         assertEquals(-1, one.far.getInputStream().read());
         passes(one.far, one.near, 3);
@@ -114,7 +114,7 @@
     @Test
     void cutNothingPassesNothingComesUpAndTheEndResets() throws IOException {
         Pair one = pair();
-        relay.both(Relay.Fault.CUT, Duration.ZERO);
+        proxy.both(FaultProxy.Fault.CUT, Duration.ZERO);
         one.near.getOutputStream().write(1);
         one.far.getOutputStream().write(2);
         neverComes(one.far);
@@ -123,7 +123,7 @@
         target.setSoTimeout(NEVER_MS);
         assertThrows(SocketTimeoutException.class, target::accept);
         target.setSoTimeout(LONG_MS);
-        relay.heal();
+        proxy.heal();
         isReset(one.near);
         isReset(one.far);
         isReset(late);
@@ -134,13 +134,13 @@
     @Test
     void cutOneWayTheOtherStillPasses() throws IOException {
         Pair one = pair();
-        relay.set(Relay.Way.BACK, Relay.Fault.CUT, Duration.ZERO);
+        proxy.set(FaultProxy.Way.BACK, FaultProxy.Fault.CUT, Duration.ZERO);
         passes(one.near, one.far, 1);
         one.far.getOutputStream().write(2);
         neverComes(one.near);
-        relay.heal();
+        proxy.heal();
         Pair other = pair();
-        relay.set(Relay.Way.THERE, Relay.Fault.CUT, Duration.ZERO);
+        proxy.set(FaultProxy.Way.THERE, FaultProxy.Fault.CUT, Duration.ZERO);
         passes(other.far, other.near, 3);
         other.near.getOutputStream().write(4);
         neverComes(other.far);
@@ -149,13 +149,13 @@
     @Test
     void silentAConnectionComesUpAndWhatIsSentIsTakenAndLost() throws IOException {
         Pair one = pair();
-        relay.both(Relay.Fault.SILENT, Duration.ZERO);
+        proxy.both(FaultProxy.Fault.SILENT, Duration.ZERO);
         // More than all buffers on the way hold: it is really taken.
         one.near.getOutputStream().write(new byte[32 << 20]);
         Socket late = dial();
         late.getOutputStream().write(new byte[32 << 20]);
         neverComes(one.far);
-        relay.heal();
+        proxy.heal();
         isReset(one.near);
         isReset(late);
     }
@@ -163,7 +163,7 @@
     @Test
     void aCutWayTakesNoMoreThanItsBuffers() throws Exception {
         Pair one = pair();
-        relay.both(Relay.Fault.CUT, Duration.ZERO);
+        proxy.both(FaultProxy.Fault.CUT, Duration.ZERO);
         Thread writer =
                 new Thread(
                         () -> {
@@ -176,7 +176,7 @@
         writer.start();
         writer.join(NEVER_MS);
         assertTrue(writer.isAlive());
-        relay.reset();
+        proxy.reset();
         writer.join(LONG_MS);
         assertTrue(!writer.isAlive());
     }
@@ -184,14 +184,14 @@
     @Test
     void delayedItComesNoSoonerAndWhole() throws IOException {
         Pair one = pair();
-        relay.set(Relay.Way.THERE, Relay.Fault.DELAY, Duration.ofMillis(200));
+        proxy.set(FaultProxy.Way.THERE, FaultProxy.Fault.DELAY, Duration.ofMillis(200));
         long sent = System.nanoTime();
         passes(one.near, one.far, 1);
         assertTrue(System.nanoTime() - sent >= Duration.ofMillis(200).toNanos());
-        relay.set(Relay.Way.THERE, Relay.Fault.DELAY, AGE);
+        proxy.set(FaultProxy.Way.THERE, FaultProxy.Fault.DELAY, AGE);
         one.near.getOutputStream().write(2);
         neverComes(one.far);
-        relay.heal();
+        proxy.heal();
         assertEquals(2, one.far.getInputStream().read());
     }
 
@@ -199,12 +199,12 @@
     void reorderedWhatIsSentLaterOnAnotherConnectionComesFirst() throws IOException {
         Pair one = pair();
         Pair other = pair();
-        relay.set(Relay.Way.THERE, Relay.Fault.REORDER, AGE);
+        proxy.set(FaultProxy.Way.THERE, FaultProxy.Fault.REORDER, AGE);
         one.near.getOutputStream().write(1);
         neverComes(one.far);
         passes(other.near, other.far, 2);
         assertEquals(1, one.far.getInputStream().read());
-        relay.set(Relay.Way.THERE, Relay.Fault.REORDER, Duration.ofMillis(50));
+        proxy.set(FaultProxy.Way.THERE, FaultProxy.Fault.REORDER, Duration.ofMillis(50));
         passes(one.near, one.far, 3);
     }
 
@@ -212,7 +212,7 @@
     void resetBothSidesAreToldAndTheNextConnectionIsGood() throws IOException {
         Pair one = pair();
         passes(one.near, one.far, 1);
-        relay.reset();
+        proxy.reset();
         isReset(one.near);
         isReset(one.far);
         Pair next = pair();
@@ -221,16 +221,16 @@
 
     @Test
     void aTargetThatIsNotThereResetsAndOneThatMovedIsFound() throws IOException {
-        relay.target(null);
+        proxy.target(null);
         isReset(dial());
         try (ServerSocket moved = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             moved.setSoTimeout(LONG_MS);
-            relay.target((InetSocketAddress) moved.getLocalSocketAddress());
+            proxy.target((InetSocketAddress) moved.getLocalSocketAddress());
             Socket near = dial();
             passes(near, moved.accept(), 1);
-            relay.close();
+            proxy.close();
             isReset(near);
-            assertEquals(0, relay.open());
+            assertEquals(0, proxy.open());
         }
     }
 }
--- a/src/test/java/postbeam/rig/MixedShapesTest.java
+++ b/src/test/java/postbeam/testbed/simulation/MixedWorkloadsTest.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -26,14 +26,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
+import postbeam.config.RouterConfig;
 import postbeam.router.Router;
-import postbeam.setup.Startup;
+import postbeam.testbed.fakes.FakeDiscovery;
+import postbeam.testbed.fakes.ScriptedDataNode;
 
 /**
  * Instances in the old shape and in the new, on loopback, before the same data nodes, one of which
  * hangs.
  */
-class MixedShapesTest {
+class MixedWorkloadsTest {
     private static final int WORK_MS = 15;
     private static final int CORES = 2;
     private static final int QUERIES = 60;
@@ -61,7 +63,7 @@
      * asked of.
      */
     private static final class Node implements AutoCloseable {
-        final ScriptedNode frames = new ScriptedNode();
+        final ScriptedDataNode frames = new ScriptedDataNode();
         final ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         final Semaphore cores = new Semaphore(CORES, true);
         final ExecutorService threads = Executors.newCachedThreadPool();
@@ -122,8 +124,7 @@
         }
 
         String entry(String name, String health) {
-            return StandInDiscovery.entry(
-                    name, "127.0.0.1:" + server.getLocalPort(), "a", health, 0);
+            return FakeDiscovery.entry(name, "127.0.0.1:" + server.getLocalPort(), "a", health, 0);
         }
 
         @Override
@@ -176,10 +177,10 @@
         }
     }
 
-    private static Router router(Shape shape, String address, StandInDiscovery discovery)
+    private static Router router(Shape shape, String address, FakeDiscovery discovery)
             throws IOException {
         return new Router(
-                Startup.of(
+                RouterConfig.parse(
                         ("{\"name\":\""
                                         + shape.name
                                         + "\",\"listen\":\""
@@ -204,12 +205,12 @@
         List<Node> nodes = new ArrayList<>();
         List<Router> routers = new ArrayList<>();
         ExecutorService clients = Executors.newCachedThreadPool();
-        StandInDiscovery discovery = null;
+        FakeDiscovery discovery = null;
         try {
             for (int i = 0; i < 4; i++) {
                 nodes.add(new Node(seen));
             }
-            discovery = new StandInDiscovery(list(nodes, "up"));
+            discovery = new FakeDiscovery(list(nodes, "up"));
             Map<String, AtomicInteger> asked = new ConcurrentHashMap<>();
             List<java.util.concurrent.Future<?>> ends = new ArrayList<>();
             for (Shape shape : shapes) {
--- a/src/test/java/postbeam/rig/BoundsTrialTest.java
+++ b/src/test/java/postbeam/testbed/trials/CoordinationTrialTest.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.trials;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,8 +7,8 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-class BoundsTrialTest {
-    private final BoundsTrial trial = new BoundsTrial();
+class CoordinationTrialTest {
+    private final CoordinationTrial trial = new CoordinationTrial();
 
     @Test
     void allBoundsHoldWhateverFails() {
--- a/src/test/java/postbeam/rig/MigrationTrialTest.java
+++ b/src/test/java/postbeam/testbed/trials/MigrationTrialTest.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.trials;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,18 +7,19 @@
 import java.util.TreeSet;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
+import postbeam.testbed.simulation.MigrationSimulation;
 
 class MigrationTrialTest {
     private final MigrationTrial trial = new MigrationTrial();
 
     @Test
     void nothingIsLostAndAllEndsAcrossDeathsAtEachRecord() {
-        List<MigrationWorld> worlds =
+        List<MigrationSimulation> worlds =
                 LongStream.rangeClosed(1, 180)
                         .parallel()
                         .mapToObj(
                                 seed -> {
-                                    MigrationWorld world = trial.world(seed, null);
+                                    MigrationSimulation world = trial.world(seed, null);
                                     assertEquals(List.of(), world.run().broken(), "seed " + seed);
                                     return world;
                                 })
@@ -36,7 +37,7 @@
                         List.of(
                                 "Planned",
                                 "Advanced COPYING",
-                                "Advanced HOLDING_BOTH",
+                                "Advanced REPLICATING",
                                 "Advanced FENCED",
                                 "CutOver",
                                 "Opened",
@@ -47,7 +48,7 @@
                                 "Passed",
                                 "Paused",
                                 "Entered WATCHED",
-                                "Advanced FORGOTTEN",
+                                "Advanced COMPLETED",
                                 "RollingBack")),
                 died.toString());
         assertTrue(
--- a/src/test/java/postbeam/rig/RecutsTrialTest.java
+++ b/src/test/java/postbeam/testbed/trials/ReshardingTrialTest.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.trials;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,9 +7,10 @@
 import java.util.List;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
+import postbeam.testbed.simulation.SimulatedCluster;
 
-class RecutsTrialTest {
-    private final RecutsTrial trial = new RecutsTrial();
+class ReshardingTrialTest {
+    private final ReshardingTrial trial = new ReshardingTrial();
 
     @Test
     void allRulesHoldAcrossRecutsAndTroubles() {
@@ -26,9 +27,9 @@
     @Test
     void theLayoutServiceMayBeSilentForAMinute() {
         for (long seed = 1; seed <= 2; seed++) {
-            World world =
-                    new World(
-                            new World.Plan(
+            SimulatedCluster cluster =
+                    new SimulatedCluster(
+                            new SimulatedCluster.Plan(
                                     6,
                                     3,
                                     12,
@@ -39,9 +40,11 @@
                                     true,
                                     null),
                             seed);
-            assertEquals(List.of(), world.runWithoutMoves(Duration.ofSeconds(60)));
-            assertTrue(world.good() > 0.6 * world.asked(), world.good() + " of " + world.asked());
-            assertTrue(world.moves.cut() > 5);
+            assertEquals(List.of(), cluster.runWithoutMoves(Duration.ofSeconds(60)));
+            assertTrue(
+                    cluster.good() > 0.6 * cluster.asked(),
+                    cluster.good() + " of " + cluster.asked());
+            assertTrue(cluster.moves.cut() > 5);
         }
     }
 
--- a/src/test/java/postbeam/rig/TestimonyTest.java
+++ b/src/test/java/postbeam/testbed/verification/ObservedCallsTest.java
@@ -1,4 +1,4 @@
-package postbeam.rig;
+package postbeam.testbed.verification;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,32 +13,34 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import postbeam.slices.KeyRange;
+import postbeam.testbed.cluster.LoadGenerator;
+import postbeam.testbed.cluster.ProcessCluster;
 
 /**
  * What several processes wrote adds up to a verdict; each rule has a violation planted that only
  * the sum shows.
  */
-class TestimonyTest {
+class ObservedCallsTest {
     private static final KeyRange KEYS = new KeyRange(0, 1);
     private static final KeyRange OTHER = new KeyRange(1, 2);
 
     @TempDir private Path folder;
-    private final Testimony here = new Testimony();
-    private Testimony.Node n0;
-    private Testimony.Node n1;
+    private final ObservedCalls here = new ObservedCalls();
+    private ObservedCalls.Node n0;
+    private ObservedCalls.Node n1;
 
     @BeforeEach
     void stage() throws IOException {
-        n0 = new Testimony.Node(folder, "n0", System.nanoTime());
-        n1 = new Testimony.Node(folder, "n1", System.nanoTime());
-        here.add(Duration.ZERO, to -> to.layout(ProcessFleet.fixed(8)));
+        n0 = new ObservedCalls.Node(folder, "n0", System.nanoTime());
+        n1 = new ObservedCalls.Node(folder, "n1", System.nanoTime());
+        here.add(Duration.ZERO, to -> to.layout(ProcessCluster.fixed(8)));
     }
 
     private static Duration at(long ms) {
         return Duration.ofMillis(ms);
     }
 
-    private void asks(long ms, String query, String router, Referee.Kind kind) {
+    private void asks(long ms, String query, String router, InvariantChecker.Kind kind) {
         here.asked(
                 at(ms),
                 query,
@@ -46,14 +48,16 @@
                 kind,
                 1,
                 0.5,
-                Load.FIXED,
-                List.of(new Referee.Wanted(0, KEYS, 0.4), new Referee.Wanted(1, OTHER, 0.6)),
+                LoadGenerator.FIXED,
+                List.of(
+                        new InvariantChecker.Wanted(0, KEYS, 0.4),
+                        new InvariantChecker.Wanted(1, OTHER, 0.6)),
                 at(ms + 3000));
     }
 
     private static void runs(
-            Testimony.Node node, String name, long ms, String query, KeyRange keys) {
-        node.called(at(ms), name, query, query + "." + keys.from(), keys, 0, ProcessFleet.WORK);
+            ObservedCalls.Node node, String name, long ms, String query, KeyRange keys) {
+        node.called(at(ms), name, query, query + "." + keys.from(), keys, 0, ProcessCluster.WORK);
         node.ran(at(ms + 1), query, query + "." + keys.from(), keys);
     }
 
@@ -62,16 +66,19 @@
                 at(ms),
                 query,
                 whole,
-                Load.FIXED,
+                LoadGenerator.FIXED,
                 List.of(in).stream()
-                        .map(keys -> new Referee.Value(keys, Referee.valueOf(query, keys)))
+                        .map(
+                                keys ->
+                                        new InvariantChecker.Value(
+                                                keys, InvariantChecker.valueOf(query, keys)))
                         .toList());
     }
 
     private List<String> broken() throws IOException {
-        Referee referee = ProcessFleet.referee(ProcessFleet.STRICT);
-        here.tell(referee, folder, at(60_000));
-        return referee.broken();
+        InvariantChecker checker = ProcessCluster.referee(ProcessCluster.STRICT);
+        here.tell(checker, folder, at(60_000));
+        return checker.broken();
     }
 
     private void breaks(int rule, String what) throws IOException {
@@ -84,7 +91,7 @@
 
     @Test
     void aGoodRunIsWithoutFault() throws IOException {
-        asks(0, "q1", "r0", Referee.Kind.SIDE_EFFECTING);
+        asks(0, "q1", "r0", InvariantChecker.Kind.SIDE_EFFECTING);
         runs(n0, "n0", 10, "q1", KEYS);
         runs(n1, "n1", 9, "q1", OTHER);
         answers(50, "q1", true, KEYS, OTHER);
@@ -95,14 +102,14 @@
 
     @Test
     void rule1NoAnswerTwoAnswersAndALateOne() throws IOException {
-        asks(0, "q1", "r0", Referee.Kind.REPEATABLE);
+        asks(0, "q1", "r0", InvariantChecker.Kind.REPEATABLE);
         breaks(1, "no answer");
         here.unanswered(at(40), "q1", "a closed connection");
         breaks(1, "no answer; its client saw after 40 ms: a closed connection");
         answers(50, "q1", false, OTHER);
         answers(60, "q1", false, OTHER);
         breaks(1, "second final answer");
-        asks(0, "q2", "r0", Referee.Kind.REPEATABLE);
+        asks(0, "q2", "r0", InvariantChecker.Kind.REPEATABLE);
         answers(4100, "q2", false, OTHER);
         breaks(1, "after the client's time");
     }
@@ -113,22 +120,22 @@
      */
     @Test
     void rule1HoldsForRoutersThatRun() throws IOException {
-        asks(0, "q1", "r0", Referee.Kind.REPEATABLE);
+        asks(0, "q1", "r0", InvariantChecker.Kind.REPEATABLE);
         here.add(at(10), to -> to.routerAway("r0"));
-        asks(20, "q2", "r0", Referee.Kind.REPEATABLE);
+        asks(20, "q2", "r0", InvariantChecker.Kind.REPEATABLE);
         here.add(at(30), to -> to.routerBack("r0"));
         assertEquals(List.of(), broken());
-        asks(40, "q3", "r0", Referee.Kind.REPEATABLE);
+        asks(40, "q3", "r0", InvariantChecker.Kind.REPEATABLE);
         breaks(1, "no answer");
     }
 
     @Test
     void rule2ASideEffectRunAtTwoNodesOrAfterARejection() throws IOException {
-        asks(0, "q1", "r0", Referee.Kind.SIDE_EFFECTING);
+        asks(0, "q1", "r0", InvariantChecker.Kind.SIDE_EFFECTING);
         runs(n0, "n0", 10, "q1", KEYS);
         runs(n1, "n1", 300, "q1", KEYS);
         breaks(2, "have run twice");
-        asks(0, "q2", "r0", Referee.Kind.SIDE_EFFECTING);
+        asks(0, "q2", "r0", InvariantChecker.Kind.SIDE_EFFECTING);
         here.rejected(at(5), "q2");
         runs(n1, "n1", 10, "q2", KEYS);
         breaks(2, "rejected as never run");
@@ -137,11 +144,11 @@
     @Test
     void rule3ACallToANodeThatDrains() throws IOException {
         here.add(at(0), to -> to.told(at(0), "n0", true));
-        asks(2900, "q1", "r0", Referee.Kind.REPEATABLE);
+        asks(2900, "q1", "r0", InvariantChecker.Kind.REPEATABLE);
         runs(n0, "n0", 2950, "q1", KEYS);
         answers(3010, "q1", false, KEYS, OTHER);
         assertEquals(List.of(), broken());
-        asks(3000, "q2", "r0", Referee.Kind.REPEATABLE);
+        asks(3000, "q2", "r0", InvariantChecker.Kind.REPEATABLE);
         runs(n0, "n0", 3100, "q2", KEYS);
         breaks(3, "drains");
     }
@@ -154,7 +161,7 @@
     void rule4TheSumOverRoutersIsMoreThanAColdNodeMayBeSent() throws IOException {
         n0.nodeStarted(at(1000), "n0");
         for (int i = 0; i < 50; i++) {
-            asks(1000, "q" + i, "r" + i % 5, Referee.Kind.REPEATABLE);
+            asks(1000, "q" + i, "r" + i % 5, InvariantChecker.Kind.REPEATABLE);
             runs(n0, "n0", 1001 + 2 * i, "q" + i, KEYS);
             answers(1500, "q" + i, false, KEYS, OTHER);
             if (i == 38) {
@@ -168,23 +175,27 @@
 
     @Test
     void rule5UnderTheFloorAWrongMarkAndAValueOfNobody() throws IOException {
-        asks(0, "q1", "r0", Referee.Kind.REPEATABLE);
+        asks(0, "q1", "r0", InvariantChecker.Kind.REPEATABLE);
         answers(10, "q1", false, KEYS);
         breaks(5, "under the floor");
-        asks(0, "q2", "r0", Referee.Kind.REPEATABLE);
+        asks(0, "q2", "r0", InvariantChecker.Kind.REPEATABLE);
         answers(10, "q2", true, OTHER);
         breaks(5, "marked whole");
-        asks(0, "q3", "r0", Referee.Kind.REPEATABLE);
+        asks(0, "q3", "r0", InvariantChecker.Kind.REPEATABLE);
         here.answered(
-                at(10), "q3", false, Load.FIXED, List.of(new Referee.Value(OTHER, "made up")));
+                at(10),
+                "q3",
+                false,
+                LoadGenerator.FIXED,
+                List.of(new InvariantChecker.Value(OTHER, "made up")));
         breaks(5, "no node made");
     }
 
     @Test
     void rule6MoreFurtherCallsThanTheBudgetOfTheirRouter() throws IOException {
-        asks(0, "q1", "r0", Referee.Kind.REPEATABLE);
+        asks(0, "q1", "r0", InvariantChecker.Kind.REPEATABLE);
         for (int i = 0; i < 60; i++) {
-            n0.called(at(10 + i), "n0", "q1", "q1.0", KEYS, 0, ProcessFleet.WORK);
+            n0.called(at(10 + i), "n0", "q1", "q1.0", KEYS, 0, ProcessCluster.WORK);
         }
         breaks(6, "further calls");
     }
