--- a/src/main/java/postbeam/testbed/simulation/MigrationSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/MigrationSimulation.java
@@ -33,8 +33,7 @@
 import postbeam.slices.Move;
 import postbeam.slices.MoveJournalState;
 import postbeam.slices.Slice;
-import postbeam.testbed.trials.MigrationTrial;
-import postbeam.testbed.trials.Trial;
+import postbeam.testbed.verification.TrialResult;
 
 /**
  * Two members' migrations in one thread on a clock that jumps, every choice from one seed:
@@ -93,7 +92,7 @@
     }
 
     final UniformRandomProvider chance;
-    final MigrationTrial.Defect defect;
+    final DefectiveMigration.Defect defect;
     final List<SimulatedMigrationNode> nodes = new ArrayList<>();
     final Set<String> gone = new LinkedHashSet<>();
     final List<SimulatedMigrationCoordinator.Stored> log = new ArrayList<>();
@@ -128,7 +127,7 @@
     private long turns;
     private boolean calm;
 
-    public MigrationSimulation(long seed, MigrationTrial.Defect defect, boolean faults) {
+    public MigrationSimulation(long seed, DefectiveMigration.Defect defect, boolean faults) {
         this.seed = seed;
         this.defect = defect;
         this.faults = faults;
@@ -224,7 +223,7 @@
 
     // ---- the run
 
-    public Trial.Result run() {
+    public TrialResult run() {
         chief = new SimulatedMigrationCoordinator(this);
         routers.forEach(this::poll);
         after(Duration.ofMillis(100), this::load);
@@ -249,7 +248,7 @@
         if (broken.isEmpty()) {
             end();
         }
-        return new Trial.Result(List.of(figures()), List.copyOf(broken));
+        return new TrialResult(List.of(figures()), List.copyOf(broken));
     }
 
     /** The load is over, and all that it left. */
--- a/src/main/java/postbeam/testbed/simulation/SimulatedMigrationCoordinator.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedMigrationCoordinator.java
@@ -27,7 +27,6 @@
 import postbeam.slices.MoveJournalState;
 import postbeam.slices.MoveLimits;
 import postbeam.slices.TargetLayout;
-import postbeam.testbed.trials.MigrationTrial;
 
 /**
  * One coordinator's process on the jumping clock: dies at a record, is stopped and woken, and has a
@@ -95,7 +94,7 @@
             }
         }
         coordinator = new Coordinator(moves, MOVES);
-        migrations = MigrationTrial.planted(world.defect, coordinator, book, world.now);
+        migrations = DefectiveMigration.create(world.defect, coordinator, book, world.now);
         term = moves.term() + 1;
         JournalRecord.TermStarted office = new JournalRecord.TermStarted(term);
         moves.apply(office);
@@ -230,7 +229,7 @@
         at = last != null && last.compareTo(at) > 0 ? last : at;
         lastTold.put(tell.node(), at);
         boolean keepsOld =
-                world.defect == MigrationTrial.Defect.ROLLBACK_LOSES
+                world.defect == DefectiveMigration.Defect.ROLLBACK_LOSES
                         && tell.command() == HandoffCommand.COPY
                         && goesBack(tell.move());
         world.after(
@@ -290,12 +289,12 @@
 
     /** An operator's order; the error where it was refused, else null. */
     OperatorErrorException ordered(
-            java.util.function.Function<MigrationManager, MigrationTrial.Ordered> order) {
+            java.util.function.Function<MigrationManager, OperatorCommand> order) {
         OperatorErrorException[] refused = new OperatorErrorException[1];
         happens(
                 () -> {
                     try {
-                        carryOut(order.apply(migrations).give());
+                        carryOut(order.apply(migrations).run());
                     } catch (OperatorErrorException e) {
                         refused[0] = e;
                     }
--- a/src/main/java/postbeam/testbed/trials/CoordinationTrial.java
+++ b/src/main/java/postbeam/testbed/trials/CoordinationTrial.java
@@ -9,6 +9,7 @@
 import postbeam.testbed.simulation.CoordinationSimulation;
 import postbeam.testbed.simulation.DefectiveCoordination;
 import postbeam.testbed.simulation.GossipSimulation;
+import postbeam.testbed.verification.TrialResult;
 
 /**
  * What routers share keeps its bounds under random schedules of all that can fail, on the jumping
@@ -49,7 +50,7 @@
     }
 
     @Override
-    public Result run(long seed, String defect) {
+    public TrialResult run(long seed, String defect) {
         // What may be under way is little, so that little hides in it. Every second seed has leases
         // that outlast offices,
         // every fourth has more routers than parts that hold a leaf call.
@@ -82,7 +83,7 @@
         List<String> broken = new ArrayList<>(hearsay.run());
         broken.addAll(world.run());
         CoordinationSimulation.Use use = world.use();
-        return new Result(
+        return new TrialResult(
                 List.of(
                         String.format(
                                 Locale.ROOT,
--- a/src/main/java/postbeam/testbed/trials/LoopbackReshardingTrial.java
+++ b/src/main/java/postbeam/testbed/trials/LoopbackReshardingTrial.java
@@ -16,6 +16,7 @@
 import postbeam.testbed.cluster.LoopbackCluster;
 import postbeam.testbed.fakes.FakeDataNode;
 import postbeam.testbed.simulation.DefectiveSlicing;
+import postbeam.testbed.verification.TrialResult;
 
 /**
  * Re-cuts under steady load on loopback sockets: the product's routers and layout service, stand-in
@@ -73,7 +74,7 @@
     }
 
     @Override
-    public Result run(long seed, String defect) {
+    public TrialResult run(long seed, String defect) {
         List<String> figures = new ArrayList<>();
         List<String> broken = new ArrayList<>();
         try {
@@ -86,7 +87,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        return new Result(figures, broken);
+        return new TrialResult(figures, broken);
     }
 
     private void one(
--- a/src/main/java/postbeam/testbed/trials/PagingTrial.java
+++ b/src/main/java/postbeam/testbed/trials/PagingTrial.java
@@ -5,6 +5,7 @@
 import java.util.stream.Stream;
 import postbeam.testbed.simulation.DefectivePageAssembly;
 import postbeam.testbed.simulation.PagingSimulation;
+import postbeam.testbed.verification.TrialResult;
 
 /**
  * Pages through changing routers while slices are re-cut and ranges go missing, against a plain
@@ -35,7 +36,7 @@
     }
 
     @Override
-    public Result run(long seed, String defect) {
+    public TrialResult run(long seed, String defect) {
         PagingSimulation world =
                 new PagingSimulation(
                         seed,
@@ -44,7 +45,7 @@
                                 : DefectivePageAssembly.Defect.valueOf(
                                         defect.toUpperCase(Locale.ROOT).replace('-', '_')));
         List<String> broken = world.run();
-        return new Result(
+        return new TrialResult(
                 List.of(
                         String.format(
                                 Locale.ROOT,
--- a/src/main/java/postbeam/testbed/trials/ProcessClusterTrial.java
+++ b/src/main/java/postbeam/testbed/trials/ProcessClusterTrial.java
@@ -14,6 +14,7 @@
 import postbeam.testbed.cluster.LoadGenerator;
 import postbeam.testbed.cluster.ProcessCluster;
 import postbeam.testbed.verification.InvariantChecker;
+import postbeam.testbed.verification.TrialResult;
 
 /**
  * Processes of the built program under load, with faults between and to them, each drawn from the
@@ -78,7 +79,7 @@
     }
 
     @Override
-    public Result run(long seed, String defect) {
+    public TrialResult run(long seed, String defect) {
         List<String> figures = new ArrayList<>();
         List<String> broken = new ArrayList<>();
         UnaryOperator<String> altered =
@@ -127,7 +128,7 @@
             Thread.currentThread().interrupt();
             broken.add("interrupted");
         }
-        return new Result(figures, broken);
+        return new TrialResult(figures, broken);
     }
 
     /** The faults of a seed; each is over by the end. */
--- a/src/main/java/postbeam/testbed/trials/ReshardingTrial.java
+++ b/src/main/java/postbeam/testbed/trials/ReshardingTrial.java
@@ -6,6 +6,7 @@
 import java.util.stream.Stream;
 import postbeam.testbed.simulation.DefectiveSlicing;
 import postbeam.testbed.simulation.SimulatedCluster;
+import postbeam.testbed.verification.TrialResult;
 
 /**
  * Re-cuts under load and troubles on the jumping clock: fast, so that many seeds meet rare things.
@@ -44,7 +45,7 @@
     }
 
     @Override
-    public Result run(long seed, String defect) {
+    public TrialResult run(long seed, String defect) {
         // Every third seed is a small one where all is held nearly everywhere: there slices split
         // and merge all the time.
         SimulatedCluster.Plan plan =
@@ -71,7 +72,7 @@
                                 defect(defect));
         SimulatedCluster cluster = new SimulatedCluster(plan, seed);
         List<String> broken = cluster.run();
-        return new Result(
+        return new TrialResult(
                 List.of(
                         String.format(
                                 Locale.ROOT,
--- a/src/main/java/postbeam/testbed/trials/SlowStartUsageTrial.java
+++ b/src/main/java/postbeam/testbed/trials/SlowStartUsageTrial.java
@@ -6,6 +6,7 @@
 import java.util.Locale;
 import postbeam.coordination.LeaseParameters;
 import postbeam.testbed.simulation.CoordinationSimulation;
+import postbeam.testbed.verification.TrialResult;
 
 /**
  * How much of cold nodes' budgets routers use, one of three busier than the others: figures for
@@ -36,7 +37,7 @@
     }
 
     @Override
-    public Result run(long seed, String defect) {
+    public TrialResult run(long seed, String defect) {
         Duration use = Duration.ofMillis(600);
         List<String> figures = new ArrayList<>();
         List<String> broken = new ArrayList<>();
@@ -50,7 +51,7 @@
         LeaseParameters leases = CoordinationTrial.leases(ROUTERS, use, 0.25, 0.1, 0.04);
         one(seed, "leases", leases, 0, figures, broken);
         one(seed, "leases, 2 of 5 cut off", leases, 2, figures, broken);
-        return new Result(figures, broken);
+        return new TrialResult(figures, broken);
     }
 
     private static void one(
--- a/src/main/java/postbeam/testbed/trials/Trial.java
+++ b/src/main/java/postbeam/testbed/trials/Trial.java
@@ -1,6 +1,7 @@
 package postbeam.testbed.trials;
 
 import java.util.List;
+import postbeam.testbed.verification.TrialResult;
 
 /** A proof that anyone can run again with other seeds. */
 public interface Trial {
@@ -18,8 +19,5 @@
     }
 
     /** Runs one seed with a defect or, where that is null, without. */
-    Result run(long seed, String defect);
-
-    /** Figures, a line each, and what broke; the latter empty where all rules held. */
-    record Result(List<String> figures, List<String> broken) {}
+    TrialResult run(long seed, String defect);
 }
--- a/src/main/java/postbeam/testbed/trials/TrialCommand.java
+++ b/src/main/java/postbeam/testbed/trials/TrialCommand.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import java.util.concurrent.ForkJoinPool;
 import java.util.stream.LongStream;
+import postbeam.testbed.verification.TrialResult;
 
 /**
  * Runs trials: prints a line a figure, and ends with 0 if all rules held, else 1 and how to run the
@@ -155,7 +156,7 @@
                         .parallel()
                         .filter(
                                 seed -> {
-                                    Trial.Result result = trial.run(seed, plant);
+                                    TrialResult result = trial.run(seed, plant);
                                     if (range[1] - range[0] < 20 || !result.broken().isEmpty()) {
                                         result.figures().forEach(out::line);
                                     }
--- /dev/null
+++ b/src/main/java/postbeam/testbed/verification/TrialResult.java
@@ -0,0 +1,11 @@
+package postbeam.testbed.verification;
+
+import java.util.List;
+
+/**
+ * What one seed of a trial showed.
+ *
+ * @param figures measured figures, a line each
+ * @param broken broken rules, a line each; empty where all rules held
+ */
+public record TrialResult(List<String> figures, List<String> broken) {}
