--- a/src/main/java/postbeam/config/PolicyFactory.java
+++ b/src/main/java/postbeam/config/PolicyFactory.java
@@ -8,8 +8,12 @@
 import postbeam.model.QueryClass;
 import postbeam.model.SideEffects;
 import postbeam.model.Tenant;
+import postbeam.policy.AdmissionControl;
+import postbeam.policy.AttemptLimits;
 import postbeam.policy.PolicyActions;
+import postbeam.policy.RetryBudget;
 import postbeam.policy.RoutingPolicy;
+import postbeam.policy.SlowStart;
 
 /**
  * Builds what the decisions need from the settings that an instance is told, for every door alike.
@@ -78,29 +82,28 @@
         Double followUp = info.listEntry("domain.followUp", i);
         double whole = need == null ? DEFAULT_COMPLETE_FRACTION : need;
         double least = floor == null ? whole : floor;
-        QueryClass one =
-                new QueryClass(
-                        info.duration(path + "promise"),
-                        effect,
-                        info.duration(path + "repeatWindow"),
-                        utility == null ? DEFAULT_UTILITY : utility,
-                        late == null ? DEFAULT_LATE_UTILITY : late,
-                        whole,
-                        least,
-                        shortUtility == null ? DEFAULT_PARTIAL_UTILITY : shortUtility);
-        one.totalClientTimeout = info.duration(path + "deadline");
-        return followUp == null || followUp < 1
-                ? one
-                : one.withSecondStep(
-                        new QueryClass(
-                                one.latencyObjective,
-                                effect,
-                                one.deduplicationWindow,
-                                one.utility,
-                                one.lateUtility,
+        QueryClass first =
+                QueryClass.builder(info.duration(path + "promise"), effect)
+                        .deduplicationWindow(info.duration(path + "repeatWindow"))
+                        .utility(
+                                utility == null ? DEFAULT_UTILITY : utility,
+                                late == null ? DEFAULT_LATE_UTILITY : late)
+                        .weights(whole, least)
+                        .partialUtility(
+                                shortUtility == null ? DEFAULT_PARTIAL_UTILITY : shortUtility)
+                        .totalClientTimeout(info.duration(path + "deadline"))
+                        .build();
+        if (followUp == null || followUp < 1) {
+            return first;
+        }
+        QueryClass second =
+                first.toBuilder()
+                        .weights(
                                 DEFAULT_COMPLETE_FRACTION,
-                                least < whole ? least : DEFAULT_COMPLETE_FRACTION,
-                                one.partialUtility));
+                                least < whole ? least : DEFAULT_COMPLETE_FRACTION)
+                        .totalClientTimeout(null)
+                        .build();
+        return first.toBuilder().secondStep(second).build();
     }
 
     public static Map<String, Tenant> tenants(InstanceSettings info) {
@@ -120,24 +123,24 @@
                 actions,
                 chance,
                 cluster,
-                new RoutingPolicy.AdmissionControl(
+                new AdmissionControl(
                         info.integer("caps.mostHeld"),
                         routers,
                         info.number("overShareWorth"),
                         Boolean.FALSE.equals(info.flag("caps.retryAfter"))
                                 ? null
                                 : info.duration("caps.maxRetryAfter")),
-                new RoutingPolicy.AttemptLimits(
+                new AttemptLimits(
                         info.integer("caps.maxAttempts"),
                         info.flag("caps.mayDuplicate"),
                         info.flag("caps.cancelling"),
                         info.flag("caps.probes"),
                         info.integer("domain.partsACall")),
-                new RoutingPolicy.RetryBudget(
+                new RetryBudget(
                         info.number("obligations.spareAttempts"),
                         info.number("obligations.budgetShare"),
                         info.duration("obligations.extraWindow")),
-                new RoutingPolicy.SlowStart(
+                new SlowStart(
                         info.number("obligations.coldFrom"),
                         info.duration("obligations.rampTime"),
                         info.number("obligations.fallMultiple"),
--- a/src/main/java/postbeam/model/Attempt.java
+++ b/src/main/java/postbeam/model/Attempt.java
@@ -2,39 +2,37 @@
 
 import java.time.Duration;
 
-/** One sending of a part to a data node. */
+/** One sending of a shard request to a data node. */
 public final class Attempt {
+    /** What was sent. */
     public final ShardRequest shardRequest;
+
+    /** The node that it was sent to. */
     public final DataNode node;
+
+    /** When it was sent. */
     public final Duration sentAt;
 
-    /** Null: until the client gives up. */
+    /** How long its outcome is waited for; null where that is until the client gives up. */
     public final Duration timeout;
 
-    /** Place among the leaf calls of the part, from 0. */
+    /** Its place among the attempts of the shard request, from 0. */
     public final int index;
 
-    /**
-     * Its bytes may not go later than this, however long they wait for their turn; null: at any
-     * time.
-     */
     private Duration sendDeadline;
-
-    /** It went ahead of its query's other parts. */
     private boolean canary;
-
     private boolean cancellationRequested;
     private boolean ended;
 
-    public Attempt(ShardRequest request, DataNode node, Duration sentAt, Duration timeout) {
-        this.shardRequest = request;
+    /** Creates an attempt that is in flight from now on, at its shard request and at its node. */
+    public Attempt(ShardRequest shardRequest, DataNode node, Duration sentAt, Duration timeout) {
+        this.shardRequest = shardRequest;
         this.node = node;
         this.sentAt = sentAt;
         this.timeout = timeout;
-        this.index = request.attempts.size();
-        request.attempts.add(this);
-        request.attemptsInFlight.add(this);
-        node.attemptsInFlight.add(this);
+        this.index = shardRequest.attempts.size();
+        shardRequest.add(this);
+        node.add(this);
     }
 
     /** Its bytes may not be sent later than this; null where they may at any time. */
@@ -47,17 +45,19 @@
         sendDeadline = at;
     }
 
-    /** Whether it goes ahead of its query's other parts, to show that the query crashes no node. */
+    /**
+     * Whether it goes ahead of its query's other requests, to show that the query crashes no node.
+     */
     public boolean isCanary() {
         return canary;
     }
 
-    /** It goes ahead of its query's other parts. */
+    /** It goes ahead of its query's other requests. */
     public void markCanary() {
         canary = true;
     }
 
-    /** Whether it is no longer wanted, and the node is told so. */
+    /** Whether it is no longer wanted, and its node is told so. */
     public boolean isCancellationRequested() {
         return cancellationRequested;
     }
@@ -75,7 +75,7 @@
     /** Its outcome is known: it is in flight no more. */
     public void end() {
         ended = true;
-        shardRequest.attemptsInFlight.remove(this);
-        node.attemptsInFlight.remove(this);
+        shardRequest.remove(this);
+        node.remove(this);
     }
 }
--- a/src/main/java/postbeam/model/CellPlacement.java
+++ b/src/main/java/postbeam/model/CellPlacement.java
@@ -5,24 +5,23 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The fixed rule: a shard is held by the nodes of its cell and of the next ones. */
+/** The fixed placement: a shard is held by the nodes of its cell and of the next ones. */
 public final class CellPlacement implements ReplicaPlacement {
-    private final List<List<DataNode>> cells = new ArrayList<>();
+    private final List<List<DataNode>> nodesByCell = new ArrayList<>();
 
-    /** The holders of a cell's shards, in order; null after a change. */
-    private final List<List<DataNode>> holders = new ArrayList<>();
-
-    /** How many cells in a row hold a shard. */
-    private final int reach;
+    /** The replicas of each cell's shards, in order; null after a change. */
+    private final List<List<DataNode>> replicasByCell = new ArrayList<>();
 
+    private final int replicationFactor;
     private Comparator<DataNode> order;
 
-    public CellPlacement(int cellCount, int reach) {
+    /** Creates a placement over so many cells, where so many cells in a row hold a shard. */
+    public CellPlacement(int cellCount, int replicationFactor) {
         for (int i = 0; i < cellCount; i++) {
-            cells.add(new ArrayList<>());
-            holders.add(null);
+            nodesByCell.add(new ArrayList<>());
+            replicasByCell.add(null);
         }
-        this.reach = reach;
+        this.replicationFactor = replicationFactor;
     }
 
     @Override
@@ -32,45 +31,50 @@
 
     @Override
     public void add(DataNode node) {
-        cells.get(node.cell).add(node);
-        changed(node);
+        nodesByCell.get(node.cell).add(node);
+        invalidateReplicas(node);
     }
 
     @Override
     public void remove(DataNode node) {
-        cells.get(node.cell).remove(node);
-        changed(node);
+        nodesByCell.get(node.cell).remove(node);
+        invalidateReplicas(node);
     }
 
-    private void changed(DataNode node) {
-        for (int j = 0; j < reach; j++) {
-            holders.set(Math.floorMod(node.cell - j, cells.size()), null);
+    private void invalidateReplicas(DataNode node) {
+        for (int i = 0; i < replicationFactor; i++) {
+            replicasByCell.set(Math.floorMod(node.cell - i, nodesByCell.size()), null);
         }
     }
 
     @Override
     public List<DataNode> replicas(int shard) {
-        int cell = shard % cells.size();
-        List<DataNode> found = holders.get(cell);
-        if (found == null) {
-            found = new ArrayList<>();
-            for (int j = 0; j < reach; j++) {
-                found.addAll(cells.get((cell + j) % cells.size()));
-            }
-            if (order != null) {
-                found.sort(order);
-            }
-            holders.set(cell, found);
+        int cell = shard % nodesByCell.size();
+        List<DataNode> replicas = replicasByCell.get(cell);
+        if (replicas == null) {
+            replicas = findReplicas(cell);
+            replicasByCell.set(cell, replicas);
+        }
+        return replicas;
+    }
+
+    private List<DataNode> findReplicas(int cell) {
+        List<DataNode> replicas = new ArrayList<>();
+        for (int i = 0; i < replicationFactor; i++) {
+            replicas.addAll(nodesByCell.get((cell + i) % nodesByCell.size()));
+        }
+        if (order != null) {
+            replicas.sort(order);
         }
-        return found;
+        return replicas;
     }
 
     @Override
     public int replicationFactor() {
-        return reach;
+        return replicationFactor;
     }
 
-    /** Shards stay where they are. */
+    /** Always null: shards stay where they are. */
     @Override
     public Duration acquiredAt(int shard, DataNode node) {
         return null;
--- a/src/main/java/postbeam/model/Cluster.java
+++ b/src/main/java/postbeam/model/Cluster.java
@@ -6,82 +6,61 @@
 import java.util.List;
 import java.util.Set;
 
-/** The data nodes on this router's list, which of them hold a shard, and which answered last. */
+/** The data nodes on this router's endpoint list, and which of them hold a shard. */
 public final class Cluster {
     private final ReplicaPlacement placement;
     private final Set<DataNode> nodes = new LinkedHashSet<>();
 
-    /** Those that have answered, the latest last. */
-    private final LinkedHashSet<DataNode> recordAnswer = new LinkedHashSet<>();
-
-    /** Shards are held by the fixed rule. */
-    public Cluster(int cellCount, int reach) {
-        this(new CellPlacement(cellCount, reach));
+    /** Creates a cluster without nodes, whose shards are placed by cell. */
+    public Cluster(int cellCount, int replicationFactor) {
+        this(new CellPlacement(cellCount, replicationFactor));
     }
 
+    /** Creates a cluster without nodes, whose shards are placed so. */
     public Cluster(ReplicaPlacement placement) {
         this.placement = placement;
     }
 
-    /** The order of replica lists; nodes that it holds equal stand in the order of the source. */
+    /**
+     * Sets the order of replica lists; nodes that compare equal keep the order of the placement.
+     */
     public void setReplicaOrder(Comparator<DataNode> order) {
         placement.setReplicaOrder(order);
     }
 
+    /** The node has come onto the endpoint list. */
     public void add(DataNode node) {
         nodes.add(node);
         placement.add(node);
     }
 
+    /** The node has gone from the endpoint list. */
     public void remove(DataNode node) {
         nodes.remove(node);
-        recordAnswer.remove(node);
         placement.remove(node);
     }
 
-    public int size() {
-        return nodes.size();
+    /** Whether the node is on the endpoint list. */
+    public boolean contains(DataNode node) {
+        return nodes.contains(node);
     }
 
-    public void recordAnswer(DataNode node) {
-        if (nodes.contains(node)) {
-            recordAnswer.remove(node);
-            recordAnswer.add(node);
-        }
-    }
-
-    /**
-     * Slowness of the node at this place, from 0 to 1, among those that answered since; 0 where
-     * none did.
-     */
-    public double slowdownAtQuantile(double place, Duration since) {
-        while (!recordAnswer.isEmpty()) {
-            DataNode oldest = recordAnswer.iterator().next();
-            if (oldest.lastAnsweredAt.compareTo(since) > 0) {
-                break;
-            }
-            recordAnswer.remove(oldest);
-        }
-        double[] slow =
-                recordAnswer.stream()
-                        .mapToDouble(node -> node.slowdown)
-                        .filter(s -> s > 0)
-                        .sorted()
-                        .toArray();
-        return slow.length == 0 ? 0 : slow[(int) (slow.length * place)];
+    /** How many nodes are on the endpoint list. */
+    public int size() {
+        return nodes.size();
     }
 
-    /** The nodes that hold the shard, as a list that is not to be changed. */
+    /** The nodes that hold the shard, in order; a list not to be changed, empty where none does. */
     public List<DataNode> replicas(int shard) {
         return placement.replicas(shard);
     }
 
-    /** How many nodes hold a shard. */
+    /** How many nodes hold a shard, on the mean and rounded up; 1 at least. */
     public int replicationFactor() {
         return placement.replicationFactor();
     }
 
-    /** When this node took the shard over from another; null: not known, or long ago. */
+    /** When the node acquired the shard from another; null where not known, or long ago. */
     public Duration acquiredAt(int shard, DataNode node) {
         return placement.acquiredAt(shard, node);
     }
--- a/src/main/java/postbeam/model/DataNode.java
+++ b/src/main/java/postbeam/model/DataNode.java
@@ -1,45 +1,30 @@
 package postbeam.model;
 
 import java.time.Duration;
+import java.util.Collections;
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** A data node as this router knows it. */
-public final class DataNode extends HealthState {
+/**
+ * A data node as one router knows it: its place, what the endpoint list says, what is in flight.
+ */
+public final class DataNode {
+    /** The cell it belongs to, from 0, where shards are placed by cell. */
     public final int cell;
-    public final Zone zone;
-    private Readiness readiness = Readiness.READY;
-    private Duration startedAt;
-
-    /** When it last could not be reached, unless it is known to have started since; null: never. */
-    public Duration unreachableAt;
-
-    /** The leaf calls without an outcome yet, oldest first. */
-    public final Set<Attempt> attemptsInFlight = new LinkedHashSet<>();
-
-    /** What it was lately sent, in seconds of work; set up by the one who measures. */
-    public SlidingWindowCounter recentWorkSent;
-
-    /** The same for shards it has lately taken over from others; null until there are such. */
-    public SlidingWindowCounter recentWorkOnAcquiredShards;
-
-    /** Drawn from 0 to 1 when it was first listed; set up by the one who measures. */
-    public double samplingThreshold;
 
-    /** Smoothed time of its answers beside the quiet time of their vertical; 0 before the first. */
-    public double slowdown;
-
-    public Duration lastAnsweredAt;
+    /** The zone it is in. */
+    public final Zone zone;
 
-    /** When the last sent of its answered calls was sent. */
-    public Duration latestAnsweredSendTime;
+    private final Set<Attempt> inFlight = new LinkedHashSet<>();
 
-    /** When its zone last counted it. */
-    public Duration countedByZoneAt;
+    /** The attempts without an outcome, oldest first; a view that can't be changed. */
+    public final Set<Attempt> attemptsInFlight = Collections.unmodifiableSet(inFlight);
 
-    /** A probe is out. */
-    public boolean probeInFlight;
+    private Readiness readiness = Readiness.READY;
+    private Duration startedAt;
+    private Object policyState;
 
+    /** Creates a node that is ready, of which no start is known. */
     public DataNode(int cell, Zone zone) {
         this.cell = cell;
         this.zone = zone;
@@ -50,53 +35,50 @@
         return readiness;
     }
 
-    /** When it last started, by the endpoint list; null: not known, or long ago. */
+    /** When it last started, by the endpoint list; null where not known, or long ago. */
     public Duration startedAt() {
         return startedAt;
     }
 
-    /** The endpoint list says this of it. */
+    /** Takes over what the endpoint list says of it. */
     public void update(Readiness readiness, Duration startedAt) {
         this.readiness = readiness;
         this.startedAt = startedAt;
     }
 
-    /**
-     * From when on it may have been cold: the list tells of a start late. Null: not known, or long
-     * ago.
-     */
-    public Duration warmingUpSince() {
-        return unreachableAt == null || startedAt != null && startedAt.compareTo(unreachableAt) > 0
-                ? startedAt
-                : unreachableAt;
+    /** What the routing policy remembers of it, opaque to all others; null before it was listed. */
+    public Object policyState() {
+        return policyState;
     }
 
-    /** Calls out, where parts sent in one turn count as one. */
+    /** Sets what the routing policy remembers of it; called once, by the policy. */
+    public void attachPolicyState(Object state) {
+        policyState = state;
+    }
+
+    /** How many batches are in flight, where attempts sent at one time travel in one batch. */
     public int batchesInFlight() {
-        int calls = 0;
-        Duration last = null;
-        for (Attempt attempt : attemptsInFlight) {
-            if (!attempt.sentAt.equals(last)) {
-                calls++;
-                last = attempt.sentAt;
+        int batches = 0;
+        Duration lastSentAt = null;
+        for (Attempt attempt : inFlight) {
+            if (!attempt.sentAt.equals(lastSentAt)) {
+                batches++;
+                lastSentAt = attempt.sentAt;
             }
         }
-        return calls;
+        return batches;
     }
 
+    /** The attempt that has been in flight for longest; null where none is. */
     public Attempt oldestAttemptInFlight() {
-        return attemptsInFlight.isEmpty() ? null : attemptsInFlight.iterator().next();
+        return inFlight.isEmpty() ? null : inFlight.iterator().next();
     }
 
-    public boolean hasAnsweredSince(Duration since) {
-        return lastAnsweredAt != null && lastAnsweredAt.compareTo(since) >= 0;
+    void add(Attempt attempt) {
+        inFlight.add(attempt);
     }
 
-    /** It has answered a call sent then. */
-    public void recordAnswer(Duration now, Duration sentAt) {
-        lastAnsweredAt = now;
-        if (latestAnsweredSendTime == null || latestAnsweredSendTime.compareTo(sentAt) < 0) {
-            latestAnsweredSendTime = sentAt;
-        }
+    void remove(Attempt attempt) {
+        inFlight.remove(attempt);
     }
 }
--- a/src/main/java/postbeam/model/Query.java
+++ b/src/main/java/postbeam/model/Query.java
@@ -2,54 +2,48 @@
 
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Collections;
 import java.util.List;
 import java.util.function.Predicate;
 
-/** A query that this router has taken. */
+/**
+ * A query that this router has accepted: its promises, its shard requests, and how far they are.
+ */
 public final class Query {
-    /** That of the step it is in. */
-    private QueryClass queryClass;
+    /** Share of a request: rounding of weights makes a query need no further request. */
+    private static final double NEEDED_TOLERANCE = 0.001;
 
-    /** Null where the deployment has no customers. */
+    /** The tenant that it belongs to; null where the deployment has none. */
     public final Tenant tenant;
 
+    /** When it arrived at this router. */
     public final Duration arrivedAt;
 
-    /**
-     * When its client first asked, as far as can be told: earlier than it arrived where it is a
-     * repeat.
-     */
-    private Duration firstRequestedAt;
+    /** When its client stops waiting. */
+    public final Duration deadline;
 
-    /** Its client marks it as a repeat. */
-    private boolean clientRetry;
+    private final List<ShardRequest> requests = new ArrayList<>();
+    private final List<ShardRequest> answeredRequests = new ArrayList<>();
 
-    /** When the client stops waiting. */
-    public final Duration deadline;
+    /** The requests of its present step; a view that can't be changed. */
+    public final List<ShardRequest> shardRequests = Collections.unmodifiableList(requests);
 
-    public final List<ShardRequest> shardRequests = new ArrayList<>();
+    /** The requests of its first step once that is answered, else empty; a view. */
+    public final List<ShardRequest> firstStepRequests =
+            Collections.unmodifiableList(answeredRequests);
 
-    /** Place in the replica lists of its shards; below 0 before it is chosen. */
+    private QueryClass queryClass;
+    private Duration firstRequestedAt;
+    private boolean clientRetry;
     private int replicaOffset = -1;
-
     private boolean ended;
-
-    /**
-     * Parts of its first step, once that is answered; empty before, and where there is no second.
-     */
-    public final List<ShardRequest> firstStepRequests = new ArrayList<>();
-
-    /** How weights count where slices are re-cut; null: each part counts by itself. */
     private CompletenessRule completenessRule;
-
-    /** Its leaf calls that were reset; and it is held to crash the nodes that begin its parts. */
     private int resetCount;
-
     private boolean poisoned;
-
-    /** It came beyond its customer's share. */
     private boolean overQuota;
 
+    /** Creates a query without shard requests; the tenant is null where there are none. */
     public Query(QueryClass queryClass, Tenant tenant, Duration arrivedAt, Duration deadline) {
         this.queryClass = queryClass;
         this.tenant = tenant;
@@ -58,15 +52,12 @@
         this.deadline = deadline;
     }
 
-    /** The class of the step it is in: what its parts are now. */
+    /** The class of its present step. */
     public QueryClass queryClass() {
         return queryClass;
     }
 
-    /**
-     * When its client first asked for it, as far as is known: before it arrived where this is a
-     * retry.
-     */
+    /** When its client first asked, as far as known: before it arrived where this is a retry. */
     public Duration firstRequestedAt() {
         return firstRequestedAt;
     }
@@ -76,6 +67,11 @@
         firstRequestedAt = at;
     }
 
+    /** When its latency objective is over. */
+    public Duration sloDeadline() {
+        return firstRequestedAt.plus(queryClass.latencyObjective);
+    }
+
     /** Whether its client marks it as a retry. */
     public boolean isClientRetry() {
         return clientRetry;
@@ -96,12 +92,12 @@
         ended = true;
     }
 
-    /** Whether the place in the replica lists has been chosen for its present step. */
+    /** Whether its place in the replica lists is chosen for its present step. */
     public boolean hasReplicaOffset() {
         return replicaOffset >= 0;
     }
 
-    /** The place in the replica lists of its shards at which its parts begin. */
+    /** The place in its shards' replica lists at which its requests begin. */
     public int replicaOffset() {
         return replicaOffset;
     }
@@ -111,7 +107,7 @@
         replicaOffset = offset;
     }
 
-    /** How its weights count where slices are re-cut; null where each part counts by itself. */
+    /** How its weights count where slices are re-cut; null where each request counts by itself. */
     public CompletenessRule completenessRule() {
         return completenessRule;
     }
@@ -151,21 +147,18 @@
         overQuota = true;
     }
 
-    public Duration sloDeadline() {
-        return firstRequestedAt.plus(queryClass.latencyObjective);
-    }
-
+    /** The weight of the requests that are answered, from 0 to 1. */
     public double answeredWeight() {
-        return weightOf(request -> request.isAnswered());
+        return weightOf(ShardRequest::isAnswered);
     }
 
-    /** The weight that such parts make together. */
+    /** The weight that such requests make together, from 0 to 1. */
     public double weightOf(Predicate<ShardRequest> which) {
         if (completenessRule != null) {
             return completenessRule.weight(this, which);
         }
         double sum = 0;
-        for (ShardRequest request : shardRequests) {
+        for (ShardRequest request : requests) {
             if (which.test(request)) {
                 sum += request.weight;
             }
@@ -173,42 +166,59 @@
         return sum;
     }
 
+    /** How many such requests its present step has. */
     public int countRequests(Predicate<ShardRequest> which) {
         int count = 0;
-        for (ShardRequest request : shardRequests) {
+        for (ShardRequest request : requests) {
             count += which.test(request) ? 1 : 0;
         }
         return count;
     }
 
-    /** Parts still needed, taking those left at their mean weight. */
+    /**
+     * Answers still needed (the paper's alpha), taking unanswered requests at their mean weight.
+     */
     public int requestsNeeded() {
-        int unmerged = countRequests(request -> !request.isAnswered());
+        int unanswered = 0;
         double weight = 0;
-        for (ShardRequest request : shardRequests) {
-            weight += request.isAnswered() ? 0 : request.weight;
+        for (ShardRequest request : requests) {
+            if (!request.isAnswered()) {
+                unanswered++;
+                weight += request.weight;
+            }
         }
-        double share = (queryClass.requiredWeight - answeredWeight()) * unmerged / weight;
-        return weight <= 0 ? unmerged : (int) Math.min(unmerged, Math.ceil(share - 0.001));
+        double needed = (queryClass.requiredWeight - answeredWeight()) * unanswered / weight;
+        return weight <= 0
+                ? unanswered
+                : (int) Math.min(unanswered, Math.ceil(needed - NEEDED_TOLERANCE));
     }
 
-    /** Parts with a leaf call out and not merged. */
+    /** Unanswered requests with an attempt in flight. */
     public int requestsInFlight() {
         return countRequests(
                 request -> !request.isAnswered() && !request.attemptsInFlight.isEmpty());
     }
 
-    /** The first step is answered: its parts are over, those of the second are to come. */
+    /** Whether nothing was sent for it. */
+    public boolean hasNotStarted() {
+        return answeredRequests.isEmpty()
+                && countRequests(request -> !request.attempts.isEmpty()) == 0;
+    }
+
+    /** Its first step is answered: the requests of its second are to come. */
     public void beginSecondStep() {
-        firstStepRequests.addAll(shardRequests);
-        shardRequests.clear();
+        answeredRequests.addAll(requests);
+        requests.clear();
         queryClass = queryClass.secondStep;
         replicaOffset = -1;
     }
 
-    /** No leaf call was sent for it. */
-    public boolean hasNotStarted() {
-        return firstStepRequests.isEmpty()
-                && countRequests(request -> !request.attempts.isEmpty()) == 0;
+    /** Drops requests whose place others take. */
+    public void removeShardRequests(Collection<? extends ShardRequest> replaced) {
+        requests.removeAll(replaced);
+    }
+
+    void add(ShardRequest request) {
+        requests.add(request);
     }
 }
--- a/src/main/java/postbeam/model/QueryClass.java
+++ b/src/main/java/postbeam/model/QueryClass.java
@@ -2,98 +2,139 @@
 
 import java.time.Duration;
 
-/** A kind of query: what its clients were promised, and what has been seen of its parts. */
+/**
+ * A class of queries: what its clients were promised and what its answers are worth. Classes are
+ * compared by identity.
+ */
 public final class QueryClass {
+    /** Time from the client's first request within which an answer is on time. */
     public final Duration latencyObjective;
+
+    /** What a second execution of its shard requests does. */
     public final SideEffects sideEffects;
 
-    /** How long a repeat of a deduplicated part is dropped; null where not stated. */
+    /** How long nodes drop a second execution of a deduplicated request; null where not stated. */
     public final Duration deduplicationWindow;
 
+    /** What a complete answer on time earns. */
     public final double utility;
 
-    /** Share of the utility that an answer after the SLO time still earns. */
+    /** Share of the utility that an answer after the latency objective still earns. */
     public final double lateUtility;
 
-    /** Share of the weight that makes a whole answer, and the least share for any answer. */
+    /** Share of the weight that makes a complete answer, from 0 to 1. */
     public final double requiredWeight;
 
+    /** Least share of the weight for any answer, from 0 to 1. */
     public final double minimumWeight;
 
-    /** What a partial answer earns, times share / need. */
+    /** Share of the utility that a partial answer earns, times its weight over the required one. */
     public final double partialUtility;
 
-    /**
-     * What the parts are that come once a first answer is put together; null where a query has one
-     * step.
-     */
+    /** The class of the requests that follow a first answer; null where a query has one step. */
     public final QueryClass secondStep;
 
-    /** How long a client waits in all, with its repeats; null where not stated. Set up once. */
-    public Duration totalClientTimeout;
-
-    /** What clients wait at their first try, the shorter of late; null before one. */
-    public Duration firstTryTimeout;
-
-    /**
-     * Time that a part takes at a node with nothing else to do, as learnt; null before the first.
-     */
-    public Duration baselineLatency;
-
-    /** When an answer last told of it. */
-    public Duration baselineUpdatedAt = Duration.ZERO;
-
-    public QueryClass(
-            Duration sloTime,
-            SideEffects effect,
-            Duration repeatWindow,
-            double utility,
-            double lateUtility,
-            double need,
-            double floor,
-            double shortUtility) {
-        this(sloTime, effect, repeatWindow, utility, lateUtility, need, floor, shortUtility, null);
+    /** How long a client waits in all, with its retries; null where not stated. */
+    public final Duration totalClientTimeout;
+
+    private QueryClass(Builder builder) {
+        latencyObjective = builder.latencyObjective;
+        sideEffects = builder.sideEffects;
+        deduplicationWindow = builder.deduplicationWindow;
+        utility = builder.utility;
+        lateUtility = builder.lateUtility;
+        requiredWeight = builder.requiredWeight;
+        minimumWeight = builder.minimumWeight;
+        partialUtility = builder.partialUtility;
+        secondStep = builder.secondStep;
+        totalClientTimeout = builder.totalClientTimeout;
     }
 
-    private QueryClass(
-            Duration sloTime,
-            SideEffects effect,
-            Duration repeatWindow,
-            double utility,
-            double lateUtility,
-            double need,
-            double floor,
-            double shortUtility,
-            QueryClass second) {
-        this.latencyObjective = sloTime;
-        this.sideEffects = effect;
-        this.deduplicationWindow = repeatWindow;
-        this.utility = utility;
-        this.lateUtility = lateUtility;
-        this.requiredWeight = need;
-        this.minimumWeight = floor;
-        this.partialUtility = shortUtility;
-        this.secondStep = second;
+    /** Begins a class of queries that promises an answer within this time. */
+    public static Builder builder(Duration latencyObjective, SideEffects sideEffects) {
+        return new Builder(latencyObjective, sideEffects);
     }
 
-    /** The same with a second step. */
-    public QueryClass withSecondStep(QueryClass second) {
-        QueryClass both =
-                new QueryClass(
-                        latencyObjective,
-                        sideEffects,
-                        deduplicationWindow,
-                        utility,
-                        lateUtility,
-                        requiredWeight,
-                        minimumWeight,
-                        partialUtility,
-                        second);
-        both.totalClientTimeout = totalClientTimeout;
-        return both;
+    /** Begins a class that differs from this one in what is then set. */
+    public Builder toBuilder() {
+        Builder builder = new Builder(latencyObjective, sideEffects);
+        builder.deduplicationWindow = deduplicationWindow;
+        builder.utility = utility;
+        builder.lateUtility = lateUtility;
+        builder.requiredWeight = requiredWeight;
+        builder.minimumWeight = minimumWeight;
+        builder.partialUtility = partialUtility;
+        builder.secondStep = secondStep;
+        builder.totalClientTimeout = totalClientTimeout;
+        return builder;
     }
 
+    /** Whether less than all of its requests make a complete answer. */
     public boolean acceptsSubset() {
         return requiredWeight < 1;
     }
+
+    /** Sets up a class; what is not set promises least: all requests needed, nothing for less. */
+    public static final class Builder {
+        private final Duration latencyObjective;
+        private final SideEffects sideEffects;
+        private Duration deduplicationWindow;
+        private double utility = 1;
+        private double lateUtility;
+        private double requiredWeight = 1;
+        private double minimumWeight = 1;
+        private double partialUtility;
+        private QueryClass secondStep;
+        private Duration totalClientTimeout;
+
+        private Builder(Duration latencyObjective, SideEffects sideEffects) {
+            this.latencyObjective = latencyObjective;
+            this.sideEffects = sideEffects;
+        }
+
+        /** Sets how long nodes drop a second execution; null where not stated. */
+        public Builder deduplicationWindow(Duration window) {
+            deduplicationWindow = window;
+            return this;
+        }
+
+        /** Sets what a complete answer on time earns, and which share of it a late one does. */
+        public Builder utility(double onTime, double lateShare) {
+            utility = onTime;
+            lateUtility = lateShare;
+            return this;
+        }
+
+        /** Sets the share of the weight of a complete answer, and the least one for any answer. */
+        public Builder weights(double required, double minimum) {
+            requiredWeight = required;
+            minimumWeight = minimum;
+            return this;
+        }
+
+        /**
+         * Sets the share of the utility that a partial answer earns, before its own weight counts.
+         */
+        public Builder partialUtility(double share) {
+            partialUtility = share;
+            return this;
+        }
+
+        /** Sets the class of the requests that follow a first answer; null for none. */
+        public Builder secondStep(QueryClass second) {
+            secondStep = second;
+            return this;
+        }
+
+        /** Sets how long a client waits in all, with its retries; null where not stated. */
+        public Builder totalClientTimeout(Duration timeout) {
+            totalClientTimeout = timeout;
+            return this;
+        }
+
+        /** Creates the class. */
+        public QueryClass build() {
+            return new QueryClass(this);
+        }
+    }
 }
--- a/src/main/java/postbeam/model/ReplicaPlacement.java
+++ b/src/main/java/postbeam/model/ReplicaPlacement.java
@@ -4,31 +4,25 @@
 import java.util.Comparator;
 import java.util.List;
 
-/**
- * Which of the listed data nodes hold a shard. A fleet has one source of it: cells in a row, or a
- * layout.
- */
+/** Which of the listed data nodes hold a shard. */
 public interface ReplicaPlacement {
     /**
-     * The order of replica lists; nodes that it holds equal keep the order that the source gives
-     * them.
+     * Sets the order of replica lists; nodes that compare equal keep the order of the placement.
      */
     void setReplicaOrder(Comparator<DataNode> order);
 
-    /** The node has come onto the list. */
+    /** The node has come onto the endpoint list. */
     void add(DataNode node);
 
-    /** The node has gone from the list. */
+    /** The node has gone from the endpoint list. */
     void remove(DataNode node);
 
-    /**
-     * The nodes that hold the shard, as a list that is not to be changed; empty where none does.
-     */
+    /** The nodes that hold the shard, in order; a list not to be changed, empty where none does. */
     List<DataNode> replicas(int shard);
 
     /** How many nodes hold a shard, on the mean and rounded up; 1 at least. */
     int replicationFactor();
 
-    /** When this node took the shard over from another; null: not known, or long ago. */
+    /** When the node acquired the shard from another; null where not known, or long ago. */
     Duration acquiredAt(int shard, DataNode node);
 }
--- a/src/main/java/postbeam/model/ShardRequest.java
+++ b/src/main/java/postbeam/model/ShardRequest.java
@@ -2,41 +2,47 @@
 
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 
 /** The part of a query that one shard answers. */
 public class ShardRequest {
+    /** The query that it belongs to. */
     public final Query query;
 
-    /** What its query was when it came: that of its step. */
+    /** The class of the query's step that it belongs to. */
     public final QueryClass queryClass;
 
+    /** The shard that answers it. */
     public final int shard;
+
+    /** Its share of the query's answer, from 0 to 1. */
     public final double weight;
 
-    /** Expected work; null where no hint came. */
+    /** How long a node is expected to work on it; null where no hint came. */
     public final Duration estimatedWork;
 
-    public final List<Attempt> attempts = new ArrayList<>();
+    private final List<Attempt> allAttempts = new ArrayList<>();
+    private final List<Attempt> inFlight = new ArrayList<>();
 
-    /** The leaf calls without an outcome yet, oldest first. */
-    public final List<Attempt> attemptsInFlight = new ArrayList<>();
+    /** All attempts so far, oldest first; a view that can't be changed. */
+    public final List<Attempt> attempts = Collections.unmodifiableList(allAttempts);
 
-    private boolean answered;
+    /** The attempts without an outcome, oldest first; a view that can't be changed. */
+    public final List<Attempt> attemptsInFlight = Collections.unmodifiableList(inFlight);
 
-    /** No further leaf call is taken for it. */
+    private boolean answered;
     private boolean closed;
-
-    /** When the first leaf call that may have run was sent; null while none may. */
     private Duration mayHaveExecutedSince;
 
-    public ShardRequest(Query query, int shard, double weight, Duration work) {
+    /** Creates a request of the query's present step, and adds it to the query. */
+    public ShardRequest(Query query, int shard, double weight, Duration estimatedWork) {
         this.query = query;
         this.queryClass = query.queryClass();
         this.shard = shard;
         this.weight = weight;
-        this.estimatedWork = work;
-        query.shardRequests.add(this);
+        this.estimatedWork = estimatedWork;
+        query.add(this);
     }
 
     /** Whether an attempt has brought its answer. */
@@ -66,22 +72,31 @@
         return mayHaveExecutedSince;
     }
 
+    /** An attempt sent then may have been executed. */
+    public void recordPossibleExecution(Duration sentAt) {
+        if (mayHaveExecutedSince == null || mayHaveExecutedSince.compareTo(sentAt) > 0) {
+            mayHaveExecutedSince = sentAt;
+        }
+    }
+
     /**
-     * This part stands for keys of the other, which is over: what may have run there may have run
-     * here.
+     * Takes over the attempts of another request that is over and whose keys this one covers: what
+     * may have been executed there may have been executed here.
      */
     public void inheritAttempts(ShardRequest other) {
-        attempts.addAll(other.attempts);
+        allAttempts.addAll(other.allAttempts);
         closed |= other.closed;
         if (other.mayHaveExecutedSince != null) {
             recordPossibleExecution(other.mayHaveExecutedSince);
         }
     }
 
-    /** A leaf call sent then may have run. */
-    public void recordPossibleExecution(Duration sentAt) {
-        if (mayHaveExecutedSince == null || mayHaveExecutedSince.compareTo(sentAt) > 0) {
-            mayHaveExecutedSince = sentAt;
-        }
+    void add(Attempt attempt) {
+        allAttempts.add(attempt);
+        inFlight.add(attempt);
+    }
+
+    void remove(Attempt attempt) {
+        inFlight.remove(attempt);
     }
 }
--- a/src/main/java/postbeam/model/Tenant.java
+++ b/src/main/java/postbeam/model/Tenant.java
@@ -1,13 +1,11 @@
 package postbeam.model;
 
-/** A customer and the queries a second, over all routers, that fall within its share. */
+/** A tenant: the owner of queries, with a quota; tenants are compared by identity. */
 public final class Tenant {
-    /** Null where not stated. */
+    /** Queries a second, over all routers, within its quota; null where none is stated. */
     public final Double quotaPerSecond;
 
-    /** Queries taken lately; set up by the one who measures. */
-    public SlidingWindowCounter recentQueries;
-
+    /** Creates a tenant; the quota is null where none is stated. */
     public Tenant(Double quotaPerSecond) {
         this.quotaPerSecond = quotaPerSecond;
     }
--- a/src/main/java/postbeam/model/Zone.java
+++ b/src/main/java/postbeam/model/Zone.java
@@ -1,14 +1,12 @@
 package postbeam.model;
 
-/** A location of data nodes as this router meets it. */
-public final class Zone extends HealthState {
-    /** This router's own. */
+/** An availability zone of data nodes, as one router sees it; zones are compared by identity. */
+public final class Zone {
+    /** Whether it is the router's own zone. */
     public final boolean local;
 
-    /** The one call that shows whether it is sound again. */
-    public Attempt trialAttempt;
-
-    public Zone(boolean ours) {
-        this.local = ours;
+    /** Creates the router's own zone, or another one. */
+    public Zone(boolean local) {
+        this.local = local;
     }
 }
--- /dev/null
+++ b/src/main/java/postbeam/policy/AttemptLimits.java
@@ -0,0 +1,33 @@
+package postbeam.policy;
+
+/**
+ * What the deployment allows to be done with attempts.
+ *
+ * @param maxAttempts most attempts of one shard request
+ * @param hedgingAllowed whether a request may have a second attempt in flight
+ * @param cancellationAllowed whether attempts may be cancelled
+ * @param probesAllowed whether nodes may be probed
+ * @param batchingEnabled whether one call carries several requests
+ */
+public record AttemptLimits(
+        int maxAttempts,
+        boolean hedgingAllowed,
+        boolean cancellationAllowed,
+        boolean probesAllowed,
+        boolean batchingEnabled) {
+
+    /** Takes settings, null where not stated; what is not stated is not allowed. */
+    public AttemptLimits(
+            Integer maxAttempts,
+            Boolean hedgingAllowed,
+            Boolean cancellationAllowed,
+            Boolean probesAllowed,
+            Integer requestsPerCall) {
+        this(
+                maxAttempts == null ? 1 : maxAttempts,
+                Boolean.TRUE.equals(hedgingAllowed),
+                Boolean.TRUE.equals(cancellationAllowed),
+                Boolean.TRUE.equals(probesAllowed),
+                requestsPerCall == null || requestsPerCall > 1);
+    }
+}
--- /dev/null
+++ b/src/main/java/postbeam/policy/NodeState.java
@@ -0,0 +1,25 @@
+package postbeam.policy;
+
+import postbeam.model.DataNode;
+
+/** What the policy remembers of one data node; each part belongs to one module. */
+final class NodeState {
+    /** Belongs to {@link LatencyEstimator}. */
+    final NodeLatency latency = new NodeLatency();
+
+    /** Belongs to {@link OutlierDetector} and {@link OutlierEjection}. */
+    final NodeHealth health;
+
+    /** Belongs to {@link SlowStart}. */
+    final NodeWarmUp warmUp;
+
+    NodeState(NodeHealth health, NodeWarmUp warmUp) {
+        this.health = health;
+        this.warmUp = warmUp;
+    }
+
+    /** What is remembered of a node that was listed before. */
+    static NodeState of(DataNode node) {
+        return (NodeState) node.policyState();
+    }
+}
--- a/src/main/java/postbeam/policy/PolicyActions.java
+++ b/src/main/java/postbeam/policy/PolicyActions.java
@@ -6,33 +6,29 @@
 import postbeam.model.Query;
 
 /**
- * What the decisions can have done. A protocol's door implements it, one for each running instance,
- * and carries out every call at once and in order. A second protocol brings a second door, not a
- * second Decide.
+ * What the routing policy can have done. Each protocol implements it, one instance for each running
+ * policy, and carries out every call at once and in order.
  */
 public interface PolicyActions {
-    /** Sends a leaf call; those sent to one node in one turn travel together. */
+    /** Sends an attempt; those sent to one node in one batch of events travel together. */
     void send(Attempt attempt);
 
-    /** Stops waiting for a leaf call; its outcome is still reported. */
+    /** Stops waiting for an attempt; its outcome is still reported. */
     void cancel(Attempt attempt);
 
-    /** Answers the query from its merged parts. */
-    void answer(Query query, boolean whole);
+    /** Answers the query from its answered requests; complete, or from what there is. */
+    void answer(Query query, boolean complete);
 
-    /**
-     * Ends the query and tells the client that asking again is harmless, after a wait if one is
-     * advised.
-     */
-    void reject(Query query, Duration comeBack);
+    /** Ends the query and tells its client that a retry is harmless, after a wait above zero. */
+    void reject(Query query, Duration retryAfter);
 
-    /** Ends the query without a promise about its effect. */
+    /** Ends the query without a promise about its side effects. */
     void abort(Query query);
 
     /** Asks for {@link RoutingPolicy#onWakeUp} after this time. */
     void wakeAfter(Duration wait);
 
-    /** Asks a node how it is; the result comes to {@link RoutingPolicy#onProbeResult}. */
+    /** Probes a node's health; the result comes to {@link RoutingPolicy#onProbeResult}. */
     void probe(DataNode node);
 
     /** Adds a line to the operators' log. */
--- /dev/null
+++ b/src/main/java/postbeam/policy/ReplicaSelector.java
@@ -0,0 +1,200 @@
+package postbeam.policy;
+
+import static postbeam.model.Durations.max;
+
+import java.time.Duration;
+import java.util.Comparator;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Random;
+import java.util.Set;
+import postbeam.model.Attempt;
+import postbeam.model.Cluster;
+import postbeam.model.DataNode;
+import postbeam.model.Query;
+import postbeam.model.Readiness;
+import postbeam.model.ShardRequest;
+import postbeam.model.SideEffects;
+
+/**
+ * Chooses the replica for each shard request. All requests of a query begin at one offset into
+ * their shards' replica lists, so that they share calls where one call carries several.
+ */
+final class ReplicaSelector {
+    /** Batches that a suspect node counts for: more than a sound one mostly has in flight. */
+    static final int SUSPECT_BATCHES = 4;
+
+    /** Cost of a request to another zone, in batches in flight: it decides among equals alone. */
+    private static final double REMOTE_ZONE_COST = 0.01;
+
+    /** How far any load is from outweighing a worse rank. */
+    private static final double RANK_WEIGHT = 100;
+
+    private static final double RANK_SUSPECT = 2;
+    private static final double RANK_FAILED_LATELY = 1;
+    private static final double RANK_EARLIER_ATTEMPT = 1;
+
+    private final AttemptLimits limits;
+    private final Random random;
+    private final Cluster cluster;
+    private final SlowStart slowStart;
+    private final LatencyEstimator latencies;
+    private final OutlierEjection ejection;
+    private final OutlierDetector outliers;
+
+    ReplicaSelector(
+            AttemptLimits limits,
+            Random random,
+            Cluster cluster,
+            SlowStart slowStart,
+            LatencyEstimator latencies,
+            OutlierEjection ejection,
+            OutlierDetector outliers) {
+        this.limits = limits;
+        this.random = random;
+        this.cluster = cluster;
+        this.slowStart = slowStart;
+        this.latencies = latencies;
+        this.ejection = ejection;
+        this.outliers = outliers;
+        if (limits.batchingEnabled()) {
+            cluster.setReplicaOrder(batchingOrder(cluster.replicationFactor()));
+        }
+    }
+
+    /**
+     * Our zone first, then by place among a shard's cells: one offset leads neighbouring shards to
+     * the same nodes, and their requests share calls, which have a cost.
+     */
+    private static Comparator<DataNode> batchingOrder(int replicationFactor) {
+        return Comparator.comparingInt(
+                node -> (node.zone.local ? 0 : replicationFactor) + node.cell % replicationFactor);
+    }
+
+    /**
+     * Chooses the query's offset, unless that is done: the one whose nodes have fewest batches in
+     * flight, then the one with the fewest requests to other zones.
+     */
+    void chooseOffset(Duration now, Query query) {
+        if (query.hasReplicaOffset()) {
+            return;
+        }
+        int offsets = 1;
+        for (ShardRequest request : query.shardRequests) {
+            offsets = Math.max(offsets, cluster.replicas(request.shard).size());
+        }
+        int first = random.nextInt(offsets);
+        int best = first;
+        double leastCost = Double.MAX_VALUE;
+        for (int i = 0; i < offsets; i++) {
+            int offset = (first + i) % offsets;
+            double cost = costOfOffset(now, query, offset);
+            if (cost < leastCost) {
+                leastCost = cost;
+                best = offset;
+            }
+        }
+        query.chooseReplicaOffset(best);
+    }
+
+    private double costOfOffset(Duration now, Query query, int offset) {
+        Set<DataNode> nodes = new HashSet<>();
+        double cost = 0;
+        for (ShardRequest request : query.shardRequests) {
+            List<DataNode> replicas = cluster.replicas(request.shard);
+            if (!replicas.isEmpty()) {
+                DataNode node = replicas.get(offset % replicas.size());
+                cost += node.zone.local ? 0 : REMOTE_ZONE_COST;
+                if (nodes.add(node) || !limits.batchingEnabled()) {
+                    cost += batchesCounted(now, node, query);
+                }
+            }
+        }
+        return cost;
+    }
+
+    /** Batches that the node has in flight, and more where it is suspect. */
+    int batchesCounted(Duration now, DataNode node, Query query) {
+        return node.batchesInFlight()
+                + (outliers.isSuspect(now, node, query.queryClass()) ? SUSPECT_BATCHES : 0);
+    }
+
+    /**
+     * The node's load: its requests in flight with one more, times its slowdown beside the usual.
+     */
+    double load(Duration now, DataNode node) {
+        return (1 + node.attemptsInFlight.size()) * latencies.relativeSlowdown(now, node);
+    }
+
+    /**
+     * The node at the query's offset, or the next that is better placed; null where none may take
+     * the request. Suspicion never shuts out all replicas: the least bad is taken.
+     */
+    DataNode chooseNode(Duration now, ShardRequest request) {
+        List<DataNode> replicas = cluster.replicas(request.shard);
+        Duration work = workCounted(request);
+        boolean first = request.attemptsInFlight.isEmpty();
+        DataNode best = null;
+        double leastCost = Double.MAX_VALUE;
+        for (int i = 0; i < replicas.size(); i++) {
+            DataNode node = replicas.get((request.query.replicaOffset() + i) % replicas.size());
+            if (!mayTake(now, node, request, work)) {
+                continue;
+            }
+            double rank = rank(now, node, request);
+            double load = limits.batchingEnabled() ? 0 : load(now, node);
+            double cost = RANK_WEIGHT * rank + load;
+            if (!isWaitedFor(node, request) && (first || rank == 0) && cost < leastCost) {
+                best = node;
+                leastCost = cost;
+            }
+        }
+        return best;
+    }
+
+    /**
+     * Guards against light requests alone passing, of which each router has some: they count as
+     * usual.
+     */
+    private Duration workCounted(ShardRequest request) {
+        return max(
+                latencies.baseline(request.queryClass),
+                slowStart.estimateWork(request, Duration.ZERO));
+    }
+
+    private boolean mayTake(Duration now, DataNode node, ShardRequest request, Duration work) {
+        return node.readiness() == Readiness.READY
+                && slowStart.allows(now, node, cluster.acquiredAt(request.shard, node), work);
+    }
+
+    /** How bad a choice the node is for the request; 0 for a sound one that has not had it. */
+    private double rank(Duration now, DataNode node, ShardRequest request) {
+        double rank = 0;
+        if (outliers.isSuspect(now, node, request.query.queryClass())) {
+            rank = RANK_SUSPECT;
+        } else if (outliers.hasFailedLately(node)
+                && request.query.queryClass().sideEffects == SideEffects.NON_IDEMPOTENT) {
+            // What can't be sent again is no trial of a node that failed: one that hangs may answer
+            // probes.
+            rank = RANK_FAILED_LATELY;
+        }
+        for (Attempt attempt : request.attempts) {
+            rank += attempt.node == node ? RANK_EARLIER_ATTEMPT : 0;
+        }
+        return rank;
+    }
+
+    /**
+     * Whether the node has an attempt of the request, or had one and is ejected. Guards against a
+     * request's few attempts spent within a round trip on replicas that are all down: one that
+     * failed it gets it again once reinstated. It could hurt where the node is back unnoticed.
+     */
+    private boolean isWaitedFor(DataNode node, ShardRequest request) {
+        for (Attempt attempt : request.attempts) {
+            if (attempt.node == node && (!attempt.hasEnded() || ejection.isEjected(node))) {
+                return true;
+            }
+        }
+        return false;
+    }
+}
--- /dev/null
+++ b/src/main/java/postbeam/policy/SlotScheduler.java
@@ -0,0 +1,166 @@
+package postbeam.policy;
+
+import java.time.Duration;
+import java.util.Comparator;
+import java.util.List;
+import java.util.PriorityQueue;
+import postbeam.model.DataNode;
+import postbeam.model.Query;
+import postbeam.model.ShardRequest;
+
+/**
+ * Which query gets a free slot of the window: non-preemptive SEDPT-R (Sun et al., "Provably Delay
+ * Efficient Data Retrieving in Storage Clouds"). A slot goes to the query with the smallest alpha -
+ * delta, the answers that it needs less those that it can expect from what is in flight.
+ */
+final class SlotScheduler {
+    /**
+     * Oldest open queries that compete: more than most limits allow, and it bounds a batch's cost.
+     */
+    private static final int MAX_CANDIDATES = 48;
+
+    /** Rank of a second attempt: behind any first one. */
+    private static final double HEDGE_RANK = 1000;
+
+    /** Among equals, low priority comes last, then the earliest objective first. */
+    private static final Comparator<Candidate> ORDER =
+            Comparator.comparingInt(Candidate::value)
+                    .thenComparing(Candidate::lowPriority)
+                    .thenComparing(candidate -> candidate.query.sloDeadline())
+                    .thenComparing(Candidate::place);
+
+    private record Candidate(Query query, int value, boolean lowPriority, int place) {}
+
+    private record Choice(ShardRequest request, DataNode node) {}
+
+    private final ConcurrencyWindow window;
+    private final StragglerDetector stragglers;
+    private final QueryPriority priority;
+    private final HedgingPolicy hedging;
+    private final RetryPolicy retries;
+    private final CanaryPolicy canaries;
+    private final ReplicaSelector replicas;
+    private final AttemptSender sender;
+
+    SlotScheduler(
+            ConcurrencyWindow window,
+            StragglerDetector stragglers,
+            QueryPriority priority,
+            HedgingPolicy hedging,
+            RetryPolicy retries,
+            CanaryPolicy canaries,
+            ReplicaSelector replicas,
+            AttemptSender sender) {
+        this.window = window;
+        this.stragglers = stragglers;
+        this.priority = priority;
+        this.hedging = hedging;
+        this.retries = retries;
+        this.canaries = canaries;
+        this.replicas = replicas;
+        this.sender = sender;
+    }
+
+    /** Fills the free slots of the window with requests of these queries, the oldest first. */
+    void fillSlots(Duration now, List<Query> open) {
+        // A lost request holds no slot: else links that swallow attempts would fill the window.
+        int lost = 0;
+        for (Query query : open) {
+            lost += stragglers.lostRequests(now, query);
+        }
+        if (!window.hasRoom(lost)) {
+            return;
+        }
+        hedging.countSpares(open);
+        PriorityQueue<Candidate> candidates = candidates(now, open);
+        while (window.hasRoom(lost) && !candidates.isEmpty()) {
+            Candidate best = candidates.poll();
+            Query query = best.query;
+            boolean mayStart =
+                    !query.hasNotStarted() || !best.lowPriority || window.hasAmpleRoom(lost);
+            if (mayStart && sendNext(now, query, best.value)) {
+                candidates.add(
+                        new Candidate(query, value(now, query), best.lowPriority, best.place));
+            }
+        }
+    }
+
+    private PriorityQueue<Candidate> candidates(Duration now, List<Query> open) {
+        PriorityQueue<Candidate> candidates = new PriorityQueue<>(ORDER);
+        for (Query query : open.subList(0, Math.min(open.size(), MAX_CANDIDATES))) {
+            int value = value(now, query);
+            boolean lowPriority = priority.isLow(now, query);
+            candidates.add(new Candidate(query, value, lowPriority, candidates.size()));
+        }
+        return candidates;
+    }
+
+    /** The paper's alpha - delta: answers that the query needs beyond those in flight. */
+    private int value(Duration now, Query query) {
+        return query.requestsNeeded() - stragglers.expectedAnswers(now, query);
+    }
+
+    /** Sends the query's next request; false where it has none to send. */
+    private boolean sendNext(Duration now, Query query, int value) {
+        boolean spare = value <= 0;
+        if ((spare && !hedging.maySendSpare(query))
+                || hasSpareInFlight(query)
+                || isWaitingForCanary(now, query)) {
+            return false;
+        }
+        replicas.chooseOffset(now, query);
+        Choice next = chooseRequest(now, query);
+        if (next == null) {
+            return false;
+        }
+        if (spare) {
+            hedging.recordSpare();
+        }
+        sender.send(now, next.request, next.node);
+        return true;
+    }
+
+    private static boolean hasSpareInFlight(Query query) {
+        return query.queryClass().acceptsSubset()
+                && query.requestsInFlight() > query.requestsNeeded();
+    }
+
+    private boolean isWaitingForCanary(Duration now, Query query) {
+        return canaries.needsCanary(now, query) && stragglers.expectedAnswers(now, query) > 0;
+    }
+
+    private Choice chooseRequest(Duration now, Query query) {
+        Choice best = null;
+        double leastRank = Double.MAX_VALUE;
+        for (ShardRequest request : query.shardRequests) {
+            if (request.isAnswered()
+                    || stragglers.isExpected(now, request)
+                    || !retries.mayAttemptNow(now, request)) {
+                continue;
+            }
+            DataNode node = replicas.chooseNode(now, request);
+            if (node == null) {
+                continue;
+            }
+            double rank = rank(now, query, request, node);
+            if (rank < leastRank) {
+                best = new Choice(request, node);
+                leastRank = rank;
+            }
+        }
+        return best;
+    }
+
+    /**
+     * First attempts before second ones. Where any subset will do, those whose nodes have least to
+     * do; where less than all will do, the quickest: what a few popular shards jam is left for the
+     * end.
+     */
+    private double rank(Duration now, Query query, ShardRequest request, DataNode node) {
+        double rank = request.attemptsInFlight.isEmpty() ? 0 : HEDGE_RANK;
+        if (query.queryClass().acceptsSubset()) {
+            return rank + replicas.batchesCounted(now, node, query);
+        }
+        return query.queryClass().minimumWeight < 1 ? rank + replicas.load(now, node) : rank;
+    }
+}
--- /dev/null
+++ b/src/main/java/postbeam/policy/StragglerCanceller.java
@@ -0,0 +1,72 @@
+package postbeam.policy;
+
+import java.time.Duration;
+import postbeam.model.Attempt;
+import postbeam.model.DataNode;
+import postbeam.model.Query;
+import postbeam.model.QueryClass;
+import postbeam.model.ShardRequest;
+
+/**
+ * Cancels attempts at unresponsive nodes that keep a request from going elsewhere: where hedging is
+ * not allowed, or a query that needs a subset has all its places in flight. A time-out would also
+ * throw away the wait of attempts that only wait their turn: when all nodes are slow that feeds the
+ * overload.
+ */
+final class StragglerCanceller {
+    private final AttemptLimits limits;
+    private final StragglerDetector stragglers;
+    private final RetryPolicy retries;
+    private final RetryBudget budget;
+    private final ReplicaSelector replicas;
+    private final OutlierDetector outliers;
+    private final AttemptCanceller canceller;
+
+    StragglerCanceller(
+            AttemptLimits limits,
+            StragglerDetector stragglers,
+            RetryPolicy retries,
+            RetryBudget budget,
+            ReplicaSelector replicas,
+            OutlierDetector outliers,
+            AttemptCanceller canceller) {
+        this.limits = limits;
+        this.stragglers = stragglers;
+        this.retries = retries;
+        this.budget = budget;
+        this.replicas = replicas;
+        this.outliers = outliers;
+        this.canceller = canceller;
+    }
+
+    void cancelStragglers(Duration now, Query query) {
+        if (limits.hedgingAllowed() && !hasSubsetInFlight(query)) {
+            return;
+        }
+        for (ShardRequest request : query.shardRequests) {
+            if (request.attemptsInFlight.isEmpty()
+                    || request.isAnswered()
+                    || !retries.mayAttemptLater(now, request)) {
+                continue;
+            }
+            Attempt attempt = request.attemptsInFlight.get(0);
+            if (stragglers.isUnresponsive(now, attempt)
+                    && budget.allowsRetry(now)
+                    && retries.mayCancelAndRetry(now, attempt.sentAt, query.queryClass())
+                    && hasSoundReplica(now, request, query.queryClass())) {
+                canceller.cancelAttempts(request);
+            }
+        }
+    }
+
+    /** Whether more requests are in flight than a query needs that a subset completes. */
+    private static boolean hasSubsetInFlight(Query query) {
+        return query.queryClass().acceptsSubset()
+                && query.requestsInFlight() > query.requestsNeeded();
+    }
+
+    private boolean hasSoundReplica(Duration now, ShardRequest request, QueryClass queryClass) {
+        DataNode other = replicas.chooseNode(now, request);
+        return other != null && !outliers.isSuspect(now, other, queryClass);
+    }
+}
--- a/src/main/java/postbeam/simulator/SimulatorSession.java
+++ b/src/main/java/postbeam/simulator/SimulatorSession.java
@@ -179,7 +179,7 @@
             step.run();
         } catch (RuntimeException e) {
             for (StackTraceElement frame : e.getStackTrace()) {
-                if (frame.getClassName().startsWith(RoutingPolicy.class.getName())) {
+                if (frame.getClassName().startsWith(RoutingPolicy.class.getPackageName() + ".")) {
                     instance.reportPanic(e);
                     return;
                 }
--- a/src/main/java/postbeam/slices/SliceTranslator.java
+++ b/src/main/java/postbeam/slices/SliceTranslator.java
@@ -230,7 +230,7 @@
         if (stale.isEmpty()) {
             return false;
         }
-        query.shardRequests.removeAll(stale);
+        query.removeShardRequests(stale);
         LayoutCompleteness completeness = completenessOf(query);
         // Those that nothing was sent for are joined where they meet in one slice; the others keep
         // their own past.
--- a/src/main/java/postbeam/testbed/simulation/SimulatedCluster.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedCluster.java
@@ -97,7 +97,12 @@
             double need,
             double floor) {
         QueryClass vertical() {
-            return new QueryClass(SLO, effect, REPEAT_WINDOW, 1, 0.1, need, floor, 0.9);
+            return QueryClass.builder(SLO, effect)
+                    .deduplicationWindow(REPEAT_WINDOW)
+                    .utility(1, 0.1)
+                    .weights(need, floor)
+                    .partialUtility(0.9)
+                    .build();
         }
     }
 
--- a/src/main/java/postbeam/testbed/simulation/SimulatedQueryRouter.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedQueryRouter.java
@@ -17,8 +17,12 @@
 import postbeam.model.QueryClass;
 import postbeam.model.ShardRequest;
 import postbeam.model.SideEffects;
+import postbeam.policy.AdmissionControl;
+import postbeam.policy.AttemptLimits;
 import postbeam.policy.PolicyActions;
+import postbeam.policy.RetryBudget;
 import postbeam.policy.RoutingPolicy;
+import postbeam.policy.SlowStart;
 import postbeam.slices.KeyRange;
 import postbeam.slices.KeyRangeRequest;
 import postbeam.slices.Layout;
@@ -77,12 +81,12 @@
                         this,
                         new Random(seed),
                         new Cluster(slicing.holders()),
-                        new RoutingPolicy.AdmissionControl(
+                        new AdmissionControl(
                                 400, cluster.plan.routers(), null, Duration.ofMillis(500)),
-                        new RoutingPolicy.AttemptLimits(3, true, true, true, 16),
-                        new RoutingPolicy.RetryBudget(
+                        new AttemptLimits(3, true, true, true, 16),
+                        new RetryBudget(
                                 rules.freeFurther(), rules.furtherShare(), rules.furtherSpan()),
-                        new RoutingPolicy.SlowStart(
+                        new SlowStart(
                                 rules.coldFrom(),
                                 rules.ramp(),
                                 rules.fallMultiple(),
--- /dev/null
+++ b/src/test/java/postbeam/model/QueryTest.java
@@ -0,0 +1,74 @@
+package postbeam.model;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.time.Duration;
+import org.junit.jupiter.api.Test;
+
+class QueryTest {
+    private static final Duration START = Duration.ofMillis(5);
+
+    private static Query query(double requiredWeight, double... weights) {
+        QueryClass queryClass =
+                QueryClass.builder(Duration.ofSeconds(1), SideEffects.IDEMPOTENT)
+                        .weights(requiredWeight, requiredWeight)
+                        .build();
+        Query query = new Query(queryClass, null, START, Duration.ofSeconds(3));
+        for (int shard = 0; shard < weights.length; shard++) {
+            new ShardRequest(query, shard, weights[shard], null);
+        }
+        return query;
+    }
+
+    @Test
+    void requestsNeededTakesUnansweredRequestsAtTheirMeanWeight() {
+        Query query = query(0.5, 0.4, 0.2, 0.2, 0.2);
+        assertEquals(2, query.requestsNeeded());
+        query.shardRequests.get(0).markAnswered();
+        assertEquals(1, query.requestsNeeded());
+        query.shardRequests.get(1).markAnswered();
+        assertEquals(0, query.requestsNeeded());
+    }
+
+    @Test
+    void attemptIsInFlightUntilItEnds() {
+        Query query = query(1, 0.5, 0.5);
+        DataNode node = new DataNode(0, new Zone(true));
+        assertTrue(query.hasNotStarted());
+        Attempt attempt = new Attempt(query.shardRequests.get(0), node, START, null);
+        assertFalse(query.hasNotStarted());
+        assertEquals(1, query.requestsInFlight());
+        assertEquals(attempt, node.oldestAttemptInFlight());
+        attempt.end();
+        assertEquals(0, query.requestsInFlight());
+        assertEquals(0, node.attemptsInFlight.size());
+        assertEquals(1, query.shardRequests.get(0).attempts.size());
+    }
+
+    @Test
+    void inheritedAttemptsCountAsPossibleExecutions() {
+        Query query = query(1, 0.5, 0.5);
+        ShardRequest old = query.shardRequests.get(0);
+        ShardRequest young = query.shardRequests.get(1);
+        new Attempt(old, new DataNode(0, new Zone(true)), START, null).end();
+        old.recordPossibleExecution(START);
+        old.close();
+        young.recordPossibleExecution(START.plusMillis(1));
+        young.inheritAttempts(old);
+        assertEquals(START, young.mayHaveExecutedSince());
+        assertTrue(young.isClosed());
+        assertEquals(old.attempts, young.attempts);
+    }
+
+    @Test
+    void attemptsSentTogetherCountAsOneBatch() {
+        Query query = query(1, 0.3, 0.3, 0.4);
+        DataNode node = new DataNode(0, new Zone(true));
+        new Attempt(query.shardRequests.get(0), node, START, null);
+        new Attempt(query.shardRequests.get(1), node, START, null);
+        new Attempt(query.shardRequests.get(2), node, START.plusMillis(1), null);
+        assertEquals(2, node.batchesInFlight());
+    }
+}
--- /dev/null
+++ b/src/test/java/postbeam/policy/AdmissionControlTest.java
@@ -0,0 +1,47 @@
+package postbeam.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static postbeam.policy.PolicyFixture.ms;
+
+import java.time.Duration;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import postbeam.model.Query;
+import postbeam.model.ShardRequest;
+import postbeam.model.Tenant;
+
+class AdmissionControlTest {
+    @Test
+    void tenantIsOverQuotaOnlyAheadOfTheOthers() {
+        AdmissionControl admission = new AdmissionControl(100, 1, 0.1, null);
+        Tenant loud = new Tenant(1.0);
+        Tenant quiet = new Tenant(9.0);
+        for (int i = 0; i < 12; i++) {
+            admission.countsAsOverQuota(ms(i), quiet);
+        }
+        assertFalse(admission.countsAsOverQuota(ms(20), loud));
+        for (int i = 0; i < 10; i++) {
+            admission.countsAsOverQuota(ms(21), loud);
+        }
+        assertTrue(admission.countsAsOverQuota(ms(30), loud));
+        assertFalse(admission.countsAsOverQuota(ms(30), quiet));
+        AdmissionControl oneOfTen = new AdmissionControl(100, 10, 0.1, null);
+        assertFalse(oneOfTen.countsAsOverQuota(ms(0), new Tenant(1.0)));
+    }
+
+    @Test
+    void crowdedRouterTellsRejectedClientsToWait() {
+        AdmissionControl admission = new AdmissionControl(4, 1, 0.1, ms(200));
+        Query query = new Query(PolicyFixture.idempotent(), null, ms(0), ms(6000));
+        admission.update(List.of(query));
+        assertFalse(admission.isCrowded());
+        assertEquals(Duration.ZERO, admission.retryAfter());
+        new ShardRequest(query, 0, 0.5, null);
+        new ShardRequest(query, 1, 0.5, null);
+        admission.update(List.of(query));
+        assertTrue(admission.isCrowded());
+        assertEquals(ms(200), admission.retryAfter());
+    }
+}
--- /dev/null
+++ b/src/test/java/postbeam/policy/ClientRetryDatingTest.java
@@ -0,0 +1,42 @@
+package postbeam.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static postbeam.policy.PolicyFixture.DEADLINE;
+import static postbeam.policy.PolicyFixture.OBJECTIVE;
+import static postbeam.policy.PolicyFixture.ms;
+
+import java.time.Duration;
+import org.junit.jupiter.api.Test;
+import postbeam.model.AttemptOutcome;
+import postbeam.model.Query;
+import postbeam.model.QueryClass;
+
+class ClientRetryDatingTest {
+    private final PolicyFixture fixture = new PolicyFixture(3, true);
+    private final QueryClass queryClass =
+            PolicyFixture.idempotent().toBuilder().totalClientTimeout(DEADLINE).build();
+
+    @Test
+    void objectiveOfAClientRetryCountsFromItsFirstRequestWhereItHasTheRestOfTheClientsTime() {
+        Query first = fixture.start(queryClass, 1);
+        assertEquals(OBJECTIVE, first.sloDeadline());
+        fixture.end(ms(10), fixture.sent.get(0), AttemptOutcome.SUCCESS);
+        Query withTheRest = retry(ms(100), ms(3000));
+        assertEquals(
+                ms(3100).minus(DEADLINE).plus(OBJECTIVE),
+                withTheRest.sloDeadline(),
+                "it has been 3 s since the first");
+        Query withFullTime = retry(ms(100), DEADLINE);
+        assertEquals(
+                ms(100).plus(OBJECTIVE),
+                withFullTime.sloDeadline(),
+                "how long ago it first came is not told");
+    }
+
+    private Query retry(Duration now, Duration timeout) {
+        Query query = new Query(queryClass, null, now, now.plus(timeout));
+        query.markClientRetry();
+        fixture.policy.onQuery(now, query);
+        return query;
+    }
+}
--- /dev/null
+++ b/src/test/java/postbeam/policy/OutlierDetectorTest.java
@@ -0,0 +1,95 @@
+package postbeam.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static postbeam.policy.PolicyFixture.ms;
+
+import org.junit.jupiter.api.Test;
+import postbeam.model.Attempt;
+import postbeam.model.AttemptOutcome;
+import postbeam.model.DataNode;
+import postbeam.model.Query;
+import postbeam.model.QueryClass;
+import postbeam.model.Readiness;
+import postbeam.model.ShardRequest;
+import postbeam.model.SideEffects;
+import postbeam.model.Zone;
+
+class OutlierDetectorTest {
+    private final PolicyFixture fixture = new PolicyFixture(3, true);
+    private final QueryClass idempotent = PolicyFixture.idempotent();
+
+    @Test
+    void nonIdempotentRequestIsNoTrialOfANodeThatFailed() {
+        PolicyFixture two = new PolicyFixture(2, true);
+        two.start(idempotent, 1);
+        DataNode failed = two.sent.get(0).node;
+        two.end(ms(10), two.sent.get(0), AttemptOutcome.RESET);
+        two.policy.onProbeResult(ms(600), failed, true);
+        for (int i = 0; i < 8; i++) {
+            two.sent.clear();
+            two.start(ms(700 + i), PolicyFixture.queryClass(SideEffects.NON_IDEMPOTENT, 1), 1);
+            Attempt attempt = two.lastSent();
+            assertEquals(
+                    SideEffects.NON_IDEMPOTENT,
+                    attempt.shardRequest.query.queryClass().sideEffects);
+            assertNotSame(failed, attempt.node);
+            two.end(ms(700 + i), attempt, AttemptOutcome.SUCCESS);
+        }
+    }
+
+    @Test
+    void unresponsiveNodeIsEjected() {
+        fixture.start(idempotent, 1);
+        Attempt attempt = fixture.sent.get(0);
+        fixture.end(ms(1200), attempt, AttemptOutcome.CANCELLED);
+        assertTrue(fixture.policy.isEjected(attempt.node));
+    }
+
+    @Test
+    void overloadedNodeGetsNoFurtherRequests() {
+        fixture.start(idempotent, 2);
+        DataNode overloaded = fixture.sent.get(0).node;
+        fixture.end(ms(1), fixture.sent.get(0), AttemptOutcome.OVERLOADED);
+        fixture.end(ms(1), fixture.sent.get(1), AttemptOutcome.OVERLOADED);
+        fixture.start(ms(2), idempotent, 4);
+        assertTrue(fixture.sent.stream().skip(2).noneMatch(attempt -> attempt.node == overloaded));
+    }
+
+    /** Attempts at nodes of another zone, of which the first ones fail; returns an untried node. */
+    private DataNode attemptsInOtherZone(int attempts, int failed) {
+        Zone zone = new Zone(false);
+        Query query = new Query(idempotent, null, ms(0), PolicyFixture.DEADLINE);
+        for (int i = 0; i < attempts; i++) {
+            DataNode node = new DataNode(0, zone);
+            fixture.policy.onNodeUpdate(ms(0), node, Readiness.READY, null);
+            ShardRequest request = new ShardRequest(query, i, 0.1, null);
+            fixture.end(
+                    ms(100),
+                    new Attempt(request, node, ms(0), null),
+                    i < failed ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
+        }
+        DataNode untried = new DataNode(0, zone);
+        fixture.policy.onNodeUpdate(ms(0), untried, Readiness.READY, null);
+        for (DataNode node : fixture.nodes) {
+            new Attempt(new ShardRequest(query, 9, 0.1, null), node, ms(100), null);
+        }
+        fixture.start(ms(100), idempotent, 1);
+        return untried;
+    }
+
+    @Test
+    void zoneWhoseAttemptsMostlyFailIsAvoidedWithItsUntriedNodes() {
+        DataNode untried = attemptsInOtherZone(4, 4);
+        assertTrue(fixture.nodes.contains(fixture.sent.get(0).node));
+        assertNotSame(untried, fixture.sent.get(0).node);
+    }
+
+    @Test
+    void fewFailuresEjectNoZone() {
+        attemptsInOtherZone(4, 1);
+        assertFalse(fixture.nodes.contains(fixture.sent.get(0).node));
+    }
+}
--- a/src/test/java/postbeam/policy/PolicyFixture.java
+++ b/src/test/java/postbeam/policy/PolicyFixture.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Random;
 import postbeam.model.Attempt;
+import postbeam.model.AttemptOutcome;
 import postbeam.model.Cluster;
 import postbeam.model.DataNode;
 import postbeam.model.Query;
@@ -14,42 +15,42 @@
 import postbeam.model.SideEffects;
 import postbeam.model.Zone;
 
-/**
- * A router with a few sound nodes, each holding every shard, and a host that remembers what it was
- * told.
- */
+/** A policy over a few sound nodes, and a record of the actions that it took. */
 final class PolicyFixture implements PolicyActions {
-    static final Duration SLO = Duration.ofSeconds(2);
+    static final Duration OBJECTIVE = Duration.ofSeconds(2);
     static final Duration DEADLINE = Duration.ofSeconds(6);
 
     final List<Attempt> sent = new ArrayList<>();
     final List<Attempt> cancelled = new ArrayList<>();
-    final List<String> ended = new ArrayList<>();
+    final List<String> endings = new ArrayList<>();
     final List<DataNode> nodes = new ArrayList<>();
     final List<DataNode> probed = new ArrayList<>();
     final Zone zone = new Zone(true);
+    final SlowStart slowStart = new SlowStart(0.2, ms(10_000), 2.0, ms(1000), 1, ms(20), ms(250));
+
     final RoutingPolicy policy;
 
-    PolicyFixture(int nodeCount, boolean mayDuplicate) {
-        this(nodeCount, mayDuplicate, 16);
+    /** Each node holds every shard, and a call carries several requests. */
+    PolicyFixture(int nodeCount, boolean hedgingAllowed) {
+        this(nodeCount, hedgingAllowed, 16);
     }
 
-    PolicyFixture(int nodeCount, boolean mayDuplicate, int partsACall) {
-        this(nodeCount, mayDuplicate, partsACall, 1);
+    /** Each node holds every shard. */
+    PolicyFixture(int nodeCount, boolean hedgingAllowed, int requestsPerCall) {
+        this(nodeCount, hedgingAllowed, requestsPerCall, 1);
     }
 
-    /** With more than one cell, each shard has the nodes of its own alone. */
-    PolicyFixture(int nodeCount, boolean mayDuplicate, int partsACall, int cells) {
+    /** Each shard is held by the nodes of its cell. */
+    PolicyFixture(int nodeCount, boolean hedgingAllowed, int requestsPerCall, int cells) {
         policy =
                 new RoutingPolicy(
                         this,
                         new Random(1),
                         new Cluster(cells, 1),
-                        new RoutingPolicy.AdmissionControl(100, 1, 0.1, null),
-                        new RoutingPolicy.AttemptLimits(3, mayDuplicate, true, true, partsACall),
-                        new RoutingPolicy.RetryBudget(null, null, null),
-                        new RoutingPolicy.SlowStart(
-                                0.2, ms(10_000), 2.0, ms(1000), 1, ms(20), ms(250)));
+                        new AdmissionControl(100, 1, 0.1, null),
+                        new AttemptLimits(3, hedgingAllowed, true, true, requestsPerCall),
+                        new RetryBudget(null, null, null),
+                        slowStart);
         for (int i = 0; i < nodeCount; i++) {
             nodes.add(new DataNode(i % cells, zone));
             policy.onNodeUpdate(ms(0), nodes.get(i), Readiness.READY, null);
@@ -60,27 +61,56 @@
         return Duration.ofMillis(millis);
     }
 
-    static QueryClass vertical(SideEffects effect, double need) {
-        return new QueryClass(SLO, effect, ms(3000), 1, 0.1, need, need, 0.9);
+    /** A class whose queries need this share of the weight for any answer. */
+    static QueryClass queryClass(SideEffects sideEffects, double requiredWeight) {
+        return queryClass(sideEffects, requiredWeight, requiredWeight);
+    }
+
+    static QueryClass queryClass(
+            SideEffects sideEffects, double requiredWeight, double minimumWeight) {
+        return QueryClass.builder(OBJECTIVE, sideEffects)
+                .deduplicationWindow(ms(3000))
+                .utility(1, 0.1)
+                .weights(requiredWeight, minimumWeight)
+                .partialUtility(0.9)
+                .build();
     }
 
-    /** A query that has arrived with so many parts of equal weight. */
-    Query query(Duration now, QueryClass queryClass, int parts) {
+    static QueryClass idempotent() {
+        return queryClass(SideEffects.IDEMPOTENT, 1);
+    }
+
+    /** A query that arrives with so many shard requests of equal weight. */
+    Query arrive(Duration now, QueryClass queryClass, int requests) {
         Query query = new Query(queryClass, null, now, now.plus(DEADLINE));
         policy.onQuery(now, query);
-        for (int i = 0; i < parts; i++) {
-            policy.onShardRequest(now, new ShardRequest(query, i, 1.0 / parts, null));
+        for (int i = 0; i < requests; i++) {
+            policy.onShardRequest(now, new ShardRequest(query, i, 1.0 / requests, null));
         }
         return query;
     }
 
-    /** The same at the start, once its turn has ended. */
-    Query begun(QueryClass queryClass, int parts) {
-        Query query = query(ms(0), queryClass, parts);
-        policy.onBatchEnd(ms(0));
+    /** The same, decided on at once. */
+    Query start(Duration now, QueryClass queryClass, int requests) {
+        Query query = arrive(now, queryClass, requests);
+        policy.onBatchEnd(now);
         return query;
     }
 
+    /** The same at time 0. */
+    Query start(QueryClass queryClass, int requests) {
+        return start(ms(0), queryClass, requests);
+    }
+
+    /** An attempt ends; its latency is the time since it was sent. */
+    void end(Duration now, Attempt attempt, AttemptOutcome outcome) {
+        policy.onAttemptEnded(now, attempt, outcome, now.minus(attempt.sentAt), false);
+    }
+
+    Attempt lastSent() {
+        return sent.get(sent.size() - 1);
+    }
+
     @Override
     public void send(Attempt attempt) {
         sent.add(attempt);
@@ -92,18 +122,18 @@
     }
 
     @Override
-    public void answer(Query query, boolean whole) {
-        ended.add(whole ? "whole" : "partial");
+    public void answer(Query query, boolean complete) {
+        endings.add(complete ? "complete" : "partial");
     }
 
     @Override
-    public void reject(Query query, Duration comeBack) {
-        ended.add("rejected");
+    public void reject(Query query, Duration retryAfter) {
+        endings.add("rejected");
     }
 
     @Override
     public void abort(Query query) {
-        ended.add("aborted");
+        endings.add("aborted");
     }
 
     @Override
--- /dev/null
+++ b/src/test/java/postbeam/policy/SlowStartTest.java
@@ -0,0 +1,148 @@
+package postbeam.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static postbeam.policy.PolicyFixture.ms;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import org.junit.jupiter.api.Test;
+import postbeam.model.Attempt;
+import postbeam.model.AttemptOutcome;
+import postbeam.model.DataNode;
+import postbeam.model.Query;
+import postbeam.model.Readiness;
+import postbeam.model.ShardRequest;
+import postbeam.model.Zone;
+
+class SlowStartTest {
+    /** A rule with a load factor of 2 and a window of 1 s, counted for 250 ms longer. */
+    private static SlowStart rule(int routers, double loadFactor, Duration callOverhead) {
+        return new SlowStart(0.2, ms(10_000), loadFactor, ms(1000), routers, callOverhead, ms(250));
+    }
+
+    private static SlowStart rule(int routers) {
+        return rule(routers, 2, ms(20));
+    }
+
+    private static DataNode startedNode(
+            SlowStart slowStart, Duration startedAt, double samplingThreshold) {
+        DataNode node = new DataNode(0, new Zone(true));
+        node.attachPolicyState(
+                new NodeState(
+                        new NodeHealth(new ZoneHealth()), slowStart.newNode(samplingThreshold)));
+        node.update(Readiness.READY, startedAt);
+        return node;
+    }
+
+    @Test
+    void coldNodeGetsNoMoreThanThisRoutersShareOfEveryWindow() {
+        SlowStart slowStart = rule(2);
+        DataNode node = startedNode(slowStart, ms(0), 0);
+        assertTrue(slowStart.allows(ms(10), node, null, ms(150)));
+        slowStart.recordSent(ms(10), node, null, ms(300));
+        assertFalse(slowStart.allows(ms(900), node, null, ms(150)));
+        // What was decided then may have been sent 250 ms later, once its connection was up.
+        assertFalse(slowStart.allows(ms(1200), node, null, ms(150)));
+        assertTrue(slowStart.allows(ms(1400), node, null, ms(150)));
+        assertTrue(slowStart.allows(ms(11_000), node, null, ms(5000)));
+    }
+
+    /** It has forgotten what it sent before it ended, which may have been its whole share. */
+    @Test
+    void routerThatHasJustStartedSendsNothingToColdNodes() {
+        SlowStart slowStart = rule(2);
+        DataNode node = startedNode(slowStart, ms(-300), 0);
+        assertFalse(slowStart.allows(ms(1200), node, null, ms(150)));
+        assertTrue(slowStart.allows(ms(1250), node, null, ms(150)));
+    }
+
+    @Test
+    void shardThatANodeHasJustAcquiredCountsAsColdThere() {
+        SlowStart slowStart = rule(2);
+        DataNode node = startedNode(slowStart, null, 0);
+        assertTrue(slowStart.allows(ms(10), node, ms(0), ms(150)));
+        slowStart.recordSent(ms(10), node, ms(0), ms(300));
+        assertFalse(slowStart.allows(ms(900), node, ms(0), ms(150)));
+        assertTrue(slowStart.allows(ms(900), node, null, ms(150)), "its other shards are warm");
+    }
+
+    /** All that so many routers can send a cold node, with requests of differing work. */
+    private static double mostInAWindow(Random random, int routers, double loadFactor) {
+        List<SlowStart> rules = new ArrayList<>();
+        List<DataNode> views = new ArrayList<>();
+        for (int i = 0; i < routers; i++) {
+            rules.add(rule(routers, loadFactor, ms(0)));
+            views.add(startedNode(rules.get(i), ms(5000), random.nextDouble()));
+        }
+        double sum = 0;
+        for (int at = 5000; at < 6000; at += 50) {
+            for (int i = 0; i < routers; i++) {
+                Duration work = ms(60 + random.nextInt(80));
+                Duration asked = work.compareTo(ms(100)) < 0 ? ms(100) : work;
+                if (rules.get(i).allows(ms(at), views.get(i), null, asked)) {
+                    rules.get(i).recordSent(ms(at), views.get(i), null, work);
+                    sum += work.toNanos() / 1e9;
+                }
+            }
+        }
+        return sum;
+    }
+
+    /**
+     * The worst that can come: all routers want the node all the time. More than N + 2 x root of N
+     * + 2 requests, N being the budget, is chance.
+     */
+    @Test
+    void allRoutersTogetherKeepTheBudgetOfAColdNodeButForChance() {
+        Random random = new Random(5);
+        for (int routers : new int[] {3, 20, 30, 100}) {
+            for (double loadFactor : new double[] {2, 3, 4}) {
+                double n = loadFactor * 0.2 * 2 / 0.1;
+                int beyond = 0;
+                double all = 0;
+                for (int i = 0; i < 1000; i++) {
+                    double sent = mostInAWindow(random, routers, loadFactor) / 0.1;
+                    all += sent;
+                    beyond += sent > n + 2 * Math.sqrt(n) + 2 ? 1 : 0;
+                }
+                String what = routers + " routers, N " + n + ": ";
+                System.out.println(what + "mean " + all / 1000 + ", beyond " + beyond);
+                assertTrue(all / 1000 <= n, what + all / 1000 + " on the mean");
+                assertTrue(beyond <= 2, what + beyond + " of 1000 windows beyond");
+            }
+        }
+    }
+
+    @Test
+    void manyRoutersRoundTheirShareBySampling() {
+        SlowStart slowStart = rule(100);
+        DataNode low = startedNode(slowStart, ms(0), 0.01);
+        assertTrue(slowStart.allows(ms(10), low, null, ms(80)));
+        slowStart.recordSent(ms(10), low, null, ms(80));
+        assertFalse(slowStart.allows(ms(500), low, null, ms(80)));
+        DataNode high = startedNode(slowStart, ms(0), 0.99);
+        slowStart.recordSent(ms(10), high, null, ms(80));
+        assertFalse(slowStart.allows(ms(2000), high, null, ms(80)));
+    }
+
+    @Test
+    void unreachableNodeCountsAsColdUntilALaterStartIsListed() {
+        PolicyFixture fixture = new PolicyFixture(3, true);
+        DataNode node = fixture.nodes.get(0);
+        node.update(Readiness.READY, ms(0));
+        fixture.policy.onNodeUpdate(ms(50_000), node, Readiness.READY, ms(0));
+        Query query = new Query(PolicyFixture.idempotent(), null, ms(60_000), ms(66_000));
+        ShardRequest request = new ShardRequest(query, 0, 1, null);
+        fixture.end(
+                ms(60_000),
+                new Attempt(request, node, ms(60_000), null),
+                AttemptOutcome.UNREACHABLE);
+        assertEquals(ms(60_000), fixture.slowStart.coldSince(node));
+        fixture.policy.onNodeUpdate(ms(63_000), node, Readiness.READY, ms(61_000));
+        assertEquals(ms(61_000), fixture.slowStart.coldSince(node));
+    }
+}
--- a/src/test/java/postbeam/slices/SliceTranslatorTest.java
+++ b/src/test/java/postbeam/slices/SliceTranslatorTest.java
@@ -37,19 +37,14 @@
     }
 
     private static Query query(SideEffects effect, double floor) {
-        return new Query(
-                new QueryClass(
-                        Duration.ofSeconds(1),
-                        effect,
-                        Duration.ofSeconds(1),
-                        1,
-                        0.1,
-                        1,
-                        floor,
-                        0.9),
-                null,
-                Duration.ZERO,
-                Duration.ofSeconds(3));
+        QueryClass queryClass =
+                QueryClass.builder(Duration.ofSeconds(1), effect)
+                        .deduplicationWindow(Duration.ofSeconds(1))
+                        .utility(1, 0.1)
+                        .weights(1, floor)
+                        .partialUtility(0.9)
+                        .build();
+        return new Query(queryClass, null, Duration.ZERO, Duration.ofSeconds(3));
     }
 
     /** Asks for these slices of the layout told first, with even weights. */
--- a/src/test/java/postbeam/slices/TranslationBenchmark.java
+++ b/src/test/java/postbeam/slices/TranslationBenchmark.java
@@ -38,8 +38,11 @@
     private static final int PARTS = 100;
     private static final int RECUTS = 100;
     private static final QueryClass SEARCH =
-            new QueryClass(
-                    Duration.ofSeconds(1), SideEffects.IDEMPOTENT, null, 1, 0.1, 0.75, 0.75, 0.9);
+            QueryClass.builder(Duration.ofSeconds(1), SideEffects.IDEMPOTENT)
+                    .utility(1, 0.1)
+                    .weights(0.75, 0.75)
+                    .partialUtility(0.9)
+                    .build();
 
     private final SliceTranslator slicing = new SliceTranslator();
     private final List<SliceRequest> now = new ArrayList<>();
