--- a/src/main/java/postbeam/errors/OperatorError.java
+++ b/src/main/java/postbeam/errors/OperatorError.java
@@ -1,21 +1,24 @@
 package postbeam.errors;
 
 /**
- * What went wrong, in a type of its own: what happened, to what, and what an operator can do about
- * it. Each package has its kinds as records under one sealed interface that extends this; log,
- * command and answer all say {@link #message}.
+ * An error that can happen in service, in words for operators. Each package has its kinds as
+ * records under one sealed interface that extends this one; log lines, commands and HTTP answers
+ * all carry {@link #message}.
  */
 public interface OperatorError {
     /**
-     * What happened and to what, as a clause with no full stop: "the lease of node 10.0.0.4:8083
-     * ended before its send".
+     * What happened, and to what: a clause without a full stop, such as "migration 7 is not
+     * paused".
      */
     String problem();
 
-    /** One sentence on what an operator can do, with no full stop: "see whether ... and ...". */
+    /**
+     * What an operator can do about it: a clause without a full stop, such as "wait until the node
+     * is ready".
+     */
     String remedy();
 
-    /** The one sentence for log, command and answer. */
+    /** Problem and remedy in one line, for log, command and answer. */
     default String message() {
         return problem() + "; " + remedy();
     }
--- a/src/main/java/postbeam/errors/package-info.java
+++ b/src/main/java/postbeam/errors/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The form of errors that can happen in service: what happened, to what, and what an operator can
- * do. It knows no other package; the kinds stand in the packages where they happen.
+ * The form of errors that can happen in service: the problem, and what an operator can do about it.
+ * The kinds of errors stand in the packages where they happen; this package depends on no other.
  */
 package postbeam.errors;
--- a/src/main/java/postbeam/layoutservice/MigrationHandler.java
+++ b/src/main/java/postbeam/layoutservice/MigrationHandler.java
@@ -67,7 +67,7 @@
                                     new Checkpoint(number(asked, "version"), text(asked, "digest")),
                                     now);
                 };
-        return new Response(doings, () -> text(migrations.journalState().find(id)));
+        return new Response(doings, () -> text(migrations.journalState().find(id).orElse(null)));
     }
 
     private Response migrate(byte[] body, Duration now) throws OperatorErrorException {
@@ -89,7 +89,7 @@
         long id = migrations.journalState().nextId();
         return new Response(
                 migrations.createMigration(member, hops, now),
-                () -> text(migrations.journalState().find(id)));
+                () -> text(migrations.journalState().find(id).orElse(null)));
     }
 
     /** One migration in a line, as operators read it. */
--- /dev/null
+++ b/src/main/java/postbeam/migration/ActionBatch.java
@@ -0,0 +1,66 @@
+package postbeam.migration;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import postbeam.slices.Coordinator;
+import postbeam.slices.CoordinatorAction;
+import postbeam.slices.JournalRecord;
+import postbeam.slices.LayoutChange;
+import postbeam.slices.Move;
+
+/**
+ * The actions of one call, in the order in which they are to be carried out. A journal record takes
+ * effect in memory as soon as it is added; the caller writes it to disk before it carries out what
+ * follows.
+ */
+final class ActionBatch {
+    /**
+     * Why a copy is abandoned that differs, or that its target no longer keeps up to date, when an
+     * operator resumes its migration. The journal holds this text and {@link #isRecopied} compares
+     * it: it must not change.
+     */
+    private static final String RECOPY_REASON = "its copy was no good: copied anew";
+
+    private final Coordinator coordinator;
+    private final List<MigrationAction> actions = new ArrayList<>();
+
+    ActionBatch(Coordinator coordinator) {
+        this.coordinator = coordinator;
+    }
+
+    /** Whether the move was abandoned so that its slice is copied once more. */
+    static boolean isRecopied(Move move) {
+        return RECOPY_REASON.equals(move.abandonReason);
+    }
+
+    void append(JournalRecord.WorkflowRecord migrationRecord) {
+        coordinator.book().apply(migrationRecord);
+        actions.add(
+                new MigrationAction.Delegated(new CoordinatorAction.AppendRecord(migrationRecord)));
+    }
+
+    void request(MigrationAction.RequestDigests request) {
+        actions.add(request);
+    }
+
+    void planMove(LayoutChange change, Duration now) {
+        delegate(coordinator.plan(change, now));
+    }
+
+    void abandonMove(Move move, String reason, Duration now) {
+        delegate(coordinator.abandon(move.id, reason, now));
+    }
+
+    void abandonForRecopy(Move move, Duration now) {
+        abandonMove(move, RECOPY_REASON, now);
+    }
+
+    List<MigrationAction> actions() {
+        return actions;
+    }
+
+    private void delegate(List<CoordinatorAction> coordinatorActions) {
+        coordinatorActions.forEach(action -> actions.add(new MigrationAction.Delegated(action)));
+    }
+}
--- a/src/main/java/postbeam/migration/Checkpoint.java
+++ b/src/main/java/postbeam/migration/Checkpoint.java
@@ -1,6 +1,9 @@
 package postbeam.migration;
 
 /**
- * What a checkpoint was opened for: a version of the layout and a digest over what was verified.
+ * What an operator passes a checkpoint for.
+ *
+ * @param layoutVersion of the layout in force when it was opened
+ * @param digest over what was verified, in hexadecimal digits
  */
 public record Checkpoint(long layoutVersion, String digest) {}
--- a/src/main/java/postbeam/migration/MigrationError.java
+++ b/src/main/java/postbeam/migration/MigrationError.java
@@ -3,10 +3,11 @@
 import postbeam.errors.OperatorError;
 
 /**
- * What can be wrong with an order about migrations, or with who gives it. Nothing has been done
- * then.
+ * Why an operator's command about migrations is rejected, or can't be carried out here. Nothing has
+ * changed then.
  */
 public sealed interface MigrationError extends OperatorError {
+    /** No migration of this id, or it is over. */
     record NotFound(long id) implements MigrationError {
         @Override
         public String problem() {
@@ -19,6 +20,7 @@
         }
     }
 
+    /** The transfers can't be planned together. */
     record InvalidPlan(String member, String reason) implements MigrationError {
         @Override
         public String problem() {
@@ -31,6 +33,7 @@
         }
     }
 
+    /** A checkpoint is passed where none is open. */
     record NoOpenCheckpoint(long id, MigrationState state) implements MigrationError {
         @Override
         public String problem() {
@@ -46,6 +49,7 @@
         }
     }
 
+    /** Another checkpoint than the open one is passed. */
     record StaleCheckpoint(long id, Checkpoint requested, Checkpoint openCheckpoint)
             implements MigrationError {
         @Override
@@ -68,6 +72,7 @@
         }
     }
 
+    /** The checkpoint that was passed last is passed again. */
     record CheckpointAlreadyPassed(long id, Checkpoint requested) implements MigrationError {
         @Override
         public String problem() {
@@ -86,6 +91,7 @@
         }
     }
 
+    /** The command needs a migration that is not paused. */
     record MigrationPaused(long id, String reason) implements MigrationError {
         @Override
         public String problem() {
@@ -98,6 +104,7 @@
         }
     }
 
+    /** A migration is resumed that is not paused. */
     record NotPaused(long id) implements MigrationError {
         @Override
         public String problem() {
@@ -110,6 +117,7 @@
         }
     }
 
+    /** A migration is resumed while the reason of its pause lasts. */
     record PauseReasonPersists(long id, String reason) implements MigrationError {
         @Override
         public String problem() {
@@ -122,6 +130,7 @@
         }
     }
 
+    /** The old side is being dropped already, or the migration is being rolled back. */
     record RollbackTooLate(long id, MigrationState state) implements MigrationError {
         @Override
         public String problem() {
@@ -134,6 +143,7 @@
         }
     }
 
+    /** The command can't be read. */
     record MalformedCommand(String detail) implements MigrationError {
         @Override
         public String problem() {
@@ -146,6 +156,7 @@
         }
     }
 
+    /** Another process writes the journal. */
     record LeadershipLost(long term, String evidence) implements MigrationError {
         @Override
         public String problem() {
@@ -162,6 +173,7 @@
         }
     }
 
+    /** Migrations are disabled in the settings. */
     record MigrationsDisabled() implements MigrationError {
         @Override
         public String problem() {
--- a/src/main/java/postbeam/migration/MigrationLimits.java
+++ b/src/main/java/postbeam/migration/MigrationLimits.java
@@ -5,19 +5,19 @@
 /**
  * What migrations must keep to.
  *
- * @param atOnce migrations under way at once
- * @param batch copies of one migration under way at once
- * @param movesASecond moves that may begin in a second, over all migrations
- * @param bytesASecond bytes whose copy may begin in a second, over all migrations
- * @param starved after which a copy or an answer about one is starved
- * @param cold how long a node counts as cold after its start
- * @param watch how long the new side is watched before the last checkpoint opens
- * @param leastUtility of what the member had before: under it the migration pauses
- * @param again how long until a comparison asks again
- * @param patience times that a difference must show with the source unchanged
- * @param finest keys of a range that is not cut further
- * @param lease how long a router may go by a layout that it asked for; drift comes on top
- * @param drift what two clocks may differ by over a lease
+ * @param maxActiveMigrations migrations under way at once
+ * @param maxConcurrentCopies copies of one migration under way at once
+ * @param movesPerSecond moves that may start in a second, over all migrations
+ * @param bytesPerSecond bytes whose copy may start in a second, over all migrations
+ * @param stallTimeout without progress, after which a copy or an answer about one counts as stalled
+ * @param warmUpPeriod how long a node counts as warming up after its start
+ * @param observationPeriod how long the new side is observed before the last checkpoint opens
+ * @param minUtilityRatio of the member's utility at the start; below it the migration pauses
+ * @param requestInterval until a request for digests that was not answered is sent again
+ * @param mismatchesToConfirm times that a mismatch must show with the source unchanged
+ * @param minRangeSize in keys: a range of at most this size is not split further
+ * @param routerLease how long a router may use a layout that it asked for; the drift comes on top
+ * @param clockDrift by which two clocks may differ over a lease
  */
 public record MigrationLimits(
         int maxActiveMigrations,
--- a/src/main/java/postbeam/migration/MigrationState.java
+++ b/src/main/java/postbeam/migration/MigrationState.java
@@ -1,24 +1,27 @@
 package postbeam.migration;
 
-/** Where a migration stands. Up to CHECKPOINT the old side serves, from WATCHED on the new one. */
+/**
+ * The states of a migration. Up to SWITCH_CHECKPOINT the old side serves, from OBSERVING on the new
+ * one.
+ */
 public enum MigrationState {
-    /** Waits until the limits allow it to begin. */
+    /** Waits until the limits allow it to start. */
     PLANNED("PLANNED"),
-    /** Targets copy, in batches. */
+    /** Targets copy their slices, in batches. */
     COPYING("COPYING"),
-    /** All targets hold all of it and are kept up to date. */
+    /** All targets hold all of their slices and are kept up to date. */
     CAUGHT_UP("CAUGHT_UP"),
-    /** Both sides are compared. */
+    /** The replicas of both sides are compared. */
     VERIFYING("VERIFYING"),
     /** Waits for an operator before the switch. */
     SWITCH_CHECKPOINT("CHECKPOINT"),
     /** Each slice is fenced at its old holder and cut over to the new one. */
     SWITCHING("SWITCHING"),
-    /** The new side serves; the old holders are fenced and keep what they have. */
+    /** The new side serves; the old holders are fenced and keep their data. */
     OBSERVING("WATCHED"),
     /** Waits for an operator before the old side is dropped. */
     RETIREMENT_CHECKPOINT("LAST_CHECKPOINT"),
-    /** The old side is being dropped: no way back. */
+    /** The old side is being dropped: no rollback any more. */
     RETIRING("RETIRING"),
     /** Over: the new side serves. */
     RETIRED("RETIRED"),
@@ -38,12 +41,24 @@
         return wireName;
     }
 
+    /** Whether the migration is over. */
     public boolean isFinal() {
         return this == RETIRED || this == ROLLED_BACK;
     }
 
-    /** The migration may still be taken back. */
+    /** Whether the migration may still be rolled back. */
     public boolean allowsRollback() {
-        return ordinal() <= RETIREMENT_CHECKPOINT.ordinal();
+        return switch (this) {
+            case PLANNED,
+                    COPYING,
+                    CAUGHT_UP,
+                    VERIFYING,
+                    SWITCH_CHECKPOINT,
+                    SWITCHING,
+                    OBSERVING,
+                    RETIREMENT_CHECKPOINT ->
+                    true;
+            case RETIRING, RETIRED, ROLLING_BACK, ROLLED_BACK -> false;
+        };
     }
 }
--- a/src/main/java/postbeam/migration/MigrationThrottle.java
+++ b/src/main/java/postbeam/migration/MigrationThrottle.java
@@ -2,43 +2,45 @@
 
 import java.time.Duration;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
 
 /**
- * How soon the next copy may begin, over all migrations: each runs up a debt of moves and of bytes,
- * which time pays, and none begins while there is one. The member that has had the fewest bytes is
- * served first.
+ * Limits how soon the next copy may start, over all migrations: each copy takes the time that its
+ * move and its bytes cost at the configured rates, and none starts before that is over. Counts the
+ * bytes by member, for a fair order.
  */
 final class MigrationThrottle {
+    private static final double NANOS_PER_SECOND = 1e9;
+
     private final double movesPerSecond;
     private final double bytesPerSecond;
     private final Map<String, Long> copiedBytes = new TreeMap<>();
     private Duration nextStartAt = Duration.ZERO;
 
-    MigrationThrottle(int movesASecond, long bytesASecond) {
-        this.movesPerSecond = movesASecond;
-        this.bytesPerSecond = bytesASecond;
+    MigrationThrottle(int movesPerSecond, long bytesPerSecond) {
+        this.movesPerSecond = movesPerSecond;
+        this.bytesPerSecond = bytesPerSecond;
     }
 
     boolean canStart(Duration now) {
         return now.compareTo(nextStartAt) >= 0;
     }
 
+    /** A copy of so many bytes starts for this member. */
     void onCopyStarted(String member, long bytes, Duration now) {
         double seconds = Math.max(1 / movesPerSecond, bytes / bytesPerSecond);
-        nextStartAt = now.plusNanos((long) (seconds * 1e9));
+        nextStartAt = now.plusNanos((long) (seconds * NANOS_PER_SECOND));
         copiedBytes.merge(member, Math.max(1, bytes), Long::sum);
     }
 
-    /**
-     * Bytes that a member's copies have had; a new one begins level with the least of those that
-     * wait.
-     */
+    /** Bytes that the member's copies have taken; 0 for one that has not copied yet. */
     long copiedBytes(String member) {
         return copiedBytes.getOrDefault(member, 0L);
     }
 
-    void retainMembers(java.util.Set<String> members) {
+    /** Forgets all other members. */
+    void retainMembers(Set<String> members) {
         copiedBytes.keySet().retainAll(members);
     }
 }
--- a/src/main/java/postbeam/migration/PauseReason.java
+++ b/src/main/java/postbeam/migration/PauseReason.java
@@ -2,16 +2,17 @@
 
 /** Why a migration is paused. */
 public enum PauseReason {
+    /** An operator paused it. */
     OPERATOR("OPERATOR"),
-    /** A node that is to take a slice started lately. */
+    /** A target started a short while ago. */
     TARGET_WARMING_UP("TARGET_COLD"),
-    /** A slice has one ready holder left. */
+    /** A slice has at most one ready holder. */
     TOO_FEW_READY_REPLICAS("SHARD_THIN"),
-    /** The member's utility fell. */
+    /** The member's utility fell below the limit. */
     UTILITY_DROPPED("UTILITY_FELL"),
     /** A copy, or an answer about one, takes too long. */
     STALLED("STARVED"),
-    /** The two sides differ. */
+    /** The two replicas of a slice differ. */
     DIGEST_MISMATCH("DIFFERS"),
     /** A move was abandoned, or can't be planned. */
     MOVE_FAILED("MOVE_FAILED");
--- a/src/main/java/postbeam/migration/ReplicaComparison.java
+++ b/src/main/java/postbeam/migration/ReplicaComparison.java
@@ -1,57 +1,76 @@
 package postbeam.migration;
 
-import java.nio.charset.StandardCharsets;
-import java.security.MessageDigest;
-import java.security.NoSuchAlgorithmException;
 import java.time.Duration;
-import java.util.ArrayList;
-import java.util.HexFormat;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.stream.Collectors;
 import postbeam.slices.KeyRange;
 
 /**
- * Compares what two nodes have of a slice: asks both for ranges, takes what agrees, asks again
- * where writes were under way, cuts what goes on to differ. A difference counts once it has shown
- * so many times with the source unchanged: rows that came in between, or in another order, are
- * none.
+ * Compares two nodes' replicas of a slice by digests of key ranges: asks both nodes for the same
+ * ranges, drops those that match, asks again where writes were under way, and splits those that go
+ * on to differ. A mismatch counts only once it has shown several times with the source unchanged:
+ * rows that arrive in between, or in another order, are none.
  */
 final class ReplicaComparison {
-    /** Pieces that a range is cut into. */
+    /** Ranges that a range is split into. */
     private static final int SPLIT_COUNT = 8;
 
-    /** Ranges that are found to differ, or are looked at at once; enough to see where it is. */
+    /**
+     * Differing ranges after which the comparison ends: enough to see where the replicas differ.
+     */
     private static final int MAX_DIFFERENCES = 16;
 
+    /** Ranges that are compared at once. */
     private static final int MAX_OPEN_RANGES = 256;
 
-    /** Rounds after which a range that comes to no rest is cut. */
+    /** Rounds after which a range that is always being written to is split. */
     private static final int ROUNDS_BEFORE_SPLIT = 12;
 
+    /** What is known of a range that has not matched yet. */
     private static final class UnmatchedRange {
-        RangeDigest lastSourceDigest;
-        int mismatches;
-        int rounds;
+        private RangeDigest lastSourceDigest;
+
+        /** Mismatches in a row with the source unchanged. */
+        private int mismatches;
+
+        private int rounds;
+
+        /** A round in which the replicas did not match. */
+        void onMismatch(RangeDigest sourceDigest, RangeDigest targetDigest) {
+            rounds++;
+            boolean noPendingWrites =
+                    sourceDigest.pendingWrites() == 0 && targetDigest.pendingWrites() == 0;
+            boolean unchanged =
+                    noPendingWrites
+                            && lastSourceDigest != null
+                            && lastSourceDigest.hasSameContent(sourceDigest);
+            mismatches = unchanged ? mismatches + 1 : 1;
+            lastSourceDigest = sourceDigest;
+        }
     }
 
     private final String source;
     private final String target;
     private final int slice;
     private final MigrationLimits limits;
-
-    /** Ranges that have not agreed yet. */
     private final Map<KeyRange, UnmatchedRange> unmatchedRanges = new TreeMap<>();
-
     private final Map<KeyRange, RangeDigest> matchedRanges = new TreeMap<>();
+
+    /** Descriptions of the ranges that differ. */
     private final Map<KeyRange, String> differences = new LinkedHashMap<>();
+
+    /** Of the open request; 0 where there is none. */
     private long requestId;
-    private Map<KeyRange, RangeDigest> sourceDigests;
-    private Map<KeyRange, RangeDigest> targetDigests;
+
     private Duration requestedAt;
 
-    /** When a range last agreed, differed or was cut. */
+    /** The answers to the open request; null where one has not come. */
+    private Map<KeyRange, RangeDigest> sourceDigests;
+
+    private Map<KeyRange, RangeDigest> targetDigests;
     private Duration lastProgressAt;
 
     ReplicaComparison(
@@ -66,143 +85,150 @@
         this.slice = slice;
         this.limits = limits;
         this.lastProgressAt = now;
-        split(keys).forEach(piece -> unmatchedRanges.put(piece, new UnmatchedRange()));
+        addSplit(keys);
     }
 
-    private static List<KeyRange> split(KeyRange keys) {
-        List<KeyRange> pieces = new ArrayList<>();
-        long step = Math.max(1, (keys.size() + SPLIT_COUNT - 1) / SPLIT_COUNT);
-        for (long from = keys.from(); from < keys.to(); from += step) {
-            pieces.add(new KeyRange(from, Math.min(keys.to(), from + step)));
+    private void addSplit(KeyRange range) {
+        long size = Math.max(1, (range.size() + SPLIT_COUNT - 1) / SPLIT_COUNT);
+        for (long from = range.from(); from < range.to(); from += size) {
+            KeyRange part = new KeyRange(from, Math.min(range.to(), from + size));
+            unmatchedRanges.put(part, new UnmatchedRange());
         }
-        return pieces;
     }
 
-    /**
-     * Asks where nothing is asked, or the last question was lost; the number is for a new question.
-     */
-    List<MigrationAction> nextRequests(long number, Duration now) {
-        if (isFinished()
-                || requestedAt != null
-                        && now.minus(requestedAt).compareTo(limits.requestInterval()) < 0) {
+    /** Requests to both nodes under this id, unless the last ones were sent a short while ago. */
+    List<MigrationAction.RequestDigests> nextRequests(long nextRequestId, Duration now) {
+        if (isFinished() || isRequestPending(now)) {
             return List.of();
         }
-        requestId = number;
+        requestId = nextRequestId;
         requestedAt = now;
         sourceDigests = null;
         targetDigests = null;
         List<KeyRange> ranges = unmatchedRanges.keySet().stream().limit(MAX_OPEN_RANGES).toList();
-        // Both by one number: an answer to an earlier question is of no use any more.
+        // One id for both, so that an answer to an earlier request counts no more.
         return List.of(
-                new MigrationAction.RequestDigests(number, source, slice, ranges),
-                new MigrationAction.RequestDigests(number, target, slice, ranges));
+                new MigrationAction.RequestDigests(requestId, source, slice, ranges),
+                new MigrationAction.RequestDigests(requestId, target, slice, ranges));
+    }
+
+    private boolean isRequestPending(Duration now) {
+        return requestedAt != null
+                && now.minus(requestedAt).compareTo(limits.requestInterval()) < 0;
     }
 
-    void onDigests(long number, String node, List<RangeDigest> said, Duration now) {
-        if (number != requestId || isFinished()) {
+    /**
+     * Takes over a node's answer, if it is one to the open request; compares once both have come.
+     */
+    void onDigests(long answeredId, String node, List<RangeDigest> digests, Duration now) {
+        if (answeredId != requestId || isFinished()) {
             return;
         }
-        Map<KeyRange, RangeDigest> by = new LinkedHashMap<>();
-        said.forEach(one -> by.put(one.range(), one));
+        Map<KeyRange, RangeDigest> byRange = new LinkedHashMap<>();
+        digests.forEach(digest -> byRange.put(digest.range(), digest));
         if (node.equals(source)) {
-            sourceDigests = by;
+            sourceDigests = byRange;
         } else if (node.equals(target)) {
-            targetDigests = by;
+            targetDigests = byRange;
         }
         if (sourceDigests != null && targetDigests != null) {
-            requestId = 0;
-            int before = unmatchedRanges.size();
-            for (KeyRange range : List.copyOf(unmatchedRanges.keySet())) {
-                if (sourceDigests.containsKey(range) && targetDigests.containsKey(range)) {
-                    compare(range, sourceDigests.get(range), targetDigests.get(range));
-                }
+            compareAll(now);
+        }
+    }
+
+    private void compareAll(Duration now) {
+        requestId = 0;
+        int before = unmatchedRanges.size();
+        for (KeyRange range : List.copyOf(unmatchedRanges.keySet())) {
+            if (sourceDigests.containsKey(range) && targetDigests.containsKey(range)) {
+                compare(range, sourceDigests.get(range), targetDigests.get(range));
             }
-            lastProgressAt = unmatchedRanges.size() == before ? lastProgressAt : now;
+        }
+        if (unmatchedRanges.size() != before) {
+            lastProgressAt = now;
         }
     }
 
-    private void compare(KeyRange range, RangeDigest here, RangeDigest there) {
-        UnmatchedRange doubt = unmatchedRanges.get(range);
-        if (here.matches(there)) {
+    private void compare(KeyRange range, RangeDigest sourceDigest, RangeDigest targetDigest) {
+        if (sourceDigest.matches(targetDigest)) {
             unmatchedRanges.remove(range);
-            matchedRanges.put(range, here);
+            matchedRanges.put(range, sourceDigest);
             return;
         }
-        doubt.rounds++;
-        boolean still =
-                here.pendingWrites() == 0
-                        && there.pendingWrites() == 0
-                        && doubt.lastSourceDigest != null
-                        && doubt.lastSourceDigest.hasSameContent(here);
-        doubt.mismatches = still ? doubt.mismatches + 1 : 1;
-        doubt.lastSourceDigest = here;
-        if (doubt.mismatches < limits.mismatchesToConfirm()) {
-            // Where something is always under way, finer pieces have their quiet moments.
-            if (doubt.rounds >= ROUNDS_BEFORE_SPLIT
-                    && range.size() > limits.minRangeSize()
-                    && unmatchedRanges.size() + SPLIT_COUNT <= MAX_OPEN_RANGES) {
-                unmatchedRanges.remove(range);
-                split(range).forEach(piece -> unmatchedRanges.put(piece, new UnmatchedRange()));
-            }
-            return;
+        UnmatchedRange unmatched = unmatchedRanges.get(range);
+        unmatched.onMismatch(sourceDigest, targetDigest);
+        if (unmatched.mismatches >= limits.mismatchesToConfirm()) {
+            onConfirmedMismatch(range, sourceDigest, targetDigest);
+        } else if (unmatched.rounds >= ROUNDS_BEFORE_SPLIT
+                && range.size() > limits.minRangeSize()
+                && hasRoomToSplit()) {
+            // Where writes are always under way, smaller ranges have their quiet moments.
+            unmatchedRanges.remove(range);
+            addSplit(range);
         }
+    }
+
+    private void onConfirmedMismatch(
+            KeyRange range, RangeDigest sourceDigest, RangeDigest targetDigest) {
         unmatchedRanges.remove(range);
-        if (range.size() <= Math.max(1, limits.minRangeSize())
-                || unmatchedRanges.size() + SPLIT_COUNT > MAX_OPEN_RANGES) {
+        if (range.size() > Math.max(1, limits.minRangeSize()) && hasRoomToSplit()) {
+            addSplit(range);
+        } else {
             differences.put(
                     range,
                     text(range)
                             + ": "
-                            + here.rows()
+                            + sourceDigest.rows()
                             + " rows at "
                             + source
                             + ", "
-                            + there.rows()
+                            + targetDigest.rows()
                             + " at "
                             + target);
-        } else {
-            split(range).forEach(piece -> unmatchedRanges.put(piece, new UnmatchedRange()));
         }
     }
 
-    boolean isFinished() {
-        return unmatchedRanges.isEmpty() || differences.size() >= MAX_DIFFERENCES;
+    private boolean hasRoomToSplit() {
+        return unmatchedRanges.size() + SPLIT_COUNT <= MAX_OPEN_RANGES;
     }
 
-    /** The ranges that differ, in words; empty while none is found. */
-    List<String> differences() {
-        return List.copyOf(differences.values());
+    /** Whether all ranges are compared, or enough of them differ. */
+    boolean isFinished() {
+        return unmatchedRanges.isEmpty() || differences.size() >= MAX_DIFFERENCES;
     }
 
+    /** Whether all ranges are compared and match. */
     boolean isMatch() {
         return unmatchedRanges.isEmpty() && differences.isEmpty();
     }
 
+    /** The ranges that differ, one text each; empty while none is found. */
+    List<String> differences() {
+        return List.copyOf(differences.values());
+    }
+
+    /** When a range last matched, differed or was split. */
     Duration lastProgressAt() {
         return lastProgressAt;
     }
 
-    /** Over all that agreed. */
+    /** Over all that matched. The journal holds it: the form stays. */
     String digest() {
-        MessageDigest sum = sha256();
-        matchedRanges.forEach(
-                (range, said) ->
-                        sum.update(
-                                (text(range) + " " + said.rows() + " " + said.digest() + "\n")
-                                        .getBytes(StandardCharsets.UTF_8)));
-        return HexFormat.of().formatHex(sum.digest());
+        return Digests.sha256(
+                matchedRanges.entrySet().stream()
+                        .map(
+                                entry ->
+                                        text(entry.getKey())
+                                                + " "
+                                                + entry.getValue().rows()
+                                                + " "
+                                                + entry.getValue().digest()
+                                                + "\n")
+                        .collect(Collectors.joining()));
     }
 
     /** As it stands in digests on disk and in texts for operators. */
     private static String text(KeyRange range) {
         return range.from() + "-" + range.to();
     }
-
-    static MessageDigest sha256() {
-        try {
-            return MessageDigest.getInstance("SHA-256");
-        } catch (NoSuchAlgorithmException e) {
-            throw new AssertionError("each Java platform has SHA-256", e);
-        }
-    }
 }
--- a/src/main/java/postbeam/migration/SliceTransfer.java
+++ b/src/main/java/postbeam/migration/SliceTransfer.java
@@ -2,13 +2,30 @@
 
 import postbeam.slices.LayoutChange;
 
-/** One slice of a member, the node that gives it up and the node that takes it. */
+/**
+ * One slice of a member that goes from one node to another.
+ *
+ * @param slice its number in the layout
+ * @param source the node that gives it up
+ * @param target the node that takes it
+ */
 public record SliceTransfer(int slice, String source, String target) {
+    /** The change that hands the slice to the target. */
     public LayoutChange.Transfer forwardMove() {
         return new LayoutChange.Transfer(slice, source, target);
     }
 
+    /** The change that hands the slice back to the source. */
     public LayoutChange.Transfer reverseMove() {
         return new LayoutChange.Transfer(slice, target, source);
     }
+
+    boolean isForward(LayoutChange change) {
+        return change.equals(forwardMove());
+    }
+
+    /** Whether the change is this transfer, in either direction. */
+    boolean isChange(LayoutChange change) {
+        return isForward(change) || change.equals(reverseMove());
+    }
 }
--- /dev/null
+++ b/src/main/java/postbeam/migration/TransferProgress.java
@@ -0,0 +1,105 @@
+package postbeam.migration;
+
+import java.util.Optional;
+import postbeam.model.Readiness;
+import postbeam.slices.Coordinator;
+import postbeam.slices.HandoffCommand;
+import postbeam.slices.Layout;
+import postbeam.slices.Move;
+import postbeam.slices.MoveState;
+import postbeam.slices.TargetLayout;
+
+/**
+ * How far the slice transfers of migrations have got. It reads the coordinator's state and has none
+ * of its own: which move belongs to a transfer follows from the move's change, so a restarted
+ * process goes on from the journal alone.
+ */
+final class TransferProgress {
+    private final Coordinator coordinator;
+    private final MigrationJournalState journalState;
+
+    TransferProgress(Coordinator coordinator, MigrationJournalState journalState) {
+        this.coordinator = coordinator;
+        this.journalState = journalState;
+    }
+
+    Layout currentLayout() {
+        return coordinator.book().layout();
+    }
+
+    /** The move under way on the transfer's slice. */
+    Optional<Move> activeMove(SliceTransfer transfer) {
+        return coordinator.book().activeMoves().stream()
+                .filter(move -> move.change.slices().contains(transfer.slice()))
+                .findFirst();
+    }
+
+    boolean exists(long moveId) {
+        return coordinator.book().move(moveId) != null;
+    }
+
+    /** Whether the layout in force names the target as a holder. */
+    boolean isCutOver(SliceTransfer transfer) {
+        return currentLayout().slice(transfer.slice()).heldBy(transfer.target());
+    }
+
+    /** Whether the target has all of the slice and keeps it up to date. */
+    boolean isHolding(SliceTransfer transfer) {
+        return activeMove(transfer).filter(this::isHolding).isPresent();
+    }
+
+    boolean isHolding(Move move) {
+        return move.state == MoveState.REPLICATING
+                && coordinator.destinationsAcknowledged(move, HandoffCommand.HOLD);
+    }
+
+    boolean isCopied(Migration migration) {
+        return migration.transfers.stream()
+                .allMatch(transfer -> isCutOver(transfer) || isHolding(transfer));
+    }
+
+    boolean isCutOver(Migration migration) {
+        return migration.transfers.stream().allMatch(this::isCutOver);
+    }
+
+    boolean hasActiveMove(Migration migration) {
+        return migration.transfers.stream().anyMatch(transfer -> activeMove(transfer).isPresent());
+    }
+
+    /** Whether a transfer that is not cut over has no move, or one that is being abandoned. */
+    boolean hasLostMove(Migration migration) {
+        return migration.transfers.stream().anyMatch(this::hasLostMove);
+    }
+
+    private boolean hasLostMove(SliceTransfer transfer) {
+        if (isCutOver(transfer)) {
+            return false;
+        }
+        Optional<Move> move = activeMove(transfer);
+        return move.isEmpty() || move.get().state == MoveState.ABANDONING;
+    }
+
+    /** The migration that the move is a part of. */
+    Optional<Migration> migrationOf(Move move) {
+        int slice = move.change.slices().get(0);
+        return journalState
+                .activeMigrationOf(slice)
+                .filter(
+                        migration ->
+                                migration.transferOf(slice).orElseThrow().isChange(move.change));
+    }
+
+    boolean isReady(String node) {
+        TargetLayout.NodeInfo known = coordinator.nodeInfo(node);
+        return known != null && known.readiness() == Readiness.READY;
+    }
+
+    /** Whether the node was listed; a successor knows none before it receives the first list. */
+    boolean isKnown(String node) {
+        return coordinator.nodeInfo(node) != null;
+    }
+
+    static boolean isAbandonable(Move move) {
+        return !move.isCutOver() && move.state != MoveState.ABANDONING;
+    }
+}
--- a/src/main/java/postbeam/testbed/simulation/DefectiveMigration.java
+++ b/src/main/java/postbeam/testbed/simulation/DefectiveMigration.java
@@ -37,14 +37,14 @@
     }
 
     @Override
-    protected boolean isVerified(Migration migration, Move move) {
+    public boolean isVerified(Migration migration, Move move) {
         return defect == Defect.VERIFY_SKIPPED
                 || defect == Defect.ROLLBACK_LOSES && migration.rollbackReason() != null
                 || super.isVerified(migration, move);
     }
 
     @Override
-    protected boolean allRoutersAcknowledged(long version, Duration at) {
+    public boolean allRoutersAcknowledged(long version, Duration at) {
         return defect == Defect.SWITCH_BEFORE_ALL_TOLD || super.allRoutersAcknowledged(version, at);
     }
 }
--- a/src/main/java/postbeam/testbed/simulation/MigrationSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/MigrationSimulation.java
@@ -330,7 +330,7 @@
         keys.put(id, key);
         Router router = routers.get(chance.nextInt(routers.size()));
         int slice = first.overlapping(new KeyRange(key, key + 1)).get(0).number();
-        Migration one = chief.migrations.journalState().activeMigrationOf(slice);
+        Migration one = chief.migrations.journalState().activeMigrationOf(slice).orElse(null);
         String phase =
                 one == null || one.state() == MigrationState.PLANNED
                         ? "before or after"
@@ -423,7 +423,7 @@
             lastCut.put(slicesOf.get(cut.id()), cut.version());
         } else if (record instanceof MigrationRecord.StateEntered entered
                 && entered.state() == MigrationState.OBSERVING) {
-            Migration one = by.migrations.journalState().find(entered.id());
+            Migration one = by.migrations.journalState().find(entered.id()).orElseThrow();
             long version =
                     one.transfers.stream()
                             .mapToLong(hop -> lastCut.getOrDefault(hop.slice(), 0L))
--- a/src/main/java/postbeam/testbed/simulation/SimulatedMigrationCoordinator.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedMigrationCoordinator.java
@@ -12,7 +12,6 @@
 import java.util.Map;
 import postbeam.errors.OperatorErrorException;
 import postbeam.layoutservice.MoveRecordCodec;
-import postbeam.migration.Migration;
 import postbeam.migration.MigrationAction;
 import postbeam.migration.MigrationJournalState;
 import postbeam.migration.MigrationLimits;
@@ -259,9 +258,14 @@
 
     private boolean goesBack(long id) {
         Move move = coordinator.book().move(id);
-        Migration one = move == null ? null : book.activeMigrationOf(move.change.slices().get(0));
-        return one != null
-                && move.change.equals(one.transferOf(move.change.slices().get(0)).reverseMove());
+        if (move == null) {
+            return false;
+        }
+        int slice = move.change.slices().get(0);
+        return book.activeMigrationOf(slice)
+                .flatMap(migration -> migration.transferOf(slice))
+                .filter(transfer -> move.change.equals(transfer.reverseMove()))
+                .isPresent();
     }
 
     // ---- what comes to it
--- a/src/test/java/postbeam/migration/MigrationErrorTextTest.java
+++ b/src/test/java/postbeam/migration/MigrationErrorTextTest.java
@@ -1,6 +1,7 @@
 package postbeam.migration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.util.List;
@@ -9,7 +10,7 @@
 
 /** Operators see these texts: a change of wording is to be made in the sample too. */
 class MigrationErrorTextTest {
-    private static final Checkpoint NAMED = new Checkpoint(4, "ab12");
+    private static final Checkpoint REQUESTED = new Checkpoint(4, "ab12");
     private static final Checkpoint OPEN = new Checkpoint(5, "cd34");
 
     private static final List<MigrationError> ALL =
@@ -17,8 +18,8 @@
                     new MigrationError.NotFound(7),
                     new MigrationError.InvalidPlan("acme", "it has no hop"),
                     new MigrationError.NoOpenCheckpoint(7, MigrationState.COPYING),
-                    new MigrationError.StaleCheckpoint(7, NAMED, OPEN),
-                    new MigrationError.CheckpointAlreadyPassed(7, NAMED),
+                    new MigrationError.StaleCheckpoint(7, REQUESTED, OPEN),
+                    new MigrationError.CheckpointAlreadyPassed(7, REQUESTED),
                     new MigrationError.MigrationPaused(7, "by an operator"),
                     new MigrationError.NotPaused(7),
                     new MigrationError.PauseReasonPersists(7, "target n3 is cold"),
@@ -29,9 +30,21 @@
 
     @Test
     void eachErrorReadsAsInTheSample() throws IOException {
-        assertEquals(MigrationError.class.getPermittedSubclasses().length, ALL.size());
         assertEquals(
                 SampleLines.of("errors/migration.txt"),
                 ALL.stream().map(MigrationError::message).toList());
     }
+
+    @Test
+    void eachErrorNamesProblemAndRemedy() {
+        assertEquals(
+                MigrationError.class.getPermittedSubclasses().length,
+                ALL.stream().map(Object::getClass).distinct().count());
+        for (MigrationError error : ALL) {
+            assertEquals(error.problem() + "; " + error.remedy(), error.message());
+            assertTrue(
+                    !error.message().endsWith(".") && error.remedy().length() > 10,
+                    error.message());
+        }
+    }
 }
--- a/src/test/java/postbeam/migration/MigrationScenario.java
+++ b/src/test/java/postbeam/migration/MigrationScenario.java
@@ -1,5 +1,8 @@
 package postbeam.migration;
 
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -7,6 +10,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.junit.jupiter.api.function.Executable;
+import postbeam.errors.OperatorErrorException;
 import postbeam.model.Readiness;
 import postbeam.slices.Coordinator;
 import postbeam.slices.CoordinatorAction;
@@ -19,12 +24,21 @@
 import postbeam.slices.TargetLayout;
 
 /**
- * Four slices on the nodes a to d, an empty node e, and a coordinator whose commands are answered
- * at once. Time goes in steps of 100 ms, and each action is written down as one line of text, which
- * does not depend on the names of types.
+ * Four slices on the nodes a to d, an empty node e, and nodes that answer the coordinator's
+ * commands at once. Time goes in steps of 100 ms, and each action is written down as one line of
+ * text, which does not depend on the names of types.
  */
 final class MigrationScenario {
-    private static final MoveLimits MOVES =
+    static final SliceTransfer FIRST = new SliceTransfer(0, "a", "e");
+    static final SliceTransfer SECOND = new SliceTransfer(1, "b", "e");
+
+    /** One migration at a time, ten moves a second. */
+    static final MigrationLimits LIMITS = limits(1, 10);
+
+    /** Bytes of a range that cost less time than its move. */
+    static final long SMALL_RANGE = 10;
+
+    private static final MoveLimits MOVE_LIMITS =
             new MoveLimits(
                     9,
                     9,
@@ -35,41 +49,36 @@
                     Duration.ofSeconds(1),
                     2,
                     1);
-    private static final MigrationLimits LIMITS =
-            new MigrationLimits(
-                    2,
-                    1,
-                    2,
-                    1000,
-                    Duration.ofSeconds(20),
-                    Duration.ofSeconds(3),
-                    Duration.ofSeconds(5),
-                    0.97,
-                    Duration.ofMillis(300),
-                    3,
-                    KeyRange.KEY_SPACE_SIZE >>> 9,
-                    Duration.ofSeconds(4),
-                    Duration.ofSeconds(1));
     private static final Duration STEP = Duration.ofMillis(100);
+    private static final long DIFFERING_KEY = 5;
 
-    final Map<String, TargetLayout.NodeInfo> nodes = new LinkedHashMap<>();
-
-    /** Nodes whose copies differ from the others in one key. */
+    /** Nodes whose replicas differ from the others in one key. */
     final Set<String> differing = new HashSet<>();
 
     /** Commands that no node answers. */
     final Set<HandoffCommand> unanswered = new HashSet<>();
 
     final List<String> lines = new ArrayList<>();
+    final List<JournalRecord> records = new ArrayList<>();
+    final List<CoordinatorAction.SendCommand> commands = new ArrayList<>();
+    final List<MigrationAction.RequestDigests> digestRequests = new ArrayList<>();
     Coordinator coordinator;
-    MigrationManager migrations;
+    MigrationManager manager;
     Duration now = Duration.ofSeconds(100);
-    private final List<JournalRecord> records = new ArrayList<>();
-    private final List<CoordinatorAction.SendCommand> commands = new ArrayList<>();
+    private final MigrationLimits limits;
+    private final long rangeBytes;
+    private final Map<String, TargetLayout.NodeInfo> nodes = new LinkedHashMap<>();
+    private final List<CoordinatorAction.SendCommand> unacknowledged = new ArrayList<>();
 
     MigrationScenario() {
+        this(LIMITS, SMALL_RANGE);
+    }
+
+    MigrationScenario(MigrationLimits limits, long rangeBytes) {
+        this.limits = limits;
+        this.rangeBytes = rangeBytes;
         for (String name : List.of("a", "b", "c", "d", "e")) {
-            setReadiness(name, Readiness.READY);
+            nodes.put(name, new TargetLayout.NodeInfo("z", Readiness.READY));
         }
         records.add(
                 new JournalRecord.Snapshot(
@@ -83,111 +92,189 @@
         restart();
     }
 
+    static MigrationLimits limits(int maxActiveMigrations, int movesPerSecond) {
+        return new MigrationLimits(
+                maxActiveMigrations,
+                1,
+                movesPerSecond,
+                1000,
+                Duration.ofSeconds(20),
+                Duration.ofSeconds(3),
+                Duration.ofSeconds(5),
+                0.97,
+                Duration.ofMillis(300),
+                3,
+                KeyRange.KEY_SPACE_SIZE >>> 9,
+                Duration.ofSeconds(4),
+                Duration.ofSeconds(1));
+    }
+
+    // ---- the cluster
+
     void setReadiness(String node, Readiness readiness) {
         nodes.put(node, new TargetLayout.NodeInfo("z", readiness));
-        if (coordinator != null) {
-            coordinator.listed(nodes, List.of());
-        }
+        coordinator.listed(nodes, List.of());
     }
 
     /** A successor starts from the records alone. */
     void restart() {
-        MoveJournalState journalState = new MoveJournalState(100);
-        MigrationJournalState migrationBook = new MigrationJournalState();
-        journalState.workflow(migrationBook);
-        records.forEach(journalState::apply);
-        coordinator = new Coordinator(journalState, MOVES);
+        MoveJournalState moveState = new MoveJournalState(100);
+        MigrationJournalState migrationState = new MigrationJournalState();
+        moveState.workflow(migrationState);
+        records.forEach(moveState::apply);
+        unacknowledged.clear();
+        coordinator = new Coordinator(moveState, MOVE_LIMITS);
         coordinator.listed(nodes, List.of());
-        migrations = new MigrationManager(coordinator, migrationBook, LIMITS, now);
+        manager = new MigrationManager(coordinator, migrationState, limits, now);
         note("restart");
     }
 
-    Migration migration(long id) {
-        return migrations.journalState().find(id);
+    /** A successor starts from these records alone. */
+    void restartFrom(List<JournalRecord> prefix) {
+        records.clear();
+        records.addAll(prefix);
+        restart();
     }
 
-    void note(String line) {
-        lines.add(now.toMillis() + " " + line);
+    Layout layout() {
+        return coordinator.book().layout();
+    }
+
+    // ---- operators
+
+    void create(String member, SliceTransfer... transfers) throws OperatorErrorException {
+        carryOut("migrate " + member, manager.createMigration(member, List.of(transfers), now));
+    }
+
+    void pause(long id, String detail) throws OperatorErrorException {
+        carryOut("pause " + id, manager.pause(id, detail, now));
     }
 
-    void carryOut(String order, List<MigrationAction> doings) {
-        note("order: " + order);
-        carryOut(doings);
+    void resume(long id) throws OperatorErrorException {
+        carryOut("resume " + id, manager.resume(id, now));
     }
 
+    /** Passes the checkpoint that is open. */
+    void pass(long id) throws OperatorErrorException {
+        carryOut("pass " + id, manager.passCheckpoint(id, migration(id).openCheckpoint(), now));
+    }
+
+    void rollBack(long id, String reason) throws OperatorErrorException {
+        carryOut("roll back " + id, manager.rollBack(id, reason, now));
+    }
+
+    Migration migration(long id) {
+        return manager.journalState().find(id).orElseThrow();
+    }
+
+    static MigrationError errorOf(Executable command) {
+        return assertInstanceOf(
+                MigrationError.class, assertThrows(OperatorErrorException.class, command).error());
+    }
+
+    // ---- time
+
     void run(Duration span) {
         Duration end = now.plus(span);
         while (now.compareTo(end) < 0) {
-            carryOut(migrations.tick(now));
-            List<MigrationAction> doings = new ArrayList<>();
-            coordinator.tick(now).forEach(act -> doings.add(new MigrationAction.Delegated(act)));
-            carryOut(doings);
-            List<CoordinatorAction.SendCommand> given = List.copyOf(commands);
-            commands.clear();
-            given.stream()
-                    .filter(tell -> !unanswered.contains(tell.command()))
-                    .forEach(
-                            tell ->
-                                    coordinator.acknowledged(
-                                            tell.move(),
-                                            tell.node(),
-                                            tell.command(),
-                                            tell.slice()));
+            carryOut(manager.tick(now));
+            carryOut(
+                    coordinator.tick(now).stream()
+                            .<MigrationAction>map(MigrationAction.Delegated::new)
+                            .toList());
+            acknowledgeCommands();
             now = now.plus(STEP);
         }
     }
 
-    private void carryOut(List<MigrationAction> doings) {
-        for (MigrationAction doing : doings) {
-            if (doing instanceof MigrationAction.RequestDigests ask) {
-                note(
-                        "ask "
-                                + ask.requestId()
-                                + " "
-                                + ask.node()
-                                + " slice "
-                                + ask.slice()
-                                + " "
-                                + ask.ranges().stream()
-                                        .map(range -> range.from() + "-" + range.to())
-                                        .toList());
-                List<RangeDigest> said =
-                        ask.ranges().stream().map(range -> said(ask.node(), range)).toList();
-                migrations.onRangeDigests(ask.requestId(), ask.node(), said, now);
-            } else if (doing instanceof MigrationAction.Delegated of
-                    && of.action() instanceof CoordinatorAction.AppendRecord write) {
-                records.add(write.record());
-                note(
-                        "record "
-                                + (write.record() instanceof MigrationRecord noted
-                                        ? text(noted)
-                                        : "of moves"));
-            } else if (doing instanceof MigrationAction.Delegated of
-                    && of.action() instanceof CoordinatorAction.SendCommand tell) {
-                commands.add(tell);
-                note(
-                        "command to "
-                                + tell.node()
-                                + ": "
-                                + text(tell.command())
-                                + " slice "
-                                + tell.slice()
-                                + " of move "
-                                + tell.move()
-                                + " version "
-                                + tell.version()
-                                + " source "
-                                + tell.source());
-            } else if (doing instanceof MigrationAction.Delegated of
-                    && of.action() instanceof CoordinatorAction.PublishLayout publish) {
-                note("publish version " + publish.layout().version);
+    private void acknowledgeCommands() {
+        List<CoordinatorAction.SendCommand> sent = List.copyOf(unacknowledged);
+        unacknowledged.clear();
+        sent.stream()
+                .filter(command -> !unanswered.contains(command.command()))
+                .forEach(
+                        command ->
+                                coordinator.acknowledged(
+                                        command.move(),
+                                        command.node(),
+                                        command.command(),
+                                        command.slice()));
+    }
+
+    // ---- what is carried out, and written down
+
+    void note(String line) {
+        lines.add(now.toMillis() + " " + line);
+    }
+
+    void carryOut(String command, List<MigrationAction> actions) {
+        note("order: " + command);
+        carryOut(actions);
+    }
+
+    private void carryOut(List<MigrationAction> actions) {
+        for (MigrationAction action : actions) {
+            if (action instanceof MigrationAction.RequestDigests request) {
+                answer(request);
+            } else if (action instanceof MigrationAction.Delegated delegated) {
+                carryOut(delegated.action());
             }
         }
     }
 
-    private RangeDigest said(String node, KeyRange range) {
-        boolean differs = differing.contains(node) && range.from() <= 5 && 5 < range.to();
-        return new RangeDigest(range, 0, 7, differs ? 2 : 3, 600, differs ? "dd" : "ee");
+    private void answer(MigrationAction.RequestDigests request) {
+        note(
+                "ask "
+                        + request.requestId()
+                        + " "
+                        + request.node()
+                        + " slice "
+                        + request.slice()
+                        + " "
+                        + request.ranges().stream()
+                                .map(range -> range.from() + "-" + range.to())
+                                .toList());
+        digestRequests.add(request);
+        List<RangeDigest> digests =
+                request.ranges().stream().map(range -> digest(request.node(), range)).toList();
+        manager.onRangeDigests(request.requestId(), request.node(), digests, now);
+    }
+
+    private RangeDigest digest(String node, KeyRange range) {
+        boolean differs =
+                differing.contains(node)
+                        && range.from() <= DIFFERING_KEY
+                        && DIFFERING_KEY < range.to();
+        return new RangeDigest(range, 0, 7, differs ? 2 : 3, rangeBytes, differs ? "dd" : "ee");
+    }
+
+    private void carryOut(CoordinatorAction action) {
+        if (action instanceof CoordinatorAction.AppendRecord append) {
+            records.add(append.record());
+            note(
+                    "record "
+                            + (append.record() instanceof MigrationRecord own
+                                    ? text(own)
+                                    : "of moves"));
+        } else if (action instanceof CoordinatorAction.SendCommand send) {
+            commands.add(send);
+            unacknowledged.add(send);
+            note(
+                    "command to "
+                            + send.node()
+                            + ": "
+                            + text(send.command())
+                            + " slice "
+                            + send.slice()
+                            + " of move "
+                            + send.move()
+                            + " version "
+                            + send.version()
+                            + " source "
+                            + send.source());
+        } else if (action instanceof CoordinatorAction.PublishLayout publish) {
+            note("publish version " + publish.layout().version);
+        }
     }
 
     private static String text(HandoffCommand command) {
@@ -200,15 +287,21 @@
         };
     }
 
-    private static String text(MigrationRecord noted) {
-        if (noted instanceof MigrationRecord.Created one) {
+    private static String text(MigrationRecord migrationRecord) {
+        if (migrationRecord instanceof MigrationRecord.Created one) {
             return "opened "
                     + one.id()
                     + " "
                     + one.member()
                     + " "
                     + one.transfers().stream()
-                            .map(hop -> hop.slice() + ":" + hop.source() + ">" + hop.target())
+                            .map(
+                                    transfer ->
+                                            transfer.slice()
+                                                    + ":"
+                                                    + transfer.source()
+                                                    + ">"
+                                                    + transfer.target())
                             .toList()
                     + " version "
                     + one.layoutVersion()
@@ -216,16 +309,16 @@
                     + one.utility()
                     + " at "
                     + one.at().toMillis();
-        } else if (noted instanceof MigrationRecord.StateEntered one) {
+        } else if (migrationRecord instanceof MigrationRecord.StateEntered one) {
             return "entered "
                     + one.id()
                     + " "
                     + one.state().wireName()
                     + " at "
                     + one.at().toMillis();
-        } else if (noted instanceof MigrationRecord.MoveVerified one) {
+        } else if (migrationRecord instanceof MigrationRecord.MoveVerified one) {
             return "verified " + one.id() + " move " + one.moveId() + " digest " + one.digest();
-        } else if (noted instanceof MigrationRecord.CheckpointOpened one) {
+        } else if (migrationRecord instanceof MigrationRecord.CheckpointOpened one) {
             return "opening "
                     + one.id()
                     + " version "
@@ -234,9 +327,9 @@
                     + one.digest()
                     + " at "
                     + one.at().toMillis();
-        } else if (noted instanceof MigrationRecord.CheckpointPassed one) {
+        } else if (migrationRecord instanceof MigrationRecord.CheckpointPassed one) {
             return "passed " + one.id() + " at " + one.at().toMillis();
-        } else if (noted instanceof MigrationRecord.Paused one) {
+        } else if (migrationRecord instanceof MigrationRecord.Paused one) {
             return "paused "
                     + one.id()
                     + " "
@@ -245,11 +338,12 @@
                     + one.at().toMillis()
                     + ": "
                     + one.detail();
-        } else if (noted instanceof MigrationRecord.Resumed one) {
+        } else if (migrationRecord instanceof MigrationRecord.Resumed one) {
             return "resumed " + one.id() + " at " + one.at().toMillis();
-        } else if (noted instanceof MigrationRecord.RollbackStarted one) {
+        } else if (migrationRecord instanceof MigrationRecord.RollbackStarted one) {
             return "rollingBack " + one.id() + " at " + one.at().toMillis() + ": " + one.reason();
         }
-        throw new AssertionError("a record that is not written while migrations go on: " + noted);
+        throw new AssertionError(
+                "a record that is not written while migrations go on: " + migrationRecord);
     }
 }
--- a/src/test/java/postbeam/migration/MigrationWireNamesTest.java
+++ b/src/test/java/postbeam/migration/MigrationWireNamesTest.java
@@ -9,7 +9,7 @@
 /** Operators' pages and programs know these names. */
 class MigrationWireNamesTest {
     @Test
-    void stagesKeepTheirNames() {
+    void statesKeepTheirNames() {
         assertEquals(
                 List.of(
                         "PLANNED",
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void causesOfAPauseKeepTheirNames() {
+    void reasonsOfAPauseKeepTheirNames() {
         assertEquals(
                 List.of(
                         "OPERATOR",
