--- /dev/null
+++ b/src/main/java/postbeam/simulator/ActionWriter.java
@@ -0,0 +1,77 @@
+package postbeam.simulator;
+
+import java.time.Duration;
+
+/** Writes one simulated router's actions as lines of the simulator's wire. */
+final class ActionWriter {
+    private static final long NANOS_PER_MICRO = 1000;
+
+    private final int routerId;
+    private final StringBuilder out;
+
+    ActionWriter(int routerId, StringBuilder out) {
+        this.routerId = routerId;
+        this.out = out;
+    }
+
+    /** An attempt of a shard request at a node; a null timeout is the client's. */
+    void attempt(String requestId, String node, Duration timeout) {
+        write("ATTEMPT", requestId, node, microsOrZero(timeout));
+    }
+
+    /** Cancels an attempt, named by its place among those of its shard request. */
+    void recall(String requestId, int attemptIndex) {
+        write("RECALL", requestId, attemptIndex);
+    }
+
+    void wrapUp(String queryId, boolean complete) {
+        write("WRAP_UP", queryId, complete ? 1 : 0);
+    }
+
+    /** Rejects a query; a null or zero wait is no advice when to retry. */
+    void reject(String queryId, Duration retryAfter) {
+        write("REJECT", queryId, microsOrZero(retryAfter));
+    }
+
+    void reportFailure(String queryId) {
+        write("REPORT_FAILURE", queryId);
+    }
+
+    /** Sets a timer that comes back with its cookie. */
+    void defer(Duration wait, int cookie) {
+        write("DEFER", wait.toNanos() / NANOS_PER_MICRO, cookie);
+    }
+
+    /** Probes a node's health. */
+    void sample(String node) {
+        write("SAMPLE", node);
+    }
+
+    /** Polls discovery for the endpoint list. */
+    void observe() {
+        write("OBSERVE", 1);
+    }
+
+    void trace(String text) {
+        write("TRACE", text);
+    }
+
+    /** Tells that the policy failed, and where. */
+    void panic(RuntimeException e) {
+        StackTraceElement[] stack = e.getStackTrace();
+        String place = stack.length == 0 ? "an unknown place" : stack[0].toString();
+        write("PANIC", String.valueOf(e).replaceAll("\\s", " ") + " at " + place);
+    }
+
+    private static long microsOrZero(Duration span) {
+        return span == null ? 0 : span.toNanos() / NANOS_PER_MICRO;
+    }
+
+    private void write(String action, Object... fields) {
+        out.append(action).append('\t').append(routerId);
+        for (Object field : fields) {
+            out.append('\t').append(field);
+        }
+        out.append('\n');
+    }
+}
--- a/src/main/java/postbeam/simulator/LineReader.java
+++ b/src/main/java/postbeam/simulator/LineReader.java
@@ -4,12 +4,18 @@
 import java.io.IOException;
 import java.util.NoSuchElementException;
 
-/** Reads the wire line by line, and a line field by field. */
+/** Reads the simulator's wire line by line, and a line field by field. */
 final class LineReader {
+    private static final char FIELD_SEPARATOR = '\t';
+    private static final String ABSENT = "-";
+
+    /** Longest part of a line that an error shows. */
+    private static final int MAX_SHOWN = 80;
+
     private final BufferedReader in;
     private String line;
-    private int at;
-    private long number;
+    private int position;
+    private long lineNumber;
 
     LineReader(BufferedReader in) {
         this.in = in;
@@ -19,27 +25,35 @@
     boolean nextLine() throws IOException {
         do {
             line = in.readLine();
-            number++;
+            lineNumber++;
         } while (line != null && line.isEmpty());
-        at = 0;
+        position = 0;
         return line != null;
     }
 
     boolean hasMoreFields() {
-        return at <= line.length();
+        return position <= line.length();
     }
 
-    /** The next field; null where it is absent. */
+    /** The next field; null where its value is absent. */
     String nextField() {
         if (!hasMoreFields()) {
             throw new NoSuchElementException("a field is missing");
         }
-        int tab = line.indexOf('\t', at);
-        String value = tab < 0 ? line.substring(at) : line.substring(at, tab);
-        at = (tab < 0 ? line.length() : tab) + 1;
-        return value.equals("-") ? null : value;
+        int end = line.indexOf(FIELD_SEPARATOR, position);
+        if (end < 0) {
+            end = line.length();
+        }
+        String value = line.substring(position, end);
+        position = end + 1;
+        return value.equals(ABSENT) ? null : value;
+    }
+
+    void skipField() {
+        nextField();
     }
 
+    /** The next field, whose value may not be absent. */
     String requiredText() {
         String value = nextField();
         if (value == null) {
@@ -48,21 +62,28 @@
         return value;
     }
 
-    long number() {
+    long requiredNumber() {
         return Long.parseLong(requiredText());
     }
 
-    /** A number where one stands, else the given one. */
-    long number(long otherwise) {
+    /** The next field as a number; the default where its value is absent. */
+    long number(long defaultValue) {
         String value = nextField();
-        return value == null ? otherwise : Long.parseLong(value);
+        return value == null ? defaultValue : Long.parseLong(value);
+    }
+
+    double requiredDecimal() {
+        return Double.parseDouble(requiredText());
     }
 
-    MalformedLineException malformed(String what) {
-        String head =
-                line == null
-                        ? ""
-                        : line.substring(0, Math.min(80, line.length())).replace('\t', ' ');
-        return new MalformedLineException(number, what + (head.isEmpty() ? "" : ", in: " + head));
+    /** The error for the line that was read last. */
+    MalformedLineException malformed(String problem) {
+        String start = "";
+        if (line != null) {
+            start = line.substring(0, Math.min(MAX_SHOWN, line.length()));
+        }
+        start = start.replace(FIELD_SEPARATOR, ' ');
+        return new MalformedLineException(
+                lineNumber, problem + (start.isEmpty() ? "" : ", in: " + start));
     }
 }
--- a/src/main/java/postbeam/simulator/MalformedLineException.java
+++ b/src/main/java/postbeam/simulator/MalformedLineException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** Input that does not follow the wire. */
+/** Input that does not follow the simulator's wire; the message names the line. */
 public final class MalformedLineException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    MalformedLineException(long line, String what) {
-        super("line " + line + ": " + what);
+    MalformedLineException(long line, String problem) {
+        super("line " + line + ": " + problem);
     }
 }
--- /dev/null
+++ b/src/main/java/postbeam/simulator/QueryTable.java
@@ -0,0 +1,80 @@
+package postbeam.simulator;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import postbeam.model.Query;
+import postbeam.model.ShardRequest;
+
+/**
+ * The queries and shard requests of one simulated router, by the ids of the wire. A query has an id
+ * and a number, by which its shard requests name it. An ended query is forgotten, and each of its
+ * requests once the last of its attempts has ended.
+ */
+final class QueryTable {
+    private record QueryKey(String id, long number) {}
+
+    private final Map<String, Query> queriesById = new HashMap<>();
+    private final Map<Long, Query> queriesByNumber = new HashMap<>();
+    private final Map<Query, QueryKey> queryKeys = new HashMap<>();
+    private final Map<String, ShardRequest> requestsById = new HashMap<>();
+    private final Map<ShardRequest, String> requestIds = new HashMap<>();
+
+    void add(String id, long number, Query query) {
+        queriesById.put(id, query);
+        queriesByNumber.put(number, query);
+        queryKeys.put(query, new QueryKey(id, number));
+    }
+
+    void add(String id, ShardRequest request) {
+        requestsById.put(id, request);
+        requestIds.put(request, id);
+    }
+
+    /** The query of this id; null where it is not known, or forgotten. */
+    Query query(String id) {
+        return queriesById.get(id);
+    }
+
+    /** The query of this number; null where it is not known, or forgotten. */
+    Query query(long number) {
+        return queriesByNumber.get(number);
+    }
+
+    /** The shard request of this id; null where it is not known, or forgotten. */
+    ShardRequest request(String id) {
+        return requestsById.get(id);
+    }
+
+    /** The id of a query; null where it is forgotten. */
+    String id(Query query) {
+        QueryKey key = queryKeys.get(query);
+        return key == null ? null : key.id;
+    }
+
+    /** The id of a shard request; null where it is forgotten. */
+    String id(ShardRequest request) {
+        return requestIds.get(request);
+    }
+
+    void forgetIfEnded(Query query) {
+        if (!query.hasEnded()) {
+            return;
+        }
+        QueryKey key = queryKeys.remove(query);
+        if (key != null) {
+            queriesById.remove(key.id);
+            queriesByNumber.remove(key.number, query);
+        }
+        forgetSettled(query.shardRequests);
+        forgetSettled(query.firstStepRequests);
+    }
+
+    private void forgetSettled(List<ShardRequest> requests) {
+        for (ShardRequest request : requests) {
+            if (request.attemptsInFlight.isEmpty()) {
+                requestsById.remove(requestIds.remove(request));
+            }
+        }
+    }
+}
--- a/src/main/java/postbeam/simulator/SimulatedRouter.java
+++ b/src/main/java/postbeam/simulator/SimulatedRouter.java
@@ -1,8 +1,6 @@
 package postbeam.simulator;
 
 import java.time.Duration;
-import java.util.HashMap;
-import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -21,153 +19,143 @@
 import postbeam.policy.PolicyActions;
 import postbeam.policy.RoutingPolicy;
 
-/**
- * One instance at the door: turns ids into objects and back, and writes what its Decide has done.
- */
+/** One simulated router: tells its policy what the wire says, and writes what the policy does. */
 final class SimulatedRouter implements PolicyActions {
-    private static final int COST_HINT_IS_VALID = 1;
+    /** Bits of a request's attributes. */
+    private static final int HAS_WORK_HINT = 1;
+
     private static final int CLIENT_RETRY = 2;
 
-    /** Cookies of timers: the decisions' own, and the one for asking discovery. */
+    /** Cookies of timers: the policy's, and the one for polling discovery. */
     private static final int WAKE_UP_TIMER = 0;
 
     private static final int POLL_TIMER = 1;
 
-    private final int id;
+    private static final long NANOS_PER_MICRO = 1000;
+
     private final long startMicros;
-    private final StringBuilder out;
+    private final ActionWriter actions;
     private final EndpointRegistry registry;
     private final Map<String, QueryClass> queryClasses;
     private final Map<String, Tenant> tenants;
-    private final Map<String, Query> queries = new HashMap<>();
-    private final Map<Long, Query> byNumber = new HashMap<>();
-    private final Map<Query, Long> numbers = new IdentityHashMap<>();
-    private final Map<String, ShardRequest> shardRequests = new HashMap<>();
-    private final Map<Object, String> ids = new IdentityHashMap<>();
+    private final QueryTable table = new QueryTable();
     private final RoutingPolicy policy;
     private final PollSchedule pollSchedule;
     private Duration scheduledPollAt;
 
-    SimulatedRouter(int id, long seed, InstanceSettings info, long nowMicros, StringBuilder out) {
-        this.id = id;
+    SimulatedRouter(
+            int id, long seed, InstanceSettings settings, long nowMicros, StringBuilder out) {
         this.startMicros = nowMicros;
-        this.out = out;
-        this.registry = new EndpointRegistry(info.text("zone"));
-        this.queryClasses = PolicyFactory.queryClasses(info);
-        this.tenants = PolicyFactory.tenants(info);
-        Random chance = new Random(seed);
-        this.policy = PolicyFactory.routingPolicy(this, chance, PolicyFactory.fleet(info), info);
-        this.pollSchedule = PolicyFactory.pollSchedule(info, chance);
-    }
-
-    RoutingPolicy policy() {
-        return policy;
+        this.actions = new ActionWriter(id, out);
+        this.registry = new EndpointRegistry(settings.text("zone"));
+        this.queryClasses = PolicyFactory.queryClasses(settings);
+        this.tenants = PolicyFactory.tenants(settings);
+        Random random = new Random(seed);
+        this.policy =
+                PolicyFactory.routingPolicy(this, random, PolicyFactory.fleet(settings), settings);
+        this.pollSchedule = PolicyFactory.pollSchedule(settings, random);
     }
 
+    /** The session's clock as a span since this router's start. */
     Duration sinceStart(long micros) {
-        return Duration.ofNanos((micros - startMicros) * 1000);
+        return Duration.ofNanos((micros - startMicros) * NANOS_PER_MICRO);
     }
 
-    // ---- in: the host list
+    // ---- discovery
 
-    void onListResponse(Duration now, boolean failed) {
+    void onPollResult(Duration now, boolean failed) {
         pollSchedule.onPollResult(now, failed);
     }
 
-    /**
-     * All that came in a batch has been told: discovery is asked where that is due, or a bell set
-     * for when it is.
-     */
-    void pollDiscovery(Duration now) {
+    void onEndpointList(Duration now, List<Endpoint> endpoints, boolean complete) {
+        registry.update(now, endpoints, complete, this::sinceStart, policy);
+    }
+
+    /** Polls discovery where that is due, or sets a timer for when it is. */
+    void pollIfDue(Duration now) {
         if (pollSchedule.startPollIfDue(now)) {
-            action("OBSERVE").append("\t1\n");
+            actions.observe();
         }
         Duration next = pollSchedule.nextPollAt();
         if (next != null && !next.equals(scheduledPollAt)) {
             scheduledPollAt = next;
-            action("DEFER")
-                    .append('\t')
-                    .append(micros(next.minus(now)))
-                    .append('\t')
-                    .append(POLL_TIMER)
-                    .append('\n');
+            actions.defer(next.minus(now), POLL_TIMER);
         }
     }
 
+    // ---- events
+
+    void onBatchEnd(Duration now) {
+        policy.onBatchEnd(now);
+    }
+
     void onTimer(Duration now, LineReader in) {
-        if (in.number(0) != POLL_TIMER) {
+        if (in.number(WAKE_UP_TIMER) != POLL_TIMER) {
             policy.onWakeUp(now);
         }
     }
 
-    void onEndpointList(Duration now, List<Endpoint> entries, boolean whole) {
-        registry.update(now, entries, whole, this::sinceStart, policy);
-    }
-
-    // ---- in: queries, parts, leaf calls
-
-    void onRequest(Duration now, LineReader in) {
-        String job = in.requiredText();
-        String lane = in.nextField();
-        String group = in.nextField();
-        in.nextField();
-        Duration left = Duration.ofNanos(in.number() * 1000);
-        long work = in.number(0);
-        long number = (long) Double.parseDouble(in.requiredText());
-        int shard = (int) Double.parseDouble(in.requiredText());
-        double amount = Double.parseDouble(in.requiredText());
-        long attrs = in.number(0);
+    /** A query, whose shard is below 0, or a shard request of one. */
+    void onIngress(Duration now, LineReader in) {
+        String id = in.requiredText();
+        String queryClass = in.nextField();
+        String tenant = in.nextField();
+        in.skipField();
+        Duration patience = micros(in.requiredNumber());
+        long workMicros = in.number(0);
+        long queryNumber = (long) in.requiredDecimal();
+        int shard = (int) in.requiredDecimal();
+        double weight = in.requiredDecimal();
+        long attributes = in.number(0);
         if (shard < 0) {
-            QueryClass queryClass = queryClasses.get(lane);
-            if (queryClass == null) {
-                throw new IllegalArgumentException("a vertical that the settings lack");
-            }
-            Query query = new Query(queryClass, tenants.get(group), now, now.plus(left));
-            if ((attrs & CLIENT_RETRY) != 0) {
+            Query query = newQuery(now, queryClass, tenant, patience);
+            if ((attributes & CLIENT_RETRY) != 0) {
                 query.markClientRetry();
             }
-            queries.put(job, query);
-            byNumber.put(number, query);
-            numbers.put(query, number);
-            ids.put(query, job);
+            table.add(id, queryNumber, query);
             policy.onQuery(now, query);
             return;
         }
-        Query query = byNumber.get(number);
-        if (query == null) {
-            return;
+        Query query = table.query(queryNumber);
+        if (query != null) {
+            boolean hinted = (attributes & HAS_WORK_HINT) != 0 && workMicros > 0;
+            Duration work = hinted ? micros(workMicros) : null;
+            ShardRequest request = new ShardRequest(query, shard, weight, work);
+            table.add(id, request);
+            policy.onShardRequest(now, request);
         }
-        Duration hint =
-                (attrs & COST_HINT_IS_VALID) != 0 && work > 0
-                        ? Duration.ofNanos(work * 1000)
-                        : null;
-        ShardRequest request = new ShardRequest(query, shard, amount, hint);
-        shardRequests.put(job, request);
-        ids.put(request, job);
-        policy.onShardRequest(now, request);
+    }
+
+    private Query newQuery(Duration now, String queryClass, String tenant, Duration patience) {
+        QueryClass found = queryClasses.get(queryClass);
+        if (found == null) {
+            throw new IllegalArgumentException("a vertical that the settings lack");
+        }
+        return new Query(found, tenants.get(tenant), now, now.plus(patience));
     }
 
     void onAttemptReport(Duration now, LineReader in) {
-        String job = in.requiredText();
-        int hop = (int) in.number();
+        String requestId = in.requiredText();
+        int attemptIndex = (int) in.requiredNumber();
         AttemptOutcome outcome = outcome(in.requiredText());
-        boolean over = "1".equals(in.nextField());
-        Duration took = Duration.ofNanos(in.number(0) * 1000);
-        ShardRequest request = shardRequests.get(job);
-        if (request == null
-                || hop >= request.attempts.size()
-                || request.attempts.get(hop).hasEnded()) {
+        boolean isLast = "1".equals(in.nextField());
+        Duration latency = micros(in.number(0));
+        ShardRequest request = table.request(requestId);
+        if (request == null || attemptIndex >= request.attempts.size()) {
             return;
         }
-        policy.onAttemptEnded(now, request.attempts.get(hop), outcome, took, over);
-        forgetIfDone(request.query);
+        Attempt attempt = request.attempts.get(attemptIndex);
+        if (!attempt.hasEnded()) {
+            policy.onAttemptEnded(now, attempt, outcome, latency, isLast);
+            table.forgetIfEnded(request.query);
+        }
     }
 
     void onClientAbandoned(Duration now, LineReader in) {
-        Query query = queries.get(in.requiredText());
+        Query query = table.query(in.requiredText());
         if (query != null && !query.hasEnded()) {
             policy.onClientDisconnected(now, query);
-            forgetIfDone(query);
+            table.forgetIfEnded(query);
         }
     }
 
@@ -179,8 +167,17 @@
         }
     }
 
-    static AttemptOutcome outcome(String code) {
-        return switch (code) {
+    /** The policy failed on an event of this router. */
+    void onFailure(RuntimeException e) {
+        actions.panic(e);
+    }
+
+    private static Duration micros(long count) {
+        return Duration.ofNanos(count * NANOS_PER_MICRO);
+    }
+
+    private static AttemptOutcome outcome(String wireName) {
+        return switch (wireName) {
             case "ok" -> AttemptOutcome.SUCCESS;
             case "error" -> AttemptOutcome.ERROR;
             case "full" -> AttemptOutcome.OVERLOADED;
@@ -189,121 +186,53 @@
             case "reset" -> AttemptOutcome.RESET;
             case "cancelled" -> AttemptOutcome.CANCELLED;
             case "moot" -> AttemptOutcome.NEVER_SENT;
-            default -> throw new IllegalArgumentException("unknown outcome " + code);
+            default -> throw new IllegalArgumentException("unknown outcome " + wireName);
         };
     }
 
-    /** An ended query is forgotten once the last of its leaf calls has reported back. */
-    private void forgetIfDone(Query query) {
-        if (!query.hasEnded()) {
-            return;
-        }
-        String job = ids.get(query);
-        if (job != null) {
-            queries.remove(job);
-            Long number = numbers.remove(query);
-            byNumber.remove(number, query);
-            ids.remove(query);
-        }
-        forgetParts(query.shardRequests);
-        forgetParts(query.firstStepRequests);
-    }
-
-    private void forgetParts(List<ShardRequest> done) {
-        for (ShardRequest request : done) {
-            if (request.attemptsInFlight.isEmpty()) {
-                shardRequests.remove(ids.remove(request));
-            }
-        }
-    }
-
-    // ---- out
-
-    private StringBuilder action(String name) {
-        return out.append(name).append('\t').append(id);
-    }
-
-    private static long micros(Duration span) {
-        return span.toNanos() / 1000;
-    }
+    // ---- what the policy does
 
     @Override
     public void send(Attempt attempt) {
-        action("ATTEMPT")
-                .append('\t')
-                .append(ids.get(attempt.shardRequest))
-                .append('\t')
-                .append(registry.nameOf(attempt.node))
-                .append('\t')
-                .append(attempt.timeout == null ? 0 : micros(attempt.timeout))
-                .append('\n');
+        actions.attempt(
+                table.id(attempt.shardRequest), registry.nameOf(attempt.node), attempt.timeout);
     }
 
     @Override
     public void cancel(Attempt attempt) {
-        action("RECALL")
-                .append('\t')
-                .append(ids.get(attempt.shardRequest))
-                .append('\t')
-                .append(attempt.index)
-                .append('\n');
+        actions.recall(table.id(attempt.shardRequest), attempt.index);
     }
 
     @Override
-    public void answer(Query query, boolean whole) {
-        action("WRAP_UP")
-                .append('\t')
-                .append(ids.get(query))
-                .append('\t')
-                .append(whole ? 1 : 0)
-                .append('\n');
-        forgetIfDone(query);
+    public void answer(Query query, boolean complete) {
+        actions.wrapUp(table.id(query), complete);
+        table.forgetIfEnded(query);
     }
 
     @Override
-    public void reject(Query query, Duration comeBack) {
-        action("REJECT")
-                .append('\t')
-                .append(ids.get(query))
-                .append('\t')
-                .append(comeBack == null ? 0 : micros(comeBack))
-                .append('\n');
-        forgetIfDone(query);
+    public void reject(Query query, Duration retryAfter) {
+        actions.reject(table.id(query), retryAfter);
+        table.forgetIfEnded(query);
     }
 
     @Override
     public void abort(Query query) {
-        action("REPORT_FAILURE").append('\t').append(ids.get(query)).append('\n');
-        forgetIfDone(query);
+        actions.reportFailure(table.id(query));
+        table.forgetIfEnded(query);
     }
 
     @Override
     public void wakeAfter(Duration wait) {
-        action("DEFER")
-                .append('\t')
-                .append(micros(wait))
-                .append('\t')
-                .append(WAKE_UP_TIMER)
-                .append('\n');
+        actions.defer(wait, WAKE_UP_TIMER);
     }
 
     @Override
     public void probe(DataNode node) {
-        action("SAMPLE").append('\t').append(registry.nameOf(node)).append('\n');
+        actions.sample(registry.nameOf(node));
     }
 
     @Override
     public void log(String text) {
-        action("TRACE").append('\t').append(text).append('\n');
-    }
-
-    void reportPanic(RuntimeException e) {
-        StackTraceElement[] trace = e.getStackTrace();
-        action("PANIC")
-                .append('\t')
-                .append(String.valueOf(e).replaceAll("\\s", " "))
-                .append(" at ")
-                .append(trace.length == 0 ? "an unknown place" : trace[0])
-                .append('\n');
+        actions.trace(text);
     }
 }
--- a/src/test/java/postbeam/simulator/RecordedSessionTest.java
+++ b/src/test/java/postbeam/simulator/RecordedSessionTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Feeds recorded simulator sessions to the simulator's wire and compares what comes out byte for
+ * Feeds recorded simulator sessions to the simulator session and compares what comes out byte for
  * byte. A refactoring of the routing policy must not change a single decision; a change of the
  * policy itself needs new recordings.
  */
--- a/src/test/java/postbeam/simulator/SimulatorSessionTest.java
+++ b/src/test/java/postbeam/simulator/SimulatorSessionTest.java
@@ -13,86 +13,81 @@
 class SimulatorSessionTest {
     private static final String CREATE =
             "CREATE\t3\t5\tclasses.count=1\tclasses.0.name=a\tclasses.0.promise=2000000"
-                + "\tclasses.0.effect=retryable\tcaps.maxAttempts=3\tdomain.cells=1\tdomain.reach=1"
-                + "\tnew.key=7\n";
+                    + "\tclasses.0.effect=retryable\tcaps.maxAttempts=3\tdomain.cells=1"
+                    + "\tdomain.reach=1\tnew.key=7\n";
     private static final String LIST =
-            "SNAPSHOT_ROWS\t0\t1\nROW\tz\t0\t10.0.0.1:80\t1\t-\tm\t1\nREGISTRY\t3\t0\t2\t1\n";
+            """
+            SNAPSHOT_ROWS\t0\t1
+            ROW\tz\t0\t10.0.0.1:80\t1\t-\tm\t1
+            REGISTRY\t3\t0\t2\t1
+            """;
     private static final String QUERY =
-            "INGRESS\t3\tq-id\ta\t-\t-\t4000000\t-\t1\t-1\t1\t0\n"
-                    + "INGRESS\t3\tp-id\ta\t-\t-\t4000000\t-\t1\t0\t1.0\t0\n";
+            """
+            INGRESS\t3\tq-id\ta\t-\t-\t4000000\t-\t1\t-1\t1\t0
+            INGRESS\t3\tp-id\ta\t-\t-\t4000000\t-\t1\t0\t1.0\t0
+            """;
 
-    private static String reply(String wire) throws IOException {
+    private static String reply(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new SimulatorSession(new ByteArrayInputStream(wire.getBytes(StandardCharsets.UTF_8)), out)
-                .run();
+        byte[] bytes = input.getBytes(StandardCharsets.UTF_8);
+        new SimulatorSession(new ByteArrayInputStream(bytes), out).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
+    /** One batch of events at this time, in microseconds. */
+    private static String batch(long clock, String... events) {
+        return "SYNC\t" + clock + "\n" + String.join("", events) + "EOF_BATCH\n";
+    }
+
+    private static String answered(String requestId) {
+        return "REPORT_BACK\t3\t" + requestId + "\t0\tok\t1\t100\t10.0.0.1:80\t-\n";
+    }
+
     @Test
-    void anEmptyBatchIsAnswered() throws IOException {
-        assertEquals("DONE\n", reply("SYNC\t5\nEOF_BATCH\n"));
+    void emptyBatchIsAnswered() throws IOException {
+        assertEquals("DONE\n", reply(batch(5)));
     }
 
     @Test
-    void aPartIsSentAndItsQueryAnsweredOnce() throws IOException {
-        String wire =
-                "SYNC\t5\n"
-                        + CREATE
-                        + LIST
-                        + QUERY
-                        + "EOF_BATCH\n"
-                        + "SYNC\t105\n"
-                        + "REPORT_BACK\t3\tp-id\t0\tok\t1\t100\t10.0.0.1:80\t-\n"
-                        + "EOF_BATCH\n"
-                        + "SYNC\t110\n"
-                        + "ABANDONED\t3\tq-id\n"
-                        + "EOF_BATCH\n";
-        String reply = reply(wire);
+    void requestIsSentAndItsQueryAnsweredOnce() throws IOException {
+        String reply =
+                reply(
+                        batch(5, CREATE, LIST, QUERY)
+                                + batch(105, answered("p-id"))
+                                + batch(110, "ABANDONED\t3\tq-id\n"));
         assertTrue(reply.startsWith("ATTEMPT\t3\tp-id\t10.0.0.1:80\t"), reply);
         assertEquals(reply.indexOf("WRAP_UP\t3\tq-id\t1\n"), reply.lastIndexOf("WRAP_UP"), reply);
         assertTrue(reply.contains("WRAP_UP"), reply);
     }
 
     @Test
-    void aSecondStepIsServedAndAnsweredToo() throws IOException {
-        String wire =
-                "SYNC\t5\n"
-                        + CREATE.replace("new.key=7", "domain.followUp=1")
-                        + LIST
-                        + QUERY
-                        + "EOF_BATCH\n"
-                        + "SYNC\t105\n"
-                        + "REPORT_BACK\t3\tp-id\t0\tok\t1\t100\t10.0.0.1:80\t-\n"
-                        + "EOF_BATCH\n"
-                        + "SYNC\t110\n"
-                        + "INGRESS\t3\tp-two\ta\t-\t-\t4000000\t-\t1\t0\t1.0\t0\n"
-                        + "EOF_BATCH\n"
-                        + "SYNC\t210\n";
-        assertTrue(
-                reply(wire + "EOF_BATCH\n").contains("ATTEMPT\t3\tp-two\t10.0.0.1:80\t"),
-                reply(wire + "EOF_BATCH\n"));
-        String both =
-                reply(wire + "REPORT_BACK\t3\tp-two\t0\tok\t1\t100\t10.0.0.1:80\t-\nEOF_BATCH\n");
+    void secondStepIsServedAndAnsweredToo() throws IOException {
+        String untilSecondStep =
+                batch(5, CREATE.replace("new.key=7", "domain.followUp=1"), LIST, QUERY)
+                        + batch(105, answered("p-id"))
+                        + batch(110, "INGRESS\t3\tp-two\ta\t-\t-\t4000000\t-\t1\t0\t1.0\t0\n");
+        String sent = reply(untilSecondStep + batch(210));
+        assertTrue(sent.contains("ATTEMPT\t3\tp-two\t10.0.0.1:80\t"), sent);
+        String both = reply(untilSecondStep + batch(210, answered("p-two")));
         assertEquals(3, both.split("WRAP_UP\t3\tq-id\t1\n").length, both);
-        // What it gives up on in its second step gets a final answer too, and none from the first
-        // step's parts alone.
-        String late = reply(wire + "EOF_BATCH\nSYNC\t3999000\nRING\t3\t0\nEOF_BATCH\n");
+        // What is given up in the second step gets a final answer too, and none from the first
+        // step's requests alone.
+        String late = reply(untilSecondStep + batch(210) + batch(3_999_000, "RING\t3\t0\n"));
         assertTrue(late.contains("REJECT\t3\tq-id\t"), late);
     }
 
     @Test
-    void anInstanceMayStopAndStartInOneBatch() throws IOException {
-        String wire =
-                "SYNC\t5\n"
-                        + CREATE
-                        + LIST
-                        + "EOF_BATCH\n"
-                        + "SYNC\t10\nDETACH\t3\n"
-                        + CREATE
-                        + LIST
-                        + QUERY
-                        + "EOF_BATCH\n";
-        assertTrue(reply(wire).contains("ATTEMPT\t3\tp-id"));
+    void routerMayStopAndStartInOneBatch() throws IOException {
+        String input = batch(5, CREATE, LIST) + batch(10, "DETACH\t3\n", CREATE, LIST, QUERY);
+        assertTrue(reply(input).contains("ATTEMPT\t3\tp-id"));
+    }
+
+    @Test
+    void failureOfThePolicyIsReportedAndTheSessionGoesOn() throws IOException {
+        String unknownCell = LIST.replace("ROW\tz\t0", "ROW\tz\t5");
+        String reply = reply(batch(5, CREATE, unknownCell) + batch(10));
+        assertTrue(reply.startsWith("PANIC\t3\tjava.lang.IndexOutOfBoundsException: "), reply);
+        assertTrue(reply.endsWith("DONE\nDONE\n"), reply);
     }
 
     @Test
@@ -103,44 +98,43 @@
     }
 
     @Test
-    void discoveryIsAskedWhereItTellsNothingUnaskedAndOnlyThere() throws IOException {
-        String asked =
+    void discoveryIsPolledOnlyWhereItSendsNothingByItself() throws IOException {
+        String polled =
                 CREATE.replace("new.key=7", "discovery=subscribe\tobligations.askEvery=10000000");
-        assertTrue(reply("SYNC\t5\n" + asked + LIST + "EOF_BATCH\n").contains("OBSERVE\t3\t1\n"));
-        assertEquals("DONE\n", reply("SYNC\t5\n" + CREATE + LIST + "EOF_BATCH\n"));
+        assertTrue(reply(batch(5, polled, LIST)).contains("OBSERVE\t3\t1\n"));
+        assertEquals("DONE\n", reply(batch(5, CREATE, LIST)));
     }
 
     @Test
-    void noTimeToComeBackIsToldWhereThatIsNotAllowed() throws IOException {
-        String create =
-                CREATE.replace(
-                        "new.key=7",
-                        "caps.maxRetryAfter=2000000\tcaps.mostHeld=2\tcaps.retryAfter=%s");
-        String late =
-                "SYNC\t5\n%s"
-                        + QUERY
-                        + QUERY.replace("q-id", "r-id")
-                                .replace("p-id", "s-id")
-                                .replace("-\t1\t", "-\t2\t")
-                        + "EOF_BATCH\nSYNC\t3999000\nRING\t3\t0\nEOF_BATCH\n";
+    void rejectedClientIsToldWhenToRetryOnlyWhereThatIsAllowed() throws IOException {
+        String settings = "caps.maxRetryAfter=2000000\tcaps.mostHeld=2\tcaps.retryAfter=";
+        String other =
+                QUERY.replace("q-id", "r-id").replace("p-id", "s-id").replace("-\t1\t", "-\t2\t");
+        String timer = batch(3_999_000, "RING\t3\t0\n");
+        String allowed = CREATE.replace("new.key=7", settings + "true");
         assertTrue(
-                reply(late.formatted(create.formatted("true")))
+                reply(batch(5, allowed, QUERY, other) + timer)
                         .contains("REJECT\t3\tq-id\t300000\n"));
+        String forbidden = CREATE.replace("new.key=7", settings + "false");
         assertTrue(
-                reply(late.formatted(create.formatted("false"))).contains("REJECT\t3\tq-id\t0\n"));
+                reply(batch(5, forbidden, QUERY, other) + timer).contains("REJECT\t3\tq-id\t0\n"));
     }
 
     @Test
-    void aRepeatWhoseSloTimeIsOverIsNotBegun() throws IOException {
+    void clientRetryWhoseObjectiveIsOverIsNotStarted() throws IOException {
+        assertTrue(replyToRetry(2_900_000).contains("REJECT\t3\tr-id\t"));
+        assertTrue(replyToRetry(3_900_000).contains("ATTEMPT\t3\ts-id\t"));
+    }
+
+    /** A first request with 4 s, and a retry with this time, of a client that waits 5 s in all. */
+    private static String replyToRetry(long timeoutMicros) throws IOException {
         String create = CREATE.replace("new.key=7", "classes.0.deadline=5000000");
-        String repeat =
+        String retry =
                 QUERY.replace("q-id", "r-id")
                         .replace("p-id", "s-id")
-                        .replace("4000000", "%d")
+                        .replace("4000000", Long.toString(timeoutMicros))
                         .replace("-\t1\t", "-\t2\t")
                         .replace("\t1\t0\nINGRESS", "\t1\t2\nINGRESS");
-        String wire = "SYNC\t5\n" + create + LIST + QUERY + repeat + "EOF_BATCH\n";
-        assertTrue(reply(wire.formatted(2_900_000, 2_900_000)).contains("REJECT\t3\tr-id\t"));
-        assertTrue(reply(wire.formatted(3_900_000, 3_900_000)).contains("ATTEMPT\t3\ts-id\t"));
+        return reply(batch(5, create, LIST, QUERY, retry));
     }
 }
