--- /dev/null
+++ b/src/main/java/postbeam/router/ActionOutbox.java
@@ -0,0 +1,73 @@
+package postbeam.router;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.locks.Condition;
+import postbeam.dispatch.DispatchedAttempt;
+import postbeam.dispatch.QueryAction;
+import postbeam.model.DataNode;
+
+/**
+ * What is decided and not carried out yet. Attempts to one node in one decision travel in one
+ * batch; an action belongs to its query's thread or, where the query has ended, to the background
+ * thread. Guarded by the lock of {@link PolicyExecutor}.
+ */
+final class ActionOutbox {
+    private final QueryTable queries;
+    private final NodeDirectory nodes;
+    private final Condition changed;
+    private final int maxBatchSize;
+    private final List<QueryAction> backgroundActions = new ArrayList<>();
+    private final Map<DataNode, List<DispatchedAttempt>> unsentByNode = new LinkedHashMap<>();
+
+    /** The condition is signalled when there is something for the background thread. */
+    ActionOutbox(QueryTable queries, NodeDirectory nodes, Condition changed, int maxBatchSize) {
+        this.queries = queries;
+        this.nodes = nodes;
+        this.changed = changed;
+        this.maxBatchSize = maxBatchSize;
+    }
+
+    /** Leaves the action to the thread of the query; null or an ended one: to the background. */
+    void deliver(InFlightQuery query, QueryAction action) {
+        if (query == null) {
+            deliverInBackground(action);
+        } else {
+            query.addAction(action);
+        }
+    }
+
+    void deliverInBackground(QueryAction action) {
+        backgroundActions.add(action);
+        changed.signal();
+    }
+
+    void add(DispatchedAttempt attempt) {
+        unsentByNode.computeIfAbsent(attempt.attempt.node, node -> new ArrayList<>()).add(attempt);
+    }
+
+    /** Delivers the attempts that were added, in batches. */
+    void flush() {
+        unsentByNode.forEach(this::deliverBatches);
+        unsentByNode.clear();
+    }
+
+    private void deliverBatches(DataNode node, List<DispatchedAttempt> attempts) {
+        for (int from = 0; from < attempts.size(); from += maxBatchSize) {
+            int to = Math.min(attempts.size(), from + maxBatchSize);
+            List<DispatchedAttempt> batch = List.copyOf(attempts.subList(from, to));
+            deliver(
+                    queries.get(batch.get(0).attempt.shardRequest.query),
+                    new QueryAction.Send(nodes.address(node), batch));
+        }
+    }
+
+    /** Removes the actions for the background thread. */
+    List<QueryAction> removeBackgroundActions() {
+        List<QueryAction> removed = List.copyOf(backgroundActions);
+        backgroundActions.clear();
+        return removed;
+    }
+}
--- /dev/null
+++ b/src/main/java/postbeam/router/ConfigurationCheck.java
@@ -0,0 +1,44 @@
+package postbeam.router;
+
+import java.io.IOException;
+import java.util.Random;
+import postbeam.config.InstanceSettings;
+import postbeam.config.PolicyFactory;
+import postbeam.config.RouterConfig;
+import postbeam.config.SettingsValidator;
+import postbeam.discovery.EndpointListCodec;
+
+/** Whether a router could start with a configuration. */
+final class ConfigurationCheck {
+    private ConfigurationCheck() {}
+
+    /**
+     * Reads all that a start reads.
+     *
+     * @throws IOException if the list of known data nodes can't be read
+     * @throws IllegalArgumentException if a setting can't be used; it names which
+     */
+    static void check(RouterConfig config) throws IOException {
+        InstanceSettings settings = config.settings;
+        config.address("listen");
+        config.address("discovery");
+        config.seed();
+        RouterLimits.of(config);
+        SettingsValidator.validate(settings);
+        for (int i = 0; i < settings.objectCount("classes"); i++) {
+            Double followUp = settings.listEntry("domain.followUp", i);
+            if (followUp != null && followUp > 0) {
+                throw settings.invalid(
+                        "domain.followUp", "asks for a second step, which has no form on sockets");
+            }
+        }
+        PolicyFactory.queryClasses(settings);
+        PolicyFactory.tenants(settings);
+        PolicyFactory.pollSchedule(settings, new Random());
+        PolicyFactory.routingPolicy(null, new Random(), PolicyFactory.fleet(settings), settings);
+        if (config.initialEndpointList() != null) {
+            EndpointListCodec.decode(
+                    config.initialEndpointList(), settings.integerAtLeast("domain.cells", 1));
+        }
+    }
+}
--- a/src/main/java/postbeam/router/InFlightQuery.java
+++ b/src/main/java/postbeam/router/InFlightQuery.java
@@ -2,85 +2,136 @@
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.Deque;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.locks.Condition;
+import postbeam.dispatch.AttemptResult;
 import postbeam.dispatch.ClientPresence;
 import postbeam.dispatch.ClientRequest;
 import postbeam.dispatch.DispatchedAttempt;
 import postbeam.dispatch.QueryAction;
 import postbeam.model.Query;
 import postbeam.model.ShardRequest;
-import postbeam.pages.PartialPage;
 
-/** A query that is being served: what its thread has to do next, and the values that are in. */
+/**
+ * A query that is being served: the actions that wait for its thread, and the values that data
+ * nodes gave. Guarded by the lock of {@link PolicyExecutor}, but for the check of its client.
+ */
 public final class InFlightQuery implements ClientPresence {
-    final ClientRequest request;
-    final Query query;
-    final Condition actionAvailable;
-    final Deque<QueryAction> actions = new ArrayDeque<>();
-    final List<DispatchedAttempt> attempts = new ArrayList<>();
-    final Map<ShardRequest, byte[]> shardValues = new IdentityHashMap<>();
+    private final ClientRequest request;
+    private final Query query;
+    private final Condition actionAvailable;
+    private final Deque<QueryAction> actions = new ArrayDeque<>();
+    private final List<DispatchedAttempt> attempts = new ArrayList<>();
+    private final IdentityHashMap<ShardRequest, byte[]> values = new IdentityHashMap<>();
+    private final PagedQuery pagedQuery;
+    private final List<InFlightQuery> followUps = new ArrayList<>(0);
+    private boolean clientGone;
 
-    /** What it has to do with pages; null where none was asked for. */
-    final PagedQuery pagedQuery;
+    /** Reports a client that has disconnected; run on the I/O thread of its connection. */
+    private volatile Runnable clientCheck = () -> {};
 
-    /** The layout's version when it was taken; 0 without pages. */
-    final long layoutVersion;
+    /** The page that is asked for, or null. */
+    InFlightQuery(
+            ClientRequest request, Query query, Condition actionAvailable, PagedQuery pagedQuery) {
+        this.request = request;
+        this.query = query;
+        this.actionAvailable = actionAvailable;
+        this.pagedQuery = pagedQuery;
+    }
 
-    /** The parts' rows; empty without pages. */
-    final Map<ShardRequest, PartialPage> partialPages;
+    ClientRequest request() {
+        return request;
+    }
 
-    /** What counts of them in the answer. */
-    final List<PartialPage> countedPages;
+    /** The policy's view of it. */
+    Query query() {
+        return query;
+    }
 
-    /** Queries that ask again for its page, in turn. */
-    final List<InFlightQuery> followUps;
+    boolean isPaged() {
+        return pagedQuery != null;
+    }
 
-    boolean clientGone;
+    /** Null where no page is asked for. */
+    PagedQuery pagedQuery() {
+        return pagedQuery;
+    }
 
-    /**
-     * Looks at the client's connection and says so where the client has left; on the I/O thread.
-     */
-    private volatile Runnable setClientCheck = () -> {};
+    // ---- actions
 
-    InFlightQuery(
-            ClientRequest clientRequest,
-            Query query,
-            Condition changed,
-            PagedQuery paged,
-            long layout) {
-        this.request = clientRequest;
-        this.query = query;
-        this.actionAvailable = changed;
-        this.pagedQuery = paged;
-        this.layoutVersion = layout;
-        this.partialPages = paged == null ? Map.of() : new IdentityHashMap<>();
-        this.countedPages = paged == null ? List.of() : new ArrayList<>();
-        this.followUps = paged == null ? List.of() : new ArrayList<>();
-    }
-
-    /**
-     * What looks whether its client has left, to be called on the thread that serves the client's
-     * connection.
-     */
-    public void setClientCheck(Runnable check) {
-        setClientCheck = check;
+    void addAction(QueryAction action) {
+        actions.add(action);
+        actionAvailable.signal();
     }
 
-    void shareClientCheck(InFlightQuery first) {
-        setClientCheck = first.setClientCheck;
+    /** The next action; null where there is none yet. */
+    QueryAction pollAction() {
+        return actions.poll();
     }
 
-    @Override
-    public void check() {
-        setClientCheck.run();
+    /** The next action; waits for it and gives up the lock meanwhile. */
+    QueryAction awaitAction() throws InterruptedException {
+        while (actions.isEmpty()) {
+            actionAvailable.await();
+        }
+        return actions.poll();
     }
 
-    void addAction(QueryAction step) {
-        actions.add(step);
-        actionAvailable.signal();
+    // ---- attempts and values
+
+    void addAttempt(DispatchedAttempt attempt) {
+        attempts.add(attempt);
+    }
+
+    void abandonAttempts() {
+        attempts.forEach(DispatchedAttempt::abandon);
+    }
+
+    /** Keeps what a node gave for a shard request; the first success counts. */
+    void recordSuccess(AttemptResult result) {
+        if (pagedQuery == null) {
+            values.putIfAbsent(result.attempt().attempt.shardRequest, result.value());
+        } else {
+            pagedQuery.recordRows(result);
+        }
+    }
+
+    /** What a node gave; null where none did, or where it gave rows of a page. */
+    byte[] value(ShardRequest shardRequest) {
+        return values.get(shardRequest);
+    }
+
+    // ---- follow-up queries of its page, in order
+
+    void addFollowUp(InFlightQuery followUp) {
+        followUps.add(followUp);
+        followUp.clientCheck = clientCheck;
+    }
+
+    List<InFlightQuery> followUps() {
+        return Collections.unmodifiableList(followUps);
+    }
+
+    // ---- client
+
+    void markClientGone() {
+        clientGone = true;
+    }
+
+    boolean isClientGone() {
+        return clientGone;
+    }
+
+    /** Sets what reports a disconnected client; it is run on the I/O thread of the connection. */
+    public void setClientCheck(Runnable check) {
+        clientCheck = check;
+    }
+
+    @Override
+    public void check() {
+        clientCheck.run();
     }
 }
--- a/src/main/java/postbeam/router/LayoutLineage.java
+++ b/src/main/java/postbeam/router/LayoutLineage.java
@@ -5,7 +5,7 @@
 import postbeam.slices.KeyRange;
 import postbeam.slices.Layout;
 
-/** What pages need to know of a layout. */
+/** A layout as the version history that cursors are checked against. */
 public record LayoutLineage(Layout layout) implements LayoutHistory {
     @Override
     public long currentVersion() {
--- a/src/main/java/postbeam/router/PagedAttempt.java
+++ b/src/main/java/postbeam/router/PagedAttempt.java
@@ -10,40 +10,37 @@
 
 /** An attempt whose answer is rows of a page. */
 final class PagedAttempt extends DispatchedAttempt {
-    /** Reads the rows. */
-    final PagedQuery pagedQuery;
+    private final PagedQuery pagedQuery;
 
-    /** What was read; null until then, and where the rows are malformed. */
-    PartialPage rows;
+    /** Null until rows are read, and where they are malformed. */
+    private PartialPage rows;
 
     PagedAttempt(
             ClientPresence client,
             Attempt attempt,
             String id,
-            String more,
-            long untilNanos,
-            PagedQuery paged) {
-        super(client, attempt, id, more, paged.payload, untilNanos);
-        this.pagedQuery = paged;
+            String headerFields,
+            long deadlineNanos,
+            PagedQuery pagedQuery) {
+        super(client, attempt, id, headerFields, pagedQuery.payload(), deadlineNanos);
+        this.pagedQuery = pagedQuery;
     }
 
     /** Reads the rows of an attempt that succeeded; malformed ones make it an error of the node. */
-    static AttemptResult readRows(AttemptResult ending) {
-        if (!(ending.attempt() instanceof PagedAttempt call)
-                || ending.outcome() != AttemptOutcome.SUCCESS) {
-            return ending;
+    static AttemptResult readRows(AttemptResult result) {
+        if (!(result.attempt() instanceof PagedAttempt attempt)
+                || result.outcome() != AttemptOutcome.SUCCESS) {
+            return result;
         }
-        call.rows =
-                call.pagedQuery.readRows(
-                        call.id,
-                        ((KeyRangeRequest) call.attempt.shardRequest).keys,
-                        ending.value());
+        KeyRangeRequest request = (KeyRangeRequest) attempt.attempt.shardRequest;
+        attempt.rows =
+                attempt.pagedQuery.readRows(attempt.id, request.keys, result.value()).orElse(null);
         return new AttemptResult(
-                call, call.rows == null ? AttemptOutcome.ERROR : AttemptOutcome.SUCCESS);
+                attempt, attempt.rows == null ? AttemptOutcome.ERROR : AttemptOutcome.SUCCESS);
     }
 
-    /** What was read of a call for a page. */
-    static PartialPage rows(DispatchedAttempt call) {
-        return ((PagedAttempt) call).rows;
+    /** The rows that {@link #readRows} read. */
+    PartialPage rows() {
+        return rows;
     }
 }
--- a/src/main/java/postbeam/router/PagedQuery.java
+++ b/src/main/java/postbeam/router/PagedQuery.java
@@ -4,10 +4,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.IdentityHashMap;
 import java.util.List;
+import java.util.Optional;
+import postbeam.dispatch.AttemptResult;
 import postbeam.dispatch.DispatchedAttempt;
 import postbeam.errors.OperatorErrorException;
 import postbeam.model.Attempt;
+import postbeam.model.ShardRequest;
 import postbeam.pages.Cursor;
 import postbeam.pages.CursorCodec;
 import postbeam.pages.Page;
@@ -18,98 +22,141 @@
 import postbeam.pages.RowCodec;
 import postbeam.pages.RowFetch;
 import postbeam.slices.KeyRange;
+import postbeam.slices.Layout;
 import postbeam.slices.LayoutCompleteness;
 
 /**
- * One page on its way: what its parts are asked, what they gave, and the page at the end. A further
- * ask is one of its own over the same assembly.
+ * The page side of a query: what its attempts fetch, and the rows that came. A follow-up query has
+ * one of its own over the same assembler.
+ *
+ * <p>Rows are recorded under the lock of {@link PolicyExecutor}; the query's thread reads them once
+ * the query has ended.
  */
 final class PagedQuery {
     private static final System.Logger LOG = System.getLogger(PagedQuery.class.getName());
 
-    private final PageAssembler assembly;
+    private final PageAssembler assembler;
     private final List<RowFetch> fetches;
+    private final long currentLayoutVersion;
+    private final long layoutVersion;
+    private final List<LayoutCompleteness.RequestedSlice> requestedSlices;
 
-    /** The layout's version by which the parts are named, and how. */
-    final long layoutVersion;
+    /** The query's payload and, in its last bytes, the fetches. */
+    private final byte[] payload;
 
-    final List<LayoutCompleteness.RequestedSlice> namedRanges;
+    private final int fetchBytes;
+    private final IdentityHashMap<ShardRequest, PartialPage> partialPages = new IdentityHashMap<>();
+    private final List<PartialPage> countedPages = new ArrayList<>();
 
-    /** What the parts carry: the query's text and, in its last bytes, the ask. */
-    final byte[] payload;
+    /**
+     * Creates the page side of a query.
+     *
+     * @param currentLayoutVersion the layout in force
+     * @param layoutVersion the layout by which the slices are named: the client's or that in force
+     */
+    PagedQuery(
+            PageAssembler assembler,
+            List<RowFetch> fetches,
+            long currentLayoutVersion,
+            long layoutVersion,
+            List<LayoutCompleteness.RequestedSlice> requestedSlices,
+            byte[] queryPayload) {
+        this.assembler = assembler;
+        this.fetches = fetches;
+        this.currentLayoutVersion = currentLayoutVersion;
+        this.layoutVersion = layoutVersion;
+        this.requestedSlices = requestedSlices;
+        byte[] fetchRequest = RowCodec.fetchRequest(assembler.sortOrder(), fetches);
+        this.fetchBytes = fetchRequest.length;
+        this.payload = Arrays.copyOf(queryPayload, queryPayload.length + fetchBytes);
+        System.arraycopy(fetchRequest, 0, payload, queryPayload.length, fetchBytes);
+    }
 
-    final int fetchBytes;
+    /** The same page's for a follow-up query. */
+    PagedQuery followUp(
+            List<RowFetch> followUpFetches,
+            Layout layout,
+            List<LayoutCompleteness.RequestedSlice> slices) {
+        byte[] queryPayload = Arrays.copyOf(payload, payload.length - fetchBytes);
+        return new PagedQuery(
+                assembler, followUpFetches, layout.version, layout.version, slices, queryPayload);
+    }
 
-    /** What came, once the query that asked for it is over. */
-    final List<PartialPage> received = new ArrayList<>();
+    long layoutVersion() {
+        return layoutVersion;
+    }
 
-    PagedQuery(
-            PageAssembler assembly,
-            List<RowFetch> asks,
-            long version,
-            List<LayoutCompleteness.RequestedSlice> named,
-            byte[] queryText) {
-        this.assembly = assembly;
-        this.fetches = asks;
-        this.layoutVersion = version;
-        this.namedRanges = named;
-        byte[] ask = RowCodec.fetchRequest(assembly.sortOrder(), asks);
-        this.fetchBytes = ask.length;
-        this.payload = Arrays.copyOf(queryText, queryText.length + ask.length);
-        System.arraycopy(ask, 0, payload, queryText.length, ask.length);
+    List<LayoutCompleteness.RequestedSlice> requestedSlices() {
+        return requestedSlices;
     }
 
-    /** An attempt whose answer is rows of this page. */
-    DispatchedAttempt attempt(
-            InFlightQuery query, Attempt attempt, String id, String more, long untilNanos) {
-        return new PagedAttempt(query, attempt, id, more, untilNanos, this);
+    /** What its attempts carry. */
+    byte[] payload() {
+        return payload;
     }
 
-    /** A further ask of the same page, with the text of the query itself. */
-    PagedQuery followUp(
-            List<RowFetch> next, long heldVersion, List<LayoutCompleteness.RequestedSlice> names) {
-        return new PagedQuery(
-                assembly,
-                next,
-                heldVersion,
-                names,
-                Arrays.copyOf(payload, payload.length - fetchBytes));
+    /** An attempt whose answer is rows of this page. */
+    DispatchedAttempt attempt(
+            InFlightQuery query,
+            Attempt attempt,
+            String id,
+            String headerFields,
+            long deadlineNanos) {
+        return new PagedAttempt(
+                query, attempt, id, headerFields + ",p=" + fetchBytes, deadlineNanos, this);
     }
 
-    /** What a part gave; null where it is spoilt, which is told in the log. */
-    PartialPage readRows(String part, KeyRange keys, byte[] value) {
+    /** The rows that a node gave for these keys; empty and logged where they are malformed. */
+    Optional<PartialPage> readRows(String attemptId, KeyRange keys, byte[] value) {
         String problem;
         try {
-            PartialPage partial = RowCodec.partialPage(keys, value);
-            problem = partial.findProblem(assembly.sortOrder(), fetches);
+            PartialPage partialPage = RowCodec.partialPage(keys, value);
+            problem = partialPage.findProblem(assembler.sortOrder(), fetches);
             if (problem == null) {
-                return partial;
+                return Optional.of(partialPage);
             }
         } catch (IOException e) {
-            problem =
-                    new String(
-                                    e.getMessage().getBytes(StandardCharsets.UTF_8),
-                                    StandardCharsets.UTF_8)
-                            .lines()
-                            .findFirst()
-                            .orElse("");
+            problem = firstEncodableLine(e);
         }
-        LOG.log(System.Logger.Level.WARNING, new PageError.InvalidRows(part, problem).message());
-        return null;
+        LOG.log(
+                System.Logger.Level.WARNING,
+                new PageError.InvalidRows(attemptId, problem).message());
+        return Optional.empty();
+    }
+
+    /** The message may quote a node's bytes: a lone surrogate must not reach the log. */
+    private static String firstEncodableLine(IOException e) {
+        byte[] encoded = e.getMessage().getBytes(StandardCharsets.UTF_8);
+        return new String(encoded, StandardCharsets.UTF_8).lines().findFirst().orElse("");
+    }
+
+    /** Keeps the rows for a shard request; the first success counts. */
+    void recordRows(AttemptResult result) {
+        PagedAttempt attempt = (PagedAttempt) result.attempt();
+        partialPages.putIfAbsent(attempt.attempt.shardRequest, attempt.rows());
+    }
+
+    /** The rows for this request count in the answer. */
+    void countRows(ShardRequest request) {
+        countedPages.add(partialPages.get(request));
     }
 
-    /** Takes over what came; what to ask again, none where the page is as full as it gets. */
-    List<RowFetch> nextFetches(PagedQuery round) {
-        round.received.forEach(assembly::add);
-        return assembly.followUpFetches();
+    /**
+     * Adds the rows of a query that has ended, this or a follow-up; returns what the page lacks.
+     */
+    List<RowFetch> addRowsOf(PagedQuery ended) {
+        ended.countedPages.forEach(assembler::add);
+        return assembler.followUpFetches();
     }
 
-    PageResult finish(CursorCodec seal, long layout, long query) throws OperatorErrorException {
-        Page page = assembly.finish();
-        return new PageResult(
-                page,
+    /** The page of all rows that were added, and the cursor for the next where there is one. */
+    PageResult finish(CursorCodec cursorCodec, long queryDigest) throws OperatorErrorException {
+        Page page = assembler.finish();
+        String cursor =
                 page.remaining().isEmpty()
                         ? null
-                        : seal.encode(new Cursor(layout, query, page.remaining())));
+                        : cursorCodec.encode(
+                                new Cursor(currentLayoutVersion, queryDigest, page.remaining()));
+        return new PageResult(page, cursor);
     }
 }
--- a/src/main/java/postbeam/router/PagingService.java
+++ b/src/main/java/postbeam/router/PagingService.java
@@ -5,10 +5,12 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.ConcurrentHashMap;
 import postbeam.config.InstanceSettings;
 import postbeam.dispatch.ClientRequest;
 import postbeam.dispatch.QueryAction;
+import postbeam.errors.OperatorError;
 import postbeam.errors.OperatorErrorException;
 import postbeam.model.Query;
 import postbeam.model.QueryClass;
@@ -29,185 +31,218 @@
 import postbeam.slices.UnroutableQueryException;
 
 /**
- * Serves pages by the decisions: opens cursors before anything is sent, asks again where it must,
- * gives the page.
+ * Serves pages: decodes cursors before anything is sent, fetches what a page lacks by follow-up
+ * queries, and completes the page. May be used by several threads.
  */
 public final class PagingService {
-    /** Rounds of further asks: what is short after them is given short. */
+    /** A page that is short after these rounds is given short. */
     private static final int MAX_FOLLOW_UP_ROUNDS = 2;
 
-    /**
-     * A round of further asks has at least this: some times the way there and back and a node's
-     * usual work.
-     */
+    /** A few round trips and a node's usual work. */
     private static final Duration MIN_ROUND_TIME = Duration.ofMillis(200);
 
-    private final CursorCodec seal;
+    private final CursorCodec cursorCodec;
     private final int maxRows;
     private final Map<String, RowDistribution> rowDistributions = new ConcurrentHashMap<>();
     private FollowUpFetchBudget followUpBudget;
 
     /**
-     * The key that signs cursors and the one before it, or null; and the most rows that a page may
-     * be asked for.
+     * Creates the service.
+     *
+     * @param key signs cursors, in hexadecimal digits
+     * @param previousKey whose cursors are still accepted, or null
+     * @param maxRows that a page may be requested with
+     * @throws OperatorErrorException if a key can't be used
      */
-    public PagingService(String key, String oldKey, int rowsMost) throws OperatorErrorException {
-        this.seal = new CursorCodec(key, oldKey);
-        this.maxRows = rowsMost;
+    public PagingService(String key, String previousKey, int maxRows)
+            throws OperatorErrorException {
+        this.cursorCodec = new CursorCodec(key, previousKey);
+        this.maxRows = maxRows;
     }
 
     int maxRows() {
         return maxRows;
     }
 
-    /** The settings with rule 6's budget less what further asks take of it; to be called once. */
+    /**
+     * The settings with the policy's retry budget reduced by what follow-up queries take of it; to
+     * be called once, before any query.
+     */
     InstanceSettings withReducedRetryBudget(InstanceSettings settings) {
-        Double free = settings.number("obligations.spareAttempts");
-        Double share = settings.number("obligations.budgetShare");
-        double held = free == null ? 0 : free;
+        double spareAttempts = orZero(settings.number("obligations.spareAttempts"));
+        double budgetShare = orZero(settings.number("obligations.budgetShare"));
         followUpBudget =
                 new FollowUpFetchBudget(
-                        held,
-                        share == null ? 0 : share,
-                        settings.duration("obligations.extraWindow"));
+                        spareAttempts, budgetShare, settings.duration("obligations.extraWindow"));
         return settings.withValue(
                 "obligations.spareAttempts",
-                String.valueOf(held - followUpBudget.reservedAttempts()));
+                String.valueOf(spareAttempts - followUpBudget.reservedAttempts()));
+    }
+
+    private static double orZero(Double number) {
+        return number == null ? 0 : number;
     }
 
     /**
-     * When a query that asks again ends: within the SLO time, and after about as long as the page
-     * took so far. Guards against a page that waits for rule 6's budget, where it could be given
-     * short at once; it could hurt where nodes get slower from one round to the next.
+     * When a follow-up query ends: within the latency objective and after about as long as the page
+     * took so far, so that a page does not wait for the retry budget where it could be given short.
      */
     Duration followUpDeadline(Duration now, Query first) {
-        Duration until = now.plus(now.minus(first.arrivedAt)).plus(MIN_ROUND_TIME);
-        until = until.compareTo(first.sloDeadline()) < 0 ? until : first.sloDeadline();
-        return until.compareTo(first.deadline) < 0 ? until : first.deadline;
+        Duration elapsed = now.minus(first.arrivedAt);
+        Duration deadline = now.plus(elapsed).plus(MIN_ROUND_TIME);
+        return earlier(earlier(deadline, first.sloDeadline()), first.deadline);
     }
 
-    /** Whether a query with so many parts that asks again may begin now. */
-    boolean mayStartFollowUp(Duration now, int parts) {
-        return followUpBudget.tryAcquire(now, parts);
+    private static Duration earlier(Duration one, Duration other) {
+        return one.compareTo(other) < 0 ? one : other;
+    }
+
+    /** Takes so many shard requests from the follow-up budget; false where it lacks them. */
+    boolean mayStartFollowUp(Duration now, int shardRequests) {
+        return followUpBudget.tryAcquire(now, shardRequests);
     }
 
     /**
-     * What to ask of whom for the page; the names are the client's own where it goes on from no
-     * cursor. An Unroutable says why it can't be, and nothing has been sent.
+     * Works out what to fetch for a page.
+     *
+     * @param slices as the client named them; with a cursor the cursor's ranges count instead
+     * @throws UnroutableQueryException if the page can't be served; nothing has been sent then
      */
     PagedQuery start(
-            ClientRequest clientRequest,
+            ClientRequest request,
             QueryClass queryClass,
-            Layout held,
-            List<LayoutCompleteness.RequestedSlice> named)
+            Layout layout,
+            List<LayoutCompleteness.RequestedSlice> slices)
             throws UnroutableQueryException {
-        PageRequest page = clientRequest.pageRequest();
-        LayoutLineage lineage = new LayoutLineage(held);
         try {
             if (queryClass.sideEffects != SideEffects.IDEMPOTENT) {
-                throw new PageError.NotIdempotent(clientRequest.queryClass()).toException();
-            }
-            List<RangeProgress> standings =
-                    named.stream()
-                            .sorted(Comparator.comparing(LayoutCompleteness.RequestedSlice::keys))
-                            .map(one -> new RangeProgress(one.keys(), one.weight(), null))
-                            .toList();
-            List<LayoutCompleteness.RequestedSlice> names = named;
-            if (page.cursor() != null) {
-                standings =
-                        seal.decode(page.cursor(), queryDigest(clientRequest), lineage).ranges();
-                names = namedRanges(held, standings);
-            } else if (standings.size() > PageAssembler.MAX_RANGES) {
-                throw new PageError.InvalidRequestMember(
-                                "ranges",
-                                standings.size() + " are more than " + PageAssembler.MAX_RANGES)
-                        .toException();
+                throw new PageError.NotIdempotent(request.queryClass()).toException();
             }
-            PageAssembler assembly =
-                    new PageAssembler(
-                            page.order(),
-                            page.size(),
-                            standings,
-                            rowDistributions.computeIfAbsent(
-                                    clientRequest.queryClass(), key -> new RowDistribution()));
-            List<RowFetch> asks = assembly.initialFetches(lineage);
-            boolean own = page.cursor() == null && clientRequest.layoutVersion() > 0;
-            return new PagedQuery(
-                    assembly,
-                    asks,
-                    own ? clientRequest.layoutVersion() : held.version,
-                    names,
-                    clientRequest.payload());
+            return request.pageRequest().cursor() == null
+                    ? startFirst(request, layout, slices)
+                    : startNext(request, layout);
         } catch (OperatorErrorException e) {
-            throw new UnroutableQueryException(
-                    e.error() instanceof PageError.LayoutNoLongerKept
-                            ? UnroutableQueryException.Reason.LAYOUT_EXPIRED
-                            : e.error() instanceof PageError.LayoutNotYetKnown
-                                    ? UnroutableQueryException.Reason.LAYOUT_UNKNOWN
-                                    : UnroutableQueryException.Reason.UNKNOWN_SLICE,
-                    e.getMessage());
+            throw new UnroutableQueryException(reason(e.error()), e.getMessage());
+        }
+    }
+
+    private PagedQuery startFirst(
+            ClientRequest request, Layout layout, List<LayoutCompleteness.RequestedSlice> slices)
+            throws OperatorErrorException {
+        if (slices.size() > PageAssembler.MAX_RANGES) {
+            String problem = slices.size() + " are more than " + PageAssembler.MAX_RANGES;
+            throw new PageError.InvalidRequestMember("ranges", problem).toException();
         }
+        List<RangeProgress> ranges =
+                slices.stream()
+                        .sorted(Comparator.comparing(LayoutCompleteness.RequestedSlice::keys))
+                        .map(slice -> new RangeProgress(slice.keys(), slice.weight(), null))
+                        .toList();
+        long namedBy = request.layoutVersion() > 0 ? request.layoutVersion() : layout.version;
+        return pagedQuery(request, layout, ranges, namedBy, slices);
     }
 
-    private static long queryDigest(ClientRequest clientRequest) {
+    private PagedQuery startNext(ClientRequest request, Layout layout)
+            throws OperatorErrorException {
+        List<RangeProgress> ranges =
+                cursorCodec
+                        .decode(
+                                request.pageRequest().cursor(),
+                                queryDigest(request),
+                                new LayoutLineage(layout))
+                        .ranges();
+        return pagedQuery(request, layout, ranges, layout.version, requestedSlices(layout, ranges));
+    }
+
+    private PagedQuery pagedQuery(
+            ClientRequest request,
+            Layout layout,
+            List<RangeProgress> ranges,
+            long layoutVersion,
+            List<LayoutCompleteness.RequestedSlice> slices)
+            throws OperatorErrorException {
+        PageRequest page = request.pageRequest();
+        PageAssembler assembler =
+                new PageAssembler(
+                        page.order(),
+                        page.size(),
+                        ranges,
+                        rowDistributions.computeIfAbsent(
+                                request.queryClass(), key -> new RowDistribution()));
+        return new PagedQuery(
+                assembler,
+                assembler.initialFetches(new LayoutLineage(layout)),
+                layout.version,
+                layoutVersion,
+                slices,
+                request.payload());
+    }
+
+    private static UnroutableQueryException.Reason reason(OperatorError error) {
+        if (error instanceof PageError.LayoutNoLongerKept) {
+            return UnroutableQueryException.Reason.LAYOUT_EXPIRED;
+        }
+        return error instanceof PageError.LayoutNotYetKnown
+                ? UnroutableQueryException.Reason.LAYOUT_UNKNOWN
+                : UnroutableQueryException.Reason.UNKNOWN_SLICE;
+    }
+
+    private static long queryDigest(ClientRequest request) {
         return CursorCodec.digest(
-                clientRequest.queryClass(),
-                clientRequest.tenant(),
-                clientRequest.payload(),
-                clientRequest.pageRequest().order());
-    }
-
-    /** The keys by the slices in force, with weights that add up to 1. */
-    private static List<LayoutCompleteness.RequestedSlice> namedRanges(
-            Layout held, List<RangeProgress> standings) {
-        double all = standings.stream().mapToDouble(RangeProgress::weight).sum();
-        List<LayoutCompleteness.RequestedSlice> names = new ArrayList<>();
-        for (RangeProgress one : standings) {
-            double weight = all > 0 ? one.weight() / all : 1.0 / standings.size();
-            for (Slice slice : held.overlapping(one.range())) {
-                KeyRange keys = slice.keys().intersection(one.range());
-                names.add(
+                request.queryClass(),
+                request.tenant(),
+                request.payload(),
+                request.pageRequest().order());
+    }
+
+    /** The ranges cut by the slices in force, with weights that add up to 1. */
+    private static List<LayoutCompleteness.RequestedSlice> requestedSlices(
+            Layout layout, List<RangeProgress> ranges) {
+        double totalWeight = ranges.stream().mapToDouble(RangeProgress::weight).sum();
+        List<LayoutCompleteness.RequestedSlice> requested = new ArrayList<>();
+        for (RangeProgress progress : ranges) {
+            double weight = totalWeight > 0 ? progress.weight() / totalWeight : 1.0 / ranges.size();
+            for (Slice slice : layout.overlapping(progress.range())) {
+                KeyRange keys = slice.keys().intersection(progress.range());
+                double sliceWeight = weight * progress.range().overlapFraction(keys);
+                requested.add(
                         new LayoutCompleteness.RequestedSlice(
-                                slice.number(),
-                                keys,
-                                weight * one.range().overlapFraction(keys),
-                                null));
+                                slice.number(), keys, sliceWeight, null));
             }
         }
-        return names;
+        return requested;
     }
 
-    /** The same for a further ask: each range by its share of the rows asked for. */
+    /** The ranges of follow-up fetches, weighted by the rows that they fetch. */
     static List<LayoutCompleteness.RequestedSlice> followUpRanges(
-            Layout held, List<RowFetch> asks) {
-        return namedRanges(
-                held,
-                asks.stream()
-                        .map(ask -> new RangeProgress(ask.range(), ask.maxRows(), null))
+            Layout layout, List<RowFetch> fetches) {
+        return requestedSlices(
+                layout,
+                fetches.stream()
+                        .map(fetch -> new RangeProgress(fetch.range(), fetch.maxRows(), null))
                         .toList());
     }
 
-    /**
-     * What a further ask brings: the query it goes as, served to its end; null where none may go.
-     */
+    /** Serves a follow-up query. */
     interface FollowUpFetch {
-        PagedQuery fetch(List<RowFetch> asks) throws InterruptedException;
+        /** The query, served to its end; empty where none is allowed. */
+        Optional<PagedQuery> fetch(List<RowFetch> fetches) throws InterruptedException;
     }
 
-    /** The page of a query that was answered. */
-    QueryAction completePage(InFlightQuery q, QueryAction.Answer answer, FollowUpFetch further)
+    /** Completes the page of a query that was answered, by follow-up queries where rows lack. */
+    QueryAction completePage(InFlightQuery query, QueryAction.Answer answer, FollowUpFetch followUp)
             throws InterruptedException {
-        PagedQuery round = q.pagedQuery;
-        List<RowFetch> asks = q.pagedQuery.nextFetches(round);
-        for (int i = 0; i < MAX_FOLLOW_UP_ROUNDS && !asks.isEmpty(); i++) {
-            round = further.fetch(asks);
-            if (round == null) {
+        PagedQuery first = query.pagedQuery();
+        List<RowFetch> missing = first.addRowsOf(first);
+        for (int round = 0; round < MAX_FOLLOW_UP_ROUNDS && !missing.isEmpty(); round++) {
+            Optional<PagedQuery> ended = followUp.fetch(missing);
+            if (ended.isEmpty()) {
                 break;
             }
-            asks = q.pagedQuery.nextFetches(round);
+            missing = first.addRowsOf(ended.get());
         }
         try {
-            PageResult page = q.pagedQuery.finish(seal, q.layoutVersion, queryDigest(q.request));
+            PageResult page = first.finish(cursorCodec, queryDigest(query.request()));
             return new QueryAction.Answer(
                     answer.complete(), answer.values(), answer.layoutVersion(), page);
         } catch (OperatorErrorException e) {
--- /dev/null
+++ b/src/main/java/postbeam/router/RouterReadiness.java
@@ -0,0 +1,34 @@
+package postbeam.router;
+
+/**
+ * Whether the router knows enough to serve: some data nodes and, where slices move, a layout. Set
+ * by the threads that follow discovery and the layout service, read by those that serve clients.
+ */
+final class RouterReadiness {
+    private final boolean needsLayout;
+    private boolean endpointsKnown;
+    private boolean layoutKnown;
+    private volatile boolean ready;
+
+    RouterReadiness(boolean needsLayout) {
+        this.needsLayout = needsLayout;
+    }
+
+    synchronized void onEndpointsKnown() {
+        endpointsKnown = true;
+        update();
+    }
+
+    synchronized void onLayoutKnown() {
+        layoutKnown = true;
+        update();
+    }
+
+    private void update() {
+        ready = endpointsKnown && (!needsLayout || layoutKnown);
+    }
+
+    boolean isReady() {
+        return ready;
+    }
+}
--- a/src/main/java/postbeam/router/ShutdownDeadlines.java
+++ b/src/main/java/postbeam/router/ShutdownDeadlines.java
@@ -5,45 +5,40 @@
 import java.util.Objects;
 
 /**
- * How long a router that was told to end serves on, when its last query is to be over, and until
- * when it reads off what clients that were answered still send, all counted from then. The
- * protocol's page lets it live for the longest deadline, but for 3 s where that is longer, and 0.7
- * s more.
+ * When the phases of a graceful shutdown end, all as spans from its request. The protocol lets a
+ * router live on for the longest deadline of its query classes, 3 s at most, and 0.7 s more.
+ *
+ * @param servingEnds until when queries are accepted
+ * @param finalAnswersBy when the last query must have ended
+ * @param readsDrainedBy until when what answered clients still send is read
  */
 record ShutdownDeadlines(Duration servingEnds, Duration finalAnswersBy, Duration readsDrainedBy) {
-    /**
-     * How long clients go on connecting after a stop was asked, at most 0.4 s as their page has it.
-     */
+    /** Clients connect for up to 0.4 s after a shutdown is requested; 0.2 s are spare. */
     static final Duration LATE_CONNECT_WINDOW = Duration.ofMillis(600);
 
-    /**
-     * The most of a deadline that is waited for, as the page has it; taken too where no deadline is
-     * stated.
-     */
+    /** By the protocol; also where a query class states no deadline. */
     private static final Duration MAX_DEADLINE = Duration.ofSeconds(3);
 
-    /** Before its end the last queries are answered or given up. */
+    /** The last queries end so long before clients stop waiting. */
     private static final Duration FINAL_ANSWER_MARGIN = Duration.ofMillis(150);
 
-    /**
-     * Of the 0.7 s that the page gives beyond the longest deadline: kept for a router that is late
-     * at its end.
-     */
-    private static final Duration END_MARGIN = Duration.ofMillis(100);
-
+    /** When the process is killed, counted from the longest deadline. */
     private static final Duration KILL_GRACE = Duration.ofMillis(700);
 
-    /** By the deadlines in the settings, null where a vertical states none. */
+    /** Spare time before the process is killed. */
+    private static final Duration END_MARGIN = Duration.ofMillis(100);
+
+    /** By the deadlines of the query classes; null where one states none. */
     static ShutdownDeadlines of(Collection<Duration> deadlines) {
         Duration longest =
                 deadlines.stream()
                         .filter(Objects::nonNull)
                         .max(Duration::compareTo)
                         .orElse(MAX_DEADLINE);
-        Duration servesOn = longest.compareTo(MAX_DEADLINE) < 0 ? longest : MAX_DEADLINE;
+        Duration servingEnds = longest.compareTo(MAX_DEADLINE) < 0 ? longest : MAX_DEADLINE;
         return new ShutdownDeadlines(
-                servesOn,
-                servesOn.plus(LATE_CONNECT_WINDOW).minus(FINAL_ANSWER_MARGIN),
-                servesOn.plus(KILL_GRACE).minus(END_MARGIN));
+                servingEnds,
+                servingEnds.plus(LATE_CONNECT_WINDOW).minus(FINAL_ANSWER_MARGIN),
+                servingEnds.plus(KILL_GRACE).minus(END_MARGIN));
     }
 }
--- /dev/null
+++ b/src/main/java/postbeam/router/TimerQueue.java
@@ -0,0 +1,60 @@
+package postbeam.router;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.TreeSet;
+import java.util.concurrent.locks.Condition;
+
+/** Tasks to run at a time. Guarded by the lock of {@link PolicyExecutor}. */
+final class TimerQueue {
+    /**
+     * One scheduled task; timers of the same time run in the order in which they were scheduled.
+     */
+    record Timer(Duration at, long number, Runnable task) {}
+
+    private final Condition changed;
+    private final TreeSet<Timer> timers =
+            new TreeSet<>(Comparator.comparing(Timer::at).thenComparingLong(Timer::number));
+    private long nextNumber;
+
+    /** The condition is signalled when a timer is added. */
+    TimerQueue(Condition changed) {
+        this.changed = changed;
+    }
+
+    Timer schedule(Duration at, Runnable task) {
+        Timer timer = new Timer(at, nextNumber++, task);
+        timers.add(timer);
+        changed.signal();
+        return timer;
+    }
+
+    void cancel(Timer timer) {
+        timers.remove(timer);
+    }
+
+    /** Removes the tasks whose time has come, the earliest first. */
+    List<Runnable> removeDue(Duration now) {
+        List<Runnable> due = new ArrayList<>();
+        while (!timers.isEmpty() && timers.first().at().compareTo(now) <= 0) {
+            due.add(timers.pollFirst().task());
+        }
+        return due;
+    }
+
+    /** Waits until the earliest timer is due or the condition is signalled, or for no reason. */
+    @SuppressWarnings("WaitNotInLoop") // The caller waits in a loop.
+    void awaitNext(MonotonicClock clock) throws InterruptedException {
+        if (timers.isEmpty()) {
+            changed.await();
+        } else {
+            changed.awaitNanos(timers.first().at().minus(clock.now()).toNanos());
+        }
+    }
+
+    int size() {
+        return timers.size();
+    }
+}
--- a/src/main/java/postbeam/router/WarmUp.java
+++ b/src/main/java/postbeam/router/WarmUp.java
@@ -8,6 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import postbeam.clients.QueryServer;
 import postbeam.dispatch.AttemptResult;
 import postbeam.dispatch.ClientRequest;
@@ -21,46 +22,59 @@
 import postbeam.slices.UnroutableQueryException;
 
 /**
- * Queries of no client, decided on and answered before the first client comes, then taken once more
- * through a pipe by a door of clients that listens nowhere: a virtual machine that has compiled
- * nothing yet takes many times as long for each, and on part of a core the first seconds of clients
- * then pile up. Nothing of it reaches a socket, and its decisions are thrown away with what they
- * learnt.
+ * Serves queries of no client before the first client comes, so that the virtual machine has loaded
+ * and compiled what queries pass through: first against the policy alone, then through a client
+ * server that reads them from a pipe. On part of a core the first seconds' queries would pile up
+ * otherwise. Nothing reaches a socket, and the executor's state is thrown away.
  */
 final class WarmUp implements QueryServer.QueryHandler {
-    /** How long it may take: each second of it is one that a restarted router is away for. */
+    /** A restarted router is away for as long. */
     private static final Duration MAX_DURATION = Duration.ofMillis(1500);
 
-    /** Queries after which all that queries pass through has been compiled. */
+    /** Queries after which all that queries pass through is compiled. */
     private static final int QUERIES = 600;
 
-    /** Queries open at once, so that they compete for slots. */
+    /** Queries at once, so that they compete for slots. */
     private static final int MAX_IN_FLIGHT = 24;
 
+    private static final int MAX_SHARDS_PER_QUERY = 8;
+
+    /** Every so many attempts fail, so that the ways of failures are compiled too. */
+    private static final int RESET_EVERY = 41;
+
+    private static final int OVERLOADED_EVERY = 37;
+
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
     private static final byte[] PAYLOAD = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
 
+    /** A query for two shards in the clients' form. */
     private static final String BODY =
             "{\"ranges\":[{\"range\":0,\"portion\":0.5},{\"range\":1,\"portion\":0.5}],"
                     + "\"predicate\":\"c41e77d0\"}";
 
-    private final PolicyExecutor decisions;
+    private final PolicyExecutor executor;
     private final List<String> queryClasses;
     private final String tenant;
     private final int shards;
     private final Deque<InFlightQuery> inFlight = new ArrayDeque<>();
     private int attemptCount;
 
+    /**
+     * Creates a warm-up with one data node in each cell.
+     *
+     * @param executor used by nothing else; slices don't move in it
+     * @param tenant null where the settings have none
+     */
     WarmUp(
-            PolicyExecutor decisions,
+            PolicyExecutor executor,
             String zone,
             int cells,
-            List<String> verticals,
-            String owner,
+            List<String> queryClasses,
+            String tenant,
             int shards) {
-        this.decisions = decisions;
-        this.queryClasses = verticals;
-        this.tenant = owner;
+        this.executor = executor;
+        this.queryClasses = queryClasses;
+        this.tenant = tenant;
         this.shards = shards;
         List<Endpoint> nodes = new ArrayList<>();
         Map<String, String> addresses = new LinkedHashMap<>();
@@ -68,80 +82,86 @@
             nodes.add(new Endpoint("n" + cell, zone, cell, 0, Readiness.READY));
             addresses.put("n" + cell, "127.0.0.1:1");
         }
-        decisions.onEndpointUpdate(new EndpointUpdate(1, true, nodes, addresses));
+        executor.onEndpointUpdate(new EndpointUpdate(1, true, nodes, addresses));
     }
 
-    /** How many queries were answered. */
+    /** Serves queries against the policy alone; returns how many were answered. */
     int run() {
         long end = System.nanoTime() + MAX_DURATION.toNanos();
-        int done = 0;
+        int answered = 0;
         for (int i = 0; i < QUERIES && System.nanoTime() < end; i++) {
-            List<ClientRequest.RequestedShard> parts = new ArrayList<>();
-            int count = Math.min(shards, 1 + i % 8);
-            for (int part = 0; part < count; part++) {
-                parts.add(new ClientRequest.RequestedShard((i + part) % shards, 1.0 / count, null));
-            }
-            InFlightQuery q =
-                    acceptQuery(
-                            new ClientRequest(
-                                    "r" + i,
-                                    queryClasses.get(i % queryClasses.size()),
-                                    tenant,
-                                    TIMEOUT,
-                                    parts,
-                                    PAYLOAD),
-                            Duration.ZERO);
-            if (q != null) {
-                inFlight.add(q);
-            }
+            accept(request(i), Duration.ZERO).ifPresent(inFlight::add);
             while (inFlight.size() > MAX_IN_FLIGHT) {
-                done += advanceOne(inFlight.poll());
+                answered += advanceOldest();
             }
         }
         while (!inFlight.isEmpty() && System.nanoTime() < end) {
-            done += advanceOne(inFlight.poll());
+            answered += advanceOldest();
+        }
+        return answered;
+    }
+
+    private ClientRequest request(int number) {
+        int count = Math.min(shards, 1 + number % MAX_SHARDS_PER_QUERY);
+        List<ClientRequest.RequestedShard> requested = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            requested.add(
+                    new ClientRequest.RequestedShard((number + i) % shards, 1.0 / count, null));
         }
-        return done;
+        String queryClass = queryClasses.get(number % queryClasses.size());
+        return new ClientRequest("r" + number, queryClass, tenant, TIMEOUT, requested, PAYLOAD);
     }
 
-    /** 1 once the query has its answer. */
-    private int advanceOne(InFlightQuery q) {
-        if (advance(q) != null) {
+    /** Advances the query that waited longest; returns 1 if that has ended it. */
+    private int advanceOldest() {
+        InFlightQuery query = inFlight.remove();
+        if (advance(query) != null) {
             return 1;
         }
-        inFlight.add(q);
+        inFlight.add(query);
         return 0;
     }
 
-    /** Does what the query is given to do; its last step, or null where that is still to come. */
-    private QueryAction advance(InFlightQuery q) {
-        decisions.runDueTimers();
-        QueryAction step;
-        while ((step = decisions.pollAction(q)) != null) {
-            if (step instanceof QueryAction.Send send) {
-                decisions.onAttemptResults(send.attempts().stream().map(this::resultOf).toList());
-            } else if (!(step instanceof QueryAction.CancelAttempt)) {
-                return step;
+    /**
+     * Carries out the query's actions; returns the final one, or null where it is still to come.
+     */
+    private QueryAction advance(InFlightQuery query) {
+        executor.runDueTimers();
+        QueryAction action = executor.pollAction(query);
+        while (action != null) {
+            if (action instanceof QueryAction.Send send) {
+                executor.onAttemptResults(
+                        send.attempts().stream().map(this::simulateResult).toList());
+            } else if (!(action instanceof QueryAction.CancelAttempt)) {
+                return action;
             }
+            action = executor.pollAction(query);
         }
         return null;
     }
 
-    /** Mostly merged, now and then not, so that the ways back are known too. */
-    private AttemptResult resultOf(DispatchedAttempt call) {
+    private AttemptResult simulateResult(DispatchedAttempt attempt) {
         attemptCount++;
-        AttemptOutcome outcome =
-                attemptCount % 41 == 0
-                        ? AttemptOutcome.RESET
-                        : attemptCount % 37 == 0
-                                ? AttemptOutcome.OVERLOADED
-                                : AttemptOutcome.SUCCESS;
-        return new AttemptResult(call, outcome, PAYLOAD);
+        AttemptOutcome outcome = AttemptOutcome.SUCCESS;
+        if (attemptCount % RESET_EVERY == 0) {
+            outcome = AttemptOutcome.RESET;
+        } else if (attemptCount % OVERLOADED_EVERY == 0) {
+            outcome = AttemptOutcome.OVERLOADED;
+        }
+        return new AttemptResult(attempt, outcome, PAYLOAD);
+    }
+
+    private Optional<InFlightQuery> accept(ClientRequest request, Duration age) {
+        try {
+            return executor.accept(request, age);
+        } catch (UnroutableQueryException e) {
+            throw new IllegalStateException("no slices move in a warm-up", e);
+        }
     }
 
-    // ---- behind a door of clients that takes its queries through a pipe
+    // ---- behind a client server that reads requests from a pipe
 
-    /** A query of two parts in the clients' form. */
+    /** A request with this id as a client writes it. */
     byte[] request(String id) {
         return ("POST /"
                         + queryClasses.get(0)
@@ -159,45 +179,19 @@
     }
 
     @Override
-    public PendingQuery submit(ClientRequest clientRequest, Duration age) {
-        InFlightQuery q = acceptQuery(clientRequest, age);
-        return q == null ? null : new WarmUpQuery(q);
+    public PendingQuery submit(ClientRequest request, Duration age) {
+        return accept(request, age)
+                .map(query -> new ServedQuery(executor, query, this::runToEnd))
+                .orElse(null);
     }
 
-    private InFlightQuery acceptQuery(ClientRequest clientRequest, Duration age) {
-        try {
-            return decisions.accept(clientRequest, age);
-        } catch (UnroutableQueryException e) {
-            throw new IllegalStateException("no slices move in a rehearsal", e);
-        }
-    }
-
-    /** A query as the rehearsed client connection sees it. */
-    private final class WarmUpQuery implements PendingQuery {
-        private final InFlightQuery query;
-
-        WarmUpQuery(InFlightQuery query) {
-            this.query = query;
-        }
-
-        @Override
-        public QueryAction serve() throws InterruptedException {
-            QueryAction last;
-            while ((last = advance(query)) == null) {
-                Thread.sleep(1);
-            }
-            return last;
-        }
-
-        @Override
-        public void clientDisconnected() {
-            decisions.clientDisconnected(query);
-        }
-
-        @Override
-        public void setClientCheck(Runnable check) {
-            query.setClientCheck(check);
+    private QueryAction runToEnd(InFlightQuery query) throws InterruptedException {
+        QueryAction last = advance(query);
+        while (last == null) {
+            Thread.sleep(1);
+            last = advance(query);
         }
+        return last;
     }
 
     @Override
--- a/src/test/java/postbeam/datanodes/FrameSamplesTest.java
+++ b/src/test/java/postbeam/datanodes/FrameSamplesTest.java
@@ -125,9 +125,12 @@
                                         new ClientRequest.RequestedShard(
                                                 shard, 1.0 / shards.length, null))
                         .toList();
-        return decisions.accept(
-                new ClientRequest(ID, "search", null, DEADLINE, parts, PREDICATE, 0, false, page),
-                Duration.ZERO);
+        return decisions
+                .accept(
+                        new ClientRequest(
+                                ID, "search", null, DEADLINE, parts, PREDICATE, 0, false, page),
+                        Duration.ZERO)
+                .orElseThrow();
     }
 
     private QueryAction.Send send(InFlightQuery query) throws InterruptedException {
--- a/src/test/java/postbeam/datanodes/NodeConnectionTest.java
+++ b/src/test/java/postbeam/datanodes/NodeConnectionTest.java
@@ -98,15 +98,17 @@
     }
 
     private InFlightQuery take(String id) throws Exception {
-        return decisions.accept(
-                new ClientRequest(
-                        id,
-                        "lookup",
-                        null,
-                        Duration.ofSeconds(5),
-                        List.of(new ClientRequest.RequestedShard(0, 1, null)),
-                        new byte[] {'x'}),
-                Duration.ZERO);
+        return decisions
+                .accept(
+                        new ClientRequest(
+                                id,
+                                "lookup",
+                                null,
+                                Duration.ofSeconds(5),
+                                List.of(new ClientRequest.RequestedShard(0, 1, null)),
+                                new byte[] {'x'}),
+                        Duration.ZERO)
+                .orElseThrow();
     }
 
     private void send(InFlightQuery q) throws InterruptedException {
--- a/src/test/java/postbeam/router/PagingServiceTest.java
+++ b/src/test/java/postbeam/router/PagingServiceTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTimeoutPreemptively;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,6 +14,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import postbeam.config.InstanceSettings;
@@ -130,7 +130,6 @@
                                                         answer(call))));
                             }
                         } else if (!(step instanceof QueryAction.CancelAttempt)) {
-                            decisions.collectPartialPages(q);
                             return step;
                         }
                     }
@@ -184,7 +183,8 @@
 
     private PageResult page(String cursor, int size)
             throws UnroutableQueryException, InterruptedException {
-        InFlightQuery q = decisions.accept(asked("search", cursor, size), Duration.ZERO);
+        InFlightQuery q =
+                decisions.accept(asked("search", cursor, size), Duration.ZERO).orElseThrow();
         QueryAction.Answer answer = assertInstanceOf(QueryAction.Answer.class, served(q));
         return assertInstanceOf(
                         QueryAction.Answer.class,
@@ -192,12 +192,10 @@
                                 q,
                                 answer,
                                 asks -> {
-                                    InFlightQuery more = decisions.acceptFollowUp(q, asks);
-                                    if (more == null) {
-                                        return null;
-                                    }
-                                    served(more);
-                                    return more.pagedQuery;
+                                    Optional<InFlightQuery> more =
+                                            decisions.acceptFollowUp(q, asks);
+                                    more.ifPresent(this::served);
+                                    return more.map(InFlightQuery::pagedQuery);
                                 }))
                 .page();
     }
@@ -282,15 +280,16 @@
     @Test
     void aClientThatLeavesEndsWhatAsksAgainToo() throws Exception {
         router(3, 50);
-        InFlightQuery q = decisions.accept(asked("search", null, 8), Duration.ZERO);
+        InFlightQuery q = decisions.accept(asked("search", null, 8), Duration.ZERO).orElseThrow();
         served(q);
-        InFlightQuery more = decisions.acceptFollowUp(q, q.pagedQuery.nextFetches(q.pagedQuery));
+        InFlightQuery more =
+                decisions.acceptFollowUp(q, q.pagedQuery().addRowsOf(q.pagedQuery())).orElseThrow();
         decisions.clientDisconnected(q);
         QueryAction step = decisions.pollAction(more);
         while (step instanceof QueryAction.Send || step instanceof QueryAction.CancelAttempt) {
             step = decisions.pollAction(more);
         }
         assertInstanceOf(QueryAction.ClientGone.class, step);
-        assertNull(decisions.acceptFollowUp(q, List.of()));
+        assertTrue(decisions.acceptFollowUp(q, List.of()).isEmpty());
     }
 }
--- a/src/test/java/postbeam/router/PolicyExecutorTest.java
+++ b/src/test/java/postbeam/router/PolicyExecutorTest.java
@@ -83,7 +83,7 @@
 
     private InFlightQuery take(ClientRequest clientRequest, Duration age) {
         try {
-            return decisions.accept(clientRequest, age);
+            return decisions.accept(clientRequest, age).orElse(null);
         } catch (UnroutableQueryException e) {
             throw new AssertionError("no slices move here", e);
         }
