--- a/src/main/java/postbeam/cli/ExtendedClassPathLauncher.java
+++ b/src/main/java/postbeam/cli/ExtendedClassPathLauncher.java
@@ -14,43 +14,35 @@
 import java.util.stream.Stream;
 
 /**
- * Runs the program once more, in this virtual machine, with the libraries that a router on the
- * platform does without. Guards the start of a router against them: each jar on the class path is
- * opened and its table of contents kept.
+ * Runs the program once more, in this virtual machine, with the libraries that a serving router
+ * does without. Each jar on the class path is opened at a start and its table of contents kept:
+ * these are not on it, so that a router starts sooner.
  */
 final class ExtendedClassPathLauncher {
+    private static final String CORE_LIBRARIES = "lib";
+    private static final String MORE_LIBRARIES = "more";
+
     private ExtendedClassPathLauncher() {}
 
     /**
-     * True once the program has been started so, and nothing is left to do; false where they are
-     * there already.
+     * Runs the program with all libraries, if it does not run so already and they are there.
+     *
+     * @return whether it did, so that nothing is left to do
+     * @throws IllegalStateException if the libraries can't be used, or the program failed
      */
     static boolean relaunched(String[] args) {
         try {
             Path jar =
                     Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-            Path more = jar.resolveSibling("more");
+            Path more = jar.resolveSibling(MORE_LIBRARIES);
             if (Main.class.getClassLoader() instanceof URLClassLoader || !Files.isDirectory(more)) {
                 return false;
             }
-            List<URL> all = new ArrayList<>(List.of(url(jar)));
-            for (Path folder : List.of(jar.resolveSibling("lib"), more)) {
-                try (Stream<Path> files = Files.list(folder)) {
-                    for (Path file :
-                            files.filter(one -> one.toString().endsWith(".jar"))
-                                    .sorted()
-                                    .toList()) {
-                        all.add(url(file));
-                    }
-                }
-            }
-            ClassLoader loader =
-                    new URLClassLoader(
-                            all.toArray(URL[]::new), ClassLoader.getPlatformClassLoader());
-            Thread.currentThread().setContextClassLoader(loader);
-            loader.loadClass(Main.class.getName())
-                    .getMethod("main", String[].class)
-                    .invoke(null, (Object) args);
+            List<URL> classPath = new ArrayList<>();
+            classPath.add(url(jar));
+            addJars(classPath, jar.resolveSibling(CORE_LIBRARIES));
+            addJars(classPath, more);
+            run(args, classPath);
             return true;
         } catch (IOException | URISyntaxException | ReflectiveOperationException e) {
             Throwable cause = e instanceof InvocationTargetException ? e.getCause() : e;
@@ -59,7 +51,28 @@
         }
     }
 
+    private static void addJars(List<URL> classPath, Path folder) throws IOException {
+        try (Stream<Path> files = Files.list(folder)) {
+            List<Path> jars =
+                    files.filter(file -> file.toString().endsWith(".jar")).sorted().toList();
+            for (Path jar : jars) {
+                classPath.add(url(jar));
+            }
+        }
+    }
+
     private static URL url(Path file) throws MalformedURLException {
         return file.toUri().toURL();
     }
+
+    private static void run(String[] args, List<URL> classPath)
+            throws ReflectiveOperationException {
+        ClassLoader loader =
+                new URLClassLoader(
+                        classPath.toArray(URL[]::new), ClassLoader.getPlatformClassLoader());
+        Thread.currentThread().setContextClassLoader(loader);
+        loader.loadClass(Main.class.getName())
+                .getMethod("main", String[].class)
+                .invoke(null, (Object) args);
+    }
 }
--- a/src/main/java/postbeam/cli/LogRateLimiter.java
+++ b/src/main/java/postbeam/cli/LogRateLimiter.java
@@ -9,19 +9,16 @@
 import java.util.logging.Logger;
 
 /**
- * Bounds the rate of what is logged, by the libraries too: a trouble must not fill the disk or the
- * core.
+ * Limits the rate of log records, those of libraries too, so that a fault fills neither the disk
+ * nor the core. Its own lock guards the counts.
  */
-public final class LogRateLimiter implements Filter {
-    /** Records in a span: enough for what starts a trouble. */
+final class LogRateLimiter implements Filter {
+    /** In an interval: enough for the start of a fault. */
     private static final int MAX_RECORDS = 40;
 
     private static final Duration INTERVAL = Duration.ofSeconds(10);
 
-    /**
-     * The loggers whose levels are set; kept here, for the log manager forgets those that nobody
-     * holds.
-     */
+    /** Held here, as the log manager forgets loggers that nobody holds, and their levels. */
     private static final Logger[] LIBRARY_LOGGERS = {
         Logger.getLogger("org.xnio"), Logger.getLogger("io.undertow")
     };
@@ -32,8 +29,8 @@
 
     private LogRateLimiter() {}
 
-    /** One line a record, on standard error. */
-    public static void install() {
+    /** Logs one line a record on standard error from now on, and limits their rate. */
+    static void install() {
         System.setProperty("java.util.logging.SimpleFormatter.format", "%4$s %3$s: %5$s%6$s%n");
         Filter filter = new LogRateLimiter();
         for (Handler handler : LogManager.getLogManager().getLogger("").getHandlers()) {
--- /dev/null
+++ b/src/main/java/postbeam/cli/ToolCommands.java
@@ -0,0 +1,26 @@
+package postbeam.cli;
+
+import com.beust.jcommander.JCommander;
+import java.util.Map;
+import postbeam.layoutservice.LayoutsCommand;
+import postbeam.testbed.demo.DemoCommand;
+import postbeam.testbed.trials.TrialCommand;
+
+/** The sub-commands that a serving router does without; loaded for them and for help only. */
+final class ToolCommands {
+    private ToolCommands() {}
+
+    /** Adds them to the command line and returns them by name. */
+    static Map<String, Command> addTo(JCommander commandLine) {
+        LayoutsCommand layouts = new LayoutsCommand();
+        TrialCommand trial = new TrialCommand();
+        DemoCommand demo = new DemoCommand();
+        commandLine.addCommand("layouts", layouts);
+        commandLine.addCommand("trial", trial);
+        commandLine.addCommand("try", demo);
+        return Map.of(
+                "layouts", () -> layouts.run(System.out, System.err),
+                "trial", () -> trial.run(System.out),
+                "try", () -> demo.run(System.out));
+    }
+}
--- a/src/main/java/postbeam/dispatch/AttemptResult.java
+++ b/src/main/java/postbeam/dispatch/AttemptResult.java
@@ -2,9 +2,15 @@
 
 import postbeam.model.AttemptOutcome;
 
-/** How a leaf call ended, and what the node gave where it merged. */
+/**
+ * How an attempt ended.
+ *
+ * @param value what the node gave; null where the attempt did not succeed
+ */
+@SuppressWarnings("ArrayRecordComponent") // Results are never compared, and values are large.
 public record AttemptResult(DispatchedAttempt attempt, AttemptOutcome outcome, byte[] value) {
-    public AttemptResult(DispatchedAttempt call, AttemptOutcome outcome) {
-        this(call, outcome, null);
+    /** A result without a value. */
+    public AttemptResult(DispatchedAttempt attempt, AttemptOutcome outcome) {
+        this(attempt, outcome, null);
     }
 }
--- a/src/main/java/postbeam/dispatch/ClientRequest.java
+++ b/src/main/java/postbeam/dispatch/ClientRequest.java
@@ -5,10 +5,19 @@
 import postbeam.pages.PageRequest;
 
 /**
- * A query as its client asked it; the patience counts from when its first byte was seen. The layout
- * is the version by which it names its shards, 0 where it names none; a repeat is what its client
- * marks as one; the page is null where none is asked for.
+ * A query as its client requested it.
+ *
+ * @param id names the query; unique among those in flight
+ * @param queryClass by name, as the settings have it
+ * @param tenant by name; null where the client states none
+ * @param timeout how long the client waits, counted from the query's first byte
+ * @param requestedShards empty where a cursor says what to fetch
+ * @param payload what data nodes are sent
+ * @param layoutVersion by which the client names slices; 0 where it states none
+ * @param clientRetry whether the client marks the query as its own retry
+ * @param pageRequest null where no page is requested
  */
+@SuppressWarnings("ArrayRecordComponent") // Requests are never compared, and payloads are large.
 public record ClientRequest(
         String id,
         String queryClass,
@@ -19,20 +28,26 @@
         long layoutVersion,
         boolean clientRetry,
         PageRequest pageRequest) {
+    /** A first request by fixed shards, without a page. */
     public ClientRequest(
             String id,
-            String vertical,
-            String owner,
-            Duration patience,
-            List<RequestedShard> parts,
-            byte[] text) {
-        this(id, vertical, owner, patience, parts, text, 0, false, null);
+            String queryClass,
+            String tenant,
+            Duration timeout,
+            List<RequestedShard> requestedShards,
+            byte[] payload) {
+        this(id, queryClass, tenant, timeout, requestedShards, payload, 0, false, null);
     }
 
-    /** One shard's part: its share of the answer and, where a guess came, its work. */
+    /**
+     * One shard of a query.
+     *
+     * @param weight its share of the answer, from 0 to 1
+     * @param estimatedWork null where the client gives no estimate
+     */
     public record RequestedShard(int shard, double weight, Duration estimatedWork) {}
 
-    /** The same under an id of its own, which no client's can be: asking again for its page. */
+    /** The request of a follow-up query for the same page, with an id that no client can state. */
     public ClientRequest followUp(int round) {
         return new ClientRequest(
                 id + "." + round,
@@ -46,15 +61,15 @@
                 pageRequest);
     }
 
-    /** The same, with a client of no more patience than this. */
-    public ClientRequest withTimeoutAtMost(Duration most) {
-        return timeout.compareTo(most) <= 0
+    /** The same request of a client that waits no longer than this. */
+    public ClientRequest withTimeoutAtMost(Duration maxTimeout) {
+        return timeout.compareTo(maxTimeout) <= 0
                 ? this
                 : new ClientRequest(
                         id,
                         queryClass,
                         tenant,
-                        most,
+                        maxTimeout,
                         requestedShards,
                         payload,
                         layoutVersion,
--- a/src/main/java/postbeam/dispatch/DispatchedAttempt.java
+++ b/src/main/java/postbeam/dispatch/DispatchedAttempt.java
@@ -7,97 +7,113 @@
 import postbeam.model.Attempt;
 import postbeam.model.AttemptOutcome;
 
-/** A leaf call as the network sees it. */
+/**
+ * An attempt as a data node's connection carries it. The router marks it under its lock; the I/O
+ * thread reads the marks.
+ */
 public class DispatchedAttempt {
+    private static final long NANOS_PER_MILLI = 1_000_000;
+
+    /** The policy's view of it. */
     public final Attempt attempt;
 
-    /** Its part's id, the shard and the text to carry. */
+    /** Names it on the wire. */
     public final String id;
 
     public final int shard;
+
+    /** What the node is sent; not to be changed. */
     public final byte[] payload;
 
-    /** What a data node is told beside how long is waited; empty but where slices move. */
+    /** Header fields after the deadline, each with its comma; empty where slices don't move. */
     private final String headerFields;
 
     private final long deadlineNanos;
     private final ClientPresence client;
     private volatile boolean abandoned;
 
-    /** How it ends where it is not written by then; null: it may be written at any time. */
+    /** Null where it may be written at any time. */
     private volatile SendDeadline sendDeadline;
 
-    private record SendDeadline(long nanos, AttemptOutcome outcome) {}
+    private record SendDeadline(long nanoTime, AttemptOutcome outcome) {}
 
+    /**
+     * Creates an attempt that is not written yet.
+     *
+     * @param deadlineNanos until when its answer is awaited, by {@link System#nanoTime}
+     */
     public DispatchedAttempt(
             ClientPresence client,
             Attempt attempt,
             String id,
-            String more,
-            byte[] text,
-            long untilNanos) {
+            String headerFields,
+            byte[] payload,
+            long deadlineNanos) {
         this.client = client;
         this.attempt = attempt;
         this.shard = attempt.shardRequest.shard;
         this.id = id;
-        this.headerFields = more;
-        this.payload = text;
-        this.deadlineNanos = untilNanos;
+        this.headerFields = headerFields;
+        this.payload = payload;
+        this.deadlineNanos = deadlineNanos;
     }
 
-    /** Nobody waits for it from here on. */
+    /** Nobody waits for it from here on: if it is not written yet, it never will be. */
     public void abandon() {
         abandoned = true;
     }
 
-    /** Nobody waits for it any more: what is not written yet is not to be written. */
+    /** Whether {@link #abandon} was called. */
     public boolean abandoned() {
         return abandoned;
     }
 
-    /** It is not to be written after this; where it is not by then it ends so. */
-    public void requireSentBy(long nanos, AttemptOutcome outcome) {
-        SendDeadline held = sendDeadline;
-        if (held == null || held.nanos - nanos > 0) {
-            sendDeadline = new SendDeadline(nanos, outcome);
+    /**
+     * It must be written by this time, or else ends so. The earliest of several times counts.
+     *
+     * @param nanoTime by {@link System#nanoTime}
+     */
+    public void requireSentBy(long nanoTime, AttemptOutcome outcome) {
+        SendDeadline current = sendDeadline;
+        if (current == null || current.nanoTime - nanoTime > 0) {
+            sendDeadline = new SendDeadline(nanoTime, outcome);
         }
     }
 
-    /**
-     * How it ends as not written, where it is not to be written any more; null where it still may
-     * be.
-     */
+    /** How it ends unwritten, if it must not be written any more; null where it still may be. */
     public AttemptOutcome unsentOutcome() {
-        SendDeadline held = sendDeadline;
-        return abandoned
-                ? AttemptOutcome.NEVER_SENT
-                : held != null && System.nanoTime() - held.nanos > 0 ? held.outcome : null;
+        if (abandoned) {
+            return AttemptOutcome.NEVER_SENT;
+        }
+        SendDeadline current = sendDeadline;
+        boolean late = current != null && System.nanoTime() - current.nanoTime > 0;
+        return late ? current.outcome : null;
     }
 
     /**
-     * Looks at the connections of their clients, on the I/O thread and just before the calls are
-     * written. Guards against a client that closed while a call waited its turn: for a thread, a
-     * connection to the node, or a router that is late. It costs a read that finds nothing for each
-     * query.
+     * Looks whether the clients of these attempts are still connected, just before the attempts are
+     * written: one may have closed while they waited for a thread or a connection. Costs one read
+     * that finds nothing for each query; to be called on the I/O thread.
      */
-    public static void checkClientPresence(Collection<DispatchedAttempt> calls) {
+    public static void checkClientPresence(Collection<DispatchedAttempt> attempts) {
         Set<ClientPresence> clients = new LinkedHashSet<>();
-        for (DispatchedAttempt call : calls) {
-            if (!call.abandoned) {
-                clients.add(call.client);
+        for (DispatchedAttempt attempt : attempts) {
+            if (!attempt.abandoned) {
+                clients.add(attempt.client);
             }
         }
         clients.forEach(ClientPresence::check);
     }
 
-    /** How long its answer will be waited for; at least 1. */
+    /** How long its answer will be awaited, in ms; at least 1. */
     public long remainingMillis() {
-        return Math.max(1, (deadlineNanos - System.nanoTime()) / 1_000_000);
+        return Math.max(1, (deadlineNanos - System.nanoTime()) / NANOS_PER_MILLI);
     }
 
-    /** The first bytes that stand for it in a frame, up to its text. */
+    /** What stands before its payload in a frame. */
     public byte[] frameHeader() {
-        return (id
+        String header =
+                id
                         + " "
                         + shard
                         + " d="
@@ -105,7 +121,7 @@
                         + headerFields
                         + " "
                         + payload.length
-                        + "\n")
-                .getBytes(StandardCharsets.UTF_8);
+                        + "\n";
+        return header.getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/src/main/java/postbeam/dispatch/PendingQuery.java
+++ b/src/main/java/postbeam/dispatch/PendingQuery.java
@@ -3,8 +3,9 @@
 /** An accepted query as the client's connection sees it. */
 public interface PendingQuery {
     /**
-     * Carries out what the query needs until it ends; blocks the calling thread and returns the
-     * final action.
+     * Carries out what the query needs until it ends; blocks the calling thread meanwhile.
+     *
+     * @return the final action, for the client
      */
     QueryAction serve() throws InterruptedException;
 
@@ -12,7 +13,7 @@
     void clientDisconnected();
 
     /**
-     * Sets the check that reports a disconnected client; it is called on the I/O thread of the
+     * Sets the check that reports a disconnected client; it is run on the I/O thread of the
      * client's connection.
      */
     void setClientCheck(Runnable check);
--- a/src/main/java/postbeam/dispatch/package-info.java
+++ b/src/main/java/postbeam/dispatch/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What clients' connections, the router and data nodes' connections share: the request, the actions
- * that serve it, the attempts sent to data nodes and their results. Below all three packages; none
- * of it does I/O.
+ * What the connections of clients, the router and the connections to data nodes share: a client's
+ * request, the actions that serve it, the attempts sent to data nodes and their results. The three
+ * packages import this one; it imports none of them and does no I/O.
  */
 package postbeam.dispatch;
--- a/src/main/java/postbeam/router/PolicyExecutor.java
+++ b/src/main/java/postbeam/router/PolicyExecutor.java
@@ -1,8 +1,6 @@
 package postbeam.router;
 
 import java.time.Duration;
-import java.util.ArrayDeque;
-import java.util.Deque;
 import java.util.List;
 import java.util.Optional;
 import java.util.Random;
@@ -54,15 +52,13 @@
     private final ActionOutbox outbox;
     private final QueryFactory queryFactory;
     private final RoutingPolicy policy;
+    private final DecisionLoop decisions;
 
     /** Null where shards have fixed replicas. */
     private final SliceTranslator slicing;
 
     private final boolean servesPages;
 
-    /** Queries with events since the last decision, the latest first: suspects if that fails. */
-    private final Deque<InFlightQuery> recentQueries = new ArrayDeque<>();
-
     /** An executor without pages. */
     public PolicyExecutor(
             InstanceSettings settings,
@@ -120,6 +116,8 @@
                                 ? PolicyFactory.fleet(settings)
                                 : new Cluster(slicing.holders()),
                         paging == null ? settings : paging.withReducedRetryBudget(settings));
+        this.decisions =
+                new DecisionLoop(policy, slicing, clock, pacer, timers, queries, attempts, outbox);
     }
 
     // ---- for the threads that serve queries
@@ -180,7 +178,7 @@
     private void begin(InFlightQuery inFlight, Duration now) {
         Query query = inFlight.query();
         queries.add(inFlight);
-        runTurn(
+        decisions.runTurn(
                 inFlight,
                 now,
                 () -> {
@@ -225,7 +223,7 @@
     private void disconnect(InFlightQuery query) {
         if (queries.contains(query.query())) {
             Duration now = clock.now();
-            runTurn(query, now, () -> policy.onClientDisconnected(now, query.query()));
+            decisions.runTurn(query, now, () -> policy.onClientDisconnected(now, query.query()));
             queries.finish(query, new QueryAction.ClientGone());
         }
     }
@@ -241,7 +239,8 @@
         lock.lock();
         try {
             Duration now = clock.now();
-            runTurn(null, now, () -> read.forEach(result -> onAttemptResult(now, result)));
+            decisions.runTurn(
+                    null, now, () -> read.forEach(result -> decisions.endAttempt(now, result)));
         } finally {
             lock.unlock();
         }
@@ -254,7 +253,7 @@
             DataNode node = nodes.endHealthCheck(name);
             if (node != null) {
                 Duration now = clock.now();
-                runTurn(null, now, () -> policy.onProbeResult(now, node, answered));
+                decisions.runTurn(null, now, () -> policy.onProbeResult(now, node, answered));
             }
         } finally {
             lock.unlock();
@@ -266,7 +265,7 @@
         lock.lock();
         try {
             Duration now = clock.now();
-            runTurn(
+            decisions.runTurn(
                     null,
                     now,
                     () -> {
@@ -311,7 +310,7 @@
         try {
             slicing.renewLease(clock.fromNanoTime(requestedNanos));
             long rejectedBefore = slicing.rejectedLayouts();
-            runTurn(
+            decisions.runTurn(
                     null,
                     clock.now(),
                     () -> {
@@ -357,7 +356,8 @@
             Duration now = clock.now();
             List<Runnable> due = timers.removeDue(now);
             if (!due.isEmpty()) {
-                runTurn(null, now, () -> due.forEach(task -> runGuarded(null, task)));
+                decisions.runTurn(
+                        null, now, () -> due.forEach(task -> decisions.runGuarded(null, task)));
             }
         } finally {
             lock.unlock();
@@ -401,109 +401,6 @@
         }
     }
 
-    // ---- turns
-
-    /** Records an event, of this query or of none, and decides if the pacer allows it. */
-    private void runTurn(InFlightQuery query, Duration now, Runnable event) {
-        runGuarded(query, event);
-        if (query != null) {
-            recentQueries.push(query);
-        }
-        if (pacer.mayDecide(now)) {
-            decide(now);
-        } else if (pacer.claimWakeUp()) {
-            // The timer's own turn decides.
-            timers.schedule(pacer.nextDecisionAt(), () -> {});
-        }
-    }
-
-    /**
-     * Has the policy decide on all events since the last decision, and again once the attempts that
-     * it cancelled have ended.
-     */
-    private void decide(Duration now) {
-        pacer.beginDecision();
-        List<Attempt> cancelled;
-        do {
-            while (!runGuarded(recentQueries.poll(), () -> policy.onBatchEnd(now))) {
-                // Again, without the query that was aborted.
-            }
-            outbox.flush();
-            cancelled = attempts.removeCancelled();
-            cancelled.forEach(
-                    attempt ->
-                            runGuarded(
-                                    queries.get(attempt.shardRequest.query),
-                                    () -> endAttempt(now, attempt, AttemptOutcome.CANCELLED)));
-        } while (!cancelled.isEmpty());
-        recentQueries.clear();
-        pacer.endDecision();
-    }
-
-    /**
-     * Runs a step of the policy. If that fails, the query that it is about is aborted, else the
-     * oldest: a failure that repeats costs the queries in flight one by one, but never the router.
-     *
-     * @return whether the step need not be repeated
-     */
-    private boolean runGuarded(InFlightQuery query, Runnable step) {
-        try {
-            step.run();
-            return true;
-        } catch (RuntimeException | StackOverflowError e) {
-            LOG.log(System.Logger.Level.ERROR, "deciding failed; a query is aborted for it", e);
-        }
-        InFlightQuery victim =
-                query != null && queries.contains(query.query()) ? query : queries.oldest();
-        if (victim == null) {
-            return true;
-        }
-        try {
-            policy.onClientDisconnected(clock.now(), victim.query());
-        } catch (RuntimeException e) {
-            LOG.log(System.Logger.Level.ERROR, "a query could not be ended", e);
-        }
-        queries.finish(victim, new QueryAction.Abort());
-        return false;
-    }
-
-    // ---- attempts
-
-    private void onAttemptResult(Duration now, AttemptResult result) {
-        Attempt attempt = result.attempt().attempt;
-        InFlightQuery query = queries.get(attempt.shardRequest.query);
-        if (query != null && !attempt.hasEnded() && result.outcome() == AttemptOutcome.SUCCESS) {
-            query.recordSuccess(result);
-        }
-        runGuarded(query, () -> endAttempt(now, attempt, result.outcome()));
-    }
-
-    private void endAttempt(Duration now, Attempt attempt, AttemptOutcome outcome) {
-        if (attempts.end(attempt)) {
-            policy.onAttemptEnded(
-                    now,
-                    attempt,
-                    outcome,
-                    now.minus(attempt.sentAt),
-                    attempt.shardRequest.query.hasEnded());
-            if (slicing != null) {
-                updateSlices(attempt, outcome);
-            }
-        }
-    }
-
-    private void updateSlices(Attempt attempt, AttemptOutcome outcome) {
-        if (outcome == AttemptOutcome.MOVED) {
-            slicing.excludeReplica(attempt.shardRequest, attempt.node);
-            timers.schedule(
-                    clock.now().plus(SliceTranslator.EXCLUSION_TIME),
-                    () -> slicing.readmitReplica(attempt.shardRequest.shard, attempt.node));
-        }
-        if (queries.contains(attempt.shardRequest.query)) {
-            slicing.remapStaleParts(attempt.shardRequest.query);
-        }
-    }
-
     /** Runs as a timer's task, that is, in a turn. */
     private final class ExpirationHandler implements PolicyActionHandler.Expirations {
         @Override
@@ -511,7 +408,7 @@
             DispatchedAttempt late = attempts.get(attempt);
             if (late != null) {
                 outbox.deliverInBackground(new QueryAction.CancelAttempt(late));
-                endAttempt(clock.now(), attempt, AttemptOutcome.TIMEOUT);
+                decisions.endAttempt(clock.now(), attempt, AttemptOutcome.TIMEOUT);
             }
         }
 
