--- a/src/main/java/postbeam/pages/Cursor.java
+++ b/src/main/java/postbeam/pages/Cursor.java
@@ -3,10 +3,14 @@
 import java.util.List;
 
 /**
- * Where a chain of pages stands: the layout it was made under, the digest of its query, and its
- * ranges in order.
+ * From where a client's next page goes on.
+ *
+ * @param layoutVersion of the layout that it was made under
+ * @param queryDigest of the query that it belongs to, see {@link CursorCodec#queryDigest}
+ * @param ranges that have rows left, in the order of their keys
  */
 public record Cursor(long layoutVersion, long queryDigest, List<RangeProgress> ranges) {
+    /** Copies the ranges. */
     public Cursor {
         ranges = List.copyOf(ranges);
     }
--- a/src/main/java/postbeam/pages/FollowUpFetchBudget.java
+++ b/src/main/java/postbeam/pages/FollowUpFetchBudget.java
@@ -4,47 +4,56 @@
 import postbeam.model.SlidingWindowCounter;
 
 /**
- * How many queries that ask again, and parts of them, may begin in a window of rule 6. They count
- * as taken where the rule is held, and would widen the budget that they eat from: so many are taken
- * off it beforehand. Its own lock.
+ * Limits follow-up fetches in a window of the budget for extra attempts (rule 6 of the protocol). A
+ * follow-up counts as a query of its own there and would raise the budget that it uses; so as much
+ * is taken off the budget beforehand.
+ *
+ * <p>Thread-safe: it has a lock of its own, under which nothing waits.
  */
 public final class FollowUpFetchBudget {
-    /** Of the free part of rule 6's budget, what is set aside for that at the most. */
+    /** At most this share of the budget's free part is set aside. */
     private static final double MAX_FREE_SHARE = 0.5;
 
-    /** Buckets of the window: what shares one with its start counts as within it. */
-    private static final int BUCKETS = 20;
+    private static final int UNLIMITED = Integer.MAX_VALUE;
+    private static final int WINDOW_BUCKETS = 20;
+    private static final Duration WINDOW_WITHOUT_BUDGET = Duration.ofSeconds(1);
 
     private final int limit;
-    private final double share;
+    private final double budgetShare;
     private final Duration window;
     private final SlidingWindowCounter started;
 
     /**
-     * By the budget: so many free and such a share in such a window; a window of null states none.
+     * Works out the limit from the budget for extra attempts.
+     *
+     * @param freeAttempts that the budget allows in a window whatever the number of queries
+     * @param budgetShare extra attempts that it allows for each query
+     * @param window null where there is no budget
      */
-    public FollowUpFetchBudget(double free, double share, Duration span) {
-        this.window = span;
-        this.share = share;
+    public FollowUpFetchBudget(double freeAttempts, double budgetShare, Duration window) {
+        this.window = window;
+        this.budgetShare = budgetShare;
         this.limit =
-                span == null || share <= 0
-                        ? Integer.MAX_VALUE
-                        : (int) (MAX_FREE_SHARE * free / share);
+                window == null || budgetShare <= 0
+                        ? UNLIMITED
+                        : (int) (MAX_FREE_SHARE * freeAttempts / budgetShare);
         this.started =
-                new SlidingWindowCounter(span == null ? Duration.ofSeconds(1) : span, BUCKETS);
+                new SlidingWindowCounter(
+                        window == null ? WINDOW_WITHOUT_BUDGET : window, WINDOW_BUCKETS);
     }
 
-    /** What is to be taken off the free part of the budget. */
+    /** What is to be taken off the budget's free attempts. */
     public double reservedAttempts() {
-        return limit == Integer.MAX_VALUE ? 0 : limit * share;
+        return limit == UNLIMITED ? 0 : limit * budgetShare;
     }
 
-    /** Whether a query with so many parts that ask again may begin now; it is counted then. */
+    /** Whether a follow-up query with so many parts may start now; it is counted then. */
     public synchronized boolean tryAcquire(Duration now, int parts) {
-        if (window != null && started.upperBoundSum(now, window) + 1 + parts > limit) {
+        int cost = 1 + parts;
+        if (window != null && started.upperBoundSum(now, window) + cost > limit) {
             return false;
         }
-        started.add(now, 1 + parts);
+        started.add(now, cost);
         return true;
     }
 }
--- a/src/main/java/postbeam/pages/Page.java
+++ b/src/main/java/postbeam/pages/Page.java
@@ -4,9 +4,14 @@
 import postbeam.slices.KeyRange;
 
 /**
- * A page: its rows in order, the ranges it was given without, and where all ranges that are not
- * over stand after it; with none of these left the chain is over. It is short where it ended before
- * it was full and rows are left. Fetched is how many rows came for it.
+ * A page.
+ *
+ * @param rows in the sort order
+ * @param missingRanges keys that it was made without
+ * @param remaining all ranges that may have rows left, and from where they go on; with none left
+ *     the page is the last
+ * @param truncated whether it is not full although rows are left
+ * @param rowsFetched rows that came from the shards for it
  */
 public record Page(
         List<Row> rows,
--- a/src/main/java/postbeam/pages/PageError.java
+++ b/src/main/java/postbeam/pages/PageError.java
@@ -3,14 +3,14 @@
 import postbeam.errors.OperatorError;
 import postbeam.errors.OperatorErrorException;
 
-/** What can go wrong with pages. */
+/** Why a page, or a cursor, can't be given. */
 public sealed interface PageError extends OperatorError {
-    /** Ready to be thrown. */
+    /** The error as an exception. */
     default OperatorErrorException toException() {
         return new OperatorErrorException(this);
     }
 
-    /** The cursor is not as any router made it. */
+    /** The text is no cursor that a router made. */
     record InvalidCursor() implements PageError {
         @Override
         public String problem() {
@@ -23,6 +23,7 @@
         }
     }
 
+    /** A cursor of another version of the format. */
     record UnsupportedCursorFormat(int format) implements PageError {
         @Override
         public String problem() {
@@ -35,6 +36,7 @@
         }
     }
 
+    /** A cursor that is signed with a key that this router does not have. */
     record UnknownSigningKey(String fingerprint) implements PageError {
         @Override
         public String problem() {
@@ -50,6 +52,7 @@
         }
     }
 
+    /** A cursor of another query. */
     record QueryMismatch() implements PageError {
         @Override
         public String problem() {
@@ -63,6 +66,7 @@
         }
     }
 
+    /** A cursor of a layout that is too old. */
     record LayoutNoLongerKept(long layoutVersion, long oldestVersion) implements PageError {
         @Override
         public String problem() {
@@ -80,6 +84,7 @@
         }
     }
 
+    /** A cursor of a layout that this router does not have yet. */
     record LayoutNotYetKnown(long layoutVersion, long currentVersion) implements PageError {
         @Override
         public String problem() {
@@ -95,7 +100,7 @@
         }
     }
 
-    /** A data node's answer that is not merged. */
+    /** A data node's answer that can't be merged. */
     record InvalidRows(String part, String reason) implements PageError {
         @Override
         public String problem() {
@@ -109,6 +114,7 @@
         }
     }
 
+    /** A cursor that would not be bounded. */
     record CursorTooLarge(int ranges, int positions) implements PageError {
         @Override
         public String problem() {
@@ -122,6 +128,7 @@
         }
     }
 
+    /** A page of a query class whose calls can't be repeated. */
     record NotIdempotent(String vertical) implements PageError {
         @Override
         public String problem() {
@@ -136,6 +143,7 @@
         }
     }
 
+    /** A member of a client's request that can't be used. */
     record InvalidRequestMember(String member, String reason) implements PageError {
         @Override
         public String problem() {
@@ -148,6 +156,7 @@
         }
     }
 
+    /** A signing key in the settings that is none. */
     record InvalidSigningKey(String setting) implements PageError {
         @Override
         public String problem() {
--- a/src/main/java/postbeam/pages/PageRequest.java
+++ b/src/main/java/postbeam/pages/PageRequest.java
@@ -1,7 +1,9 @@
 package postbeam.pages;
 
 /**
- * The page that a client asks for: the order of rows, how many, and the cursor to go on from; null:
- * from the start.
+ * The page that a client asks for.
+ *
+ * @param size rows of a full page
+ * @param cursor of the page before; null for the first page
  */
 public record PageRequest(SortOrder order, int size, String cursor) {}
--- a/src/main/java/postbeam/pages/PageResult.java
+++ b/src/main/java/postbeam/pages/PageResult.java
@@ -1,4 +1,8 @@
 package postbeam.pages;
 
-/** A page and the cursor for what follows it; null: nothing does. */
+/**
+ * A page for a client.
+ *
+ * @param cursor to ask for the next page with; null where this is the last
+ */
 public record PageResult(Page page, String cursor) {}
--- a/src/main/java/postbeam/pages/PartialPage.java
+++ b/src/main/java/postbeam/pages/PartialPage.java
@@ -1,61 +1,76 @@
 package postbeam.pages;
 
 import java.util.List;
+import java.util.Optional;
 import postbeam.slices.KeyRange;
 
 /**
- * What a part gave: rows of its keys in order, and where the next one stands that it has; null: it
- * has no more.
+ * A shard's answer to a fetch.
+ *
+ * @param range the keys that it covers
+ * @param rows in the sort order
+ * @param nextPosition of the first row that the shard has beyond these; null where it has no more
  */
 public record PartialPage(KeyRange range, List<Row> rows, RowPosition nextPosition) {
+    /** Copies the rows. */
     public PartialPage {
         rows = List.copyOf(rows);
     }
 
+    /** The position of the last row; the other one where there is no row. */
+    RowPosition lastPosition(RowPosition other) {
+        return rows.isEmpty() ? other : rows.get(rows.size() - 1).position();
+    }
+
     /**
-     * What is wrong with it as an answer to these asks, in a clause; null where nothing is. Guards
-     * the merge, which believes that each part ascends from its marks on, and the memory of a page.
+     * What is wrong with it as an answer to these fetches, in a clause; empty where nothing is. The
+     * merge relies on it: each answer must be in order from the position that was asked for, and no
+     * longer than a page may get.
      */
-    public String findProblem(SortOrder order, List<RowFetch> asks) {
-        if (rows.size() > RowFetch.maxRows(asks, range)) {
-            return rows.size() + " rows where " + RowFetch.maxRows(asks, range) + " were asked for";
+    public Optional<String> findProblem(SortOrder order, List<RowFetch> fetches) {
+        int maxRows = RowFetch.maxRows(fetches, range);
+        if (rows.size() > maxRows) {
+            return Optional.of(rows.size() + " rows where " + maxRows + " were asked for");
         }
         if (nextPosition != null && rows.isEmpty()) {
-            return "no row, and more to come";
+            return Optional.of("no row, and more to come");
         }
         RowPosition last = null;
         for (Row row : rows) {
-            String problem = findProblem(order, asks, last, row.position());
-            if (problem != null) {
+            Optional<String> problem = findProblem(order, fetches, last, row.position());
+            if (problem.isPresent()) {
                 return problem;
             }
             last = row.position();
         }
-        return nextPosition == null ? null : findProblem(order, asks, last, nextPosition);
+        return nextPosition == null
+                ? Optional.empty()
+                : findProblem(order, fetches, last, nextPosition);
     }
 
-    private String findProblem(
-            SortOrder order, List<RowFetch> asks, RowPosition last, RowPosition mark) {
-        String problem = mark.findProblem(order);
-        if (problem != null) {
-            return "a row can't be used: " + problem;
+    private Optional<String> findProblem(
+            SortOrder order, List<RowFetch> fetches, RowPosition last, RowPosition position) {
+        Optional<String> problem = position.findProblem(order);
+        if (problem.isPresent()) {
+            return problem.map(reason -> "a row can't be used: " + reason);
         }
-        if (last != null && order.compare(last, mark) >= 0) {
-            return "a row out of order";
+        if (last != null && order.compare(last, position) >= 0) {
+            return Optional.of("a row out of order");
         }
-        if (mark.key() < range.from() || mark.key() >= range.to()) {
-            return "a row of other keys";
+        if (position.key() < range.from() || position.key() >= range.to()) {
+            return Optional.of("a row of other keys");
         }
-        RowPosition after = startOf(asks, mark.key());
-        return after != null && order.compare(after, mark) >= 0
-                ? "a row that had been given before"
-                : null;
+        RowPosition start = startOf(fetches, position.key());
+        return start != null && order.compare(start, position) >= 0
+                ? Optional.of("a row that had been given before")
+                : Optional.empty();
     }
 
-    private static RowPosition startOf(List<RowFetch> asks, long key) {
-        for (RowFetch ask : asks) {
-            if (ask.range().from() <= key && key < ask.range().to()) {
-                return ask.after();
+    /** From where the fetch of this key starts; null where it starts from the first row. */
+    private static RowPosition startOf(List<RowFetch> fetches, long key) {
+        for (RowFetch fetch : fetches) {
+            if (fetch.range().from() <= key && key < fetch.range().to()) {
+                return fetch.after();
             }
         }
         return null;
--- /dev/null
+++ b/src/main/java/postbeam/pages/ProgressAfterPage.java
@@ -0,0 +1,113 @@
+package postbeam.pages;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Objects;
+import postbeam.slices.KeyRange;
+
+/**
+ * Works out which ranges a page is given without, and where all ranges that have rows left go on.
+ */
+final class ProgressAfterPage {
+    private final ProgressRules rules;
+    private final AnsweredRanges answeredRanges;
+    private final RowPosition lastGiven;
+    private final List<KeyRange> missing = new ArrayList<>();
+    private final List<RangeProgress> remaining = new ArrayList<>();
+
+    /**
+     * Works it out for all ranges.
+     *
+     * @param lastGiven the position of the page's last row; null where it has none
+     */
+    ProgressAfterPage(
+            ProgressRules rules,
+            AnsweredRanges answeredRanges,
+            RowPosition lastGiven,
+            List<RangeProgress> ranges) {
+        this.rules = rules;
+        this.answeredRanges = answeredRanges;
+        this.lastGiven = lastGiven;
+        ranges.forEach(this::addRange);
+    }
+
+    /** Keys that did not answer, neighbours joined. */
+    List<KeyRange> missing() {
+        return missing;
+    }
+
+    /**
+     * The ranges that have rows left, or may have them; at most {@link PageAssembler#MAX_RANGES} if
+     * that can be.
+     */
+    List<RangeProgress> remaining() {
+        if (remaining.size() <= PageAssembler.MAX_RANGES) {
+            return remaining;
+        }
+        // Neighbours at the same position are joined, whatever weights the client gave them.
+        List<RangeProgress> joined = new ArrayList<>();
+        remaining.forEach(progress -> addJoined(joined, progress, 0));
+        return joined;
+    }
+
+    private void addRange(RangeProgress before) {
+        List<RangeProgress> parts = new ArrayList<>();
+        long from = before.range().from();
+        for (AnsweredRange answered : answeredRanges.firstRound()) {
+            if (!answered.range.overlaps(before.range())) {
+                continue;
+            }
+            KeyRange common = answered.range.intersection(before.range());
+            if (common.from() > from) {
+                parts.add(missingPart(before, new KeyRange(from, common.from())));
+            }
+            if (!answeredRanges.isExhausted(answered, lastGiven)) {
+                RowPosition position =
+                        rules.positionAfterPage(before, common, answered.lastSeen, lastGiven);
+                parts.add(before.restrictedTo(common).advancedTo(position));
+            }
+            from = common.to();
+        }
+        if (from < before.range().to()) {
+            parts.add(missingPart(before, new KeyRange(from, before.range().to())));
+        }
+        // Parts of one range are joined again, else ranges would grow in number as slices are
+        // split.
+        parts.forEach(part -> addJoined(remaining, part, before.range().from()));
+    }
+
+    private RangeProgress missingPart(RangeProgress before, KeyRange keys) {
+        int last = missing.size() - 1;
+        if (last >= 0 && missing.get(last).to() == keys.from()) {
+            missing.set(last, missing.get(last).joinedWith(keys));
+        } else {
+            missing.add(keys);
+        }
+        return before.restrictedTo(keys)
+                .advancedTo(rules.positionOfMissing(before.after(), lastGiven));
+    }
+
+    /**
+     * Adds a range, joined with the last one if both touch, are at the same position and start at
+     * this key or later.
+     */
+    private static void addJoined(List<RangeProgress> list, RangeProgress next, long firstKey) {
+        int last = list.size() - 1;
+        if (last >= 0
+                && list.get(last).range().from() >= firstKey
+                && canJoin(list.get(last), next)) {
+            list.set(last, join(list.get(last), next));
+        } else {
+            list.add(next);
+        }
+    }
+
+    private static boolean canJoin(RangeProgress one, RangeProgress next) {
+        return one.range().to() == next.range().from() && Objects.equals(one.after(), next.after());
+    }
+
+    private static RangeProgress join(RangeProgress one, RangeProgress next) {
+        return new RangeProgress(
+                one.range().joinedWith(next.range()), one.weight() + next.weight(), one.after());
+    }
+}
--- /dev/null
+++ b/src/main/java/postbeam/pages/QueryDigest.java
@@ -0,0 +1,41 @@
+package postbeam.pages;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.stream.Collectors;
+
+/** Tells queries apart: a cursor goes on with the query that it was made for, and with no other. */
+public final class QueryDigest {
+    private QueryDigest() {}
+
+    /** The same for each page of a query. Cursors carry it: the form stays. */
+    public static long of(String queryClass, String tenant, byte[] payload, SortOrder order) {
+        String head = queryClass + "\n" + tenant + "\n" + text(order) + "\n";
+        MessageDigest digest = sha256();
+        digest.update(head.getBytes(StandardCharsets.UTF_8));
+        digest.update(payload);
+        return ByteBuffer.wrap(digest.digest()).getLong();
+    }
+
+    private static String text(SortOrder order) {
+        return order.keys().stream()
+                .map(QueryDigest::text)
+                .collect(Collectors.joining(", ", "[", "]"));
+    }
+
+    private static String text(SortKey key) {
+        return key.field()
+                + (key.descending() ? " descending" : " ascending")
+                + (key.missingFirst() ? ", missing first" : ", missing last");
+    }
+
+    private static MessageDigest sha256() {
+        try {
+            return MessageDigest.getInstance("SHA-256");
+        } catch (NoSuchAlgorithmException e) {
+            throw new LinkageError("every Java platform has SHA-256", e);
+        }
+    }
+}
--- a/src/main/java/postbeam/pages/Row.java
+++ b/src/main/java/postbeam/pages/Row.java
@@ -1,4 +1,4 @@
 package postbeam.pages;
 
-/** A row: where it stands, and what it says. */
+/** A row: its position in the sort order, and its content. */
 public record Row(RowPosition position, String text) {}
--- a/src/main/java/postbeam/pages/RowCodec.java
+++ b/src/main/java/postbeam/pages/RowCodec.java
@@ -4,6 +4,7 @@
 import com.fasterxml.jackson.core.json.JsonWriteFeature;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.math.BigInteger;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -13,54 +14,58 @@
 import postbeam.slices.KeyRange;
 
 /**
- * Asks and rows as they travel between routers and data nodes, and rows as clients get them, in
- * JSON. An ask:
- * {"order":[{"by":NAME,"descending":B,"missing":"first"}],"asks":[[FROM,TO,ROWS,MARK]],"marks":[[[SORT..],KEY,SEQ]]},
- * MARK being a place in marks or -1. What a part gives:
- * {"rows":[[[SORT..],KEY,SEQ,TEXT]],"next":[[SORT..],KEY,SEQ]}, without next where it has no more.
+ * Fetches and rows in JSON, as they travel between routers and data nodes, and rows as clients get
+ * them.
+ *
+ * <p>A fetch request:
+ * {"order":[{"by":FIELD,"descending":BOOLEAN,"missing":"first"}],"asks":[[FROM,TO,ROWS,POSITION]],
+ * "marks":[[[VALUE..],KEY,SEQUENCE]]}, where POSITION is an index in marks, or -1 for the first row
+ * on.
+ *
+ * <p>An answer: {"rows":[[[VALUE..],KEY,SEQUENCE,TEXT]],"next":[[VALUE..],KEY,SEQUENCE]}, without
+ * next where the node has no more rows.
  */
 public final class RowCodec {
-    private RowCodec() {}
+    private static final int FIRST_ROW = -1;
+    private static final int FETCH_MEMBERS = 4;
+    private static final int POSITION_MEMBERS = 3;
+    private static final int ROW_MEMBERS = 4;
 
-    /** What a data node is asked. */
+    /** What a router asks a data node for. */
     public record FetchRequest(SortOrder sortOrder, List<RowFetch> fetches) {}
 
-    // ---- asks
+    private interface JsonWriter {
+        void writeTo(JsonGenerator json) throws IOException;
+    }
 
-    public static byte[] fetchRequest(SortOrder order, List<RowFetch> asks) {
-        Map<RowPosition, Integer> marks = new LinkedHashMap<>();
-        asks.forEach(
-                ask -> {
-                    if (ask.after() != null) {
-                        marks.putIfAbsent(ask.after(), marks.size());
-                    }
-                });
+    private RowCodec() {}
+
+    // ---- fetch requests
+
+    /** Encodes a request to a data node. */
+    public static byte[] encodeFetchRequest(SortOrder order, List<RowFetch> fetches) {
+        Map<RowPosition, Integer> positions = new LinkedHashMap<>();
+        for (RowFetch fetch : fetches) {
+            if (fetch.after() != null) {
+                positions.putIfAbsent(fetch.after(), positions.size());
+            }
+        }
         return toBytes(
                 json -> {
                     json.writeStartObject();
-                    json.writeArrayFieldStart("order");
-                    for (SortKey key : order.keys()) {
-                        json.writeStartObject();
-                        json.writeStringField("by", key.field());
-                        json.writeBooleanField("descending", key.descending());
-                        json.writeStringField("missing", key.missingFirst() ? "first" : "last");
-                        json.writeEndObject();
-                    }
-                    json.writeEndArray();
+                    writeOrder(json, order);
                     json.writeArrayFieldStart("asks");
-                    for (RowFetch ask : asks) {
-                        json.writeStartArray();
-                        json.writeNumber(ask.range().from());
-                        json.writeNumber(ask.range().to());
-                        json.writeNumber(ask.maxRows());
-                        json.writeNumber(ask.after() == null ? -1 : marks.get(ask.after()));
-                        json.writeEndArray();
+                    for (RowFetch fetch : fetches) {
+                        writeFetch(
+                                json,
+                                fetch,
+                                fetch.after() == null ? FIRST_ROW : positions.get(fetch.after()));
                     }
                     json.writeEndArray();
                     json.writeArrayFieldStart("marks");
-                    for (RowPosition mark : marks.keySet()) {
+                    for (RowPosition position : positions.keySet()) {
                         json.writeStartArray();
-                        writePosition(json, mark);
+                        writePosition(json, position);
                         json.writeEndArray();
                     }
                     json.writeEndArray();
@@ -68,91 +73,135 @@
                 });
     }
 
-    /** What {@link #fetchRequest} wrote; an IOException says what it is not. */
-    public static FetchRequest fetchRequest(byte[] bytes) throws IOException {
-        Map<String, Object> told = Json.parseObject(bytes);
-        SortOrder order = readOrder(Json.member(told, "order", List.class));
-        List<RowPosition> marks = new ArrayList<>();
-        for (Object mark : Json.member(told, "marks", List.class)) {
-            marks.add(readPosition(listOf(mark, 3)));
-        }
-        List<RowFetch> asks = new ArrayList<>();
-        for (Object one : Json.member(told, "asks", List.class)) {
-            List<?> ask = listOf(one, 4);
-            int mark = (int) wholeNumber(ask.get(3));
-            if (mark >= marks.size()) {
-                throw new IOException("an ask without its mark");
-            }
-            asks.add(
-                    new RowFetch(
-                            rangeOf(wholeNumber(ask.get(0)), wholeNumber(ask.get(1))),
-                            mark < 0 ? null : marks.get(mark),
-                            (int) wholeNumber(ask.get(2))));
+    private static void writeOrder(JsonGenerator json, SortOrder order) throws IOException {
+        json.writeArrayFieldStart("order");
+        for (SortKey key : order.keys()) {
+            json.writeStartObject();
+            json.writeStringField("by", key.field());
+            json.writeBooleanField("descending", key.descending());
+            json.writeStringField("missing", key.missingFirst() ? "first" : "last");
+            json.writeEndObject();
+        }
+        json.writeEndArray();
+    }
+
+    private static void writeFetch(JsonGenerator json, RowFetch fetch, int position)
+            throws IOException {
+        json.writeStartArray();
+        json.writeNumber(fetch.range().from());
+        json.writeNumber(fetch.range().to());
+        json.writeNumber(fetch.maxRows());
+        json.writeNumber(position);
+        json.writeEndArray();
+    }
+
+    /**
+     * Decodes what {@link #encodeFetchRequest} wrote.
+     *
+     * @throws IOException that says why it is none
+     */
+    public static FetchRequest decodeFetchRequest(byte[] bytes) throws IOException {
+        Map<String, Object> request = Json.parseObject(bytes);
+        SortOrder order = readOrder(Json.member(request, "order", List.class));
+        List<RowPosition> positions = new ArrayList<>();
+        for (Object position : Json.member(request, "marks", List.class)) {
+            positions.add(readPosition(listOf(position, POSITION_MEMBERS)));
         }
-        return new FetchRequest(order, asks);
+        List<RowFetch> fetches = new ArrayList<>();
+        for (Object fetch : Json.member(request, "asks", List.class)) {
+            fetches.add(readFetch(listOf(fetch, FETCH_MEMBERS), positions));
+        }
+        return new FetchRequest(order, fetches);
     }
 
-    /** From a list of objects, as clients and asks have it. */
-    public static SortOrder readOrder(List<?> told) throws IOException {
-        if (told.isEmpty() || told.size() > SortOrder.MAX_KEYS) {
+    private static RowFetch readFetch(List<?> fetch, List<RowPosition> positions)
+            throws IOException {
+        int position = (int) wholeNumber(fetch.get(3));
+        if (position >= positions.size()) {
+            throw new IOException("an ask without its mark");
+        }
+        KeyRange range = rangeOf(wholeNumber(fetch.get(0)), wholeNumber(fetch.get(1)));
+        RowPosition after = position < 0 ? null : positions.get(position);
+        return new RowFetch(range, after, (int) wholeNumber(fetch.get(2)));
+    }
+
+    /**
+     * Reads a sort order from a list of objects, as clients and fetch requests have it.
+     *
+     * @throws IOException that says why it can't be used
+     */
+    public static SortOrder readOrder(List<?> list) throws IOException {
+        if (list.isEmpty() || list.size() > SortOrder.MAX_KEYS) {
             throw new IOException(
-                    "1 to " + SortOrder.MAX_KEYS + " sort keys can be used, not " + told.size());
+                    "1 to " + SortOrder.MAX_KEYS + " sort keys can be used, not " + list.size());
         }
         List<SortKey> keys = new ArrayList<>();
-        for (Object one : told) {
-            if (!(one instanceof Map<?, ?> key)
-                    || !(key.get("by") instanceof String by)
-                    || by.isEmpty()
-                    || by.length() > RowPosition.MAX_TEXT_BYTES) {
-                throw new IOException("a sort key has no name in \"by\", or too long a one");
-            }
-            Object missing = key.containsKey("missing") ? key.get("missing") : "last";
-            Object descending = key.containsKey("descending") ? key.get("descending") : false;
-            if (!"first".equals(missing) && !"last".equals(missing)
-                    || !(descending instanceof Boolean)) {
-                throw new IOException(
-                        "\"missing\" is \"first\" or \"last\", \"descending\" true or false");
-            }
-            keys.add(new SortKey(by, (Boolean) descending, "first".equals(missing)));
+        for (Object key : list) {
+            keys.add(readSortKey(key));
         }
         return new SortOrder(keys);
     }
 
-    // ---- rows
+    private static SortKey readSortKey(Object object) throws IOException {
+        if (!(object instanceof Map<?, ?> key)
+                || !(key.get("by") instanceof String field)
+                || field.isEmpty()
+                || field.length() > RowPosition.MAX_TEXT_BYTES) {
+            throw new IOException("a sort key has no name in \"by\", or too long a one");
+        }
+        Object missing = key.containsKey("missing") ? key.get("missing") : "last";
+        Object direction = key.containsKey("descending") ? key.get("descending") : false;
+        boolean missingFirst = "first".equals(missing);
+        if ((!missingFirst && !"last".equals(missing))
+                || !(direction instanceof Boolean descending)) {
+            throw new IOException(
+                    "\"missing\" is \"first\" or \"last\", \"descending\" true or false");
+        }
+        return new SortKey(field, descending, missingFirst);
+    }
+
+    // ---- answers
 
-    public static byte[] partialPage(PartialPage partial) {
+    /** Encodes a data node's answer. */
+    public static byte[] encodePartialPage(PartialPage answer) {
         return toBytes(
                 json -> {
                     json.writeStartObject();
-                    writeRows(json, partial.rows());
-                    if (partial.nextPosition() != null) {
+                    writeRows(json, answer.rows());
+                    if (answer.nextPosition() != null) {
                         json.writeArrayFieldStart("next");
-                        writePosition(json, partial.nextPosition());
+                        writePosition(json, answer.nextPosition());
                         json.writeEndArray();
                     }
                     json.writeEndObject();
                 });
     }
 
-    /** What {@link #partialPage} wrote of these keys; an IOException says what it is not. */
-    public static PartialPage partialPage(KeyRange keys, byte[] bytes) throws IOException {
-        Map<String, Object> told = Json.parseObject(bytes);
+    /**
+     * Decodes what {@link #encodePartialPage} wrote.
+     *
+     * @param range the keys that the answer covers, which it does not name
+     * @throws IOException that says why it is none
+     */
+    public static PartialPage decodePartialPage(KeyRange range, byte[] bytes) throws IOException {
+        Map<String, Object> answer = Json.parseObject(bytes);
         List<Row> rows = new ArrayList<>();
-        for (Object one : Json.member(told, "rows", List.class)) {
-            List<?> row = listOf(one, 4);
+        for (Object element : Json.member(answer, "rows", List.class)) {
+            List<?> row = listOf(element, ROW_MEMBERS);
             if (!(row.get(3) instanceof String text)) {
                 throw new IOException("a row without its text");
             }
             rows.add(new Row(readPosition(row), text));
         }
-        return new PartialPage(
-                keys,
-                rows,
-                told.containsKey("next") ? readPosition(listOf(told.get("next"), 3)) : null);
+        RowPosition next =
+                answer.containsKey("next")
+                        ? readPosition(listOf(answer.get("next"), POSITION_MEMBERS))
+                        : null;
+        return new PartialPage(range, rows, next);
     }
 
     /**
-     * Writes the rows as a member of the object that is open: alike for like rows, from any router.
+     * Writes rows as a member of the open object, the same bytes for the same rows from any router.
      */
     public static void writeRows(JsonGenerator json, List<Row> rows) throws IOException {
         json.writeArrayFieldStart("rows");
@@ -165,26 +214,28 @@
         json.writeEndArray();
     }
 
-    private static void writePosition(JsonGenerator json, RowPosition mark) throws IOException {
+    // ---- what both have
+
+    private static void writePosition(JsonGenerator json, RowPosition position) throws IOException {
         json.writeStartArray();
-        for (Object value : mark.sortValues()) {
+        for (Object value : position.sortValues()) {
             Json.write(json, value);
         }
         json.writeEndArray();
-        json.writeNumber(mark.key());
-        json.writeNumber(mark.sequence());
+        json.writeNumber(position.key());
+        json.writeNumber(position.sequence());
     }
 
-    private static RowPosition readPosition(List<?> row) throws IOException {
-        if (!(row.get(0) instanceof List<?> told)) {
+    private static RowPosition readPosition(List<?> list) throws IOException {
+        if (!(list.get(0) instanceof List<?> values)) {
             throw new IOException("a row without its sort values");
         }
-        List<Object> sort = new ArrayList<>();
-        for (Object value : told) {
-            sort.add(
+        List<Object> sortValues = new ArrayList<>();
+        for (Object value : values) {
+            sortValues.add(
                     value == null || value instanceof String ? value : (Object) wholeNumber(value));
         }
-        return new RowPosition(sort, wholeNumber(row.get(1)), wholeNumber(row.get(2)));
+        return new RowPosition(sortValues, wholeNumber(list.get(1)), wholeNumber(list.get(2)));
     }
 
     private static List<?> listOf(Object value, int size) throws IOException {
@@ -203,24 +254,22 @@
     }
 
     private static long wholeNumber(Object value) throws IOException {
-        if (!(value instanceof Number) || value instanceof Double || value instanceof BigInteger) {
+        if (!(value instanceof Number number)
+                || value instanceof Double
+                || value instanceof BigInteger) {
             throw new IOException("a value is no whole number of 64 bits");
         }
-        return ((Number) value).longValue();
-    }
-
-    private interface JsonWriter {
-        void to(JsonGenerator json) throws IOException;
+        return number.longValue();
     }
 
-    private static byte[] toBytes(JsonWriter writing) {
+    private static byte[] toBytes(JsonWriter writer) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator json = Json.FACTORY.createGenerator(bytes)) {
-            // Nodes that count characters where bytes are meant read it alike.
+            // Data nodes that count characters in place of bytes read it alike.
             json.enable(JsonWriteFeature.ESCAPE_NON_ASCII.mappedFeature());
-            writing.to(json);
+            writer.writeTo(json);
         } catch (IOException e) {
-            throw new java.io.UncheckedIOException("writing to memory", e);
+            throw new UncheckedIOException("writing to memory", e);
         }
         return bytes.toByteArray();
     }
--- a/src/main/java/postbeam/pages/RowDistribution.java
+++ b/src/main/java/postbeam/pages/RowDistribution.java
@@ -4,23 +4,22 @@
 import postbeam.slices.KeyRange;
 
 /**
- * How many rows to expect of which keys, learnt from pages given: counts in even buckets of the key
- * space, and how far rows are spread beyond chance. It decides what a page costs, never what is on
- * it. It has a lock of its own, under which nothing waits.
+ * How many rows to expect of which keys, learned from earlier pages: row counts in even buckets of
+ * the key space, and how far rows are spread beyond chance. It decides what a page costs, never
+ * what is on it.
+ *
+ * <p>Thread-safe: it has a lock of its own, under which nothing waits.
  */
 public final class RowDistribution {
-    /** Even buckets of the key space: finer than a tenth of a slice for a hundred slices. */
+    /** Buckets of the key space: finer than a tenth of a slice for a hundred slices. */
     private static final int BUCKET_COUNT = 1024;
 
     private static final long BUCKET_WIDTH = KeyRange.KEY_SPACE_SIZE / BUCKET_COUNT;
 
-    /** Rows that the client's own weights count for against those learnt. */
+    /** Rows that the client's own weights count for, beside the rows counted here. */
     private static final double CLIENT_WEIGHT_ROWS = 200;
 
-    /**
-     * Rows after which counts are halved: some tens of pages, so that it follows how queries
-     * change.
-     */
+    /** Counted rows after which all counts are halved, so that they follow how queries change. */
     private static final double MAX_COUNTED_ROWS = 4096;
 
     /**
@@ -29,61 +28,54 @@
      */
     private static final double MAX_FETCH_RATIO = 1.3;
 
-    /**
-     * Times the spread that is ever asked for beyond the expected: one part in a hundred then runs
-     * out.
-     */
+    /** Standard deviations fetched beyond the expected rows at the most. */
     private static final double MAX_DEVIATIONS = 2.5;
 
-    /**
-     * What a further ask costs, in rows: one row more pays while it saves more than one of so many
-     * asks.
-     */
+    /** What a follow-up fetch costs, in rows. */
     private static final double FETCH_COST_ROWS = 8;
 
-    /** Of a page in how far rows are spread more or less than by chance, and the bounds of that. */
+    /** Weight of a new page in the dispersion. */
     private static final double DISPERSION_STEP = 0.05;
 
     private static final double MIN_DISPERSION = 0.25;
     private static final double MAX_DISPERSION = 9;
 
-    /** Rows of a page that says anything about spread. */
+    /** A page with fewer rows says nothing about the dispersion. */
     private static final int MIN_SAMPLE_ROWS = 10;
 
-    /**
-     * Times its share that a range is asked for that still owes rows: it has a page's rows to make
-     * up.
-     */
-    private static final double OWING_FACTOR = 2;
+    /** Times its expected rows that a range is asked for that owes rows of earlier pages. */
+    private static final double BEHIND_FACTOR = 2;
 
     private final double[] rowsByBucket = new double[BUCKET_COUNT];
     private double countedRows;
 
-    /** Squared distance of rows from what was expected, over what chance alone makes. */
+    /** Variance of the rows of a range on a page, over the variance that chance alone makes. */
     private double dispersion = 1;
 
-    /** The share of the rows to come that each is expected to have; they add up to 1. */
+    /**
+     * The share of the rows to come that each range is expected to have; the shares add up to 1.
+     */
     synchronized double[] expectedShares(List<RangeProgress> ranges) {
         double[] shares = new double[ranges.size()];
         double weights = 0;
         double rows = 0;
         for (int i = 0; i < shares.length; i++) {
             weights += ranges.get(i).weight();
-            shares[i] = rowsIn(ranges.get(i).range());
+            shares[i] = countedRowsIn(ranges.get(i).range());
             rows += shares[i];
         }
         for (int i = 0; i < shares.length; i++) {
-            double own = weights > 0 ? ranges.get(i).weight() / weights : 1.0 / shares.length;
-            shares[i] = (shares[i] + CLIENT_WEIGHT_ROWS * own) / (rows + CLIENT_WEIGHT_ROWS);
+            double clientShare =
+                    weights > 0 ? ranges.get(i).weight() / weights : 1.0 / shares.length;
+            shares[i] =
+                    (shares[i] + CLIENT_WEIGHT_ROWS * clientShare) / (rows + CLIENT_WEIGHT_ROWS);
         }
         return shares;
     }
 
-    private double rowsIn(KeyRange keys) {
+    private double countedRowsIn(KeyRange keys) {
         double sum = 0;
-        for (int i = (int) (keys.from() / BUCKET_WIDTH);
-                i <= (int) ((keys.to() - 1) / BUCKET_WIDTH);
-                i++) {
+        for (int i = bucketOf(keys.from()); i <= bucketOf(keys.to() - 1); i++) {
             long from = Math.max(keys.from(), i * BUCKET_WIDTH);
             sum +=
                     rowsByBucket[i]
@@ -93,85 +85,110 @@
         return sum;
     }
 
+    private static int bucketOf(long key) {
+        return (int) (key / BUCKET_WIDTH);
+    }
+
     /**
-     * How many rows to ask of ranges with these shares for a page of this size; some still owe
-     * rows.
+     * How many rows to fetch of each range in the first round of a page.
+     *
+     * @param shares of the ranges, see {@link #expectedShares}
+     * @param behind which ranges owe rows of earlier pages
      */
-    public synchronized int[] rowsToFetch(int size, double[] shares, boolean[] owing) {
-        double spreads = 0;
+    public synchronized int[] rowsToFetch(int pageSize, double[] shares, boolean[] behind) {
+        double sumOfDeviations = 0;
         for (double share : shares) {
-            spreads += dispersion(size, share);
+            sumOfDeviations += deviation(pageSize, share);
         }
-        double times =
+        double deviations =
                 Math.min(
                         MAX_DEVIATIONS,
-                        (MAX_FETCH_RATIO - 1) * size / Math.max(spreads, Double.MIN_NORMAL));
+                        (MAX_FETCH_RATIO - 1)
+                                * pageSize
+                                / Math.max(sumOfDeviations, Double.MIN_NORMAL));
         int[] rows = new int[shares.length];
         for (int i = 0; i < rows.length; i++) {
-            double expected = size * shares[i];
-            double sigma = dispersion(size, shares[i]);
-            // Where the chance of one row more is 1 in ASK_COST, by the bell curve.
-            double height = sigma * Math.sqrt(2 * Math.PI) / FETCH_COST_ROWS;
-            double pays =
-                    height < 1 && height > 0
-                            ? Math.floor(expected + sigma * Math.sqrt(-2 * Math.log(height)))
-                            : 0;
-            double most = Math.max(expected + times * sigma, pays);
-            rows[i] = clampRows(owing[i] ? Math.max(most, OWING_FACTOR * expected) : most, size);
+            double expected = pageSize * shares[i];
+            double deviation = deviation(pageSize, shares[i]);
+            double wanted =
+                    Math.max(expected + deviations * deviation, rowsThatPay(expected, deviation));
+            rows[i] =
+                    clampRows(
+                            behind[i] ? Math.max(wanted, BEHIND_FACTOR * expected) : wanted,
+                            pageSize);
         }
         return rows;
     }
 
-    private double dispersion(int size, double share) {
-        return Math.sqrt(dispersion * size * share * Math.max(0, 1 - share));
+    /**
+     * Up to this row the chance that it is needed is worth more than its cost, by the normal
+     * distribution.
+     */
+    private static double rowsThatPay(double expected, double deviation) {
+        double density = deviation * Math.sqrt(2 * Math.PI) / FETCH_COST_ROWS;
+        return density < 1 && density > 0
+                ? Math.floor(expected + deviation * Math.sqrt(-2 * Math.log(density)))
+                : 0;
+    }
+
+    /** Standard deviation of the rows of a range with this share on a page. */
+    private double deviation(int pageSize, double share) {
+        return Math.sqrt(dispersion * pageSize * share * Math.max(0, 1 - share));
     }
 
     /**
-     * How many more of a range that ran out too early and is expected to have so many more on the
-     * page.
+     * How many more rows to fetch of a range that has given too few and is expected to have so many
+     * more on the page.
      */
-    int followUpRows(double expected, int size) {
-        return clampRows(1 + expected + Math.sqrt(expected), size);
+    int followUpRows(double expected, int pageSize) {
+        return clampRows(1 + expected + Math.sqrt(expected), pageSize);
     }
 
-    private static int clampRows(double rows, int size) {
-        return (int) Math.max(1, Math.min(size, Math.round(rows)));
+    private static int clampRows(double rows, int pageSize) {
+        return (int) Math.max(1, Math.min(pageSize, Math.round(rows)));
     }
 
-    /** A page was given of these ranges, which had answered. */
+    /** Learns from a page of these ranges, which had answered. */
     synchronized void recordPage(List<Row> rows, List<RangeProgress> ranges) {
         if (rows.size() >= MIN_SAMPLE_ROWS && ranges.size() > 1) {
-            double[] expected = expectedShares(ranges);
-            int[] had = new int[expected.length];
-            for (Row row : rows) {
-                had[indexOf(ranges, row.position().key())]++;
-            }
-            double sum = 0;
-            for (int i = 0; i < expected.length; i++) {
-                double mean = rows.size() * expected[i];
-                sum +=
-                        (had[i] - mean)
-                                * (had[i] - mean)
-                                / Math.max(MIN_DISPERSION, mean * (1 - expected[i]));
-            }
-            dispersion +=
-                    DISPERSION_STEP
-                            * (Math.min(MAX_DISPERSION, sum / expected.length) - dispersion);
-            dispersion = Math.max(MIN_DISPERSION, dispersion);
+            updateDispersion(rows, ranges);
         }
         for (Row row : rows) {
-            rowsByBucket[(int) (row.position().key() / BUCKET_WIDTH)]++;
+            rowsByBucket[bucketOf(row.position().key())]++;
         }
         countedRows += rows.size();
         if (countedRows > MAX_COUNTED_ROWS) {
-            countedRows /= 2;
-            for (int i = 0; i < BUCKET_COUNT; i++) {
-                rowsByBucket[i] /= 2;
-            }
+            halveCounts();
+        }
+    }
+
+    private void updateDispersion(List<Row> rows, List<RangeProgress> ranges) {
+        double[] shares = expectedShares(ranges);
+        int[] rowsByRange = new int[shares.length];
+        for (Row row : rows) {
+            rowsByRange[indexOf(ranges, row.position().key())]++;
+        }
+        double sum = 0;
+        for (int i = 0; i < shares.length; i++) {
+            double mean = rows.size() * shares[i];
+            sum +=
+                    (rowsByRange[i] - mean)
+                            * (rowsByRange[i] - mean)
+                            / Math.max(MIN_DISPERSION, mean * (1 - shares[i]));
+        }
+        dispersion +=
+                DISPERSION_STEP * (Math.min(MAX_DISPERSION, sum / shares.length) - dispersion);
+        dispersion = Math.max(MIN_DISPERSION, dispersion);
+    }
+
+    private void halveCounts() {
+        countedRows /= 2;
+        for (int i = 0; i < BUCKET_COUNT; i++) {
+            rowsByBucket[i] /= 2;
         }
     }
 
-    /** The place of the one that has the key; they are in order. */
+    /** The index of the range with this key; ranges are in the order of their keys. */
     private static int indexOf(List<RangeProgress> ranges, long key) {
         int low = 0;
         int high = ranges.size() - 1;
--- a/src/main/java/postbeam/pages/RowFetch.java
+++ b/src/main/java/postbeam/pages/RowFetch.java
@@ -3,13 +3,18 @@
 import java.util.List;
 import postbeam.slices.KeyRange;
 
-/** So many rows at most of these keys, after this mark; null: from the first on. */
+/**
+ * A request for rows of some keys.
+ *
+ * @param after the rows after this position; null for those from the first on
+ * @param maxRows at most so many
+ */
 public record RowFetch(KeyRange range, RowPosition after, int maxRows) {
-    /** What a part that has these keys is asked for altogether. */
-    public static int maxRows(List<RowFetch> asks, KeyRange keys) {
+    /** How many rows a shard may answer that has these keys, over all fetches that concern it. */
+    public static int maxRows(List<RowFetch> fetches, KeyRange keys) {
         int rows = 0;
-        for (RowFetch ask : asks) {
-            rows += ask.range.overlaps(keys) ? ask.maxRows : 0;
+        for (RowFetch fetch : fetches) {
+            rows += fetch.range.overlaps(keys) ? fetch.maxRows : 0;
         }
         return rows;
     }
--- a/src/main/java/postbeam/pages/RowMerger.java
+++ b/src/main/java/postbeam/pages/RowMerger.java
@@ -5,29 +5,42 @@
 import java.util.List;
 import java.util.PriorityQueue;
 
-/** Sorted lists of rows to one, no more of it than is wanted. */
+/** Merges sorted lists of rows, no further than wanted. */
 public final class RowMerger {
     private static final class ListHead {
-        final List<Row> rows;
-        int index;
+        private final List<Row> rows;
+        private int index;
 
         ListHead(List<Row> rows) {
             this.rows = rows;
         }
 
+        Row row() {
+            return rows.get(index);
+        }
+
         RowPosition position() {
-            return rows.get(index).position();
+            return row().position();
+        }
+
+        /** Goes on to the next row; false where there is none. */
+        boolean advance() {
+            index++;
+            return index < rows.size();
         }
     }
 
     private RowMerger() {}
 
     /**
-     * The first rows of all lists, so many at the most, and only what comes before the bound, if
-     * that is not null.
+     * The first rows of all lists.
+     *
+     * @param lists each sorted by the order
+     * @param maxRows at most so many rows
+     * @param bound only rows before this position; null for no bound
      */
     public static List<Row> mergeFirst(
-            Comparator<RowPosition> order, List<List<Row>> lists, int most, RowPosition bound) {
+            Comparator<RowPosition> order, List<List<Row>> lists, int maxRows, RowPosition bound) {
         PriorityQueue<ListHead> heads =
                 new PriorityQueue<>(
                         Math.max(1, lists.size()),
@@ -38,15 +51,14 @@
             }
         }
         List<Row> merged = new ArrayList<>();
-        while (merged.size() < most && !heads.isEmpty()) {
-            ListHead least = heads.poll();
-            Row row = least.rows.get(least.index);
-            if (bound != null && order.compare(row.position(), bound) >= 0) {
+        while (merged.size() < maxRows && !heads.isEmpty()) {
+            ListHead first = heads.poll();
+            if (bound != null && order.compare(first.position(), bound) >= 0) {
                 break;
             }
-            merged.add(row);
-            if (++least.index < least.rows.size()) {
-                heads.add(least);
+            merged.add(first.row());
+            if (first.advance()) {
+                heads.add(first);
             }
         }
         return merged;
--- a/src/main/java/postbeam/pages/RowPosition.java
+++ b/src/main/java/postbeam/pages/RowPosition.java
@@ -4,51 +4,64 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
+import java.util.Optional;
 import postbeam.slices.KeyRange;
 
 /**
- * A row's place in the total order: sort values, key in the key space, and sequence, the same at
- * all holders.
+ * A row's place in the sort order, the same at all replicas.
+ *
+ * @param sortValues one for each sort key: a Long, a String, or null where the row has no value
+ * @param key in the key space
+ * @param sequence tells rows of one key apart
  */
 public record RowPosition(List<Object> sortValues, long key, long sequence) {
-    /** Bytes in UTF-8 of a sort value: marks travel in cursors. */
+    /** Bytes in UTF-8 of a sort value: positions travel in cursors. */
     static final int MAX_TEXT_BYTES = 64;
 
+    private static final int FIRST_NON_ASCII = 0x80;
+
+    /** Copies the sort values. */
     public RowPosition {
-        // Values may be missing, which List.copyOf does not take.
+        // Values may be null, which List.copyOf does not accept.
         sortValues = Collections.unmodifiableList(new ArrayList<>(sortValues));
     }
 
-    /** What keeps it from being a mark of this order, in a clause; null where nothing does. */
-    String findProblem(SortOrder order) {
+    /** Why it can't be a position in this order, in a clause; empty where it can. */
+    Optional<String> findProblem(SortOrder order) {
         if (sortValues.size() != order.keys().size()) {
-            return "it has " + sortValues.size() + " sort values, not " + order.keys().size();
+            return Optional.of(
+                    "it has " + sortValues.size() + " sort values, not " + order.keys().size());
         }
         if (key < 0 || key >= KeyRange.KEY_SPACE_SIZE) {
-            return "its key " + key + " is outside the key space";
+            return Optional.of("its key " + key + " is outside the key space");
         }
         for (Object value : sortValues) {
             if (value instanceof String text) {
-                if (text.length() > MAX_TEXT_BYTES || !isAscii(text) && !fitsInUtf8(text)) {
-                    return "a sort value is longer than " + MAX_TEXT_BYTES + " bytes, or no text";
+                if (!isShortText(text)) {
+                    return Optional.of(
+                            "a sort value is longer than " + MAX_TEXT_BYTES + " bytes, or no text");
                 }
             } else if (value != null && !(value instanceof Long)) {
-                return "a sort value is neither a whole number nor a text";
+                return Optional.of("a sort value is neither a whole number nor a text");
             }
         }
-        return null;
+        return Optional.empty();
+    }
+
+    private static boolean isShortText(String text) {
+        return text.length() <= MAX_TEXT_BYTES && (isAscii(text) || fitsInUtf8(text));
     }
 
     private static boolean isAscii(String text) {
         for (int i = 0; i < text.length(); i++) {
-            if (text.charAt(i) >= 0x80) {
+            if (text.charAt(i) >= FIRST_NON_ASCII) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Half a code point has no bytes of its own: its mark would come back as another. */
+    /** A lone surrogate has no bytes of its own: its position would come back as another. */
     private static boolean fitsInUtf8(String text) {
         return StandardCharsets.UTF_8.newEncoder().canEncode(text)
                 && text.getBytes(StandardCharsets.UTF_8).length <= MAX_TEXT_BYTES;
--- a/src/main/java/postbeam/pages/SortKey.java
+++ b/src/main/java/postbeam/pages/SortKey.java
@@ -1,43 +1,53 @@
 package postbeam.pages;
 
 /**
- * One key of an order. A value is a Long, a String or null, which is missing; missing ones come
- * first or last whichever way the others go.
+ * One key of a sort order. A value is a Long, a String, or null where a row has none.
+ *
+ * @param field the name of the row's field
+ * @param missingFirst whether rows without a value come first or last, in whichever direction the
+ *     others go
  */
 public record SortKey(String field, boolean descending, boolean missingFirst) {
     int compare(Object one, Object other) {
         if (one == null || other == null) {
-            int missing = Boolean.compare(one == null, other == null);
-            return missingFirst ? -missing : missing;
+            int missingLast = Boolean.compare(one == null, other == null);
+            return missingFirst ? -missingLast : missingLast;
         }
-        int way = compareAscending(one, other);
-        return descending ? -way : way;
+        int ascending = compareAscending(one, other);
+        return descending ? -ascending : ascending;
     }
 
     /** Numbers come before texts; texts go by code points, as their bytes in UTF-8 do. */
     private static int compareAscending(Object one, Object other) {
         if (one instanceof Long number) {
-            return other instanceof Long second ? Long.compare(number, second) : -1;
+            return other instanceof Long otherNumber ? Long.compare(number, otherNumber) : -1;
         }
         return other instanceof Long ? 1 : compareByCodePoints((String) one, (String) other);
     }
 
     private static int compareByCodePoints(String one, String other) {
-        int least = Math.min(one.length(), other.length());
-        for (int i = 0; i < least; i++) {
+        int length = Math.min(one.length(), other.length());
+        for (int i = 0; i < length; i++) {
             char a = one.charAt(i);
             char b = other.charAt(i);
             if (a != b) {
-                // The halves of code points above U+FFFF come after all else, though their numbers
-                // don't.
-                return Character.isSurrogate(a) == Character.isSurrogate(b)
-                        ? Character.compare(a, b)
-                        : Character.isSurrogate(a) ? 1 : -1;
+                return compareDifferentChars(a, b);
             }
         }
         return Integer.compare(one.length(), other.length());
     }
 
+    /**
+     * Surrogates stand for code points above U+FFFF and come after all other chars, though their
+     * numbers don't.
+     */
+    private static int compareDifferentChars(char a, char b) {
+        if (Character.isSurrogate(a) == Character.isSurrogate(b)) {
+            return Character.compare(a, b);
+        }
+        return Character.isSurrogate(a) ? 1 : -1;
+    }
+
     @Override
     public String toString() {
         return field
--- a/src/main/java/postbeam/pages/SortOrder.java
+++ b/src/main/java/postbeam/pages/SortOrder.java
@@ -3,11 +3,12 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The total order of a query's rows: its sort keys, then the key, then the sequence. */
+/** The total order of a query's rows: by its sort keys, then by the key, then by the sequence. */
 public record SortOrder(List<SortKey> keys) implements Comparator<RowPosition> {
-    /** Sort keys: marks travel in cursors. */
+    /** Sort keys of a query: their values travel in cursors. */
     public static final int MAX_KEYS = 4;
 
+    /** Copies the sort keys. */
     public SortOrder {
         keys = List.copyOf(keys);
     }
@@ -15,17 +16,17 @@
     @Override
     public int compare(RowPosition one, RowPosition other) {
         for (int i = 0; i < keys.size(); i++) {
-            int way = keys.get(i).compare(one.sortValues().get(i), other.sortValues().get(i));
-            if (way != 0) {
-                return way;
+            int byValue = keys.get(i).compare(one.sortValues().get(i), other.sortValues().get(i));
+            if (byValue != 0) {
+                return byValue;
             }
         }
-        int way = Long.compare(one.key(), other.key());
-        return way != 0 ? way : Long.compare(one.sequence(), other.sequence());
+        int byKey = Long.compare(one.key(), other.key());
+        return byKey != 0 ? byKey : Long.compare(one.sequence(), other.sequence());
     }
 
-    /** The later; null is before all. */
+    /** The later of two positions; null stands for the start, before all. */
     RowPosition later(RowPosition one, RowPosition other) {
-        return one == null || other != null && compare(one, other) < 0 ? other : one;
+        return one == null || (other != null && compare(one, other) < 0) ? other : one;
     }
 }
--- a/src/main/java/postbeam/pages/package-info.java
+++ b/src/main/java/postbeam/pages/package-info.java
@@ -1,6 +1,9 @@
 /**
- * Ordered pages across scattered shards: the total order of rows, what a page is made of, what is
- * still owed, how much is asked of whom, and the cursor. Decisions and state: no I/O, no clock, no
- * thread of its own.
+ * Ordered pages over scattered shards: the total order of rows, which rows are fetched of which
+ * keys, how they make a page, what is still owed, and the cursor.
+ *
+ * <p>Decisions and state alone, with no I/O, clock or thread. {@link postbeam.pages.PageAssembler}
+ * makes one page; {@link postbeam.pages.CursorCodec} and {@link postbeam.pages.RowCodec} are the
+ * forms on the wire. docs/ordered-pages.md has the argument and the costs.
  */
 package postbeam.pages;
--- a/src/main/java/postbeam/router/PagedQuery.java
+++ b/src/main/java/postbeam/router/PagedQuery.java
@@ -66,7 +66,7 @@
         this.currentLayoutVersion = currentLayoutVersion;
         this.layoutVersion = layoutVersion;
         this.requestedSlices = requestedSlices;
-        byte[] fetchRequest = RowCodec.fetchRequest(assembler.sortOrder(), fetches);
+        byte[] fetchRequest = RowCodec.encodeFetchRequest(assembler.sortOrder(), fetches);
         this.fetchBytes = fetchRequest.length;
         this.payload = Arrays.copyOf(queryPayload, queryPayload.length + fetchBytes);
         System.arraycopy(fetchRequest, 0, payload, queryPayload.length, fetchBytes);
@@ -110,11 +110,12 @@
     Optional<PartialPage> readRows(String attemptId, KeyRange keys, byte[] value) {
         String problem;
         try {
-            PartialPage partialPage = RowCodec.partialPage(keys, value);
-            problem = partialPage.findProblem(assembler.sortOrder(), fetches);
-            if (problem == null) {
+            PartialPage partialPage = RowCodec.decodePartialPage(keys, value);
+            Optional<String> found = partialPage.findProblem(assembler.sortOrder(), fetches);
+            if (found.isEmpty()) {
                 return Optional.of(partialPage);
             }
+            problem = found.get();
         } catch (IOException e) {
             problem = firstEncodableLine(e);
         }
--- a/src/main/java/postbeam/router/PagingService.java
+++ b/src/main/java/postbeam/router/PagingService.java
@@ -21,6 +21,7 @@
 import postbeam.pages.PageError;
 import postbeam.pages.PageRequest;
 import postbeam.pages.PageResult;
+import postbeam.pages.QueryDigest;
 import postbeam.pages.RangeProgress;
 import postbeam.pages.RowDistribution;
 import postbeam.pages.RowFetch;
@@ -188,7 +189,7 @@
     }
 
     private static long queryDigest(ClientRequest request) {
-        return CursorCodec.digest(
+        return QueryDigest.of(
                 request.queryClass(),
                 request.tenant(),
                 request.payload(),
--- a/src/main/java/postbeam/testbed/fakes/FakeDataNode.java
+++ b/src/main/java/postbeam/testbed/fakes/FakeDataNode.java
@@ -295,13 +295,13 @@
 
     /** Its rows of the part in the order asked for, and no more of them than fit into an answer. */
     private String page(Work work) throws IOException {
-        RowCodec.FetchRequest asked = RowCodec.fetchRequest(work.ask);
+        RowCodec.FetchRequest asked = RowCodec.decodeFetchRequest(work.ask);
         int most = Integer.MAX_VALUE;
         while (true) {
             PartialPage partial =
                     SortedRows.answer(asked.sortOrder(), asked.fetches(), rows, work.keys, most);
             byte[] bytes =
-                    RowCodec.partialPage(
+                    RowCodec.encodePartialPage(
                             spoilsOrder && partial.rows().size() > 1
                                     ? new PartialPage(
                                             work.keys,
--- a/src/main/java/postbeam/testbed/simulation/DefectivePageAssembly.java
+++ b/src/main/java/postbeam/testbed/simulation/DefectivePageAssembly.java
@@ -69,7 +69,7 @@
     }
 
     @Override
-    protected RowPosition positionAfterPage(
+    public RowPosition positionAfterPage(
             RangeProgress before, KeyRange keys, RowPosition reached, RowPosition given) {
         RowPosition stands = super.positionAfterPage(before, keys, reached, given);
         return defect == Defect.SPLIT_SKIPS
@@ -81,7 +81,7 @@
     }
 
     @Override
-    protected RowPosition positionOfMissing(RowPosition before, RowPosition given) {
+    public RowPosition positionOfMissing(RowPosition before, RowPosition given) {
         return defect == Defect.OWED_FORGOTTEN ? given : super.positionOfMissing(before, given);
     }
 
--- a/src/main/java/postbeam/testbed/simulation/PagingSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/PagingSimulation.java
@@ -19,6 +19,7 @@
 import postbeam.pages.PageAssembler;
 import postbeam.pages.PageError;
 import postbeam.pages.PartialPage;
+import postbeam.pages.QueryDigest;
 import postbeam.pages.RangeProgress;
 import postbeam.pages.Row;
 import postbeam.pages.RowCodec;
@@ -159,8 +160,7 @@
         Set<Long> excused = new HashSet<>();
         RowPosition furthest = null;
         boolean everMissing = false;
-        long digest =
-                CursorCodec.digest("search", "acme", "x".getBytes(StandardCharsets.UTF_8), order);
+        long digest = QueryDigest.of("search", "acme", "x".getBytes(StandardCharsets.UTF_8), order);
         int size = 1 + chance.nextInt(60);
         String text = null;
         do {
@@ -300,7 +300,7 @@
                 Collections.swap(turned, 0, 1 + chance.nextInt(turned.size() - 1));
                 partial = new PartialPage(partial.range(), turned, partial.nextPosition());
             }
-            if (partial.findProblem(order, asks) == null
+            if (partial.findProblem(order, asks).isEmpty()
                     || defect == DefectivePageAssembly.Defect.SPOILT_MERGED) {
                 came.add(partial);
             }
@@ -311,7 +311,7 @@
 
     private PartialPage travelled(PartialPage partial) {
         try {
-            return RowCodec.partialPage(partial.range(), RowCodec.partialPage(partial));
+            return RowCodec.decodePartialPage(partial.range(), RowCodec.encodePartialPage(partial));
         } catch (IOException e) {
             broken.add("rows that can't be read: " + e.getMessage());
             return partial;
@@ -434,7 +434,7 @@
 
     private static String written(List<Row> rows) {
         return new String(
-                RowCodec.partialPage(new PartialPage(KeyRange.ALL, rows, null)),
+                RowCodec.encodePartialPage(new PartialPage(KeyRange.ALL, rows, null)),
                 StandardCharsets.UTF_8);
     }
 
--- a/src/test/java/postbeam/pages/CursorCodecTest.java
+++ b/src/test/java/postbeam/pages/CursorCodecTest.java
@@ -9,7 +9,6 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import postbeam.errors.OperatorError;
 import postbeam.errors.OperatorErrorException;
@@ -20,111 +19,100 @@
     private static final String NEXT = "a7".repeat(32);
     private static final long QUERY = 77;
 
-    private static LayoutHistory lineage(long version, long oldest) {
-        return new LayoutHistory() {
-            @Override
-            public long currentVersion() {
-                return version;
-            }
-
-            @Override
-            public long oldestVersion() {
-                return oldest;
-            }
-
-            @Override
-            public List<KeyRange> splitBySlices(KeyRange keys) {
-                return List.of(keys);
-            }
-        };
+    private static LayoutHistory layouts(long currentVersion, long oldestVersion) {
+        return new UnsplitLayout(currentVersion, oldestVersion);
     }
 
-    private static OperatorError refused(
-            CursorCodec seal, String text, long query, LayoutHistory lineage) {
-        return assertThrows(OperatorErrorException.class, () -> seal.decode(text, query, lineage))
+    private static OperatorError errorOf(
+            CursorCodec codec, String text, long query, LayoutHistory layouts) {
+        return assertThrows(OperatorErrorException.class, () -> codec.decode(text, query, layouts))
                 .error();
     }
 
-    /** So many ranges of even size apart from one another, at so many marks. */
-    private static Cursor cursor(int ranges, int marks, Object value) {
-        List<RangeProgress> all = new ArrayList<>();
-        long step = KeyRange.KEY_SPACE_SIZE / ranges;
-        for (int i = 0; i < ranges; i++) {
-            long m = i % marks;
-            all.add(
-                    new RangeProgress(
-                            new KeyRange(step * i + 1 + step / 3, step * (i + 1)),
-                            1.0f / ranges,
-                            new RowPosition(
-                                    value instanceof String
-                                            ? Arrays.asList(value, value, value, value)
-                                            : Arrays.asList(value, null),
-                                    KeyRange.KEY_SPACE_SIZE - 1 - m,
-                                    m)));
+    /**
+     * So many ranges of even size apart from one another, at so many positions with this sort
+     * value.
+     */
+    private static Cursor cursor(int rangeCount, int positionCount, Object value) {
+        List<Object> sortValues =
+                value instanceof String
+                        ? Arrays.asList(value, value, value, value)
+                        : Arrays.asList(value, null);
+        List<RangeProgress> ranges = new ArrayList<>();
+        long step = KeyRange.KEY_SPACE_SIZE / rangeCount;
+        for (int i = 0; i < rangeCount; i++) {
+            long number = i % positionCount;
+            KeyRange range = new KeyRange(step * i + 1 + step / 3, step * (i + 1));
+            RowPosition after =
+                    new RowPosition(sortValues, KeyRange.KEY_SPACE_SIZE - 1 - number, number);
+            ranges.add(new RangeProgress(range, 1.0f / rangeCount, after));
         }
-        return new Cursor(12, QUERY, all);
+        return new Cursor(12, QUERY, ranges);
     }
 
-    private static void same(Cursor one, Cursor other) {
-        assertEquals(one.layoutVersion(), other.layoutVersion());
+    private static void assertSame(Cursor expected, Cursor actual) {
+        assertEquals(expected.layoutVersion(), actual.layoutVersion());
         assertEquals(
-                one.ranges().stream().map(RangeProgress::range).toList(),
-                other.ranges().stream().map(RangeProgress::range).toList());
+                expected.ranges().stream().map(RangeProgress::range).toList(),
+                actual.ranges().stream().map(RangeProgress::range).toList());
         assertEquals(
-                one.ranges().stream().map(RangeProgress::after).toList(),
-                other.ranges().stream().map(RangeProgress::after).toList());
-        for (int i = 0; i < one.ranges().size(); i++) {
-            assertEquals(one.ranges().get(i).weight(), other.ranges().get(i).weight(), 1e-6);
+                expected.ranges().stream().map(RangeProgress::after).toList(),
+                actual.ranges().stream().map(RangeProgress::after).toList());
+        for (int i = 0; i < expected.ranges().size(); i++) {
+            assertEquals(expected.ranges().get(i).weight(), actual.ranges().get(i).weight(), 1e-6);
         }
     }
 
     @Test
-    void aCursorComesBackAsItWasAndIsAsShortAsTheNoteSays() throws OperatorErrorException {
-        CursorCodec seal = new CursorCodec(KEY, null);
+    void cursorComesBackUnchangedAndWithinItsLengths() throws OperatorErrorException {
+        CursorCodec codec = new CursorCodec(KEY, null);
         Cursor usual = cursor(100, 1, 4_000L);
         Cursor worst = cursor(100, PageAssembler.MAX_POSITIONS, "\u00fc".repeat(32));
         Cursor largest =
                 cursor(PageAssembler.MAX_RANGES, PageAssembler.MAX_POSITIONS, "y".repeat(64));
-        for (Cursor one :
+        for (Cursor cursor :
                 List.of(
                         usual,
                         worst,
                         largest,
                         new Cursor(12, QUERY, List.of(new RangeProgress(KeyRange.ALL, 1, null))))) {
-            same(one, seal.decode(seal.encode(one), QUERY, lineage(12, 12)));
+            assertSame(cursor, codec.decode(codec.encode(cursor), QUERY, layouts(12, 12)));
         }
-        assertTrue(seal.encode(usual).length() <= 2_600, "usual: " + seal.encode(usual).length());
-        assertTrue(seal.encode(worst).length() <= 14_535, "worst: " + seal.encode(worst).length());
+        assertTrue(codec.encode(usual).length() <= 2_600, "usual: " + codec.encode(usual).length());
+        assertTrue(
+                codec.encode(worst).length() <= 14_535, "worst: " + codec.encode(worst).length());
         assertTrue(
-                seal.encode(largest).length() <= CursorCodec.MAX_TEXT_LENGTH,
-                "largest: " + seal.encode(largest).length());
+                codec.encode(largest).length() <= CursorCodec.MAX_TEXT_LENGTH,
+                "largest: " + codec.encode(largest).length());
         assertInstanceOf(
                 PageError.CursorTooLarge.class,
                 assertThrows(
                                 OperatorErrorException.class,
-                                () -> seal.encode(cursor(100, PageAssembler.MAX_POSITIONS + 1, 1L)))
+                                () ->
+                                        codec.encode(
+                                                cursor(100, PageAssembler.MAX_POSITIONS + 1, 1L)))
                         .error());
         assertInstanceOf(
                 PageError.CursorTooLarge.class,
                 assertThrows(
                                 OperatorErrorException.class,
-                                () -> seal.encode(cursor(PageAssembler.MAX_RANGES + 1, 1, 1L)))
+                                () -> codec.encode(cursor(PageAssembler.MAX_RANGES + 1, 1, 1L)))
                         .error());
     }
 
     @Test
-    void anyAlteredLetterIsRefused() throws OperatorErrorException {
-        CursorCodec seal = new CursorCodec(KEY, null);
-        String text = seal.encode(cursor(5, 3, "x"));
+    void anyAlteredCharacterIsRejected() throws OperatorErrorException {
+        CursorCodec codec = new CursorCodec(KEY, null);
+        String text = codec.encode(cursor(5, 3, "x"));
         for (int i = 0; i < text.length(); i++) {
             char other = text.charAt(i) == 'A' ? 'B' : 'A';
             String altered = text.substring(0, i) + other + text.substring(i + 1);
-            OperatorError why = refused(seal, altered, QUERY, lineage(12, 1));
+            OperatorError error = errorOf(codec, altered, QUERY, layouts(12, 1));
             assertTrue(
-                    why instanceof PageError.InvalidCursor
-                            || i < 2 && why instanceof PageError.UnsupportedCursorFormat
-                            || i < 7 && why instanceof PageError.UnknownSigningKey,
-                    i + ": " + why);
+                    error instanceof PageError.InvalidCursor
+                            || (i < 2 && error instanceof PageError.UnsupportedCursorFormat)
+                            || (i < 7 && error instanceof PageError.UnknownSigningKey),
+                    i + ": " + error);
         }
         for (String bad :
                 List.of(
@@ -136,28 +124,28 @@
                         text + "=",
                         "A".repeat(CursorCodec.MAX_TEXT_LENGTH + 1))) {
             assertTrue(
-                    refused(seal, bad, QUERY, lineage(12, 1)) instanceof PageError.InvalidCursor
-                            || refused(seal, bad, QUERY, lineage(12, 1))
+                    errorOf(codec, bad, QUERY, layouts(12, 1)) instanceof PageError.InvalidCursor
+                            || errorOf(codec, bad, QUERY, layouts(12, 1))
                                     instanceof PageError.UnsupportedCursorFormat,
                     bad);
         }
     }
 
     @Test
-    void eachOtherReasonToRefuseHasItsOwnError() throws OperatorErrorException {
-        CursorCodec seal = new CursorCodec(KEY, null);
-        String text = seal.encode(cursor(3, 1, 1L));
+    void eachOtherReasonToRejectHasItsOwnError() throws OperatorErrorException {
+        CursorCodec codec = new CursorCodec(KEY, null);
+        String text = codec.encode(cursor(3, 1, 1L));
         assertInstanceOf(
-                PageError.QueryMismatch.class, refused(seal, text, QUERY + 1, lineage(12, 1)));
+                PageError.QueryMismatch.class, errorOf(codec, text, QUERY + 1, layouts(12, 1)));
         assertEquals(
                 new PageError.LayoutNotYetKnown(12, 11),
-                refused(seal, text, QUERY, lineage(11, 1)));
+                errorOf(codec, text, QUERY, layouts(11, 1)));
         assertEquals(
                 new PageError.LayoutNoLongerKept(12, 13),
-                refused(seal, text, QUERY, lineage(20, 13)));
+                errorOf(codec, text, QUERY, layouts(20, 13)));
         assertInstanceOf(
                 PageError.UnknownSigningKey.class,
-                refused(new CursorCodec(NEXT, null), text, QUERY, lineage(12, 1)));
+                errorOf(new CursorCodec(NEXT, null), text, QUERY, layouts(12, 1)));
     }
 
     /**
@@ -165,17 +153,17 @@
      * go.
      */
     @Test
-    void keysCanBeChangedWhileCursorsAreAbout() throws OperatorErrorException {
+    void keysCanBeChangedWhileCursorsAreInUse() throws OperatorErrorException {
         CursorCodec before = new CursorCodec(KEY, NEXT);
         CursorCodec after = new CursorCodec(NEXT, KEY);
         Cursor cursor = cursor(3, 2, "x");
-        same(cursor, after.decode(before.encode(cursor), QUERY, lineage(12, 1)));
-        same(cursor, before.decode(after.encode(cursor), QUERY, lineage(12, 1)));
+        assertSame(cursor, after.decode(before.encode(cursor), QUERY, layouts(12, 1)));
+        assertSame(cursor, before.decode(after.encode(cursor), QUERY, layouts(12, 1)));
         assertNotEquals(before.encode(cursor), after.encode(cursor));
     }
 
     @Test
-    void aKeyThatCantBeUsedIsNamed() {
+    void invalidKeyIsNamedByItsSetting() {
         for (String key : new String[] {null, "", "0f", "zz".repeat(32)}) {
             assertEquals(
                     new PageError.InvalidSigningKey("pages.key"),
@@ -187,22 +175,4 @@
                 assertThrows(OperatorErrorException.class, () -> new CursorCodec(KEY, "0"))
                         .error());
     }
-
-    @Test
-    void whatMakesAnotherQueryChangesTheDigest() {
-        SortOrder order = new SortOrder(List.of(new SortKey("fare", false, false)));
-        SortOrder turned = new SortOrder(List.of(new SortKey("fare", true, false)));
-        assertEquals(
-                5,
-                IntStream.range(0, 5)
-                        .mapToLong(
-                                i ->
-                                        CursorCodec.digest(
-                                                i == 1 ? "b" : "a",
-                                                i == 2 ? "d" : "c",
-                                                (i == 3 ? "f" : "e").getBytes(),
-                                                i == 4 ? turned : order))
-                        .distinct()
-                        .count());
-    }
 }
--- a/src/test/java/postbeam/pages/PageCostReport.java
+++ b/src/test/java/postbeam/pages/PageCostReport.java
@@ -15,7 +15,8 @@
     private static final int SIZE = 100;
     private static final int PAGES = 20;
     private static final int CHAINS = 40;
-    private static final int ROUNDS = 2;
+    private static final int FOLLOW_UP_ROUNDS = 2;
+    private static final SortOrder ORDER = new SortOrder(List.of(new SortKey("k", false, false)));
 
     private PageCostReport() {}
 
@@ -32,83 +33,39 @@
         }
     }
 
+    /** Row counts and calls of many chains of pages. */
+    private static final class Totals {
+        private long fetched;
+        private long given;
+        private long calls;
+        private long pages;
+        private long fullPages;
+        private long fetchedIfAllAreAskedForAFullPage;
+    }
+
     /**
      * Chains one after the other through one router, each over other rows; skewed: the first of 20
      * shards has a third.
      */
-    private static void run(int shards, boolean skewed, int size) {
-        Random chance = new Random(1);
-        RowDistribution shares = new RowDistribution();
-        SortOrder order = new SortOrder(List.of(new SortKey("k", false, false)));
+    private static void run(int shards, boolean skewed, int pageSize) {
+        Random random = new Random(1);
+        RowDistribution distribution = new RowDistribution();
         long width = KeyRange.KEY_SPACE_SIZE / shards;
-        List<RangeProgress> all = new ArrayList<>();
+        List<RangeProgress> start = new ArrayList<>();
         for (int i = 0; i < shards; i++) {
-            all.add(
+            start.add(
                     new RangeProgress(
                             new KeyRange(i * width, (i + 1) * width), 1.0 / shards, null));
         }
-        LayoutHistory lineage =
-                new LayoutHistory() {
-                    @Override
-                    public long currentVersion() {
-                        return 1;
-                    }
-
-                    @Override
-                    public long oldestVersion() {
-                        return 1;
-                    }
-
-                    @Override
-                    public List<KeyRange> splitBySlices(KeyRange keys) {
-                        List<KeyRange> cut = new ArrayList<>();
-                        for (RangeProgress one : all) {
-                            if (one.range().overlaps(keys)) {
-                                cut.add(one.range().intersection(keys));
-                            }
-                        }
-                        return cut;
-                    }
-                };
-        long fetched = 0;
-        long given = 0;
-        long calls = 0;
-        long pages = 0;
-        long full = 0;
-        long naive = 0;
+        Totals totals = new Totals();
         for (int chain = 0; chain < CHAINS; chain++) {
-            List<List<Row>> rows = new ArrayList<>();
-            for (int i = 0; i < shards; i++) {
-                rows.add(new ArrayList<>());
-            }
-            for (int i = 0; i < size * PAGES * 2; i++) {
-                long key = (long) (Math.pow(chance.nextDouble(), skewed ? 3 : 1) * width * shards);
-                rows.get((int) (key / width))
-                        .add(new Row(new RowPosition(List.of(chance.nextLong()), key, i), "r"));
-            }
-            rows.forEach(
-                    list ->
-                            list.sort(
-                                    (one, other) ->
-                                            order.compare(one.position(), other.position())));
-            List<RangeProgress> standings = all;
-            for (int i = 0; i < PAGES && !standings.isEmpty(); i++) {
-                PageAssembler page = new PageAssembler(order, size, standings, shares);
-                List<RowFetch> asks = page.initialFetches(lineage);
-                naive += (long) asks.size() * size;
-                for (int round = 0; round <= ROUNDS && !asks.isEmpty(); round++) {
-                    for (RowFetch ask : asks) {
-                        page.add(answer(order, rows.get((int) (ask.range().from() / width)), ask));
-                        calls++;
-                    }
-                    asks = page.followUpFetches();
-                }
-                Page end = page.finish();
-                fetched += end.rowsFetched();
-                given += end.rows().size();
-                pages++;
-                full += end.truncated() ? 0 : 1;
-                standings = end.remaining();
+            List<List<Row>> rowsByShard = rows(random, shards, skewed, pageSize * PAGES * 2);
+            List<RangeProgress> ranges = start;
+            for (int i = 0; i < PAGES && !ranges.isEmpty(); i++) {
+                PageAssembler assembler = new PageAssembler(ORDER, pageSize, ranges, distribution);
+                ranges =
+                        page(assembler, new EvenLayout(start), rowsByShard, width, pageSize, totals)
+                                .remaining();
             }
         }
         System.out.printf(
@@ -116,23 +73,84 @@
                 "%6d  %-8s  %4d  %13.2f  %12.1f  %9.3f  %16.1f%n",
                 shards,
                 skewed ? "skewed" : "even",
-                size,
-                (double) fetched / given,
-                (double) calls / pages,
-                (double) full / pages,
-                (double) naive / given);
+                pageSize,
+                (double) totals.fetched / totals.given,
+                (double) totals.calls / totals.pages,
+                (double) totals.fullPages / totals.pages,
+                (double) totals.fetchedIfAllAreAskedForAFullPage / totals.given);
+    }
+
+    private static List<List<Row>> rows(Random random, int shards, boolean skewed, int rowCount) {
+        long width = KeyRange.KEY_SPACE_SIZE / shards;
+        List<List<Row>> rowsByShard = new ArrayList<>();
+        for (int i = 0; i < shards; i++) {
+            rowsByShard.add(new ArrayList<>());
+        }
+        for (int i = 0; i < rowCount; i++) {
+            long key = (long) (Math.pow(random.nextDouble(), skewed ? 3 : 1) * width * shards);
+            RowPosition position = new RowPosition(List.of(random.nextLong()), key, i);
+            rowsByShard.get((int) (key / width)).add(new Row(position, "r"));
+        }
+        rowsByShard.forEach(
+                rows -> rows.sort((one, other) -> ORDER.compare(one.position(), other.position())));
+        return rowsByShard;
+    }
+
+    private static Page page(
+            PageAssembler assembler,
+            LayoutHistory layouts,
+            List<List<Row>> rowsByShard,
+            long width,
+            int pageSize,
+            Totals totals) {
+        List<RowFetch> fetches = assembler.initialFetches(layouts);
+        totals.fetchedIfAllAreAskedForAFullPage += (long) fetches.size() * pageSize;
+        for (int round = 0; round <= FOLLOW_UP_ROUNDS && !fetches.isEmpty(); round++) {
+            for (RowFetch fetch : fetches) {
+                assembler.add(answer(rowsByShard.get((int) (fetch.range().from() / width)), fetch));
+                totals.calls++;
+            }
+            fetches = assembler.followUpFetches();
+        }
+        Page page = assembler.finish();
+        totals.fetched += page.rowsFetched();
+        totals.given += page.rows().size();
+        totals.pages++;
+        totals.fullPages += page.truncated() ? 0 : 1;
+        return page;
     }
 
-    private static PartialPage answer(SortOrder order, List<Row> rows, RowFetch ask) {
+    private static PartialPage answer(List<Row> rows, RowFetch fetch) {
         List<Row> found = new ArrayList<>();
         for (Row row : rows) {
-            if (ask.after() == null || order.compare(row.position(), ask.after()) > 0) {
-                if (found.size() == ask.maxRows()) {
-                    return new PartialPage(ask.range(), found, row.position());
+            if (fetch.after() == null || ORDER.compare(row.position(), fetch.after()) > 0) {
+                if (found.size() == fetch.maxRows()) {
+                    return new PartialPage(fetch.range(), found, row.position());
                 }
                 found.add(row);
             }
         }
-        return new PartialPage(ask.range(), found, null);
+        return new PartialPage(fetch.range(), found, null);
+    }
+
+    /** A layout whose slices never change. */
+    private record EvenLayout(List<RangeProgress> slices) implements LayoutHistory {
+        @Override
+        public long currentVersion() {
+            return 1;
+        }
+
+        @Override
+        public long oldestVersion() {
+            return 1;
+        }
+
+        @Override
+        public List<KeyRange> splitBySlices(KeyRange keys) {
+            return slices.stream()
+                    .filter(slice -> slice.range().overlaps(keys))
+                    .map(slice -> slice.range().intersection(keys))
+                    .toList();
+        }
     }
 }
--- a/src/test/java/postbeam/pages/PageErrorTextTest.java
+++ b/src/test/java/postbeam/pages/PageErrorTextTest.java
@@ -1,6 +1,7 @@
 package postbeam.pages;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.util.List;
@@ -25,8 +26,24 @@
 
     @Test
     void eachErrorReadsAsInTheSample() throws IOException {
-        assertEquals(PageError.class.getPermittedSubclasses().length, ALL.size());
         assertEquals(
                 SampleLines.of("errors/pages.txt"), ALL.stream().map(PageError::message).toList());
     }
+
+    @Test
+    void eachErrorNamesProblemAndRemedy() {
+        assertEquals(
+                PageError.class.getPermittedSubclasses().length,
+                ALL.stream().map(Object::getClass).distinct().count(),
+                "each kind is here");
+        for (PageError error : ALL) {
+            assertTrue(
+                    error.problem().length() > 10 && !error.problem().endsWith("."),
+                    error.toString());
+            assertTrue(
+                    error.remedy().length() > 10 && !error.remedy().endsWith("."),
+                    error.toString());
+            assertEquals(error.problem() + "; " + error.remedy(), error.toException().getMessage());
+        }
+    }
 }
--- a/src/test/java/postbeam/pages/PageSamplesTest.java
+++ b/src/test/java/postbeam/pages/PageSamplesTest.java
@@ -41,7 +41,7 @@
                             new RangeProgress(LOW, 0.25, FIRST),
                             new RangeProgress(MIDDLE, 0.5, SECOND),
                             new RangeProgress(HIGH, 0.25, null)));
-    private static final List<RowFetch> ASKS =
+    private static final List<RowFetch> FETCHES =
             List.of(
                     new RowFetch(LOW, FIRST, 12),
                     new RowFetch(MIDDLE, null, 1),
@@ -54,25 +54,9 @@
                             new RowPosition(Arrays.asList(4200L, null), 78, 2),
                             "\u00e9\ud83d\ude00"));
 
-    private static final LayoutHistory LINEAGE =
-            new LayoutHistory() {
-                @Override
-                public long currentVersion() {
-                    return 300;
-                }
+    private static final LayoutHistory LAYOUTS = new UnsplitLayout(300, 1);
 
-                @Override
-                public long oldestVersion() {
-                    return 1;
-                }
-
-                @Override
-                public List<KeyRange> splitBySlices(KeyRange keys) {
-                    return List.of(keys);
-                }
-            };
-
-    private static String only(String path) throws IOException {
+    private static String sample(String path) throws IOException {
         List<String> lines = SampleLines.of("pages/" + path);
         assertEquals(1, lines.size(), path);
         return lines.get(0);
@@ -87,51 +71,53 @@
     }
 
     @Test
-    void cursorsUnderEachKeyAreReadAndWrittenAlike() throws IOException, OperatorErrorException {
-        CursorCodec seal = new CursorCodec(KEY, OLD_KEY);
-        CursorCodec before = new CursorCodec(OLD_KEY, null);
-        assertEquals(CURSOR, seal.decode(only("cursor-signed-with-the-key.txt"), QUERY, LINEAGE));
+    void cursorsUnderEachKeyAreReadAndWrittenAsBefore() throws IOException, OperatorErrorException {
+        CursorCodec codec = new CursorCodec(KEY, OLD_KEY);
+        CursorCodec oldCodec = new CursorCodec(OLD_KEY, null);
+        assertEquals(
+                CURSOR, codec.decode(sample("cursor-signed-with-the-key.txt"), QUERY, LAYOUTS));
         assertEquals(
-                CURSOR, seal.decode(only("cursor-signed-with-the-old-key.txt"), QUERY, LINEAGE));
-        assertEquals(only("cursor-signed-with-the-key.txt"), seal.encode(CURSOR));
-        assertEquals(only("cursor-signed-with-the-old-key.txt"), before.encode(CURSOR));
+                CURSOR, codec.decode(sample("cursor-signed-with-the-old-key.txt"), QUERY, LAYOUTS));
+        assertEquals(sample("cursor-signed-with-the-key.txt"), codec.encode(CURSOR));
+        assertEquals(sample("cursor-signed-with-the-old-key.txt"), oldCodec.encode(CURSOR));
     }
 
     @Test
-    void aQueryHasTheSameDigest() throws IOException {
+    void queryDigestIsAsBefore() throws IOException {
         assertEquals(
-                only("query-digest.txt"),
+                sample("query-digest.txt"),
                 Long.toHexString(
-                        CursorCodec.digest(
+                        QueryDigest.of(
                                 "flights", "acme", bytes("{\"from\":\"Z\u00fcrich\"}"), ORDER)));
     }
 
     @Test
-    void aRequestForRowsIsReadAndWrittenAlike() throws IOException {
-        String sample = only("rows-request.json");
-        RowCodec.FetchRequest read = RowCodec.fetchRequest(bytes(sample));
-        assertEquals(new RowCodec.FetchRequest(ORDER, ASKS), read);
-        assertEquals(sample, text(RowCodec.fetchRequest(read.sortOrder(), read.fetches())));
+    void fetchRequestIsReadAndWrittenAsBefore() throws IOException {
+        String expected = sample("rows-request.json");
+        RowCodec.FetchRequest read = RowCodec.decodeFetchRequest(bytes(expected));
+        assertEquals(new RowCodec.FetchRequest(ORDER, FETCHES), read);
+        assertEquals(expected, text(RowCodec.encodeFetchRequest(read.sortOrder(), read.fetches())));
     }
 
     @Test
-    void aNodesRowsAreReadAndWrittenAlike() throws IOException {
+    void answersAreReadAndWrittenAsBefore() throws IOException {
         for (RowPosition next : new RowPosition[] {null, SECOND}) {
-            String sample = only(next == null ? "rows-last.json" : "rows-with-more-to-come.json");
-            PartialPage read = RowCodec.partialPage(LOW, bytes(sample));
+            String expected =
+                    sample(next == null ? "rows-last.json" : "rows-with-more-to-come.json");
+            PartialPage read = RowCodec.decodePartialPage(LOW, bytes(expected));
             assertEquals(new PartialPage(LOW, ROWS, next), read);
-            assertEquals(sample, text(RowCodec.partialPage(read)));
+            assertEquals(expected, text(RowCodec.encodePartialPage(read)));
         }
     }
 
     @Test
-    void rowsForAClientAreWrittenAlike() throws IOException {
+    void rowsForAClientAreWrittenAsBefore() throws IOException {
         StringWriter out = new StringWriter();
         try (JsonGenerator json = Json.FACTORY.createGenerator(out)) {
             json.writeStartObject();
             RowCodec.writeRows(json, ROWS);
             json.writeEndObject();
         }
-        assertEquals(only("rows-for-a-client.json"), out.toString());
+        assertEquals(sample("rows-for-a-client.json"), out.toString());
     }
 }
--- a/src/test/java/postbeam/pages/PagesIT.java
+++ b/src/test/java/postbeam/pages/PagesIT.java
@@ -275,7 +275,7 @@
         assertFalse(said.contains("\"blob\""), said);
         SortOrder order = ORDER;
         List<Row> came =
-                RowCodec.partialPage(
+                RowCodec.decodePartialPage(
                                 KeyRange.ALL,
                                 ("{\"rows\":"
                                                 + said.substring(
@@ -296,7 +296,7 @@
 
     private static String written(List<Row> rows) {
         return new String(
-                RowCodec.partialPage(new PartialPage(KeyRange.ALL, rows, null)),
+                RowCodec.encodePartialPage(new PartialPage(KeyRange.ALL, rows, null)),
                 StandardCharsets.UTF_8);
     }
 
--- a/src/test/java/postbeam/pages/RowMergerBenchmark.java
+++ b/src/test/java/postbeam/pages/RowMergerBenchmark.java
@@ -1,5 +1,6 @@
 package postbeam.pages;
 
+import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -42,42 +43,44 @@
             new SortOrder(
                     List.of(new SortKey("fare", true, true), new SortKey("to", false, false)));
     private final List<List<Row>> lists = new ArrayList<>();
-    private final List<PartialPage> partials = new ArrayList<>();
-    private final List<RowFetch> asks = new ArrayList<>();
-    private final List<byte[]> told = new ArrayList<>();
+    private final List<PartialPage> answers = new ArrayList<>();
+    private final List<RowFetch> fetches = new ArrayList<>();
+    private final List<byte[]> encodedAnswers = new ArrayList<>();
     private Cursor cursor;
-    private CursorCodec seal;
+    private CursorCodec cursorCodec;
 
     @Setup
-    public void rows() throws OperatorErrorException {
-        Random chance = new Random(1);
-        seal = new CursorCodec("1d".repeat(32), null);
-        List<RangeProgress> standings = new ArrayList<>();
+    public void drawRows() throws OperatorErrorException {
+        Random random = new Random(1);
+        cursorCodec = new CursorCodec("1d".repeat(32), null);
+        List<RangeProgress> ranges = new ArrayList<>();
         long width = KeyRange.KEY_SPACE_SIZE / parts;
         for (int i = 0; i < parts; i++) {
-            KeyRange keys = new KeyRange(width * i, width * (i + 1));
-            List<Row> rows = new ArrayList<>();
-            for (int j = 0; j < SIZE / parts + 1; j++) {
-                rows.add(
-                        new Row(
-                                new RowPosition(
-                                        List.of(
-                                                (long) chance.nextInt(50),
-                                                "city " + chance.nextInt(40)),
-                                        keys.from() + chance.nextInt(1 << 20),
-                                        j),
-                                "a row of some sixty bytes, as an answer to a search has them"));
-            }
-            rows.sort((one, other) -> order.compare(one.position(), other.position()));
+            KeyRange range = new KeyRange(width * i, width * (i + 1));
+            List<Row> rows = rows(random, range);
             lists.add(rows);
-            partials.add(new PartialPage(keys, rows, null));
-            asks.add(new RowFetch(keys, null, rows.size()));
-            told.add(RowCodec.partialPage(partials.get(i)));
-            standings.add(new RangeProgress(keys, 1.0 / parts, rows.get(0).position()));
+            answers.add(new PartialPage(range, rows, null));
+            fetches.add(new RowFetch(range, null, rows.size()));
+            encodedAnswers.add(RowCodec.encodePartialPage(answers.get(i)));
+            ranges.add(new RangeProgress(range, 1.0 / parts, rows.get(0).position()));
         }
-        cursor =
-                new Cursor(
-                        1, 1, standings.subList(0, Math.min(parts, PageAssembler.MAX_POSITIONS)));
+        cursor = new Cursor(1, 1, ranges.subList(0, Math.min(parts, PageAssembler.MAX_POSITIONS)));
+    }
+
+    private List<Row> rows(Random random, KeyRange range) {
+        List<Row> rows = new ArrayList<>();
+        for (int i = 0; i < SIZE / parts + 1; i++) {
+            List<Object> sortValues =
+                    List.of((long) random.nextInt(50), "city " + random.nextInt(40));
+            RowPosition position =
+                    new RowPosition(sortValues, range.from() + random.nextInt(1 << 20), i);
+            rows.add(
+                    new Row(
+                            position,
+                            "a row of some sixty bytes, as an answer to a search has them"));
+        }
+        rows.sort((one, other) -> order.compare(one.position(), other.position()));
+        return rows;
     }
 
     @Benchmark
@@ -86,26 +89,23 @@
         return RowMerger.mergeFirst(order, lists, SIZE, null);
     }
 
-    /** Reading what nodes gave, and looking whether it is spoilt. */
+    /** Decoding what nodes answered, and checking whether it is valid. */
     @Benchmark
     @OperationsPerInvocation(SIZE)
-    public int readAndCheck() throws java.io.IOException {
-        int sound = 0;
+    public int decodeAndCheck() throws IOException {
+        int valid = 0;
         for (int i = 0; i < parts; i++) {
-            sound +=
-                    RowCodec.partialPage(partials.get(i).range(), told.get(i))
-                                            .findProblem(order, asks)
-                                    == null
-                            ? 1
-                            : 0;
+            PartialPage answer =
+                    RowCodec.decodePartialPage(answers.get(i).range(), encodedAnswers.get(i));
+            valid += answer.findProblem(order, fetches).isEmpty() ? 1 : 0;
         }
-        return sound;
+        return valid;
     }
 
     /** Of one cursor, not of a row. */
     @Benchmark
-    public String seal() throws OperatorErrorException {
-        return seal.encode(cursor);
+    public String encodeCursor() throws OperatorErrorException {
+        return cursorCodec.encode(cursor);
     }
 
     public static void main(String[] args) throws RunnerException {
--- /dev/null
+++ b/src/test/java/postbeam/pages/UnsplitLayout.java
@@ -0,0 +1,12 @@
+package postbeam.pages;
+
+import java.util.List;
+import postbeam.slices.KeyRange;
+
+/** A layout of one slice. */
+record UnsplitLayout(long currentVersion, long oldestVersion) implements LayoutHistory {
+    @Override
+    public List<KeyRange> splitBySlices(KeyRange keys) {
+        return List.of(keys);
+    }
+}
--- a/src/test/java/postbeam/router/PagingServiceTest.java
+++ b/src/test/java/postbeam/router/PagingServiceTest.java
@@ -143,7 +143,7 @@
         callsByKeys.merge(range.toString(), 1, Integer::sum);
         int ask = Integer.parseInt(head.replaceAll("(?s).*,p=([0-9]+) .*", "$1"));
         RowCodec.FetchRequest asked =
-                RowCodec.fetchRequest(
+                RowCodec.decodeFetchRequest(
                         Arrays.copyOfRange(
                                 call.payload, call.payload.length - ask, call.payload.length));
         assertEquals(
@@ -174,7 +174,7 @@
                                                 && row.position().key() < range.to())
                         .toList();
         int give = Math.min(found.size(), most);
-        return RowCodec.partialPage(
+        return RowCodec.encodePartialPage(
                 new PartialPage(
                         range,
                         found.subList(0, give),
