--- a/src/main/java/postbeam/errors/OperatorError.java
+++ b/src/main/java/postbeam/errors/OperatorError.java
@@ -22,4 +22,9 @@
     default String message() {
         return problem() + "; " + remedy();
     }
+
+    /** The error as an exception without a cause. */
+    default OperatorErrorException toException() {
+        return new OperatorErrorException(this);
+    }
 }
--- a/src/main/java/postbeam/migration/Migration.java
+++ b/src/main/java/postbeam/migration/Migration.java
@@ -64,12 +64,12 @@
         return state;
     }
 
-    /** When it came to this state, or was last resumed; a span since 1970. */
+    /** When it entered this state, or was last resumed; a span since 1970. */
     public Duration since() {
         return since;
     }
 
-    /** Whether it stands still until an operator resumes it or rolls it back. */
+    /** Whether it makes no progress until an operator resumes it or rolls it back. */
     public boolean isPaused() {
         return pauseReason != null;
     }
@@ -79,7 +79,7 @@
         return pauseReason;
     }
 
-    /** What operators are told of the pause; null where it is not paused. */
+    /** What operators are shown of the pause; null where it is not paused. */
     public String pauseDetail() {
         return pauseDetail;
     }
@@ -90,12 +90,12 @@
     }
 
     /** The checkpoint that was passed last; null before the first. */
-    public Checkpoint passedCheckpoint() {
+    Checkpoint passedCheckpoint() {
         return passedCheckpoint;
     }
 
     /** How many checkpoints have been opened. */
-    public int checkpointsOpened() {
+    int checkpointsOpened() {
         return checkpointsOpened;
     }
 
@@ -118,7 +118,7 @@
         return transfers.stream().filter(transfer -> transfer.slice() == slice).findFirst();
     }
 
-    /** The transfer's change in the direction in which the migration goes. */
+    /** The transfer's change in the current direction, forward or back. */
     LayoutChange nextChange(SliceTransfer transfer) {
         return isRollingBack() ? transfer.reverseMove() : transfer.forwardMove();
     }
@@ -197,7 +197,7 @@
         pauseDetail = null;
     }
 
-    /** One record that stands for all of it. */
+    /** One record with all of its state. */
     MigrationRecord.Snapshot snapshot() {
         return new MigrationRecord.Snapshot(
                 id,
--- a/src/main/java/postbeam/migration/MigrationManager.java
+++ b/src/main/java/postbeam/migration/MigrationManager.java
@@ -78,7 +78,7 @@
             throws OperatorErrorException {
         Optional<String> problem = planProblem(transfers);
         if (problem.isPresent()) {
-            throw new OperatorErrorException(new MigrationError.InvalidPlan(member, problem.get()));
+            throw new MigrationError.InvalidPlan(member, problem.get()).toException();
         }
         return record(
                 new MigrationRecord.Created(
@@ -91,7 +91,7 @@
     }
 
     /** Why these transfers can't be planned, in one line; empty where they can. */
-    public Optional<String> planProblem(List<SliceTransfer> transfers) {
+    Optional<String> planProblem(List<SliceTransfer> transfers) {
         if (transfers.isEmpty()) {
             return Optional.of("it has no hop");
         }
@@ -125,12 +125,11 @@
     public List<MigrationAction> resume(long id, Duration now) throws OperatorErrorException {
         Migration migration = requireActive(id);
         if (!migration.isPaused()) {
-            throw new OperatorErrorException(new MigrationError.NotPaused(id));
+            throw new MigrationError.NotPaused(id).toException();
         }
         Optional<MigrationRecord.Paused> reason = pauseDetector.persistentReason(migration, now);
         if (reason.isPresent()) {
-            throw new OperatorErrorException(
-                    new MigrationError.PauseReasonPersists(id, reason.get().detail()));
+            throw new MigrationError.PauseReasonPersists(id, reason.get().detail()).toException();
         }
         ActionBatch batch = new ActionBatch(coordinator);
         for (SliceTransfer transfer : migration.transfers) {
@@ -157,7 +156,7 @@
         Migration migration = requireActive(id);
         Checkpoint open = migration.openCheckpoint();
         if (!requested.equals(open)) {
-            throw new OperatorErrorException(checkpointError(migration, requested));
+            throw checkpointError(migration, requested).toException();
         }
         requireNotPaused(migration);
         return record(new MigrationRecord.CheckpointPassed(id, now));
@@ -178,8 +177,7 @@
             throws OperatorErrorException {
         Migration migration = requireActive(id);
         if (!migration.state().allowsRollback()) {
-            throw new OperatorErrorException(
-                    new MigrationError.RollbackTooLate(id, migration.state()));
+            throw new MigrationError.RollbackTooLate(id, migration.state()).toException();
         }
         return record(new MigrationRecord.RollbackStarted(id, reason, now));
     }
@@ -193,21 +191,21 @@
     private Migration requireActive(long id) throws OperatorErrorException {
         return journalState
                 .findActive(id)
-                .orElseThrow(() -> new OperatorErrorException(new MigrationError.NotFound(id)));
+                .orElseThrow(() -> new MigrationError.NotFound(id).toException());
     }
 
     private static void requireNotPaused(Migration migration) throws OperatorErrorException {
         if (migration.isPaused()) {
-            throw new OperatorErrorException(
-                    new MigrationError.MigrationPaused(migration.id, migration.pauseDetail()));
+            throw new MigrationError.MigrationPaused(migration.id, migration.pauseDetail())
+                    .toException();
         }
     }
 
     // ---- events
 
     /**
-     * These nodes have started: they are cold, and may have missed writes of slices that they do
-     * not serve yet.
+     * These nodes have started: they are warming up, and may have missed writes of slices that they
+     * do not serve yet.
      */
     public List<MigrationAction> onNodesStarted(Collection<String> nodes, Duration now) {
         pauseDetector.onNodesStarted(nodes, now);
--- a/src/main/java/postbeam/migration/MigrationRecord.java
+++ b/src/main/java/postbeam/migration/MigrationRecord.java
@@ -33,7 +33,7 @@
         }
     }
 
-    /** The migration has come to this state. */
+    /** The migration has entered this state. */
     record StateEntered(long id, MigrationState state, Duration at) implements MigrationRecord {}
 
     /** Both replicas of a move's slice are equal. */
@@ -48,7 +48,7 @@
     /** An operator passed the open checkpoint. */
     record CheckpointPassed(long id, Duration at) implements MigrationRecord {}
 
-    /** The migration stands still; the detail is told to operators. */
+    /** The migration is paused; operators are shown the detail. */
     record Paused(long id, PauseReason reason, String detail, Duration at)
             implements MigrationRecord {}
 
--- a/src/main/java/postbeam/migration/MigrationStateMachine.java
+++ b/src/main/java/postbeam/migration/MigrationStateMachine.java
@@ -37,7 +37,7 @@
         this.limits = limits;
     }
 
-    /** Goes on as long as the migration comes to another state. */
+    /** Takes steps as long as the migration enters another state. */
     void advance(ActionBatch batch, Migration migration, Duration now) {
         MigrationState before;
         do {
--- a/src/main/java/postbeam/migration/MovePlanner.java
+++ b/src/main/java/postbeam/migration/MovePlanner.java
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Plans moves, or asks how large their slices are; pauses the migration where neither can be
+     * Plans moves, or requests the sizes of their slices; pauses the migration where neither can be
      * done.
      */
     void planMissingMoves(ActionBatch batch, Migration migration, Duration now) {
--- a/src/main/java/postbeam/migration/MoveVerifier.java
+++ b/src/main/java/postbeam/migration/MoveVerifier.java
@@ -23,7 +23,7 @@
         this.conditions = conditions;
     }
 
-    /** Goes on with the comparison; true once both replicas are equal. */
+    /** Continues the comparison; true once both replicas are equal. */
     boolean verify(ActionBatch batch, Migration migration, Move move, Duration now) {
         if (conditions.isVerified(migration, move)) {
             return true;
--- a/src/main/java/postbeam/migration/ReplicaComparison.java
+++ b/src/main/java/postbeam/migration/ReplicaComparison.java
@@ -9,10 +9,10 @@
 import postbeam.slices.KeyRange;
 
 /**
- * Compares two nodes' replicas of a slice by digests of key ranges: asks both nodes for the same
- * ranges, drops those that match, asks again where writes were under way, and splits those that go
- * on to differ. A mismatch counts only once it has shown several times with the source unchanged:
- * rows that arrive in between, or in another order, are none.
+ * Compares two nodes' replicas of a slice by digests of key ranges: requests from both nodes the
+ * same ranges, drops those that match, requests again where writes were under way, and splits those
+ * that go on to differ. A mismatch counts only once it has shown several times with the source
+ * unchanged: rows that arrive in between, or in another order, are none.
  */
 final class ReplicaComparison {
     /** Ranges that a range is split into. */
@@ -227,7 +227,7 @@
                         .collect(Collectors.joining()));
     }
 
-    /** As it stands in digests on disk and in texts for operators. */
+    /** As written in digests on disk and in texts for operators. */
     private static String text(KeyRange range) {
         return range.from() + "-" + range.to();
     }
--- a/src/main/java/postbeam/migration/RequestIds.java
+++ b/src/main/java/postbeam/migration/RequestIds.java
@@ -2,7 +2,7 @@
 
 /**
  * Numbers the requests to nodes, so that a late answer to an earlier request is recognised as such.
- * One sequence is shared by all that ask.
+ * One sequence is shared by all that send requests.
  */
 final class RequestIds {
     private long last;
--- a/src/main/java/postbeam/migration/SliceSizes.java
+++ b/src/main/java/postbeam/migration/SliceSizes.java
@@ -8,7 +8,8 @@
 import postbeam.slices.Slice;
 
 /**
- * Asks holders how many bytes a copy of a slice takes, and keeps each answer until the copy starts.
+ * Requests from holders how many bytes a copy of a slice takes, and keeps each answer until the
+ * copy starts.
  */
 final class SliceSizes {
     private final TransferProgress progress;
@@ -25,7 +26,7 @@
         this.requestIds = requestIds;
     }
 
-    /** Takes the slice's size in bytes, if it is known; the next copy asks anew. */
+    /** Takes the slice's size in bytes, if it is known; the next copy requests it anew. */
     Optional<Long> take(int slice) {
         Long bytes = bytesBySlice.remove(slice);
         if (bytes != null) {
@@ -34,7 +35,7 @@
         return Optional.ofNullable(bytes);
     }
 
-    /** Asks a holder for the size, unless a request was sent a short while ago. */
+    /** Requests the size from a holder, unless a request was sent a short while ago. */
     void request(ActionBatch batch, int slice, Duration now) {
         Duration last = lastRequestedAt.get(slice);
         if (last != null && now.minus(last).compareTo(limits.requestInterval()) < 0) {
--- a/src/main/java/postbeam/pages/PageError.java
+++ b/src/main/java/postbeam/pages/PageError.java
@@ -1,15 +1,9 @@
 package postbeam.pages;
 
 import postbeam.errors.OperatorError;
-import postbeam.errors.OperatorErrorException;
 
 /** Why a page, or a cursor, can't be given. */
 public sealed interface PageError extends OperatorError {
-    /** The error as an exception. */
-    default OperatorErrorException toException() {
-        return new OperatorErrorException(this);
-    }
-
     /** The text is no cursor that a router made. */
     record InvalidCursor() implements PageError {
         @Override
--- a/src/main/java/postbeam/pages/RowDistribution.java
+++ b/src/main/java/postbeam/pages/RowDistribution.java
@@ -95,7 +95,7 @@
      * @param shares of the ranges, see {@link #expectedShares}
      * @param behind which ranges owe rows of earlier pages
      */
-    public synchronized int[] rowsToFetch(int pageSize, double[] shares, boolean[] behind) {
+    synchronized int[] rowsToFetch(int pageSize, double[] shares, boolean[] behind) {
         double sumOfDeviations = 0;
         for (double share : shares) {
             sumOfDeviations += deviation(pageSize, share);
--- a/src/main/java/postbeam/pages/RowMerger.java
+++ b/src/main/java/postbeam/pages/RowMerger.java
@@ -6,7 +6,7 @@
 import java.util.PriorityQueue;
 
 /** Merges sorted lists of rows, no further than wanted. */
-public final class RowMerger {
+final class RowMerger {
     private static final class ListHead {
         private final List<Row> rows;
         private int index;
@@ -39,7 +39,7 @@
      * @param maxRows at most so many rows
      * @param bound only rows before this position; null for no bound
      */
-    public static List<Row> mergeFirst(
+    static List<Row> mergeFirst(
             Comparator<RowPosition> order, List<List<Row>> lists, int maxRows, RowPosition bound) {
         PriorityQueue<ListHead> heads =
                 new PriorityQueue<>(
--- a/src/main/java/postbeam/pages/RowPosition.java
+++ b/src/main/java/postbeam/pages/RowPosition.java
@@ -12,7 +12,7 @@
  *
  * @param sortValues one for each sort key: a Long, a String, or null where the row has no value
  * @param key in the key space
- * @param sequence tells rows of one key apart
+ * @param sequence distinguishes rows of one key
  */
 public record RowPosition(List<Object> sortValues, long key, long sequence) {
     /** Bytes in UTF-8 of a sort value: positions travel in cursors. */
--- a/src/main/java/postbeam/pages/package-info.java
+++ b/src/main/java/postbeam/pages/package-info.java
@@ -1,6 +1,6 @@
 /**
  * Ordered pages over scattered shards: the total order of rows, which rows are fetched of which
- * keys, how they make a page, what is still owed, and the cursor.
+ * keys, how they make a page, which rows are still due, and the cursor.
  *
  * <p>Decisions and state alone, with no I/O, clock or thread. {@link postbeam.pages.PageAssembler}
  * makes one page; {@link postbeam.pages.CursorCodec} and {@link postbeam.pages.RowCodec} are the
--- a/src/test/java/postbeam/coordination/CoordinationErrorTextTest.java
+++ b/src/test/java/postbeam/coordination/CoordinationErrorTextTest.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import postbeam.errors.SampleLines;
+import postbeam.samples.SampleFile;
 
 /** Operators see these texts in the log: a change of wording is to be made in the sample too. */
 class CoordinationErrorTextTest {
@@ -22,7 +22,7 @@
     void eachErrorReadsAsInTheSample() throws IOException {
         assertEquals(CoordinationError.class.getPermittedSubclasses().length, ALL.size());
         assertEquals(
-                SampleLines.of("errors/shared.txt"),
+                SampleFile.lines("errors/coordination.txt"),
                 ALL.stream().map(CoordinationError::message).toList());
     }
 }
--- a/src/test/java/postbeam/migration/MigrationErrorTextTest.java
+++ b/src/test/java/postbeam/migration/MigrationErrorTextTest.java
@@ -6,7 +6,7 @@
 import java.io.IOException;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import postbeam.errors.SampleLines;
+import postbeam.samples.SampleFile;
 
 /** Operators see these texts: a change of wording is to be made in the sample too. */
 class MigrationErrorTextTest {
@@ -31,7 +31,7 @@
     @Test
     void eachErrorReadsAsInTheSample() throws IOException {
         assertEquals(
-                SampleLines.of("errors/migration.txt"),
+                SampleFile.lines("errors/migration.txt"),
                 ALL.stream().map(MigrationError::message).toList());
     }
 
--- a/src/test/java/postbeam/migration/MigrationRunSamplesTest.java
+++ b/src/test/java/postbeam/migration/MigrationRunSamplesTest.java
@@ -8,8 +8,8 @@
 import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import postbeam.errors.SampleLines;
 import postbeam.model.Readiness;
+import postbeam.samples.SampleFile;
 import postbeam.slices.HandoffCommand;
 
 /**
@@ -27,7 +27,7 @@
                 .migrations()
                 .forEach(migration -> run.note("standing: " + migration.summary()));
         assertEquals(
-                String.join("\n", SampleLines.of("migration/" + sample)),
+                String.join("\n", SampleFile.lines("migration/" + sample)),
                 String.join("\n", run.lines));
     }
 
--- a/src/test/java/postbeam/pages/PageErrorTextTest.java
+++ b/src/test/java/postbeam/pages/PageErrorTextTest.java
@@ -6,7 +6,7 @@
 import java.io.IOException;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import postbeam.errors.SampleLines;
+import postbeam.samples.SampleFile;
 
 /** Clients and operators see these texts: a change of wording is to be made in the sample too. */
 class PageErrorTextTest {
@@ -27,7 +27,8 @@
     @Test
     void eachErrorReadsAsInTheSample() throws IOException {
         assertEquals(
-                SampleLines.of("errors/pages.txt"), ALL.stream().map(PageError::message).toList());
+                SampleFile.lines("errors/pages.txt"),
+                ALL.stream().map(PageError::message).toList());
     }
 
     @Test
--- a/src/test/java/postbeam/pages/PageSamplesTest.java
+++ b/src/test/java/postbeam/pages/PageSamplesTest.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import postbeam.errors.OperatorErrorException;
-import postbeam.errors.SampleLines;
 import postbeam.json.Json;
+import postbeam.samples.SampleFile;
 import postbeam.slices.KeyRange;
 
 /**
@@ -57,7 +57,7 @@
     private static final LayoutHistory LAYOUTS = new UnsplitLayout(300, 1);
 
     private static String sample(String path) throws IOException {
-        List<String> lines = SampleLines.of("pages/" + path);
+        List<String> lines = SampleFile.lines("pages/" + path);
         assertEquals(1, lines.size(), path);
         return lines.get(0);
     }
--- a/src/test/java/postbeam/samples/SampleFile.java
+++ b/src/test/java/postbeam/samples/SampleFile.java
@@ -6,6 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.List;
 
 /**
  * Bytes of a wire or file format as an earlier build wrote or read them, kept under
@@ -24,6 +25,11 @@
         return new String(bytes(name), StandardCharsets.UTF_8);
     }
 
+    /** The lines of a text, without their ends. */
+    public static List<String> lines(String name) throws IOException {
+        return text(name).lines().toList();
+    }
+
     /** Compares byte for byte; each byte is shown as one character where they differ. */
     public static void assertSame(String name, byte[] written) throws IOException {
         assertEquals(
