--- a/src/main/java/postbeam/model/Attempt.java
+++ b/src/main/java/postbeam/model/Attempt.java
@@ -13,10 +13,10 @@
     /** When it was sent. */
     public final Duration sentAt;
 
-    /** How long its outcome is waited for; null where that is until the client gives up. */
+    /** How long its outcome is awaited; null for the client's deadline. */
     public final Duration timeout;
 
-    /** Its place among the attempts of the shard request, from 0. */
+    /** Its index among the attempts of the shard request. */
     public final int index;
 
     private Duration sendDeadline;
@@ -24,7 +24,7 @@
     private boolean cancellationRequested;
     private boolean ended;
 
-    /** Creates an attempt that is in flight from now on, at its shard request and at its node. */
+    /** Creates an attempt and registers it as in flight with its shard request and its node. */
     public Attempt(ShardRequest shardRequest, DataNode node, Duration sentAt, Duration timeout) {
         this.shardRequest = shardRequest;
         this.node = node;
@@ -35,34 +35,35 @@
         node.add(this);
     }
 
-    /** Its bytes may not be sent later than this; null where they may at any time. */
+    /** Time after which it must not be sent; null for no limit. */
     public Duration sendDeadline() {
         return sendDeadline;
     }
 
-    /** Its bytes may not be sent later than this. */
+    /** Sets the time after which it must not be sent; null for no limit. */
     public void limitSendTime(Duration at) {
         sendDeadline = at;
     }
 
     /**
-     * Whether it goes ahead of its query's other requests, to show that the query crashes no node.
+     * Whether it is a canary: sent before its query's other requests, to find out whether the query
+     * crashes nodes.
      */
     public boolean isCanary() {
         return canary;
     }
 
-    /** It goes ahead of its query's other requests. */
+    /** Marks it as a canary. */
     public void markCanary() {
         canary = true;
     }
 
-    /** Whether it is no longer wanted, and its node is told so. */
+    /** Whether its cancellation was requested. */
     public boolean isCancellationRequested() {
         return cancellationRequested;
     }
 
-    /** It is no longer wanted. */
+    /** Records that its cancellation was requested. */
     public void requestCancellation() {
         cancellationRequested = true;
     }
@@ -72,7 +73,7 @@
         return ended;
     }
 
-    /** Its outcome is known: it is in flight no more. */
+    /** Records that its outcome is known, and removes it from what is in flight. */
     public void end() {
         ended = true;
         shardRequest.remove(this);
--- a/src/main/java/postbeam/model/AttemptOutcome.java
+++ b/src/main/java/postbeam/model/AttemptOutcome.java
@@ -1,6 +1,6 @@
 package postbeam.model;
 
-/** How an attempt ended. */
+/** The outcome of an attempt. */
 public enum AttemptOutcome {
     /** The node answered. */
     SUCCESS(false),
@@ -8,17 +8,17 @@
     ERROR(false),
     /** The node rejected it for lack of capacity. */
     OVERLOADED(true),
-    /** No outcome came in time. */
+    /** No answer came in time. */
     TIMEOUT(false),
     /** No connection to the node could be opened. */
     UNREACHABLE(true),
-    /** The connection broke after it was sent. */
+    /** The connection failed after the attempt was sent. */
     RESET(false),
     /** The router cancelled it. */
     CANCELLED(false),
     /** It was never sent. */
     NEVER_SENT(true),
-    /** The node holds that slice no more, or not yet. */
+    /** The node does not hold the slice. */
     MOVED(true);
 
     /** Whether this outcome proves that the request was not executed. */
@@ -28,7 +28,7 @@
         this.provesNotExecuted = provesNotExecuted;
     }
 
-    /** Whether the router stopped waiting before anything was heard of it. */
+    /** Whether the router stopped waiting without any response. */
     public boolean isAbandoned() {
         return this == TIMEOUT || this == CANCELLED;
     }
--- a/src/main/java/postbeam/model/CellPlacement.java
+++ b/src/main/java/postbeam/model/CellPlacement.java
@@ -5,17 +5,20 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The fixed placement: a shard is held by the nodes of its cell and of the next ones. */
+/** Fixed placement: a shard is held by the nodes of its cell and of the cells after it. */
 public final class CellPlacement implements ReplicaPlacement {
     private final List<List<DataNode>> nodesByCell = new ArrayList<>();
 
-    /** The replicas of each cell's shards, in order; null after a change. */
+    /** The ordered replicas of each cell's shards; null where they must be recomputed. */
     private final List<List<DataNode>> replicasByCell = new ArrayList<>();
 
     private final int replicationFactor;
     private Comparator<DataNode> order;
 
-    /** Creates a placement over so many cells, where so many cells in a row hold a shard. */
+    /**
+     * Creates a placement with this number of cells, of which {@code replicationFactor} consecutive
+     * ones hold a shard.
+     */
     public CellPlacement(int cellCount, int replicationFactor) {
         for (int i = 0; i < cellCount; i++) {
             nodesByCell.add(new ArrayList<>());
@@ -74,7 +77,7 @@
         return replicationFactor;
     }
 
-    /** Always null: shards stay where they are. */
+    /** Always null: shards do not move. */
     @Override
     public Duration acquiredAt(int shard, DataNode node) {
         return null;
--- a/src/main/java/postbeam/model/CompletenessRule.java
+++ b/src/main/java/postbeam/model/CompletenessRule.java
@@ -3,11 +3,10 @@
 import java.util.function.Predicate;
 
 /**
- * How the weight of a query's requests counts where slices were re-cut since the client named them.
+ * Rule for the weight of a query's requests after slices were split or joined since the client
+ * named them.
  */
 public interface CompletenessRule {
-    /**
-     * The weight of such requests, against one layout that the query may be held against; 0 to 1.
-     */
+    /** The weight, from 0 to 1, of the requests that match, in terms of one layout. */
     double weight(Query query, Predicate<ShardRequest> which);
 }
--- a/src/main/java/postbeam/model/DataNode.java
+++ b/src/main/java/postbeam/model/DataNode.java
@@ -6,57 +6,61 @@
 import java.util.Set;
 
 /**
- * A data node as one router knows it: its place, what the endpoint list says, what is in flight.
+ * A data node as one router knows it: its location, its state in the endpoint list, and the
+ * attempts in flight.
  */
 public final class DataNode {
-    /** The cell it belongs to, from 0, where shards are placed by cell. */
+    /** Number of its cell, where shards are placed by cell. */
     public final int cell;
 
-    /** The zone it is in. */
+    /** Its zone. */
     public final Zone zone;
 
     private final Set<Attempt> inFlight = new LinkedHashSet<>();
 
-    /** The attempts without an outcome, oldest first; a view that can't be changed. */
+    /** The attempts without an outcome, oldest first; an unmodifiable view. */
     public final Set<Attempt> attemptsInFlight = Collections.unmodifiableSet(inFlight);
 
     private Readiness readiness = Readiness.READY;
     private Duration startedAt;
     private Object policyState;
 
-    /** Creates a node that is ready, of which no start is known. */
+    /** Creates a node that is ready and whose start time is not known. */
     public DataNode(int cell, Zone zone) {
         this.cell = cell;
         this.zone = zone;
     }
 
-    /** What the endpoint list says of it. */
+    /** Its state in the endpoint list. */
     public Readiness readiness() {
         return readiness;
     }
 
-    /** When it last started, by the endpoint list; null where not known, or long ago. */
+    /** When it last started according to the endpoint list; null if not known or long ago. */
     public Duration startedAt() {
         return startedAt;
     }
 
-    /** Takes over what the endpoint list says of it. */
+    /** Sets its state in the endpoint list. */
     public void update(Readiness readiness, Duration startedAt) {
         this.readiness = readiness;
         this.startedAt = startedAt;
     }
 
-    /** What the routing policy remembers of it, opaque to all others; null before it was listed. */
+    /**
+     * The routing policy's state of this node, opaque to all others; null before the node was
+     * listed.
+     */
     public Object policyState() {
         return policyState;
     }
 
-    /** Sets what the routing policy remembers of it; called once, by the policy. */
+    /** Sets the routing policy's state; called once, by the policy. */
     public void attachPolicyState(Object state) {
         policyState = state;
     }
 
-    /** How many batches are in flight, where attempts sent at one time travel in one batch. */
+    /** Number of batches in flight: attempts sent at the same time share a batch. */
     public int batchesInFlight() {
         int batches = 0;
         Duration lastSentAt = null;
@@ -69,7 +73,7 @@
         return batches;
     }
 
-    /** The attempt that has been in flight for longest; null where none is. */
+    /** The oldest attempt in flight; null if there is none. */
     public Attempt oldestAttemptInFlight() {
         return inFlight.isEmpty() ? null : inFlight.iterator().next();
     }
--- a/src/main/java/postbeam/model/Durations.java
+++ b/src/main/java/postbeam/model/Durations.java
@@ -2,28 +2,28 @@
 
 import java.time.Duration;
 
-/** Arithmetic on spans of time that {@link Duration} lacks. */
+/** Arithmetic on {@link Duration}. */
 public final class Durations {
     private static final double NANOS_PER_SECOND = 1e9;
 
     private Durations() {}
 
-    /** The shorter of two spans. */
+    /** The shorter of two durations. */
     public static Duration min(Duration a, Duration b) {
         return a.compareTo(b) < 0 ? a : b;
     }
 
-    /** The longer of two spans. */
+    /** The longer of two durations. */
     public static Duration max(Duration a, Duration b) {
         return a.compareTo(b) > 0 ? a : b;
     }
 
-    /** The span times the factor, rounded to the nanosecond. */
+    /** The duration multiplied by the factor, rounded to nanoseconds. */
     public static Duration scale(Duration span, double factor) {
         return Duration.ofNanos(Math.round(span.toNanos() * factor));
     }
 
-    /** The span in seconds. */
+    /** The duration in seconds. */
     public static double seconds(Duration span) {
         return span.toNanos() / NANOS_PER_SECOND;
     }
--- a/src/main/java/postbeam/model/Query.java
+++ b/src/main/java/postbeam/model/Query.java
@@ -7,14 +7,12 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/**
- * A query that this router has accepted: its promises, its shard requests, and how far they are.
- */
+/** A query that this router has accepted, with its shard requests and its progress. */
 public final class Query {
-    /** Share of a request: rounding of weights makes a query need no further request. */
+    /** Tolerance for rounding of weights, in requests. */
     private static final double NEEDED_TOLERANCE = 0.001;
 
-    /** The tenant that it belongs to; null where the deployment has none. */
+    /** Its tenant; null if the deployment has no tenants. */
     public final Tenant tenant;
 
     /** When it arrived at this router. */
@@ -26,10 +24,10 @@
     private final List<ShardRequest> requests = new ArrayList<>();
     private final List<ShardRequest> answeredRequests = new ArrayList<>();
 
-    /** The requests of its present step; a view that can't be changed. */
+    /** The requests of its present step; an unmodifiable view. */
     public final List<ShardRequest> shardRequests = Collections.unmodifiableList(requests);
 
-    /** The requests of its first step once that is answered, else empty; a view. */
+    /** The requests of its first step once that is answered, else empty; an unmodifiable view. */
     public final List<ShardRequest> firstStepRequests =
             Collections.unmodifiableList(answeredRequests);
 
@@ -43,7 +41,7 @@
     private boolean poisoned;
     private boolean overQuota;
 
-    /** Creates a query without shard requests; the tenant is null where there are none. */
+    /** Creates a query without shard requests; the tenant may be null. */
     public Query(QueryClass queryClass, Tenant tenant, Duration arrivedAt, Duration deadline) {
         this.queryClass = queryClass;
         this.tenant = tenant;
@@ -57,17 +55,17 @@
         return queryClass;
     }
 
-    /** When its client first asked, as far as known: before it arrived where this is a retry. */
+    /** When its client first sent it, as far as known: before its arrival if this is a retry. */
     public Duration firstRequestedAt() {
         return firstRequestedAt;
     }
 
-    /** Its client first asked for it at that time. */
+    /** Sets when its client first sent it. */
     public void backdateTo(Duration at) {
         firstRequestedAt = at;
     }
 
-    /** When its latency objective is over. */
+    /** When its latency objective passes. */
     public Duration sloDeadline() {
         return firstRequestedAt.plus(queryClass.latencyObjective);
     }
@@ -77,82 +75,85 @@
         return clientRetry;
     }
 
-    /** Its client marks it as a retry. */
+    /** Records that its client marks it as a retry. */
     public void markClientRetry() {
         clientRetry = true;
     }
 
-    /** Whether it has its final answer, or its client has left. */
+    /** Whether it has a final answer or its client has disconnected. */
     public boolean hasEnded() {
         return ended;
     }
 
-    /** It has its final answer, or its client has left. */
+    /** Records that it has a final answer or that its client has disconnected. */
     public void end() {
         ended = true;
     }
 
-    /** Whether its place in the replica lists is chosen for its present step. */
+    /** Whether the replica offset of its present step is chosen. */
     public boolean hasReplicaOffset() {
         return replicaOffset >= 0;
     }
 
-    /** The place in its shards' replica lists at which its requests begin. */
+    /** Index in its shards' replica lists at which its requests start. */
     public int replicaOffset() {
         return replicaOffset;
     }
 
-    /** Chooses the place in the replica lists for its present step. */
+    /** Sets the replica offset of its present step. */
     public void chooseReplicaOffset(int offset) {
         replicaOffset = offset;
     }
 
-    /** How its weights count where slices are re-cut; null where each request counts by itself. */
+    /**
+     * The rule for its weights after slices were split or joined; null if each request counts by
+     * itself.
+     */
     public CompletenessRule completenessRule() {
         return completenessRule;
     }
 
-    /** Weights count by this rule from now on. */
+    /** Sets the rule for its weights. */
     public void useCompletenessRule(CompletenessRule rule) {
         completenessRule = rule;
     }
 
-    /** How many of its attempts ended with a reset connection. */
+    /** Number of its attempts whose connection was reset. */
     public int resetCount() {
         return resetCount;
     }
 
-    /** The connection of one of its attempts was reset. */
+    /** Records that the connection of one of its attempts was reset. */
     public void recordReset() {
         resetCount++;
     }
 
-    /** Whether it is held to crash the nodes that execute it. */
+    /** Whether it is suspected of crashing nodes. */
     public boolean isPoisoned() {
         return poisoned;
     }
 
-    /** It is held to crash the nodes that execute it. */
+    /** Records that it is suspected of crashing nodes. */
     public void markPoisoned() {
         poisoned = true;
     }
 
-    /** Whether it came beyond its tenant's quota. */
+    /** Whether it exceeds its tenant's quota. */
     public boolean isOverQuota() {
         return overQuota;
     }
 
-    /** It came beyond its tenant's quota. */
+    /** Records that it exceeds its tenant's quota. */
     public void markOverQuota() {
         overQuota = true;
     }
 
-    /** The weight of the requests that are answered, from 0 to 1. */
+    /** The weight of the answered requests, from 0 to 1. */
     public double answeredWeight() {
         return weightOf(ShardRequest::isAnswered);
     }
 
-    /** The weight that such requests make together, from 0 to 1. */
+    /** The weight of the requests that match, from 0 to 1. */
     public double weightOf(Predicate<ShardRequest> which) {
         if (completenessRule != null) {
             return completenessRule.weight(this, which);
@@ -166,7 +167,7 @@
         return sum;
     }
 
-    /** How many such requests its present step has. */
+    /** Number of requests of its present step that match. */
     public int countRequests(Predicate<ShardRequest> which) {
         int count = 0;
         for (ShardRequest request : requests) {
@@ -176,7 +177,8 @@
     }
 
     /**
-     * Answers still needed (the paper's alpha), taking unanswered requests at their mean weight.
+     * Number of answers still needed (alpha in the SEDPT-R paper), assuming the mean weight of the
+     * unanswered requests.
      */
     public int requestsNeeded() {
         int unanswered = 0;
@@ -193,19 +195,19 @@
                 : (int) Math.min(unanswered, Math.ceil(needed - NEEDED_TOLERANCE));
     }
 
-    /** Unanswered requests with an attempt in flight. */
+    /** Number of unanswered requests with an attempt in flight. */
     public int requestsInFlight() {
         return countRequests(
                 request -> !request.isAnswered() && !request.attemptsInFlight.isEmpty());
     }
 
-    /** Whether nothing was sent for it. */
+    /** Whether nothing has been sent for it. */
     public boolean hasNotStarted() {
         return answeredRequests.isEmpty()
                 && countRequests(request -> !request.attempts.isEmpty()) == 0;
     }
 
-    /** Its first step is answered: the requests of its second are to come. */
+    /** Starts the second step, whose requests are still to be added. */
     public void beginSecondStep() {
         answeredRequests.addAll(requests);
         requests.clear();
@@ -213,7 +215,7 @@
         replicaOffset = -1;
     }
 
-    /** Drops requests whose place others take. */
+    /** Removes requests that others have replaced. */
     public void removeShardRequests(Collection<? extends ShardRequest> replaced) {
         requests.removeAll(replaced);
     }
--- a/src/main/java/postbeam/model/QueryClass.java
+++ b/src/main/java/postbeam/model/QueryClass.java
@@ -3,38 +3,44 @@
 import java.time.Duration;
 
 /**
- * A class of queries: what its clients were promised and what its answers are worth. Classes are
- * compared by identity.
+ * A class of queries with its service level objective and utilities. Classes are compared by
+ * identity.
  */
 public final class QueryClass {
     /** Time from the client's first request within which an answer is on time. */
     public final Duration latencyObjective;
 
-    /** What a second execution of its shard requests does. */
+    /** Effect of executing its shard requests more than once. */
     public final SideEffects sideEffects;
 
-    /** How long nodes drop a second execution of a deduplicated request; null where not stated. */
+    /** How long nodes drop duplicates of a deduplicated request; null if not configured. */
     public final Duration deduplicationWindow;
 
-    /** What a complete answer on time earns. */
+    /** Utility of a complete answer on time. */
     public final double utility;
 
-    /** Share of the utility that an answer after the latency objective still earns. */
+    /** Share of the utility of an answer after the latency objective. */
     public final double lateUtility;
 
-    /** Share of the weight that makes a complete answer, from 0 to 1. */
+    /** Share of the weight required for a complete answer, from 0 to 1. */
     public final double requiredWeight;
 
-    /** Least share of the weight for any answer, from 0 to 1. */
+    /** Minimum share of the weight for a partial answer, from 0 to 1. */
     public final double minimumWeight;
 
-    /** Share of the utility that a partial answer earns, times its weight over the required one. */
+    /**
+     * Share of the utility of a partial answer, multiplied by its weight relative to the required
+     * one.
+     */
     public final double partialUtility;
 
-    /** The class of the requests that follow a first answer; null where a query has one step. */
+    /**
+     * The class of the second step, whose requests follow a first answer; null if there is one
+     * step.
+     */
     public final QueryClass secondStep;
 
-    /** How long a client waits in all, with its retries; null where not stated. */
+    /** Total time that a client waits, including its retries; null if not configured. */
     public final Duration totalClientTimeout;
 
     private QueryClass(Builder builder) {
@@ -50,12 +56,12 @@
         totalClientTimeout = builder.totalClientTimeout;
     }
 
-    /** Begins a class of queries that promises an answer within this time. */
+    /** Returns a builder of a class with this latency objective. */
     public static Builder builder(Duration latencyObjective, SideEffects sideEffects) {
         return new Builder(latencyObjective, sideEffects);
     }
 
-    /** Begins a class that differs from this one in what is then set. */
+    /** Returns a builder initialised with this class. */
     public Builder toBuilder() {
         Builder builder = new Builder(latencyObjective, sideEffects);
         builder.deduplicationWindow = deduplicationWindow;
@@ -69,12 +75,15 @@
         return builder;
     }
 
-    /** Whether less than all of its requests make a complete answer. */
+    /** Whether a subset of its requests makes a complete answer. */
     public boolean acceptsSubset() {
         return requiredWeight < 1;
     }
 
-    /** Sets up a class; what is not set promises least: all requests needed, nothing for less. */
+    /**
+     * Builder of query classes. By default all requests are required and late or partial answers
+     * earn nothing.
+     */
     public static final class Builder {
         private final Duration latencyObjective;
         private final SideEffects sideEffects;
@@ -92,41 +101,39 @@
             this.sideEffects = sideEffects;
         }
 
-        /** Sets how long nodes drop a second execution; null where not stated. */
+        /** Sets how long nodes drop duplicates; null if not configured. */
         public Builder deduplicationWindow(Duration window) {
             deduplicationWindow = window;
             return this;
         }
 
-        /** Sets what a complete answer on time earns, and which share of it a late one does. */
+        /** Sets the utility of a complete answer on time, and the share of it of a late one. */
         public Builder utility(double onTime, double lateShare) {
             utility = onTime;
             lateUtility = lateShare;
             return this;
         }
 
-        /** Sets the share of the weight of a complete answer, and the least one for any answer. */
+        /** Sets the shares of the weight for a complete and for a partial answer. */
         public Builder weights(double required, double minimum) {
             requiredWeight = required;
             minimumWeight = minimum;
             return this;
         }
 
-        /**
-         * Sets the share of the utility that a partial answer earns, before its own weight counts.
-         */
+        /** Sets the share of the utility of a partial answer. */
         public Builder partialUtility(double share) {
             partialUtility = share;
             return this;
         }
 
-        /** Sets the class of the requests that follow a first answer; null for none. */
+        /** Sets the class of the second step; null for none. */
         public Builder secondStep(QueryClass second) {
             secondStep = second;
             return this;
         }
 
-        /** Sets how long a client waits in all, with its retries; null where not stated. */
+        /** Sets the total time that a client waits; null if not configured. */
         public Builder totalClientTimeout(Duration timeout) {
             totalClientTimeout = timeout;
             return this;
--- a/src/main/java/postbeam/model/Readiness.java
+++ b/src/main/java/postbeam/model/Readiness.java
@@ -1,10 +1,10 @@
 package postbeam.model;
 
-/** What the endpoint list says of a data node. */
+/** State of a data node in the endpoint list. */
 public enum Readiness {
-    /** It takes requests. */
+    /** It accepts requests. */
     READY,
-    /** It finishes what it has, and takes no new requests. */
+    /** It finishes its requests and accepts no new ones. */
     DRAINING,
     /** It is no longer listed. */
     REMOVED
--- a/src/main/java/postbeam/model/ReplicaPlacement.java
+++ b/src/main/java/postbeam/model/ReplicaPlacement.java
@@ -4,25 +4,26 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Which of the listed data nodes hold a shard. */
+/** The placement of shards on the listed data nodes. */
 public interface ReplicaPlacement {
-    /**
-     * Sets the order of replica lists; nodes that compare equal keep the order of the placement.
-     */
+    /** Sets the order of replica lists; equal nodes keep the order of the placement. */
     void setReplicaOrder(Comparator<DataNode> order);
 
-    /** The node has come onto the endpoint list. */
+    /** Adds a node that has been listed. */
     void add(DataNode node);
 
-    /** The node has gone from the endpoint list. */
+    /** Removes a node that is no longer listed. */
     void remove(DataNode node);
 
-    /** The nodes that hold the shard, in order; a list not to be changed, empty where none does. */
+    /**
+     * The listed nodes that hold the shard, in order; a list not to be modified, empty if there are
+     * none.
+     */
     List<DataNode> replicas(int shard);
 
-    /** How many nodes hold a shard, on the mean and rounded up; 1 at least. */
+    /** Number of nodes that hold a shard, on average and rounded up; at least 1. */
     int replicationFactor();
 
-    /** When the node acquired the shard from another; null where not known, or long ago. */
+    /** When the node acquired the shard from another; null if not known or long ago. */
     Duration acquiredAt(int shard, DataNode node);
 }
--- a/src/main/java/postbeam/model/ShardRequest.java
+++ b/src/main/java/postbeam/model/ShardRequest.java
@@ -5,9 +5,9 @@
 import java.util.Collections;
 import java.util.List;
 
-/** The part of a query that one shard answers. */
+/** The part of a query that is answered by one shard. */
 public class ShardRequest {
-    /** The query that it belongs to. */
+    /** Its query. */
     public final Query query;
 
     /** The class of the query's step that it belongs to. */
@@ -16,26 +16,26 @@
     /** The shard that answers it. */
     public final int shard;
 
-    /** Its share of the query's answer, from 0 to 1. */
+    /** Its weight in the query's answer, from 0 to 1. */
     public final double weight;
 
-    /** How long a node is expected to work on it; null where no hint came. */
+    /** Estimated work of a node; null without a hint. */
     public final Duration estimatedWork;
 
     private final List<Attempt> allAttempts = new ArrayList<>();
     private final List<Attempt> inFlight = new ArrayList<>();
 
-    /** All attempts so far, oldest first; a view that can't be changed. */
+    /** All attempts so far, oldest first; an unmodifiable view. */
     public final List<Attempt> attempts = Collections.unmodifiableList(allAttempts);
 
-    /** The attempts without an outcome, oldest first; a view that can't be changed. */
+    /** The attempts without an outcome, oldest first; an unmodifiable view. */
     public final List<Attempt> attemptsInFlight = Collections.unmodifiableList(inFlight);
 
     private boolean answered;
     private boolean closed;
     private Duration mayHaveExecutedSince;
 
-    /** Creates a request of the query's present step, and adds it to the query. */
+    /** Creates a request of the query's present step and adds it to the query. */
     public ShardRequest(Query query, int shard, double weight, Duration estimatedWork) {
         this.query = query;
         this.queryClass = query.queryClass();
@@ -45,34 +45,32 @@
         query.add(this);
     }
 
-    /** Whether an attempt has brought its answer. */
+    /** Whether it is answered. */
     public boolean isAnswered() {
         return answered;
     }
 
-    /** An attempt has brought its answer. */
+    /** Records that it is answered. */
     public void markAnswered() {
         answered = true;
     }
 
-    /** Whether no further attempt is allowed. */
+    /** Whether no further attempts are allowed. */
     public boolean isClosed() {
         return closed;
     }
 
-    /** No further attempt is allowed. */
+    /** Disallows further attempts. */
     public void close() {
         closed = true;
     }
 
-    /**
-     * When the first attempt that may have been executed was sent; null while none may have been.
-     */
+    /** When the first attempt that may have been executed was sent; null if there is none. */
     public Duration mayHaveExecutedSince() {
         return mayHaveExecutedSince;
     }
 
-    /** An attempt sent then may have been executed. */
+    /** Records that an attempt sent at this time may have been executed. */
     public void recordPossibleExecution(Duration sentAt) {
         if (mayHaveExecutedSince == null || mayHaveExecutedSince.compareTo(sentAt) > 0) {
             mayHaveExecutedSince = sentAt;
@@ -80,8 +78,8 @@
     }
 
     /**
-     * Takes over the attempts of another request that is over and whose keys this one covers: what
-     * may have been executed there may have been executed here.
+     * Inherits the attempts of a request that this one replaces: what may have been executed for
+     * the other may have been executed for this one.
      */
     public void inheritAttempts(ShardRequest other) {
         allAttempts.addAll(other.allAttempts);
--- a/src/main/java/postbeam/model/SideEffects.java
+++ b/src/main/java/postbeam/model/SideEffects.java
@@ -1,11 +1,11 @@
 package postbeam.model;
 
-/** What a second execution of a shard request does. */
+/** Effect of executing a shard request more than once. */
 public enum SideEffects {
-    /** Nothing that the first has not done: it may be sent again at any time. */
+    /** None: it may be sent any number of times. */
     IDEMPOTENT,
-    /** Nodes drop a second one that comes within the class's deduplication window. */
+    /** Nodes drop duplicates within the class's deduplication window. */
     DEDUPLICATED,
-    /** It takes effect twice: it may not be sent again once it may have been executed. */
+    /** It takes effect each time: it must not be sent again if it may have been executed. */
     NON_IDEMPOTENT
 }
--- a/src/main/java/postbeam/model/SlidingWindowCounter.java
+++ b/src/main/java/postbeam/model/SlidingWindowCounter.java
@@ -4,24 +4,23 @@
 import java.util.Arrays;
 
 /**
- * A sum over the recent past, kept in fixed buckets of time that are reused in a ring. As a bucket
- * is forgotten as a whole, a sum is told as an upper or a lower bound of what was added within a
- * span.
+ * A sum over a sliding window, kept in a ring of buckets of time. As buckets expire as a whole,
+ * only an upper and a lower bound of the sum over a span are known.
  */
 public final class SlidingWindowCounter {
-    /** Coarse enough to be cheap; the two bounds differ by a fiftieth of the span. */
+    /** Bounds differ by the content of one bucket, a fiftieth of the span. */
     private static final int DEFAULT_BUCKETS = 50;
 
     private final long bucketNanos;
     private final double[] sums;
     private final long[] bucketNumbers;
 
-    /** Creates an empty counter that covers at least the span. */
+    /** Creates a counter for spans up to this one. */
     public SlidingWindowCounter(Duration span) {
         this(span, DEFAULT_BUCKETS);
     }
 
-    /** Creates an empty counter that covers at least the span, with so many buckets. */
+    /** Creates a counter for spans up to this one, with this number of buckets. */
     public SlidingWindowCounter(Duration span, int buckets) {
         bucketNanos = Math.max(1, span.toNanos() / buckets);
         sums = new double[buckets + 2];
@@ -29,7 +28,7 @@
         Arrays.fill(bucketNumbers, Long.MIN_VALUE);
     }
 
-    /** Adds an amount now. */
+    /** Adds an amount at this time; times must not decrease. */
     public void add(Duration now, double amount) {
         long bucket = Math.floorDiv(now.toNanos(), bucketNanos);
         int i = (int) Math.floorMod(bucket, (long) sums.length);
@@ -40,12 +39,14 @@
         sums[i] += amount;
     }
 
-    /** All that was added within the span, and what was at most one bucket's width before it. */
+    /**
+     * Upper bound of the sum over the span: includes all of the bucket in which the span begins.
+     */
     public double upperBoundSum(Duration now, Duration span) {
         return sum(now, Math.floorDiv(now.minus(span).toNanos(), bucketNanos));
     }
 
-    /** What was added within the span, less what shares a bucket with its start. */
+    /** Lower bound of the sum over the span: excludes the bucket in which the span begins. */
     public double lowerBoundSum(Duration now, Duration span) {
         return sum(now, Math.floorDiv(now.minus(span).toNanos(), bucketNanos) + 1);
     }
--- a/src/main/java/postbeam/model/Tenant.java
+++ b/src/main/java/postbeam/model/Tenant.java
@@ -1,11 +1,11 @@
 package postbeam.model;
 
-/** A tenant: the owner of queries, with a quota; tenants are compared by identity. */
+/** An owner of queries with a quota. Tenants are compared by identity. */
 public final class Tenant {
-    /** Queries a second, over all routers, within its quota; null where none is stated. */
+    /** Quota in queries per second over all routers; null if not configured. */
     public final Double quotaPerSecond;
 
-    /** Creates a tenant; the quota is null where none is stated. */
+    /** Creates a tenant; the quota may be null. */
     public Tenant(Double quotaPerSecond) {
         this.quotaPerSecond = quotaPerSecond;
     }
--- a/src/main/java/postbeam/policy/AdmissionControl.java
+++ b/src/main/java/postbeam/policy/AdmissionControl.java
@@ -12,19 +12,20 @@
 import postbeam.model.Tenant;
 
 /**
- * How full the router is, which tenants are beyond their quota, and how long rejected clients wait.
+ * Load and quota accounting: whether the router is crowded, which queries exceed their tenant's
+ * quota, and the Retry-After of rejected clients.
  */
 public final class AdmissionControl {
-    /** Share of the limit on held queries and requests from which the router is crowded. */
+    /** Share of {@code maxHeld} above which the router counts as crowded. */
     private static final double CROWDED_SHARE = 0.7;
 
-    /** How long tenants' queries are counted. */
+    /** Window over which tenants' queries are counted. */
     private static final Duration QUOTA_WINDOW = Duration.ofSeconds(5);
 
-    /** Queries that a tenant may be ahead of its quota: a burst of two is no excess. */
+    /** Queries by which a tenant may exceed its quota: a burst of two is normal. */
     private static final double QUOTA_TOLERANCE = 2;
 
-    /** Time that a client is told to wait after a rejection while the router is crowded. */
+    /** Retry-After of rejections while the router is crowded. */
     private static final Duration CROWDED_RETRY_AFTER = Duration.ofMillis(300);
 
     private final Integer maxHeld;
@@ -37,12 +38,12 @@
     private boolean crowded;
 
     /**
-     * Creates a control; each parameter is null where not stated.
+     * Creates the accounting of one router; a null parameter is not configured.
      *
-     * @param maxHeld most queries and shard requests that the router may hold
-     * @param routerCount routers among which quotas are divided
+     * @param maxHeld maximum number of queries and shard requests that the router may hold
+     * @param routerCount number of routers among which quotas are divided
      * @param overQuotaUtility share of the utility that a query beyond its tenant's quota earns
-     * @param maxRetryAfter longest wait that a rejected client may be told; null where none may be
+     * @param maxRetryAfter maximum Retry-After; null where rejections may not carry one
      */
     public AdmissionControl(
             Integer maxHeld, Integer routerCount, Double overQuotaUtility, Duration maxRetryAfter) {
@@ -52,7 +53,7 @@
         this.maxRetryAfter = maxRetryAfter;
     }
 
-    /** These are the queries open now. */
+    /** Recomputes the load from the open queries. */
     void update(List<Query> open) {
         int held = 0;
         for (Query query : open) {
@@ -61,12 +62,12 @@
         crowded = maxHeld != null && held > CROWDED_SHARE * maxHeld;
     }
 
-    /** Whether the router holds nearly as much as it may. */
+    /** Whether the router holds nearly as many queries and requests as it may. */
     boolean isCrowded() {
         return crowded;
     }
 
-    /** How long a client that is rejected now waits before its retry; zero for no advice. */
+    /** Retry-After of a rejection now; zero for none. */
     Duration retryAfter() {
         return crowded && maxRetryAfter != null
                 ? min(CROWDED_RETRY_AFTER, maxRetryAfter)
@@ -74,9 +75,10 @@
     }
 
     /**
-     * Counts a query of the tenant, and says whether it is beyond the quota: beyond the tenant's
-     * even share at this router, and further than the router's tenants are on the whole, as a
-     * router with more clients than the others sees all tenants beyond their share.
+     * Counts a query of the tenant and returns whether it exceeds the quota. It does if the tenant
+     * exceeds its even share at this router and is further ahead of its quota than the router's
+     * tenants are on average: a router with more clients than the others would otherwise see every
+     * tenant over quota.
      */
     boolean countsAsOverQuota(Duration now, Tenant tenant) {
         if (tenant == null
--- a/src/main/java/postbeam/policy/AttemptLimits.java
+++ b/src/main/java/postbeam/policy/AttemptLimits.java
@@ -1,9 +1,9 @@
 package postbeam.policy;
 
 /**
- * What the deployment allows to be done with attempts.
+ * What the deployment allows for attempts.
  *
- * @param maxAttempts most attempts of one shard request
+ * @param maxAttempts maximum number of attempts of one shard request
  * @param hedgingAllowed whether a request may have a second attempt in flight
  * @param cancellationAllowed whether attempts may be cancelled
  * @param probesAllowed whether nodes may be probed
@@ -16,7 +16,9 @@
         boolean probesAllowed,
         boolean batchingEnabled) {
 
-    /** Takes settings, null where not stated; what is not stated is not allowed. */
+    /**
+     * Creates limits from settings; a null setting allows nothing beyond one attempt per request.
+     */
     public AttemptLimits(
             Integer maxAttempts,
             Boolean hedgingAllowed,
--- a/src/main/java/postbeam/policy/AttemptSender.java
+++ b/src/main/java/postbeam/policy/AttemptSender.java
@@ -7,7 +7,7 @@
 import postbeam.model.Query;
 import postbeam.model.ShardRequest;
 
-/** Sends attempts, and counts them wherever that is to be counted. */
+/** Sends attempts and updates all modules that account for them. */
 final class AttemptSender {
     private final PolicyActions actions;
     private final Cluster cluster;
--- a/src/main/java/postbeam/policy/CanaryPolicy.java
+++ b/src/main/java/postbeam/policy/CanaryPolicy.java
@@ -8,21 +8,18 @@
 import postbeam.model.SlidingWindowCounter;
 
 /**
- * Guards against a query whose requests crash the nodes that begin them: while nodes crash, one
- * request goes ahead as a canary, and the others follow once one is answered; a query that lost its
- * canary is poisoned. It costs the time of a request, and could hurt where nodes crash for other
- * reasons and time is short.
+ * Limits the damage of a query whose requests crash the nodes that execute them. While nodes crash,
+ * one request of a query is sent first as a canary, and the others follow once it is answered; a
+ * query whose canary is lost is marked as poisoned. This costs the latency of one request, also
+ * when nodes crash for other reasons.
  */
 final class CanaryPolicy {
-    /**
-     * How long a crash counts as a sign of queries that crash nodes, and how many such tell of
-     * them.
-     */
+    /** Window in which crashes are counted, and the number of crashes that requires canaries. */
     private static final Duration CRASH_MEMORY = Duration.ofSeconds(10);
 
     private static final int MIN_CRASHES = 2;
 
-    /** Nodes that died or restarted with no drain before, by the endpoint list. */
+    /** Nodes that disappeared or restarted without draining, according to the endpoint list. */
     private final SlidingWindowCounter crashes = new SlidingWindowCounter(CRASH_MEMORY);
 
     void onNodeCrash(Duration now) {
@@ -39,7 +36,7 @@
         }
     }
 
-    /** Whether the query's next request goes ahead of the others. */
+    /** Whether the query's next request must be sent as a canary. */
     boolean needsCanary(Duration now, Query query) {
         return query.countRequests(ShardRequest::isAnswered) == 0
                 && (query.resetCount() > 0
--- a/src/main/java/postbeam/policy/ClientRetryDating.java
+++ b/src/main/java/postbeam/policy/ClientRetryDating.java
@@ -10,34 +10,34 @@
 import postbeam.model.QueryClass;
 
 /**
- * Dates clients' retries back to their first request, from which the latency objective counts.
- * Guards against work for retries whose objective is over or nearly so: one that may wait less than
- * a first request has what is left of its client's whole time. It could hurt where clients give
- * their retries less time for reasons of their own.
+ * Backdates retries of clients to their first request, from which the latency objective counts.
+ * This avoids work for retries whose objective has already passed: a retry with less time than
+ * first requests have is assumed to have the rest of its client's total timeout. The estimate is
+ * wrong for clients that use shorter timeouts for retries for other reasons.
  */
 final class ClientRetryDating {
-    /** Weight of a new sample of what clients wait, where it is longer than before. */
+    /** Weight of a new sample that is longer than the estimate. */
     private static final double SMOOTHING = 0.25;
 
-    /** What clients wait at their first request, by class. */
+    /** Estimated client timeout of first requests, per class. */
     private final Map<QueryClass, Duration> firstRequestTimeouts = new HashMap<>();
 
     void onQuery(Duration now, Query query) {
         QueryClass queryClass = query.queryClass();
         Duration timeout = query.deadline.minus(now);
-        Duration usual = firstRequestTimeouts.get(queryClass);
+        Duration estimate = firstRequestTimeouts.get(queryClass);
         if (!query.isClientRetry()) {
-            firstRequestTimeouts.put(queryClass, updated(usual, timeout));
+            firstRequestTimeouts.put(queryClass, updated(estimate, timeout));
         } else if (queryClass.totalClientTimeout != null
-                && usual != null
-                && timeout.plus(FINAL_ANSWER_MARGIN).compareTo(usual) < 0) {
+                && estimate != null
+                && timeout.plus(FINAL_ANSWER_MARGIN).compareTo(estimate) < 0) {
             query.backdateTo(query.deadline.minus(queryClass.totalClientTimeout));
         }
     }
 
-    private static Duration updated(Duration usual, Duration sample) {
-        return usual == null || sample.compareTo(usual) < 0
+    private static Duration updated(Duration estimate, Duration sample) {
+        return estimate == null || sample.compareTo(estimate) < 0
                 ? sample
-                : usual.plus(scale(sample.minus(usual), SMOOTHING));
+                : estimate.plus(scale(sample.minus(estimate), SMOOTHING));
     }
 }
--- a/src/main/java/postbeam/policy/CompletionForecast.java
+++ b/src/main/java/postbeam/policy/CompletionForecast.java
@@ -6,9 +6,9 @@
 import postbeam.model.Query;
 import postbeam.model.QueryClass;
 
-/** What the usual latency says about when a query can be complete. */
+/** Predicts from the typical latency when a query can be complete. */
 final class CompletionForecast {
-    /** Times the usual latency that the slowest of many requests takes without being unlucky. */
+    /** Multiple of the typical latency that is normal for the slowest of many requests. */
     static final double SLOWEST_REQUEST_FACTOR = 2.5;
 
     private final LatencyEstimator latencies;
@@ -19,44 +19,51 @@
         this.window = window;
     }
 
-    /** Its objective is over, or so many usual latencies for what is unsent last past its end. */
+    /**
+     * Whether the latency objective has passed, or will have passed when the requests that are not
+     * yet sent have taken this multiple of the typical latency.
+     */
     boolean isTooLate(Duration now, Query query, double rounds) {
         QueryClass queryClass = query.queryClass();
         Duration done =
                 query.requestsNeeded() > query.requestsInFlight()
-                        ? now.plus(latencies.usualLatency(now, queryClass, rounds))
+                        ? now.plus(latencies.typicalLatency(now, queryClass, rounds))
                         : now;
         if (queryClass.secondStep != null) {
-            done = done.plus(latencies.usualLatency(now, queryClass.secondStep, 1));
+            done = done.plus(latencies.typicalLatency(now, queryClass.secondStep, 1));
         }
         return done.compareTo(query.sloDeadline()) >= 0;
     }
 
-    /** The same, in as many rounds as the window as it is takes for what is needed. */
+    /**
+     * Like {@link #isTooLate}, with as many rounds as the present window needs for the missing
+     * requests.
+     */
     boolean isTooLateInWindow(Duration now, Query query) {
         return isTooLate(now, query, 1 + query.requestsNeeded() / window.size());
     }
 
     /**
-     * Guards against beginning what the usual latency brings past its client's limit or objective,
-     * over and over. While nothing else is in flight it is tried: what was learnt may be out of
-     * date.
+     * Whether the query would miss its objective or its client's deadline at the typical latency.
+     * Starting such queries would only waste capacity. While nothing is in flight this is always
+     * false, as what was learnt may be out of date.
      */
-    boolean isHopeless(Duration now, Query query) {
+    boolean cannotFinishInTime(Duration now, Query query) {
         QueryClass queryClass = query.queryClass();
         double factor = slowestFactor(query);
         Duration clientLimit = query.deadline.minus(PolicyTiming.FINAL_ANSWER_MARGIN);
         Duration left = min(query.sloDeadline(), clientLimit).minus(now);
         if (queryClass.secondStep != null) {
-            left = left.minus(latencies.usualLatency(now, queryClass.secondStep, factor));
+            left = left.minus(latencies.typicalLatency(now, queryClass.secondStep, factor));
         }
         return window.inFlight() > 0
                 && latencies.hasLearntBaseline(queryClass)
-                && left.compareTo(latencies.usualLatency(now, queryClass, factor)) < 0;
+                && left.compareTo(latencies.typicalLatency(now, queryClass, factor)) < 0;
     }
 
     /**
-     * Times the usual latency that the query takes: its slowest request, or rounds in the window.
+     * Multiple of the typical latency that the query takes: its slowest request, or the number of
+     * rounds through the window.
      */
     private double slowestFactor(Query query) {
         int requests = query.shardRequests.size();
--- a/src/main/java/postbeam/policy/ConcurrencyWindow.java
+++ b/src/main/java/postbeam/policy/ConcurrencyWindow.java
@@ -7,32 +7,31 @@
 import postbeam.model.QueryClass;
 
 /**
- * How many shard requests this router may have in flight: the paper's threads. The window is halved
- * when a node is overloaded, narrowed by late answers, and widened by answers while it is in use.
+ * Limit on the attempts that this router may have in flight (the threads of the SEDPT-R paper). The
+ * window is halved when a node is overloaded, narrowed by late answers, and widened by answers
+ * while it is in use.
  */
 final class ConcurrencyWindow {
-    /** Attempts in flight: at the start, and the least it falls to. */
+    /** Initial and minimum size, in attempts. */
     private static final int INITIAL = 32;
 
     private static final int MIN = 4;
 
-    /**
-     * Attempts that all routers together may have in flight at each node with windows at the least.
-     */
+    /** Minimum size summed over all routers, in attempts per node. */
     private static final double MIN_PER_NODE = 2.5;
 
     /**
-     * Share of the latency objective from which an answer is late, and by what it narrows the
-     * window.
+     * Share of the latency objective above which an answer is late, and the decrease per late
+     * answer.
      */
     private static final double LATE_SHARE = 0.25;
 
     private static final int LATE_DECREASE = 2;
 
-    /** Times the usual latency that is late itself, where late answers narrow the window. */
-    private static final double LATE_USUAL_FACTOR = 2;
+    /** Multiple of the typical latency that must be late itself for a late answer to count. */
+    private static final double LATE_TYPICAL_FACTOR = 2;
 
-    /** Share of the window from which it is in use. */
+    /** Share of the window above which it counts as in use. */
     private static final double IN_USE_SHARE = 0.6;
 
     private final Cluster cluster;
@@ -48,27 +47,27 @@
         this.routerCount = routerCount;
     }
 
-    /** Attempts that may be in flight. */
+    /** Maximum number of attempts in flight. */
     double size() {
         return size;
     }
 
-    /** Attempts that are in flight. */
+    /** Number of attempts in flight. */
     int inFlight() {
         return inFlight;
     }
 
-    /** Whether it is narrower than at the start, so that further work lengthens the wait. */
+    /** Whether it is narrower than initially, so that additional work increases queueing. */
     boolean isNarrow() {
         return size < INITIAL;
     }
 
-    /** Whether one more attempt fits in, where so many in flight are lost and count no more. */
+    /** Whether one more attempt fits, not counting this number of lost ones. */
     boolean hasRoom(int lost) {
         return inFlight - lost < size;
     }
 
-    /** Whether one more attempt fits in and leaves room for others. */
+    /** Whether one more attempt fits and leaves room for others. */
     boolean hasAmpleRoom(int lost) {
         return inFlight - lost < size * IN_USE_SHARE;
     }
@@ -82,8 +81,8 @@
     }
 
     /**
-     * A node rejected an attempt, sent then, as overloaded. What was sent before the last halving
-     * tells nothing new: else a few overloaded nodes would close the window.
+     * A node that is not ejected rejected an attempt as overloaded. Attempts sent before the last
+     * halving are ignored, so that one batch of rejections halves the window once.
      */
     void onOverloaded(Duration now, Duration sentAt) {
         if (halvedAt == null || sentAt.compareTo(halvedAt) > 0) {
@@ -93,16 +92,15 @@
     }
 
     /**
-     * An answer came, whose attempt is no more in flight. Guards against a wide window while every
-     * node is slow, which no rejection tells: late answers narrow it where the usual node is slow
-     * too.
+     * An answer arrived; its attempt is no longer in flight. Late answers narrow the window only if
+     * the typical node is slow too: then all nodes are slow without rejecting anything.
      */
     void onAnswer(Duration now, QueryClass queryClass, Duration latency) {
         Duration limit = scale(queryClass.latencyObjective, LATE_SHARE);
         boolean late =
                 latency.compareTo(limit) > 0
                         && latencies
-                                        .usualLatency(now, queryClass, LATE_USUAL_FACTOR)
+                                        .typicalLatency(now, queryClass, LATE_TYPICAL_FACTOR)
                                         .compareTo(limit)
                                 > 0;
         double next = size;
@@ -115,7 +113,8 @@
     }
 
     /**
-     * This router's share of a few attempts a node: less would leave nodes idle while queries wait.
+     * This router's share of a few attempts per node: less would leave nodes idle while queries
+     * wait.
      */
     private double min() {
         return Math.max(MIN, MIN_PER_NODE * cluster.size() / routerCount);
--- a/src/main/java/postbeam/policy/HealthRecord.java
+++ b/src/main/java/postbeam/policy/HealthRecord.java
@@ -5,17 +5,17 @@
 import java.time.Duration;
 import postbeam.model.SlidingWindowCounter;
 
-/** Outcomes of a node or of a whole zone lately, and for how long it is ejected. */
+/** Recent outcomes of a node or of a zone, and its ejection. */
 class HealthRecord {
-    /** How long outcomes are remembered. */
+    /** Window in which outcomes are counted. */
     private static final Duration MEMORY = LatencyEstimator.MEMORY;
 
-    /** First and longest ejection; each further one is twice as long. */
+    /** Duration of the first ejection, doubled by each further one up to the maximum. */
     private static final Duration FIRST_EJECTION = Duration.ofMillis(500);
 
     private static final Duration LONGEST_EJECTION = Duration.ofSeconds(4);
 
-    /** Keeps the doubling within a long. */
+    /** Keeps the multiplier within a long. */
     private static final int MAX_DOUBLINGS = 10;
 
     private final SlidingWindowCounter successes = new SlidingWindowCounter(MEMORY);
@@ -31,14 +31,14 @@
         failures.add(now, 1);
     }
 
-    /** Whether at least so many outcomes, and such a share of them, were failures lately. */
+    /** Whether both the number and the share of recent failures reach these minimums. */
     boolean isFailing(Duration now, int minFailures, double minShare) {
         double failed = failures.upperBoundSum(now, MEMORY);
         return failed >= minFailures
                 && failed >= minShare * (failed + successes.upperBoundSum(now, MEMORY));
     }
 
-    /** Ejects it, unless it is ejected for longer than now; true where that was done. */
+    /** Starts an ejection unless one is in progress; returns whether it did. */
     boolean eject(Duration now) {
         if (ejectedUntil != null && now.compareTo(ejectedUntil) < 0) {
             return false;
@@ -49,33 +49,33 @@
         return true;
     }
 
-    /** Ends its ejection; the next one is still a longer one. */
+    /** Ends the ejection; its count is kept, so that the next one is longer. */
     void reinstate() {
         ejectedUntil = null;
     }
 
-    /** Ends its ejection and forgets all earlier ones. */
+    /** Ends the ejection and resets the count. */
     void forgetEjections() {
         ejectedUntil = null;
         ejectionCount = 0;
     }
 
-    /** Forgets one earlier ejection. */
+    /** Reduces the count by one. */
     void forgetOneEjection() {
         ejectionCount = Math.max(0, ejectionCount - 1);
     }
 
-    /** Whether it is ejected, be its time over or not. */
+    /** Whether it is ejected and not yet reinstated, even if the duration has passed. */
     boolean isEjected() {
         return ejectedUntil != null;
     }
 
-    /** Whether it is ejected and the time of that is not over. */
+    /** Whether it is ejected and the duration has not passed. */
     boolean isWithinEjection(Duration now) {
         return ejectedUntil != null && now.compareTo(ejectedUntil) < 0;
     }
 
-    /** Whether earlier ejections are remembered. */
+    /** Whether the count is above zero. */
     boolean hasEjections() {
         return ejectionCount > 0;
     }
--- a/src/main/java/postbeam/policy/HedgingPolicy.java
+++ b/src/main/java/postbeam/policy/HedgingPolicy.java
@@ -6,14 +6,14 @@
 import postbeam.model.SideEffects;
 
 /**
- * When more is sent than a query needs: a second attempt of an idempotent request beside one that
- * is probably lost, and spare requests of a query that a subset of its requests completes.
+ * Decides on redundant requests: a hedged attempt of an idempotent request whose first attempt is
+ * probably lost, and spare requests of a query that a subset of its requests completes.
  */
 final class HedgingPolicy {
-    /** Attempts of one request that may be in flight together. */
+    /** Maximum number of attempts of one request in flight. */
     private static final int MAX_PARALLEL_ATTEMPTS = 2;
 
-    /** Share of the attempts in flight that may be spares. */
+    /** Maximum share of spares among the attempts in flight. */
     private static final double SPARE_SHARE = 0.1;
 
     private final AttemptLimits limits;
@@ -25,7 +25,7 @@
         this.window = window;
     }
 
-    /** Whether the request may get a further attempt beside what is in flight. */
+    /** Whether the request may have a further attempt in addition to those in flight. */
     boolean mayHedge(ShardRequest request) {
         return limits.hedgingAllowed()
                 && request.query.queryClass().sideEffects == SideEffects.IDEMPOTENT
@@ -40,7 +40,9 @@
         }
     }
 
-    /** Whether the query may be sent a spare; in a narrow window that lengthens the wait. */
+    /**
+     * Whether the query may send a spare. In a narrow window a spare would only increase queueing.
+     */
     boolean maySendSpare(Query query) {
         return query.queryClass().acceptsSubset()
                 && !window.isNarrow()
--- a/src/main/java/postbeam/policy/LatencyEstimator.java
+++ b/src/main/java/postbeam/policy/LatencyEstimator.java
@@ -15,37 +15,39 @@
 import postbeam.model.QueryClass;
 
 /**
- * Learns how long shard requests take: for each query class the latency at an idle node (its
- * baseline), for each node the ratio of its latencies to the baseline (its slowdown), and the
- * slowdown of the usual node, beside which single nodes are judged.
+ * Estimates latencies: the baseline of each query class is the latency of a shard request at an
+ * idle node, the slowdown of a node is the smoothed ratio of its latencies to the baseline, and the
+ * typical slowdown is that of a typical node that answered recently, to which single nodes are
+ * compared.
  */
 final class LatencyEstimator {
-    /** How long a node's answer tells anything of it: a few queries' worth. */
+    /** Time for which a node's last answer is taken into account. */
     static final Duration MEMORY = Duration.ofSeconds(4);
 
-    /** Weights with which a baseline falls to a faster answer and rises to a slower one. */
+    /** Weights of a sample below and above the baseline. */
     private static final double BASELINE_FALL = 0.2;
 
     private static final double BASELINE_RISE = 0.01;
 
-    /**
-     * Seconds over which a baseline rises at most to a slower answer: a short jam does not count.
-     */
+    /** Minimum time constant for rising, in seconds, so that a short overload has little effect. */
     private static final double BASELINE_RISE_SECONDS = 20;
 
-    /** Share of the latency objective that is taken for a baseline before any answer. */
+    /** Initial baseline, as a share of the latency objective. */
     private static final double BASELINE_GUESS = 0.1;
 
-    /** Least baseline that a latency is divided by, in seconds. */
+    /** Minimum divisor of a slowdown, in seconds. */
     private static final double LEAST_BASELINE_SECONDS = 0.001;
 
-    /** Quantile, by slowdown, of the usual node. */
-    private static final double USUAL_QUANTILE = 0.5;
+    /** Quantile of the slowdowns that is typical. */
+    private static final double TYPICAL_QUANTILE = 0.5;
 
-    /** The usual node is that of the lower quantile where the other is so many times as slow. */
-    private static final double SOUND_QUANTILE = 0.33;
+    /**
+     * Lower quantile, used where it is smaller by more than this ratio: up to two thirds of the
+     * nodes may be slow.
+     */
+    private static final double LOWER_QUANTILE = 0.33;
 
-    private static final double SOUND_RATIO = 2;
+    private static final double MAX_QUANTILE_RATIO = 2;
 
     private static final class Baseline {
         private Duration latency;
@@ -55,19 +57,17 @@
     private final Cluster cluster;
     private final Map<QueryClass, Baseline> baselines = new HashMap<>();
 
-    /** Nodes that have answered, the latest last. */
+    /** Nodes that have answered, in order of their last answer. */
     private final Set<DataNode> recentlyAnswered = new LinkedHashSet<>();
 
-    private Duration usualSlowdownAt;
-    private double usualSlowdown;
+    private Duration typicalSlowdownAt;
+    private double typicalSlowdown;
 
     LatencyEstimator(Cluster cluster) {
         this.cluster = cluster;
     }
 
-    /**
-     * Latency of the class's shard requests at an idle node, as learnt or, before that, guessed.
-     */
+    /** The class's latency at an idle node; a guess before the first answer. */
     Duration baseline(QueryClass queryClass) {
         Baseline baseline = baselines.get(queryClass);
         return baseline == null
@@ -79,33 +79,36 @@
         return baselines.containsKey(queryClass);
     }
 
-    /** Takes this for the class's baseline, as if learnt. */
+    /** Sets the baseline as if learnt. */
     void setBaseline(QueryClass queryClass, Duration latency) {
         baselines.computeIfAbsent(queryClass, key -> new Baseline()).latency = latency;
     }
 
-    /** So many times the latency of the class's shard requests at the usual node. */
-    Duration usualLatency(Duration now, QueryClass queryClass, double factor) {
-        return scale(baseline(queryClass), usualSlowdown(now) * factor);
+    /** The class's latency at a typical node, times the factor. */
+    Duration typicalLatency(Duration now, QueryClass queryClass, double factor) {
+        return scale(baseline(queryClass), typicalSlowdown(now) * factor);
     }
 
-    /** Slowdown of the usual node among those that answered lately; 1 at least. */
-    double usualSlowdown(Duration now) {
-        if (!now.equals(usualSlowdownAt)) {
-            usualSlowdownAt = now;
+    /**
+     * Slowdown of a typical node among those that answered recently; at least 1. Computed once for
+     * each point in time.
+     */
+    double typicalSlowdown(Duration now) {
+        if (!now.equals(typicalSlowdownAt)) {
+            typicalSlowdownAt = now;
             double[] slowdowns = recentSlowdowns(now.minus(MEMORY));
-            double usual = Math.max(1, quantile(slowdowns, USUAL_QUANTILE));
-            double sound = Math.max(1, quantile(slowdowns, SOUND_QUANTILE));
-            usualSlowdown = usual > SOUND_RATIO * sound ? sound : usual;
+            double middle = Math.max(1, quantile(slowdowns, TYPICAL_QUANTILE));
+            double lower = Math.max(1, quantile(slowdowns, LOWER_QUANTILE));
+            typicalSlowdown = middle > MAX_QUANTILE_RATIO * lower ? lower : middle;
         }
-        return usualSlowdown;
+        return typicalSlowdown;
     }
 
-    /** The node's slowdown beside the usual node's; 1 where not known. */
+    /** The node's slowdown relative to the typical one; 1 if the node has not answered recently. */
     double relativeSlowdown(Duration now, DataNode node) {
         NodeLatency latency = NodeState.of(node).latency;
         boolean known = latency.slowdown() > 0 && latency.hasAnsweredSince(now.minus(MEMORY));
-        return known ? latency.slowdown() / usualSlowdown(now) : 1;
+        return known ? latency.slowdown() / typicalSlowdown(now) : 1;
     }
 
     void onAttemptEnded(Duration now, Attempt attempt, AttemptOutcome outcome, Duration latency) {
@@ -124,7 +127,7 @@
         }
     }
 
-    /** The node has restarted: how slow it was says nothing of it now. */
+    /** Resets the slowdown of a node that has restarted. */
     void onRestart(DataNode node) {
         NodeState.of(node).latency.forgetSlowdown();
     }
@@ -134,14 +137,14 @@
     }
 
     /**
-     * The first answer of a class may be a slow one, and of a rare class the next comes late: it is
-     * divided by what the usual node's slowdown is for other classes.
+     * The first sample of a class is corrected by the typical slowdown: it may come from a slow
+     * node, and in a rare class the next sample comes late.
      */
     private void updateBaseline(Duration now, QueryClass queryClass, Duration latency) {
         Baseline baseline = baselines.get(queryClass);
         if (baseline == null) {
             baseline = new Baseline();
-            baseline.latency = scale(latency, 1 / usualSlowdown(now));
+            baseline.latency = scale(latency, 1 / typicalSlowdown(now));
             baselines.put(queryClass, baseline);
         }
         Duration known = baseline.latency;
@@ -162,7 +165,7 @@
         }
     }
 
-    /** Slowdowns of the nodes that answered after this, the least first. */
+    /** Slowdowns of the nodes that answered after this time, in ascending order. */
     private double[] recentSlowdowns(Duration since) {
         while (!recentlyAnswered.isEmpty()) {
             DataNode oldest = recentlyAnswered.iterator().next();
@@ -178,7 +181,7 @@
                 .toArray();
     }
 
-    private static double quantile(double[] sorted, double place) {
-        return sorted.length == 0 ? 0 : sorted[(int) (sorted.length * place)];
+    private static double quantile(double[] sorted, double fraction) {
+        return sorted.length == 0 ? 0 : sorted[(int) (sorted.length * fraction)];
     }
 }
--- a/src/main/java/postbeam/policy/NodeHealth.java
+++ b/src/main/java/postbeam/policy/NodeHealth.java
@@ -2,12 +2,15 @@
 
 import java.time.Duration;
 
-/** The health of one node. */
+/** The health of one data node. */
 final class NodeHealth extends HealthRecord {
-    /** Least time between outcomes of one node that count for its zone. */
+    /**
+     * Minimum time between outcomes of one node that count for its zone, so that few bad nodes do
+     * not make a bad zone.
+     */
     private static final Duration ZONE_SAMPLE_INTERVAL = Duration.ofSeconds(2);
 
-    /** The health of its zone. */
+    /** The health of the node's zone. */
     final ZoneHealth zone;
 
     private boolean probeInFlight;
@@ -29,7 +32,7 @@
         probeInFlight = false;
     }
 
-    /** Whether an outcome counts for the zone now; it is then counted. */
+    /** Returns whether an outcome counts for the zone now, and if so records the time. */
     boolean countsForZone(Duration now) {
         if (countedByZoneAt != null
                 && now.minus(countedByZoneAt).compareTo(ZONE_SAMPLE_INTERVAL) < 0) {
@@ -39,7 +42,7 @@
         return true;
     }
 
-    /** The node has restarted: its past failures say nothing of it now. */
+    /** Resets the ejections of a node that has restarted. */
     void onRestart() {
         forgetEjections();
         probeInFlight = false;
--- a/src/main/java/postbeam/policy/NodeLatency.java
+++ b/src/main/java/postbeam/policy/NodeLatency.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** How quickly, and when, one node lately answered this router. */
+/** Recent answers of one data node. */
 final class NodeLatency {
     /** Weight of a new sample: about the last four count. */
     private static final double SMOOTHING = 0.25;
@@ -11,7 +11,9 @@
     private Duration lastAnsweredAt;
     private Duration latestAnsweredSendTime;
 
-    /** Smoothed ratio of its latencies to the baseline of their class; 0 before the first. */
+    /**
+     * Smoothed ratio of the node's latencies to the baseline of their class; 0 before the first.
+     */
     double slowdown() {
         return slowdown;
     }
@@ -24,7 +26,7 @@
         slowdown = 0;
     }
 
-    /** It has now answered an attempt sent then. */
+    /** Records an answer to an attempt. */
     void recordAnswer(Duration now, Duration sentAt) {
         lastAnsweredAt = now;
         if (latestAnsweredSendTime == null || latestAnsweredSendTime.compareTo(sentAt) < 0) {
@@ -36,12 +38,12 @@
         return lastAnsweredAt != null && lastAnsweredAt.compareTo(since) >= 0;
     }
 
-    /** Whether its last answer came after this. */
+    /** Whether the last answer came after this time. */
     boolean hasAnsweredAfter(Duration time) {
         return lastAnsweredAt != null && lastAnsweredAt.compareTo(time) > 0;
     }
 
-    /** Whether it has answered an attempt that was sent later than this. */
+    /** Whether an attempt that was sent after this time is answered. */
     boolean hasAnsweredAttemptSentAfter(Duration sentAt) {
         return latestAnsweredSendTime != null && latestAnsweredSendTime.compareTo(sentAt) > 0;
     }
--- a/src/main/java/postbeam/policy/NodeMembership.java
+++ b/src/main/java/postbeam/policy/NodeMembership.java
@@ -6,7 +6,9 @@
 import postbeam.model.DataNode;
 import postbeam.model.Readiness;
 
-/** Takes over what the endpoint list says of a node, and tells the modules that remember it. */
+/**
+ * Applies updates of the endpoint list to the cluster and to the modules that keep state of nodes.
+ */
 final class NodeMembership {
     private final Random random;
     private final Cluster cluster;
--- a/src/main/java/postbeam/policy/NodeState.java
+++ b/src/main/java/postbeam/policy/NodeState.java
@@ -2,7 +2,10 @@
 
 import postbeam.model.DataNode;
 
-/** What the policy remembers of one data node; each part belongs to one module. */
+/**
+ * The policy's state of one data node, attached to {@link DataNode}; each part belongs to one
+ * module.
+ */
 final class NodeState {
     /** Belongs to {@link LatencyEstimator}. */
     final NodeLatency latency = new NodeLatency();
@@ -18,7 +21,7 @@
         this.warmUp = warmUp;
     }
 
-    /** What is remembered of a node that was listed before. */
+    /** The state of a node that was listed before. */
     static NodeState of(DataNode node) {
         return (NodeState) node.policyState();
     }
--- a/src/main/java/postbeam/policy/NodeWarmUp.java
+++ b/src/main/java/postbeam/policy/NodeWarmUp.java
@@ -5,11 +5,12 @@
 import java.time.Duration;
 import postbeam.model.SlidingWindowCounter;
 
-/**
- * What this router lately sent one node, in seconds of work, and since when the node may be cold.
- */
+/** Work recently sent to one data node, in seconds, and since when the node may be warming up. */
 final class NodeWarmUp {
-    /** Drawn once from 0 to 1: rounds shares of less than one request at random among routers. */
+    /**
+     * Random number from 0 to 1, drawn once: decides at which routers a share of less than one
+     * request is rounded up.
+     */
     final double samplingThreshold;
 
     private final Duration countedWindow;
@@ -34,12 +35,12 @@
         workOnAcquiredShards.add(now, seconds(sent));
     }
 
-    /** Seconds of work sent within the counted window, at least. */
+    /** Upper bound of the work sent within the counted window, in seconds. */
     double recentWork(Duration now) {
         return work.upperBoundSum(now, countedWindow);
     }
 
-    /** The same for shards that the node has lately acquired from others. */
+    /** Like {@link #recentWork}, for shards that the node recently acquired. */
     double recentWorkOnAcquiredShards(Duration now) {
         return workOnAcquiredShards == null
                 ? 0
@@ -50,7 +51,9 @@
         unreachableAt = now;
     }
 
-    /** The endpoint list tells of a start then: what was unreachable before it is up again. */
+    /**
+     * The endpoint list reports a start at this time: an earlier connection failure is obsolete.
+     */
     void onStartKnown(Duration startedAt) {
         if (unreachableAt != null && unreachableAt.compareTo(startedAt) < 0) {
             unreachableAt = null;
@@ -58,10 +61,11 @@
     }
 
     /**
-     * From when on the node may have been cold, where the list says it started then: the list tells
-     * of a start late, and a node that we could not reach may have started since. Null: not known.
+     * Since when the node may be warming up, given the start in the endpoint list. The list may
+     * report a start late, so a node may have restarted when it was last unreachable. Null if not
+     * known.
      */
-    Duration coldSince(Duration startedAt) {
+    Duration warmingUpSince(Duration startedAt) {
         boolean startedSince =
                 unreachableAt == null
                         || (startedAt != null && startedAt.compareTo(unreachableAt) > 0);
--- a/src/main/java/postbeam/policy/OutlierDetector.java
+++ b/src/main/java/postbeam/policy/OutlierDetector.java
@@ -12,28 +12,28 @@
 import postbeam.model.Zone;
 
 /**
- * Finds nodes and zones that fail or are slow, from the outcomes of our own attempts alone. Guards
- * against a node that is silent, slow, failing or unreachable, whatever the cause, also one that
- * the endpoint list names ready. It could hurt when all nodes are slow alike, so slowness is
- * measured beside the usual node.
+ * Detects failing and slow nodes and zones from the outcomes of this router's own attempts. It thus
+ * also finds nodes that the endpoint list reports as ready. Slowness is relative to the typical
+ * node, so that no node is an outlier when all are slow.
  */
 final class OutlierDetector {
-    /**
-     * Share of failures among a node's outcomes from which it is ejected, and the fewest of them.
-     */
+    /** Minimum share and number of failures for which a node is ejected. */
     private static final double NODE_FAILURE_SHARE = 0.3;
 
     private static final int NODE_MIN_FAILURES = 2;
 
-    /** The same for a zone, whose nodes fail together only if the way there does. */
+    /**
+     * Minimum share and number of failures for which a zone is ejected. Nodes of a zone fail
+     * together only if the network to it does.
+     */
     private static final double ZONE_FAILURE_SHARE = 0.5;
 
     private static final int ZONE_MIN_FAILURES = 4;
 
-    /** Share of the latency objective after which an attempt in flight marks its node as stuck. */
+    /** Share of the latency objective after which an attempt in flight makes its node suspect. */
     private static final double STUCK_SHARE = 0.5;
 
-    /** Ratio to the usual node's slowdown from which a node is slow. */
+    /** Slowdown relative to the typical node above which a node is suspect. */
     private static final double SLOW_RATIO = 3;
 
     private final LatencyEstimator latencies;
@@ -48,17 +48,17 @@
         this.ejection = ejection;
     }
 
-    /** The health of a node of this zone that is listed for the first time. */
+    /** Creates the health state of a node that is listed for the first time. */
     NodeHealth newNode(Zone zone) {
         return new NodeHealth(zones.computeIfAbsent(zone, key -> new ZoneHealth()));
     }
 
-    /** The node has restarted: its past failures say nothing of it now. */
+    /** Resets the health of a node that has restarted. */
     void onRestart(DataNode node) {
         NodeState.of(node).health.onRestart();
     }
 
-    /** An attempt was sent: one to an ejected zone shows whether that is sound again. */
+    /** The first attempt to an ejected zone after its ejection becomes its trial. */
     void onAttemptSent(Duration now, Attempt attempt) {
         ZoneHealth zone = NodeState.of(attempt.node).health.zone;
         if (zone.hasEjections() && !isAvoided(now, zone)) {
@@ -72,9 +72,7 @@
             health.recordSuccess(now);
             health.forgetOneEjection();
         }
-        // Guards against links that swallow attempts and nodes that answer none: once the attempt
-        // is
-        // over nothing else tells of it. It could hurt where a sound node is late to our only one.
+        // A node that answers nothing is seen only by attempts that end without an answer.
         boolean late =
                 latency.compareTo(stragglers.overdueAfter(now, attempt.shardRequest.queryClass))
                         > 0;
@@ -88,7 +86,7 @@
         }
     }
 
-    /** Whether the outcome by itself shows that the node, or the way to it, is broken. */
+    /** Whether the outcome alone shows that the node or the network path to it is broken. */
     private static boolean isBroken(Attempt attempt, AttemptOutcome outcome, boolean late) {
         return outcome == AttemptOutcome.UNREACHABLE
                 || outcome == AttemptOutcome.RESET
@@ -98,10 +96,8 @@
     }
 
     /**
-     * Guards against a way to a whole zone that is cut, slow or lossy, for us or for all: a router
-     * meets each node too seldom to learn it there. Where most attempts to its nodes failed lately,
-     * one at a time shows if it is sound again. It could hurt where nodes fail for reasons of their
-     * own, so several must.
+     * Detects a broken or slow network path to a zone: a router sends too few requests to each node
+     * to detect that per node. An ejected zone gets one trial attempt at a time.
      */
     private void updateZone(Duration now, Attempt attempt, NodeHealth node, boolean failed) {
         ZoneHealth zone = node.zone;
@@ -121,7 +117,10 @@
         }
     }
 
-    /** Whether another node of the shard is to be preferred. */
+    /**
+     * Whether other replicas should be preferred: the node is ejected, in a zone to be avoided or
+     * slow, its oldest attempt takes too long, or it is on trial after an ejection.
+     */
     boolean isSuspect(Duration now, DataNode node, QueryClass queryClass) {
         NodeHealth health = NodeState.of(node).health;
         Attempt oldest = node.oldestAttemptInFlight();
@@ -132,7 +131,7 @@
                 || latencies.relativeSlowdown(now, node) > SLOW_RATIO;
     }
 
-    /** Whether the node was ejected and has not shown since that it is sound. */
+    /** Whether the node was ejected and has not recovered since. */
     boolean hasFailedLately(DataNode node) {
         return NodeState.of(node).health.hasEjections();
     }
@@ -143,7 +142,10 @@
                 || now.minus(oldest.sentAt).compareTo(limit) > 0;
     }
 
-    /** Whether a zone gets nothing, as it is ejected or on trial and another zone is sound. */
+    /**
+     * Whether no attempts should go to the zone, because it is ejected or on trial and another zone
+     * is healthy.
+     */
     private boolean isAvoided(Duration now, ZoneHealth zone) {
         return zone.hasEjections()
                 && (zone.isOnTrial() || zone.isWithinEjection(now))
--- a/src/main/java/postbeam/policy/OutlierEjection.java
+++ b/src/main/java/postbeam/policy/OutlierEjection.java
@@ -8,9 +8,9 @@
 import postbeam.model.Readiness;
 
 /**
- * The nodes that are ejected for a while, and their way back: a health probe first, which costs
- * next to nothing beside a lost request, then one request at a time until one is answered, since a
- * node that serves nothing may answer probes.
+ * Ejects nodes and reinstates them. After its ejection a node gets a health probe, which is cheaper
+ * than a lost request, and then one request at a time until one is answered, as a node that serves
+ * nothing may still answer probes.
  */
 final class OutlierEjection {
     private final PolicyActions actions;
@@ -22,14 +22,14 @@
         this.limits = limits;
     }
 
-    /** Ejects the node for a while, longer each time; failures in that while add nothing. */
+    /** Ejects the node; failures during an ejection have no effect. */
     void eject(Duration now, DataNode node) {
         if (NodeState.of(node).health.eject(now)) {
             ejected.add(node);
         }
     }
 
-    /** Whether the node is ejected and not reinstated yet. */
+    /** Whether the node is ejected and not yet reinstated. */
     boolean isEjected(DataNode node) {
         return NodeState.of(node).health.isEjected();
     }
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Probes, or reinstates, nodes whose ejection is over. */
+    /** Probes the nodes whose ejection is over, or reinstates them where probes are not allowed. */
     void review(Duration now) {
         for (DataNode node : List.copyOf(ejected)) {
             NodeHealth health = NodeState.of(node).health;
--- a/src/main/java/postbeam/policy/PolicyActions.java
+++ b/src/main/java/postbeam/policy/PolicyActions.java
@@ -6,31 +6,36 @@
 import postbeam.model.Query;
 
 /**
- * What the routing policy can have done. Each protocol implements it, one instance for each running
- * policy, and carries out every call at once and in order.
+ * The actions of a routing policy. Each protocol implements it, with one instance per policy, and
+ * carries out every call at once and in order.
  */
 public interface PolicyActions {
-    /** Sends an attempt; those sent to one node in one batch of events travel together. */
+    /** Sends an attempt. Attempts sent to one node within one batch of events share a call. */
     void send(Attempt attempt);
 
-    /** Stops waiting for an attempt; its outcome is still reported. */
+    /** Cancels an attempt; its outcome is still reported. */
     void cancel(Attempt attempt);
 
-    /** Answers the query from its answered requests; complete, or from what there is. */
+    /**
+     * Answers the query from the requests that are answered; {@code complete} says whether these
+     * suffice for a complete answer.
+     */
     void answer(Query query, boolean complete);
 
-    /** Ends the query and tells its client that a retry is harmless, after a wait above zero. */
+    /**
+     * Ends the query with a rejection: a retry is harmless, after this time if it is above zero.
+     */
     void reject(Query query, Duration retryAfter);
 
-    /** Ends the query without a promise about its side effects. */
+    /** Ends the query with an error that says nothing about its side effects. */
     void abort(Query query);
 
-    /** Asks for {@link RoutingPolicy#onWakeUp} after this time. */
+    /** Schedules a call of {@link RoutingPolicy#onWakeUp} after this time. */
     void wakeAfter(Duration wait);
 
-    /** Probes a node's health; the result comes to {@link RoutingPolicy#onProbeResult}. */
+    /** Probes a node's health; the result is passed to {@link RoutingPolicy#onProbeResult}. */
     void probe(DataNode node);
 
-    /** Adds a line to the operators' log. */
+    /** Writes a line to the log. */
     void log(String text);
 }
--- a/src/main/java/postbeam/policy/PolicyModules.java
+++ b/src/main/java/postbeam/policy/PolicyModules.java
@@ -3,7 +3,7 @@
 import java.util.Random;
 import postbeam.model.Cluster;
 
-/** The modules of one policy, each built from those that it asks. */
+/** Creates and holds the modules of one policy. */
 final class PolicyModules {
     final AdmissionControl admission;
     final RetryBudget retryBudget;
--- a/src/main/java/postbeam/policy/PolicyTiming.java
+++ b/src/main/java/postbeam/policy/PolicyTiming.java
@@ -2,14 +2,13 @@
 
 import java.time.Duration;
 
-/** Times that several modules of the policy share. */
+/** Durations that several modules share. */
 final class PolicyTiming {
-    /** Time between reviews of open queries: short beside latency objectives. */
+    /** Interval between reviews of open queries; short relative to latency objectives. */
     static final Duration REVIEW_INTERVAL = Duration.ofMillis(20);
 
     /**
-     * Time before a client's deadline at which it gets its final answer: two reviews and one to
-     * spare.
+     * Time before a client's deadline at which its query is ended: two reviews and one in reserve.
      */
     static final Duration FINAL_ANSWER_MARGIN = REVIEW_INTERVAL.multipliedBy(3);
 
--- a/src/main/java/postbeam/policy/QueryCompletion.java
+++ b/src/main/java/postbeam/policy/QueryCompletion.java
@@ -13,20 +13,18 @@
 import postbeam.model.ShardRequest;
 import postbeam.model.SideEffects;
 
-/** The open queries, and when each is answered, rejected or aborted. */
+/** Keeps the open queries and decides when each is answered, rejected or aborted. */
 final class QueryCompletion {
-    /** Weights of requests add up to 1 but for rounding. */
+    /** Tolerance for sums of weights, which add up to 1 except for rounding. */
     private static final double ROUNDING = 0.00005;
 
-    /** Share of the latency objective within which a query is begun, or else rejected. */
+    /** Share of the latency objective after which a query that has not started is rejected. */
     private static final double START_SHARE = 0.4;
 
-    /** The same for a query of low priority. */
+    /** The same share for queries of low priority. */
     private static final double LOW_PRIORITY_START_SHARE = 0.1;
 
-    /**
-     * Share of the objective past its end after which a late query of a crowded router is given up.
-     */
+    /** Lateness, as a share of the latency objective, after which a crowded router ends a query. */
     private static final double MAX_LATENESS_SHARE = 0.5;
 
     private final PolicyActions actions;
@@ -53,7 +51,7 @@
         this.canceller = canceller;
     }
 
-    /** The queries without a final answer, the oldest first; a view that can't be changed. */
+    /** The queries without a final answer, in order of arrival; a view that can't be changed. */
     List<Query> open() {
         return openView;
     }
@@ -62,7 +60,7 @@
         openQueries.add(query);
     }
 
-    /** Ends a query that gets no answer any more. */
+    /** Ends a query without an answer. */
     void end(Query query) {
         query.end();
         openQueries.remove(query);
@@ -70,7 +68,9 @@
         query.shardRequests.forEach(canceller::cancelAttempts);
     }
 
-    /** Answers the open queries that are complete, and gives up those that can't be in time. */
+    /**
+     * Answers the open queries that are complete, and ends those that can't be complete in time.
+     */
     void review(Duration now) {
         admission.update(openQueries);
         for (Query query : List.copyOf(openQueries)) {
@@ -86,16 +86,16 @@
                                 request.isAnswered()
                                         || !request.attemptsInFlight.isEmpty()
                                         || retries.mayAttemptLater(now, request));
-        // A second step's requests come a batch of events after the first step is answered.
+        // The requests of a second step arrive after the first step is answered.
         boolean requestsKnown = !query.shardRequests.isEmpty();
         if (requestsKnown && reaches(answered, query.queryClass().requiredWeight)) {
             answerComplete(query);
         } else if (query.deadline.minus(now).compareTo(FINAL_ANSWER_MARGIN) <= 0
                 || query.isPoisoned()
-                || isPartialBest(now, query, answered)
+                || isPartialAnswerBest(now, query, answered)
                 || (requestsKnown && isOutOfReach(query.queryClass(), answered, possible))
-                || isLateForGood(now, query)
-                || (query.hasNotStarted() && mayNoLongerStart(now, query))) {
+                || isExpired(now, query)
+                || (query.hasNotStarted() && isStartOverdue(now, query))) {
             giveUp(query);
         }
     }
@@ -104,18 +104,17 @@
         return weight + ROUNDING >= needed;
     }
 
-    /**
-     * Whether a complete answer is impossible, and nothing better than what is in can still come.
-     */
+    /** Whether a complete answer is impossible and waiting can't improve the answer. */
     private static boolean isOutOfReach(QueryClass queryClass, double answered, double possible) {
         return !reaches(possible, queryClass.requiredWeight)
                 && (reaches(answered, possible) || !reaches(possible, queryClass.minimumWeight));
     }
 
     /**
-     * Whether the objective is about to pass, and what is in is worth more now than all after it.
+     * Whether the latency objective is about to pass and a partial answer now earns more than a
+     * late complete one.
      */
-    private static boolean isPartialBest(Duration now, Query query, double answered) {
+    private static boolean isPartialAnswerBest(Duration now, Query query, double answered) {
         QueryClass queryClass = query.queryClass();
         return queryClass.secondStep == null
                 && queryClass.minimumWeight < queryClass.requiredWeight
@@ -125,8 +124,12 @@
                 && now.plus(FINAL_ANSWER_MARGIN).compareTo(query.sloDeadline()) >= 0;
     }
 
-    /** What is only late may still come: throwing it away would feed an overload. */
-    private boolean isLateForGood(Duration now, Query query) {
+    /**
+     * Whether a query that will be late should be ended: if late answers earn nothing, or if the
+     * router is crowded and the query has unsent requests or is far past its objective. Otherwise
+     * it is kept, as ending it would waste the work in flight.
+     */
+    private boolean isExpired(Duration now, Query query) {
         return forecast.isTooLate(now, query, 1)
                 && (query.queryClass().lateUtility == 0
                         || (admission.isCrowded()
@@ -140,17 +143,21 @@
     }
 
     /**
-     * Guards against overload of any cause: what can't begin soon is told while its client can act.
+     * Whether a query that has not started should be rejected, so that its client can retry
+     * elsewhere while there is time.
      */
-    private boolean mayNoLongerStart(Duration now, Query query) {
+    private boolean isStartOverdue(Duration now, Query query) {
         double waited =
                 seconds(now.minus(query.arrivedAt)) / seconds(query.queryClass().latencyObjective);
-        return forecast.isHopeless(now, query)
+        return forecast.cannotFinishInTime(now, query)
                 || waited > START_SHARE
                 || (waited > LOW_PRIORITY_START_SHARE && priority.isLow(now, query));
     }
 
-    /** The answer to all that was asked so far: the final one, or what brings the second step. */
+    /**
+     * Answers a step of the query: this is the final answer, or the client continues with the
+     * second step.
+     */
     private void answerComplete(Query query) {
         if (query.queryClass().secondStep == null) {
             end(query);
@@ -161,7 +168,10 @@
         actions.answer(query, true);
     }
 
-    /** The final answer at once: from what is in where that is enough, else rejected or aborted. */
+    /**
+     * Ends the query now: with a partial answer if that is allowed, else with a rejection or an
+     * abort.
+     */
     private void giveUp(Query query) {
         QueryClass queryClass = query.queryClass();
         double answered = query.answeredWeight();
@@ -178,7 +188,7 @@
         }
     }
 
-    /** Whether a retry by the client executes nothing twice that has side effects. */
+    /** Whether a retry by the client can't execute side effects twice. */
     private static boolean isRetryHarmless(Query query) {
         return query.queryClass().sideEffects == SideEffects.IDEMPOTENT
                 || (query.firstStepRequests.isEmpty()
--- a/src/main/java/postbeam/policy/QueryPriority.java
+++ b/src/main/java/postbeam/policy/QueryPriority.java
@@ -5,7 +5,7 @@
 import postbeam.model.Query;
 import postbeam.model.ShardRequest;
 
-/** Which queries come last where others wait. */
+/** Decides which queries are served last when slots are scarce. */
 final class QueryPriority {
     private final CompletionForecast forecast;
     private final ReplicaSelector replicas;
@@ -18,8 +18,9 @@
     }
 
     /**
-     * Whether the query is beyond its tenant's quota, would be too late in the window as it is, or
-     * has not started and can't be placed. The window grows in use, so it is not given up for that.
+     * Whether the query exceeds its tenant's quota, can't be on time with the present window, or
+     * has not started and can't be placed on healthy nodes. Such queries are not rejected for that
+     * alone, as the window may grow.
      */
     boolean isLow(Duration now, Query query) {
         return query.isOverQuota()
@@ -28,16 +29,16 @@
     }
 
     /**
-     * Guards against work for queries that a shard without a sound node, or with cold ones alone,
-     * will spoil: where others wait, they come last. Alone, they are tried all the same.
+     * Whether enough of the query's requests have a healthy replica: otherwise the work for the
+     * others is likely wasted.
      */
     private boolean isPlaceable(Duration now, Query query) {
         replicas.chooseOffset(now, query);
         return query.requestsNeeded()
-                <= query.countRequests(request -> hasSoundReplica(now, query, request));
+                <= query.countRequests(request -> hasHealthyReplica(now, query, request));
     }
 
-    private boolean hasSoundReplica(Duration now, Query query, ShardRequest request) {
+    private boolean hasHealthyReplica(Duration now, Query query, ShardRequest request) {
         DataNode node = replicas.chooseNode(now, request);
         return node != null && !outliers.isSuspect(now, node, query.queryClass());
     }
--- a/src/main/java/postbeam/policy/ReplicaSelector.java
+++ b/src/main/java/postbeam/policy/ReplicaSelector.java
@@ -17,17 +17,18 @@
 import postbeam.model.SideEffects;
 
 /**
- * Chooses the replica for each shard request. All requests of a query begin at one offset into
- * their shards' replica lists, so that they share calls where one call carries several.
+ * Chooses the replica for each shard request. All requests of a query start at the same offset in
+ * their shards' replica lists, so that they can share calls where one call carries several
+ * requests.
  */
 final class ReplicaSelector {
-    /** Batches that a suspect node counts for: more than a sound one mostly has in flight. */
-    static final int SUSPECT_BATCHES = 4;
+    /** Batches in flight that a suspect node counts for: more than healthy nodes normally have. */
+    private static final int SUSPECT_BATCHES = 4;
 
-    /** Cost of a request to another zone, in batches in flight: it decides among equals alone. */
+    /** Cost of a request to another zone, in batches in flight: a tie-breaker. */
     private static final double REMOTE_ZONE_COST = 0.01;
 
-    /** How far any load is from outweighing a worse rank. */
+    /** Weight of a rank, larger than any load. */
     private static final double RANK_WEIGHT = 100;
 
     private static final double RANK_SUSPECT = 2;
@@ -63,8 +64,8 @@
     }
 
     /**
-     * Our zone first, then by place among a shard's cells: one offset leads neighbouring shards to
-     * the same nodes, and their requests share calls, which have a cost.
+     * Local zone first, then by position among the shard's cells: the same offset then leads
+     * neighbouring shards to the same nodes, and their requests share calls.
      */
     private static Comparator<DataNode> batchingOrder(int replicationFactor) {
         return Comparator.comparingInt(
@@ -72,8 +73,8 @@
     }
 
     /**
-     * Chooses the query's offset, unless that is done: the one whose nodes have fewest batches in
-     * flight, then the one with the fewest requests to other zones.
+     * Chooses the offset of the query's present step unless it is chosen: the one whose nodes have
+     * the fewest batches in flight, and among equals the one with the fewest remote requests.
      */
     void chooseOffset(Duration now, Query query) {
         if (query.hasReplicaOffset()) {
@@ -113,22 +114,20 @@
         return cost;
     }
 
-    /** Batches that the node has in flight, and more where it is suspect. */
+    /** Batches that the node has in flight, increased if it is suspect. */
     int batchesCounted(Duration now, DataNode node, Query query) {
         return node.batchesInFlight()
                 + (outliers.isSuspect(now, node, query.queryClass()) ? SUSPECT_BATCHES : 0);
     }
 
-    /**
-     * The node's load: its requests in flight with one more, times its slowdown beside the usual.
-     */
+    /** The node's load: its attempts in flight with one more, times its relative slowdown. */
     double load(Duration now, DataNode node) {
         return (1 + node.attemptsInFlight.size()) * latencies.relativeSlowdown(now, node);
     }
 
     /**
-     * The node at the query's offset, or the next that is better placed; null where none may take
-     * the request. Suspicion never shuts out all replicas: the least bad is taken.
+     * The best node for the request; among equals the first one from the query's offset on. Null if
+     * none may take the request. Suspect nodes are used if there are no others.
      */
     DataNode chooseNode(Duration now, ShardRequest request) {
         List<DataNode> replicas = cluster.replicas(request.shard);
@@ -153,8 +152,8 @@
     }
 
     /**
-     * Guards against light requests alone passing, of which each router has some: they count as
-     * usual.
+     * Work that is checked against slow start: at least a typical request's, as each router has
+     * some light requests and together they would exceed the budget.
      */
     private Duration workCounted(ShardRequest request) {
         return max(
@@ -167,15 +166,14 @@
                 && slowStart.allows(now, node, cluster.acquiredAt(request.shard, node), work);
     }
 
-    /** How bad a choice the node is for the request; 0 for a sound one that has not had it. */
+    /** Rank of the node for the request; 0 for a healthy node without an earlier attempt. */
     private double rank(Duration now, DataNode node, ShardRequest request) {
         double rank = 0;
         if (outliers.isSuspect(now, node, request.query.queryClass())) {
             rank = RANK_SUSPECT;
         } else if (outliers.hasFailedLately(node)
                 && request.query.queryClass().sideEffects == SideEffects.NON_IDEMPOTENT) {
-            // What can't be sent again is no trial of a node that failed: one that hangs may answer
-            // probes.
+            // A request that can't be retried does not test whether the node has recovered.
             rank = RANK_FAILED_LATELY;
         }
         for (Attempt attempt : request.attempts) {
@@ -185,9 +183,9 @@
     }
 
     /**
-     * Whether the node has an attempt of the request, or had one and is ejected. Guards against a
-     * request's few attempts spent within a round trip on replicas that are all down: one that
-     * failed it gets it again once reinstated. It could hurt where the node is back unnoticed.
+     * Whether the node has an attempt of the request in flight, or had one and is ejected.
+     * Otherwise a request would spend its attempts within a round trip on replicas that are all
+     * down.
      */
     private boolean isWaitedFor(DataNode node, ShardRequest request) {
         for (Attempt attempt : request.attempts) {
--- a/src/main/java/postbeam/policy/RetryBudget.java
+++ b/src/main/java/postbeam/policy/RetryBudget.java
@@ -4,11 +4,11 @@
 import postbeam.model.SlidingWindowCounter;
 
 /**
- * The budget of attempts beyond each shard request's first, where the deployment states one.
- * Retries are counted high and requests low, so that the budget is kept however the windows fall.
+ * Budget of retries: attempts beyond the first one of each shard request. Retries are counted as an
+ * upper bound and requests as a lower one, so that the budget holds for every window.
  */
 public final class RetryBudget {
-    /** What counters cover where no budget is stated, and none is read. */
+    /** Window of the counters if there is no budget; they are not read then. */
     private static final Duration UNUSED_WINDOW = Duration.ofSeconds(4);
 
     private final double baseAllowance;
@@ -18,11 +18,11 @@
     private final SlidingWindowCounter retries;
 
     /**
-     * Creates a budget; each parameter is null where not stated.
+     * Creates a budget; a null parameter is not configured.
      *
-     * @param baseAllowance retries within the window that need no requests
-     * @param retryRatio further retries for each request received
-     * @param window the span over which both are counted; null for no limit
+     * @param baseAllowance retries per window independent of requests
+     * @param retryRatio additional retries per request received
+     * @param window the window in which both are counted; null for no limit
      */
     public RetryBudget(Double baseAllowance, Double retryRatio, Duration window) {
         this.baseAllowance = baseAllowance == null ? 0 : baseAllowance;
@@ -32,12 +32,12 @@
         this.retries = new SlidingWindowCounter(window == null ? UNUSED_WINDOW : window);
     }
 
-    /** A query or shard request was received. */
+    /** A query or a shard request was received. */
     void recordRequest(Duration now) {
         requests.add(now, 1);
     }
 
-    /** An attempt beyond a request's first was sent. */
+    /** A retry was sent. */
     void recordRetry(Duration now) {
         retries.add(now, 1);
     }
--- a/src/main/java/postbeam/policy/RetryPolicy.java
+++ b/src/main/java/postbeam/policy/RetryPolicy.java
@@ -10,7 +10,8 @@
 import postbeam.model.SideEffects;
 
 /**
- * Which attempts a shard request may still get, by its past and its side effects, and until when.
+ * Decides which attempts a shard request may have, given its side effects and earlier attempts, and
+ * for how long they are useful.
  */
 final class RetryPolicy {
     private final AttemptLimits limits;
@@ -23,7 +24,7 @@
         this.hedging = hedging;
     }
 
-    /** Whether the request may get an attempt now or later, as far as its past tells. */
+    /** Whether the request may have a further attempt now or later. */
     boolean mayAttemptLater(Duration now, ShardRequest request) {
         if (request.isClosed() || request.attempts.size() >= limits.maxAttempts()) {
             return false;
@@ -39,7 +40,7 @@
         };
     }
 
-    /** Whether the request may get an attempt now. */
+    /** Whether the request may have a further attempt now. */
     boolean mayAttemptNow(Duration now, ShardRequest request) {
         return (request.attemptsInFlight.isEmpty() || hedging.mayHedge(request))
                 && mayAttemptLater(now, request)
@@ -47,7 +48,8 @@
     }
 
     /**
-     * Whether the request could be sent again at that time, while the router waits for the first.
+     * Whether a request whose attempt is cancelled now can still be retried once the cancellation
+     * is confirmed.
      */
     boolean mayCancelAndRetry(Duration now, Duration firstSentAt, QueryClass queryClass) {
         if (queryClass.sideEffects == SideEffects.NON_IDEMPOTENT) {
@@ -58,7 +60,7 @@
                 || isDeduplicated(retryAt, firstSentAt, queryClass);
     }
 
-    /** How long an attempt is of use; null for as long as its client waits. */
+    /** Timeout of an attempt sent now; null for the client's deadline. */
     Duration timeout(Duration now, Query query) {
         QueryClass queryClass = query.queryClass();
         if (queryClass.sideEffects == SideEffects.NON_IDEMPOTENT) {
@@ -69,9 +71,8 @@
     }
 
     /**
-     * The time after which an attempt may not be sent any more, however long it waits for a
-     * connection: nodes would not drop it as a second execution. Null where it may be sent at any
-     * time.
+     * Time after which an attempt must not be sent, as nodes would not recognise it as a duplicate.
+     * Null for no limit.
      */
     Duration sendDeadline(ShardRequest request) {
         QueryClass queryClass = request.query.queryClass();
@@ -84,7 +85,7 @@
                 .minus(REVIEW_INTERVAL);
     }
 
-    /** Whether nodes would drop a second execution at that time. */
+    /** Whether nodes still drop a duplicate at that time. */
     private static boolean isDeduplicated(Duration at, Duration sentAt, QueryClass queryClass) {
         return queryClass.deduplicationWindow != null
                 && at.minus(sentAt).compareTo(queryClass.deduplicationWindow) < 0;
--- a/src/main/java/postbeam/policy/RoutingPolicy.java
+++ b/src/main/java/postbeam/policy/RoutingPolicy.java
@@ -11,17 +11,17 @@
 import postbeam.model.ShardRequest;
 
 /**
- * All decisions of one query router. Its caller makes one call for each thing that happens, in
- * order, and {@link #onBatchEnd} once all that came together is told; the policy acts by calling
- * {@link PolicyActions}. Times are spans since the start. Not safe for use by several threads at
- * once: the caller owns the lock.
+ * The decisions of one query router. The caller reports each event in order and calls {@link
+ * #onBatchEnd} after all events that arrived together; the policy responds by calling {@link
+ * PolicyActions}. All times are durations since the start of the router. Not thread-safe: callers
+ * serialize access.
  */
 public final class RoutingPolicy {
     private final PolicyActions actions;
     private final PolicyModules modules;
     private boolean wakeUpScheduled;
 
-    /** Creates the policy of a router that knows no nodes and has no queries yet. */
+    /** Creates the policy of a router without nodes and queries. */
     public RoutingPolicy(
             PolicyActions actions,
             Random random,
@@ -37,13 +37,14 @@
     }
 
     /**
-     * The endpoint list says this of a node; when it started is null where not known, or long ago.
+     * The endpoint list reports the state of a node; its start time is null if not known or long
+     * ago.
      */
     public void onNodeUpdate(Duration now, DataNode node, Readiness readiness, Duration startedAt) {
         modules.membership.onNodeUpdate(now, node, readiness, startedAt);
     }
 
-    /** A query has arrived; its shard requests may come with it or later. */
+    /** A query has arrived; its shard requests may arrive with it or later. */
     public void onQuery(Duration now, Query query) {
         modules.completion.onQuery(query);
         modules.retryBudget.recordRequest(now);
@@ -53,16 +54,16 @@
         }
     }
 
-    /** A shard request of a query has arrived; it has been added to its query. */
+    /** A shard request has arrived and been added to its query. */
     public void onShardRequest(Duration now, ShardRequest request) {
         modules.retryBudget.recordRequest(now);
     }
 
     /**
-     * An attempt has ended. Called once for each attempt sent.
+     * An attempt has ended; called once for each attempt.
      *
-     * @param latency time since it was sent
-     * @param isLast whether its request can get no further attempt
+     * @param latency time since the attempt was sent
+     * @param isLast whether the shard request may have no further attempts
      */
     public void onAttemptEnded(
             Duration now,
@@ -95,22 +96,22 @@
         }
     }
 
-    /** The client of a query has left: nothing is to be answered. */
+    /** The client of a query has disconnected; the query gets no answer. */
     public void onClientDisconnected(Duration now, Query query) {
         modules.completion.end(query);
     }
 
-    /** The time of {@link PolicyActions#wakeAfter} is over. */
+    /** The time requested with {@link PolicyActions#wakeAfter} has passed. */
     public void onWakeUp(Duration now) {
         wakeUpScheduled = false;
     }
 
-    /** The health probe of a node was answered, or was not. */
+    /** A health probe of a node has succeeded or failed. */
     public void onProbeResult(Duration now, DataNode node, boolean answered) {
         modules.ejection.onProbeResult(now, node, answered);
     }
 
-    /** All that came in together has been told: decides what follows from it. */
+    /** All events that arrived together have been reported: decides and acts. */
     public void onBatchEnd(Duration now) {
         modules.completion.review(now);
         modules.ejection.review(now);
@@ -124,7 +125,7 @@
         }
     }
 
-    /** Whether the node is ejected, as it lately failed. */
+    /** Whether the node is ejected because of recent failures. */
     public boolean isEjected(DataNode node) {
         return modules.ejection.isEjected(node);
     }
--- a/src/main/java/postbeam/policy/SlotScheduler.java
+++ b/src/main/java/postbeam/policy/SlotScheduler.java
@@ -9,27 +9,29 @@
 import postbeam.model.ShardRequest;
 
 /**
- * Which query gets a free slot of the window: non-preemptive SEDPT-R (Sun et al., "Provably Delay
- * Efficient Data Retrieving in Storage Clouds"). A slot goes to the query with the smallest alpha -
- * delta, the answers that it needs less those that it can expect from what is in flight.
+ * Assigns free slots of the window to queries: non-preemptive SEDPT-R (Sun et al., "Provably Delay
+ * Efficient Data Retrieving in Storage Clouds"). A slot goes to the query with the smallest
+ * difference between the answers that it needs (alpha) and those that it can expect from attempts
+ * in flight (delta).
  */
 final class SlotScheduler {
-    /**
-     * Oldest open queries that compete: more than most limits allow, and it bounds a batch's cost.
-     */
+    /** Maximum number of queries considered, the oldest first; bounds the cost of a batch. */
     private static final int MAX_CANDIDATES = 48;
 
-    /** Rank of a second attempt: behind any first one. */
+    /** Rank of hedged attempts: after all first attempts. */
     private static final double HEDGE_RANK = 1000;
 
-    /** Among equals, low priority comes last, then the earliest objective first. */
+    /**
+     * Smallest value first; among equals, low priority last, then the earliest latency objective
+     * first.
+     */
     private static final Comparator<Candidate> ORDER =
             Comparator.comparingInt(Candidate::value)
                     .thenComparing(Candidate::lowPriority)
                     .thenComparing(candidate -> candidate.query.sloDeadline())
-                    .thenComparing(Candidate::place);
+                    .thenComparing(Candidate::arrivalOrder);
 
-    private record Candidate(Query query, int value, boolean lowPriority, int place) {}
+    private record Candidate(Query query, int value, boolean lowPriority, int arrivalOrder) {}
 
     private record Choice(ShardRequest request, DataNode node) {}
 
@@ -61,9 +63,9 @@
         this.sender = sender;
     }
 
-    /** Fills the free slots of the window with requests of these queries, the oldest first. */
+    /** Fills the free slots with requests of the open queries. */
     void fillSlots(Duration now, List<Query> open) {
-        // A lost request holds no slot: else links that swallow attempts would fill the window.
+        // Lost requests hold no slots: a broken network path would fill the window with them.
         int lost = 0;
         for (Query query : open) {
             lost += stragglers.lostRequests(now, query);
@@ -80,7 +82,8 @@
                     !query.hasNotStarted() || !best.lowPriority || window.hasAmpleRoom(lost);
             if (mayStart && sendNext(now, query, best.value)) {
                 candidates.add(
-                        new Candidate(query, value(now, query), best.lowPriority, best.place));
+                        new Candidate(
+                                query, value(now, query), best.lowPriority, best.arrivalOrder));
             }
         }
     }
@@ -95,12 +98,12 @@
         return candidates;
     }
 
-    /** The paper's alpha - delta: answers that the query needs beyond those in flight. */
+    /** Answers needed minus answers expected (alpha - delta). */
     private int value(Duration now, Query query) {
         return query.requestsNeeded() - stragglers.expectedAnswers(now, query);
     }
 
-    /** Sends the query's next request; false where it has none to send. */
+    /** Sends the query's next request; returns whether there was one to send. */
     private boolean sendNext(Duration now, Query query, int value) {
         boolean spare = value <= 0;
         if ((spare && !hedging.maySendSpare(query))
@@ -152,9 +155,9 @@
     }
 
     /**
-     * First attempts before second ones. Where any subset will do, those whose nodes have least to
-     * do; where less than all will do, the quickest: what a few popular shards jam is left for the
-     * end.
+     * Rank of a request at a node, lowest first: first attempts before hedged ones; for queries
+     * that need a subset, by the node's batches; for queries that may be partial, by the node's
+     * load, so that requests to congested shards are sent last.
      */
     private double rank(Duration now, Query query, ShardRequest request, DataNode node) {
         double rank = request.attemptsInFlight.isEmpty() ? 0 : HEDGE_RANK;
--- a/src/main/java/postbeam/policy/SlowStart.java
+++ b/src/main/java/postbeam/policy/SlowStart.java
@@ -7,21 +7,22 @@
 import postbeam.model.ShardRequest;
 
 /**
- * This router's own share of what a node that is warming up may be sent, in any window of the rule.
- * Among many routers it is less than one request: each rounds it by its sampling threshold, so that
- * what all can send, whatever comes, is under the budget on the mean, with its root as the spread.
+ * Limits the work sent to a node that is warming up. The budget per window is divided evenly among
+ * all routers. Where that is less than one request per router, each router rounds its share at
+ * random by its sampling threshold: the sum over all routers stays within the budget on average,
+ * with its square root as the standard deviation.
  */
 public final class SlowStart {
-    /** Seconds of work a second that a warm node does at least: two cores'; fewer are rare. */
+    /** Capacity of a warm node, in seconds of work per second: at least two cores. */
     private static final double WARM_WORK_RATE = 2.0;
 
-    /** Share of a cold node's budget that is used: the rest is for what travels meanwhile. */
+    /** Share of the budget that is used; the rest allows for requests in transit. */
     private static final double SAFETY = 0.9;
 
-    /** Routers from which even shares are so small that sampling thresholds round them. */
+    /** Number of routers from which shares are rounded at random. */
     private static final int SAMPLING_MIN_ROUTERS = 9;
 
-    /** What is counted where no window is stated, and nothing of it is read. */
+    /** Window of the counters if there is no limit; they are not read then. */
     private static final Duration UNUSED_WINDOW = Duration.ofSeconds(4);
 
     private final double initialCapacityShare;
@@ -33,15 +34,15 @@
     private final Duration connectTimeout;
 
     /**
-     * Creates the rule; each parameter is null where not stated.
+     * Creates the limit; a null parameter is not configured.
      *
-     * @param initialCapacityShare share of its capacity that a node has when it starts
-     * @param rampDuration time over which its capacity rises to the whole
-     * @param loadFactor times its capacity that it may be sent within a window; null for no limit
-     * @param window the span of time within which that is counted; null for no limit
-     * @param routerCount routers among which that is divided
-     * @param callOverhead work that each call costs beside its request
-     * @param connectTimeout how much later than decided a request may be sent, at most
+     * @param initialCapacityShare share of its capacity that a node has at its start
+     * @param rampDuration time until it has all of its capacity
+     * @param loadFactor multiple of its capacity that it may be sent per window; null for no limit
+     * @param window the window in which work is counted; null for no limit
+     * @param routerCount number of routers among which the budget is divided
+     * @param callOverhead additional work of each call
+     * @param connectTimeout maximum delay between the decision and the sending
      */
     public SlowStart(
             Double initialCapacityShare,
@@ -60,22 +61,22 @@
         this.connectTimeout = connectTimeout == null ? Duration.ZERO : connectTimeout;
     }
 
-    /** Routers among which budgets are divided. */
+    /** Number of routers among which budgets are divided. */
     int routerCount() {
         return routerCount;
     }
 
-    /** What is remembered of a node that is listed for the first time. */
+    /** Creates the state of a node that is listed for the first time. */
     NodeWarmUp newNode(double samplingThreshold) {
         return new NodeWarmUp(samplingThreshold, window == null ? UNUSED_WINDOW : countedWindow());
     }
 
-    /** A window as this router counts it: what waits for a connection is sent so much later. */
+    /** The window extended by the maximum delay until a request is sent. */
     private Duration countedWindow() {
         return window.plus(connectTimeout);
     }
 
-    /** Work that the request brings a node; the baseline is its latency where no hint came. */
+    /** Estimated work of the request; the baseline if it came without a hint. */
     Duration estimateWork(ShardRequest request, Duration baseline) {
         return request.estimatedWork == null ? baseline : request.estimatedWork.plus(callOverhead);
     }
@@ -84,18 +85,19 @@
         NodeState.of(node).warmUp.onUnreachable(now);
     }
 
-    /** The endpoint list tells of the node's start. */
+    /** The endpoint list reports the node's start. */
     void onStartKnown(DataNode node, Duration startedAt) {
         NodeState.of(node).warmUp.onStartKnown(startedAt);
     }
 
-    /** From when on the node may have been cold; null where not known, or long ago. */
-    Duration coldSince(DataNode node) {
-        return NodeState.of(node).warmUp.coldSince(node.startedAt());
+    /** Since when the node may be warming up; null if not known or long ago. */
+    Duration warmingUpSince(DataNode node) {
+        return NodeState.of(node).warmUp.warmingUpSince(node.startedAt());
     }
 
     /**
-     * Work was sent to the node for a shard that it acquired then; null where that is not known.
+     * Records work sent to the node for a shard; {@code acquiredAt} is null if the node has not
+     * recently acquired the shard.
      */
     void recordSent(Duration now, DataNode node, Duration acquiredAt, Duration work) {
         NodeWarmUp warmUp = NodeState.of(node).warmUp;
@@ -106,24 +108,23 @@
     }
 
     /**
-     * Whether the node may be sent this work. Capacity is taken as it was when the window began, so
-     * each window is within its budget. Guards too against a rush on shards that a node acquired
-     * just now, whose data is not warm there: for them it counts as cold, with all that it lately
-     * got for such shards. What else it holds is not held back.
+     * Whether the node may be sent this work. The capacity at the beginning of the window counts,
+     * so that each window is within its budget. A shard that the node recently acquired has its own
+     * budget, as its data is not cached there yet.
      */
     boolean allows(Duration now, DataNode node, Duration acquiredAt, Duration work) {
         NodeWarmUp warmUp = NodeState.of(node).warmUp;
-        Duration coldSince = coldSince(node);
-        if (isCold(now, coldSince)
-                && !isWithinBudget(now, coldSince, warmUp.recentWork(now), warmUp, work)) {
+        Duration warmingUpSince = warmingUpSince(node);
+        if (isWarmingUp(now, warmingUpSince)
+                && !isWithinBudget(now, warmingUpSince, warmUp.recentWork(now), warmUp, work)) {
             return false;
         }
-        return !isCold(now, acquiredAt)
+        return !isWarmingUp(now, acquiredAt)
                 || isWithinBudget(
                         now, acquiredAt, warmUp.recentWorkOnAcquiredShards(now), warmUp, work);
     }
 
-    private boolean isCold(Duration now, Duration since) {
+    private boolean isWarmingUp(Duration now, Duration since) {
         return window != null
                 && rampDuration != null
                 && loadFactor != null
@@ -132,27 +133,32 @@
     }
 
     private boolean isWithinBudget(
-            Duration now, Duration coldSince, double sent, NodeWarmUp warmUp, Duration work) {
-        if (hasForgotten(now, coldSince)) {
+            Duration now, Duration warmingUpSince, double sent, NodeWarmUp warmUp, Duration work) {
+        if (hasForgotten(now, warmingUpSince)) {
             return false;
         }
-        double share = shareOfBudget(now, coldSince);
+        double share = shareOfBudget(now, warmingUpSince);
         return sent + seconds(work) <= share
                 || (routerCount >= SAMPLING_MIN_ROUTERS
                         && sent + warmUp.samplingThreshold * seconds(work) <= share);
     }
 
-    /** Whether this router started later than the node, and what it sent before may still count. */
-    private boolean hasForgotten(Duration now, Duration coldSince) {
-        return coldSince.isNegative() && now.compareTo(countedWindow()) < 0;
+    /**
+     * Whether this router started after the node, and work that it sent before may still be in the
+     * window.
+     */
+    private boolean hasForgotten(Duration now, Duration warmingUpSince) {
+        return warmingUpSince.isNegative() && now.compareTo(countedWindow()) < 0;
     }
 
     /**
      * This router's even share of what the node may be sent within a window, in seconds of work.
      */
-    private double shareOfBudget(Duration now, Duration coldSince) {
+    private double shareOfBudget(Duration now, Duration warmingUpSince) {
         double risen =
-                Math.max(0, seconds(now.minus(coldSince).minus(window)) / seconds(rampDuration));
+                Math.max(
+                        0,
+                        seconds(now.minus(warmingUpSince).minus(window)) / seconds(rampDuration));
         double rate = loadFactor * (initialCapacityShare * (1 - risen) + risen) * WARM_WORK_RATE;
         return SAFETY * rate * seconds(window) / routerCount;
     }
--- a/src/main/java/postbeam/policy/StragglerCanceller.java
+++ b/src/main/java/postbeam/policy/StragglerCanceller.java
@@ -8,10 +8,9 @@
 import postbeam.model.ShardRequest;
 
 /**
- * Cancels attempts at unresponsive nodes that keep a request from going elsewhere: where hedging is
- * not allowed, or a query that needs a subset has all its places in flight. A time-out would also
- * throw away the wait of attempts that only wait their turn: when all nodes are slow that feeds the
- * overload.
+ * Cancels attempts at unresponsive nodes where a hedged attempt is not possible: hedging is not
+ * allowed, or a query that needs a subset has enough requests in flight. A plain timeout would also
+ * cancel attempts that are queued at slow nodes, and add load when all nodes are slow.
  */
 final class StragglerCanceller {
     private final AttemptLimits limits;
@@ -53,19 +52,19 @@
             if (stragglers.isUnresponsive(now, attempt)
                     && budget.allowsRetry(now)
                     && retries.mayCancelAndRetry(now, attempt.sentAt, query.queryClass())
-                    && hasSoundReplica(now, request, query.queryClass())) {
+                    && hasHealthyReplica(now, request, query.queryClass())) {
                 canceller.cancelAttempts(request);
             }
         }
     }
 
-    /** Whether more requests are in flight than a query needs that a subset completes. */
+    /** Whether a query that needs a subset has more requests in flight than it needs. */
     private static boolean hasSubsetInFlight(Query query) {
         return query.queryClass().acceptsSubset()
                 && query.requestsInFlight() > query.requestsNeeded();
     }
 
-    private boolean hasSoundReplica(Duration now, ShardRequest request, QueryClass queryClass) {
+    private boolean hasHealthyReplica(Duration now, ShardRequest request, QueryClass queryClass) {
         DataNode other = replicas.chooseNode(now, request);
         return other != null && !outliers.isSuspect(now, other, queryClass);
     }
--- a/src/main/java/postbeam/policy/StragglerDetector.java
+++ b/src/main/java/postbeam/policy/StragglerDetector.java
@@ -9,9 +9,9 @@
 import postbeam.model.QueryClass;
 import postbeam.model.ShardRequest;
 
-/** Tells attempts that are probably lost from those that only wait their turn at a slow node. */
+/** Distinguishes attempts that are probably lost from attempts that are queued at a slow node. */
 final class StragglerDetector {
-    /** Shares of the latency objective between which an attempt becomes overdue. */
+    /** Minimum and maximum time until an attempt is overdue, as shares of the latency objective. */
     private static final double OVERDUE_MIN_SHARE = 0.45;
 
     private static final double OVERDUE_MAX_SHARE = 0.6;
@@ -26,20 +26,22 @@
         this.ejection = ejection;
     }
 
-    /** How long after it was sent an attempt is overdue. */
+    /** Time after which an attempt is overdue. */
     Duration overdueAfter(Duration now, QueryClass queryClass) {
-        Duration usual =
-                latencies.usualLatency(now, queryClass, CompletionForecast.SLOWEST_REQUEST_FACTOR);
+        Duration slowest =
+                latencies.typicalLatency(
+                        now, queryClass, CompletionForecast.SLOWEST_REQUEST_FACTOR);
         Duration longest = scale(queryClass.latencyObjective, OVERDUE_MAX_SHARE);
-        if (usual.compareTo(longest) > 0) {
-            // A cancelled attempt has waited for nothing; a hedged one has not.
+        if (slowest.compareTo(longest) > 0) {
+            // Cancelling loses the time spent in the node's queue; hedging does not.
             return limits.hedgingAllowed() ? longest : queryClass.latencyObjective;
         }
-        return max(usual, scale(queryClass.latencyObjective, OVERDUE_MIN_SHARE));
+        return max(slowest, scale(queryClass.latencyObjective, OVERDUE_MIN_SHARE));
     }
 
     /**
-     * Overdue, and its node has answered nothing for as long; at once where the node is ejected.
+     * Whether the attempt is overdue and its node has answered nothing for that long, or its node
+     * is ejected.
      */
     boolean isUnresponsive(Duration now, Attempt attempt) {
         Duration since = now.minus(overdueAfter(now, attempt.shardRequest.queryClass));
@@ -48,7 +50,9 @@
                         && !NodeState.of(attempt.node).latency.hasAnsweredSince(since));
     }
 
-    /** Unresponsive, or overdue and overtaken: its node has answered an attempt sent later. */
+    /**
+     * Whether the attempt is unresponsive, or overdue while its node has answered a later attempt.
+     */
     boolean isLost(Duration now, Attempt attempt) {
         Duration since = now.minus(overdueAfter(now, attempt.shardRequest.queryClass));
         return isUnresponsive(now, attempt)
@@ -58,7 +62,9 @@
                                 .hasAnsweredAttemptSentAfter(attempt.sentAt));
     }
 
-    /** Whether an answer to the unanswered request can be expected from what is in flight. */
+    /**
+     * Whether the request is unanswered and an answer can be expected from its attempts in flight.
+     */
     boolean isExpected(Duration now, ShardRequest request) {
         for (Attempt attempt : request.attemptsInFlight) {
             if (!attempt.isCancellationRequested() && !isLost(now, attempt)) {
@@ -68,12 +74,12 @@
         return false;
     }
 
-    /** Requests whose answers can be expected from what is in flight (the paper's delta). */
+    /** Number of requests whose answers can be expected (delta in the SEDPT-R paper). */
     int expectedAnswers(Duration now, Query query) {
         return query.countRequests(request -> isExpected(now, request));
     }
 
-    /** Requests in flight whose attempts are all cancelled or lost. */
+    /** Number of requests in flight whose attempts are all cancelled or lost. */
     int lostRequests(Duration now, Query query) {
         return query.countRequests(
                 request -> !request.attemptsInFlight.isEmpty() && !isExpected(now, request));
--- a/src/main/java/postbeam/policy/ZoneHealth.java
+++ b/src/main/java/postbeam/policy/ZoneHealth.java
@@ -2,9 +2,9 @@
 
 import postbeam.model.Attempt;
 
-/** The health of a zone: of its nodes together, and of the way there. */
+/** The health of a zone: of its nodes and of the network path to them. */
 final class ZoneHealth extends HealthRecord {
-    /** The one attempt that shows whether an ejected zone is sound again; null before one. */
+    /** The attempt that tests whether an ejected zone has recovered; null before the first. */
     private Attempt trialAttempt;
 
     void beginTrial(Attempt attempt) {
--- a/src/test/java/postbeam/policy/LatencyEstimatorTest.java
+++ b/src/test/java/postbeam/policy/LatencyEstimatorTest.java
@@ -53,8 +53,8 @@
         fixture.start(idempotent, 1);
         DataNode node = fixture.sent.get(0).node;
         fixture.end(ms(300), fixture.sent.get(0), AttemptOutcome.SUCCESS);
-        assertTrue(latencies.usualSlowdown(ms(300)) > 2);
-        assertEquals(1, latencies.usualSlowdown(ms(4301)));
+        assertTrue(latencies.typicalSlowdown(ms(300)) > 2);
+        assertEquals(1, latencies.typicalSlowdown(ms(4301)));
         assertEquals(1, latencies.relativeSlowdown(ms(4301), node));
     }
 }
--- a/src/test/java/postbeam/policy/SlowStartTest.java
+++ b/src/test/java/postbeam/policy/SlowStartTest.java
@@ -141,8 +141,8 @@
                 ms(60_000),
                 new Attempt(request, node, ms(60_000), null),
                 AttemptOutcome.UNREACHABLE);
-        assertEquals(ms(60_000), fixture.slowStart.coldSince(node));
+        assertEquals(ms(60_000), fixture.slowStart.warmingUpSince(node));
         fixture.policy.onNodeUpdate(ms(63_000), node, Readiness.READY, ms(61_000));
-        assertEquals(ms(61_000), fixture.slowStart.coldSince(node));
+        assertEquals(ms(61_000), fixture.slowStart.warmingUpSince(node));
     }
 }
