--- a/src/main/java/postbeam/cli/RouterFactory.java
+++ b/src/main/java/postbeam/cli/RouterFactory.java
@@ -59,7 +59,7 @@
     private static SliceTranslator sliceTranslator(InstanceSettings settings) {
         SliceTranslator translator = new SliceTranslator();
         if (isOn(settings, "layouts.migration.enabled")) {
-            translator.leaseDuration(
+            translator.setLeaseDuration(
                     Duration.ofMillis(settings.integerAtLeast("layouts.migration.leaseMs", 1)));
         }
         return translator;
--- a/src/main/java/postbeam/layoutservice/LayoutService.java
+++ b/src/main/java/postbeam/layoutservice/LayoutService.java
@@ -173,7 +173,7 @@
     private void open(JournalRecord.Snapshot first) throws IOException {
         MigrationJournalState migrations =
                 place.migrationLimits() == null ? null : new MigrationJournalState();
-        journalState.workflow(migrations);
+        journalState.setWorkflow(migrations);
         log = MoveJournal.open(place.log(), journalState, first);
         if (migrations != null) {
             orders.startTerm(log.startTerm(journalState), this::said, this::overtaken);
@@ -275,7 +275,7 @@
                                 !known.containsKey(name)
                                         || known.get(name).readiness() == Readiness.REMOVED);
         orders.updateAddresses(addresses);
-        coordinator.listed(known, started);
+        coordinator.onNodesListed(known, started);
         if (desk != null && !started.isEmpty() && !stopped) {
             try {
                 carryOutAll(desk.migrations().onNodesStarted(started, now()));
@@ -644,10 +644,10 @@
         json.writeStartObject();
         json.writeNumberField("move", move.id);
         json.writeStringField("change", move.change.toString());
-        json.writeStringField("state", MoveRecordCodec.STATE_NAMES.of(move.state));
-        json.writeNumberField("for_ms", Math.max(0, now().minus(move.stateSince).toMillis()));
-        if (move.abandonReason != null) {
-            json.writeStringField("why", move.abandonReason);
+        json.writeStringField("state", MoveRecordCodec.STATE_NAMES.of(move.state()));
+        json.writeNumberField("for_ms", Math.max(0, now().minus(move.stateSince()).toMillis()));
+        if (move.abandonReason() != null) {
+            json.writeStringField("why", move.abandonReason());
         }
         json.writeEndObject();
     }
--- a/src/main/java/postbeam/layoutservice/MigrationHandler.java
+++ b/src/main/java/postbeam/layoutservice/MigrationHandler.java
@@ -131,7 +131,7 @@
                                                         hop -> {
                                                             var slice =
                                                                     coordinator
-                                                                            .book()
+                                                                            .state()
                                                                             .layout()
                                                                             .slice(hop.slice());
                                                             return slice != null
@@ -158,7 +158,7 @@
                                     migrations
                                             .routerAcknowledgements()
                                             .routersBehind(
-                                                    coordinator.book().layout().version, now)) {
+                                                    coordinator.state().layout().version, now)) {
                                 json.writeString(router);
                             }
                             json.writeEndArray();
--- a/src/main/java/postbeam/migration/ActionBatch.java
+++ b/src/main/java/postbeam/migration/ActionBatch.java
@@ -31,11 +31,11 @@
 
     /** Whether the move was abandoned so that its slice is copied once more. */
     static boolean isRecopied(Move move) {
-        return RECOPY_REASON.equals(move.abandonReason);
+        return RECOPY_REASON.equals(move.abandonReason());
     }
 
     void append(JournalRecord.WorkflowRecord migrationRecord) {
-        coordinator.book().apply(migrationRecord);
+        coordinator.state().apply(migrationRecord);
         actions.add(
                 new MigrationAction.Delegated(new CoordinatorAction.AppendRecord(migrationRecord)));
     }
--- a/src/main/java/postbeam/migration/MigrationManager.java
+++ b/src/main/java/postbeam/migration/MigrationManager.java
@@ -57,7 +57,7 @@
         this.stateMachine =
                 new MigrationStateMachine(
                         progress, journalState, planner, verifier, pauseDetector, this, limits);
-        coordinator.admission(new MigrationMoveAdmission(progress, journalState, this));
+        coordinator.setAdmission(new MigrationMoveAdmission(progress, journalState, this));
     }
 
     /** All migrations, as the journal has them. */
@@ -224,7 +224,7 @@
         return move.destinations.stream()
                         .anyMatch(destination -> nodes.contains(destination.node()))
                 && TransferProgress.isAbandonable(move)
-                && move.state != MoveState.PLANNED;
+                && move.state() != MoveState.PLANNED;
     }
 
     /** How well a member is served, from 0 to 1. */
@@ -245,7 +245,7 @@
     /** What is to be done now; nothing before the coordinator has received a node list. */
     public List<MigrationAction> tick(Duration now) {
         ActionBatch batch = new ActionBatch(coordinator);
-        if (!coordinator.listed()) {
+        if (!coordinator.hasNodeList()) {
             return batch.actions();
         }
         for (Migration migration : byCopiedBytes(journalState.activeMigrations())) {
--- a/src/main/java/postbeam/migration/MigrationStateMachine.java
+++ b/src/main/java/postbeam/migration/MigrationStateMachine.java
@@ -167,7 +167,7 @@
             Move move,
             Duration now) {
         boolean forward = transfer.isForward(move.change);
-        if (forward && move.state != MoveState.ABANDONING && !move.reverseWhenDone) {
+        if (forward && move.state() != MoveState.ABANDONING && !move.reverseWhenDone()) {
             batch.abandonMove(move, migration.rollbackReason(), now);
         } else if (!forward && progress.isHolding(move)) {
             verifier.verify(batch, migration, move, now);
--- a/src/main/java/postbeam/migration/MovePlanner.java
+++ b/src/main/java/postbeam/migration/MovePlanner.java
@@ -80,7 +80,7 @@
     }
 
     private static boolean isCopying(Move move) {
-        return move.state == MoveState.PLANNED || move.state == MoveState.COPYING;
+        return move.state() == MoveState.PLANNED || move.state() == MoveState.COPYING;
     }
 
     private boolean needsMove(Migration migration, SliceTransfer transfer) {
--- a/src/main/java/postbeam/migration/PauseDetector.java
+++ b/src/main/java/postbeam/migration/PauseDetector.java
@@ -161,7 +161,7 @@
 
     private static Optional<MigrationRecord.Paused> moveFailed(
             Migration migration, SliceTransfer transfer, Move move, Duration now) {
-        boolean goesBack = move.state == MoveState.ABANDONING || move.reverseWhenDone;
+        boolean goesBack = move.state() == MoveState.ABANDONING || move.reverseWhenDone();
         if (!goesBack || migration.isRollingBack() || ActionBatch.isRecopied(move)) {
             return Optional.empty();
         }
@@ -173,7 +173,7 @@
                         + " of slice "
                         + transfer.slice()
                         + " was abandoned: "
-                        + move.abandonReason,
+                        + move.abandonReason(),
                 now);
     }
 
@@ -215,7 +215,7 @@
     }
 
     private void updateLag(Move move, Duration now) {
-        if (move.state != MoveState.REPLICATING || progress.isHolding(move)) {
+        if (move.state() != MoveState.REPLICATING || progress.isHolding(move)) {
             laggingSince.remove(move.id);
         } else {
             laggingSince.putIfAbsent(move.id, now);
@@ -224,9 +224,9 @@
 
     /** Since when the move has made no progress; {@code now} where nothing is expected of it. */
     private Duration lastProgressAt(Migration migration, Move move, Duration now) {
-        if (move.state == MoveState.COPYING) {
+        if (move.state() == MoveState.COPYING) {
             // A successor gives copies that stood still without a coordinator their time again.
-            return later(createdAt, later(move.stateSince, migration.since()));
+            return later(createdAt, later(move.stateSince(), migration.since()));
         }
         Duration lagging = laggingSince.get(move.id);
         if (lagging != null) {
--- a/src/main/java/postbeam/migration/TransferProgress.java
+++ b/src/main/java/postbeam/migration/TransferProgress.java
@@ -24,18 +24,18 @@
     }
 
     Layout currentLayout() {
-        return coordinator.book().layout();
+        return coordinator.state().layout();
     }
 
     /** The move under way on the transfer's slice. */
     Optional<Move> activeMove(SliceTransfer transfer) {
-        return coordinator.book().activeMoves().stream()
+        return coordinator.state().activeMoves().stream()
                 .filter(move -> move.change.slices().contains(transfer.slice()))
                 .findFirst();
     }
 
     boolean exists(long moveId) {
-        return coordinator.book().move(moveId) != null;
+        return coordinator.state().move(moveId) != null;
     }
 
     /** Whether the layout in force names the target as a holder. */
@@ -49,7 +49,7 @@
     }
 
     boolean isHolding(Move move) {
-        return move.state == MoveState.REPLICATING
+        return move.state() == MoveState.REPLICATING
                 && coordinator.destinationsAcknowledged(move, HandoffCommand.HOLD);
     }
 
@@ -76,7 +76,7 @@
             return false;
         }
         Optional<Move> move = activeMove(transfer);
-        return move.isEmpty() || move.get().state == MoveState.ABANDONING;
+        return move.isEmpty() || move.get().state() == MoveState.ABANDONING;
     }
 
     /** The migration that the move is a part of. */
@@ -100,6 +100,6 @@
     }
 
     static boolean isAbandonable(Move move) {
-        return !move.isCutOver() && move.state != MoveState.ABANDONING;
+        return !move.isCutOver() && move.state() != MoveState.ABANDONING;
     }
 }
--- a/src/main/java/postbeam/router/PolicyExecutor.java
+++ b/src/main/java/postbeam/router/PolicyExecutor.java
@@ -95,7 +95,7 @@
                         paging,
                         lock::newCondition);
         if (slicing != null) {
-            slicing.holders().configure(nodes::name, clock::fromUnixTime);
+            slicing.placement().configure(nodes::name, clock::fromUnixTime);
         }
         PolicyActionHandler actions =
                 new PolicyActionHandler(
@@ -114,7 +114,7 @@
                         new Random(seed),
                         slicing == null
                                 ? PolicyFactory.fleet(settings)
-                                : new Cluster(slicing.holders()),
+                                : new Cluster(slicing.placement()),
                         paging == null ? settings : paging.withReducedRetryBudget(settings));
         this.decisions =
                 new DecisionLoop(policy, slicing, clock, pacer, timers, queries, attempts, outbox);
--- a/src/main/java/postbeam/slices/Coordinator.java
+++ b/src/main/java/postbeam/slices/Coordinator.java
@@ -42,24 +42,24 @@
     /** Nodes that came onto the list and are to be told what they hold. */
     private final Map<String, Map<CommandKey, Delivery>> pendingReminders = new LinkedHashMap<>();
 
-    private MoveAdmission admission = MoveAdmission.UNRESTRICTED;
+    private MoveAdmission setAdmission = MoveAdmission.UNRESTRICTED;
 
     public Coordinator(MoveJournalState journalState, MoveLimits limits) {
         this.journalState = journalState;
         this.limits = limits;
     }
 
-    public MoveJournalState book() {
+    public MoveJournalState state() {
         return journalState;
     }
 
     /** From now on asked before moves go on. */
-    public void admission(MoveAdmission next) {
-        admission = next;
+    public void setAdmission(MoveAdmission next) {
+        setAdmission = next;
     }
 
     /** Whether a list of nodes has come yet. */
-    public boolean listed() {
+    public boolean hasNodeList() {
         return !nodes.isEmpty();
     }
 
@@ -72,7 +72,7 @@
      * What discovery tells of data nodes; one that comes, or comes back, is told what it is to
      * serve.
      */
-    public void listed(Map<String, TargetLayout.NodeInfo> list, List<String> started) {
+    public void onNodesListed(Map<String, TargetLayout.NodeInfo> list, List<String> started) {
         for (Map.Entry<String, TargetLayout.NodeInfo> entry : list.entrySet()) {
             TargetLayout.NodeInfo before = nodes.put(entry.getKey(), entry.getValue());
             boolean gone = entry.getValue().readiness() == Readiness.REMOVED;
@@ -104,7 +104,7 @@
                 return Optional.of("slice " + number + " is moving already");
             }
         }
-        Optional<String> reserved = admission.reservationConflict(change);
+        Optional<String> reserved = setAdmission.reservationConflict(change);
         if (reserved.isPresent()) {
             return reserved;
         }
@@ -328,10 +328,10 @@
 
     /** It waits for others' say, and needs nothing of its nodes but what they do all the time. */
     private boolean awaitsApproval(Move move) {
-        return move.state == MoveState.REPLICATING && !admission.permits(move, MoveState.FENCED)
+        return move.state == MoveState.REPLICATING && !setAdmission.permits(move, MoveState.FENCED)
                 || move.state == MoveState.CUT_OVER
                         && !move.reverseWhenDone
-                        && !admission.permits(move, MoveState.COMPLETED);
+                        && !setAdmission.permits(move, MoveState.COMPLETED);
     }
 
     /** Each node that gains by the move has done this order lately told. */
@@ -358,12 +358,12 @@
                                                         ? limits.copyTimeout()
                                                         : limits.stepTimeout())
                                 > 0
-                        && (!copying || admission.copyTimeoutApplies(move));
+                        && (!copying || setAdmission.copyTimeoutApplies(move));
         switch (move.state) {
             case PLANNED -> {
                 if (missingNode(move) != null) {
                     abandon(acts, move, "node " + missingNode(move) + " is gone", now);
-                } else if (mayStart(move, now) && admission.permits(move, MoveState.COPYING)) {
+                } else if (mayStart(move, now) && setAdmission.permits(move, MoveState.COPYING)) {
                     advance(acts, move, MoveState.COPYING, now);
                 }
             }
@@ -374,7 +374,7 @@
                             move,
                             late ? "the copy is stuck" : "node " + missingNode(move) + " is gone",
                             now);
-                } else if (admission.permits(move, MoveState.REPLICATING)
+                } else if (setAdmission.permits(move, MoveState.REPLICATING)
                         && commandDestinations(acts, move, HandoffCommand.COPY, now)) {
                     advance(acts, move, MoveState.REPLICATING, now);
                 }
@@ -387,7 +387,7 @@
                             late ? "nodes don't keep up" : "node " + missingNode(move) + " is gone",
                             now);
                 } else if (commandDestinations(acts, move, HandoffCommand.HOLD, now)
-                        && admission.permits(move, MoveState.FENCED)) {
+                        && setAdmission.permits(move, MoveState.FENCED)) {
                     advance(acts, move, MoveState.FENCED, now);
                 }
             }
@@ -402,7 +402,7 @@
                     planReverse(acts, move, now);
                     return;
                 }
-                if (!admission.permits(move, MoveState.COMPLETED)) {
+                if (!setAdmission.permits(move, MoveState.COMPLETED)) {
                     return;
                 }
                 // Who does not answer is told again when it is there: what it was fenced from harms
--- a/src/main/java/postbeam/slices/Move.java
+++ b/src/main/java/postbeam/slices/Move.java
@@ -26,19 +26,19 @@
     public final List<Destination> destinations;
     public final List<OldHolder> oldHolders;
     public final Duration plannedAt;
-    public MoveState state = MoveState.PLANNED;
+    MoveState state = MoveState.PLANNED;
 
     /** Since when it stands there. */
-    public Duration stateSince;
+    Duration stateSince;
 
     /** Why it is abandoned, or is to be turned back once it is over; null while it is not. */
-    public String abandonReason;
+    String abandonReason;
 
     /** It was cut over already when it was abandoned: its opposite follows. */
-    public boolean reverseWhenDone;
+    boolean reverseWhenDone;
 
     /** Its old holders may have been fenced. */
-    public boolean mayBeFenced;
+    boolean mayBeFenced;
 
     Move(
             long id,
@@ -91,6 +91,29 @@
         return new Move(id, change, births, gains, losses, at);
     }
 
+    /** How far it has come. */
+    public MoveState state() {
+        return state;
+    }
+
+    /** Since when it is in its state, since 1970. */
+    public Duration stateSince() {
+        return stateSince;
+    }
+
+    /** Why it is abandoned; null while it is not. */
+    public String abandonReason() {
+        return abandonReason;
+    }
+
+    /**
+     * Whether it was abandoned after the cut-over: it is completed, and its reverse is planned
+     * then.
+     */
+    public boolean reverseWhenDone() {
+        return reverseWhenDone;
+    }
+
     /** All nodes that it needs. */
     public Set<String> requiredNodes() {
         Set<String> nodes = new LinkedHashSet<>();
--- a/src/main/java/postbeam/slices/MoveJournalState.java
+++ b/src/main/java/postbeam/slices/MoveJournalState.java
@@ -28,7 +28,7 @@
     private long lastMove;
     private int lastSlice;
     private long term;
-    private WorkflowState workflow;
+    private WorkflowState setWorkflow;
 
     /** What the records of a workflow over moves add up to. */
     public interface WorkflowState {
@@ -45,8 +45,8 @@
     }
 
     /** Who hears the records of a workflow; without one they can't be read. */
-    public void workflow(WorkflowState next) {
-        workflow = next;
+    public void setWorkflow(WorkflowState next) {
+        setWorkflow = next;
     }
 
     /** What follows on {@link #snapshot} where the log is written anew. */
@@ -55,8 +55,8 @@
         if (term > 0) {
             rest.add(new JournalRecord.TermStarted(term));
         }
-        if (workflow != null) {
-            rest.addAll(workflow.snapshotRecords());
+        if (setWorkflow != null) {
+            rest.addAll(setWorkflow.snapshotRecords());
         }
         return rest;
     }
@@ -193,11 +193,11 @@
                                                     gain.slice() == loss.slice()
                                                             && gain.node().equals(loss.node())));
         } else if (record instanceof JournalRecord.WorkflowRecord other) {
-            if (workflow == null) {
+            if (setWorkflow == null) {
                 throw new IllegalArgumentException(
                         "migrations stand in this log: switch layouts.migration on");
             }
-            workflow.apply(other);
+            setWorkflow.apply(other);
         } else if (record instanceof JournalRecord.PendingDrop one) {
             if (one.pending()) {
                 pendingDrops.add(one.oldHolder());
--- a/src/main/java/postbeam/slices/SliceTranslator.java
+++ b/src/main/java/postbeam/slices/SliceTranslator.java
@@ -29,17 +29,17 @@
      */
     private static final int MAX_PARTS = 2048;
 
-    private final LayoutReplicaPlacement holders = new LayoutReplicaPlacement();
+    private final LayoutReplicaPlacement placement = new LayoutReplicaPlacement();
     private Layout currentLayout;
     private long rejectedLayouts;
 
     /** Null where layouts are held without a lease. */
-    private Duration leaseDuration;
+    private Duration setLeaseDuration;
 
     private Duration leaseUntil;
 
-    public LayoutReplicaPlacement holders() {
-        return holders;
+    public LayoutReplicaPlacement placement() {
+        return placement;
     }
 
     /** The layout in force here; null before the first. */
@@ -65,20 +65,20 @@
             return false;
         }
         currentLayout = next;
-        holders.layout(next);
+        placement.layout(next);
         return true;
     }
 
     /** From now on a layout may be gone by for so long after it was asked for. */
-    public final void leaseDuration(Duration span) {
-        leaseDuration = span;
+    public final void setLeaseDuration(Duration span) {
+        setLeaseDuration = span;
         leaseUntil = Duration.ZERO;
     }
 
     /** The layout in force was told in answer to a question of this time. */
     public final void renewLease(Duration askedAt) {
-        if (leaseDuration != null && leaseUntil.compareTo(askedAt.plus(leaseDuration)) < 0) {
-            leaseUntil = askedAt.plus(leaseDuration);
+        if (setLeaseDuration != null && leaseUntil.compareTo(askedAt.plus(setLeaseDuration)) < 0) {
+            leaseUntil = askedAt.plus(setLeaseDuration);
         }
     }
 
@@ -150,7 +150,7 @@
             throws UnroutableQueryException {
         // Guards what runs once against a layout long past; hurts where the layout service is away
         // for longer.
-        if (leaseDuration != null
+        if (setLeaseDuration != null
                 && query.queryClass().sideEffects == SideEffects.NON_IDEMPOTENT
                 && query.arrivedAt.compareTo(leaseUntil) >= 0) {
             throw new UnroutableQueryException(
@@ -206,11 +206,11 @@
      * for a while.
      */
     public final void excludeReplica(ShardRequest request, DataNode node) {
-        holders.left(request.shard, node);
+        placement.left(request.shard, node);
     }
 
     public final void readmitReplica(int slice, DataNode node) {
-        holders.readmit(slice, node);
+        placement.readmit(slice, node);
     }
 
     /**
--- a/src/main/java/postbeam/testbed/simulation/MigrationSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/MigrationSimulation.java
@@ -256,8 +256,8 @@
         return now.compareTo(LOAD.plusSeconds(2)) > 0
                 && chief.works()
                 && chief.migrations.journalState().activeMigrations().isEmpty()
-                && chief.coordinator.book().activeMoves().isEmpty()
-                && chief.coordinator.book().pendingDrops().isEmpty();
+                && chief.coordinator.state().activeMoves().isEmpty()
+                && chief.coordinator.state().pendingDrops().isEmpty();
     }
 
     private void calm() {
@@ -577,7 +577,7 @@
             }
             return;
         }
-        for (Slice slice : chief.coordinator.book().layout().slices()) {
+        for (Slice slice : chief.coordinator.state().layout().slices()) {
             long away =
                     slice.nodes().stream()
                             .map(this::node)
@@ -667,11 +667,11 @@
 
     private void end() {
         MigrationJournalState migrations = chief.migrations.journalState();
-        Layout layout = chief.coordinator.book().layout();
+        Layout layout = chief.coordinator.state().layout();
         for (Migration one : migrations.activeMigrations()) {
             breaks("progress: " + one + " does not end");
         }
-        for (Move move : chief.coordinator.book().activeMoves()) {
+        for (Move move : chief.coordinator.state().activeMoves()) {
             breaks("progress: " + move + " does not end");
         }
         for (Migration one : migrations.migrations()) {
@@ -738,7 +738,7 @@
     private void replays() {
         MoveJournalState moves = new MoveJournalState(50);
         MigrationJournalState again = new MigrationJournalState();
-        moves.workflow(again);
+        moves.setWorkflow(again);
         try {
             for (SimulatedMigrationCoordinator.Stored stored : log) {
                 if (stored.term() == 0 || stored.term() >= moves.term()) {
@@ -753,7 +753,7 @@
         List<JournalRecord.WorkflowRecord> there = again.snapshotRecords();
         boolean same =
                 here.size() == there.size()
-                        && moves.layout().version == chief.coordinator.book().layout().version;
+                        && moves.layout().version == chief.coordinator.state().layout().version;
         for (int i = 0; same && i < here.size(); i++) {
             same =
                     Arrays.equals(
--- a/src/main/java/postbeam/testbed/simulation/SimulatedMigrationCoordinator.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedMigrationCoordinator.java
@@ -85,7 +85,7 @@
     SimulatedMigrationCoordinator(MigrationSimulation world) {
         this.world = world;
         MoveJournalState moves = new MoveJournalState(50);
-        moves.workflow(book);
+        moves.setWorkflow(book);
         for (Stored stored : world.log) {
             JournalRecord record = read(stored);
             if (stored.term == 0 || stored.term >= moves.term()) {
@@ -99,7 +99,7 @@
         moves.apply(office);
         world.log.add(new Stored(term, MoveRecordCodec.write(office, term)));
         seen = world.log.size();
-        coordinator.listed(list(), List.of());
+        coordinator.onNodesListed(list(), List.of());
         world.after(LOOK, this::look);
     }
 
@@ -257,7 +257,7 @@
     }
 
     private boolean goesBack(long id) {
-        Move move = coordinator.book().move(id);
+        Move move = coordinator.state().move(id);
         if (move == null) {
             return false;
         }
@@ -273,7 +273,7 @@
     void listed(SimulatedMigrationNode node, boolean up) {
         happens(
                 () -> {
-                    coordinator.listed(list(), up ? List.of(node.name) : List.of());
+                    coordinator.onNodesListed(list(), up ? List.of(node.name) : List.of());
                     if (up) {
                         carryOut(migrations.onNodesStarted(List.of(node.name), world.now));
                     }
@@ -286,7 +286,7 @@
             return null;
         }
         migrations.routerAcknowledgements().onRequest(router, version, world.now);
-        Layout layout = coordinator.book().layout();
+        Layout layout = coordinator.state().layout();
         migrations.routerAcknowledgements().onResponse(router, layout.version, world.now);
         return layout;
     }
--- a/src/main/java/postbeam/testbed/simulation/SimulatedMoveCoordinator.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedMoveCoordinator.java
@@ -87,7 +87,7 @@
             }
         }
         coordinator = new Coordinator(journalState, LIMITS);
-        coordinator.listed(list, List.of());
+        coordinator.onNodesListed(list, List.of());
         cluster.published(journalState.layout());
         int now = ++life;
         cluster.after(LOOK, () -> look(now));
@@ -166,7 +166,7 @@
                                 endpoint.name(),
                                 new TargetLayout.NodeInfo(endpoint.zone(), endpoint.readiness())));
         if (coordinator != null) {
-            coordinator.listed(list, started);
+            coordinator.onNodesListed(list, started);
         }
     }
 
@@ -187,7 +187,7 @@
         if (coordinator == null) {
             return;
         }
-        Layout layout = coordinator.book().layout();
+        Layout layout = coordinator.state().layout();
         List<Slice> slices = layout.slices();
         int at = cluster.chance.nextInt(slices.size());
         Slice slice = slices.get(at);
@@ -242,8 +242,8 @@
             return;
         }
         List<Move> moves =
-                coordinator.book().activeMoves().stream()
-                        .filter(move -> move.abandonReason == null && !move.reverseWhenDone)
+                coordinator.state().activeMoves().stream()
+                        .filter(move -> move.abandonReason() == null && !move.reverseWhenDone())
                         .toList();
         if (!moves.isEmpty()) {
             Move move = moves.get(cluster.chance.nextInt(moves.size()));
@@ -297,10 +297,10 @@
     /** What has not come to rest long after the last trouble. */
     List<String> unsettled() {
         List<String> found = new ArrayList<>();
-        for (Move move : coordinator.book().activeMoves()) {
+        for (Move move : coordinator.state().activeMoves()) {
             found.add("progress: " + move + " does not end");
         }
-        for (Slice slice : coordinator.book().layout().slices()) {
+        for (Slice slice : coordinator.state().layout().slices()) {
             for (String node : slice.nodes()) {
                 if (cluster.node(node).readiness == Readiness.READY
                         && !cluster.node(node).serves(slice.number())) {
--- a/src/main/java/postbeam/testbed/simulation/SimulatedQueryRouter.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedQueryRouter.java
@@ -74,13 +74,13 @@
         this.slicing = slicing;
         this.registry = new EndpointRegistry(zone);
         SimulatedCluster.kinds().forEach(kind -> verticals.put(kind.name(), kind.vertical()));
-        slicing.holders().configure(registry::nameOf, at -> at);
+        slicing.placement().configure(registry::nameOf, at -> at);
         InvariantChecker.Rules rules = SimulatedCluster.rules();
         policy =
                 new RoutingPolicy(
                         this,
                         new Random(seed),
-                        new Cluster(slicing.holders()),
+                        new Cluster(slicing.placement()),
                         new AdmissionControl(
                                 400, cluster.plan.routers(), null, Duration.ofMillis(500)),
                         new AttemptLimits(3, true, true, true, 16),
--- a/src/test/java/postbeam/layoutservice/StoredMoveRecordsTest.java
+++ b/src/test/java/postbeam/layoutservice/StoredMoveRecordsTest.java
@@ -228,7 +228,7 @@
 
     private static MoveJournalState book() {
         MoveJournalState journalState = new MoveJournalState(HISTORY);
-        journalState.workflow(new MigrationJournalState());
+        journalState.setWorkflow(new MigrationJournalState());
         return journalState;
     }
 
--- a/src/test/java/postbeam/migration/MigrationScenario.java
+++ b/src/test/java/postbeam/migration/MigrationScenario.java
@@ -113,18 +113,18 @@
 
     void setReadiness(String node, Readiness readiness) {
         nodes.put(node, new TargetLayout.NodeInfo("z", readiness));
-        coordinator.listed(nodes, List.of());
+        coordinator.onNodesListed(nodes, List.of());
     }
 
     /** A successor starts from the records alone. */
     void restart() {
         MoveJournalState moveState = new MoveJournalState(100);
         MigrationJournalState migrationState = new MigrationJournalState();
-        moveState.workflow(migrationState);
+        moveState.setWorkflow(migrationState);
         records.forEach(moveState::apply);
         unacknowledged.clear();
         coordinator = new Coordinator(moveState, MOVE_LIMITS);
-        coordinator.listed(nodes, List.of());
+        coordinator.onNodesListed(nodes, List.of());
         manager = new MigrationManager(coordinator, migrationState, limits, now);
         note("restart");
     }
@@ -137,7 +137,7 @@
     }
 
     Layout layout() {
-        return coordinator.book().layout();
+        return coordinator.state().layout();
     }
 
     // ---- operators
--- a/src/test/java/postbeam/migration/MigrationStateMachineTest.java
+++ b/src/test/java/postbeam/migration/MigrationStateMachineTest.java
@@ -37,7 +37,7 @@
         run.run(Duration.ofSeconds(2));
         assertState(MigrationState.RETIRED);
         assertEquals(List.of("e", "b", "c"), run.layout().slice(0).nodes());
-        assertTrue(run.coordinator.book().activeMoves().isEmpty());
+        assertTrue(run.coordinator.state().activeMoves().isEmpty());
     }
 
     @Test
--- a/src/test/java/postbeam/slices/CoordinatorTest.java
+++ b/src/test/java/postbeam/slices/CoordinatorTest.java
@@ -53,12 +53,12 @@
         MoveJournalState journalState = new MoveJournalState(100);
         records.forEach(journalState::apply);
         coordinator = new Coordinator(journalState, LIMITS);
-        coordinator.listed(nodes, List.of());
+        coordinator.onNodesListed(nodes, List.of());
     }
 
     private void readiness(String node, Readiness readiness) {
         nodes.put(node, new TargetLayout.NodeInfo(nodes.get(node).zone(), readiness));
-        coordinator.listed(nodes, List.of());
+        coordinator.onNodesListed(nodes, List.of());
     }
 
     /** Carries acts out; false where it dies after so many more records. */
@@ -99,33 +99,34 @@
 
     private long plan(LayoutChange change) {
         carryOut(coordinator.plan(change, now), -1);
-        return coordinator.book().nextMove() - 1;
+        return coordinator.state().nextMove() - 1;
     }
 
     private MoveState until(long id, MoveState state) {
         for (int i = 0;
                 i < 200
-                        && coordinator.book().move(id) != null
-                        && coordinator.book().move(id).state != state;
+                        && coordinator.state().move(id) != null
+                        && coordinator.state().move(id).state != state;
                 i++) {
             carryOut(coordinator.tick(now), -1);
-            if (coordinator.book().move(id) != null && coordinator.book().move(id).state != state) {
+            if (coordinator.state().move(id) != null
+                    && coordinator.state().move(id).state != state) {
                 answer();
             }
             now = now.plusMillis(100);
         }
-        return coordinator.book().move(id) == null ? null : coordinator.book().move(id).state;
+        return coordinator.state().move(id) == null ? null : coordinator.state().move(id).state;
     }
 
     private Move over(long id) {
-        return coordinator.book().finishedMoves().stream()
+        return coordinator.state().finishedMoves().stream()
                 .filter(move -> move.id == id)
                 .findFirst()
                 .orElseThrow();
     }
 
     private Layout layout() {
-        return coordinator.book().layout();
+        return coordinator.state().layout();
     }
 
     @Test
@@ -166,7 +167,7 @@
     @Test
     void badPlansGetOneLineAndChangeNothing() {
         nodes.put("e", new TargetLayout.NodeInfo("z0", Readiness.DRAINING));
-        coordinator.listed(nodes, List.of());
+        coordinator.onNodesListed(nodes, List.of());
         plan(new LayoutChange.Transfer(2, "c", "a"));
         int before = records.size();
         Map<LayoutChange, String> bad = new LinkedHashMap<>();
@@ -234,8 +235,8 @@
         long second = plan(new LayoutChange.Transfer(1, "c", "a"));
         silent.add("c");
         goOn(Duration.ofSeconds(1));
-        assertEquals(MoveState.COPYING, coordinator.book().move(first).state);
-        assertEquals(MoveState.PLANNED, coordinator.book().move(second).state);
+        assertEquals(MoveState.COPYING, coordinator.state().move(first).state);
+        assertEquals(MoveState.PLANNED, coordinator.state().move(second).state);
         silent.clear();
         goOn(Duration.ofSeconds(4));
         assertEquals(MoveState.COMPLETED, over(second).state);
@@ -247,7 +248,7 @@
         readiness("b", Readiness.DRAINING);
         long drains = plan(new LayoutChange.Transfer(0, "a", "c"));
         goOn(Duration.ofSeconds(3));
-        assertEquals(MoveState.PLANNED, coordinator.book().move(drains).state);
+        assertEquals(MoveState.PLANNED, coordinator.state().move(drains).state);
         readiness("a", Readiness.READY);
         readiness("b", Readiness.READY);
         goOn(Duration.ofSeconds(3));
@@ -258,7 +259,7 @@
         assertEquals(MoveState.COMPLETED, over(first).state);
         long rests = plan(new LayoutChange.Transfer(1, "c", "a"));
         goOn(Duration.ofMillis(200));
-        assertEquals(MoveState.PLANNED, coordinator.book().move(rests).state);
+        assertEquals(MoveState.PLANNED, coordinator.state().move(rests).state);
         goOn(Duration.ofSeconds(4));
         assertEquals(MoveState.COMPLETED, over(rests).state);
     }
@@ -269,7 +270,7 @@
         long id = plan(new LayoutChange.Transfer(0, "a", "c"));
         assertEquals(
                 List.of("b"),
-                coordinator.book().move(id).destinations.stream()
+                coordinator.state().move(id).destinations.stream()
                         .map(Move.Destination::source)
                         .toList());
         goOn(Duration.ofSeconds(3));
@@ -281,7 +282,7 @@
         silent.add("c");
         long id = plan(new LayoutChange.Transfer(0, "a", "c"));
         goOn(Duration.ofSeconds(9));
-        assertEquals(MoveState.COPYING, coordinator.book().move(id).state);
+        assertEquals(MoveState.COPYING, coordinator.state().move(id).state);
         goOn(Duration.ofSeconds(10));
         assertEquals(MoveState.ABANDONED, over(id).state);
         assertEquals("the copy is stuck", over(id).abandonReason);
@@ -340,7 +341,7 @@
             assertThrows(
                     IllegalArgumentException.class, () -> coordinator.abandon(id, "again", now));
             goOn(Duration.ofSeconds(8));
-            assertEquals(0, coordinator.book().activeMoves().size(), state.toString());
+            assertEquals(0, coordinator.state().activeMoves().size(), state.toString());
             assertEquals(4, layout().slices().size(), state + ": the old slices are in force");
             assertTrue(layout().version > version, state + ": under a higher version");
             assertEquals(
@@ -385,7 +386,7 @@
                 run.carryOut(acts, -1);
                 assertEquals(
                         0,
-                        run.coordinator.book().activeMoves().size(),
+                        run.coordinator.state().activeMoves().size(),
                         "killed at record " + at + ", " + change);
             }
             assertEquals(4, run.layout().slices().size(), "killed at record " + at);
@@ -423,7 +424,7 @@
     @Test
     void slicesOfANodeThatIsDeadAreMendedIntoOtherZonesAndItDropsThemWhenItIsBack() {
         nodes.put("e", new TargetLayout.NodeInfo("z0", Readiness.READY));
-        coordinator.listed(nodes, List.of());
+        coordinator.onNodesListed(nodes, List.of());
         goOn(Duration.ofSeconds(1));
         readiness("a", Readiness.REMOVED);
         assertEquals(
@@ -434,7 +435,7 @@
         plan(coordinator.repairs().get(0));
         goOn(Duration.ofSeconds(20));
         assertEquals(List.of("e", "b"), layout().slice(0).nodes());
-        assertEquals(1, coordinator.book().pendingDrops().size());
+        assertEquals(1, coordinator.state().pendingDrops().size());
         restart();
         readiness("a", Readiness.READY);
         carryOut(coordinator.tick(now), -1);
@@ -448,7 +449,7 @@
                         .map(CoordinatorAction.SendCommand::slice)
                         .toList());
         goOn(Duration.ofSeconds(2));
-        assertEquals(0, coordinator.book().pendingDrops().size());
+        assertEquals(0, coordinator.state().pendingDrops().size());
     }
 
     @Test
@@ -456,11 +457,11 @@
         readiness("a", Readiness.REMOVED);
         plan(new LayoutChange.Transfer(0, "a", "c"));
         goOn(Duration.ofSeconds(20));
-        assertEquals(1, coordinator.book().pendingDrops().size());
+        assertEquals(1, coordinator.state().pendingDrops().size());
         silent.add("a");
         readiness("a", Readiness.READY);
         plan(new LayoutChange.Transfer(0, "c", "a"));
-        assertEquals(0, coordinator.book().pendingDrops().size());
+        assertEquals(0, coordinator.state().pendingDrops().size());
         silent.clear();
         goOn(Duration.ofSeconds(20));
         assertEquals(List.of("a", "b"), layout().slice(0).nodes());
@@ -495,6 +496,6 @@
         restart();
         goOn(Duration.ofSeconds(120));
         assertEquals(2, layout().slices().size());
-        assertEquals(0, coordinator.book().activeMoves().size());
+        assertEquals(0, coordinator.state().activeMoves().size());
     }
 }
--- a/src/test/java/postbeam/slices/SliceTranslatorTest.java
+++ b/src/test/java/postbeam/slices/SliceTranslatorTest.java
@@ -31,8 +31,8 @@
     private int births = 4;
 
     SliceTranslatorTest() {
-        slicing.holders().configure(names::get, at -> at);
-        slicing.holders().add(node);
+        slicing.placement().configure(names::get, at -> at);
+        slicing.placement().add(node);
         slicing.onUpdate(layout);
     }
 
@@ -298,25 +298,25 @@
 
     @Test
     void aNodeThatSaysItHoldsASliceNoMoreIsLeftOutForAWhile() throws UnroutableQueryException {
-        assertEquals(List.of(node), slicing.holders().replicas(0));
+        assertEquals(List.of(node), slicing.placement().replicas(0));
         Query query = asked(SideEffects.IDEMPOTENT, 1, 0);
         slicing.excludeReplica(part(query, 0), node);
-        assertEquals(List.of(), slicing.holders().replicas(0));
+        assertEquals(List.of(), slicing.placement().replicas(0));
         slicing.readmitReplica(0, node);
-        assertEquals(List.of(node), slicing.holders().replicas(0));
+        assertEquals(List.of(node), slicing.placement().replicas(0));
         slicing.excludeReplica(part(query, 0), node);
         after(new LayoutChange.Split(1, List.of(QUARTER + 5)));
         assertEquals(
                 List.of(node),
-                slicing.holders().replicas(0),
+                slicing.placement().replicas(0),
                 "a new version clears what was said of the last");
     }
 
     @Test
     void aHolderThatTookASliceIsKnownToBeCold() {
-        assertNull(slicing.holders().acquiredAt(1, node));
+        assertNull(slicing.placement().acquiredAt(1, node));
         after(new LayoutChange.Transfer(1, layout.slice(1).nodes().get(1), "a"));
-        assertEquals(Duration.ofSeconds(1), slicing.holders().acquiredAt(1, node));
-        assertEquals(2, slicing.holders().replicationFactor());
+        assertEquals(Duration.ofSeconds(1), slicing.placement().acquiredAt(1, node));
+        assertEquals(2, slicing.placement().replicationFactor());
     }
 }
