--- a/src/main/java/postbeam/coordination/ColdNodeQuota.java
+++ b/src/main/java/postbeam/coordination/ColdNodeQuota.java
@@ -6,39 +6,38 @@
 import postbeam.model.SlidingWindowCounter;
 
 /**
- * What one router may send one cold node: its own part of the reserve, and the largest lease that
- * it holds, never past that lease's end, which counts from when it was asked for. A check takes
- * what it allows; what is checked and not yet told to be out is under way, and held down: a process
- * that is stopped there sends it whenever it wakes.
+ * What one router may send one node that warms up: its part of the reserve, and the largest lease
+ * that it holds, until that lease expires, counted from its request. Work that is acquired and not
+ * yet released is in flight and limited too: a process that is stopped there sends it when it
+ * wakes.
+ *
+ * <p>Not thread-safe; {@link StripedCoordinator} guards it by the stripe's lock.
  */
 public class ColdNodeQuota {
-    /** A lease asked for or held. */
+    /** A lease that was requested and, once its amount is above 0, granted. */
     private static final class Lease {
         final long number;
         final Duration requestedAt;
 
-        /** Never used from here on. */
+        /** Not used from here on. */
         final Duration expiresAt;
 
         double amount;
 
-        Lease(long number, Duration askedAt, Duration end) {
+        Lease(long number, Duration requestedAt, Duration expiresAt) {
             this.number = number;
-            this.requestedAt = askedAt;
-            this.expiresAt = end;
+            this.requestedAt = requestedAt;
+            this.expiresAt = expiresAt;
         }
     }
 
-    /** Leases asked for or held at once: asked again each third of a lease. */
+    /** At once: one is requested each third of a lease. */
     private static final int MAX_LEASES = 4;
 
-    /** Buckets of a window; what shares a bucket with the window's start counts. */
+    /** Of a window; what shares a bucket with the window's start counts. */
     private static final int WINDOW_BUCKETS = 32;
 
-    /**
-     * Times what was wanted in the last window that is asked for: room to grow, as any ask is some
-     * time on its way.
-     */
+    /** Times the last window's demand: room to grow while a request is on its way. */
     private static final double REQUEST_HEADROOM = 1.5;
 
     private final LeaseParameters parameters;
@@ -49,42 +48,50 @@
     private final SlidingWindowCounter demanded;
     private double inFlight;
 
-    /** For a node whose parts are so many, and whether this router has one. */
-    public ColdNodeQuota(LeaseParameters terms, int sharers, boolean drawn) {
-        this.parameters = terms;
-        this.participants = sharers;
-        this.participating = drawn;
-        this.admitted = new SlidingWindowCounter(terms.window(), WINDOW_BUCKETS);
-        this.demanded = new SlidingWindowCounter(terms.window(), WINDOW_BUCKETS);
+    /**
+     * A quota of which nothing is used.
+     *
+     * @param participants how many routers share the node
+     * @param participating whether this router is one of them
+     */
+    public ColdNodeQuota(LeaseParameters parameters, int participants, boolean participating) {
+        this.parameters = parameters;
+        this.participants = participants;
+        this.participating = participating;
+        this.admitted = new SlidingWindowCounter(parameters.window(), WINDOW_BUCKETS);
+        this.demanded = new SlidingWindowCounter(parameters.window(), WINDOW_BUCKETS);
     }
 
     // ---- leases
 
-    /**
-     * How much to ask the keeper for now, under this number; zero where nothing is to be asked for.
-     */
+    /** How much to request from the leader now under this number; 0 for no request. */
     public double requestAmount(Duration now, double budget, long number) {
         expire(now);
-        Duration third = parameters.duration().dividedBy(3);
-        boolean recent =
-                leases.stream()
-                        .anyMatch(lease -> now.minus(lease.requestedAt).compareTo(third) < 0);
-        double want =
+        double requested =
                 Math.min(
                         REQUEST_HEADROOM * demanded.upperBoundSum(now, parameters.window())
                                 - parameters.reservedQuota(budget, participants),
                         parameters.leasable(budget));
-        if (!participating || recent || leases.size() >= MAX_LEASES || want <= 0) {
+        if (!participating
+                || hasRecentRequest(now)
+                || leases.size() >= MAX_LEASES
+                || requested <= 0) {
             return 0;
         }
         leases.add(new Lease(number, now, now.plus(parameters.duration())));
-        return want;
+        return requested;
     }
 
-    public void onGrant(Duration now, long ofNumber, double amount) {
+    private boolean hasRecentRequest(Duration now) {
+        Duration third = parameters.duration().dividedBy(3);
+        return leases.stream().anyMatch(lease -> now.minus(lease.requestedAt).compareTo(third) < 0);
+    }
+
+    /** Takes the answer to the request with this number, if that has not expired. */
+    public void onGrant(Duration now, long requestNumber, double amount) {
         expire(now);
         leases.stream()
-                .filter(lease -> lease.number == ofNumber)
+                .filter(lease -> lease.number == requestNumber)
                 .forEach(lease -> lease.amount = amount);
     }
 
@@ -92,12 +99,12 @@
         leases.removeIf(lease -> isExpired(now, lease.expiresAt));
     }
 
-    /** Past its end it is not used, whatever the keeper thinks of it. */
-    protected boolean isExpired(Duration now, Duration end) {
-        return now.compareTo(end) >= 0;
+    /** Past its end a lease is not used, whatever the leader thinks of it. */
+    protected boolean isExpired(Duration now, Duration expiresAt) {
+        return now.compareTo(expiresAt) >= 0;
     }
 
-    /** The rate of the largest lease held. */
+    /** Work in a window by the largest lease held; 0 without one. */
     public double largestLease(Duration now) {
         expire(now);
         return leases.stream().mapToDouble(lease -> lease.amount).max().orElse(0);
@@ -105,7 +112,11 @@
 
     // ---- sends
 
-    /** What may still be checked now, with this budget of the node for a window that ends now. */
+    /**
+     * How much may be acquired now.
+     *
+     * @param budget of the node for a window that ends now
+     */
     public double available(Duration now, double budget) {
         if (!participating) {
             return 0;
@@ -114,14 +125,11 @@
                 parameters.reservedQuota(budget, participants)
                         + largestLease(now)
                         - admitted.upperBoundSum(now, parameters.window());
-        return Math.max(
-                0, Math.min(inWindow, parameters.inFlight(budget, participants) - inFlight));
+        double unsent = parameters.inFlight(budget, participants) - inFlight;
+        return Math.max(0, Math.min(inWindow, unsent));
     }
 
-    /**
-     * Takes so much and is true, if there is room for it; from then on it is under way until {@link
-     * #out}.
-     */
+    /** Acquires so much if it is available; it is in flight until it is released. */
     public boolean tryAcquire(Duration now, double amount, double budget) {
         demanded.add(now, amount);
         if (available(now, budget) < amount) {
@@ -132,12 +140,12 @@
         return true;
     }
 
-    /** So much is sent, or never will be. */
+    /** So much of what was acquired is sent, or never will be. */
     public void release(double amount) {
         inFlight = Math.max(0, inFlight - amount);
     }
 
-    /** What is of no use any more: nothing under way, no lease, nothing in the window. */
+    /** Whether it can be forgotten: nothing in flight, no lease, nothing in the window. */
     public boolean isIdle(Duration now) {
         expire(now);
         return inFlight == 0
@@ -145,6 +153,7 @@
                 && demanded.upperBoundSum(now, parameters.window()) == 0;
     }
 
+    /** All that its next steps depend on, with spans from now: equal ones go on alike. */
     String stateSummary(Duration now) {
         StringBuilder text =
                 new StringBuilder()
--- a/src/main/java/postbeam/coordination/CoordinationStripe.java
+++ b/src/main/java/postbeam/coordination/CoordinationStripe.java
@@ -8,21 +8,24 @@
 import java.util.Random;
 
 /**
- * All that one router holds of one stripe of the data nodes: its place in the office, the keeper,
- * and its leases.
+ * What one router holds of one stripe of the data nodes: its part in the election of the stripe's
+ * leader, the leases that it issues as leader, and its own quota of each node that warms up.
+ *
+ * <p>Not thread-safe; {@link StripedCoordinator} guards it by the stripe's lock. Times are spans of
+ * the router's own monotonic clock; amounts are work in the unit of a node's budget.
  */
 public class CoordinationStripe {
-    /**
-     * Nodes that leases are held of at most, over all stripes more than any fleet has cold at once.
-     */
+    /** More than any fleet has warming up at once. */
     private static final int MAX_NODES = 10_000;
 
-    /** Asks in one message to a keeper; others go a little later. */
+    /** In one message to a leader; others follow in the next. */
     private static final int MAX_REQUESTS_PER_MESSAGE = 64;
 
     /**
-     * What to send now: a ballot for all others or null, and asks for this router, which may be the
-     * sender itself.
+     * What to send now.
+     *
+     * @param voteRequest for all others; null where there is none
+     * @param leader to send the lease requests to; null where none is known
      */
     public record OutgoingMessages(
             VoteRequest voteRequest, ProcessIdentity leader, List<LeaseRequest> leaseRequests) {}
@@ -31,8 +34,8 @@
         final ColdNodeQuota quota;
         double budget;
 
-        TrackedNode(ColdNodeQuota leases) {
-            this.quota = leases;
+        TrackedNode(ColdNodeQuota quota) {
+            this.quota = quota;
         }
     }
 
@@ -44,180 +47,194 @@
     private final Duration maySendFrom;
     private final Map<NodeIncarnation, TrackedNode> nodes = new LinkedHashMap<>();
 
-    /**
-     * Of leases: goes on over all nodes, so that none is used twice when a node is forgotten and
-     * comes again.
-     */
+    /** Over all nodes, so that none is used twice when a node is forgotten and comes again. */
     private long lastRequestNumber;
 
+    /**
+     * Starts with no memory of earlier leases.
+     *
+     * @param members all configured routers by name, this one among them
+     */
     public CoordinationStripe(
             int stripe,
             ProcessIdentity self,
-            List<String> fleet,
-            LeaseParameters terms,
-            ElectionTimeouts offices,
+            List<String> members,
+            LeaseParameters leaseParameters,
+            ElectionTimeouts electionTimeouts,
             Duration now,
-            Random chance) {
+            Random random) {
         this.self = self;
-        this.members = fleet;
-        this.leaseParameters = terms;
-        this.maySendFrom = now.plus(terms.window()).plus(terms.maxClockDrift());
-        this.election = election(stripe, self, fleet, offices, now, chance);
-        this.leaseIssuer = leaseIssuer(election, terms);
+        this.members = members;
+        this.leaseParameters = leaseParameters;
+        this.maySendFrom = now.plus(leaseParameters.window()).plus(leaseParameters.maxClockDrift());
+        this.election = election(stripe, self, members, electionTimeouts, now, random);
+        this.leaseIssuer = leaseIssuer(election, leaseParameters);
     }
 
+    /** Creates the election; called once, by the constructor. */
     protected LeaderElection election(
             int stripe,
             ProcessIdentity process,
             List<String> routers,
-            ElectionTimeouts offices,
+            ElectionTimeouts electionTimeouts,
             Duration now,
-            Random chance) {
-        return new LeaderElection(process, stripe, routers, offices, now, chance);
+            Random random) {
+        return new LeaderElection(process, stripe, routers, electionTimeouts, now, random);
     }
 
-    protected LeaseIssuer leaseIssuer(LeaderElection of, LeaseParameters leaseTerms) {
-        return new LeaseIssuer(of, leaseTerms);
+    /** Creates the issuer of leases; called once, by the constructor. */
+    protected LeaseIssuer leaseIssuer(LeaderElection of, LeaseParameters parameters) {
+        return new LeaseIssuer(of, parameters);
     }
 
-    protected ColdNodeQuota nodeQuota(LeaseParameters leaseTerms, int sharers, boolean drawn) {
-        return new ColdNodeQuota(leaseTerms, sharers, drawn);
+    /** Creates the quota of one node. */
+    protected ColdNodeQuota nodeQuota(
+            LeaseParameters parameters, int participants, boolean participating) {
+        return new ColdNodeQuota(parameters, participants, participating);
     }
 
     // ---- sends
 
-    /**
-     * Takes so much work for a send to the node and is true, if there is room; the send is under
-     * way until it is out.
-     */
+    /** Acquires so much work for a send to the node, if there is as much, until it is released. */
     public boolean tryAcquire(
             Duration now, NodeIncarnation node, double amount, SlowStartBudget budget) {
-        TrackedNode held = trackedNode(now, node, budget);
-        return held != null && held.quota.tryAcquire(now, amount, budget.current());
+        TrackedNode tracked = trackedNode(now, node, budget);
+        return tracked != null && tracked.quota.tryAcquire(now, amount, budget.current());
     }
 
-    /** What may be taken now. */
+    /** How much may be acquired now. */
     public double available(Duration now, NodeIncarnation node, SlowStartBudget budget) {
-        TrackedNode held = trackedNode(now, node, budget);
-        return held == null ? 0 : held.quota.available(now, budget.current());
+        TrackedNode tracked = trackedNode(now, node, budget);
+        return tracked == null ? 0 : tracked.quota.available(now, budget.current());
     }
 
     /**
-     * Guards against a process that came back under its name and does not know what it sent just
-     * before: it has its part of the reserve once for each window, not once for each start. It
-     * hurts after any start: for a window cold nodes get nothing from this router.
+     * A restarted process does not know what it sent just before: its reserved quota is for each
+     * window, not for each start. For a window after a start it sends nothing to such nodes.
      */
     protected boolean maySend(Duration now) {
         return now.compareTo(maySendFrom) >= 0;
     }
 
+    /** What was acquired is sent, or never will be. */
     public void release(NodeIncarnation node, double amount) {
-        TrackedNode held = nodes.get(node);
-        if (held != null) {
-            held.quota.release(amount);
+        TrackedNode tracked = nodes.get(node);
+        if (tracked != null) {
+            tracked.quota.release(amount);
         }
     }
 
-    /** Null where it may not send yet, or too many are held. */
+    /** Null where it may not send yet, or too many nodes are tracked. */
     private TrackedNode trackedNode(Duration now, NodeIncarnation node, SlowStartBudget budget) {
         if (!maySend(now)) {
             return null;
         }
-        TrackedNode held = nodes.get(node);
-        if (held == null) {
+        TrackedNode tracked = nodes.get(node);
+        if (tracked == null) {
             if (nodes.size() >= MAX_NODES) {
-                nodes.values().removeIf(one -> one.quota.isIdle(now));
+                nodes.values().removeIf(other -> other.quota.isIdle(now));
             }
             if (nodes.size() >= MAX_NODES) {
                 return null;
             }
-            int sharers = leaseParameters.participants(budget.initial());
-            held =
-                    new TrackedNode(
-                            nodeQuota(
-                                    leaseParameters,
-                                    sharers,
-                                    leaseParameters.participates(
-                                            node, self.name(), members, sharers)));
-            nodes.put(node, held);
+            tracked = new TrackedNode(newQuota(node, budget));
+            nodes.put(node, tracked);
         }
-        held.budget = Math.max(held.budget, budget.current());
-        return held;
+        tracked.budget = Math.max(tracked.budget, budget.current());
+        return tracked;
+    }
+
+    private ColdNodeQuota newQuota(NodeIncarnation node, SlowStartBudget budget) {
+        int participants = leaseParameters.participants(budget.initial());
+        boolean participating =
+                leaseParameters.participates(node, self.name(), members, participants);
+        return nodeQuota(leaseParameters, participants, participating);
     }
 
-    /** By node, what it holds of leases now. */
+    /** By node, the largest lease that this router holds. */
     public Map<NodeIncarnation, Double> leasedAmounts(Duration now) {
-        Map<NodeIncarnation, Double> all = new LinkedHashMap<>();
-        nodes.forEach((node, held) -> all.put(node, held.quota.largestLease(now)));
-        return all;
+        Map<NodeIncarnation, Double> amounts = new LinkedHashMap<>();
+        nodes.forEach((node, tracked) -> amounts.put(node, tracked.quota.largestLease(now)));
+        return amounts;
     }
 
     // ---- messages
 
+    /**
+     * Advances the election and collects what to send; a leader grants its own requests at once.
+     */
     public OutgoingMessages pollMessages(Duration now) {
-        VoteRequest ballot = election.tick(now);
-        ProcessIdentity to = election.isLeader(now) ? self : election.knownLeader(now);
-        List<LeaseRequest> asks = new ArrayList<>();
-        if (to != null) {
-            nodes.forEach(
-                    (node, held) -> {
-                        if (asks.size() < MAX_REQUESTS_PER_MESSAGE) {
-                            double want =
-                                    held.quota.requestAmount(
-                                            now, held.budget, lastRequestNumber + 1);
-                            if (want > 0) {
-                                asks.add(
-                                        new LeaseRequest(
-                                                node,
-                                                self,
-                                                ++lastRequestNumber,
-                                                want,
-                                                held.budget));
-                            }
-                        }
-                    });
+        VoteRequest voteRequest = election.tick(now);
+        ProcessIdentity leader = election.isLeader(now) ? self : election.knownLeader(now);
+        List<LeaseRequest> requests = leader == null ? new ArrayList<>() : leaseRequests(now);
+        if (self.equals(leader)) {
+            requests.forEach(request -> onGrant(now, handle(now, request)));
+            requests.clear();
         }
-        if (self.equals(to)) {
-            asks.forEach(ask -> onGrant(now, handle(now, ask)));
-            asks.clear();
+        return new OutgoingMessages(voteRequest, leader, requests);
+    }
+
+    private List<LeaseRequest> leaseRequests(Duration now) {
+        List<LeaseRequest> requests = new ArrayList<>();
+        nodes.forEach(
+                (node, tracked) -> {
+                    if (requests.size() < MAX_REQUESTS_PER_MESSAGE) {
+                        addLeaseRequest(now, node, tracked, requests);
+                    }
+                });
+        return requests;
+    }
+
+    private void addLeaseRequest(
+            Duration now, NodeIncarnation node, TrackedNode tracked, List<LeaseRequest> requests) {
+        double requested = tracked.quota.requestAmount(now, tracked.budget, lastRequestNumber + 1);
+        if (requested > 0) {
+            lastRequestNumber++;
+            requests.add(
+                    new LeaseRequest(node, self, lastRequestNumber, requested, tracked.budget));
         }
-        return new OutgoingMessages(ballot, to, asks);
     }
 
-    public VoteResponse handle(Duration now, VoteRequest ballot) {
-        return election.handleVoteRequest(now, ballot);
+    /** Answers a candidate. */
+    public VoteResponse handle(Duration now, VoteRequest request) {
+        return election.handleVoteRequest(now, request);
     }
 
+    /** Takes a voter's response. */
     public void onVote(Duration now, VoteResponse vote) {
         election.onVote(now, vote);
     }
 
-    public LeaseGrant handle(Duration now, LeaseRequest ask) {
-        return leaseIssuer.grant(now, ask);
+    /** Answers a router's request for a lease; the time must be read after the request came. */
+    public LeaseGrant handle(Duration now, LeaseRequest request) {
+        return leaseIssuer.grant(now, request);
     }
 
+    /** Takes a leader's grant; one for another process is ignored. */
     public void onGrant(Duration now, LeaseGrant grant) {
-        TrackedNode held = nodes.get(grant.node());
-        if (held != null && grant.requester().equals(self)) {
-            held.quota.onGrant(now, grant.number(), grant.amount());
+        TrackedNode tracked = nodes.get(grant.node());
+        if (tracked != null && grant.requester().equals(self)) {
+            tracked.quota.onGrant(now, grant.number(), grant.amount());
         }
     }
 
     // ---- what is seen of it
 
+    /** This router's part in the election. */
     public LeaderElection election() {
         return election;
     }
 
+    /** The leases that this router issues as leader. */
     public LeaseIssuer leaseIssuer() {
         return leaseIssuer;
     }
 
-    /** All that its next steps depend on, with spans from now. */
+    /** All that its next steps depend on, with spans from now: equal ones go on alike. */
     public String stateSummary(Duration now) {
         StringBuilder text =
-                new StringBuilder(election.standing(now)).append(leaseIssuer.stateSummary(now));
-        nodes.forEach((node, held) -> text.append('|').append(held.quota.stateSummary(now)));
+                new StringBuilder(election.stateSummary(now)).append(leaseIssuer.stateSummary(now));
+        nodes.forEach((node, tracked) -> text.append('|').append(tracked.quota.stateSummary(now)));
         return text.toString();
     }
 }
--- a/src/main/java/postbeam/coordination/ElectionTimeouts.java
+++ b/src/main/java/postbeam/coordination/ElectionTimeouts.java
@@ -3,15 +3,16 @@
 import java.time.Duration;
 
 /**
- * What all routers must agree on for keepers; the letters are those of docs/together.md.
+ * What all routers must agree on for elections; the letters are those of docs/together.md.
  *
- * @param office o: how long an office lasts, from when its holder asked for votes
- * @param longest O: the longest that any router of this fleet was ever set to; a voter without
- *     memory waits so long
- * @param drift d: what two clocks may differ by over the longest span here
+ * @param leaderLease o: how long a leader leads, from when it requested votes
+ * @param maxLeaderLease O: the longest lease that any router of the fleet was ever set to; a voter
+ *     without memory waits so long
+ * @param maxClockDrift d: what two clocks may differ by over the longest span here
  */
 public record ElectionTimeouts(
         Duration leaderLease, Duration maxLeaderLease, Duration maxClockDrift) {
+    /** Checks the spans; an IllegalArgumentException states them where they can't be used. */
     public ElectionTimeouts {
         if (leaderLease.isNegative()
                 || leaderLease.isZero()
@@ -27,12 +28,12 @@
         }
     }
 
-    /** How long a vote binds who gave it. */
+    /** How long a vote binds the voter. */
     Duration voteHold() {
         return leaderLease.plus(maxClockDrift);
     }
 
-    /** When a keeper asks for its office anew: two asks may be lost. */
+    /** When a leader renews its lease: two rounds may be lost. */
     Duration renewalInterval() {
         return leaderLease.dividedBy(3);
     }
--- a/src/main/java/postbeam/coordination/HealthReport.java
+++ b/src/main/java/postbeam/coordination/HealthReport.java
@@ -3,8 +3,13 @@
 import java.time.Duration;
 
 /**
- * What one router holds of a data node from its own calls: how, in its zone, on so many calls, so
- * long ago.
+ * What one router's own attempts say of a data node.
+ *
+ * @param router that reports, by name
+ * @param zone of the router
+ * @param slowness latency relative to the usual
+ * @param calls attempts that the report rests on
+ * @param age how old it was when it was sent
  */
 public record HealthReport(
         String router,
@@ -14,7 +19,7 @@
         double slowness,
         int calls,
         Duration age) {
-    /** How a node is. */
+    /** The state of a node. */
     public enum Kind {
         HEALTHY,
         WARMING_UP,
--- a/src/main/java/postbeam/coordination/LeaderElection.java
+++ b/src/main/java/postbeam/coordination/LeaderElection.java
@@ -7,9 +7,12 @@
 import java.util.TreeSet;
 
 /**
- * Who keeps one stripe, as one router sees it: a voter, and a candidate that may be in office. At
- * most one router at any moment is in office by its own clock, whatever messages and processes do
- * (docs/together.md, invariant 1).
+ * The election of one stripe's leader as one router sees it: a voter, and a candidate that may
+ * become leader. At most one router at any moment is leader by its own clock, whatever happens to
+ * messages and processes (docs/together.md, invariant 1).
+ *
+ * <p>Not thread-safe; {@link StripedCoordinator} guards it by the stripe's lock. Times are spans of
+ * the router's own monotonic clock.
  */
 public class LeaderElection {
     private final ProcessIdentity self;
@@ -24,8 +27,8 @@
     private ProcessIdentity votedFor;
     private Duration voteBindsUntil = Duration.ZERO;
 
-    // As a candidate and keeper.
-    private boolean standing;
+    // As a candidate and leader.
+    private boolean candidate;
     private long term;
     private long round;
     private Duration requestedAt;
@@ -34,86 +37,81 @@
     private Duration leaderSince;
     private Duration leaseEnd;
 
-    /** Starts with no memory; the fleet is all configured names, this router's among them. */
+    /**
+     * Starts with no memory of earlier votes.
+     *
+     * @param members all configured routers by name, this one among them
+     */
     public LeaderElection(
             ProcessIdentity self,
             int stripe,
-            List<String> fleet,
-            ElectionTimeouts terms,
+            List<String> members,
+            ElectionTimeouts timeouts,
             Duration now,
-            Random chance) {
+            Random random) {
         this.self = self;
         this.stripe = stripe;
-        this.members = fleet;
-        this.timeouts = terms;
-        this.random = chance;
-        this.mayVoteFrom = now.plus(terms.maxLeaderLease()).plus(terms.maxClockDrift());
+        this.members = members;
+        this.timeouts = timeouts;
+        this.random = random;
+        this.mayVoteFrom = now.plus(timeouts.maxLeaderLease()).plus(timeouts.maxClockDrift());
         this.nextCandidacyAt = mayVoteFrom.plus(candidacyDelay());
     }
 
     // ---- as a voter
 
-    public VoteResponse handleVoteRequest(Duration now, VoteRequest ballot) {
-        boolean given =
-                members.contains(ballot.candidate().name())
+    /** Grants the vote or refuses it. */
+    public VoteResponse handleVoteRequest(Duration now, VoteRequest request) {
+        boolean granted =
+                members.contains(request.candidate().name())
                         && mayVote(now)
-                        && ballot.term() >= highestTerm
-                        && mayVoteFor(now, ballot.candidate());
-        if (given) {
-            castVote(now, ballot.candidate(), ballot.term());
+                        && request.term() >= highestTerm
+                        && mayVoteFor(now, request.candidate());
+        if (granted) {
+            castVote(now, request.candidate(), request.term());
         }
         return new VoteResponse(
-                stripe, ballot.term(), ballot.round(), self.name(), given, highestTerm);
+                stripe, request.term(), request.round(), self.name(), granted, highestTerm);
     }
 
     /**
-     * Guards against two votes in one term: a process that came back under its name does not know
-     * whom it promised. It hurts where the whole fleet starts at once: no keeper for so long.
+     * A restarted process does not know whom it voted for: it votes only once no earlier vote binds
+     * it, so that it never votes twice in a term. Where the whole fleet starts at once there is no
+     * leader for as long.
      */
     protected boolean mayVote(Duration now) {
         return now.compareTo(mayVoteFrom) >= 0;
     }
 
-    private boolean mayVoteFor(Duration now, ProcessIdentity candidate) {
-        return votedFor == null || votedFor.equals(candidate) || now.compareTo(voteBindsUntil) >= 0;
+    private boolean mayVoteFor(Duration now, ProcessIdentity process) {
+        return votedFor == null || votedFor.equals(process) || now.compareTo(voteBindsUntil) >= 0;
     }
 
-    private void castVote(Duration now, ProcessIdentity candidate, long inTerm) {
-        votedFor = candidate;
+    private void castVote(Duration now, ProcessIdentity process, long inTerm) {
+        votedFor = process;
         voteBindsUntil = now.plus(timeouts.voteHold());
         highestTerm = inTerm;
         nextCandidacyAt = voteBindsUntil.plus(candidacyDelay());
     }
 
-    /**
-     * Who this router last voted for, while that binds it: perhaps the keeper; null where it knows
-     * none.
-     */
+    /** Whom this router's vote binds it to, who may be the leader; null where it binds no more. */
     public ProcessIdentity knownLeader(Duration now) {
         return votedFor != null && now.compareTo(voteBindsUntil) < 0 ? votedFor : null;
     }
 
     // ---- as a candidate
 
-    /** The ballot to send to all others now; null where there is none. */
+    /** The vote request to send to all others now; null where there is none. */
     public VoteRequest tick(Duration now) {
-        if (standing && now.minus(requestedAt).compareTo(timeouts.renewalInterval()) >= 0) {
-            if (isLeader(now)) {
-                setCandidate(false);
-            } else {
-                abandonCandidacy(now);
-            }
+        if (candidate && isRenewalDue(now)) {
+            endRound(now);
         }
-        boolean due =
-                isLeader(now)
-                        ? now.minus(requestedAt).compareTo(timeouts.renewalInterval()) >= 0
-                        : now.compareTo(nextCandidacyAt) >= 0
-                                && mayVote(now)
-                                && mayVoteFor(now, self);
-        if (standing || !due) {
+        if (candidate || !isCandidacyDue(now)) {
             return null;
         }
-        term = isLeader(now) ? term : Math.max(term, highestTerm) + 1;
+        if (!isLeader(now)) {
+            term = Math.max(term, highestTerm) + 1;
+        }
         round++;
         requestedAt = now;
         setCandidate(true);
@@ -123,13 +121,32 @@
         return new VoteRequest(stripe, term, round, self);
     }
 
-    private void setCandidate(boolean stands) {
-        standing = stands;
+    private boolean isRenewalDue(Duration now) {
+        return now.minus(requestedAt).compareTo(timeouts.renewalInterval()) >= 0;
+    }
+
+    private void endRound(Duration now) {
+        if (isLeader(now)) {
+            setCandidate(false);
+        } else {
+            abandonCandidacy(now);
+        }
+    }
+
+    private boolean isCandidacyDue(Duration now) {
+        return isLeader(now)
+                ? isRenewalDue(now)
+                : now.compareTo(nextCandidacyAt) >= 0 && mayVote(now) && mayVoteFor(now, self);
+    }
+
+    private void setCandidate(boolean isCandidate) {
+        candidate = isCandidate;
         votes.clear();
     }
 
+    /** Counts a vote of the current round; responses to earlier rounds are ignored. */
     public void onVote(Duration now, VoteResponse vote) {
-        if (!standing
+        if (!candidate
                 || vote.term() != term
                 || vote.round() != round
                 || !members.contains(vote.voter())) {
@@ -144,10 +161,7 @@
         }
     }
 
-    /**
-     * Its own vote is free again: nobody can have it counted, as answers to a round that is over
-     * are not heard.
-     */
+    /** Frees its own vote: nobody can count it, as responses to an ended round are ignored. */
     private void abandonCandidacy(Duration now) {
         setCandidate(false);
         votedFor = self.equals(votedFor) ? null : votedFor;
@@ -155,62 +169,64 @@
     }
 
     private void becomeLeaderIfElected(Duration now) {
-        Duration until = requestedAt.plus(timeouts.leaderLease());
-        if (votes.size() < quorum() || now.compareTo(until) >= 0) {
+        Duration end = requestedAt.plus(timeouts.leaderLease());
+        if (votes.size() < quorum() || now.compareTo(end) >= 0) {
             return;
         }
         leaderSince = isLeader(now) ? leaderSince : now;
-        leaseEnd = until;
+        leaseEnd = end;
         setCandidate(false);
     }
 
-    /** Of all that are configured, whether they are there or not. */
+    /** A majority of all configured members, whether they run or not. */
     protected int quorum() {
         return members.size() / 2 + 1;
     }
 
-    /**
-     * A wait that differs among routers, so that few stand at once; for each stripe others come
-     * first.
-     */
+    /** Differs among routers, so that few are candidates at once; each stripe prefers another. */
     private Duration candidacyDelay() {
         int rank = Math.floorMod(members.indexOf(self.name()) - stripe, members.size());
-        double share = (rank + random.nextDouble()) / members.size();
-        return Duration.ofNanos((long) (timeouts.renewalInterval().toNanos() * share));
+        double fraction = (rank + random.nextDouble()) / members.size();
+        return Duration.ofNanos((long) (timeouts.renewalInterval().toNanos() * fraction));
     }
 
-    // ---- in office
+    // ---- as the leader
 
+    /** Whether this router holds the leader's lease. */
     public boolean isLeader(Duration now) {
         return leaseEnd != null && now.compareTo(leaseEnd) < 0;
     }
 
-    /** Since when it is in office without a gap. */
+    /** Since when it has been leader without a gap; null before its first election. */
     public Duration leaderSince() {
         return leaderSince;
     }
 
+    /** The term of its latest candidacy. */
     public long term() {
         return term;
     }
 
-    /** What its next steps depend on, with spans from now: two that are alike go on alike. */
-    String standing(Duration now) {
+    /** All that its next steps depend on, with spans from now: equal ones go on alike. */
+    String stateSummary(Duration now) {
+        String vote = mayVoteFor(now, null) ? "-" : votedFor + " " + remaining(now, voteBindsUntil);
+        String candidacy =
+                candidate ? " s" + term + "." + round + " " + requestedAt.minus(now) + votes : "";
+        String leadership =
+                isLeader(now) ? " o" + remaining(now, leaseEnd) + " " + leaderSince.minus(now) : "";
         return "v"
                 + remaining(now, mayVoteFrom)
                 + " h"
                 + highestTerm
                 + " p"
-                + (mayVoteFor(now, null) ? "-" : votedFor + " " + remaining(now, voteBindsUntil))
-                + (standing ? " s" + term + "." + round + " " + requestedAt.minus(now) + votes : "")
-                + (isLeader(now)
-                        ? " o" + remaining(now, leaseEnd) + " " + leaderSince.minus(now)
-                        : "")
+                + vote
+                + candidacy
+                + leadership
                 + " a"
                 + remaining(now, nextCandidacyAt);
     }
 
-    private static Duration remaining(Duration now, Duration until) {
-        return until.compareTo(now) <= 0 ? Duration.ZERO : until.minus(now);
+    private static Duration remaining(Duration now, Duration end) {
+        return end.compareTo(now) <= 0 ? Duration.ZERO : end.minus(now);
     }
 }
--- a/src/main/java/postbeam/coordination/LeaseGrant.java
+++ b/src/main/java/postbeam/coordination/LeaseGrant.java
@@ -1,8 +1,10 @@
 package postbeam.coordination;
 
 /**
- * Answers a {@link LeaseRequest}: so much in any window, until the end that the router reckons;
- * zero is no lease.
+ * Answers a {@link LeaseRequest}. The lease ends when the requester reckons, from its request on.
+ *
+ * @param number of the request
+ * @param amount work in any window; 0 for no lease
  */
 public record LeaseGrant(
         NodeIncarnation node, ProcessIdentity requester, long number, double amount) {}
--- a/src/main/java/postbeam/coordination/LeaseIssuer.java
+++ b/src/main/java/postbeam/coordination/LeaseIssuer.java
@@ -5,91 +5,86 @@
 import java.util.Map;
 
 /**
- * Grants leases of one stripe's nodes, in office only, and nothing until all that predecessors can
- * have granted is past (docs/together.md, invariant 3).
+ * Grants leases of the budgets of one stripe's nodes: only as leader, and only once all leases that
+ * its predecessors can have granted are past (docs/together.md, invariant 3).
+ *
+ * <p>Not thread-safe; {@link StripedCoordinator} guards it by the stripe's lock.
  */
 public class LeaseIssuer {
-    /**
-     * Nodes with leases that a keeper holds at most, over all stripes more than any fleet has cold
-     * at once.
-     */
+    /** More than any fleet has warming up at once. */
     private static final int MAX_NODES = 10_000;
 
     private final LeaderElection election;
     private final LeaseParameters parameters;
     private final Map<NodeIncarnation, LeaseTable> leaseTables = new LinkedHashMap<>();
 
-    /** The office that the ledgers are of. */
+    /** The leadership that the tables are of. */
     private Duration leaderSince;
 
-    public LeaseIssuer(LeaderElection election, LeaseParameters terms) {
+    /** An issuer that has granted nothing yet. */
+    public LeaseIssuer(LeaderElection election, LeaseParameters parameters) {
         this.election = election;
-        this.parameters = terms;
+        this.parameters = parameters;
     }
 
-    /** The answer to a router's ask. The time must have been read after the ask came. */
-    public LeaseGrant grant(Duration now, LeaseRequest ask) {
-        double amount = 0;
-        if (canGrant(now)) {
-            if (!election.leaderSince().equals(leaderSince)) {
-                leaderSince = election.leaderSince();
-                leaseTables.clear();
-            }
-            if (leaseTables.size() >= MAX_NODES) {
-                leaseTables.values().removeIf(ledger -> ledger.isEmpty(now));
-            }
-            if (leaseTables.size() < MAX_NODES || leaseTables.containsKey(ask.node())) {
-                amount =
-                        leaseTables
-                                .computeIfAbsent(ask.node(), node -> new LeaseTable())
-                                .grant(
-                                        now,
-                                        ask.requester(),
-                                        ask.number(),
-                                        ask.requested(),
-                                        parameters.leasable(ask.nodeBudget()),
-                                        parameters.countedFor());
-            }
+    /** Answers a request; the time must be read after the request came. */
+    public LeaseGrant grant(Duration now, LeaseRequest request) {
+        double amount = canGrant(now) ? grantedAmount(now, request) : 0;
+        return new LeaseGrant(request.node(), request.requester(), request.number(), amount);
+    }
+
+    private double grantedAmount(Duration now, LeaseRequest request) {
+        if (!election.leaderSince().equals(leaderSince)) {
+            leaderSince = election.leaderSince();
+            leaseTables.clear();
+        }
+        if (leaseTables.size() >= MAX_NODES) {
+            leaseTables.values().removeIf(table -> table.isEmpty(now));
+        }
+        if (leaseTables.size() >= MAX_NODES && !leaseTables.containsKey(request.node())) {
+            return 0;
         }
-        return new LeaseGrant(ask.node(), ask.requester(), ask.number(), amount);
+        return leaseTables
+                .computeIfAbsent(request.node(), node -> new LeaseTable())
+                .grant(
+                        now,
+                        request.requester(),
+                        request.number(),
+                        request.requested(),
+                        parameters.leasable(request.nodeBudget()),
+                        parameters.countedFor());
     }
 
-    /** Whether it is in office, and long enough. */
+    /** Whether it is leader, and has been for long enough. */
     public boolean canGrant(Duration now) {
         return election.isLeader(now) && waitedOutPredecessors(now, election.leaderSince());
     }
 
-    protected boolean waitedOutPredecessors(Duration now, Duration wonAt) {
-        return now.compareTo(wonAt.plus(parameters.countedFor())) >= 0;
+    /** Whether the leases of earlier leaders are past. */
+    protected boolean waitedOutPredecessors(Duration now, Duration electedAt) {
+        return now.compareTo(electedAt.plus(parameters.countedFor())) >= 0;
     }
 
-    /** What counts of leases, by node. */
+    /** The leases by node. */
     public Map<NodeIncarnation, LeaseTable> leaseTables() {
         return leaseTables;
     }
 
+    /** All that its next steps depend on, with spans from now: equal ones go on alike. */
     String stateSummary(Duration now) {
-        StringBuilder text =
-                new StringBuilder(
-                        election.isLeader(now) && election.leaderSince().equals(leaderSince)
-                                ? "k"
-                                : "");
-        if (text.length() > 0) {
-            leaseTables
-                    .values()
-                    .forEach(
-                            ledger ->
-                                    ledger.leases().stream()
-                                            .filter(lease -> lease.countsUntil().compareTo(now) > 0)
-                                            .forEach(
-                                                    lease ->
-                                                            text.append(lease.holder())
-                                                                    .append(lease.number())
-                                                                    .append(lease.amount())
-                                                                    .append(
-                                                                            lease.countsUntil()
-                                                                                    .minus(now))));
+        if (!election.isLeader(now) || !election.leaderSince().equals(leaderSince)) {
+            return "";
         }
+        StringBuilder text = new StringBuilder("k");
+        leaseTables.values().stream()
+                .flatMap(table -> table.leases().stream())
+                .filter(lease -> lease.countsUntil().compareTo(now) > 0)
+                .forEach(
+                        lease ->
+                                text.append(lease.holder())
+                                        .append(lease.number())
+                                        .append(lease.amount())
+                                        .append(lease.countsUntil().minus(now)));
         return text.toString();
     }
 }
--- a/src/main/java/postbeam/coordination/LeaseParameters.java
+++ b/src/main/java/postbeam/coordination/LeaseParameters.java
@@ -9,19 +9,19 @@
 import java.util.List;
 
 /**
- * What all routers must agree on for leases of a cold node's budget; the letters are those of
- * docs/together.md.
+ * What all routers must agree on for leases of the budget of a node that warms up; the letters are
+ * those of docs/together.md.
  *
- * @param use u: how long a router may use a lease, from when it asked for it
- * @param window w: in which the rule counts what a cold node is sent
- * @param drift d: what two clocks may differ by over the longest span here
- * @param reserved s: share of each budget that is never leased; a router that hears nothing has its
- *     part of it
- * @param underWay k: share of each budget for what is checked and not yet out, as when a process is
- *     stopped there
- * @param shares what the reserve is divided by: all routers that are, and that may be before all
- *     know of new terms
- * @param callMost the largest leaf call's work, in the budget's unit
+ * @param duration u: how long a router may use a lease, from when it requested it
+ * @param window w: the span in which the rule counts what such a node is sent
+ * @param maxClockDrift d: what two clocks may differ by over the longest span here
+ * @param reservedFraction s: fraction of each budget that is never leased; a router that hears
+ *     nothing has its part of it
+ * @param inFlight k: fraction of each budget for work that is acquired and not yet sent, as when a
+ *     process is stopped there
+ * @param maxRouters what the reserve is divided by: all routers that are, and that may be before
+ *     all know of new parameters
+ * @param maxAttemptWork the largest attempt's work, in the budget's unit
  */
 public record LeaseParameters(
         Duration duration,
@@ -31,6 +31,12 @@
         double inFlight,
         int maxRouters,
         double maxAttemptWork) {
+    private static final int MIN_PARTICIPANTS = 2;
+
+    /** Keeps a quotient that is a whole number from being rounded down. */
+    private static final double ROUNDING = 1e-9;
+
+    /** Checks the parameters; an IllegalArgumentException states them where they can't be used. */
     public LeaseParameters {
         if (reservedFraction <= 0
                 || inFlight <= 0
@@ -60,73 +66,67 @@
     }
 
     /**
-     * How long the keeper counts a lease, from when it granted it. What is used at the last moment
-     * counts in windows that reach so much further, and the grant came after the question. A keeper
-     * new in office grants nothing for as long: by then all is past that others can have granted.
+     * How long a leader counts a lease, from when it granted it: what is used at the last moment
+     * counts in windows that reach so much further, and the grant came after the request. A new
+     * leader grants nothing for as long: by then all is past that its predecessors can have
+     * granted.
      */
     public Duration countedFor() {
         return duration.plus(window).plus(maxClockDrift);
     }
 
-    /** Of a budget, what the keeper may lease out. */
+    /** What a leader may lease out of a budget. */
     public double leasable(double budget) {
         return budget * (1 - reservedFraction - inFlight);
     }
 
-    /** Of a budget, what each of so many may use whatever it hears. */
-    public double reservedQuota(double budget, int sharers) {
-        return budget * reservedFraction / sharers;
+    /** What each of so many participants may use of a budget without a lease. */
+    public double reservedQuota(double budget, int participants) {
+        return budget * reservedFraction / participants;
     }
 
-    /** Of a budget, what each of so many may have checked and not yet sent. */
-    public double inFlight(double budget, int sharers) {
-        return budget * inFlight / sharers;
+    /** What each of so many participants may have acquired of a budget and not yet sent. */
+    public double inFlight(double budget, int participants) {
+        return budget * inFlight / participants;
     }
 
     /**
-     * What the parts of a node are divided by whose budget begins with this: a part that holds no
-     * leaf call helps nobody, so where there is too little for all, fewer share it.
+     * How many routers share a node whose budget begins with this: no more than get a part that an
+     * attempt fits into.
      */
-    public int participants(double firstBudget) {
-        return maxAttemptWork <= 0
-                ? maxRouters
-                : (int)
-                        Math.min(
-                                maxRouters,
-                                Math.max(
-                                        2,
-                                        Math.floor(
-                                                firstBudget * inFlight / maxAttemptWork + 1e-9)));
+    public int participants(double initialBudget) {
+        if (maxAttemptWork <= 0) {
+            return maxRouters;
+        }
+        double parts = Math.floor(initialBudget * inFlight / maxAttemptWork + ROUNDING);
+        return (int) Math.min(maxRouters, Math.max(MIN_PARTICIPANTS, parts));
     }
 
     /**
-     * Whether this router is one of those that share the node: the same lot for all who know the
-     * same names. One fewer than the parts are drawn, so that two lists that differ in one name
-     * together draw no more than there are parts.
+     * Whether this router is one of those that share the node, the same for all who know the same
+     * names. One fewer than the participants take part, so that two lists which differ in one name
+     * together never have more than that.
      */
     public boolean participates(
-            NodeIncarnation node, String router, List<String> routers, int sharers) {
-        return sharers >= routers.size() && sharers >= maxRouters
-                || routers.stream()
-                        .sorted(
-                                Comparator.<String>comparingLong(name -> rank(node, name))
-                                        .thenComparing(name -> name))
-                        .limit(sharers - 1)
-                        .anyMatch(router::equals);
+            NodeIncarnation node, String router, List<String> routers, int participants) {
+        if (participants >= routers.size() && participants >= maxRouters) {
+            return true;
+        }
+        return routers.stream()
+                .sorted(
+                        Comparator.<String>comparingLong(name -> rank(node, name))
+                                .thenComparing(name -> name))
+                .limit(participants - 1)
+                .anyMatch(router::equals);
     }
 
     private static long rank(NodeIncarnation node, String router) {
+        String text = node.node() + "\n" + node.incarnation() + "\n" + router;
         try {
-            return ByteBuffer.wrap(
-                            MessageDigest.getInstance("SHA-256")
-                                    .digest(
-                                            (node.node()
-                                                            + "\n"
-                                                            + node.incarnation()
-                                                            + "\n"
-                                                            + router)
-                                                    .getBytes(StandardCharsets.UTF_8)))
-                    .getLong();
+            byte[] digest =
+                    MessageDigest.getInstance("SHA-256")
+                            .digest(text.getBytes(StandardCharsets.UTF_8));
+            return ByteBuffer.wrap(digest).getLong();
         } catch (NoSuchAlgorithmException e) {
             throw new AssertionError("every Java has SHA-256", e);
         }
--- a/src/main/java/postbeam/coordination/LeaseRequest.java
+++ b/src/main/java/postbeam/coordination/LeaseRequest.java
@@ -1,11 +1,11 @@
 package postbeam.coordination;
 
 /**
- * Asks the keeper for a lease.
+ * Requests a lease from a stripe's leader.
  *
- * @param number the router's own, higher for each ask
- * @param wanted in a window
- * @param budget of the node for a window that ends now
+ * @param number the requester's own, higher for each request
+ * @param requested work in a window
+ * @param nodeBudget of the node for a window that ends now
  */
 public record LeaseRequest(
         NodeIncarnation node,
--- a/src/main/java/postbeam/coordination/LeaseTable.java
+++ b/src/main/java/postbeam/coordination/LeaseTable.java
@@ -4,89 +4,93 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
-import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
 /**
- * The leases of one cold node as its keeper holds them, by the keeper's own clock. Of one router
- * the largest that counts is what counts; a second ask of the same number answers what the first
- * did.
+ * The leases of one node's budget as the leader holds them, by the leader's own clock. Of each
+ * process its largest lease counts; a repeated request gets the answer of the first.
  */
 public final class LeaseTable {
-    /** A lease: who has it, how much in a window, and until when it counts. */
+    /**
+     * A lease.
+     *
+     * @param amount of work in any window
+     * @param countsUntil when the leader forgets it, which is after the holder does
+     */
     public record Lease(ProcessIdentity holder, long number, double amount, Duration countsUntil) {}
 
     private record Demand(double amount, Duration countsUntil) {}
 
-    /**
-     * Leases of one node that are kept at most: a router asks again at the earliest after a third
-     * of a lease.
-     */
+    /** A router requests again after a third of a lease at the earliest. */
     private static final int MAX_LEASES = 4096;
 
     private final Map<String, Lease> leases = new LinkedHashMap<>();
 
-    /** What each router asked for last: for even parts where there is not enough. */
+    /** By router, its latest request: for fair shares where there is not enough. */
     private final Map<String, Demand> demands = new LinkedHashMap<>();
 
-    /** Grants up to so much of what is left of the leasable budget; zero where nothing is. */
+    /**
+     * Grants a lease.
+     *
+     * @param leasable what of the node's budget may be leased in all
+     * @param countedFor how long the lease counts
+     * @return the amount, at most that requested; 0 where nothing is left
+     */
     public double grant(
             Duration now,
-            ProcessIdentity router,
+            ProcessIdentity requester,
             long number,
-            double wanted,
+            double requested,
             double leasable,
-            Duration counted) {
+            Duration countedFor) {
         expire(now);
-        String key = router.name() + ":" + router.incarnation() + ":" + number;
-        Lease before = leases.get(key);
-        if (before != null) {
-            return before.amount();
+        String key = requester.name() + ":" + requester.incarnation() + ":" + number;
+        Lease earlier = leases.get(key);
+        if (earlier != null) {
+            return earlier.amount();
         }
-        demands.put(router.name(), new Demand(wanted, now.plus(counted)));
-        double amount =
-                Math.min(
-                        Math.min(wanted, fairShare(router.name(), leasable)),
-                        leasable - grantedToOthers(router));
+        Duration countsUntil = now.plus(countedFor);
+        demands.put(requester.name(), new Demand(requested, countsUntil));
+        double fair = Math.min(requested, fairShare(requester.name(), leasable));
+        double amount = Math.min(fair, leasable - grantedToOthers(requester));
         if (amount <= 0 || leases.size() >= MAX_LEASES) {
             return 0;
         }
-        leases.put(key, new Lease(router, number, amount, now.plus(counted)));
+        leases.put(key, new Lease(requester, number, amount, countsUntil));
         return amount;
     }
 
     private void expire(Duration now) {
         leases.values().removeIf(lease -> lease.countsUntil().compareTo(now) <= 0);
-        demands.values().removeIf(want -> want.countsUntil().compareTo(now) <= 0);
+        demands.values().removeIf(demand -> demand.countsUntil().compareTo(now) <= 0);
     }
 
-    /**
-     * What counts for all others: of each run of a router its largest lease. An earlier run of the
-     * same name is another.
-     */
-    private double grantedToOthers(ProcessIdentity router) {
+    /** The largest lease of each other process; an earlier run of the same router is another. */
+    private double grantedToOthers(ProcessIdentity requester) {
         Map<ProcessIdentity, Double> largest = new LinkedHashMap<>();
         leases.values().stream()
-                .filter(lease -> !lease.holder().equals(router))
+                .filter(lease -> !lease.holder().equals(requester))
                 .forEach(lease -> largest.merge(lease.holder(), lease.amount(), Math::max));
         return largest.values().stream().mapToDouble(Double::doubleValue).sum();
     }
 
-    /** Max-min fair: who wants less than an even part leaves the rest to the others. */
+    /**
+     * Max-min fair: a router that demands less than an even share leaves the rest to the others.
+     */
     private double fairShare(String router, double leasable) {
-        List<Map.Entry<String, Demand>> rising = new ArrayList<>(demands.entrySet());
-        rising.sort(Comparator.comparingDouble(entry -> entry.getValue().amount()));
+        List<Map.Entry<String, Demand>> ascending = new ArrayList<>(demands.entrySet());
+        ascending.sort(Comparator.comparingDouble(entry -> entry.getValue().amount()));
         double left = leasable;
-        int count = rising.size();
-        for (Iterator<Map.Entry<String, Demand>> all = rising.iterator(); all.hasNext(); count--) {
-            Map.Entry<String, Demand> next = all.next();
-            double part = Math.min(next.getValue().amount(), left / count);
-            if (next.getKey().equals(router)) {
-                return part;
+        int sharers = ascending.size();
+        for (Map.Entry<String, Demand> entry : ascending) {
+            double share = Math.min(entry.getValue().amount(), left / sharers);
+            if (entry.getKey().equals(router)) {
+                return share;
             }
-            left -= part;
+            left -= share;
+            sharers--;
         }
         return 0;
     }
@@ -97,6 +101,7 @@
         return leases.isEmpty() && demands.isEmpty();
     }
 
+    /** The leases that counted at the last call with a time. */
     public Collection<Lease> leases() {
         return leases.values();
     }
--- a/src/main/java/postbeam/coordination/NodeIncarnation.java
+++ b/src/main/java/postbeam/coordination/NodeIncarnation.java
@@ -1,4 +1,9 @@
 package postbeam.coordination;
 
-/** A data node in one incarnation: what it was before its start says nothing of it now. */
+/**
+ * One run of a data node: what is known of an earlier run says nothing of it.
+ *
+ * @param node its name
+ * @param incarnation higher for each later start
+ */
 public record NodeIncarnation(String node, long incarnation) {}
--- a/src/main/java/postbeam/coordination/ProcessIdentity.java
+++ b/src/main/java/postbeam/coordination/ProcessIdentity.java
@@ -1,8 +1,10 @@
 package postbeam.coordination;
 
 /**
- * One run of a router's process: its configured name, and a number that is higher for each later
- * start.
+ * One run of a router's process.
+ *
+ * @param name as configured
+ * @param incarnation higher for each later start
  */
 public record ProcessIdentity(String name, long incarnation)
         implements Comparable<ProcessIdentity> {
--- a/src/main/java/postbeam/coordination/QuotaCounters.java
+++ b/src/main/java/postbeam/coordination/QuotaCounters.java
@@ -7,32 +7,35 @@
 import java.util.TreeMap;
 
 /**
- * Counts of the whole fleet by key (a member's queries, further leaf calls), each router's own
- * entries merged by taking the newest, and a limit for each key and bucket that holds whoever hears
- * whom: every router has an even share of it, and may give up some of that before it counts, for
- * good, to the others, each of whom may use an even part of what it heard to be given up. What is
- * not heard counts as the full even share (docs/together.md, Counts).
+ * Counts of the whole fleet by key (a tenant's queries, retries), merged by taking each router's
+ * newest entry, and a limit for each key and bucket that holds whoever hears whom: every router has
+ * an even share of the limit, and may yield some of it, for good, to the others, each of whom may
+ * use an even part of what it received. A router that is not heard of counts with its full share
+ * (docs/together.md, Counts).
  *
- * <p>A bucket is a number all routers can tell alike; two that name the same time by different
- * numbers still keep the limit of each number.
+ * <p>A bucket is a number which all routers give to a span of time; two that number one time
+ * differently still keep the limit of each number. Not thread-safe.
  */
 public class QuotaCounters {
-    /** Buckets kept, this one and those before: late news of older ones is dropped. */
+    /** The newest bucket and those before; late entries of older ones are ignored. */
     static final int BUCKETS_KEPT = 4;
 
-    /**
-     * Keys for which entries are kept; a router's own beyond these are held to its even share and
-     * told to nobody.
-     */
+    /** A router's own keys beyond these keep to its even share and are not sent. */
     static final int MAX_KEYS = 256;
 
-    /** Entries in one message, some 100 bytes each. */
+    /** Some 100 bytes each. */
     static final int MAX_ENTRIES_PER_MESSAGE = 256;
 
+    private static final int MAX_COUNTERS = MAX_KEYS * BUCKETS_KEPT;
+
     private static final class LocalCounter {
         double count;
         double cap;
         long version;
+
+        LocalCounter(double cap) {
+            this.cap = cap;
+        }
     }
 
     private record CounterKey(String key, long bucket) {}
@@ -42,190 +45,179 @@
     private final int maxRouters;
     private final long firstBucket;
 
-    /** By slot and name: the newest entry of that name's newest run. */
+    /** By counter and router: the newest entry of that router's newest run. */
     private final Map<CounterKey, Map<String, QuotaCounterEntry>> received = new LinkedHashMap<>();
 
     private final Map<CounterKey, LocalCounter> local = new LinkedHashMap<>();
     private long newestBucket;
 
-    /** Where the next message goes on, so that all entries are told in turn. */
+    /** Of the others' entries, the last one sent: all are sent in turn. */
     private int gossipCursor;
 
     /**
-     * Shares are what a limit is divided by: at least as many as are named. Counts nothing in the
-     * bucket of its start and the next: an earlier run of its name may have counted in the one and
-     * given up its share of the other.
+     * Starts without counts. It counts nothing in this bucket and the next: an earlier run of this
+     * router may have counted in the one and yielded its share of the other.
+     *
+     * @param members all configured routers by name, this one among them
+     * @param maxRouters what a limit is divided by, at least as many as there are members
      */
-    public QuotaCounters(ProcessIdentity self, List<String> fleet, int shares, long bucket) {
+    public QuotaCounters(ProcessIdentity self, List<String> members, int maxRouters, long bucket) {
         this.self = self;
         this.firstBucket = bucket + 2;
         this.newestBucket = bucket;
-        this.members = fleet;
-        this.maxRouters = Math.max(shares, fleet.size());
+        this.members = members;
+        this.maxRouters = Math.max(maxRouters, members.size());
     }
 
-    // ---- own
+    // ---- this router's counts
 
-    /**
-     * Counts so much and is true, if this router may in this bucket under a limit for the whole
-     * fleet.
-     */
+    /** Counts so much if this router may in this bucket, under a limit for the whole fleet. */
     public boolean tryCount(String key, long bucket, double amount, double limit) {
-        evictOld(bucket);
-        CounterKey slot = new CounterKey(key, bucket);
-        if (bucket <= newestBucket - BUCKETS_KEPT || !mayCount(bucket)) {
+        startBucket(bucket);
+        CounterKey counterKey = new CounterKey(key, bucket);
+        if (isOld(bucket) || !mayCount(bucket) || !hasRoomFor(counterKey)) {
             return false;
         }
-        LocalCounter mine = local.get(slot);
-        if (mine == null) {
-            if (local.size() >= MAX_KEYS * BUCKETS_KEPT) {
-                return false;
-            }
-            mine = local(slot, limit / maxRouters);
-        }
-        if (mine.count + amount > mine.cap + receivedQuota(slot, limit)) {
+        LocalCounter counter = localCounter(counterKey, limit);
+        if (counter.count + amount > counter.cap + receivedQuota(counterKey, limit)) {
             return false;
         }
-        mine.count += amount;
-        mine.version++;
+        counter.count += amount;
+        counter.version++;
         return true;
     }
 
-    /**
-     * Gives up, for good, this router's share of a bucket, at most the next, but so much, or but
-     * what it has counted.
-     */
-    public void capOwnShare(String key, long bucket, double most, double limit) {
-        CounterKey slot = new CounterKey(key, bucket);
-        if (bucket > newestBucket + 1
-                || bucket <= newestBucket - BUCKETS_KEPT
-                || !local.containsKey(slot) && local.size() >= MAX_KEYS * BUCKETS_KEPT) {
+    /** Yields, for good, this router's share of a bucket beyond the cap or what it has counted. */
+    public void capOwnShare(String key, long bucket, double cap, double limit) {
+        CounterKey counterKey = new CounterKey(key, bucket);
+        if (bucket > newestBucket + 1 || isOld(bucket) || !hasRoomFor(counterKey)) {
             return;
         }
-        LocalCounter mine =
-                local.containsKey(slot) ? local.get(slot) : local(slot, limit / maxRouters);
-        mine.cap = Math.min(mine.cap, Math.max(most, mine.count));
-        mine.version++;
+        LocalCounter counter = localCounter(counterKey, limit);
+        counter.cap = Math.min(counter.cap, Math.max(cap, counter.count));
+        counter.version++;
+    }
+
+    private boolean isOld(long bucket) {
+        return bucket <= newestBucket - BUCKETS_KEPT;
     }
 
+    /**
+     * Whether no earlier run of this router can have counted in the bucket or yielded its share.
+     */
     protected boolean mayCount(long bucket) {
         return bucket >= firstBucket;
     }
 
-    private LocalCounter local(CounterKey slot, double most) {
-        LocalCounter mine = new LocalCounter();
-        mine.cap = most;
-        local.put(slot, mine);
-        return mine;
+    private boolean hasRoomFor(CounterKey key) {
+        return local.containsKey(key) || local.size() < MAX_COUNTERS;
     }
 
-    /**
-     * What others gave up and this router may use of it: each of the others has an even part of
-     * each.
-     */
-    private double receivedQuota(CounterKey slot, double limit) {
-        Map<String, QuotaCounterEntry> entries = received.getOrDefault(slot, Map.of());
+    private LocalCounter localCounter(CounterKey key, double limit) {
+        return local.computeIfAbsent(key, absent -> new LocalCounter(limit / maxRouters));
+    }
+
+    /** What others yielded and this router may use: of each router an even part. */
+    private double receivedQuota(CounterKey key, double limit) {
+        Map<String, QuotaCounterEntry> entries = received.getOrDefault(key, Map.of());
         double sum = 0;
-        for (String name : members) {
-            sum +=
-                    name.equals(self.name())
-                            ? 0
-                            : yielded(entries.get(name), limit / maxRouters)
-                                    / Math.max(1, maxRouters - 1);
+        for (String member : members) {
+            if (!member.equals(self.name())) {
+                double yielded = yielded(entries.get(member), limit / maxRouters);
+                sum += yielded / Math.max(1, maxRouters - 1);
+            }
         }
         return sum;
     }
 
-    /** Who was not heard of has its full even share. */
-    protected double yielded(QuotaCounterEntry entry, double even) {
-        return entry == null ? 0 : Math.max(0, even - entry.cap());
+    /** What a router yielded of its even share; nothing where it is not heard of. */
+    protected double yielded(QuotaCounterEntry entry, double evenShare) {
+        return entry == null ? 0 : Math.max(0, evenShare - entry.cap());
     }
 
     /** How much this router may count in a bucket in all, as far as it has heard. */
     public double quota(String key, long bucket, double limit) {
-        CounterKey slot = new CounterKey(key, bucket);
-        return bucket < firstBucket
-                ? 0
-                : (local.containsKey(slot) ? local.get(slot).cap : limit / maxRouters)
-                        + receivedQuota(slot, limit);
+        if (bucket < firstBucket) {
+            return 0;
+        }
+        CounterKey counterKey = new CounterKey(key, bucket);
+        LocalCounter counter = local.get(counterKey);
+        double own = counter == null ? limit / maxRouters : counter.cap;
+        return own + receivedQuota(counterKey, limit);
     }
 
-    // ---- of the fleet
+    // ---- the fleet's counts
 
-    /** What all are known to have counted. */
+    /** What all routers are known to have counted, at least. */
     public double knownTotal(String key, long bucket) {
-        CounterKey slot = new CounterKey(key, bucket);
-        return (local.containsKey(slot) ? local.get(slot).count : 0)
-                + received.getOrDefault(slot, Map.of()).values().stream()
+        CounterKey counterKey = new CounterKey(key, bucket);
+        LocalCounter counter = local.get(counterKey);
+        double own = counter == null ? 0 : counter.count;
+        return own
+                + received.getOrDefault(counterKey, Map.of()).values().stream()
                         .mapToDouble(QuotaCounterEntry::count)
                         .sum();
     }
 
-    // ---- what travels
+    // ---- gossip
 
-    /**
-     * Takes over what is newer: what is known, old, of a stranger or of an earlier run changes
-     * nothing.
-     */
+    /** Takes over newer entries; those known, old, of strangers or of earlier runs are ignored. */
     public void received(List<QuotaCounterEntry> entries) {
         for (QuotaCounterEntry entry : entries) {
-            if (members.contains(entry.process().name())
-                    && !entry.process().name().equals(self.name())
-                    && entry.bucket() > newestBucket - BUCKETS_KEPT
-                    && entry.bucket() <= newestBucket + 1) {
-                CounterKey slot = new CounterKey(entry.key(), entry.bucket());
-                if (received.containsKey(slot) || received.size() < MAX_KEYS * BUCKETS_KEPT) {
-                    received.computeIfAbsent(slot, key -> new TreeMap<>())
-                            .merge(entry.process().name(), entry, this::newer);
-                }
+            if (isAccepted(entry)) {
+                received.computeIfAbsent(
+                                new CounterKey(entry.key(), entry.bucket()), key -> new TreeMap<>())
+                        .merge(entry.process().name(), entry, this::newer);
             }
         }
     }
 
+    private boolean isAccepted(QuotaCounterEntry entry) {
+        String router = entry.process().name();
+        boolean ofOther = members.contains(router) && !router.equals(self.name());
+        boolean recent = !isOld(entry.bucket()) && entry.bucket() <= newestBucket + 1;
+        CounterKey key = new CounterKey(entry.key(), entry.bucket());
+        return ofOther && recent && (received.containsKey(key) || received.size() < MAX_COUNTERS);
+    }
+
+    /** The one of two entries that counts. */
     protected QuotaCounterEntry newer(QuotaCounterEntry known, QuotaCounterEntry next) {
         int byRun = Long.compare(next.process().incarnation(), known.process().incarnation());
-        return byRun > 0 || byRun == 0 && next.version() > known.version() ? next : known;
+        boolean isNewer = byRun == 0 ? next.version() > known.version() : byRun > 0;
+        return isNewer ? next : known;
     }
 
     /** A bucket has begun: those long past are forgotten. */
     public void startBucket(long bucket) {
-        evictOld(bucket);
+        if (bucket > newestBucket) {
+            newestBucket = bucket;
+            local.keySet().removeIf(key -> isOld(key.bucket()));
+            received.keySet().removeIf(key -> isOld(key.bucket()));
+        }
     }
 
-    /** The next entries to tell, own ones first, then others' in turn. */
+    /** The entries of the next message: the own ones, then others' in turn. */
     public List<QuotaCounterEntry> entriesToSend() {
-        List<QuotaCounterEntry> all = new ArrayList<>();
-        local.forEach(
-                (slot, mine) ->
-                        all.add(
-                                new QuotaCounterEntry(
-                                        self,
-                                        slot.key(),
-                                        slot.bucket(),
-                                        mine.version,
-                                        mine.count,
-                                        mine.cap)));
+        List<QuotaCounterEntry> entries = new ArrayList<>();
+        local.forEach((key, counter) -> entries.add(entry(key, counter)));
         List<QuotaCounterEntry> others =
-                received.values().stream().flatMap(entries -> entries.values().stream()).toList();
-        while (all.size() > MAX_ENTRIES_PER_MESSAGE) {
-            all.remove(0);
+                received.values().stream().flatMap(byRouter -> byRouter.values().stream()).toList();
+        while (entries.size() > MAX_ENTRIES_PER_MESSAGE) {
+            entries.remove(0);
         }
-        for (int i = 0; i < others.size() && all.size() < MAX_ENTRIES_PER_MESSAGE; i++) {
+        for (int i = 0; i < others.size() && entries.size() < MAX_ENTRIES_PER_MESSAGE; i++) {
             gossipCursor = (gossipCursor + 1) % others.size();
-            all.add(others.get(gossipCursor));
+            entries.add(others.get(gossipCursor));
         }
-        return all;
+        return entries;
     }
 
-    private void evictOld(long bucket) {
-        if (bucket > newestBucket) {
-            newestBucket = bucket;
-            local.keySet().removeIf(slot -> slot.bucket() <= newestBucket - BUCKETS_KEPT);
-            received.keySet().removeIf(slot -> slot.bucket() <= newestBucket - BUCKETS_KEPT);
-        }
+    private QuotaCounterEntry entry(CounterKey key, LocalCounter counter) {
+        return new QuotaCounterEntry(
+                self, key.key(), key.bucket(), counter.version, counter.count, counter.cap);
     }
 
-    /** Entries held; at most {@code KEYS_MOST * BUCKETS} for each router. */
+    /** How many entries are kept; at most {@code MAX_COUNTERS} for each router. */
     public int size() {
         return local.size() + received.values().stream().mapToInt(Map::size).sum();
     }
--- a/src/main/java/postbeam/coordination/StripedCoordinator.java
+++ b/src/main/java/postbeam/coordination/StripedCoordinator.java
@@ -8,14 +8,16 @@
 import java.util.function.Supplier;
 
 /**
- * The stripes of one router, each under its own lock: the one place of this package that several
- * threads enter. No two locks are held at once, and none while anything waits. The clock is read
- * under the lock, so that a stripe's time never goes back.
+ * The stripes of one router, each guarded by its own lock (the {@link CoordinationStripe} itself):
+ * the one class of this package that several threads may call. No thread holds two of the locks at
+ * once, or one while it waits. The clock is read under the lock, so that a stripe's time never goes
+ * back.
  */
 public final class StripedCoordinator {
     private final CoordinationStripe[] stripes;
     private final Supplier<Duration> clock;
 
+    /** Creates so many stripes. */
     public StripedCoordinator(
             int count, IntFunction<CoordinationStripe> stripe, Supplier<Duration> clock) {
         this.stripes = new CoordinationStripe[count];
@@ -25,64 +27,75 @@
         this.clock = clock;
     }
 
-    /** As a router has them from its terms. */
+    /** Creates so many stripes by the fleet's parameters. */
     public static StripedCoordinator of(
             int count,
             ProcessIdentity self,
-            List<String> fleet,
-            LeaseParameters terms,
-            ElectionTimeouts offices,
+            List<String> members,
+            LeaseParameters leaseParameters,
+            ElectionTimeouts electionTimeouts,
             Supplier<Duration> clock,
-            Random chance) {
+            Random random) {
         return new StripedCoordinator(
                 count,
-                i ->
+                stripe ->
                         new CoordinationStripe(
-                                i,
+                                stripe,
                                 self,
-                                fleet,
-                                terms,
-                                offices,
+                                members,
+                                leaseParameters,
+                                electionTimeouts,
                                 clock.get(),
-                                new Random(chance.nextLong())),
+                                new Random(random.nextLong())),
                 clock);
     }
 
-    /** What is done with a stripe at a time that was read under its lock. */
+    /** What is done with a stripe under its lock. */
     public interface StripeOperation<T> {
+        /** Does it, at a time that was read under the lock. */
         T apply(Duration now, CoordinationStripe stripe);
     }
 
+    /** How many stripes there are. */
     public int count() {
         return stripes.length;
     }
 
-    public int of(String node) {
-        int hash = node.hashCode();
-        return Math.floorMod(hash ^ hash >>> 16, stripes.length);
+    /** The stripe of a node, the same on all routers. */
+    private int stripeOf(NodeIncarnation node) {
+        int hash = node.node().hashCode();
+        return Math.floorMod(hash ^ (hash >>> 16), stripes.length);
     }
 
-    public <T> T withStripe(int stripe, StripeOperation<T> turn) {
+    /**
+     * Does something with a stripe under its lock.
+     *
+     * @param stripe from 0 to {@link #count} - 1
+     */
+    public <T> T withStripe(int stripe, StripeOperation<T> operation) {
         synchronized (stripes[stripe]) {
-            return turn.apply(clock.get(), stripes[stripe]);
+            return operation.apply(clock.get(), stripes[stripe]);
         }
     }
 
+    /** See {@link CoordinationStripe#tryAcquire}; the budget is that at the stripe's time. */
     public boolean tryAcquire(
             NodeIncarnation node, double amount, Function<Duration, SlowStartBudget> budget) {
         return withStripe(
-                of(node.node()),
+                stripeOf(node),
                 (now, stripe) -> stripe.tryAcquire(now, node, amount, budget.apply(now)));
     }
 
+    /** See {@link CoordinationStripe#available}; the budget is that at the stripe's time. */
     public double available(NodeIncarnation node, Function<Duration, SlowStartBudget> budget) {
         return withStripe(
-                of(node.node()), (now, stripe) -> stripe.available(now, node, budget.apply(now)));
+                stripeOf(node), (now, stripe) -> stripe.available(now, node, budget.apply(now)));
     }
 
+    /** See {@link CoordinationStripe#release}. */
     public void release(NodeIncarnation node, double amount) {
         withStripe(
-                of(node.node()),
+                stripeOf(node),
                 (now, stripe) -> {
                     stripe.release(node, amount);
                     return null;
--- a/src/main/java/postbeam/coordination/VoteRequest.java
+++ b/src/main/java/postbeam/coordination/VoteRequest.java
@@ -1,6 +1,8 @@
 package postbeam.coordination;
 
 /**
- * Asks for a vote: for a stripe and term; the round tells one ask of a candidate from its others.
+ * A candidate's request for votes.
+ *
+ * @param round tells a candidate's requests of one term from each other
  */
 public record VoteRequest(int stripe, long term, long round, ProcessIdentity candidate) {}
--- a/src/main/java/postbeam/coordination/VoteResponse.java
+++ b/src/main/java/postbeam/coordination/VoteResponse.java
@@ -1,7 +1,10 @@
 package postbeam.coordination;
 
 /**
- * Answers a ballot: whether the vote is given, and the highest term that the voter has voted in.
+ * Answers a {@link VoteRequest}, whose stripe, term and round it repeats.
+ *
+ * @param voter the router's name
+ * @param highestTerm the highest that the voter has voted in
  */
 public record VoteResponse(
         int stripe, long term, long round, String voter, boolean granted, long highestTerm) {}
--- a/src/main/java/postbeam/coordination/package-info.java
+++ b/src/main/java/postbeam/coordination/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What routers share, and what each does when it hears nothing. Decisions and state alone: no I/O,
- * no clock and no thread; times are spans of the router's own monotonic clock. {@link
- * postbeam.coordination.StripedCoordinator} is where threads enter. docs/together.md has the ways
- * weighed and the argument for each bound.
+ * What routers of a fleet share, and what each does when it hears nothing: elections of leaders,
+ * leases of the budgets of nodes that warm up, quota counters and health gossip. Decisions and
+ * state alone, without I/O, clocks and threads; {@link postbeam.coordination.StripedCoordinator} is
+ * where threads enter. docs/together.md weighs the alternatives and argues for each bound.
  */
 package postbeam.coordination;
--- a/src/main/java/postbeam/peers/BoundedBodySubscriber.java
+++ b/src/main/java/postbeam/peers/BoundedBodySubscriber.java
@@ -9,15 +9,15 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Flow;
 
-/** Reads an answer of so many bytes at most: who sends more is cut off. */
+/** Reads a response body of limited size; a longer one is cancelled and fails the request. */
 final class BoundedBodySubscriber implements HttpResponse.BodySubscriber<byte[]> {
     private final int maxBytes;
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     private final CompletableFuture<byte[]> body = new CompletableFuture<>();
     private Flow.Subscription upstream;
 
-    BoundedBodySubscriber(int most) {
-        this.maxBytes = most;
+    BoundedBodySubscriber(int maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
     @Override
@@ -32,23 +32,23 @@
     }
 
     @Override
-    public void onNext(List<ByteBuffer> some) {
-        for (ByteBuffer one : some) {
-            if (body.isDone() || bytes.size() + one.remaining() > maxBytes) {
+    public void onNext(List<ByteBuffer> buffers) {
+        for (ByteBuffer buffer : buffers) {
+            if (body.isDone() || bytes.size() + buffer.remaining() > maxBytes) {
                 upstream.cancel();
                 body.completeExceptionally(
                         new IOException("it is longer than " + maxBytes + " bytes"));
                 return;
             }
-            byte[] read = new byte[one.remaining()];
-            one.get(read);
+            byte[] read = new byte[buffer.remaining()];
+            buffer.get(read);
             bytes.write(read, 0, read.length);
         }
     }
 
     @Override
-    public void onError(Throwable failed) {
-        body.completeExceptionally(failed);
+    public void onError(Throwable failure) {
+        body.completeExceptionally(failure);
     }
 
     @Override
--- a/src/main/java/postbeam/peers/FleetConfigReader.java
+++ b/src/main/java/postbeam/peers/FleetConfigReader.java
@@ -8,47 +8,65 @@
 import postbeam.coordination.LeaseParameters;
 import postbeam.coordination.SlowStartRamp;
 
-/** The section {@code together} of our own settings. */
+/** Reads the section {@code together} of the settings, whose keys are those of its schema. */
 public final class FleetConfigReader {
+    private static final String SECTION = "together.";
+
     private FleetConfigReader() {}
 
-    /** An IllegalArgumentException names what can't be used. */
-    public static PeerCoordinator.FleetConfig read(InstanceSettings own) {
-        Map<String, String> routers = new LinkedHashMap<>();
-        for (int i = 0; i < own.objectCount("together.routers"); i++) {
-            routers.put(
-                    own.required("together.routers." + i + ".name"),
-                    own.required("together.routers." + i + ".address"));
-        }
-        Duration window = millis(own, "windowMs");
-        Duration drift = millis(own, "driftMs");
-        int shares = own.integerAtLeast("together.shares", 1);
-        if (shares < routers.size()) {
-            throw own.invalid(
-                    "together.shares",
+    /** Reads it; an IllegalArgumentException names what can't be used. */
+    public static FleetConfig read(InstanceSettings settings) {
+        Map<String, String> routers = routers(settings);
+        Duration window = millis(settings, "windowMs");
+        Duration drift = millis(settings, "driftMs");
+        int maxRouters = settings.integerAtLeast(SECTION + "shares", 1);
+        if (maxRouters < routers.size()) {
+            throw settings.invalid(
+                    SECTION + "shares",
                     "must be at least as many as there are routers, " + routers.size());
         }
-        return new PeerCoordinator.FleetConfig(
-                own.required("together.name"),
-                routers,
-                own.integerAtLeast("together.stripes", 1),
+        LeaseParameters leases =
                 new LeaseParameters(
-                        millis(own, "leaseMs"),
+                        millis(settings, "leaseMs"),
                         window,
                         drift,
-                        own.number("together.reserved"),
-                        own.number("together.underWay"),
-                        shares,
-                        own.number("together.callMost")),
-                new ElectionTimeouts(millis(own, "officeMs"), millis(own, "longestMs"), drift),
+                        number(settings, "reserved"),
+                        number(settings, "underWay"),
+                        maxRouters,
+                        number(settings, "callMost"));
+        ElectionTimeouts election =
+                new ElectionTimeouts(
+                        millis(settings, "officeMs"), millis(settings, "longestMs"), drift);
+        SlowStartRamp ramp =
                 new SlowStartRamp(
-                        own.number("together.firstWork"),
-                        own.number("together.risesTo"),
-                        millis(own, "rampMs"),
-                        window));
+                        number(settings, "firstWork"),
+                        number(settings, "risesTo"),
+                        millis(settings, "rampMs"),
+                        window);
+        return new FleetConfig(
+                settings.required(SECTION + "name"),
+                routers,
+                settings.integerAtLeast(SECTION + "stripes", 1),
+                leases,
+                election,
+                ramp);
+    }
+
+    private static Map<String, String> routers(InstanceSettings settings) {
+        Map<String, String> routers = new LinkedHashMap<>();
+        for (int i = 0; i < settings.objectCount(SECTION + "routers"); i++) {
+            String router = SECTION + "routers." + i;
+            routers.put(
+                    settings.required(router + ".name"), settings.required(router + ".address"));
+        }
+        return routers;
+    }
+
+    private static double number(InstanceSettings settings, String key) {
+        return settings.number(SECTION + key);
     }
 
-    private static Duration millis(InstanceSettings own, String name) {
-        return Duration.ofMillis(own.integerAtLeast("together." + name, 0));
+    private static Duration millis(InstanceSettings settings, String key) {
+        return Duration.ofMillis(settings.integerAtLeast(SECTION + key, 0));
     }
 }
--- a/src/main/java/postbeam/peers/PeerMessageCodec.java
+++ b/src/main/java/postbeam/peers/PeerMessageCodec.java
@@ -15,25 +15,47 @@
 import postbeam.coordination.VoteResponse;
 import postbeam.json.Json;
 
-/** What routers tell each other, in JSON; an IOException says what can't be read. */
+/**
+ * Messages between routers in JSON. Its members have the names of the protocol, docs/together.md;
+ * votes, leases and grants are arrays in place of objects. Decoding throws an IOException that says
+ * what can't be read.
+ */
 final class PeerMessageCodec {
-    /**
-     * Items of each kind in a message: ballots of all stripes, and as many asks as a keeper is
-     * asked at once.
-     */
+    /** Of each kind in a message: more than vote requests of all stripes, or requests of leases. */
     private static final int MAX_ITEMS = 1024;
 
-    /** Letters of a name. */
     private static final int MAX_NAME_LENGTH = 256;
+    private static final double MAX_NUMBER = 1e15;
+
+    private static final String DIGEST = "digest";
+    private static final String SENDER_NAME = "from";
+    private static final String SENDER_INCARNATION = "run";
+    private static final String VOTE_REQUESTS = "ballots";
+    private static final int VOTE_REQUEST_SIZE = 3;
+    private static final String LEASE_REQUESTS = "leases";
+    private static final int LEASE_REQUEST_SIZE = 6;
+    private static final String VOTES = "votes";
+    private static final int VOTE_SIZE = 5;
+    private static final String GRANTS = "grants";
+    private static final int GRANT_SIZE = 5;
 
-    /** What one router asks another. */
+    /**
+     * What one router requests of another.
+     *
+     * @param digest of what the fleet agrees on, by {@link FleetConfig#digest}
+     * @param leaseRequests by stripe
+     */
     record PeerRequest(
             String digest,
             ProcessIdentity sender,
             List<VoteRequest> voteRequests,
             Map<Integer, List<LeaseRequest>> leaseRequests) {}
 
-    /** And is answered. */
+    /**
+     * The answer to a {@link PeerRequest}.
+     *
+     * @param grants by stripe
+     */
     record PeerResponse(
             ProcessIdentity sender,
             List<VoteResponse> votes,
@@ -41,124 +63,128 @@
 
     private PeerMessageCodec() {}
 
-    static byte[] encode(PeerRequest asks) throws IOException {
-        List<Object> leases = new ArrayList<>();
-        asks.leaseRequests()
+    static byte[] encode(PeerRequest request) throws IOException {
+        List<Object> voteRequests = new ArrayList<>();
+        for (VoteRequest vote : request.voteRequests()) {
+            voteRequests.add(List.of(vote.stripe(), vote.term(), vote.round()));
+        }
+        List<Object> leaseRequests = new ArrayList<>();
+        request.leaseRequests()
                 .forEach(
-                        (stripe, all) ->
-                                all.forEach(
-                                        ask ->
-                                                leases.add(
-                                                        List.of(
-                                                                stripe,
-                                                                ask.node().node(),
-                                                                ask.node().incarnation(),
-                                                                ask.number(),
-                                                                ask.requested(),
-                                                                ask.nodeBudget()))));
+                        (stripe, ofStripe) ->
+                                ofStripe.forEach(
+                                        lease -> leaseRequests.add(encode(stripe, lease))));
         return toJson(
                 Map.of(
-                        "digest",
-                        asks.digest(),
-                        "from",
-                        asks.sender().name(),
-                        "run",
-                        asks.sender().incarnation(),
-                        "ballots",
-                        asks.voteRequests().stream()
-                                .map(one -> List.of(one.stripe(), one.term(), one.round()))
-                                .toList(),
-                        "leases",
-                        leases));
+                        DIGEST, request.digest(),
+                        SENDER_NAME, request.sender().name(),
+                        SENDER_INCARNATION, request.sender().incarnation(),
+                        VOTE_REQUESTS, voteRequests,
+                        LEASE_REQUESTS, leaseRequests));
+    }
+
+    private static List<Object> encode(int stripe, LeaseRequest lease) {
+        return List.of(
+                stripe,
+                lease.node().node(),
+                lease.node().incarnation(),
+                lease.number(),
+                lease.requested(),
+                lease.nodeBudget());
     }
 
     static PeerRequest decodeRequest(byte[] body) throws IOException {
-        Map<String, Object> object = Json.parseObject(body);
-        ProcessIdentity from = readIdentity(object);
-        List<VoteRequest> ballots = new ArrayList<>();
-        for (List<?> one : readTuples(object, "ballots", 3)) {
-            ballots.add(
-                    new VoteRequest(
-                            (int) readLong(one.get(0)),
-                            readLong(one.get(1)),
-                            readLong(one.get(2)),
-                            from));
+        Map<String, Object> message = Json.parseObject(body);
+        ProcessIdentity sender = readSender(message);
+        List<VoteRequest> voteRequests = new ArrayList<>();
+        for (List<?> vote : readTuples(message, VOTE_REQUESTS, VOTE_REQUEST_SIZE)) {
+            int stripe = (int) readLong(vote.get(0));
+            long term = readLong(vote.get(1));
+            voteRequests.add(new VoteRequest(stripe, term, readLong(vote.get(2)), sender));
         }
-        Map<Integer, List<LeaseRequest>> leases = new LinkedHashMap<>();
-        for (List<?> one : readTuples(object, "leases", 6)) {
-            leases.computeIfAbsent((int) readLong(one.get(0)), key -> new ArrayList<>())
+        Map<Integer, List<LeaseRequest>> leaseRequests = new LinkedHashMap<>();
+        for (List<?> lease : readTuples(message, LEASE_REQUESTS, LEASE_REQUEST_SIZE)) {
+            leaseRequests
+                    .computeIfAbsent((int) readLong(lease.get(0)), stripe -> new ArrayList<>())
                     .add(
                             new LeaseRequest(
-                                    new NodeIncarnation(readName(one.get(1)), readLong(one.get(2))),
-                                    from,
-                                    readLong(one.get(3)),
-                                    readDouble(one.get(4)),
-                                    readDouble(one.get(5))));
+                                    readNode(lease),
+                                    sender,
+                                    readLong(lease.get(3)),
+                                    readDouble(lease.get(4)),
+                                    readDouble(lease.get(5))));
         }
-        return new PeerRequest(readName(object.get("digest")), from, ballots, leases);
+        return new PeerRequest(readName(message.get(DIGEST)), sender, voteRequests, leaseRequests);
     }
 
-    static byte[] encode(PeerResponse answers) throws IOException {
+    static byte[] encode(PeerResponse response) throws IOException {
+        List<Object> votes = new ArrayList<>();
+        for (VoteResponse vote : response.votes()) {
+            votes.add(
+                    List.of(
+                            vote.stripe(),
+                            vote.term(),
+                            vote.round(),
+                            vote.granted() ? 1 : 0,
+                            vote.highestTerm()));
+        }
         List<Object> grants = new ArrayList<>();
-        answers.grants()
+        response.grants()
                 .forEach(
-                        (stripe, all) ->
-                                all.forEach(
-                                        grant ->
-                                                grants.add(
-                                                        List.of(
-                                                                stripe,
-                                                                grant.node().node(),
-                                                                grant.node().incarnation(),
-                                                                grant.number(),
-                                                                grant.amount()))));
+                        (stripe, ofStripe) ->
+                                ofStripe.forEach(grant -> grants.add(encode(stripe, grant))));
         return toJson(
                 Map.of(
-                        "from",
-                        answers.sender().name(),
-                        "run",
-                        answers.sender().incarnation(),
-                        "votes",
-                        answers.votes().stream()
-                                .map(
-                                        one ->
-                                                List.of(
-                                                        one.stripe(),
-                                                        one.term(),
-                                                        one.round(),
-                                                        one.granted() ? 1 : 0,
-                                                        one.highestTerm()))
-                                .toList(),
-                        "grants",
+                        SENDER_NAME,
+                        response.sender().name(),
+                        SENDER_INCARNATION,
+                        response.sender().incarnation(),
+                        VOTES,
+                        votes,
+                        GRANTS,
                         grants));
     }
 
-    /** Grants are for the router that asked. */
-    static PeerResponse decodeResponse(byte[] body, ProcessIdentity asker) throws IOException {
-        Map<String, Object> object = Json.parseObject(body);
-        ProcessIdentity from = readIdentity(object);
+    private static List<Object> encode(int stripe, LeaseGrant grant) {
+        return List.of(
+                stripe,
+                grant.node().node(),
+                grant.node().incarnation(),
+                grant.number(),
+                grant.amount());
+    }
+
+    /** Grants are for the process that sent the request. */
+    static PeerResponse decodeResponse(byte[] body, ProcessIdentity requester) throws IOException {
+        Map<String, Object> message = Json.parseObject(body);
+        ProcessIdentity sender = readSender(message);
         List<VoteResponse> votes = new ArrayList<>();
-        for (List<?> one : readTuples(object, "votes", 5)) {
+        for (List<?> vote : readTuples(message, VOTES, VOTE_SIZE)) {
             votes.add(
                     new VoteResponse(
-                            (int) readLong(one.get(0)),
-                            readLong(one.get(1)),
-                            readLong(one.get(2)),
-                            from.name(),
-                            readLong(one.get(3)) == 1,
-                            readLong(one.get(4))));
+                            (int) readLong(vote.get(0)),
+                            readLong(vote.get(1)),
+                            readLong(vote.get(2)),
+                            sender.name(),
+                            readLong(vote.get(3)) == 1,
+                            readLong(vote.get(4))));
         }
         Map<Integer, List<LeaseGrant>> grants = new LinkedHashMap<>();
-        for (List<?> one : readTuples(object, "grants", 5)) {
-            grants.computeIfAbsent((int) readLong(one.get(0)), key -> new ArrayList<>())
+        for (List<?> grant : readTuples(message, GRANTS, GRANT_SIZE)) {
+            grants.computeIfAbsent((int) readLong(grant.get(0)), stripe -> new ArrayList<>())
                     .add(
                             new LeaseGrant(
-                                    new NodeIncarnation(readName(one.get(1)), readLong(one.get(2))),
-                                    asker,
-                                    readLong(one.get(3)),
-                                    readDouble(one.get(4))));
+                                    readNode(grant),
+                                    requester,
+                                    readLong(grant.get(3)),
+                                    readDouble(grant.get(4))));
         }
-        return new PeerResponse(from, votes, grants);
+        return new PeerResponse(sender, votes, grants);
+    }
+
+    /** A lease request and a grant name the node in their second and third place. */
+    private static NodeIncarnation readNode(List<?> tuple) throws IOException {
+        return new NodeIncarnation(readName(tuple.get(1)), readLong(tuple.get(2)));
     }
 
     static byte[] toJson(Object value) throws IOException {
@@ -169,20 +195,23 @@
         return bytes.toByteArray();
     }
 
-    private static ProcessIdentity readIdentity(Map<String, Object> object) throws IOException {
-        return new ProcessIdentity(readName(object.get("from")), readLong(object.get("run")));
+    private static ProcessIdentity readSender(Map<String, Object> message) throws IOException {
+        return new ProcessIdentity(
+                readName(message.get(SENDER_NAME)), readLong(message.get(SENDER_INCARNATION)));
     }
 
-    private static List<List<?>> readTuples(Map<String, Object> object, String name, int size)
+    private static List<List<?>> readTuples(Map<String, Object> message, String name, int size)
             throws IOException {
-        List<List<?>> all = new ArrayList<>();
-        for (Object one : Json.member(object, name, List.class)) {
-            if (!(one instanceof List<?> list) || list.size() != size || all.size() >= MAX_ITEMS) {
+        List<List<?>> tuples = new ArrayList<>();
+        for (Object item : Json.member(message, name, List.class)) {
+            if (!(item instanceof List<?> tuple)
+                    || tuple.size() != size
+                    || tuples.size() >= MAX_ITEMS) {
                 throw new IOException(name + " are not so many lists of " + size);
             }
-            all.add(list);
+            tuples.add(tuple);
         }
-        return all;
+        return tuples;
     }
 
     static String readName(Object value) throws IOException {
@@ -202,7 +231,7 @@
     static double readDouble(Object value) throws IOException {
         if (value instanceof Number number
                 && number.doubleValue() >= 0
-                && number.doubleValue() < 1e15) {
+                && number.doubleValue() < MAX_NUMBER) {
             return number.doubleValue();
         }
         throw new IOException("a number is missing or out of range");
--- a/src/main/java/postbeam/peers/package-info.java
+++ b/src/main/java/postbeam/peers/package-info.java
@@ -1,5 +1,6 @@
 /**
- * How routers talk to each other, where it is switched on: forms on the clients' door, asks over
- * HTTP, the section of our own settings. All decisions are {@link postbeam.coordination}'s.
+ * How the routers of a fleet talk to each other, where the settings switch it on: requests over
+ * HTTP to the others' client servers, handlers for theirs, and the section {@code together} of the
+ * settings. All decisions are made by {@link postbeam.coordination}.
  */
 package postbeam.peers;
--- a/src/test/java/postbeam/peers/PeerMessageCodecTest.java
+++ b/src/test/java/postbeam/peers/PeerMessageCodecTest.java
@@ -76,10 +76,10 @@
     void theSectionUnderDeployMakesAFleetAndBadOnesAreNamed()
             throws IOException, OperatorErrorException {
         String text = Files.readString(Path.of("deploy/postbeam.json5"));
-        PeerCoordinator.FleetConfig place = FleetConfigReader.read(read(text));
+        FleetConfig place = FleetConfigReader.read(read(text));
         new PeerCoordinator(place).stop();
         assertEquals(Map.of("r1", "127.0.0.1:7070"), place.routers());
-        PeerCoordinator.FleetConfig strange =
+        FleetConfig strange =
                 FleetConfigReader.read(
                         read(
                                 text.replace(
--- a/src/test/java/postbeam/peers/PeerSamplesTest.java
+++ b/src/test/java/postbeam/peers/PeerSamplesTest.java
@@ -75,7 +75,7 @@
         Duration window = Duration.ofSeconds(60);
         Duration drift = Duration.ofMillis(30);
         return new PeerCoordinator(
-                new PeerCoordinator.FleetConfig(
+                new FleetConfig(
                         "r1",
                         Map.of("r1", "127.0.0.1:7070", "r2", "127.0.0.1:7071"),
                         8,
