--- a/src/main/java/postbeam/config/PolicyFactory.java
+++ b/src/main/java/postbeam/config/PolicyFactory.java
@@ -16,147 +16,164 @@
 import postbeam.policy.SlowStart;
 
 /**
- * Builds what the decisions need from the settings that an instance is told, for every door alike.
+ * Builds the routing policy and what it decides about from an instance's settings, alike for the
+ * router on sockets and the simulated one.
+ *
+ * <p>All methods throw {@link InvalidSettingException} for a setting that can't be used.
  */
 public final class PolicyFactory {
-    // ---- defaults where the settings are silent; each is the protocol's, none one deployment's
-    /**
-     * What a second run of a part does where no effect is told: the strictest, so that nothing runs
-     * twice.
-     */
+    // Defaults where the settings are silent; each is the protocol's, none one deployment's.
+
+    /** The strictest, so that nothing runs twice. */
     private static final SideEffects DEFAULT_SIDE_EFFECTS = SideEffects.NON_IDEMPOTENT;
 
-    /** Worth of a whole answer: all classes' the same. */
+    /** Of a complete answer in time: all classes weigh the same. */
     private static final double DEFAULT_UTILITY = 1;
 
-    /**
-     * Share of the worth that a late answer keeps, and that one not marked whole does: none is
-     * promised.
-     */
+    /** Fraction of the utility that a late answer keeps: none is promised. */
     private static final double DEFAULT_LATE_UTILITY = 0;
 
+    /** Fraction of the utility that an incomplete answer keeps: none is promised. */
     private static final double DEFAULT_PARTIAL_UTILITY = 0;
 
-    /**
-     * Share of the weight that makes an answer whole: all of it. The least for any answer is then
-     * that too.
-     */
+    /** Fraction of the weight that makes an answer complete, and the least for any answer. */
     private static final double DEFAULT_COMPLETE_FRACTION = 1;
 
     private PolicyFactory() {}
 
-    public static Cluster fleet(InstanceSettings info) {
+    /** The cells that data nodes are in, and how many of them hold a shard. */
+    public static Cluster cluster(InstanceSettings settings) {
         return new Cluster(
-                info.integerAtLeast("domain.cells", 1), info.integerAtLeast("domain.reach", 1));
+                settings.integerAtLeast("domain.cells", 1),
+                settings.integerAtLeast("domain.reach", 1));
     }
 
-    public static Map<String, QueryClass> queryClasses(InstanceSettings info) {
-        Map<String, QueryClass> verticals = new LinkedHashMap<>();
-        for (int i = 0; i < info.objectCount("classes"); i++) {
-            String path = "classes." + i + ".";
-            verticals.put(info.required(path + "name"), queryClass(info, path, i));
+    /** The query classes by name, in the order of the settings. */
+    public static Map<String, QueryClass> queryClasses(InstanceSettings settings) {
+        Map<String, QueryClass> classes = new LinkedHashMap<>();
+        for (int i = 0; i < settings.objectCount("classes"); i++) {
+            String name = settings.required("classes." + i + ".name");
+            classes.put(name, queryClass(settings, i));
         }
-        return verticals;
+        return classes;
     }
 
-    private static QueryClass queryClass(InstanceSettings info, String path, int i) {
-        String word = info.text(path + "effect");
-        SideEffects effect =
-                word == null
-                        ? DEFAULT_SIDE_EFFECTS
-                        : switch (word) {
-                            case "retryable" -> SideEffects.IDEMPOTENT;
-                            case "dedup" -> SideEffects.DEDUPLICATED;
-                            case "fragile" -> SideEffects.NON_IDEMPOTENT;
-                            default ->
-                                    throw info.invalid(
-                                            path + "effect",
-                                            "must be retryable, dedup or fragile, not " + word);
-                        };
-        info.required(path + "promise");
-        Double utility = info.number(path + "worth");
-        Double late = info.number(path + "lateWorth");
-        Double need = info.listEntry("domain.classNeed", i);
-        Double floor = info.listEntry("domain.leastShare", i);
-        Double shortUtility = info.listEntry("domain.shortWorth", i);
-        Double followUp = info.listEntry("domain.followUp", i);
-        double whole = need == null ? DEFAULT_COMPLETE_FRACTION : need;
-        double least = floor == null ? whole : floor;
+    private static QueryClass queryClass(InstanceSettings settings, int index) {
+        String prefix = "classes." + index + ".";
+        SideEffects sideEffects = sideEffects(settings, prefix + "effect");
+        settings.required(prefix + "promise");
+        double complete =
+                orDefault(settings.listEntry("domain.classNeed", index), DEFAULT_COMPLETE_FRACTION);
+        double least = orDefault(settings.listEntry("domain.leastShare", index), complete);
+        double lateUtility =
+                orDefault(settings.number(prefix + "lateWorth"), DEFAULT_LATE_UTILITY);
+        double partialUtility =
+                orDefault(
+                        settings.listEntry("domain.shortWorth", index), DEFAULT_PARTIAL_UTILITY);
         QueryClass first =
-                QueryClass.builder(info.duration(path + "promise"), effect)
-                        .deduplicationWindow(info.duration(path + "repeatWindow"))
+                QueryClass.builder(settings.duration(prefix + "promise"), sideEffects)
+                        .deduplicationWindow(settings.duration(prefix + "repeatWindow"))
                         .utility(
-                                utility == null ? DEFAULT_UTILITY : utility,
-                                late == null ? DEFAULT_LATE_UTILITY : late)
-                        .weights(whole, least)
-                        .partialUtility(
-                                shortUtility == null ? DEFAULT_PARTIAL_UTILITY : shortUtility)
-                        .totalClientTimeout(info.duration(path + "deadline"))
+                                orDefault(settings.number(prefix + "worth"), DEFAULT_UTILITY),
+                                lateUtility)
+                        .weights(complete, least)
+                        .partialUtility(partialUtility)
+                        .totalClientTimeout(settings.duration(prefix + "deadline"))
                         .build();
-        if (followUp == null || followUp < 1) {
-            return first;
-        }
+        boolean hasSecondStep = orDefault(settings.listEntry("domain.followUp", index), 0) >= 1;
+        return hasSecondStep ? withSecondStep(first, complete, least) : first;
+    }
+
+    /** The class with a follow-up query that needs all of its parts. */
+    private static QueryClass withSecondStep(QueryClass first, double complete, double least) {
         QueryClass second =
                 first.toBuilder()
                         .weights(
                                 DEFAULT_COMPLETE_FRACTION,
-                                least < whole ? least : DEFAULT_COMPLETE_FRACTION)
+                                least < complete ? least : DEFAULT_COMPLETE_FRACTION)
                         .totalClientTimeout(null)
                         .build();
         return first.toBuilder().secondStep(second).build();
     }
 
-    public static Map<String, Tenant> tenants(InstanceSettings info) {
-        Map<String, Tenant> customers = new LinkedHashMap<>();
-        for (int i = 0; i < info.objectCount("tenants"); i++) {
-            customers.put(
-                    info.required("tenants." + i + ".name"),
-                    new Tenant(info.number("tenants." + i + ".quotaPerS")));
+    private static SideEffects sideEffects(InstanceSettings settings, String path) {
+        String word = settings.text(path);
+        if (word == null) {
+            return DEFAULT_SIDE_EFFECTS;
+        }
+        return switch (word) {
+            case "retryable" -> SideEffects.IDEMPOTENT;
+            case "dedup" -> SideEffects.DEDUPLICATED;
+            case "fragile" -> SideEffects.NON_IDEMPOTENT;
+            default ->
+                    throw settings.invalid(
+                            path, "must be retryable, dedup or fragile, not " + word);
+        };
+    }
+
+    private static double orDefault(Double value, double defaultValue) {
+        return value == null ? defaultValue : value;
+    }
+
+    /** The tenants by name, in the order of the settings. */
+    public static Map<String, Tenant> tenants(InstanceSettings settings) {
+        Map<String, Tenant> tenants = new LinkedHashMap<>();
+        for (int i = 0; i < settings.objectCount("tenants"); i++) {
+            String prefix = "tenants." + i + ".";
+            tenants.put(
+                    settings.required(prefix + "name"),
+                    new Tenant(settings.number(prefix + "quotaPerS")));
         }
-        return customers;
+        return tenants;
     }
 
+    /**
+     * The routing policy.
+     *
+     * @param actions carries out what it decides
+     * @param random its source of chance
+     */
     public static RoutingPolicy routingPolicy(
-            PolicyActions actions, Random chance, Cluster cluster, InstanceSettings info) {
-        Integer routers = info.integer("nInstances");
+            PolicyActions actions, Random random, Cluster cluster, InstanceSettings settings) {
+        Integer routers = settings.integer("nInstances");
         return new RoutingPolicy(
                 actions,
-                chance,
+                random,
                 cluster,
                 new AdmissionControl(
-                        info.integer("caps.mostHeld"),
+                        settings.integer("caps.mostHeld"),
                         routers,
-                        info.number("overShareWorth"),
-                        Boolean.FALSE.equals(info.flag("caps.retryAfter"))
+                        settings.number("overShareWorth"),
+                        Boolean.FALSE.equals(settings.flag("caps.retryAfter"))
                                 ? null
-                                : info.duration("caps.maxRetryAfter")),
+                                : settings.duration("caps.maxRetryAfter")),
                 new AttemptLimits(
-                        info.integer("caps.maxAttempts"),
-                        info.flag("caps.mayDuplicate"),
-                        info.flag("caps.cancelling"),
-                        info.flag("caps.probes"),
-                        info.integer("domain.partsACall")),
+                        settings.integer("caps.maxAttempts"),
+                        settings.flag("caps.mayDuplicate"),
+                        settings.flag("caps.cancelling"),
+                        settings.flag("caps.probes"),
+                        settings.integer("domain.partsACall")),
                 new RetryBudget(
-                        info.number("obligations.spareAttempts"),
-                        info.number("obligations.budgetShare"),
-                        info.duration("obligations.extraWindow")),
+                        settings.number("obligations.spareAttempts"),
+                        settings.number("obligations.budgetShare"),
+                        settings.duration("obligations.extraWindow")),
                 new SlowStart(
-                        info.number("obligations.coldFrom"),
-                        info.duration("obligations.rampTime"),
-                        info.number("obligations.fallMultiple"),
-                        info.duration("obligations.fall"),
+                        settings.number("obligations.coldFrom"),
+                        settings.duration("obligations.rampTime"),
+                        settings.number("obligations.fallMultiple"),
+                        settings.duration("obligations.fall"),
                         routers,
-                        info.duration("domain.callCost"),
-                        info.duration("caps.connectTimeout")));
+                        settings.duration("domain.callCost"),
+                        settings.duration("caps.connectTimeout")));
     }
 
-    /** Whether discovery has to be asked; without the setting it tells by itself. */
-    public static PollSchedule pollSchedule(InstanceSettings info, Random chance) {
-        String how = info.text("discovery");
-        if (how != null && !how.equals("automatic") && !how.equals("subscribe")) {
-            throw info.invalid("discovery", "must be automatic or subscribe, not " + how);
+    /** When discovery is polled: never where it sends updates by itself, which is the default. */
+    public static PollSchedule pollSchedule(InstanceSettings settings, Random random) {
+        String mode = settings.text("discovery");
+        if (mode != null && !mode.equals("automatic") && !mode.equals("subscribe")) {
+            throw settings.invalid("discovery", "must be automatic or subscribe, not " + mode);
         }
         return new PollSchedule(
-                "subscribe".equals(how), info.duration("obligations.askEvery"), chance);
+                "subscribe".equals(mode), settings.duration("obligations.askEvery"), random);
     }
 }
--- a/src/main/java/postbeam/config/RouterConfig.java
+++ b/src/main/java/postbeam/config/RouterConfig.java
@@ -5,47 +5,56 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import java.util.Optional;
+import java.util.regex.Pattern;
 import postbeam.json.Json;
 
 /**
- * Reads and checks what a router is told at its start, in a file of JSON; messages name the faulty
- * key.
+ * The configuration that a router is started with, from a file of JSON and, for a few members, the
+ * environment. Values are checked as they are read; messages name the key.
  */
 public final class RouterConfig {
-    /** What stands in a variable of the environment too, for a file that lacks it. */
+    /** Variables that stand in for members that the file lacks. */
     private static final Map<String, String> ENVIRONMENT_VARIABLES =
             Map.of(
-                    "name",
-                    "BALANCER_NAME",
-                    "listen",
-                    "BALANCER_LISTEN",
-                    "discovery",
-                    "BALANCER_DISCOVERY");
+                    "name", "BALANCER_NAME",
+                    "listen", "BALANCER_LISTEN",
+                    "discovery", "BALANCER_DISCOVERY");
 
-    /**
-     * Descriptors and MB where no limits are told: what the deploy page names for scored days,
-     * which tell theirs.
-     */
+    private static final String MEMORY_MB = "memory_mb";
+
+    /** Descriptors and MB where no limits are stated. */
     private static final Map<String, Integer> DEFAULT_LIMITS =
-            Map.of("sockets", 1024, "memory_mb", 192);
+            Map.of("sockets", 1024, MEMORY_MB, 192);
 
-    /** MB: 16 TB, beyond any machine; what is worked out of it stays a whole number. */
+    /** 16 TB, beyond any machine: what is worked out of it stays an integer. */
     private static final int MAX_MEMORY_MB = 1 << 24;
 
-    private final Map<String, Object> document;
+    private static final Pattern HOST_AND_PORT = Pattern.compile("[^:]+:[0-9]{1,5}");
+    private static final int MAX_PORT = 65_535;
+    private static final int SEED_RADIX = 16;
 
-    /** All of it but the list, by path; and the settings, as the simulator's wire names them. */
+    /** The whole configuration by path. */
     public final InstanceSettings instance;
 
+    /** Its settings, by the paths of the simulator's protocol. */
     public final InstanceSettings settings;
 
-    private RouterConfig(Map<String, Object> told, Map<String, Object> settings) {
-        this.document = told;
-        this.instance = new InstanceSettings(told, "");
+    private final Map<String, Object> document;
+
+    private RouterConfig(Map<String, Object> document, Map<String, Object> settings) {
+        this.document = document;
+        this.instance = new InstanceSettings(document, "");
         this.settings = new InstanceSettings(settings, "settings.");
     }
 
-    /** An IOException or IllegalArgumentException says what is wrong with it. */
+    /**
+     * Reads a file.
+     *
+     * @param file null or empty where none is named, which is an error
+     * @throws IOException if it can't be read or is malformed
+     * @throws IllegalArgumentException if none is named
+     */
     public static RouterConfig read(String file) throws IOException {
         if (file == null || file.isEmpty()) {
             throw new IllegalArgumentException(
@@ -60,19 +69,29 @@
         return parse(bytes);
     }
 
-    /** From the file's bytes. */
+    /**
+     * Parses a file's bytes.
+     *
+     * @throws IOException if they are malformed
+     */
     public static RouterConfig parse(byte[] bytes) throws IOException {
-        Map<String, Object> told = Json.parseObject(bytes);
+        Map<String, Object> document = Json.parseObject(bytes);
         ENVIRONMENT_VARIABLES.forEach(
-                (key, variable) -> {
-                    if (System.getenv(variable) != null) {
-                        told.putIfAbsent(key, System.getenv(variable));
+                (member, variable) -> {
+                    String value = System.getenv(variable);
+                    if (value != null) {
+                        document.putIfAbsent(member, value);
                     }
                 });
-        return new RouterConfig(told, map(Json.member(told, "settings", Map.class)));
+        return new RouterConfig(document, asObject(Json.member(document, "settings", Map.class)));
+    }
+
+    @SuppressWarnings("unchecked") // The names of a JSON object's members are strings.
+    private static Map<String, Object> asObject(Map<?, ?> object) {
+        return (Map<String, Object>) object;
     }
 
-    /** A limit of the machine; where none is told, the usual one. */
+    /** A limit of the machine, at least so large; where none is stated, the default. */
     public int limit(String name, int least) {
         SettingsValidator.requireObject(instance, "limits");
         String path = "limits." + name;
@@ -80,44 +99,45 @@
                 instance.text(path) == null
                         ? DEFAULT_LIMITS.get(name)
                         : instance.integerAtLeast(path, least);
-        if (name.equals("memory_mb") && limit > MAX_MEMORY_MB) {
+        if (name.equals(MEMORY_MB) && limit > MAX_MEMORY_MB) {
             throw instance.invalid(
                     path, "must be " + MAX_MEMORY_MB + " or less, not " + instance.text(path));
         }
         return limit;
     }
 
-    @SuppressWarnings("unchecked")
-    private static Map<String, Object> map(Map<?, ?> object) {
-        return (Map<String, Object>) object;
-    }
-
-    /** The list as this router last held it, in discovery's form; null where none is given. */
-    public Map<String, Object> initialEndpointList() {
-        return document.get("known") instanceof Map<?, ?> list ? map(list) : null;
-    }
-
-    /** HOST:PORT as where to connect or listen. */
-    public static InetSocketAddress socketAddress(String address) {
-        int colon = address.lastIndexOf(':');
-        return new InetSocketAddress(
-                address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
+    /**
+     * The endpoint list as this router last held it, in discovery's form; empty where none is
+     * given.
+     */
+    public Optional<Map<String, Object>> initialEndpointList() {
+        return document.get("known") instanceof Map<?, ?> list
+                ? Optional.of(asObject(list))
+                : Optional.empty();
     }
 
-    /** An address with its port. */
+    /** A member that must be HOST:PORT. */
     public String address(String path) {
         String value = instance.required(path);
-        if (!value.matches("[^:]+:[0-9]{1,5}")
-                || Integer.parseInt(value.replaceAll(".*:", "")) > 65_535) {
+        if (!HOST_AND_PORT.matcher(value).matches() || port(value) > MAX_PORT) {
             throw instance.invalid(path, "must be HOST:PORT, not " + value);
         }
         return value;
     }
 
-    /** The seed: 16 hex digits. */
+    /** The socket address of HOST:PORT. */
+    public static InetSocketAddress socketAddress(String address) {
+        return new InetSocketAddress(address.substring(0, address.lastIndexOf(':')), port(address));
+    }
+
+    private static int port(String address) {
+        return Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
+    }
+
+    /** The seed of this router's random numbers: up to 16 hex digits. */
     public long seed() {
         try {
-            return Long.parseUnsignedLong(instance.required("seed"), 16);
+            return Long.parseUnsignedLong(instance.required("seed"), SEED_RADIX);
         } catch (NumberFormatException e) {
             throw instance.invalid("seed", "must be up to 16 hex digits");
         }
--- a/src/main/java/postbeam/json/Json.java
+++ b/src/main/java/postbeam/json/Json.java
@@ -5,68 +5,62 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.core.StreamReadConstraints;
+import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.util.ArrayList;
-import java.util.LinkedHashMap;
+import java.io.UncheckedIOException;
 import java.util.List;
 import java.util.Map;
 
-/** Reads JSON into maps, lists, strings, numbers and truth values. */
+/** JSON as maps, lists, strings, numbers and booleans. */
 public final class Json {
-    /** Levels: the deepest form here, the settings, has five. */
+    /** Levels of nesting: the deepest form here, the settings, has five. */
     private static final int MAX_DEPTH = 32;
 
+    /** Bounded in depth, so that a message can't exhaust the stack. */
     public static final JsonFactory FACTORY =
             JsonFactory.builder()
                     .streamReadConstraints(
                             StreamReadConstraints.builder().maxNestingDepth(MAX_DEPTH).build())
                     .build();
 
+    /** Writes one value. */
+    public interface Writer {
+        /** Writes to the generator, which the caller closes. */
+        void write(JsonGenerator json) throws IOException;
+    }
+
     private Json() {}
 
-    /** The one object that the bytes hold. */
+    /**
+     * Reads the one object that the bytes hold.
+     *
+     * @throws IOException if they hold something else; the message says what
+     */
     public static Map<String, Object> parseObject(byte[] bytes) throws IOException {
         try (JsonParser parser = FACTORY.createParser(bytes)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new IOException("not a JSON object");
+                throw new MalformedJsonException("not a JSON object");
             }
-            Map<String, Object> read = members(parser);
+            Map<String, Object> object = new JsonTreeReader(parser).readObject();
             if (parser.nextToken() != null) {
-                throw new IOException("something follows the JSON object");
+                throw new MalformedJsonException("something follows the JSON object");
             }
-            return read;
+            return object;
         }
     }
 
-    private static Map<String, Object> members(JsonParser parser) throws IOException {
-        Map<String, Object> map = new LinkedHashMap<>();
-        while (parser.nextToken() == JsonToken.FIELD_NAME) {
-            String name = parser.currentName();
-            parser.nextToken();
-            map.put(name, value(parser));
+    /** What the writer writes, in UTF-8. */
+    public static byte[] encode(Writer writer) {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+        try (JsonGenerator json = FACTORY.createGenerator(bytes)) {
+            writer.write(json);
+        } catch (IOException e) {
+            throw new UncheckedIOException("memory can't be written to", e);
         }
-        return map;
-    }
-
-    private static Object value(JsonParser parser) throws IOException {
-        return switch (parser.currentToken()) {
-            case START_OBJECT -> members(parser);
-            case START_ARRAY -> {
-                List<Object> list = new ArrayList<>();
-                while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(value(parser));
-                }
-                yield list;
-            }
-            case VALUE_STRING -> parser.getText();
-            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getNumberValue();
-            case VALUE_TRUE -> true;
-            case VALUE_FALSE -> false;
-            default -> null;
-        };
+        return bytes.toByteArray();
     }
 
-    /** Writes what {@link #parseObject} reads. */
+    /** Writes a tree as {@link #parseObject} reads it. */
     public static void write(JsonGenerator json, Object value) throws IOException {
         if (value instanceof Map<?, ?> map) {
             json.writeStartObject();
@@ -77,12 +71,12 @@
             json.writeEndObject();
         } else if (value instanceof List<?> list) {
             json.writeStartArray();
-            for (Object one : list) {
-                write(json, one);
+            for (Object element : list) {
+                write(json, element);
             }
             json.writeEndArray();
-        } else if (value instanceof Boolean truth) {
-            json.writeBoolean(truth);
+        } else if (value instanceof Boolean bool) {
+            json.writeBoolean(bool);
         } else if (value instanceof Number number) {
             json.writeNumber(number.toString());
         } else if (value == null) {
@@ -93,14 +87,17 @@
     }
 
     /**
-     * The member as a map, a list, a string or a number; an IOException names it where it is
-     * something else.
+     * A member that must be there and of this type.
+     *
+     * @throws MalformedJsonException if it is missing or of another type; the message names it
      */
-    public static <T> T member(Map<?, ?> object, String name, Class<T> kind) throws IOException {
+    public static <T> T member(Map<?, ?> object, String name, Class<T> type)
+            throws MalformedJsonException {
         Object value = object.get(name);
-        if (!kind.isInstance(value)) {
-            throw new IOException(name + (value == null ? " is missing" : " is of the wrong kind"));
+        if (!type.isInstance(value)) {
+            throw new MalformedJsonException(
+                    name + (value == null ? " is missing" : " is of the wrong kind"));
         }
-        return kind.cast(value);
+        return type.cast(value);
     }
 }
--- /dev/null
+++ b/src/main/java/postbeam/json/JsonTreeReader.java
@@ -0,0 +1,91 @@
+package postbeam.json;
+
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Reads one object from a parser into maps, lists, strings, numbers, booleans and nulls. Members
+ * keep their order.
+ */
+public final class JsonTreeReader {
+    /** Told where each member and list element begins. */
+    public interface PositionListener {
+        /**
+         * Called before the value is read.
+         *
+         * @param pointer JSON pointer of the value, {@code /a/0/b}
+         * @param line line of the document, from 1
+         */
+        void valueAt(String pointer, int line);
+    }
+
+    private final JsonParser parser;
+
+    /** Null where nobody asks for positions: pointers are then not built. */
+    private final PositionListener listener;
+
+    /** A reader that reports no positions. */
+    public JsonTreeReader(JsonParser parser) {
+        this(parser, null);
+    }
+
+    /** A reader that reports the position of each value to the listener. */
+    public JsonTreeReader(JsonParser parser, PositionListener listener) {
+        this.parser = parser;
+        this.listener = listener;
+    }
+
+    /** Reads the object whose start is the parser's current token, up to its end. */
+    public Map<String, Object> readObject() throws IOException {
+        return readMembers("");
+    }
+
+    private Map<String, Object> readMembers(String pointer) throws IOException {
+        Map<String, Object> members = new LinkedHashMap<>();
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String name = parser.currentName();
+            String member = child(pointer, name);
+            report(member);
+            parser.nextToken();
+            members.put(name, readValue(member));
+        }
+        return members;
+    }
+
+    private List<Object> readElements(String pointer) throws IOException {
+        List<Object> elements = new ArrayList<>();
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            String element = child(pointer, elements.size());
+            report(element);
+            elements.add(readValue(element));
+        }
+        return elements;
+    }
+
+    private Object readValue(String pointer) throws IOException {
+        return switch (parser.currentToken()) {
+            case START_OBJECT -> readMembers(pointer);
+            case START_ARRAY -> readElements(pointer);
+            case VALUE_STRING -> parser.getText();
+            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getNumberValue();
+            case VALUE_TRUE -> true;
+            case VALUE_FALSE -> false;
+            default -> null;
+        };
+    }
+
+    private String child(String pointer, Object step) {
+        return listener == null ? pointer : pointer + "/" + step;
+    }
+
+    private void report(String pointer) {
+        if (listener != null) {
+            listener.valueAt(pointer, parser.currentLocation().getLineNr());
+        }
+    }
+}
--- a/src/main/java/postbeam/router/ConfigurationCheck.java
+++ b/src/main/java/postbeam/router/ConfigurationCheck.java
@@ -35,10 +35,10 @@
         PolicyFactory.queryClasses(settings);
         PolicyFactory.tenants(settings);
         PolicyFactory.pollSchedule(settings, new Random());
-        PolicyFactory.routingPolicy(null, new Random(), PolicyFactory.fleet(settings), settings);
-        if (config.initialEndpointList() != null) {
+        PolicyFactory.routingPolicy(null, new Random(), PolicyFactory.cluster(settings), settings);
+        if (config.initialEndpointList().isPresent()) {
             EndpointListCodec.decode(
-                    config.initialEndpointList(), settings.integerAtLeast("domain.cells", 1));
+                    config.initialEndpointList().get(), settings.integerAtLeast("domain.cells", 1));
         }
     }
 }
--- a/src/main/java/postbeam/router/PolicyExecutor.java
+++ b/src/main/java/postbeam/router/PolicyExecutor.java
@@ -113,7 +113,7 @@
                         actions,
                         new Random(seed),
                         slicing == null
-                                ? PolicyFactory.fleet(settings)
+                                ? PolicyFactory.cluster(settings)
                                 : new Cluster(slicing.placement()),
                         paging == null ? settings : paging.withReducedRetryBudget(settings));
         this.decisions =
--- a/src/main/java/postbeam/router/Router.java
+++ b/src/main/java/postbeam/router/Router.java
@@ -115,8 +115,8 @@
                 new PolicyExecutor(
                         settings, config.seed(), maxBatchSize, connectTimeout, slicing, paging);
         layoutWatch = slicing == null ? null : layoutWatch(layoutService);
-        if (config.initialEndpointList() != null) {
-            onEndpointUpdate(EndpointListCodec.decode(config.initialEndpointList(), cells));
+        if (config.initialEndpointList().isPresent()) {
+            onEndpointUpdate(EndpointListCodec.decode(config.initialEndpointList().get(), cells));
         }
         worker = createWorker();
         dataNodes = dataNodeClient(settings, limits, connectTimeout);
--- a/src/test/java/postbeam/config/ConfigurationSamplesTest.java
+++ b/src/test/java/postbeam/config/ConfigurationSamplesTest.java
@@ -69,7 +69,9 @@
         assertEquals(512, startup.limit("sockets", 128));
         assertEquals(
                 new Endpoint("s-1", "a", 0, 0, Readiness.READY),
-                EndpointListCodec.decode(startup.initialEndpointList(), 9).endpoints().get(0));
+                EndpointListCodec.decode(startup.initialEndpointList().orElseThrow(), 9)
+                        .endpoints()
+                        .get(0));
     }
 
     @Test
--- a/src/test/java/postbeam/config/RouterConfigTest.java
+++ b/src/test/java/postbeam/config/RouterConfigTest.java
@@ -77,7 +77,7 @@
                 assertThrows(
                         IllegalArgumentException.class,
                         () ->
-                                PolicyFactory.fleet(
+                                PolicyFactory.cluster(
                                         read("{\"settings\":{\"domain\":{\"cells\":\"nine\",\"reach\":1}}}")
                                                 .settings)));
         names(
@@ -85,7 +85,7 @@
                 assertThrows(
                         IllegalArgumentException.class,
                         () ->
-                                PolicyFactory.fleet(
+                                PolicyFactory.cluster(
                                         read("{\"settings\":{\"domain\":{\"cells\":9}}}")
                                                 .settings)));
     }
--- a/src/test/java/postbeam/config/SettingsValidatorTest.java
+++ b/src/test/java/postbeam/config/SettingsValidatorTest.java
@@ -35,7 +35,7 @@
 
     @SuppressWarnings("unchecked")
     private static void set(Object in, String path, Object value) {
-        String first = path.split("\\.")[0];
+        String first = path.split("\\.", 2)[0];
         String rest = path.substring(Math.min(path.length(), first.length() + 1));
         if (in instanceof List<?> list) {
             set(list.get(Integer.parseInt(first)), rest, value);
@@ -398,7 +398,7 @@
                      + " obligations.spareAttempts=0 obligations.budgetShare=0 overShareWorth=0.2"
                      + " report.columns= report.how=none tenants.count=0 step=5000 "
                      + "a.member.of.tomorrow=-1e999")
-                        .split(" ")) {
+                        .split(" ", -1)) {
             wire.putPair(pair);
         }
         SettingsValidator.validate(wire);
--- a/src/test/java/postbeam/config/SubsystemSettingsTest.java
+++ b/src/test/java/postbeam/config/SubsystemSettingsTest.java
@@ -13,13 +13,13 @@
             "{\n  layouts: {\n    follow: {enabled: true, service: 'h:1'},\n  },\n}";
 
     private static String wrong(String text) {
-        return assertThrows(IOException.class, () -> SubsystemSettings.read("f", text))
+        return assertThrows(IOException.class, () -> SubsystemSettings.parse("f", text))
                 .getMessage();
     }
 
     @Test
     void whatIsWrongIsToldWithLineKeyAndReason() throws IOException {
-        assertEquals("h:1", SubsystemSettings.read("f", SOUND).text("layouts.follow.service"));
+        assertEquals("h:1", SubsystemSettings.parse("f", SOUND).text("layouts.follow.service"));
         assertEquals(
                 "f: line 3: layouts.follow.enabeld: unknown key; enabled is known",
                 wrong(SOUND.replace("enabled: true", "enabled: true, enabeld: true")));
