--- a/src/main/java/postbeam/discovery/EndpointListCodec.java
+++ b/src/main/java/postbeam/discovery/EndpointListCodec.java
@@ -9,62 +9,79 @@
 import postbeam.endpoints.Endpoint;
 import postbeam.endpoints.EndpointUpdate;
 import postbeam.json.Json;
+import postbeam.json.MalformedJsonException;
 import postbeam.model.Readiness;
 
-/** The data-node list in discovery's form. */
+/** Decodes endpoint lists, and changes of one, in discovery's form. */
 public final class EndpointListCodec {
-    private static final Pattern ADDRESS =
+    /** Four numbers up to 255 and a port. */
+    private static final Pattern IPV4_ADDRESS =
             Pattern.compile("((25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])(\\.|(?=:))){4}:[0-9]{1,5}");
 
+    private static final int MAX_PORT = 65_535;
+    private static final int MICROS_PER_MILLI = 1000;
+
     private EndpointListCodec() {}
 
-    /** An IOException says what can't be used of it; cells are numbered from 0 up to so many. */
+    /**
+     * Decodes a complete list or changes.
+     *
+     * @param cells that endpoints may be in, numbered from 0
+     * @throws IOException if any part of it can't be used; the message says which and why
+     */
     public static EndpointUpdate decode(Map<String, Object> list, int cells) throws IOException {
-        List<Endpoint> entries = new ArrayList<>();
+        List<Endpoint> endpoints = new ArrayList<>();
         Map<String, String> addresses = new LinkedHashMap<>();
-        for (Object line : Json.member(list, "hosts", List.class)) {
-            if (!(line instanceof Map<?, ?> host)) {
-                throw new IOException("hosts holds something else than objects");
-            }
-            String name = Json.member(host, "host", String.class);
-            Readiness readiness =
-                    switch (Json.member(host, "health", String.class)) {
-                        case "up" -> Readiness.READY;
-                        case "draining" -> Readiness.DRAINING;
-                        case "removed" -> Readiness.REMOVED;
-                        default ->
-                                throw new IOException("health is unknown: " + host.get("health"));
-                    };
-            boolean gone = readiness == Readiness.REMOVED;
-            if (!gone || host.get("dial") instanceof String) {
-                addresses.put(name, checkedAddress(Json.member(host, "dial", String.class)));
+        for (Object host : Json.member(list, "hosts", List.class)) {
+            if (!(host instanceof Map<?, ?> members)) {
+                throw new MalformedJsonException("hosts holds something else than objects");
             }
-            Object born = host.get("born_ms");
-            int cell = gone ? 0 : Json.member(host, "block", Integer.class);
-            if (cell < 0 || cell >= cells) {
-                throw new IOException("block is no cell: " + cell);
+            Endpoint endpoint = decodeEndpoint(members, cells);
+            boolean gone = endpoint.readiness() == Readiness.REMOVED;
+            if (!gone || members.get("dial") instanceof String) {
+                addresses.put(endpoint.name(), decodeAddress(members));
             }
-            entries.add(
-                    new Endpoint(
-                            name,
-                            String.valueOf(host.get("site")),
-                            cell,
-                            born instanceof Number millis ? millis.longValue() * 1000 : 0,
-                            readiness));
+            endpoints.add(endpoint);
         }
-        return new EndpointUpdate(
-                Json.member(list, "seq", Number.class).longValue(),
-                Json.member(list, "whole", Boolean.class),
-                entries,
-                addresses);
+        long version = Json.member(list, "seq", Number.class).longValue();
+        boolean complete = Json.member(list, "whole", Boolean.class);
+        return new EndpointUpdate(version, complete, endpoints, addresses);
     }
 
-    /** Numbers alone: a name would have to be looked up, and that waits. */
-    private static String checkedAddress(String dial) throws IOException {
-        if (!ADDRESS.matcher(dial).matches()
-                || Integer.parseInt(dial.substring(dial.indexOf(':') + 1)) > 65_535) {
-            throw new IOException("dial is not an address: " + dial);
+    private static Endpoint decodeEndpoint(Map<?, ?> host, int cells)
+            throws MalformedJsonException {
+        String name = Json.member(host, "host", String.class);
+        Readiness readiness = decodeReadiness(Json.member(host, "health", String.class));
+        int cell = readiness == Readiness.REMOVED ? 0 : Json.member(host, "block", Integer.class);
+        if (cell < 0 || cell >= cells) {
+            throw new MalformedJsonException("block is no cell: " + cell);
         }
-        return dial;
+        long startedMicros =
+                host.get("born_ms") instanceof Number millis
+                        ? millis.longValue() * MICROS_PER_MILLI
+                        : 0;
+        return new Endpoint(name, String.valueOf(host.get("site")), cell, startedMicros, readiness);
+    }
+
+    private static Readiness decodeReadiness(String health) throws MalformedJsonException {
+        return switch (health) {
+            case "up" -> Readiness.READY;
+            case "draining" -> Readiness.DRAINING;
+            case "removed" -> Readiness.REMOVED;
+            default -> throw new MalformedJsonException("health is unknown: " + health);
+        };
+    }
+
+    /** Numbers alone: a name would have to be looked up, and that blocks. */
+    private static String decodeAddress(Map<?, ?> host) throws MalformedJsonException {
+        String address = Json.member(host, "dial", String.class);
+        if (!IPV4_ADDRESS.matcher(address).matches() || port(address) > MAX_PORT) {
+            throw new MalformedJsonException("dial is not an address: " + address);
+        }
+        return address;
+    }
+
+    private static int port(String address) {
+        return Integer.parseInt(address.substring(address.indexOf(':') + 1));
     }
 }
--- a/src/main/java/postbeam/discovery/LongPollWatcher.java
+++ b/src/main/java/postbeam/discovery/LongPollWatcher.java
@@ -5,24 +5,43 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import java.util.function.ToLongFunction;
-import postbeam.endpoints.PollSchedule;
+import postbeam.endpoints.PollTimings;
 
 /**
- * Follows something that has versions over HTTP, on a thread of its own, so that nothing stands
- * before what is told: asks for the whole of it, then waits for what is newer, and asks for the
- * whole again after every failure.
+ * Watches a versioned document over HTTP by long polls: fetches all of it, then what is newer, and
+ * all of it again after every failure. Runs on a thread of its own, which its owner starts; only
+ * {@link #stop} may be called on another. Its lock keeps an update and a stop apart, so that none
+ * is delivered after a stop.
+ *
+ * @param <T> a document, or changes of one
  */
 public final class LongPollWatcher<T> implements Runnable {
     private static final System.Logger LOG = System.getLogger(LongPollWatcher.class.getName());
 
-    /** Decodes a body; an IOException says what can't be used. */
+    private static final long NO_VERSION = -1;
+
+    /**
+     * Decodes a response's body.
+     *
+     * @param <T> what it decodes to
+     */
     public interface Decoder<T> {
+        /**
+         * Decodes a body.
+         *
+         * @throws IOException if it can't be used; the message says why
+         */
         T decode(byte[] body) throws IOException;
     }
 
     /**
-     * What is followed: its name in the log, where it is, the most bytes that it may tell, and what
-     * is said with each question.
+     * What is watched.
+     *
+     * @param name in the log
+     * @param address HOST:PORT
+     * @param path of the document
+     * @param maxBytes that a response's body may have
+     * @param queryParameters further ones for the next request, name=value, or an empty string
      */
     public record Source(
             String name,
@@ -30,140 +49,169 @@
             String path,
             int maxBytes,
             Supplier<String> queryParameters) {
-        public Source(String name, String address, String path, int longest) {
-            this(name, address, path, longest, () -> "");
+        /** A source whose requests have no further parameters. */
+        public Source(String name, String address, String path, int maxBytes) {
+            this(name, address, path, maxBytes, () -> "");
         }
     }
 
     private final Source source;
     private final HttpGetClient http;
     private final Decoder<T> decoder;
-    private final ToLongFunction<T> version;
+    private final ToLongFunction<T> versionOf;
     private final Consumer<T> onUpdate;
-    private final PollSchedule.PollTimings timings;
+    private final PollTimings timings;
     private final Runnable onPollDone;
+
+    /** Set under the lock by a stop, or by an interrupt of the polling thread. */
     private volatile boolean stopped;
+
+    private long version = NO_VERSION;
     private int consecutiveFailures;
 
+    /** A watcher of which nobody is told that a poll is done. */
     public LongPollWatcher(
             Source source,
-            Decoder<T> reading,
-            ToLongFunction<T> version,
-            Consumer<T> told,
-            PollSchedule.PollTimings pace) {
-        this(source, reading, version, told, pace, () -> {});
+            Decoder<T> decoder,
+            ToLongFunction<T> versionOf,
+            Consumer<T> onUpdate,
+            PollTimings timings) {
+        this(source, decoder, versionOf, onUpdate, timings, () -> {});
     }
 
-    /** The last is run after each call, whether it told or failed. */
+    /**
+     * A watcher that polls once it is run.
+     *
+     * @param versionOf the version that a response states
+     * @param onUpdate takes each response, changed or not, under the watcher's lock
+     * @param timings how long requests may take, and the pauses between them
+     * @param onPollDone run after each poll, whether it succeeded or failed
+     */
     public LongPollWatcher(
             Source source,
-            Decoder<T> reading,
-            ToLongFunction<T> version,
-            Consumer<T> told,
-            PollSchedule.PollTimings pace,
-            Runnable followed) {
-        this.onPollDone = followed;
+            Decoder<T> decoder,
+            ToLongFunction<T> versionOf,
+            Consumer<T> onUpdate,
+            PollTimings timings,
+            Runnable onPollDone) {
         this.source = source;
         this.http = new HttpGetClient(source.address());
-        this.decoder = reading;
-        this.version = version;
-        this.onUpdate = told;
-        this.timings = pace;
+        this.decoder = decoder;
+        this.versionOf = versionOf;
+        this.onUpdate = onUpdate;
+        this.timings = timings;
+        this.onPollDone = onPollDone;
     }
 
+    /** Polls until it is stopped. */
     @Override
     public void run() {
-        long last = -1;
         while (!stopped) {
             try {
-                long asked = System.nanoTime();
-                T next = last < 0 ? fetchAll() : fetchChanges(last);
-                long is = version.applyAsLong(next);
-                if (is < Math.max(0, last)) {
-                    // Changes of something else than what is held; a whole list is taken as it is.
-                    throw new IOException("version " + is + (last < 0 ? "" : " after " + last));
-                }
-                synchronized (this) {
-                    if (stopped) {
-                        return;
-                    }
-                    onUpdate.accept(next);
-                }
-                onPollDone.run();
-                // A watch that is answered with nothing new before its wait is over would be asked
-                // without end.
-                boolean idle =
-                        is == last
-                                && System.nanoTime() - asked < timings.longPollWait().toNanos() / 2;
-                last = is;
-                if (consecutiveFailures > 0) {
-                    LOG.log(
-                            System.Logger.Level.INFO,
-                            "{0} answers again, version {1}",
-                            source.name(),
-                            last);
-                }
-                consecutiveFailures = 0;
-                if (idle) {
-                    backOff(1);
-                }
+                poll();
             } catch (IOException | RuntimeException | Error e) {
                 if (stopped) {
                     return;
                 }
-                if (consecutiveFailures++ == 0) {
-                    LOG.log(
-                            System.Logger.Level.WARNING,
-                            "{0} at {1}: {2}; what is held stays",
-                            source.name(),
-                            source.address(),
-                            e.toString());
-                }
-                onPollDone.run();
-                // The whole again: what a half answer would have told is not lost.
-                last = -1;
-                backOff(consecutiveFailures);
+                handleFailure(e);
             }
         }
     }
 
-    private void backOff(int after) {
+    private void poll() throws IOException {
+        long startNanos = System.nanoTime();
+        T update = version < 0 ? fetchAll() : fetchChanges();
+        long newVersion = checkedVersion(update);
+        if (!deliver(update)) {
+            return;
+        }
+        onPollDone.run();
+        // A server that answers at once with nothing new would be polled without end.
+        boolean unchanged = newVersion == version;
+        boolean early = System.nanoTime() - startNanos < timings.longPollWait().toNanos() / 2;
+        version = newVersion;
+        if (consecutiveFailures > 0) {
+            LOG.log(
+                    System.Logger.Level.INFO,
+                    "{0} answers again, version {1}",
+                    source.name(),
+                    version);
+        }
+        consecutiveFailures = 0;
+        if (unchanged && early) {
+            backOff(1);
+        }
+    }
+
+    /**
+     * Changes to something else than what is held are refused; a complete document is taken as it
+     * is.
+     */
+    private long checkedVersion(T update) throws IOException {
+        long newVersion = versionOf.applyAsLong(update);
+        if (newVersion < Math.max(0, version)) {
+            throw new IOException(
+                    "version " + newVersion + (version < 0 ? "" : " after " + version));
+        }
+        return newVersion;
+    }
+
+    /** False if it has been stopped. */
+    private synchronized boolean deliver(T update) {
+        if (stopped) {
+            return false;
+        }
+        onUpdate.accept(update);
+        return true;
+    }
+
+    private void handleFailure(Throwable failure) {
+        if (consecutiveFailures++ == 0) {
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "{0} at {1}: {2}; what is held stays",
+                    source.name(),
+                    source.address(),
+                    failure.toString());
+        }
+        onPollDone.run();
+        // All of it again, so that what half a response would have brought is not lost.
+        version = NO_VERSION;
+        backOff(consecutiveFailures);
+    }
+
+    private void backOff(int failures) {
         try {
-            Thread.sleep(timings.backoff().apply(after).toMillis());
+            Thread.sleep(timings.backoff().apply(failures).toMillis());
         } catch (InterruptedException e) {
             stopped = true;
         }
     }
 
     private T fetchAll() throws IOException {
-        Duration begin = timings.firstByteTimeout().apply(consecutiveFailures);
-        return fetch(
-                "",
-                new HttpGetClient.Timeouts(
-                        begin, begin, timings.responseTimeout(), timings.responseTimeout()));
+        Duration firstByte = timings.firstByteTimeout().apply(consecutiveFailures);
+        Duration response = timings.responseTimeout();
+        return fetch("", new HttpGetClient.Timeouts(firstByte, firstByte, response, response));
     }
 
-    private T fetchChanges(long last) throws IOException {
-        Duration waited = timings.longPollWait().plus(timings.longPollGrace());
+    private T fetchChanges() throws IOException {
+        Duration connect = timings.firstByteTimeout().apply(consecutiveFailures);
+        Duration wait = timings.longPollWait().plus(timings.longPollGrace());
         return fetch(
-                "?index=" + last + "&wait=" + timings.longPollWait().toMillis(),
-                new HttpGetClient.Timeouts(
-                        timings.firstByteTimeout().apply(consecutiveFailures),
-                        waited,
-                        timings.responseTimeout(),
-                        waited));
+                "?index=" + version + "&wait=" + timings.longPollWait().toMillis(),
+                new HttpGetClient.Timeouts(connect, wait, timings.responseTimeout(), wait));
     }
 
-    private T fetch(String query, HttpGetClient.Timeouts limits) throws IOException {
-        String says = source.queryParameters().get();
-        String asked =
-                source.path()
-                        + query
-                        + (says.isEmpty() ? "" : (query.isEmpty() ? "?" : "&") + says);
-        return decoder.decode(http.get(asked, source.maxBytes(), limits));
+    private T fetch(String query, HttpGetClient.Timeouts timeouts) throws IOException {
+        String parameters = source.queryParameters().get();
+        String path = source.path() + query;
+        if (!parameters.isEmpty()) {
+            path += (query.isEmpty() ? "?" : "&") + parameters;
+        }
+        return decoder.decode(http.get(path, source.maxBytes(), timeouts));
     }
 
-    /** Once it returns nothing more is told; a call that waits is broken off. */
+    /** Once it returns no update is delivered any more; a request that waits is broken off. */
     public void stop() {
         synchronized (this) {
             stopped = true;
--- a/src/main/java/postbeam/endpoints/EndpointRegistry.java
+++ b/src/main/java/postbeam/endpoints/EndpointRegistry.java
@@ -1,7 +1,6 @@
 package postbeam.endpoints;
 
 import java.time.Duration;
-import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
 import java.util.IdentityHashMap;
@@ -17,87 +16,99 @@
 import postbeam.policy.RoutingPolicy;
 
 /**
- * The data nodes that one router was told of, by name: turns what a list says into facts for its
- * Decide.
+ * The data nodes that one router knows of, by name: applies endpoint updates and reports each to
+ * the router's policy. Not safe for use by several threads; its owner guards it with the policy.
  */
 public final class EndpointRegistry {
-    /**
-     * Nodes that are gone and still known: one that comes back soon finds what it was sent while
-     * cold.
-     */
+    /** A removed node that comes back soon finds what it was sent during its slow start. */
     private static final int MAX_REMOVED_KEPT = 64;
 
     private final String localZone;
     private final Map<String, DataNode> nodes = new LinkedHashMap<>();
     private final Map<String, Zone> zonesByName = new LinkedHashMap<>();
-    private final Map<DataNode, String> namesByNode = new IdentityHashMap<>();
+    private final IdentityHashMap<DataNode, String> namesByNode = new IdentityHashMap<>();
 
-    /** The longest gone first. */
+    /** The longest removed first. */
     private final Set<DataNode> removed = new LinkedHashSet<>();
 
-    public EndpointRegistry(String ourZone) {
-        this.localZone = ourZone;
+    /** An empty registry of a router in the zone of this name. */
+    public EndpointRegistry(String localZone) {
+        this.localZone = localZone;
     }
 
+    /** The node of this name, which may be removed; null if none is known. */
     public DataNode node(String name) {
         return nodes.get(name);
     }
 
+    /** All nodes, the last removed ones among them. */
     public Collection<DataNode> nodes() {
         return nodes.values();
     }
 
+    /** The node's name; null if it is not known any more. */
     public String nameOf(DataNode node) {
         return namesByNode.get(node);
     }
 
-    /** Takes over a whole list, from which what is missing is gone, or changes of one. */
+    /**
+     * Applies a complete list or changes of one.
+     *
+     * @param now the policy's time
+     * @param complete whether nodes that are missing in the list are removed
+     * @param startTime turns microseconds on discovery's clock into the policy's time
+     * @param policy is told of each node's state
+     */
     public void update(
             Duration now,
-            List<Endpoint> entries,
-            boolean whole,
-            LongFunction<Duration> since,
+            List<Endpoint> endpoints,
+            boolean complete,
+            LongFunction<Duration> startTime,
             RoutingPolicy policy) {
-        Set<String> seen = new HashSet<>();
-        for (Endpoint endpoint : entries) {
-            seen.add(endpoint.name());
-            DataNode node = nodes.get(endpoint.name());
-            if (node == null) {
-                if (endpoint.readiness() == Readiness.REMOVED) {
-                    continue;
-                }
-                node =
-                        new DataNode(
-                                endpoint.cell(),
-                                zonesByName.computeIfAbsent(
-                                        String.valueOf(endpoint.zone()),
-                                        name -> new Zone(name.equals(localZone))));
-                nodes.put(endpoint.name(), node);
-                namesByNode.put(node, endpoint.name());
-            }
-            update(
-                    now,
-                    node,
-                    endpoint.readiness(),
-                    endpoint.startedMicros() == 0 ? null : since.apply(endpoint.startedMicros()),
-                    policy);
+        Set<String> listed = new HashSet<>();
+        for (Endpoint endpoint : endpoints) {
+            listed.add(endpoint.name());
+            update(now, endpoint, startTime, policy);
         }
-        if (whole) {
-            for (Map.Entry<String, DataNode> known : new ArrayList<>(nodes.entrySet())) {
-                if (!seen.contains(known.getKey())) {
-                    DataNode node = known.getValue();
-                    update(now, node, Readiness.REMOVED, node.startedAt(), policy);
+        if (complete) {
+            for (Map.Entry<String, DataNode> entry : List.copyOf(nodes.entrySet())) {
+                if (!listed.contains(entry.getKey())) {
+                    DataNode node = entry.getValue();
+                    setReadiness(now, node, Readiness.REMOVED, node.startedAt(), policy);
                 }
             }
         }
-        while (removed.size() > MAX_REMOVED_KEPT) {
-            DataNode longest = removed.iterator().next();
-            removed.remove(longest);
-            nodes.remove(namesByNode.remove(longest));
-        }
+        forgetLongestRemoved();
     }
 
     private void update(
+            Duration now,
+            Endpoint endpoint,
+            LongFunction<Duration> startTime,
+            RoutingPolicy policy) {
+        DataNode node = nodes.get(endpoint.name());
+        if (node == null) {
+            if (endpoint.readiness() == Readiness.REMOVED) {
+                return;
+            }
+            node = add(endpoint);
+        }
+        Duration startedAt =
+                endpoint.startedMicros() == 0 ? null : startTime.apply(endpoint.startedMicros());
+        setReadiness(now, node, endpoint.readiness(), startedAt, policy);
+    }
+
+    private DataNode add(Endpoint endpoint) {
+        Zone zone =
+                zonesByName.computeIfAbsent(
+                        String.valueOf(endpoint.zone()), name -> new Zone(name.equals(localZone)));
+        DataNode node = new DataNode(endpoint.cell(), zone);
+        nodes.put(endpoint.name(), node);
+        namesByNode.put(node, endpoint.name());
+        return node;
+    }
+
+    private void setReadiness(
             Duration now,
             DataNode node,
             Readiness readiness,
@@ -110,4 +121,12 @@
             removed.remove(node);
         }
     }
+
+    private void forgetLongestRemoved() {
+        while (removed.size() > MAX_REMOVED_KEPT) {
+            DataNode longest = removed.iterator().next();
+            removed.remove(longest);
+            nodes.remove(namesByNode.remove(longest));
+        }
+    }
 }
--- a/src/main/java/postbeam/endpoints/EndpointUpdate.java
+++ b/src/main/java/postbeam/endpoints/EndpointUpdate.java
@@ -4,7 +4,12 @@
 import java.util.Map;
 
 /**
- * What discovery told at once: a whole list or changes of one, and where each data node is reached.
+ * An endpoint list, or changes of one.
+ *
+ * @param version of the list, growing
+ * @param complete whether endpoints that are missing here are gone
+ * @param endpoints all of them, or those that have changed
+ * @param addresses HOST:PORT by the endpoint's name
  */
 public record EndpointUpdate(
         long version, boolean complete, List<Endpoint> endpoints, Map<String, String> addresses) {}
--- a/src/main/java/postbeam/layoutservice/LayoutService.java
+++ b/src/main/java/postbeam/layoutservice/LayoutService.java
@@ -27,7 +27,7 @@
 import postbeam.discovery.LongPollWatcher;
 import postbeam.endpoints.Endpoint;
 import postbeam.endpoints.EndpointUpdate;
-import postbeam.endpoints.PollSchedule;
+import postbeam.endpoints.PollTimings;
 import postbeam.errors.OperatorErrorException;
 import postbeam.json.Json;
 import postbeam.migration.MigrationAction;
@@ -143,7 +143,7 @@
         this.orders = new HandoffClient(this::done);
         this.watch =
                 EndpointListWatch.create(
-                        place.discovery(), Integer.MAX_VALUE, this::listed, PollSchedule.RELAXED);
+                        place.discovery(), Integer.MAX_VALUE, this::listed, PollTimings.RELAXED);
         moves.setDaemon(true);
     }
 
--- a/src/main/java/postbeam/layoutservice/LayoutWatch.java
+++ b/src/main/java/postbeam/layoutservice/LayoutWatch.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import postbeam.discovery.LongPollWatcher;
-import postbeam.endpoints.PollSchedule;
+import postbeam.endpoints.PollTimings;
 import postbeam.json.Json;
 import postbeam.slices.Layout;
 
@@ -46,6 +46,6 @@
                 body -> LayoutCodec.read(Json.parseObject(body)),
                 layout -> layout.version,
                 told,
-                PollSchedule.RELAXED);
+                PollTimings.RELAXED);
     }
 }
--- a/src/main/java/postbeam/router/Router.java
+++ b/src/main/java/postbeam/router/Router.java
@@ -25,7 +25,7 @@
 import postbeam.dispatch.ClientRequest;
 import postbeam.dispatch.PendingQuery;
 import postbeam.endpoints.EndpointUpdate;
-import postbeam.endpoints.PollSchedule;
+import postbeam.endpoints.PollTimings;
 import postbeam.layoutservice.LayoutWatch;
 import postbeam.slices.Layout;
 import postbeam.slices.SliceTranslator;
@@ -55,7 +55,7 @@
     private final RouterReadiness readiness;
     private final ShutdownDeadlines shutdownDeadlines;
     private final int cells;
-    private final PollSchedule.PollTimings discoveryTimings;
+    private final PollTimings discoveryTimings;
     private final String startedMessage;
     private final CountDownLatch stopped = new CountDownLatch(1);
 
@@ -197,12 +197,12 @@
         return early.compareTo(least) > 0 ? early : least;
     }
 
-    private static PollSchedule.PollTimings discoveryTimings(RouterConfig config) {
+    private static PollTimings discoveryTimings(RouterConfig config) {
         Random random = new Random(config.seed());
         Duration pollInterval = config.settings.duration("obligations.askEvery");
         return "subscribe".equals(config.settings.text("discovery"))
-                ? PollSchedule.discoveryServer(pollInterval, random)
-                : PollSchedule.LOCAL_AGENT;
+                ? PollTimings.discoveryServer(pollInterval, random)
+                : PollTimings.LOCAL_AGENT;
     }
 
     private LongPollWatcher<EndpointUpdate> endpointWatch(String discoveryAddress) {
--- a/src/test/java/postbeam/discovery/DiscoverySamplesTest.java
+++ b/src/test/java/postbeam/discovery/DiscoverySamplesTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import postbeam.endpoints.Endpoint;
 import postbeam.endpoints.EndpointUpdate;
-import postbeam.endpoints.PollSchedule;
+import postbeam.endpoints.PollTimings;
 import postbeam.json.Json;
 import postbeam.model.Readiness;
 import postbeam.samples.SampleFile;
@@ -49,7 +49,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"list.json", "list-indented.json"})
-    void wholeListIsRead(String sample) throws IOException {
+    void completeListIsRead(String sample) throws IOException {
         assertEquals(
                 new EndpointUpdate(
                         41,
@@ -85,17 +85,17 @@
      * agent's.
      */
     @ParameterizedTest
-    @ValueSource(strings = {"agent", "priced"})
-    void requestsAreWrittenAsInTheSamples(String pace) throws Exception {
-        PollSchedule.PollTimings by =
-                pace.equals("agent")
-                        ? PollSchedule.LOCAL_AGENT
-                        : PollSchedule.discoveryServer(Duration.ofSeconds(10), new Random(1));
-        BlockingQueue<EndpointUpdate> told = new LinkedBlockingQueue<>();
+    @ValueSource(strings = {"agent", "server"})
+    void requestsAreWrittenAsInTheSamples(String server) throws Exception {
+        PollTimings timings =
+                server.equals("agent")
+                        ? PollTimings.LOCAL_AGENT
+                        : PollTimings.discoveryServer(Duration.ofSeconds(10), new Random(1));
+        BlockingQueue<EndpointUpdate> updates = new LinkedBlockingQueue<>();
         try (ServerSocket discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             String address = "127.0.0.1:" + discovery.getLocalPort();
             LongPollWatcher<EndpointUpdate> watch =
-                    EndpointListWatch.create(address, CELLS, told::add, by);
+                    EndpointListWatch.create(address, CELLS, updates::add, timings);
             FakeDiscoveryAgent.daemon(watch::run);
             try (Socket router = discovery.accept()) {
                 assertRequest("list", address, router.getInputStream());
@@ -105,8 +105,8 @@
                                 ("HTTP/1.1 200 OK\r\nContent-Length: " + list.length + "\r\n\r\n")
                                         .getBytes(StandardCharsets.US_ASCII));
                 router.getOutputStream().write(list);
-                assertRequest("watch-" + pace, address, router.getInputStream());
-                assertEquals(read("list.json"), told.take());
+                assertRequest("watch-" + server, address, router.getInputStream());
+                assertEquals(read("list.json"), updates.take());
             } finally {
                 watch.stop();
             }
--- a/src/test/java/postbeam/discovery/EndpointListCodecTest.java
+++ b/src/test/java/postbeam/discovery/EndpointListCodecTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void aHostBecomesAnEntryAndAnAddress() throws IOException {
+    void hostIsDecodedToAnEndpointAndAnAddress() throws IOException {
         EndpointUpdate update =
                 read(
                         "{\"host\":\"s-1\",\"dial\":\"10.1.0.18:7070\",\"site\":\"a\",\"class\":\"m2\",\"block\":3,"
@@ -35,14 +35,14 @@
     }
 
     @Test
-    void whatIsRemovedNeedsNoMoreThanItsName() throws IOException {
+    void removedHostNeedsOnlyItsName() throws IOException {
         assertEquals(
                 Readiness.REMOVED,
                 read("{\"host\":\"s-1\",\"health\":\"removed\"}").endpoints().get(0).readiness());
     }
 
     @Test
-    void aListThatIsMalformedInOnePlaceIsNotTakenAtAll() {
+    void listThatIsMalformedInOnePlaceIsRejected() {
         String good =
                 "{\"host\":\"s-1\",\"dial\":\"10.1.0.18:7070\",\"site\":\"a\",\"block\":3,\"health\":\"up\"}";
         for (String host :
--- a/src/test/java/postbeam/discovery/FakeDiscoveryAgent.java
+++ b/src/test/java/postbeam/discovery/FakeDiscoveryAgent.java
@@ -141,10 +141,12 @@
     }
 
     private void read(Socket socket) throws IOException {
-        BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream()));
+        BufferedReader in =
+                new BufferedReader(
+                        new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         String line;
         while ((line = in.readLine()) != null) {
-            String path = line.split(" ")[1];
+            String path = line.split(" ", -1)[1];
             while (!in.readLine().isEmpty()) {
                 // Headers say nothing here.
             }
--- a/src/test/java/postbeam/discovery/HttpGetClientTest.java
+++ b/src/test/java/postbeam/discovery/HttpGetClientTest.java
@@ -22,27 +22,27 @@
  */
 @Timeout(60)
 class HttpGetClientTest {
-    private static final int LONGEST = 256 << 10;
+    private static final int MAX_BYTES = 256 << 10;
     private static final Duration LONG = Duration.ofSeconds(30);
-    private static final HttpGetClient.Timeouts IN_TIME =
+    private static final HttpGetClient.Timeouts GENEROUS =
             new HttpGetClient.Timeouts(LONG, LONG, LONG, LONG);
 
     private FakeDiscoveryAgent agent;
     private HttpGetClient http;
 
     @BeforeEach
-    void listen() throws IOException {
+    void setUp() throws IOException {
         agent = new FakeDiscoveryAgent();
         http = new HttpGetClient(agent.address());
     }
 
     @AfterEach
-    void giveBack() throws IOException {
+    void tearDown() throws IOException {
         http.close();
         agent.close();
     }
 
-    private static HttpGetClient.Timeouts passed(String what) {
+    private static HttpGetClient.Timeouts expired(String what) {
         Duration none = Duration.ZERO;
         return switch (what) {
             case "begin" -> new HttpGetClient.Timeouts(LONG, none, LONG, LONG);
@@ -52,13 +52,14 @@
     }
 
     /** The connection on which the next question is asked, with nothing left on it. */
-    private FakeDiscoveryAgent.Request kept() throws Exception {
+    private FakeDiscoveryAgent.Request idleConnection() throws Exception {
         BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
         FakeDiscoveryAgent.daemon(
                 () ->
                         bodies.add(
                                 new String(
-                                        http.get("/", LONGEST, IN_TIME), StandardCharsets.UTF_8)));
+                                        http.get("/", MAX_BYTES, GENEROUS),
+                                        StandardCharsets.UTF_8)));
         FakeDiscoveryAgent.Request call = agent.nextRequest();
         call.respond("1");
         assertEquals("1", bodies.take());
@@ -71,31 +72,32 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"begin", "rest", "whole"})
-    void whatCameInTimeIsTakenHoweverLateItIsRead(String limit) throws Exception {
+    void responseThatCameInTimeIsTakenHoweverLateItIsRead(String limit) throws Exception {
         String body = "1234567".repeat(5_000);
-        kept().respond(body);
+        idleConnection().respond(body);
         assertEquals(
-                body, new String(http.get("/", LONGEST, passed(limit)), StandardCharsets.UTF_8));
+                body, new String(http.get("/", MAX_BYTES, expired(limit)), StandardCharsets.UTF_8));
         assertEquals(1, agent.connections());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"begin", "whole"})
-    void soIsAnAnswerThatEndsWithItsConnection(String limit) throws Exception {
+    void responseThatEndsWithItsConnectionIsTakenHoweverLateItIsRead(String limit)
+            throws Exception {
         String body = "1234567".repeat(5_000);
-        FakeDiscoveryAgent.Request call = kept();
+        FakeDiscoveryAgent.Request call = idleConnection();
         call.send("HTTP/1.1 200 OK\r\n\r\n" + body);
         call.socket().shutdownOutput();
         assertEquals(
-                body, new String(http.get("/", LONGEST, passed(limit)), StandardCharsets.UTF_8));
+                body, new String(http.get("/", MAX_BYTES, expired(limit)), StandardCharsets.UTF_8));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"begin", "whole"})
-    void whatHasNotComeIsGivenUpAtOnceThen(String limit) throws Exception {
-        kept();
+    void missingResponseTimesOutAtOnceOnceItsDeadlineHasPassed(String limit) throws Exception {
+        idleConnection();
         IOException e =
-                assertThrows(IOException.class, () -> http.get("/", LONGEST, passed(limit)));
+                assertThrows(IOException.class, () -> http.get("/", MAX_BYTES, expired(limit)));
         assertEquals("no whole answer in time", e.getMessage());
     }
 
@@ -107,10 +109,10 @@
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n12",
                 "HTTP/1.1 200 OK\r\nContent-"
             })
-    void whatHasComeInPartIsGivenUpAtOnceThen(String part) throws Exception {
-        kept().send(part);
+    void partialResponseTimesOutAtOnceOnceItsDeadlineHasPassed(String part) throws Exception {
+        idleConnection().send(part);
         IOException e =
-                assertThrows(IOException.class, () -> http.get("/", LONGEST, passed("whole")));
+                assertThrows(IOException.class, () -> http.get("/", MAX_BYTES, expired("whole")));
         assertEquals("no whole answer in time", e.getMessage());
     }
 
@@ -119,11 +121,11 @@
      * 260,000 of them.
      */
     @Test
-    void whatTricklesFasterThanItIsReadIsGivenUpAllTheSame() throws Exception {
-        kept().trickle(0);
+    void responseThatTricklesFasterThanItIsReadTimesOut() throws Exception {
+        idleConnection().trickle(0);
         long from = System.nanoTime();
         IOException e =
-                assertThrows(IOException.class, () -> http.get("/", LONGEST, passed("whole")));
+                assertThrows(IOException.class, () -> http.get("/", MAX_BYTES, expired("whole")));
         long after = (System.nanoTime() - from) / 1_000_000;
         assertEquals("no whole answer in time", e.getMessage());
         assertTrue(after <= 1_000, "given up after " + after + " ms");
--- a/src/test/java/postbeam/discovery/LongPollWatcherStopTest.java
+++ b/src/test/java/postbeam/discovery/LongPollWatcherStopTest.java
@@ -23,24 +23,24 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import postbeam.endpoints.PollSchedule;
+import postbeam.endpoints.PollTimings;
 
 /** Stopped wherever it stands, by waits so long that only the stop can end them. */
 @Timeout(60)
 class LongPollWatcherStopTest {
     private static final Duration LONG = Duration.ofMinutes(5);
-    private static final PollSchedule.PollTimings PATIENT =
-            new PollSchedule.PollTimings(LONG, LONG, LONG, after -> LONG, after -> LONG, LONG);
+    private static final PollTimings PATIENT =
+            new PollTimings(LONG, LONG, LONG, after -> LONG, after -> LONG, LONG);
 
-    private final BlockingQueue<Long> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Long> updates = new LinkedBlockingQueue<>();
 
     private static LongPollWatcher<Long> watch(
-            String address, LongPollWatcher.Decoder<Long> reading, Consumer<Long> told) {
+            String address, LongPollWatcher.Decoder<Long> reading, Consumer<Long> updates) {
         return new LongPollWatcher<>(
                 new LongPollWatcher.Source("discovery", address, "/v1/servers", 1000),
                 reading,
                 version -> version,
-                told,
+                updates,
                 PATIENT);
     }
 
@@ -52,17 +52,17 @@
         }
     }
 
-    private void assertStops(LongPollWatcher<Long> watch, Thread following)
+    private void assertStops(LongPollWatcher<Long> watch, Thread watching)
             throws InterruptedException {
         watch.stop();
-        following.join(Duration.ofSeconds(20).toMillis());
-        assertFalse(following.isAlive(), "it goes on");
-        assertNull(told.peek());
+        watching.join(Duration.ofSeconds(20).toMillis());
+        assertFalse(watching.isAlive(), "it goes on");
+        assertNull(updates.peek());
     }
 
     /** A full queue of connections: the next one never comes up. */
     @Test
-    void whileItConnects() throws Exception {
+    void stopsWhileConnecting() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<Socket> waiting = new ArrayList<>();
             try {
@@ -76,10 +76,10 @@
                 assertTrue(waiting.size() > 1);
             }
             LongPollWatcher<Long> watch =
-                    watch("127.0.0.1:" + full.getLocalPort(), body -> 1L, told::add);
-            Thread following = FakeDiscoveryAgent.daemon(watch::run);
-            awaitIn(following, "timedFinishConnect");
-            assertStops(watch, following);
+                    watch("127.0.0.1:" + full.getLocalPort(), body -> 1L, updates::add);
+            Thread watching = FakeDiscoveryAgent.daemon(watch::run);
+            awaitIn(watching, "timedFinishConnect");
+            assertStops(watch, watching);
             for (Socket socket : waiting) {
                 socket.close();
             }
@@ -88,22 +88,22 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "HTTP/1.1 200 OK\r\nContent-", "HTTP/1.1 200 OK\r\n\r\n12"})
-    void whileItReadsAList(String start) throws Exception {
+    void stopsWhileReadingAResponse(String start) throws Exception {
         try (FakeDiscoveryAgent agent = new FakeDiscoveryAgent()) {
-            LongPollWatcher<Long> watch = watch(agent.address(), body -> 1L, told::add);
-            Thread following = FakeDiscoveryAgent.daemon(watch::run);
+            LongPollWatcher<Long> watch = watch(agent.address(), body -> 1L, updates::add);
+            Thread watching = FakeDiscoveryAgent.daemon(watch::run);
             agent.nextRequest().send(start);
-            awaitIn(following, "timedRead");
-            assertStops(watch, following);
+            awaitIn(watching, "timedRead");
+            assertStops(watch, watching);
         }
     }
 
     @Test
-    void whileItWaitsAfterAFailure() throws Exception {
+    void stopsWhileBackingOff() throws Exception {
         try (FakeDiscoveryAgent agent = new FakeDiscoveryAgent()) {
             CountDownLatch paused = new CountDownLatch(1);
-            PollSchedule.PollTimings pace =
-                    new PollSchedule.PollTimings(
+            PollTimings pace =
+                    new PollTimings(
                             LONG,
                             LONG,
                             LONG,
@@ -119,19 +119,19 @@
                                     "discovery", agent.address(), "/v1/servers", 1000),
                             body -> 1L,
                             version -> version,
-                            told::add,
+                            updates::add,
                             pace);
-            Thread following = FakeDiscoveryAgent.daemon(watch::run);
+            Thread watching = FakeDiscoveryAgent.daemon(watch::run);
             agent.nextRequest().reset();
             paused.await();
-            assertStops(watch, following);
+            assertStops(watch, watching);
             assertEquals(1, agent.connections());
         }
     }
 
-    /** The stop doesn't wait for a list that is decoded, and what comes of it isn't told. */
+    /** The stop doesn't wait for a list that is decoded, and what comes of it isn't updates. */
     @Test
-    void whileItDecodes() throws Exception {
+    void stopsWhileDecoding() throws Exception {
         CountDownLatch decodes = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
         try (FakeDiscoveryAgent agent = new FakeDiscoveryAgent()) {
@@ -147,22 +147,22 @@
                                 }
                                 return 1L;
                             },
-                            told::add);
-            Thread following = FakeDiscoveryAgent.daemon(watch::run);
+                            updates::add);
+            Thread watching = FakeDiscoveryAgent.daemon(watch::run);
             agent.nextRequest().respond("1");
             decodes.await();
             watch.stop();
             go.countDown();
-            assertStops(watch, following);
+            assertStops(watch, watching);
         }
     }
 
     /**
-     * What is being told when it is stopped has been told once the stop returns, and nothing after
-     * it.
+     * What is being updates when it is stopped has been updates once the stop returns, and nothing
+     * after it.
      */
     @Test
-    void whileItTells() throws Exception {
+    void stopWaitsForAnUpdateThatIsBeingDelivered() throws Exception {
         CountDownLatch tells = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
         List<Long> done = new ArrayList<>();
@@ -180,18 +180,19 @@
                                 }
                                 done.add(version);
                             });
-            Thread following = FakeDiscoveryAgent.daemon(watch::run);
+            Thread watching = FakeDiscoveryAgent.daemon(watch::run);
             agent.nextRequest().respond("1");
             tells.await();
             Thread stopping = FakeDiscoveryAgent.daemon(watch::stop);
             while (stopping.getState() != Thread.State.BLOCKED) {
-                assertTrue(stopping.isAlive(), "the stop has returned while a list is being told");
+                assertTrue(
+                        stopping.isAlive(), "the stop has returned while a list is being updates");
                 Thread.onSpinWait();
             }
             go.countDown();
             stopping.join();
-            following.join(Duration.ofSeconds(20).toMillis());
-            assertFalse(following.isAlive(), "it goes on");
+            watching.join(Duration.ofSeconds(20).toMillis());
+            assertFalse(watching.isAlive(), "it goes on");
             assertEquals(List.of(1L), done);
         }
     }
--- a/src/test/java/postbeam/discovery/LongPollWatcherTest.java
+++ b/src/test/java/postbeam/discovery/LongPollWatcherTest.java
@@ -30,32 +30,33 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import postbeam.endpoints.EndpointUpdate;
-import postbeam.endpoints.PollSchedule;
+import postbeam.endpoints.PollTimings;
 
 /**
- * Against a discovery on loopback that answers as it is told to: the body of a list is its version
- * alone.
+ * Against a discovery on loopback that answers as it is updates to: the body of a list is its
+ * version alone.
  */
 @Timeout(60)
 class LongPollWatcherTest {
     /**
      * Between "must be given up by then" and what it would take unbounded: never, or 22 s and more.
      */
-    private static final long GIVEN_UP_SECONDS = 10;
+    private static final long TIMEOUT_SECONDS = 10;
 
-    private interface Way {
+    /** Writes the response to a request. */
+    private interface Responder {
         void answer(String path, OutputStream out) throws Exception;
     }
 
     private ServerSocket server;
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-    private final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Long> told = new LinkedBlockingQueue<>();
-    private volatile Way way;
+    private final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Long> updates = new LinkedBlockingQueue<>();
+    private volatile Responder responder;
     private LongPollWatcher<Long> watch;
 
     @BeforeEach
-    void listen() throws IOException {
+    void setUp() throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         daemon(
                 () -> {
@@ -73,8 +74,8 @@
                 new LongPollWatcher.Source("discovery", "127.0.0.1:" + port, "/v1/servers", 1000),
                 body -> read(new String(body, StandardCharsets.UTF_8)),
                 version -> version,
-                told::add,
-                PollSchedule.LOCAL_AGENT);
+                updates::add,
+                PollTimings.LOCAL_AGENT);
     }
 
     private static long read(String body) throws IOException {
@@ -106,42 +107,49 @@
 
     private void serve(Socket socket) throws Exception {
         try (socket) {
-            BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream()));
+            BufferedReader in =
+                    new BufferedReader(
+                            new InputStreamReader(
+                                    socket.getInputStream(), StandardCharsets.US_ASCII));
             String line;
             while ((line = in.readLine()) != null) {
-                String path = line.split(" ")[1];
+                String path = line.split(" ", -1)[1];
                 while (!in.readLine().isEmpty()) {
                     // Headers say nothing here.
                 }
-                asked.add(path);
-                way.answer(path, socket.getOutputStream());
+                requests.add(path);
+                responder.answer(path, socket.getOutputStream());
             }
         }
     }
 
-    private static void say(OutputStream out, String text) throws IOException {
+    private static String lines(String... lines) {
+        return String.join("\r\n", lines);
+    }
+
+    private static void send(OutputStream out, String text) throws IOException {
         out.write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static void whole(OutputStream out, String body) throws IOException {
-        say(out, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+    private static void respond(OutputStream out, String body) throws IOException {
+        send(out, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
     /** Until its asker closes it. */
-    private void silent(OutputStream out) throws InterruptedException {
+    private static void staySilent() throws InterruptedException {
         Thread.sleep(Duration.ofMinutes(2).toMillis());
     }
 
-    private void follow() {
+    private void startWatching() {
         daemon(watch::run);
     }
 
-    private Long told() throws InterruptedException {
-        return told.poll(GIVEN_UP_SECONDS, TimeUnit.SECONDS);
+    private Long nextUpdate() throws InterruptedException {
+        return updates.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     @AfterEach
-    void giveBack() throws IOException {
+    void tearDown() throws IOException {
         watch.stop();
         server.close();
         for (Socket socket : sockets) {
@@ -149,16 +157,16 @@
         }
     }
 
-    /** The first answer is bad in this way, the ones after it are good. */
-    private void firstThenGood(Way first) {
-        way =
+    /** The first answer is bad in this responder, the ones after it are good. */
+    private void respondFirstThenWell(Responder first) {
+        responder =
                 (path, out) -> {
-                    if (asked.size() == 1) {
+                    if (requests.size() == 1) {
                         first.answer(path, out);
                     } else if (path.contains("index")) {
-                        silent(out);
+                        staySilent();
                     } else {
-                        whole(out, "8");
+                        respond(out, "8");
                     }
                 };
     }
@@ -171,19 +179,19 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n12",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n12"
             })
-    void anAnswerThatTricklesIsGivenUpAndTheListAskedForAnew(String start) throws Exception {
-        firstThenGood(
+    void tricklingResponseTimesOutAndTheListIsFetchedAgain(String start) throws Exception {
+        respondFirstThenWell(
                 (path, out) -> {
-                    say(out, start);
+                    send(out, start);
                     while (true) {
                         Thread.sleep(100);
-                        say(out, start.isEmpty() ? "H" : "1");
+                        send(out, start.isEmpty() ? "H" : "1");
                     }
                 });
-        follow();
-        assertEquals(8L, told());
-        assertEquals("/v1/servers", asked.poll());
-        assertEquals("/v1/servers", asked.poll());
+        startWatching();
+        assertEquals(8L, nextUpdate());
+        assertEquals("/v1/servers", requests.poll());
+        assertEquals("/v1/servers", requests.poll());
     }
 
     @ParameterizedTest
@@ -193,14 +201,14 @@
                 "HTTP/1.1 200 OK\r\nContent-",
                 "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n12"
             })
-    void anAnswerThatFallsSilentIsGivenUpAndTheListAskedForAnew(String start) throws Exception {
-        firstThenGood(
+    void silentResponseTimesOutAndTheListIsFetchedAgain(String start) throws Exception {
+        respondFirstThenWell(
                 (path, out) -> {
-                    say(out, start);
-                    silent(out);
+                    send(out, start);
+                    staySilent();
                 });
-        follow();
-        assertEquals(8L, told());
+        startWatching();
+        assertEquals(8L, nextUpdate());
     }
 
     /**
@@ -208,34 +216,34 @@
      * counts.
      */
     @Test
-    void aWatchThatFallsSilentIsGivenUpAndTheListAskedForOnANewConnection() throws Exception {
-        way =
+    void silentLongPollTimesOutAndTheListIsFetchedOnANewConnection() throws Exception {
+        responder =
                 (path, out) -> {
                     if (path.contains("index")) {
-                        silent(out);
+                        staySilent();
                     }
-                    whole(out, String.valueOf(asked.size()));
+                    respond(out, String.valueOf(requests.size()));
                 };
-        follow();
-        assertEquals(1L, told());
-        assertEquals(3L, told());
+        startWatching();
+        assertEquals(1L, nextUpdate());
+        assertEquals(3L, nextUpdate());
         assertTrue(sockets.size() >= 2);
     }
 
     /** The rest of an answer that has begun is not waited for as long as its beginning. */
     @Test
-    void aWatchThatFallsSilentInItsAnswerIsGivenUpLongBeforeItsWaitIsOver() throws Exception {
-        way =
+    void longPollSilentWithinItsResponseTimesOutBeforeItsWaitIsOver() throws Exception {
+        responder =
                 (path, out) -> {
                     if (path.contains("index")) {
-                        say(out, "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n12");
-                        silent(out);
+                        send(out, "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n12");
+                        staySilent();
                     }
-                    whole(out, String.valueOf(asked.size()));
+                    respond(out, String.valueOf(requests.size()));
                 };
-        follow();
-        assertEquals(1L, told());
-        assertEquals(3L, told());
+        startWatching();
+        assertEquals(1L, nextUpdate());
+        assertEquals(3L, nextUpdate());
     }
 
     @ParameterizedTest
@@ -251,58 +259,58 @@
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
                 "HTTP/1.1\r\n\r\n"
             })
-    void aSpoiltAnswerIsPassedOverAndTheListAskedForAnew(String spoilt) throws Exception {
-        firstThenGood((path, out) -> say(out, spoilt));
-        follow();
-        assertEquals(8L, told());
+    void malformedResponseIsIgnoredAndTheListIsFetchedAgain(String spoilt) throws Exception {
+        respondFirstThenWell((path, out) -> send(out, spoilt));
+        startWatching();
+        assertEquals(8L, nextUpdate());
     }
 
     /** Such an answer begins in time and brings something with each read. */
     @ParameterizedTest
     @ValueSource(strings = {"a", "a: b\r\n", "\r\n"})
-    void anAnswerThatNeverEndsIsGivenUp(String more) throws Exception {
-        firstThenGood(
+    void endlessHeadIsCutOff(String more) throws Exception {
+        respondFirstThenWell(
                 (path, out) -> {
-                    say(out, "HTTP/1.1 200 OK\r\n");
+                    send(out, "HTTP/1.1 200 OK\r\n");
                     while (true) {
-                        say(out, more.repeat(1000));
+                        send(out, more.repeat(1000));
                     }
                 });
-        follow();
-        assertEquals(8L, told());
+        startWatching();
+        assertEquals(8L, nextUpdate());
     }
 
     /** A loop asks thousands of times in that second; a slow machine only asks less often. */
     @ParameterizedTest
     @ValueSource(strings = {"7", "-1"})
-    void whatIsAnsweredAtOnceWithNothingNewIsNotAskedWithoutEnd(String version) throws Exception {
-        way = (path, out) -> whole(out, version);
-        follow();
-        assertEquals("/v1/servers", asked.take());
+    void immediateResponsesWithoutChangesArePolledWithPauses(String version) throws Exception {
+        responder = (path, out) -> respond(out, version);
+        startWatching();
+        assertEquals("/v1/servers", requests.take());
         Thread.sleep(1000);
-        assertTrue(asked.size() <= 20, asked.size() + " calls in a second");
+        assertTrue(requests.size() <= 20, requests.size() + " calls in a second");
     }
 
     @Test
-    void aWatchWhoseVersionGoesBackTellsNothingAndTheWholeListIsTakenAsItIs() throws Exception {
-        way =
+    void changesOfAnOlderVersionAreIgnoredAndACompleteListIsTaken() throws Exception {
+        responder =
                 (path, out) -> {
                     if (path.contains("index=30")) {
-                        silent(out);
+                        staySilent();
                     }
-                    whole(out, asked.size() == 1 ? "41" : asked.size() == 2 ? "29" : "30");
+                    respond(out, requests.size() == 1 ? "41" : requests.size() == 2 ? "29" : "30");
                 };
-        follow();
-        assertEquals(41L, told());
-        assertEquals(30L, told());
-        assertEquals("/v1/servers", asked.poll());
-        assertTrue(asked.poll().startsWith("/v1/servers?index=41&"));
-        assertEquals("/v1/servers", asked.poll());
+        startWatching();
+        assertEquals(41L, nextUpdate());
+        assertEquals(30L, nextUpdate());
+        assertEquals("/v1/servers", requests.poll());
+        assertTrue(requests.poll().startsWith("/v1/servers?index=41&"));
+        assertEquals("/v1/servers", requests.poll());
     }
 
     /** 200 nodes and the 100 that they replace, each value on a line of its own. */
     @Test
-    void anIndentedListOfALargeFleetInAReleaseIsRead() throws Exception {
+    void indentedListOfALargeClusterInARolloutIsRead() throws Exception {
         String host =
                 """
                 {
@@ -326,116 +334,126 @@
                                                         .stripTrailing())
                                 .collect(Collectors.joining(",\n"))
                         + "\n    ]\n}\n";
-        way =
+        responder =
                 (path, out) -> {
                     if (path.contains("index")) {
-                        silent(out);
+                        staySilent();
                     }
-                    whole(out, list);
+                    respond(out, list);
                 };
         BlockingQueue<EndpointUpdate> lists = new LinkedBlockingQueue<>();
-        LongPollWatcher<EndpointUpdate> follows =
+        LongPollWatcher<EndpointUpdate> listWatcher =
                 EndpointListWatch.create(
                         "127.0.0.1:" + server.getLocalPort(),
                         9,
                         lists::add,
-                        PollSchedule.LOCAL_AGENT);
-        daemon(follows::run);
-        EndpointUpdate read = lists.poll(GIVEN_UP_SECONDS, TimeUnit.SECONDS);
-        follows.stop();
+                        PollTimings.LOCAL_AGENT);
+        daemon(listWatcher::run);
+        EndpointUpdate read = lists.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        listWatcher.stop();
         assertEquals(300, read == null ? 0 : read.endpoints().size(), list.length() + " bytes");
     }
 
     /** Where it is read from is what the configuration names, and nothing else. */
     @Test
-    void noRedirectionIsFollowed() throws Exception {
-        firstThenGood(
+    void redirectionsAreNotFollowed() throws Exception {
+        respondFirstThenWell(
                 (path, out) ->
-                        say(
+                        send(
                                 out,
-                                "HTTP/1.1 302 Found\r\n"
-                                        + "Location: /elsewhere\r\n"
-                                        + "Content-Length: 0\r\n\r\n"));
-        follow();
-        assertEquals(8L, told());
+                                lines(
+                                        "HTTP/1.1 302 Found",
+                                        "Location: /elsewhere",
+                                        "Content-Length: 0",
+                                        "",
+                                        "")));
+        startWatching();
+        assertEquals(8L, nextUpdate());
         assertTrue(
-                asked.stream().allMatch(path -> path.startsWith("/v1/servers")), asked.toString());
+                requests.stream().allMatch(path -> path.startsWith("/v1/servers")),
+                requests.toString());
     }
 
     @Test
-    void wholeAnswersComeInEachFormOfTheProtocolOverOneConnection() throws Exception {
+    void responsesOfEachTransferEncodingAreReadOverOneConnection() throws Exception {
         BlockingQueue<String> bodies =
                 new LinkedBlockingQueue<>(
                         List.of(
                                 "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n41",
-                                "HTTP/1.1 200 OK\r\n"
-                                        + "Transfer-Encoding: chunked\r\n\r\n"
-                                        + "1\r\n"
-                                        + "4\r\n"
-                                        + "1;x=y\r\n"
-                                        + "2\r\n"
-                                        + "0\r\n\r\n",
-                                "HTTP/1.1 200 OK\r\n"
-                                        + "content-length:2\r\n"
-                                        + "Connection: keep-alive\r\n\r\n"
-                                        + "43"));
-        way =
+                                lines(
+                                        "HTTP/1.1 200 OK",
+                                        "Transfer-Encoding: chunked",
+                                        "",
+                                        "1",
+                                        "4",
+                                        "1;x=y",
+                                        "2",
+                                        "0",
+                                        "",
+                                        ""),
+                                lines(
+                                        "HTTP/1.1 200 OK",
+                                        "content-length:2",
+                                        "Connection: keep-alive",
+                                        "",
+                                        "43")));
+        responder =
                 (path, out) -> {
                     String body = bodies.poll();
                     if (body == null) {
-                        silent(out);
+                        staySilent();
                     }
-                    say(out, body);
+                    send(out, body);
                 };
-        follow();
-        assertEquals(41L, told());
-        assertEquals(42L, told());
-        assertEquals(43L, told());
+        startWatching();
+        assertEquals(41L, nextUpdate());
+        assertEquals(42L, nextUpdate());
+        assertEquals(43L, nextUpdate());
         assertEquals(1, sockets.size());
-        assertEquals("/v1/servers", asked.poll());
-        assertTrue(asked.poll().startsWith("/v1/servers?index=41&wait="));
-        assertTrue(asked.poll().startsWith("/v1/servers?index=42&wait="));
+        assertEquals("/v1/servers", requests.poll());
+        assertTrue(requests.poll().startsWith("/v1/servers?index=41&wait="));
+        assertTrue(requests.poll().startsWith("/v1/servers?index=42&wait="));
     }
 
     @Test
-    void aConnectionThatIsToBeClosedIsNotAskedOnAgain() throws Exception {
-        way =
+    void connectionThatTheServerClosesIsNotReused() throws Exception {
+        responder =
                 (path, out) -> {
-                    if (asked.size() > 2) {
-                        silent(out);
+                    if (requests.size() > 2) {
+                        staySilent();
                     }
-                    say(
+                    send(
                             out,
                             "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\n"
-                                    + asked.size());
+                                    + requests.size());
                 };
-        follow();
-        assertEquals(1L, told());
-        assertEquals(2L, told());
+        startWatching();
+        assertEquals(1L, nextUpdate());
+        assertEquals(2L, nextUpdate());
         assertTrue(sockets.size() >= 2);
     }
 
     /** Refused at first, then back at the same address. */
     @Test
-    void whatIsRefusedIsAskedAgainUntilItIsBack() throws Exception {
+    void refusedConnectionsAreRetriedUntilTheServerIsBack() throws Exception {
         int port = server.getLocalPort();
         server.close();
-        follow();
+        startWatching();
         try (ServerSocket back = new ServerSocket()) {
             back.setReuseAddress(true);
             while (!back.isBound()) {
                 try {
                     back.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
                 } catch (BindException e) {
-                    // The last of the old one is still on its way out.
+                    // The last of the old one is still on its responder out.
                     Thread.onSpinWait();
                 }
             }
-            way = (path, out) -> whole(out, "8");
+            responder = (path, out) -> respond(out, "8");
             Socket socket = back.accept();
             sockets.add(socket);
             daemon(() -> serve(socket));
-            assertEquals(8L, told());
+            assertEquals(8L, nextUpdate());
         }
     }
 
@@ -448,28 +466,28 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n12",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n12"
             })
-    void stoppingWaitsForNoAnswerAndNothingIsToldAfterIt(String start) throws Exception {
-        way =
+    void stopWaitsForNoResponseAndNoUpdateFollowsIt(String start) throws Exception {
+        responder =
                 (path, out) -> {
                     if (path.contains("index")) {
-                        say(out, start);
-                        silent(out);
+                        send(out, start);
+                        staySilent();
                     }
-                    whole(out, "1");
+                    respond(out, "1");
                 };
-        Thread following = daemon(watch::run);
-        assertEquals(1L, told());
-        assertEquals("/v1/servers", asked.take());
-        asked.take();
+        Thread watching = daemon(watch::run);
+        assertEquals(1L, nextUpdate());
+        assertEquals("/v1/servers", requests.take());
+        requests.take();
         // Until what has come of it is read, and the next read waits for a while.
         for (int waits = 0; waits < 1000; waits++) {
-            waits = following.getStackTrace()[0].getMethodName().equals("poll") ? waits : 0;
+            waits = watching.getStackTrace()[0].getMethodName().equals("poll") ? waits : 0;
         }
         Thread stopping = daemon(watch::stop);
-        stopping.join(TimeUnit.SECONDS.toMillis(GIVEN_UP_SECONDS));
+        stopping.join(TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
         assertFalse(stopping.isAlive(), "the stop waits for the answer");
-        following.join(TimeUnit.SECONDS.toMillis(GIVEN_UP_SECONDS));
-        assertFalse(following.isAlive(), "the call that waits goes on");
-        assertNull(told.poll());
+        watching.join(TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
+        assertFalse(watching.isAlive(), "the call that waits goes on");
+        assertNull(updates.poll());
     }
 }
--- a/src/test/java/postbeam/discovery/UpdateDeadlineTest.java
+++ b/src/test/java/postbeam/discovery/UpdateDeadlineTest.java
@@ -18,17 +18,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import postbeam.endpoints.PollSchedule;
+import postbeam.endpoints.PollTimings;
 
 /**
- * What discovery had and could be reached for counts as told 6 s later, whatever calls were out,
+ * What discovery had and could be reached for counts as updates 6 s later, whatever calls were out,
  * had failed or had been refused. Each moment is forced: the call that crosses it has arrived when
  * discovery comes back, and is unanswered.
  */
 @Timeout(120)
 class UpdateDeadlineTest {
     /** The 6 s, less what is left for a router that is late. */
-    private static final long TOLD_MILLIS = 5_500;
+    private static final long UPDATE_MILLIS = 5_500;
 
     /** A grace of 500 ms, and 100 ms for a machine with other work. */
     private static final long SHORTEST_GRACE_MILLIS = 600;
@@ -42,24 +42,24 @@
     }
 
     private FakeDiscoveryAgent agent;
-    private final BlockingQueue<Long> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Long> updates = new LinkedBlockingQueue<>();
     private final BlockingQueue<Integer> failures = new LinkedBlockingQueue<>();
     private LongPollWatcher<Long> watch;
 
     @BeforeEach
-    void listen() throws IOException {
+    void setUp() throws IOException {
         agent = new FakeDiscoveryAgent();
     }
 
     @AfterEach
-    void giveBack() throws IOException {
+    void tearDown() throws IOException {
         watch.stop();
         agent.close();
     }
 
-    private void follow(PollSchedule.PollTimings pace) {
-        PollSchedule.PollTimings counted =
-                new PollSchedule.PollTimings(
+    private void startWatching(PollTimings pace) {
+        PollTimings counted =
+                new PollTimings(
                         pace.longPollWait(),
                         pace.longPollGrace(),
                         pace.responseTimeout(),
@@ -75,13 +75,13 @@
                                 "discovery", agent.address(), "/v1/servers", 256 << 10),
                         body -> Long.parseLong(new String(body, StandardCharsets.UTF_8)),
                         version -> version,
-                        told::add,
+                        updates::add,
                         counted);
         FakeDiscoveryAgent.daemon(watch::run);
     }
 
-    private static PollSchedule.PollTimings priced() {
-        return PollSchedule.discoveryServer(Duration.ofSeconds(10), new Random(5));
+    private static PollTimings discoveryServer() {
+        return PollTimings.discoveryServer(Duration.ofSeconds(10), new Random(5));
     }
 
     private static void fail(FakeDiscoveryAgent.Request call, Fails how) throws Exception {
@@ -93,21 +93,21 @@
         }
     }
 
-    /** The watch that is out once the first list has been told. */
+    /** The watch that is out once the first list has been updates. */
     private FakeDiscoveryAgent.Request watchAfter(long version) throws Exception {
         agent.nextRequest().respond(String.valueOf(version));
-        assertEquals(version, told.take());
+        assertEquals(version, updates.take());
         FakeDiscoveryAgent.Request waits = agent.nextRequest();
         assertTrue(
                 waits.path().startsWith("/v1/servers?index=" + version + "&wait="), waits.path());
         return waits;
     }
 
-    private void assertTold(long version, long sinceNanos, long withinMillis)
+    private void assertUpdated(long version, long sinceNanos, long withinMillis)
             throws InterruptedException {
-        assertEquals(version, told.poll(60, TimeUnit.SECONDS));
+        assertEquals(version, updates.poll(60, TimeUnit.SECONDS));
         long after = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sinceNanos);
-        assertTrue(after <= withinMillis, "told after " + after + " ms");
+        assertTrue(after <= withinMillis, "updates after " + after + " ms");
     }
 
     /**
@@ -116,8 +116,8 @@
      */
     @ParameterizedTest
     @EnumSource
-    void aSilentWatchAndOneMoreFailedCallAtTheAgent(Fails how) throws Exception {
-        follow(PollSchedule.LOCAL_AGENT);
+    void updateIsInTimeAfterASilentLongPollAndAFailedFetchAtTheAgent(Fails how) throws Exception {
+        startWatching(PollTimings.LOCAL_AGENT);
         FakeDiscoveryAgent.Request silent = watchAfter(1);
         FakeDiscoveryAgent.Request failed = agent.nextRequest();
         assertEquals("/v1/servers", failed.path());
@@ -125,7 +125,7 @@
         FakeDiscoveryAgent.Request asked = agent.nextRequest();
         assertEquals("/v1/servers", asked.path());
         asked.respond("2");
-        assertTold(2, silent.receivedAtNanos(), TOLD_MILLIS);
+        assertUpdated(2, silent.receivedAtNanos(), UPDATE_MILLIS);
     }
 
     /**
@@ -133,11 +133,11 @@
      * given up.
      */
     @Test
-    void aSilentWatchWhereCallsArePriced() throws Exception {
-        follow(priced());
+    void updateIsInTimeAfterASilentLongPollAtTheServer() throws Exception {
+        startWatching(discoveryServer());
         FakeDiscoveryAgent.Request silent = watchAfter(1);
         lateList(agent.nextRequest());
-        assertTold(2, silent.receivedAtNanos(), TOLD_MILLIS);
+        assertUpdated(2, silent.receivedAtNanos(), UPDATE_MILLIS);
     }
 
     /**
@@ -146,15 +146,15 @@
      */
     @ParameterizedTest
     @EnumSource
-    void callsThatFailInARowWhereCallsArePriced(Fails how) throws Exception {
-        follow(priced());
+    void updateIsInTimeAfterFailedFetchesAtTheServer(Fails how) throws Exception {
+        startWatching(discoveryServer());
         FakeDiscoveryAgent.Request failed = null;
         for (int calls = 0; calls < 3; calls++) {
             failed = agent.nextRequest();
             fail(failed, how);
         }
         lateList(agent.nextRequest());
-        assertTold(2, failed.receivedAtNanos(), TOLD_MILLIS);
+        assertUpdated(2, failed.receivedAtNanos(), UPDATE_MILLIS);
     }
 
     private static void lateList(FakeDiscoveryAgent.Request call) throws Exception {
@@ -166,16 +166,16 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 5})
-    void callsThatAreRefusedInARow(int refused) throws Exception {
+    void updateIsInTimeAfterRefusedConnections(int refused) throws Exception {
         agent.refuseConnections();
-        follow(PollSchedule.LOCAL_AGENT);
+        startWatching(PollTimings.LOCAL_AGENT);
         for (int failure = 1; failure <= refused; failure++) {
             assertEquals(failure, failures.take());
         }
         agent.acceptConnections();
         long back = System.nanoTime();
         agent.nextRequest().respond("2");
-        assertTold(2, back, SHORTEST_GRACE_MILLIS);
+        assertUpdated(2, back, SHORTEST_GRACE_MILLIS);
     }
 
     /**
@@ -183,21 +183,21 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 5})
-    void theAgentIsHeardAtOnceOnceItIsBack(int silent) throws Exception {
-        follow(PollSchedule.LOCAL_AGENT);
+    void updateIsInTimeAfterAnAgentThatWasSilent(int silent) throws Exception {
+        startWatching(PollTimings.LOCAL_AGENT);
         FakeDiscoveryAgent.Request unanswered = null;
         for (int calls = 0; calls < silent; calls++) {
             unanswered = agent.nextRequest();
         }
         agent.nextRequest().respond("2");
-        assertTold(2, unanswered.receivedAtNanos(), SHORTEST_GRACE_MILLIS);
+        assertUpdated(2, unanswered.receivedAtNanos(), SHORTEST_GRACE_MILLIS);
     }
 
     /** An agent that is slow to begin is heard, if not at once. */
     @Test
-    void anAgentThatIsAlwaysSlowToBeginIsHeard() throws Exception {
-        follow(PollSchedule.LOCAL_AGENT);
-        while (told.isEmpty()) {
+    void agentThatAlwaysRespondsLateIsHeard() throws Exception {
+        startWatching(PollTimings.LOCAL_AGENT);
+        while (updates.isEmpty()) {
             FakeDiscoveryAgent.Request call = agent.nextRequest();
             FakeDiscoveryAgent.daemon(
                     () -> {
@@ -205,7 +205,7 @@
                         call.respond("2");
                     });
         }
-        assertEquals(2L, told.take());
+        assertEquals(2L, updates.take());
     }
 
     /**
@@ -214,8 +214,8 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {20_000_000, 1_000_000, 1_000})
-    void aListThatTricklesIsGivenUpByItsDeadlineAndAskedForAnew(long everyNanos) throws Exception {
-        follow(PollSchedule.LOCAL_AGENT);
+    void tricklingListTimesOutByItsDeadlineAndIsFetchedAgain(long everyNanos) throws Exception {
+        startWatching(PollTimings.LOCAL_AGENT);
         FakeDiscoveryAgent.Request trickles = agent.nextRequest();
         trickles.trickle(everyNanos);
         FakeDiscoveryAgent.Request asked = agent.nextRequest();
@@ -224,33 +224,33 @@
         assertTrue(after <= 1_500, "asked anew after " + after + " ms");
         assertEquals("/v1/servers", asked.path());
         asked.respond("2");
-        assertEquals(2L, told.take());
+        assertEquals(2L, updates.take());
     }
 
     /** A reset is no end, also where what came until then could be read as a list. */
     @ParameterizedTest
     @ValueSource(
             strings = {"HTTP/1.1 200 OK\r\n\r\n8", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n8"})
-    void aBodyWithoutALengthThatIsResetIsNotTaken(String start) throws Exception {
-        follow(PollSchedule.LOCAL_AGENT);
+    void bodyWithoutLengthIsDiscardedOnReset(String start) throws Exception {
+        startWatching(PollTimings.LOCAL_AGENT);
         FakeDiscoveryAgent.Request reset = agent.nextRequest();
         reset.send(start);
         reset.reset();
         FakeDiscoveryAgent.Request asked = agent.nextRequest();
         assertEquals("/v1/servers", asked.path());
-        assertNull(told.peek());
+        assertNull(updates.peek());
         asked.respond("9");
-        assertEquals(9L, told.take());
+        assertEquals(9L, updates.take());
     }
 
     /** Nor in the middle of a watch, whose end in order is one. */
     @Test
-    void aBodyWithoutALengthIsTakenWhereItEndsAndNotWhereItIsReset() throws Exception {
-        follow(PollSchedule.LOCAL_AGENT);
+    void bodyWithoutLengthIsTakenAtItsEndAndDiscardedOnReset() throws Exception {
+        startWatching(PollTimings.LOCAL_AGENT);
         FakeDiscoveryAgent.Request ends = watchAfter(1);
         ends.send("HTTP/1.1 200 OK\r\n\r\n2");
         ends.socket().shutdownOutput();
-        assertEquals(2L, told.take());
+        assertEquals(2L, updates.take());
         FakeDiscoveryAgent.Request reset = agent.nextRequest();
         assertTrue(reset.path().startsWith("/v1/servers?index=2&"), reset.path());
         reset.send("HTTP/1.1 200 OK\r\n\r\n3");
@@ -258,6 +258,6 @@
         FakeDiscoveryAgent.Request asked = agent.nextRequest();
         assertEquals("/v1/servers", asked.path());
         asked.respond("4");
-        assertEquals(4L, told.take());
+        assertEquals(4L, updates.take());
     }
 }
--- a/src/test/java/postbeam/endpoints/EndpointRegistryTest.java
+++ b/src/test/java/postbeam/endpoints/EndpointRegistryTest.java
@@ -31,7 +31,7 @@
                     actions, new Random(1), new Cluster(1, 1), new InstanceSettings());
     private final EndpointRegistry registry = new EndpointRegistry("a");
 
-    private void listed(String name, Readiness readiness, boolean whole) {
+    private void update(String name, Readiness readiness, boolean whole) {
         registry.update(
                 Duration.ZERO,
                 List.of(new Endpoint(name, "a", 0, 0, readiness)),
@@ -41,16 +41,16 @@
     }
 
     @Test
-    void nodesThatComeAndGoAreForgottenAndOneThatIsBackSoonIsNot() {
-        listed("first", Readiness.READY, true);
-        listed("back", Readiness.READY, false);
+    void longRemovedNodesAreForgottenAndOneThatIsBackSoonIsNot() {
+        update("first", Readiness.READY, true);
+        update("back", Readiness.READY, false);
         DataNode back = registry.node("back");
-        listed("back", Readiness.REMOVED, false);
-        listed("back", Readiness.READY, false);
+        update("back", Readiness.REMOVED, false);
+        update("back", Readiness.READY, false);
         assertSame(back, registry.node("back"));
         for (int i = 0; i < 200; i++) {
-            listed("n" + i, Readiness.READY, i % 2 == 0);
-            listed("n" + i, Readiness.REMOVED, false);
+            update("n" + i, Readiness.READY, i % 2 == 0);
+            update("n" + i, Readiness.REMOVED, false);
         }
         assertNull(registry.node("first"));
         assertNull(registry.node("n0"));
--- a/src/test/java/postbeam/endpoints/PollScheduleTest.java
+++ b/src/test/java/postbeam/endpoints/PollScheduleTest.java
@@ -16,41 +16,41 @@
         return Duration.ofMillis(millis);
     }
 
-    private final PollSchedule asking = new PollSchedule(true, ms(10_000), new Random(1));
+    private final PollSchedule schedule = new PollSchedule(true, ms(10_000), new Random(1));
 
     @Test
-    void itIsAskedAtOnceAndAfterEachFailureLaterAndLaterUntilTheWatchHolds() {
-        assertTrue(asking.startPollIfDue(ms(0)));
+    void pollIsDueAtOnceAndAfterEachFailureLaterUntilTheWatchHolds() {
+        assertTrue(schedule.startPollIfDue(ms(0)));
         long now = 0;
         for (int failure = 1; failure <= 12; failure++) {
-            asking.onPollResult(ms(now), true);
-            assertFalse(asking.startPollIfDue(ms(now)));
-            long pause = asking.nextPollAt().toMillis() - now;
+            schedule.onPollResult(ms(now), true);
+            assertFalse(schedule.startPollIfDue(ms(now)));
+            long pause = schedule.nextPollAt().toMillis() - now;
             long mean = Math.min(800, 500L << (failure - 1));
             assertTrue(
                     pause >= mean / 2 && pause <= mean * 3 / 2,
                     pause + " after failure " + failure);
             now += pause;
-            assertTrue(asking.startPollIfDue(ms(now)));
+            assertTrue(schedule.startPollIfDue(ms(now)));
         }
-        asking.onPollResult(ms(now), false);
-        assertNull(asking.nextPollAt());
-        assertFalse(asking.startPollIfDue(ms(now + 60_000)));
+        schedule.onPollResult(ms(now), false);
+        assertNull(schedule.nextPollAt());
+        assertFalse(schedule.startPollIfDue(ms(now + 60_000)));
     }
 
     @Test
-    void routersThatFailedTogetherDoNotAskAgainTogether() {
+    void routersThatFailedTogetherPollAgainAtDifferentTimes() {
         PollSchedule other = new PollSchedule(true, ms(10_000), new Random(2));
-        asking.onPollResult(ms(0), true);
+        schedule.onPollResult(ms(0), true);
         other.onPollResult(ms(0), true);
-        assertNotEquals(asking.nextPollAt(), other.nextPollAt());
+        assertNotEquals(schedule.nextPollAt(), other.nextPollAt());
     }
 
     @Test
-    void anAskWithoutAnAnswerIsMadeAgainAndWhatTellsByItselfIsNeverAsked() {
-        assertTrue(asking.startPollIfDue(ms(0)));
-        assertFalse(asking.startPollIfDue(ms(2_200)));
-        assertTrue(asking.startPollIfDue(ms(2_300)));
+    void unansweredPollIsRepeatedAndNoneIsDueWhereNoneIsRequired() {
+        assertTrue(schedule.startPollIfDue(ms(0)));
+        assertFalse(schedule.startPollIfDue(ms(2_200)));
+        assertTrue(schedule.startPollIfDue(ms(2_300)));
         PollSchedule unneeded = new PollSchedule(false, null, new Random(1));
         assertFalse(unneeded.startPollIfDue(Duration.ofHours(1)));
         unneeded.onPollResult(ms(0), true);
@@ -58,7 +58,7 @@
     }
 
     /** What settings may say, from nothing to what no setting should. */
-    private static final Duration[] ASK_EVERY = {
+    private static final Duration[] POLL_INTERVALS = {
         null,
         ms(-1),
         ms(0),
@@ -77,7 +77,7 @@
     };
 
     /** Chances that draw the least, the most, and whatever else. */
-    private static final Random[] CHANCES = {
+    private static final Random[] RANDOMS = {
         drawing(0), drawing(Math.nextDown(1.0)), new Random(3)
     };
 
@@ -85,7 +85,7 @@
      * What has to be told 6 s after discovery had it and could be reached, with 0.5 s for a late
      * router.
      */
-    private static final long ROOM_MILLIS = 5_500;
+    private static final long MAX_CYCLE_MILLIS = 5_500;
 
     private static Random drawing(double always) {
         return new Random() {
@@ -100,7 +100,7 @@
      * The longest that a call may be out which began before discovery was back, the longest pause,
      * and a whole list; and so many times a pause and a list that fails all the same.
      */
-    private static long untilTold(PollSchedule.PollTimings pace, int failAfter) {
+    private static long worstCycle(PollTimings pace, int failAfter) {
         long out =
                 Math.max(
                         pace.longPollWait().plus(pace.longPollGrace()).toMillis(),
@@ -111,18 +111,19 @@
     }
 
     @Test
-    void whateverFailedBeforeAChangeIsToldWithinTheTimeAtEveryPace() {
+    void pollCycleIsWithinThePropagationDelayForAllTimings() {
         int paces = 0;
-        for (Random chance : CHANCES) {
-            for (Duration askEvery : ASK_EVERY) {
-                PollSchedule.PollTimings priced = PollSchedule.discoveryServer(askEvery, chance);
+        for (Random random : RANDOMS) {
+            for (Duration pollInterval : POLL_INTERVALS) {
+                PollTimings priced = PollTimings.discoveryServer(pollInterval, random);
                 assertTrue(
-                        untilTold(priced, 0) <= ROOM_MILLIS,
-                        askEvery + ": " + untilTold(priced, 0));
+                        worstCycle(priced, 0) <= MAX_CYCLE_MILLIS,
+                        pollInterval + ": " + worstCycle(priced, 0));
                 for (int failures = 1; failures <= 200; failures++) {
                     long pause = priced.backoff().apply(failures).toMillis();
-                    assertTrue(pause >= 100, askEvery + ": in step, " + pause);
-                    assertTrue(pause <= priced.maxBackoff().toMillis(), askEvery + ": " + pause);
+                    assertTrue(pause >= 100, pollInterval + ": in step, " + pause);
+                    assertTrue(
+                            pause <= priced.maxBackoff().toMillis(), pollInterval + ": " + pause);
                     assertTrue(
                             priced.firstByteTimeout()
                                             .apply(failures)
@@ -136,17 +137,17 @@
             }
         }
         assertTrue(
-                untilTold(PollSchedule.LOCAL_AGENT, 1) <= ROOM_MILLIS,
-                "free: " + untilTold(PollSchedule.LOCAL_AGENT, 1));
+                worstCycle(PollTimings.LOCAL_AGENT, 1) <= MAX_CYCLE_MILLIS,
+                "free: " + worstCycle(PollTimings.LOCAL_AGENT, 1));
         for (int failures = 0; failures <= 200; failures++) {
             assertEquals(
-                    PollSchedule.LOCAL_AGENT.maxBackoff(),
-                    PollSchedule.LOCAL_AGENT.backoff().apply(failures));
+                    PollTimings.LOCAL_AGENT.maxBackoff(),
+                    PollTimings.LOCAL_AGENT.backoff().apply(failures));
             assertTrue(
-                    PollSchedule.LOCAL_AGENT
+                    PollTimings.LOCAL_AGENT
                                     .firstByteTimeout()
                                     .apply(failures)
-                                    .compareTo(PollSchedule.LOCAL_AGENT.responseTimeout())
+                                    .compareTo(PollTimings.LOCAL_AGENT.responseTimeout())
                             <= 0);
         }
         assertEquals(45, paces);
@@ -157,14 +158,14 @@
      * outages of 6 s.
      */
     @Test
-    void theAgentsReturnIsNoticedWithinTheShortestGrace() {
+    void returnOfTheAgentIsNoticedWithinTheShortestGrace() {
         long out = 0;
         for (int failures = 0; out < 6_000; failures++) {
             long call =
-                    PollSchedule.LOCAL_AGENT
+                    PollTimings.LOCAL_AGENT
                             .firstByteTimeout()
                             .apply(failures)
-                            .plus(PollSchedule.LOCAL_AGENT.backoff().apply(failures))
+                            .plus(PollTimings.LOCAL_AGENT.backoff().apply(failures))
                             .toMillis();
             assertTrue(call <= 400, call + " after " + failures + " failures");
             out += call;
@@ -175,11 +176,11 @@
                 IntStream.range(0, 30)
                         .anyMatch(
                                 failures ->
-                                        PollSchedule.LOCAL_AGENT
+                                        PollTimings.LOCAL_AGENT
                                                 .firstByteTimeout()
                                                 .apply(failures)
                                                 .equals(
-                                                        PollSchedule.LOCAL_AGENT
+                                                        PollTimings.LOCAL_AGENT
                                                                 .responseTimeout())));
     }
 
@@ -188,10 +189,10 @@
      * ask of 2 s.
      */
     @Test
-    void anAskIsUnderTheSameBoundWhateverTheSettingsSay() {
-        for (Random chance : CHANCES) {
-            for (Duration askEvery : ASK_EVERY) {
-                PollSchedule state = new PollSchedule(true, askEvery, chance);
+    void scheduleIsWithinTheSameBoundWhateverTheSettingsSay() {
+        for (Random random : RANDOMS) {
+            for (Duration pollInterval : POLL_INTERVALS) {
+                PollSchedule state = new PollSchedule(true, pollInterval, random);
                 Duration now = Duration.ZERO;
                 for (int failures = 1; failures <= 200; failures++) {
                     assertTrue(state.startPollIfDue(now));
@@ -200,8 +201,10 @@
                     state.onPollResult(now, true);
                     Duration pause = state.nextPollAt().minus(now);
                     long sum = unanswered.plus(pause).toMillis() + 2_000;
-                    assertTrue(sum <= ROOM_MILLIS, askEvery + ": " + sum + " after " + failures);
-                    assertTrue(pause.toMillis() >= 100, askEvery + ": in step, " + pause);
+                    assertTrue(
+                            sum <= MAX_CYCLE_MILLIS,
+                            pollInterval + ": " + sum + " after " + failures);
+                    assertTrue(pause.toMillis() >= 100, pollInterval + ": in step, " + pause);
                     assertTrue(unanswered.toMillis() > 2_000, "discovery may take 2 s");
                     now = state.nextPollAt();
                 }
