--- a/src/main/java/postbeam/simulator/LineReader.java
+++ b/src/main/java/postbeam/simulator/LineReader.java
@@ -2,14 +2,13 @@
 
 import java.io.BufferedReader;
 import java.io.IOException;
-import java.util.NoSuchElementException;
 
 /** Reads the simulator's wire line by line, and a line field by field. */
 final class LineReader {
     private static final char FIELD_SEPARATOR = '\t';
     private static final String ABSENT = "-";
 
-    /** Longest part of a line that an error shows. */
+    /** Maximum number of characters of a line in an error message. */
     private static final int MAX_SHOWN = 80;
 
     private final BufferedReader in;
@@ -35,10 +34,10 @@
         return position <= line.length();
     }
 
-    /** The next field; null where its value is absent. */
+    /** The next field; null if its value is absent. */
     String nextField() {
         if (!hasMoreFields()) {
-            throw new NoSuchElementException("a field is missing");
+            throw new InvalidFieldException("a field is missing");
         }
         int end = line.indexOf(FIELD_SEPARATOR, position);
         if (end < 0) {
@@ -53,30 +52,44 @@
         nextField();
     }
 
-    /** The next field, whose value may not be absent. */
+    /** The next field, whose value must be present. */
     String requiredText() {
         String value = nextField();
         if (value == null) {
-            throw new NoSuchElementException("a field that must be there is absent");
+            throw new InvalidFieldException("a field that must be there is absent");
         }
         return value;
     }
 
+    /** The next field as an integer, whose value must be present. */
     long requiredNumber() {
-        return Long.parseLong(requiredText());
+        return parseNumber(requiredText());
     }
 
-    /** The next field as a number; the default where its value is absent. */
+    /** The next field as an integer; the default if its value is absent. */
     long number(long defaultValue) {
         String value = nextField();
-        return value == null ? defaultValue : Long.parseLong(value);
+        return value == null ? defaultValue : parseNumber(value);
     }
 
+    /** The next field as a decimal number, whose value must be present. */
     double requiredDecimal() {
-        return Double.parseDouble(requiredText());
+        try {
+            return Double.parseDouble(requiredText());
+        } catch (NumberFormatException e) {
+            throw new InvalidFieldException(e);
+        }
+    }
+
+    private static long parseNumber(String value) {
+        try {
+            return Long.parseLong(value);
+        } catch (NumberFormatException e) {
+            throw new InvalidFieldException(e);
+        }
     }
 
-    /** The error for the line that was read last. */
+    /** The error for the present line. */
     MalformedLineException malformed(String problem) {
         String start = "";
         if (line != null) {
--- a/src/main/java/postbeam/simulator/SimulatedRouter.java
+++ b/src/main/java/postbeam/simulator/SimulatedRouter.java
@@ -1,16 +1,13 @@
 package postbeam.simulator;
 
 import java.time.Duration;
-import java.util.List;
 import java.util.Map;
 import java.util.Random;
 import postbeam.config.InstanceSettings;
 import postbeam.config.PolicyFactory;
-import postbeam.endpoints.Endpoint;
 import postbeam.endpoints.EndpointRegistry;
 import postbeam.endpoints.PollSchedule;
 import postbeam.model.Attempt;
-import postbeam.model.AttemptOutcome;
 import postbeam.model.DataNode;
 import postbeam.model.Query;
 import postbeam.model.QueryClass;
@@ -19,13 +16,8 @@
 import postbeam.policy.PolicyActions;
 import postbeam.policy.RoutingPolicy;
 
-/** One simulated router: tells its policy what the wire says, and writes what the policy does. */
+/** One simulated router: reports events to its policy, and writes the policy's actions. */
 final class SimulatedRouter implements PolicyActions {
-    /** Bits of a request's attributes. */
-    private static final int HAS_WORK_HINT = 1;
-
-    private static final int CLIENT_RETRY = 2;
-
     /** Cookies of timers: the policy's, and the one for polling discovery. */
     private static final int WAKE_UP_TIMER = 0;
 
@@ -56,141 +48,104 @@
         this.pollSchedule = PolicyFactory.pollSchedule(settings, random);
     }
 
-    /** The session's clock as a span since this router's start. */
+    /** The session's clock as a time since this router's start. */
     Duration sinceStart(long micros) {
         return Duration.ofNanos((micros - startMicros) * NANOS_PER_MICRO);
     }
 
-    // ---- discovery
-
-    void onPollResult(Duration now, boolean failed) {
-        pollSchedule.onPollResult(now, failed);
-    }
-
-    void onEndpointList(Duration now, List<Endpoint> endpoints, boolean complete) {
-        registry.update(now, endpoints, complete, this::sinceStart, policy);
-    }
-
-    /** Polls discovery where that is due, or sets a timer for when it is. */
-    void pollIfDue(Duration now) {
-        if (pollSchedule.startPollIfDue(now)) {
-            actions.observe();
-        }
-        Duration next = pollSchedule.nextPollAt();
-        if (next != null && !next.equals(scheduledPollAt)) {
-            scheduledPollAt = next;
-            actions.defer(next.minus(now), POLL_TIMER);
-        }
-    }
-
     // ---- events
 
-    void onBatchEnd(Duration now) {
-        policy.onBatchEnd(now);
-    }
-
-    void onTimer(Duration now, LineReader in) {
-        if (in.number(WAKE_UP_TIMER) != POLL_TIMER) {
-            policy.onWakeUp(now);
+    void onQuery(Duration now, RouterEvent.QueryArrival event) {
+        QueryClass queryClass = queryClasses.get(event.queryClass());
+        if (queryClass == null) {
+            throw new InvalidFieldException("a vertical that the settings lack");
         }
+        Tenant tenant = tenants.get(event.tenant());
+        Query query = new Query(queryClass, tenant, now, now.plus(event.timeout()));
+        if (event.clientRetry()) {
+            query.markClientRetry();
+        }
+        table.add(event.id(), event.number(), query);
+        policy.onQuery(now, query);
     }
 
-    /** A query, whose shard is below 0, or a shard request of one. */
-    void onIngress(Duration now, LineReader in) {
-        String id = in.requiredText();
-        String queryClass = in.nextField();
-        String tenant = in.nextField();
-        in.skipField();
-        Duration patience = micros(in.requiredNumber());
-        long workMicros = in.number(0);
-        long queryNumber = (long) in.requiredDecimal();
-        int shard = (int) in.requiredDecimal();
-        double weight = in.requiredDecimal();
-        long attributes = in.number(0);
-        if (shard < 0) {
-            Query query = newQuery(now, queryClass, tenant, patience);
-            if ((attributes & CLIENT_RETRY) != 0) {
-                query.markClientRetry();
-            }
-            table.add(id, queryNumber, query);
-            policy.onQuery(now, query);
-            return;
-        }
-        Query query = table.query(queryNumber);
+    void onShardRequest(Duration now, RouterEvent.ShardRequestArrival event) {
+        Query query = table.query(event.queryNumber());
         if (query != null) {
-            boolean hinted = (attributes & HAS_WORK_HINT) != 0 && workMicros > 0;
-            Duration work = hinted ? micros(workMicros) : null;
-            ShardRequest request = new ShardRequest(query, shard, weight, work);
-            table.add(id, request);
+            ShardRequest request =
+                    new ShardRequest(query, event.shard(), event.weight(), event.estimatedWork());
+            table.add(event.id(), request);
             policy.onShardRequest(now, request);
         }
     }
 
-    private Query newQuery(Duration now, String queryClass, String tenant, Duration patience) {
-        QueryClass found = queryClasses.get(queryClass);
-        if (found == null) {
-            throw new IllegalArgumentException("a vertical that the settings lack");
-        }
-        return new Query(found, tenants.get(tenant), now, now.plus(patience));
-    }
-
-    void onAttemptReport(Duration now, LineReader in) {
-        String requestId = in.requiredText();
-        int attemptIndex = (int) in.requiredNumber();
-        AttemptOutcome outcome = outcome(in.requiredText());
-        boolean isLast = "1".equals(in.nextField());
-        Duration latency = micros(in.number(0));
-        ShardRequest request = table.request(requestId);
-        if (request == null || attemptIndex >= request.attempts.size()) {
+    void onAttemptReport(Duration now, RouterEvent.AttemptReport event) {
+        ShardRequest request = table.request(event.requestId());
+        if (request == null || event.attemptIndex() >= request.attempts.size()) {
             return;
         }
-        Attempt attempt = request.attempts.get(attemptIndex);
+        Attempt attempt = request.attempts.get(event.attemptIndex());
         if (!attempt.hasEnded()) {
-            policy.onAttemptEnded(now, attempt, outcome, latency, isLast);
+            policy.onAttemptEnded(now, attempt, event.outcome(), event.latency(), event.isLast());
             table.forgetIfEnded(request.query);
         }
     }
 
-    void onClientAbandoned(Duration now, LineReader in) {
-        Query query = table.query(in.requiredText());
+    void onClientDisconnect(Duration now, RouterEvent.ClientDisconnect event) {
+        Query query = table.query(event.queryId());
         if (query != null && !query.hasEnded()) {
             policy.onClientDisconnected(now, query);
             table.forgetIfEnded(query);
         }
     }
 
-    void onProbeResult(Duration now, LineReader in) {
-        DataNode node = registry.node(in.requiredText());
-        AttemptOutcome outcome = outcome(in.requiredText());
+    void onProbeResult(Duration now, RouterEvent.ProbeResult event) {
+        DataNode node = registry.node(event.node());
         if (node != null) {
-            policy.onProbeResult(now, node, outcome == AttemptOutcome.SUCCESS);
+            policy.onProbeResult(now, node, event.healthy());
         }
     }
 
-    /** The policy failed on an event of this router. */
-    void onFailure(RuntimeException e) {
-        actions.panic(e);
+    void onTimer(Duration now, RouterEvent.TimerExpiry event) {
+        if (event.cookie() != POLL_TIMER) {
+            policy.onWakeUp(now);
+        }
+    }
+
+    void onPollFailure(Duration now) {
+        pollSchedule.onPollResult(now, true);
     }
 
-    private static Duration micros(long count) {
-        return Duration.ofNanos(count * NANOS_PER_MICRO);
+    void onEndpointUpdate(Duration now, RouterEvent.EndpointUpdate event) {
+        if (event.polled()) {
+            pollSchedule.onPollResult(now, false);
+        }
+        registry.update(now, event.endpoints(), event.complete(), this::sinceStart, policy);
     }
 
-    private static AttemptOutcome outcome(String wireName) {
-        return switch (wireName) {
-            case "ok" -> AttemptOutcome.SUCCESS;
-            case "error" -> AttemptOutcome.ERROR;
-            case "full" -> AttemptOutcome.OVERLOADED;
-            case "timeout" -> AttemptOutcome.TIMEOUT;
-            case "connect_failed" -> AttemptOutcome.UNREACHABLE;
-            case "reset" -> AttemptOutcome.RESET;
-            case "cancelled" -> AttemptOutcome.CANCELLED;
-            case "moot" -> AttemptOutcome.NEVER_SENT;
-            default -> throw new IllegalArgumentException("unknown outcome " + wireName);
-        };
+    /** All events of a batch have been reported. */
+    void onBatchEnd(Duration now) {
+        policy.onBatchEnd(now);
+    }
+
+    /** Polls discovery if that is due, or sets a timer for when it is. */
+    void pollIfDue(Duration now) {
+        if (pollSchedule.startPollIfDue(now)) {
+            actions.observe();
+        }
+        Duration next = pollSchedule.nextPollAt();
+        if (next != null && !next.equals(scheduledPollAt)) {
+            scheduledPollAt = next;
+            actions.defer(next.minus(now), POLL_TIMER);
+        }
+    }
+
+    /** The policy failed on an event of this router. */
+    void onFailure(RuntimeException e) {
+        actions.panic(e);
     }
 
-    // ---- what the policy does
+    // ---- actions of the policy
 
     @Override
     public void send(Attempt attempt) {
--- a/src/main/java/postbeam/simulator/SimulatorSession.java
+++ b/src/main/java/postbeam/simulator/SimulatorSession.java
@@ -7,50 +7,43 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
-import java.util.List;
 import java.util.Map;
-import java.util.NoSuchElementException;
 import java.util.Set;
 import postbeam.config.InstanceSettings;
-import postbeam.endpoints.Endpoint;
-import postbeam.model.Readiness;
 import postbeam.policy.RoutingPolicy;
 
-/** A session on the simulator's wire: reads batches of events, and writes one reply for each. */
+/**
+ * A session on the simulator's wire: reads batches of events, and writes one reply of actions for
+ * each.
+ */
 public final class SimulatorSession {
     private static final int BUFFER_CHARS = 1 << 16;
     private static final String POLICY_PACKAGE = RoutingPolicy.class.getPackageName() + ".";
 
-    /** Scopes of an endpoint list. */
-    private static final int SCOPE_COMPLETE = 1;
-
-    private static final int SCOPE_CACHED = 2;
-    private static final int SCOPE_FAILED = 3;
-
     private final LineReader in;
+    private final EventReader events;
     private final OutputStream sink;
     private final StringBuilder reply = new StringBuilder();
     private final Map<Integer, SimulatedRouter> routers = new HashMap<>();
-    private final Map<Integer, List<Endpoint>> endpointLists = new HashMap<>();
 
-    /** The routers with an event in the present batch, in order of their first. */
+    /** The routers with an event in the present batch, in order of their first one. */
     private final Set<SimulatedRouter> touchedRouters = new LinkedHashSet<>();
 
     /** Creates a session that reads events from the source and writes replies to the sink. */
     public SimulatorSession(InputStream source, OutputStream sink) {
         InputStreamReader characters = new InputStreamReader(source, StandardCharsets.UTF_8);
         this.in = new LineReader(new BufferedReader(characters, BUFFER_CHARS));
+        this.events = new EventReader(in);
         this.sink = sink;
     }
 
     /**
      * Serves batches until the input ends.
      *
-     * @throws MalformedLineException where the input does not follow the wire
-     * @throws IOException where the source can't be read or the sink can't be written
+     * @throws MalformedLineException if the input does not follow the wire
+     * @throws IOException if the source can't be read or the sink can't be written
      */
     public void run() throws IOException {
         while (in.nextLine()) {
@@ -59,7 +52,8 @@
                     throw in.malformed("a batch starts with SYNC");
                 }
                 readBatch(in.requiredNumber());
-            } catch (NoSuchElementException | IllegalArgumentException e) {
+            } catch (InvalidFieldException | IllegalArgumentException e) {
+                // Invalid settings are reported as IllegalArgumentException.
                 throw in.malformed(e.getMessage());
             }
             reply.append("DONE\n");
@@ -90,7 +84,7 @@
 
     private void readEvent(String event, long clockMicros) throws IOException {
         if (event.equals("SNAPSHOT_ROWS")) {
-            readEndpointList();
+            events.readEndpointList();
             return;
         }
         int id = (int) in.requiredNumber();
@@ -108,89 +102,19 @@
             return;
         }
         touchedRouters.add(router);
-        Duration now = router.sinceStart(clockMicros);
-        runGuarded(router, () -> dispatch(event, router, now));
+        RouterEvent read = events.readEvent(event);
+        runGuarded(router, () -> read.deliverTo(router, router.sinceStart(clockMicros)));
     }
 
     private void createRouter(int id, long clockMicros) {
         long seed = in.requiredNumber();
-        InstanceSettings settings = new InstanceSettings();
-        while (in.hasMoreFields()) {
-            settings.putPair(in.requiredText());
-        }
+        InstanceSettings settings = events.readSettings();
         SimulatedRouter created = new SimulatedRouter(id, seed, settings, clockMicros, reply);
         touchedRouters.remove(routers.put(id, created));
         touchedRouters.add(created);
     }
 
-    private void dispatch(String event, SimulatedRouter router, Duration now) {
-        switch (event) {
-            case "INGRESS" -> router.onIngress(now, in);
-            case "REPORT_BACK" -> router.onAttemptReport(now, in);
-            case "RING" -> router.onTimer(now, in);
-            case "REGISTRY" -> onEndpointList(now, router);
-            case "ABANDONED" -> router.onClientAbandoned(now, in);
-            case "CHECKED" -> router.onProbeResult(now, in);
-            case "FIRST", "NEIGHBOUR_SAYS" -> {
-                // No class of queries is streamed, and simulated routers do not gossip.
-            }
-            default -> throw new IllegalArgumentException("unknown message " + event);
-        }
-    }
-
-    private void onEndpointList(Duration now, SimulatedRouter router) {
-        int list = (int) in.number(0);
-        int scope = (int) in.requiredNumber();
-        if (scope != SCOPE_CACHED) {
-            router.onPollResult(now, scope == SCOPE_FAILED);
-        }
-        if (scope == SCOPE_FAILED) {
-            return;
-        }
-        List<Endpoint> endpoints = endpointLists.get(list);
-        if (endpoints == null) {
-            throw new IllegalArgumentException("no list " + list);
-        }
-        boolean complete = scope == SCOPE_COMPLETE || scope == SCOPE_CACHED;
-        router.onEndpointList(now, endpoints, complete);
-    }
-
-    private void readEndpointList() throws IOException {
-        int list = (int) in.requiredNumber();
-        long count = in.requiredNumber();
-        List<Endpoint> endpoints = new ArrayList<>();
-        for (long i = 0; i < count; i++) {
-            if (!in.nextLine() || !"ROW".equals(in.nextField())) {
-                throw in.malformed("the list has too few rows");
-            }
-            endpoints.add(readEndpoint());
-        }
-        endpointLists.put(list, endpoints);
-    }
-
-    private Endpoint readEndpoint() {
-        String zone = in.nextField();
-        int cell = (int) in.number(0);
-        String address = in.requiredText();
-        in.skipField();
-        long startedMicros = in.number(0);
-        in.skipField();
-        Readiness readiness = readiness((int) in.requiredNumber());
-        return new Endpoint(address, zone, cell, startedMicros, readiness);
-    }
-
-    private static Readiness readiness(int wireNumber) {
-        return switch (wireNumber) {
-            case 0 -> Readiness.REMOVED;
-            case 1 -> Readiness.READY;
-            case 2 -> Readiness.DRAINING;
-            default -> throw new IllegalArgumentException("unknown readiness");
-        };
-    }
-
-    /**
-     * Tells the simulator of a failure of the policy; a field that can't be read ends the session.
-     */
+    /** Reports a failure of the policy to the simulator; any other one ends the session. */
     private static void runGuarded(SimulatedRouter router, Runnable step) {
         try {
             step.run();
--- a/src/test/java/postbeam/simulator/SimulatorSessionTest.java
+++ b/src/test/java/postbeam/simulator/SimulatorSessionTest.java
@@ -8,6 +8,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
+import java.util.Map;
 import org.junit.jupiter.api.Test;
 
 class SimulatorSessionTest {
@@ -97,6 +98,35 @@
         assertTrue(e.getMessage().startsWith("line 2: "), e.getMessage());
     }
 
+    @Test
+    void invalidFieldsAndSettingsNameTheLine() {
+        Map<String, String> problems =
+                Map.of(
+                        batch(5, CREATE.replace("retryable", "sometimes")),
+                        "line 2: classes.0.effect must be retryable, dedup or fragile,"
+                                + " not sometimes, in: ",
+                        batch(5, "DETACH\t9\n"),
+                        "line 2: no instance 9, in: DETACH 9",
+                        batch(5, CREATE, answered("p-id").replace("ok", "odd")),
+                        "line 3: unknown outcome odd, in: ",
+                        batch(5, CREATE, "SPEAK\t3\n"),
+                        "line 3: unknown message SPEAK, in: ",
+                        batch(5, CREATE, "RING\t3\tx\n"),
+                        "line 3: For input string: \"x\", in: ",
+                        batch(5, CREATE, "ABANDONED\t3\n"),
+                        "line 3: a field is missing, in: ",
+                        batch(5, CREATE, "ABANDONED\t3\t-\n"),
+                        "line 3: a field that must be there is absent, in: ",
+                        batch(5, CREATE, LIST.replace("REGISTRY\t3\t0", "REGISTRY\t3\t8")),
+                        "line 5: no list 8, in: ");
+        problems.forEach(
+                (input, problem) -> {
+                    MalformedLineException e =
+                            assertThrows(MalformedLineException.class, () -> reply(input));
+                    assertTrue(e.getMessage().startsWith(problem), e.getMessage());
+                });
+    }
+
     @Test
     void discoveryIsPolledOnlyWhereItSendsNothingByItself() throws IOException {
         String polled =
