--- a/src/main/java/postbeam/config/PolicyFactory.java
+++ b/src/main/java/postbeam/config/PolicyFactory.java
@@ -65,11 +65,9 @@
         double complete =
                 orDefault(settings.listEntry("domain.classNeed", index), DEFAULT_COMPLETE_FRACTION);
         double least = orDefault(settings.listEntry("domain.leastShare", index), complete);
-        double lateUtility =
-                orDefault(settings.number(prefix + "lateWorth"), DEFAULT_LATE_UTILITY);
+        double lateUtility = orDefault(settings.number(prefix + "lateWorth"), DEFAULT_LATE_UTILITY);
         double partialUtility =
-                orDefault(
-                        settings.listEntry("domain.shortWorth", index), DEFAULT_PARTIAL_UTILITY);
+                orDefault(settings.listEntry("domain.shortWorth", index), DEFAULT_PARTIAL_UTILITY);
         QueryClass first =
                 QueryClass.builder(settings.duration(prefix + "promise"), sideEffects)
                         .deduplicationWindow(settings.duration(prefix + "repeatWindow"))
--- a/src/main/java/postbeam/model/ShardRequest.java
+++ b/src/main/java/postbeam/model/ShardRequest.java
@@ -78,17 +78,22 @@
     }
 
     /**
-     * Inherits the attempts of a request that this one replaces: what may have been executed for
-     * the other may have been executed for this one.
+     * Takes over the past of a request that this one replaces: what may have been executed for the
+     * other may have been executed for this one.
      */
-    public void inheritAttempts(ShardRequest other) {
-        allAttempts.addAll(other.allAttempts);
+    public void inherit(ShardRequest other) {
+        inheritAttempts(other);
         closed |= other.closed;
         if (other.mayHaveExecutedSince != null) {
             recordPossibleExecution(other.mayHaveExecutedSince);
         }
     }
 
+    /** Counts the attempts of a request that this one replaces as its own, and no more of it. */
+    public void inheritAttempts(ShardRequest other) {
+        allAttempts.addAll(other.allAttempts);
+    }
+
     void add(Attempt attempt) {
         allAttempts.add(attempt);
         inFlight.add(attempt);
--- a/src/main/java/postbeam/router/QueryFactory.java
+++ b/src/main/java/postbeam/router/QueryFactory.java
@@ -136,22 +136,19 @@
             return Optional.empty();
         }
         for (ShardRequest shardRequest : query.shardRequests) {
-            inheritAttempts((KeyRangeRequest) shardRequest, firstQuery);
+            inherit((KeyRangeRequest) shardRequest, firstQuery);
             first.followUps()
-                    .forEach(
-                            earlier ->
-                                    inheritAttempts(
-                                            (KeyRangeRequest) shardRequest, earlier.query()));
+                    .forEach(earlier -> inherit((KeyRangeRequest) shardRequest, earlier.query()));
         }
         InFlightQuery followUp = new InFlightQuery(request, query, conditions.get(), page);
         first.addFollowUp(followUp);
         return Optional.of(followUp);
     }
 
-    private static void inheritAttempts(KeyRangeRequest heir, Query earlier) {
+    private static void inherit(KeyRangeRequest heir, Query earlier) {
         for (ShardRequest shardRequest : earlier.shardRequests) {
             if (((KeyRangeRequest) shardRequest).keys.overlaps(heir.keys)) {
-                heir.inheritAttempts(shardRequest);
+                heir.inherit(shardRequest);
             }
         }
     }
--- a/src/main/java/postbeam/simulator/SimulatedRouter.java
+++ b/src/main/java/postbeam/simulator/SimulatedRouter.java
@@ -44,7 +44,8 @@
         this.tenants = PolicyFactory.tenants(settings);
         Random random = new Random(seed);
         this.policy =
-                PolicyFactory.routingPolicy(this, random, PolicyFactory.cluster(settings), settings);
+                PolicyFactory.routingPolicy(
+                        this, random, PolicyFactory.cluster(settings), settings);
         this.pollSchedule = PolicyFactory.pollSchedule(settings, random);
     }
 
--- a/src/main/java/postbeam/slices/SliceTranslator.java
+++ b/src/main/java/postbeam/slices/SliceTranslator.java
@@ -259,6 +259,6 @@
      * through.
      */
     protected void inherit(KeyRangeRequest young, ShardRequest old) {
-        young.inheritAttempts(old);
+        young.inherit(old);
     }
 }
--- a/src/main/java/postbeam/testbed/simulation/DefectiveSlicing.java
+++ b/src/main/java/postbeam/testbed/simulation/DefectiveSlicing.java
@@ -37,7 +37,7 @@
     @Override
     protected void inherit(KeyRangeRequest young, ShardRequest old) {
         if (defect == Defect.RESEND) {
-            young.attempts.addAll(old.attempts);
+            young.inheritAttempts(old);
         } else if (defect != Defect.LINEAGE) {
             super.inherit(young, old);
         }
--- a/src/test/java/postbeam/model/QueryTest.java
+++ b/src/test/java/postbeam/model/QueryTest.java
@@ -56,7 +56,7 @@
         old.recordPossibleExecution(START);
         old.close();
         young.recordPossibleExecution(START.plusMillis(1));
-        young.inheritAttempts(old);
+        young.inherit(old);
         assertEquals(START, young.mayHaveExecutedSince());
         assertTrue(young.isClosed());
         assertEquals(old.attempts, young.attempts);
