--- a/src/main/java/postbeam/testbed/cluster/FaultProxy.java
+++ b/src/main/java/postbeam/testbed/cluster/FaultProxy.java
@@ -21,9 +21,9 @@
  */
 public final class FaultProxy implements Closeable {
     /** From those who connect to the target, and back. */
-    public enum Way {
-        THERE,
-        BACK
+    public enum Direction {
+        TO_TARGET,
+        FROM_TARGET
     }
 
     /** What is done to a way. */
@@ -72,8 +72,9 @@
     }
 
     private final ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
-    private final Map<Way, Side> sides =
-            new EnumMap<>(Map.of(Way.THERE, new Side(), Way.BACK, new Side()));
+    private final Map<Direction, Side> sides =
+            new EnumMap<>(
+                    Map.of(Direction.TO_TARGET, new Side(), Direction.FROM_TARGET, new Side()));
     private final Set<Connection> connections = new LinkedHashSet<>();
     private final String name;
     private InetSocketAddress target;
@@ -102,7 +103,7 @@
         target = next;
     }
 
-    public synchronized void set(Way way, Fault fault, Duration by) {
+    public synchronized void set(Direction way, Fault fault, Duration by) {
         Side side = sides.get(way);
         boolean ends = side.fault == Fault.CUT || side.fault == Fault.SILENT;
         if (fault == Fault.CUT || fault == Fault.SILENT) {
@@ -117,13 +118,13 @@
         notifyAll();
     }
 
-    public void both(Fault fault, Duration by) {
-        set(Way.THERE, fault, by);
-        set(Way.BACK, fault, by);
+    public void setBoth(Fault fault, Duration by) {
+        set(Direction.TO_TARGET, fault, by);
+        set(Direction.FROM_TARGET, fault, by);
     }
 
     void heal() {
-        both(Fault.NONE, Duration.ZERO);
+        setBoth(Fault.NONE, Duration.ZERO);
     }
 
     /** Ends all that are open, with a reset to both sides. */
@@ -131,7 +132,7 @@
         List.copyOf(connections).forEach(this::reset);
     }
 
-    synchronized int open() {
+    synchronized int openConnections() {
         return connections.size();
     }
 
@@ -200,8 +201,8 @@
             }
             far.setTcpNoDelay(true);
             far.connect(to, CONNECT_MILLIS);
-            thread(() -> pump(Way.BACK, one, far, one.near));
-            pump(Way.THERE, one, one.near, far);
+            thread(() -> pump(Direction.FROM_TARGET, one, far, one.near));
+            pump(Direction.TO_TARGET, one, one.near, far);
         } catch (IOException e) {
             // It could not be reached, or this side went.
         } catch (InterruptedException e) {
@@ -213,7 +214,7 @@
         }
     }
 
-    private void pump(Way way, Connection one, Socket from, Socket to) {
+    private void pump(Direction way, Connection one, Socket from, Socket to) {
         byte[] chunk = new byte[CHUNK];
         try {
             while (true) {
@@ -246,7 +247,7 @@
     }
 
     /** Waits as the way's fault has it; false where the chunk is lost. */
-    private synchronized boolean pass(Way way, Connection one)
+    private synchronized boolean pass(Direction way, Connection one)
             throws IOException, InterruptedException {
         Side side = sides.get(way);
         long since = System.nanoTime();
@@ -283,7 +284,7 @@
         }
     }
 
-    private synchronized void passed(Way way, Connection one) {
+    private synchronized void passed(Direction way, Connection one) {
         Side side = sides.get(way);
         if (side.held != null && side.held != one) {
             side.held = null;
--- a/src/main/java/postbeam/testbed/cluster/LoadGenerator.java
+++ b/src/main/java/postbeam/testbed/cluster/LoadGenerator.java
@@ -42,7 +42,7 @@
     /** Version of the layout that stands for the fixed rule: a key a shard. */
     public static final long FIXED = 1;
 
-    private final Target stage;
+    private final Target target;
     private final boolean sliced;
     private final int shards;
     private final UniformRandomProvider chance;
@@ -58,13 +58,13 @@
                                         return thread;
                                     }))
                     .build();
-    private final AtomicReference<Layout> known = new AtomicReference<>();
-    private final ConcurrentHistogram times = new ConcurrentHistogram(LONGEST_MICROS, 3);
-    private final AtomicInteger asked = new AtomicInteger();
-    private final AtomicInteger good = new AtomicInteger();
-    private final AtomicInteger tries = new AtomicInteger();
+    private final AtomicReference<Layout> latestLayout = new AtomicReference<>();
+    private final ConcurrentHistogram latencies = new ConcurrentHistogram(LONGEST_MICROS, 3);
+    private final AtomicInteger queriesSent = new AtomicInteger();
+    private final AtomicInteger answeredInTime = new AtomicInteger();
+    private final AtomicInteger attempts = new AtomicInteger();
     private final Map<Integer, AtomicInteger> statuses = new ConcurrentHashMap<>();
-    private final AtomicInteger open = new AtomicInteger();
+    private final AtomicInteger openQueries = new AtomicInteger();
     private final Map<Integer, AtomicInteger> served = new ConcurrentHashMap<>();
     private volatile boolean stopped;
 
@@ -75,7 +75,7 @@
         /** Since the start of the run. */
         Duration now();
 
-        RunObserver.ClientObserver seen();
+        RunObserver.ClientObserver observer();
 
         /** How much longer than its time an answer is waited for. */
         default Duration slack() {
@@ -83,7 +83,7 @@
         }
 
         /** What clients say that a part works; null where they say nothing. */
-        default Duration price() {
+        default Duration declaredWork() {
             return null;
         }
 
@@ -95,19 +95,19 @@
     private record Query(
             SimulatedCluster.Kind kind,
             Layout layout,
-            List<InvariantChecker.Wanted> wanted,
+            List<InvariantChecker.RequestedSlice> wanted,
             Duration askedAt,
             int tried) {}
 
     public LoadGenerator(Target stage, boolean sliced, int shards, UniformRandomProvider chance) {
-        this.stage = stage;
+        this.target = stage;
         this.sliced = sliced;
         this.shards = shards;
         this.chance = chance;
     }
 
-    public void known(Layout layout) {
-        known.set(layout);
+    public void onLayout(Layout layout) {
+        latestLayout.set(layout);
     }
 
     /** So many a second for so long, then waits for the last answers. */
@@ -122,16 +122,16 @@
             ask();
             next += (long) (-Math.log(1 - chance.nextDouble()) / rate * 1e9);
         }
-        long until = System.nanoTime() + PATIENCE.plusSeconds(1).plus(stage.slack()).toNanos();
-        while (open.get() > 0 && System.nanoTime() < until) {
+        long until = System.nanoTime() + PATIENCE.plusSeconds(1).plus(target.slack()).toNanos();
+        while (openQueries.get() > 0 && System.nanoTime() < until) {
             Thread.sleep(10);
         }
     }
 
     private void ask() {
-        SimulatedCluster.Kind kind = stage.kinds().get(chanceUpTo(stage.kinds().size()));
-        Layout layout = known.get();
-        List<InvariantChecker.Wanted> wanted = new ArrayList<>();
+        SimulatedCluster.Kind kind = target.kinds().get(chanceUpTo(target.kinds().size()));
+        Layout layout = latestLayout.get();
+        List<InvariantChecker.RequestedSlice> wanted = new ArrayList<>();
         int count = 1 + chance.nextInt(6);
         if (sliced) {
             List<Slice> slices = layout.slices();
@@ -140,26 +140,26 @@
             named.forEach(
                     slice ->
                             wanted.add(
-                                    new InvariantChecker.Wanted(
+                                    new InvariantChecker.RequestedSlice(
                                             slice.number(), slice.keys(), 1.0 / named.size())));
         } else {
             int first = chance.nextInt(Math.max(1, shards - count));
             for (int i = 0; i < count; i++) {
                 wanted.add(
-                        new InvariantChecker.Wanted(
+                        new InvariantChecker.RequestedSlice(
                                 first + i, new KeyRange(first + i, first + i + 1), 1.0 / count));
             }
         }
-        asked.incrementAndGet();
-        send(new Query(kind, layout, wanted, stage.now(), 0));
+        queriesSent.incrementAndGet();
+        send(new Query(kind, layout, wanted, target.now(), 0));
     }
 
     private void send(Query query) {
-        int router = chanceUpTo(stage.routers().size());
-        String id = "r" + router + query.kind.name() + tries.incrementAndGet();
-        Duration now = stage.now();
-        stage.seen()
-                .asked(
+        int router = chanceUpTo(target.routers().size());
+        String id = "r" + router + query.kind.name() + attempts.incrementAndGet();
+        Duration now = target.now();
+        target.observer()
+                .querySent(
                         now,
                         id,
                         "r" + router,
@@ -170,30 +170,30 @@
                         query.wanted,
                         now.plus(PATIENCE));
         StringBuilder ranges = new StringBuilder();
-        for (InvariantChecker.Wanted one : query.wanted) {
+        for (InvariantChecker.RequestedSlice one : query.wanted) {
             ranges.append(ranges.length() == 0 ? "" : ",")
                     .append("{\"range\":")
                     .append(one.slice())
                     .append(",\"portion\":")
                     .append(one.weight())
                     .append(
-                            stage.price() == null
+                            target.declaredWork() == null
                                     ? ""
-                                    : ",\"price\":" + stage.price().toNanos() / 1000)
+                                    : ",\"price\":" + target.declaredWork().toNanos() / 1000)
                     .append('}');
         }
         HttpRequest.Builder request =
                 HttpRequest.newBuilder(
                                 URI.create(
                                         "http://"
-                                                + stage.routers().get(router)
+                                                + target.routers().get(router)
                                                 + "/"
                                                 + query.kind.name()
                                                 + "?obj=7f"))
                         .header("Req-Id", id)
                         .header("Req-Owner", "acme")
                         .header("Req-Deadline-Ms", String.valueOf(PATIENCE.toMillis()))
-                        .timeout(PATIENCE.plus(stage.slack()))
+                        .timeout(PATIENCE.plus(target.slack()))
                         .POST(
                                 HttpRequest.BodyPublishers.ofString(
                                         "{\"ranges\":["
@@ -202,43 +202,43 @@
         if (sliced) {
             request.header("Req-Layout", String.valueOf(query.layout.version));
         }
-        open.incrementAndGet();
+        openQueries.incrementAndGet();
         CompletableFuture<HttpResponse<byte[]>> answer =
                 http.sendAsync(request.build(), HttpResponse.BodyHandlers.ofByteArray());
         answer.whenComplete(
                 (response, failure) -> {
                     try {
                         if (failure != null) {
-                            stage.seen().unanswered(stage.now(), id, String.valueOf(failure));
+                            target.observer().unanswered(target.now(), id, String.valueOf(failure));
                         }
                         over(query, id, router, response);
                     } catch (IOException e) {
                         statuses.computeIfAbsent(-2, key -> new AtomicInteger()).incrementAndGet();
                     } finally {
-                        open.decrementAndGet();
+                        openQueries.decrementAndGet();
                     }
                 });
     }
 
     private void over(Query query, String id, int router, HttpResponse<byte[]> response)
             throws IOException {
-        Duration now = stage.now();
+        Duration now = target.now();
         int status = response == null ? -1 : response.statusCode();
         statuses.computeIfAbsent(status, key -> new AtomicInteger()).incrementAndGet();
         if (status == 200) {
             Duration took = now.minus(query.askedAt);
-            times.recordValue(Math.min(LONGEST_MICROS, took.toNanos() / 1000));
-            good.addAndGet(took.compareTo(SLO) <= 0 ? 1 : 0);
+            latencies.recordValue(Math.min(LONGEST_MICROS, took.toNanos() / 1000));
+            answeredInTime.addAndGet(took.compareTo(SLO) <= 0 ? 1 : 0);
             served.computeIfAbsent(router, key -> new AtomicInteger()).incrementAndGet();
             judge(id, now, Json.parseObject(response.body()));
         } else if (status == 429 || status == 503 || status == 410) {
-            stage.seen().rejected(now, id);
+            target.observer().rejected(now, id);
             if (query.tried < RETRIES && now.minus(query.askedAt).compareTo(PATIENCE) < 0) {
                 CompletableFuture.delayedExecutor(200, TimeUnit.MILLISECONDS)
                         .execute(() -> again(query));
             }
         } else if (status > 0) {
-            stage.seen().failed(now, id);
+            target.observer().failed(now, id);
         }
     }
 
@@ -258,11 +258,11 @@
      * asked for again.
      */
     private void again(Query query) {
-        Layout layout = known.get();
-        List<InvariantChecker.Wanted> wanted = query.wanted;
+        Layout layout = latestLayout.get();
+        List<InvariantChecker.RequestedSlice> wanted = query.wanted;
         if (sliced && layout.version != query.layout.version) {
             Map<Slice, Double> weights = new LinkedHashMap<>();
-            for (InvariantChecker.Wanted one : query.wanted) {
+            for (InvariantChecker.RequestedSlice one : query.wanted) {
                 for (Slice slice : layout.overlapping(one.keys())) {
                     weights.merge(
                             slice,
@@ -274,7 +274,7 @@
                     weights.entrySet().stream()
                             .map(
                                     entry ->
-                                            new InvariantChecker.Wanted(
+                                            new InvariantChecker.RequestedSlice(
                                                     entry.getKey().number(),
                                                     entry.getKey().keys(),
                                                     entry.getValue()))
@@ -297,7 +297,7 @@
                                             : from + 1),
                             Json.member(value, "blob", String.class)));
         }
-        stage.seen()
+        target.observer()
                 .answered(
                         now,
                         id,
@@ -314,16 +314,16 @@
 
     // ---- figures
 
-    public int asked() {
-        return asked.get();
+    public int queriesSent() {
+        return queriesSent.get();
     }
 
-    public double inTime() {
-        return (double) good.get() / Math.max(1, asked.get());
+    public double fractionInTime() {
+        return (double) answeredInTime.get() / Math.max(1, queriesSent.get());
     }
 
-    public double millis(double percentile) {
-        return times.getValueAtPercentile(percentile) / 1000.0;
+    public double latencyMillis(double percentile) {
+        return latencies.getValueAtPercentile(percentile) / 1000.0;
     }
 
     public String statuses() {
--- a/src/main/java/postbeam/testbed/cluster/LoopbackCluster.java
+++ b/src/main/java/postbeam/testbed/cluster/LoopbackCluster.java
@@ -80,7 +80,7 @@
     private static final AtomicInteger PORTS_TRIED = new AtomicInteger();
     private static final Duration READY_MOST = Duration.ofSeconds(30);
 
-    public final InvariantChecker referee =
+    public final InvariantChecker checker =
             new InvariantChecker(RULES, Duration.ofSeconds(2), Duration.ofMillis(150));
     public final List<FakeDataNode> nodes = new ArrayList<>();
     public final List<String> routerAddresses = new ArrayList<>();
@@ -90,7 +90,7 @@
     private final long startNanos = System.nanoTime();
     private final List<Router> routers = new ArrayList<>();
     private final Path directory = Files.createTempDirectory("postbeam-trial");
-    private final LayoutService.Config place;
+    private final LayoutService.Config serviceConfig;
     private LayoutService service;
     private String serviceAddress;
 
@@ -103,14 +103,14 @@
                     new FakeDataNode(
                             "n" + i,
                             "z" + i % 3,
-                            new FakeDataNode.Seen(referee, this::now, runs),
+                            new FakeDataNode.Seen(checker, this::now, runs),
                             RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 1009 + i),
                             !size.sliced());
             nodes.add(node);
             discovery.tell(node, "up", 0);
         }
         serviceAddress = freeAddress();
-        place =
+        serviceConfig =
                 new LayoutService.Config(
                         serviceAddress,
                         directory.resolve("moves.log"),
@@ -179,8 +179,8 @@
     }
 
     @Override
-    public RunObserver.ClientObserver seen() {
-        return referee;
+    public RunObserver.ClientObserver observer() {
+        return checker;
     }
 
     @Override
@@ -231,7 +231,7 @@
     // ---- the layout service
 
     public void startService() throws IOException {
-        LayoutService next = new LayoutService(place, referee::layout);
+        LayoutService next = new LayoutService(serviceConfig, checker::onLayout);
         next.start();
         service = next;
     }
@@ -247,7 +247,7 @@
         }
     }
 
-    public boolean serving() {
+    public boolean isServiceRunning() {
         return service != null;
     }
 
@@ -268,11 +268,11 @@
                 .body();
     }
 
-    public String layouts() {
+    public String layoutServiceAddress() {
         return serviceAddress;
     }
 
-    public List<String> movesSeen() {
+    public List<String> describeMoves() {
         return service == null ? List.of() : service.describeMoves();
     }
 
--- a/src/main/java/postbeam/testbed/cluster/ProcessCluster.java
+++ b/src/main/java/postbeam/testbed/cluster/ProcessCluster.java
@@ -84,42 +84,47 @@
      * Makes of a router's file, its configuration r0.json or our own settings r0.json5 (empty for
      * none), another.
      */
-    public interface Altered {
-        String text(ProcessCluster cluster, String file, String text) throws IOException;
+    public interface FileRewriter {
+        String rewrite(ProcessCluster cluster, String file, String text) throws IOException;
     }
 
     public record Size(
-            int nodes, int routers, int shards, boolean sliced, Duration slack, Altered altered) {}
+            int nodes,
+            int routers,
+            int shards,
+            boolean sliced,
+            Duration slack,
+            FileRewriter rewriter) {}
 
     /** A process that can be started again under its name. */
-    private final class Child {
+    private final class ManagedProcess {
         final String name;
         final List<String> command;
         Process process;
-        int lives;
+        int starts;
 
-        Child(String name, List<String> command) {
+        ManagedProcess(String name, List<String> command) {
             this.name = name;
             this.command = command;
         }
 
         Path output() {
-            return folder.resolve(name + "." + lives + ".out");
+            return directory.resolve(name + "." + starts + ".out");
         }
     }
 
-    private record Known(String health, long bornMs) {}
+    private record ListedNode(String health, long bornMs) {}
 
     private final Size size;
-    private final Path folder = Files.createTempDirectory("postbeam-fleet");
+    private final Path directory = Files.createTempDirectory("postbeam-fleet");
     private final long startNanos = System.nanoTime();
-    private final Map<String, Child> children = new LinkedHashMap<>();
+    private final Map<String, ManagedProcess> processes = new LinkedHashMap<>();
     private final Map<String, String> addresses = new LinkedHashMap<>();
-    private final Map<String, FaultProxy> ways = new LinkedHashMap<>();
-    private final Map<String, Known> known = new LinkedHashMap<>();
-    private final List<String> askers = new ArrayList<>();
-    private final ObservedCalls testimony = new ObservedCalls();
-    private final Thread ending = new Thread(this::killAll, "end of a fleet");
+    private final Map<String, FaultProxy> proxies = new LinkedHashMap<>();
+    private final Map<String, ListedNode> listedNodes = new LinkedHashMap<>();
+    private final List<String> discoveryClients = new ArrayList<>();
+    private final ObservedCalls observedCalls = new ObservedCalls();
+    private final Thread shutdownHook = new Thread(this::killAll, "end of a fleet");
     private LongPollWatcher<Layout> watch;
     private Clients clients;
     private volatile Layout layout;
@@ -128,60 +133,63 @@
 
     public ProcessCluster(Size size, long seed) throws IOException, InterruptedException {
         this.size = size;
-        Runtime.getRuntime().addShutdownHook(ending);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         try {
-            IntStream.range(0, size.routers()).forEach(i -> askers.add("r" + i));
-            askers.add(LAYOUTS);
-            children.put(DISCOVERY, new Child(DISCOVERY, standIn("discovery", askers.size())));
+            IntStream.range(0, size.routers()).forEach(i -> discoveryClients.add("r" + i));
+            discoveryClients.add(LAYOUTS);
+            processes.put(
+                    DISCOVERY,
+                    new ManagedProcess(
+                            DISCOVERY, fakeServerCommand("discovery", discoveryClients.size())));
             for (int i = 0; i < size.nodes(); i++) {
                 String name = "n" + i;
-                children.put(
+                processes.put(
                         name,
-                        new Child(
+                        new ManagedProcess(
                                 name,
-                                standIn(
+                                fakeServerCommand(
                                         "node",
                                         name,
                                         "z" + i % 3,
-                                        folder,
+                                        directory,
                                         startNanos,
                                         seed * 1009 + i,
                                         size.sliced(),
                                         WORK.toNanos() / 1000)));
             }
-            for (String name : askers) {
+            for (String name : discoveryClients) {
                 addresses.put(name, LoopbackCluster.freeAddress());
             }
-            for (Child child : children.values()) {
+            for (ManagedProcess child : processes.values()) {
                 launch(child, child.name.equals(DISCOVERY) ? null : "false");
             }
-            for (String name : List.copyOf(children.keySet())) {
+            for (String name : List.copyOf(processes.keySet())) {
                 listening(name);
             }
             for (int i = 0; i < size.nodes(); i++) {
-                known.put("n" + i, new Known("up", 0));
+                listedNodes.put("n" + i, new ListedNode("up", 0));
             }
             tellDiscovery();
             if (size.sliced()) {
-                children.put(
+                processes.put(
                         LAYOUTS,
-                        new Child(
+                        new ManagedProcess(
                                 LAYOUTS,
-                                built(
+                                postbeamCommand(
                                         "layouts",
                                         "serve",
                                         "--settings",
                                         Files.writeString(
-                                                        folder.resolve("layouts.json5"),
+                                                        directory.resolve("layouts.json5"),
                                                         serviceSettings())
                                                 .toString())));
-                launch(children.get(LAYOUTS), null);
+                launch(processes.get(LAYOUTS), null);
             } else {
-                testimony.add(Duration.ZERO, to -> to.layout(fixed(size.shards())));
+                observedCalls.add(Duration.ZERO, to -> to.onLayout(fixed(size.shards())));
             }
             for (int i = 0; i < size.routers(); i++) {
-                children.put("r" + i, router("r" + i, i, seed));
-                launch(children.get("r" + i), null);
+                processes.put("r" + i, router("r" + i, i, seed));
+                launch(processes.get("r" + i), null);
             }
             for (int i = 0; i < size.routers(); i++) {
                 ready("r" + i);
@@ -226,14 +234,14 @@
 
     // ---- processes
 
-    public static List<String> built(String... words) {
+    public static List<String> postbeamCommand(String... words) {
         List<String> command = new ArrayList<>(JAVA);
         command.addAll(List.of("-jar", "target/postbeam.jar"));
         command.addAll(List.of(words));
         return command;
     }
 
-    private static List<String> standIn(Object... words) {
+    private static List<String> fakeServerCommand(Object... words) {
         List<String> command = new ArrayList<>(JAVA);
         command.addAll(
                 List.of(
@@ -244,80 +252,81 @@
         return command;
     }
 
-    private Child router(String name, int number, long seed) throws IOException {
+    private ManagedProcess router(String name, int number, long seed) throws IOException {
         String config =
                 LoopbackCluster.config(
                                 name,
                                 "z" + number % 3,
                                 addresses.get(name),
-                                way(name, DISCOVERY).address(),
+                                proxy(name, DISCOVERY).address(),
                                 seed * 31 + number,
                                 size.routers(),
                                 size.shards())
                         .replace("\"rampTime\":2000000", "\"rampTime\":" + RAMP.toNanos() / 1000);
         Path file =
                 Files.writeString(
-                        folder.resolve(name + ".json"),
-                        size.altered().text(this, name + ".json", config));
+                        directory.resolve(name + ".json"),
+                        size.rewriter().rewrite(this, name + ".json", config));
         List<String> command =
                 new ArrayList<>(
                         List.of("/bin/sh", "deploy/run.sh", "serve", "--config", file.toString()));
         String own =
-                size.altered()
-                        .text(
+                size.rewriter()
+                        .rewrite(
                                 this,
                                 name + ".json5",
                                 !size.sliced()
                                         ? ""
                                         : "{layouts: {follow: {enabled: true, service: \""
-                                                + way(name, LAYOUTS).address()
+                                                + proxy(name, LAYOUTS).address()
                                                 + "\"}}}");
         if (!own.isEmpty()) {
-            command.addAll(List.of("--settings", besides(name + ".json5", own).toString()));
+            command.addAll(List.of("--settings", writeFile(name + ".json5", own).toString()));
         }
-        return new Child(name, command);
+        return new ManagedProcess(name, command);
     }
 
     private String serviceSettings() {
         return "{layouts: {serve: {enabled: true, listen: \""
                 + addresses.get(LAYOUTS)
                 + "\", log: \""
-                + folder.resolve("moves.log")
+                + directory.resolve("moves.log")
                 + "\", discovery: \""
-                + way(LAYOUTS, DISCOVERY).address()
+                + proxy(LAYOUTS, DISCOVERY).address()
                 + "\", history: 40, firstSlices: "
                 + size.shards()
                 + ", firstHolders: 3, limits: {moves: 2, movesANode: 2, movesAZone: 3, copyMs:"
                 + " 5000, stepMs: 5000, restMs: 0, againMs: 50, holders: 2, zones: 2}}}}";
     }
 
-    private void launch(Child child, String last) throws IOException {
+    private void launch(ManagedProcess child, String last) throws IOException {
         List<String> command = new ArrayList<>(child.command);
         if (last != null) {
             command.add(last);
         }
-        child.lives++;
+        child.starts++;
         ProcessBuilder start =
                 new ProcessBuilder(command)
                         .redirectErrorStream(true)
                         .redirectOutput(child.output().toFile());
-        start.environment().put("BALANCER_CONFIG", folder.resolve(child.name + ".json").toString());
+        start.environment()
+                .put("BALANCER_CONFIG", directory.resolve(child.name + ".json").toString());
         child.process = start.start();
     }
 
     /** Waits until a stand-in says where it listens, and leads all ways to it there. */
     private void listening(String name) throws IOException, InterruptedException {
-        Child child = children.get(name);
-        until(
+        ManagedProcess child = processes.get(name);
+        awaitCondition(
                 name + " listens",
                 () ->
                         Files.readString(child.output()).contains("at ")
                                 && Files.readString(child.output()).endsWith("\n"));
         String at = Files.readString(child.output()).strip();
         at = at.substring(at.lastIndexOf("at ") + 3);
-        synchronized (ways) {
+        synchronized (proxies) {
             addresses.put(name, at);
-            for (Map.Entry<String, FaultProxy> way : ways.entrySet()) {
+            for (Map.Entry<String, FaultProxy> way : proxies.entrySet()) {
                 if (way.getKey().endsWith("-" + name)) {
                     way.getValue().target(target(way.getKey().split("-")[0], name));
                 }
@@ -333,16 +342,16 @@
         return at == null
                 ? null
                 : RouterConfig.socketAddress(
-                        to.equals(DISCOVERY) ? at.split(",")[askers.indexOf(from)] : at);
+                        to.equals(DISCOVERY) ? at.split(",")[discoveryClients.indexOf(from)] : at);
     }
 
     /**
      * The way from one to another by their names; made when it is first asked for. A name with a
      * dot is a further door of a process, r0.peers say, and gets an address of its own.
      */
-    public FaultProxy way(String from, String to) {
-        synchronized (ways) {
-            return ways.computeIfAbsent(
+    public FaultProxy proxy(String from, String to) {
+        synchronized (proxies) {
+            return proxies.computeIfAbsent(
                     from + "-" + to,
                     key -> {
                         try {
@@ -355,14 +364,14 @@
     }
 
     public void healAll() {
-        synchronized (ways) {
-            ways.values().forEach(FaultProxy::heal);
+        synchronized (proxies) {
+            proxies.values().forEach(FaultProxy::heal);
         }
     }
 
     /** Waits until it answers; from then on what it takes counts. */
     void ready(String router) throws IOException, InterruptedException {
-        until(
+        awaitCondition(
                 router + " is ready",
                 () ->
                         http.send(
@@ -377,10 +386,10 @@
                                                 HttpResponse.BodyHandlers.discarding())
                                         .statusCode()
                                 == 200);
-        testimony.add(now(), to -> to.routerBack(router));
+        observedCalls.add(now(), to -> to.routerBack(router));
     }
 
-    public void until(String what, Callable<Boolean> condition)
+    public void awaitCondition(String what, Callable<Boolean> condition)
             throws IOException, InterruptedException {
         long end = System.nanoTime() + LONG.toNanos();
         while (true) {
@@ -403,7 +412,7 @@
     /** What those said that are no more. */
     private String ended() throws IOException {
         StringBuilder text = new StringBuilder();
-        for (Child child : children.values()) {
+        for (ManagedProcess child : processes.values()) {
             if (child.process != null && !child.process.isAlive()) {
                 text.append("; ")
                         .append(child.name)
@@ -416,31 +425,31 @@
 
     /** SIGKILL. */
     public void kill(String name) throws InterruptedException {
-        away(name);
-        children.get(name).process.destroyForcibly().waitFor();
+        onRouterAway(name);
+        processes.get(name).process.destroyForcibly().waitFor();
     }
 
-    /** SIGSTOP; {@link #wake} has it go on. */
+    /** SIGSTOP; {@link #resume} has it go on. */
     public void stop(String name) throws IOException, InterruptedException {
-        away(name);
+        onRouterAway(name);
         signal(name, "-STOP");
     }
 
-    public void wake(String name) throws IOException, InterruptedException {
+    public void resume(String name) throws IOException, InterruptedException {
         signal(name, "-CONT");
-        if (askers.contains(name) && !name.equals(LAYOUTS)) {
+        if (discoveryClients.contains(name) && !name.equals(LAYOUTS)) {
             ready(name);
         }
     }
 
-    private void away(String name) {
+    private void onRouterAway(String name) {
         if (name.startsWith("r")) {
-            testimony.add(now(), to -> to.routerAway(name));
+            observedCalls.add(now(), to -> to.routerAway(name));
         }
     }
 
     private void signal(String name, String what) throws IOException, InterruptedException {
-        String pid = String.valueOf(children.get(name).process.pid());
+        String pid = String.valueOf(processes.get(name).process.pid());
         if (new ProcessBuilder("kill", what, pid).start().waitFor() != 0) {
             throw new IOException(name + " could not be signalled");
         }
@@ -449,12 +458,12 @@
     /** Starts what was killed, all at once; a node is back cold, and discovery tells of it. */
     public void start(String... names) throws IOException, InterruptedException {
         for (String name : names) {
-            launch(children.get(name), known.containsKey(name) ? "true" : null);
+            launch(processes.get(name), listedNodes.containsKey(name) ? "true" : null);
         }
         for (String name : names) {
-            if (known.containsKey(name)) {
+            if (listedNodes.containsKey(name)) {
                 listening(name);
-                known.put(name, new Known("up", System.currentTimeMillis()));
+                listedNodes.put(name, new ListedNode("up", System.currentTimeMillis()));
                 tell(name, "up");
             } else if (name.startsWith("r")) {
                 ready(name);
@@ -463,35 +472,35 @@
     }
 
     /** Has a stand-in node do as {@link FakeServerMain} has it. */
-    void order(String node, String line) throws IOException {
-        say(children.get(node), line);
+    void commandNode(String node, String line) throws IOException {
+        writeLine(processes.get(node), line);
     }
 
-    private void say(Child child, String line) throws IOException {
+    private void writeLine(ManagedProcess child, String line) throws IOException {
         child.process.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
         child.process.getOutputStream().flush();
     }
 
     /** A file of the fleet's folder, which goes with it. */
     public Path file(String name) {
-        return folder.resolve(name);
+        return directory.resolve(name);
     }
 
-    public Path besides(String name, String text) throws IOException {
+    public Path writeFile(String name, String text) throws IOException {
         return Files.writeString(file(name), text);
     }
 
     public String get(String name, String path) throws IOException, InterruptedException {
-        return ask(name, path, null);
+        return request(name, path, null);
     }
 
     public String post(String name, String path, String body)
             throws IOException, InterruptedException {
-        return ask(name, path, body);
+        return request(name, path, body);
     }
 
     /** The answer's text, an error's too. */
-    private String ask(String name, String path, String body)
+    private String request(String name, String path, String body)
             throws IOException, InterruptedException {
         HttpRequest.Builder asked =
                 HttpRequest.newBuilder(URI.create("http://" + addresses.get(name) + path))
@@ -509,10 +518,10 @@
 
     /** Discovery tells all of this node; its health is up, draining or removed. */
     public void tell(String node, String health) throws IOException {
-        known.put(node, new Known(health, known.get(node).bornMs));
+        listedNodes.put(node, new ListedNode(health, listedNodes.get(node).bornMs));
         tellDiscovery();
         Duration now = now();
-        testimony.add(now, to -> to.told(now, node, !health.equals("up")));
+        observedCalls.add(now, to -> to.onDrainingChanged(now, node, !health.equals("up")));
     }
 
     /** The layout last told to the clients; null where slices don't move. */
@@ -534,14 +543,14 @@
                     LayoutWatch.of(
                             addresses.get(LAYOUTS),
                             next -> {
-                                testimony.add(Duration.ZERO, to -> to.layout(next));
+                                observedCalls.add(Duration.ZERO, to -> to.onLayout(next));
                                 layout = next;
-                                generator.known(next);
+                                generator.onLayout(next);
                             });
             Thread watching = new Thread(watch, "layouts of a fleet");
             watching.setDaemon(true);
             watching.start();
-            until("the layout is told", () -> layout != null);
+            awaitCondition("the layout is told", () -> layout != null);
         }
         clients = new Clients(generator, rate);
         return clients;
@@ -573,7 +582,7 @@
             for (int i = 0; i < size.routers(); i++) {
                 int router = i;
                 int before = load.served(i);
-                until("r" + i + " serves", () -> load.served(router) >= before + SERVED);
+                awaitCondition("r" + i + " serves", () -> load.served(router) >= before + SERVED);
             }
         }
 
@@ -586,30 +595,32 @@
         public List<String> broken() throws IOException, InterruptedException {
             stop();
             InvariantChecker judged = judged();
-            return judged.runs() < SERVED ? List.of("nothing was run") : judged.broken();
+            return judged.runs() < SERVED ? List.of("nothing was run") : judged.violations();
         }
     }
 
     /** What the referee takes for told, though nobody is. */
-    public void pretendTold(String node) {
+    public void pretendAnnounced(String node) {
         Duration now = now();
-        testimony.add(now, to -> to.told(now, node, true));
+        observedCalls.add(now, to -> to.onDrainingChanged(now, node, true));
     }
 
     private void tellDiscovery() throws IOException {
-        for (String asker : askers) {
+        for (String asker : discoveryClients) {
             List<String> hosts = new ArrayList<>();
-            known.forEach(
+            listedNodes.forEach(
                     (node, is) ->
                             hosts.add(
-                                    FakeDiscovery.entry(
+                                    FakeDiscovery.hostEntry(
                                             node,
-                                            way(asker, node).address(),
+                                            proxy(asker, node).address(),
                                             "z" + Integer.parseInt(node.substring(1)) % 3,
                                             is.health,
                                             is.bornMs)));
             hosts.removeIf(host -> host.contains("\"removed\""));
-            say(children.get(DISCOVERY), askers.indexOf(asker) + " " + String.join(",", hosts));
+            writeLine(
+                    processes.get(DISCOVERY),
+                    discoveryClients.indexOf(asker) + " " + String.join(",", hosts));
         }
     }
 
@@ -630,8 +641,8 @@
     }
 
     @Override
-    public ObservedCalls seen() {
-        return testimony;
+    public ObservedCalls observer() {
+        return observedCalls;
     }
 
     @Override
@@ -640,7 +651,7 @@
     }
 
     @Override
-    public Duration price() {
+    public Duration declaredWork() {
         return WORK;
     }
 
@@ -657,18 +668,18 @@
 
     /** Calls that a node's present life was sent so far. */
     public long calls(String node) throws IOException {
-        return testimony.calls(folder, node);
+        return observedCalls.calls(directory, node);
     }
 
     /** Tells the referee all that was seen. */
     public InvariantChecker judged() throws IOException {
         InvariantChecker checker = referee(size.slack());
-        testimony.tell(checker, folder, now());
+        observedCalls.tell(checker, directory, now());
         return checker;
     }
 
     private void killAll() {
-        children.values().stream()
+        processes.values().stream()
                 .map(child -> child.process)
                 .filter(process -> process != null)
                 .forEach(Process::destroyForcibly);
@@ -684,19 +695,19 @@
             if (clients != null) {
                 clients.stop();
             }
-            for (Child child : children.values()) {
+            for (ManagedProcess child : processes.values()) {
                 if (child.process != null) {
                     child.process.waitFor();
                 }
             }
-            Runtime.getRuntime().removeShutdownHook(ending);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
             // The virtual machine ends, and with it all of this.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        ways.values().forEach(FaultProxy::close);
-        try (var files = Files.walk(folder)) {
+        proxies.values().forEach(FaultProxy::close);
+        try (var files = Files.walk(directory)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
             }
--- a/src/main/java/postbeam/testbed/demo/DemoCommand.java
+++ b/src/main/java/postbeam/testbed/demo/DemoCommand.java
@@ -41,12 +41,12 @@
             if (sliced) {
                 out.println(
                         "The layout is told at http://"
-                                + cluster.layouts()
+                                + cluster.layoutServiceAddress()
                                 + "/v1/layout; to split slice 0:");
                 out.println();
                 out.println(
                         "    java -jar target/postbeam.jar layouts start --service "
-                                + cluster.layouts()
+                                + cluster.layoutServiceAddress()
                                 + " --change '{\"split\": 0, \"at\": [1000]}'");
                 out.println();
             }
--- a/src/main/java/postbeam/testbed/fakes/FakeDataNode.java
+++ b/src/main/java/postbeam/testbed/fakes/FakeDataNode.java
@@ -62,7 +62,7 @@
             String query,
             String part,
             KeyRange keys,
-            FakeSliceStore.Held held,
+            FakeSliceStore.HeldSlice held,
             byte[] ask) {}
 
     public final String name;
@@ -94,7 +94,7 @@
     private volatile double badAnswers;
 
     private volatile double lateAnswers;
-    private volatile List<Row> rows = List.of();
+    private volatile List<Row> setRows = List.of();
     private volatile boolean spoilsOrder;
 
     /**
@@ -123,7 +123,7 @@
         return thread;
     }
 
-    String dial() {
+    String dialAddress() {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
@@ -219,23 +219,23 @@
             throws IOException {
         String query = part.substring(0, part.lastIndexOf('.'));
         seen.referee().called(seen.now().get(), name, query, part, keys, version, work);
-        FakeSliceStore.Held one = null;
+        FakeSliceStore.HeldSlice one = null;
         String turnedAway = null;
         synchronized (this) {
             if (!unsliced) {
-                one = held.take(slice, version, keys);
+                one = held.tryAccept(slice, version, keys);
                 turnedAway = one == null ? "moved" : null;
             }
             if (turnedAway == null && waiting >= QUEUE) {
                 if (one != null) {
-                    held.over(one);
+                    held.completeCall(one);
                 }
                 turnedAway = "later";
             }
             waiting += turnedAway == null ? 1 : 0;
         }
         if (turnedAway != null) {
-            seen.referee().over(query, part);
+            seen.referee().callEnded(query, part);
             send(socket, "q" + part + " " + turnedAway + " 0 -\n");
             return;
         }
@@ -299,7 +299,7 @@
         int most = Integer.MAX_VALUE;
         while (true) {
             PartialPage partial =
-                    SortedRows.answer(asked.sortOrder(), asked.fetches(), rows, work.keys, most);
+                    SortedRows.answer(asked.sortOrder(), asked.fetches(), setRows, work.keys, most);
             byte[] bytes =
                     RowCodec.encodePartialPage(
                             spoilsOrder && partial.rows().size() > 1
@@ -327,10 +327,10 @@
         synchronized (this) {
             waiting--;
             if (work.held != null) {
-                held.over(work.held);
+                held.completeCall(work.held);
             }
         }
-        seen.referee().over(work.query, work.part);
+        seen.referee().callEnded(work.query, work.part);
     }
 
     /** What nodes hand over with a slice: which keys of a deduplicated query have run. */
@@ -367,7 +367,7 @@
                 return;
             }
             term = by;
-            boolean own = words[6].equals(dial());
+            boolean own = words[6].equals(dialAddress());
             long readyAt =
                     copies.computeIfAbsent(
                             slice,
@@ -392,7 +392,7 @@
         StringBuilder said = new StringBuilder();
         boolean has;
         synchronized (this) {
-            has = held.of(Integer.parseInt(words[2])) != null && !hanging;
+            has = held.find(Integer.parseInt(words[2])) != null && !hanging;
         }
         if (!has) {
             return;
@@ -454,37 +454,37 @@
     /**
      * What it has of the key space; of a slice it gives the rows that lie in the keys asked for.
      */
-    public void rows(List<Row> all) {
-        rows = List.copyOf(all);
+    public void setRows(List<Row> all) {
+        setRows = List.copyOf(all);
     }
 
     /** From now on its rows come with two of them turned. */
-    public void spoilOrder(boolean spoils) {
+    public void setSwapsRows(boolean spoils) {
         spoilsOrder = spoils;
     }
 
     // ---- troubles
 
-    public void troubles(double bad, double late) {
+    public void setFaultRates(double bad, double late) {
         badAnswers = bad;
         lateAnswers = late;
     }
 
     /** What each part works, and up to so much more as ever. */
-    void works(Duration each) {
+    void setWork(Duration each) {
         work = each;
     }
 
-    public void slow(int times) {
+    public void setSlowdown(int times) {
         slowness = times;
     }
 
-    public void hang(boolean hangs) {
+    public void setHanging(boolean hangs) {
         hanging = hangs;
     }
 
     /** Ends all connections; what it had taken ends nowhere. */
-    public synchronized void die() {
+    public synchronized void crash() {
         life++;
         IoUtils.safeClose(server);
         for (Socket socket : sockets) {
@@ -501,7 +501,7 @@
     }
 
     /** Is back at its address, and holds what it is told. */
-    public synchronized void back() throws IOException {
+    public synchronized void restart() throws IOException {
         server = new ServerSocket();
         server.setReuseAddress(true);
         server.bind(address, 200);
@@ -511,7 +511,7 @@
 
     @Override
     public void close() {
-        die();
+        crash();
         workers.shutdownNow();
     }
 }
--- a/src/main/java/postbeam/testbed/fakes/FakeDiscovery.java
+++ b/src/main/java/postbeam/testbed/fakes/FakeDiscovery.java
@@ -23,7 +23,7 @@
     private final Map<String, String> entries = new LinkedHashMap<>();
 
     /** Paths that it was asked for. */
-    public final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
+    public final BlockingQueue<String> requestedPaths = new LinkedBlockingQueue<>();
 
     private long version = 1;
 
@@ -50,7 +50,7 @@
 
     /** The health is up, draining or removed. */
     public synchronized void tell(FakeDataNode node, String health, long bornMs) {
-        entries.put(node.name, entry(node.name, node.dial(), node.zone, health, bornMs));
+        entries.put(node.name, hostEntry(node.name, node.dialAddress(), node.zone, health, bornMs));
         version++;
         notifyAll();
     }
@@ -69,7 +69,8 @@
         notifyAll();
     }
 
-    public static String entry(String name, String dial, String zone, String health, long bornMs) {
+    public static String hostEntry(
+            String name, String dial, String zone, String health, long bornMs) {
         return "{\"host\":\""
                 + name
                 + "\",\"dial\":\""
@@ -108,7 +109,7 @@
                 while (!in.readLine().isEmpty()) {
                     // Headers say nothing here.
                 }
-                asked.add(path);
+                requestedPaths.add(path);
                 byte[] body = body(path).getBytes(StandardCharsets.UTF_8);
                 socket.getOutputStream()
                         .write(
--- a/src/main/java/postbeam/testbed/fakes/FakeServerMain.java
+++ b/src/main/java/postbeam/testbed/fakes/FakeServerMain.java
@@ -69,16 +69,17 @@
                         new FakeDataNode.Seen(seen, seen::now, runs),
                         RandomSource.XO_RO_SHI_RO_128_PP.create(Long.parseLong(args[5])),
                         !Boolean.parseBoolean(args[6]));
-        node.works(Duration.ofNanos(Long.parseLong(args[7]) * 1000));
-        System.out.println("at " + node.dial());
+        node.setWork(Duration.ofNanos(Long.parseLong(args[7]) * 1000));
+        System.out.println("at " + node.dialAddress());
         String line;
         while ((line = told.readLine()) != null) {
             String[] words = line.split(" ");
             switch (words[0]) {
-                case "hang" -> node.hang(Boolean.parseBoolean(words[1]));
-                case "slow" -> node.slow(Integer.parseInt(words[1]));
+                case "hang" -> node.setHanging(Boolean.parseBoolean(words[1]));
+                case "slow" -> node.setSlowdown(Integer.parseInt(words[1]));
                 default ->
-                        node.troubles(Double.parseDouble(words[1]), Double.parseDouble(words[2]));
+                        node.setFaultRates(
+                                Double.parseDouble(words[1]), Double.parseDouble(words[2]));
             }
         }
     }
--- a/src/main/java/postbeam/testbed/fakes/FakeSliceStore.java
+++ b/src/main/java/postbeam/testbed/fakes/FakeSliceStore.java
@@ -10,7 +10,7 @@
  * ran.
  */
 public final class FakeSliceStore {
-    public enum Standing {
+    public enum SliceState {
         COPYING,
         HOLDING,
         SERVING,
@@ -18,50 +18,50 @@
     }
 
     /** A slice here; calls of an older version than this one are not for it. */
-    public static final class Held {
+    public static final class HeldSlice {
         final KeyRange keys;
-        public Standing standing = Standing.COPYING;
-        long from;
+        public SliceState state = SliceState.COPYING;
+        long minVersion;
 
         /** Calls taken and not over. */
-        int running;
+        int runningCalls;
 
         boolean copied;
 
-        Held(KeyRange keys) {
+        HeldSlice(KeyRange keys) {
             this.keys = keys;
         }
     }
 
-    private final Map<Integer, Held> held = new TreeMap<>();
+    private final Map<Integer, HeldSlice> slices = new TreeMap<>();
 
-    public Held of(int slice) {
-        return held.get(slice);
+    public HeldSlice find(int slice) {
+        return slices.get(slice);
     }
 
     /**
-     * Takes a call, which {@link #over} must end; null where it is not served here under that
-     * version.
+     * Takes a call, which {@link #completeCall} must end; null where it is not served here under
+     * that version.
      */
-    public Held take(int slice, long version, KeyRange keys) {
-        Held one = held.get(slice);
+    public HeldSlice tryAccept(int slice, long version, KeyRange keys) {
+        HeldSlice one = slices.get(slice);
         if (one == null
-                || one.standing != Standing.SERVING
-                || version < one.from
+                || one.state != SliceState.SERVING
+                || version < one.minVersion
                 || !one.keys.contains(keys)) {
             return null;
         }
-        one.running++;
+        one.runningCalls++;
         return one;
     }
 
-    public void over(Held one) {
-        one.running--;
+    public void completeCall(HeldSlice one) {
+        one.runningCalls--;
     }
 
     /** A node that lost its disk holds nothing until it is told. */
     public void forgetAll() {
-        held.clear();
+        slices.clear();
     }
 
     /**
@@ -69,12 +69,12 @@
      * is none.
      */
     public void restarted() {
-        held.values().removeIf(one -> !one.copied);
-        held.replaceAll(
+        slices.values().removeIf(one -> !one.copied);
+        slices.replaceAll(
                 (slice, one) -> {
-                    Held again = new Held(one.keys);
-                    again.standing = one.standing;
-                    again.from = one.from;
+                    HeldSlice again = new HeldSlice(one.keys);
+                    again.state = one.state;
+                    again.minVersion = one.minVersion;
                     again.copied = true;
                     return again;
                 });
@@ -86,14 +86,14 @@
      */
     public boolean ordered(
             HandoffCommand command, int slice, KeyRange keys, long version, boolean copied) {
-        Held one = held.get(slice);
+        HeldSlice one = slices.get(slice);
         switch (command) {
             case COPY -> {
                 if (one == null
-                        || one.standing == Standing.FENCED
-                        || one.standing == Standing.SERVING) {
-                    one = new Held(keys);
-                    held.put(slice, one);
+                        || one.state == SliceState.FENCED
+                        || one.state == SliceState.SERVING) {
+                    one = new HeldSlice(keys);
+                    slices.put(slice, one);
                 }
                 one.copied |= copied;
                 return one.copied;
@@ -102,28 +102,31 @@
                 if (one == null || !one.copied) {
                     return false;
                 }
-                one.standing = one.standing == Standing.COPYING ? Standing.HOLDING : one.standing;
+                one.state = one.state == SliceState.COPYING ? SliceState.HOLDING : one.state;
                 return true;
             }
             case FENCE -> {
                 if (one == null) {
                     return true;
                 }
-                one.standing = Standing.FENCED;
-                return one.running == 0;
+                one.state = SliceState.FENCED;
+                return one.runningCalls == 0;
             }
             case SERVE -> {
                 if (one == null) {
-                    one = new Held(keys);
-                    held.put(slice, one);
+                    one = new HeldSlice(keys);
+                    slices.put(slice, one);
                 }
-                one.from = one.standing == Standing.SERVING ? Math.max(one.from, version) : version;
-                one.standing = Standing.SERVING;
+                one.minVersion =
+                        one.state == SliceState.SERVING
+                                ? Math.max(one.minVersion, version)
+                                : version;
+                one.state = SliceState.SERVING;
                 one.copied = true;
                 return true;
             }
             default -> {
-                held.remove(slice);
+                slices.remove(slice);
                 return true;
             }
         }
--- a/src/main/java/postbeam/testbed/fakes/ScriptedDataNode.java
+++ b/src/main/java/postbeam/testbed/fakes/ScriptedDataNode.java
@@ -123,12 +123,12 @@
         socket.getOutputStream().write(out.toByteArray());
     }
 
-    public String dial() {
+    public String dialAddress() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    public String entry(String name, String health) {
-        return FakeDiscovery.entry(name, dial(), "a", health, 0);
+    public String hostEntry(String name, String health) {
+        return FakeDiscovery.hostEntry(name, dialAddress(), "a", health, 0);
     }
 
     @Override
--- a/src/main/java/postbeam/testbed/simulation/DefectiveCoordination.java
+++ b/src/main/java/postbeam/testbed/simulation/DefectiveCoordination.java
@@ -36,7 +36,7 @@
         /** What one router says of a node is enough. */
         ONE_REPORTER_BELIEVED;
 
-        String spelt() {
+        String argumentName() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
     }
@@ -59,7 +59,7 @@
     }
 
     public static List<String> names() {
-        return Stream.of(Defect.values()).map(Defect::spelt).toList();
+        return Stream.of(Defect.values()).map(Defect::argumentName).toList();
     }
 
     /** Null where the name is null. */
--- a/src/main/java/postbeam/testbed/simulation/DefectivePageAssembly.java
+++ b/src/main/java/postbeam/testbed/simulation/DefectivePageAssembly.java
@@ -26,7 +26,7 @@
         /** Rows out of order are merged. */
         SPOILT_MERGED;
 
-        public String spelt() {
+        public String argumentName() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
     }
--- a/src/main/java/postbeam/testbed/simulation/GossipSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/GossipSimulation.java
@@ -40,7 +40,7 @@
     private final Map<String, Double> truth = new TreeMap<>();
     private final List<String> broken = new ArrayList<>();
     private long runs;
-    private long taken;
+    private long countedAttempts;
 
     public GossipSimulation(int routers, DefectiveCoordination.Defect defect, long seed) {
         this.chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
@@ -119,7 +119,7 @@
         double amount = 0.2 + chance.nextDouble();
         for (int i = 0; i < 8; i++) {
             if (one.tryCount(key, bucket, amount, LIMIT)) {
-                taken++;
+                countedAttempts++;
                 double sum = truth.merge(key + bucket, amount, Double::sum);
                 if (sum > LIMIT + 1e-6) {
                     broken.add(
@@ -142,8 +142,8 @@
         }
     }
 
-    public long taken() {
-        return taken;
+    public long countedAttempts() {
+        return countedAttempts;
     }
 
     /**
--- a/src/main/java/postbeam/testbed/simulation/PagingSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/PagingSimulation.java
@@ -76,12 +76,12 @@
     private final List<String> broken = new ArrayList<>();
     private int nextSlice;
     private int pages;
-    private int pagesMissing;
-    private int pagesShort;
-    private int given;
-    private int fetched;
+    private int pagesWithMissingRanges;
+    private int truncatedPages;
+    private int rowsGiven;
+    private int rowsFetched;
     private int calls;
-    private int longestCursor;
+    private int maxCursorLength;
 
     public PagingSimulation(long seed, DefectivePageAssembly.Defect defect) {
         chance = new Random(seed);
@@ -218,7 +218,7 @@
     private String sealed(Reader reader, Cursor cursor) {
         try {
             String text = reader.seal.encode(cursor);
-            longestCursor = Math.max(longestCursor, text.length());
+            maxCursorLength = Math.max(maxCursorLength, text.length());
             return text;
         } catch (OperatorErrorException e) {
             broken.add("no cursor: " + e.getMessage());
@@ -266,10 +266,10 @@
             asks = assembly.followUpFetches();
         }
         Page page = assembly.finish();
-        pagesMissing += page.missingRanges().isEmpty() ? 0 : 1;
-        pagesShort += page.truncated() ? 1 : 0;
-        given += page.rows().size();
-        fetched += page.rowsFetched();
+        pagesWithMissingRanges += page.missingRanges().isEmpty() ? 0 : 1;
+        truncatedPages += page.truncated() ? 1 : 0;
+        rowsGiven += page.rows().size();
+        rowsFetched += page.rowsFetched();
         if (page.rows().size() > size) {
             broken.add(
                     "a page of " + page.rows().size() + " rows where " + size + " were asked for");
@@ -473,20 +473,20 @@
         return pages;
     }
 
-    public int pagesMissing() {
-        return pagesMissing;
+    public int pagesWithMissingRanges() {
+        return pagesWithMissingRanges;
     }
 
-    public int pagesShort() {
-        return pagesShort;
+    public int truncatedPages() {
+        return truncatedPages;
     }
 
-    public int given() {
-        return given;
+    public int rowsGiven() {
+        return rowsGiven;
     }
 
-    public int fetched() {
-        return fetched;
+    public int rowsFetched() {
+        return rowsFetched;
     }
 
     public int calls() {
@@ -497,7 +497,7 @@
         return layouts.size();
     }
 
-    public int longestCursor() {
-        return longestCursor;
+    public int maxCursorLength() {
+        return maxCursorLength;
     }
 }
--- a/src/main/java/postbeam/testbed/simulation/SimulatedCluster.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedCluster.java
@@ -110,20 +110,20 @@
 
     final Plan plan;
     final UniformRandomProvider chance;
-    public final InvariantChecker referee =
+    public final InvariantChecker checker =
             new InvariantChecker(RULES, Duration.ofMillis(500), Duration.ofMillis(60));
     final List<SimulatedDataNode> nodes = new ArrayList<>();
     final List<SimulatedQueryRouter> routers = new ArrayList<>();
     public final SimulatedMoveCoordinator moves;
-    public final List<Layout> told = new ArrayList<>();
+    public final List<Layout> publishedLayouts = new ArrayList<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparing(Event::at).thenComparingLong(Event::number));
     private long eventCount;
     private long listVersion;
     private Duration now = Duration.ZERO;
-    private boolean troubled;
-    private int asked;
-    private int good;
+    private boolean faultsActive;
+    private int queriesSent;
+    private int answeredInTime;
 
     public SimulatedCluster(Plan plan, long seed) {
         this.plan = plan;
@@ -181,8 +181,8 @@
     }
 
     /** Troubles come while the load does. */
-    boolean troubled() {
-        return troubled;
+    boolean faultsActive() {
+        return faultsActive;
     }
 
     // ---- the run
@@ -195,12 +195,12 @@
 
     /** What was found, a line each; empty where all rules held. */
     public List<String> run() {
-        troubled = plan.faults();
-        listed();
+        faultsActive = plan.faults();
+        publishNodeList();
         moves.start();
         after(Duration.ofMillis(300), this::nextQuery);
         after(plan.recutEvery(), this::nextRecut);
-        if (troubled) {
+        if (faultsActive) {
             after(upTo(Duration.ofSeconds(2)), this::nextTrouble);
         }
         Duration end = plan.length().plus(SETTLE);
@@ -210,16 +210,16 @@
             now = next.at();
             if (!calm && now.compareTo(plan.length()) > 0) {
                 calm = true;
-                calm();
+                endFaults();
             }
             next.what().run();
-            if (!referee.broken().isEmpty()) {
-                return referee.broken();
+            if (!checker.violations().isEmpty()) {
+                return checker.violations();
             }
         }
         now = end;
-        referee.end(now);
-        List<String> found = new ArrayList<>(referee.broken());
+        checker.end(now);
+        List<String> found = new ArrayList<>(checker.violations());
         found.addAll(moves.unsettled());
         for (SimulatedQueryRouter router : routers) {
             found.addAll(router.leftOver());
@@ -228,25 +228,25 @@
     }
 
     /** No new trouble, and the old ones end. */
-    private void calm() {
-        troubled = false;
+    private void endFaults() {
+        faultsActive = false;
         nodes.forEach(SimulatedDataNode::recover);
         moves.recover();
-        listed();
+        publishNodeList();
     }
 
-    public int asked() {
-        return asked;
+    public int queriesSent() {
+        return queriesSent;
     }
 
-    public int good() {
-        return good;
+    public int answeredInTime() {
+        return answeredInTime;
     }
 
     // ---- the list
 
     /** Tells all routers and the coordinator of the nodes, each on its own way. */
-    void listed() {
+    void publishNodeList() {
         List<Endpoint> entries =
                 nodes.stream()
                         .map(
@@ -269,13 +269,13 @@
     // ---- layouts
 
     void published(Layout layout) {
-        told.add(layout);
-        referee.layout(layout);
+        publishedLayouts.add(layout);
+        checker.onLayout(layout);
         for (SimulatedQueryRouter router : routers) {
             Duration late = with(0.1) ? upTo(Duration.ofSeconds(2)) : upTo(Duration.ofMillis(40));
             after(late, () -> router.laidOut(layout));
-            if (told.size() > 2 && with(0.1)) {
-                Layout old = told.get(chance.nextInt(told.size() - 1));
+            if (publishedLayouts.size() > 2 && with(0.1)) {
+                Layout old = publishedLayouts.get(chance.nextInt(publishedLayouts.size() - 1));
                 after(late.plus(upTo(Duration.ofSeconds(1))), () -> router.laidOut(old));
             }
         }
@@ -294,7 +294,7 @@
         SimulatedQueryRouter router = routers.get(chance.nextInt(routers.size()));
         Kind kind = KINDS.get(chance.nextInt(KINDS.size()));
         int back = with(0.4) ? 0 : chance.nextInt(8);
-        Layout layout = told.get(Math.max(0, told.size() - 1 - back));
+        Layout layout = publishedLayouts.get(Math.max(0, publishedLayouts.size() - 1 - back));
         List<Slice> slices = layout.slices();
         int first = chance.nextInt(slices.size());
         int count = Math.min(slices.size() - first, 1 + chance.nextInt(8));
@@ -306,18 +306,18 @@
         Map<Slice, Double> weights = new LinkedHashMap<>();
         named.forEach(slice -> weights.put(slice, 0.2 + chance.nextDouble()));
         double sum = weights.values().stream().mapToDouble(Double::doubleValue).sum();
-        List<InvariantChecker.Wanted> wanted =
+        List<InvariantChecker.RequestedSlice> wanted =
                 weights.entrySet().stream()
                         .map(
                                 entry ->
-                                        new InvariantChecker.Wanted(
+                                        new InvariantChecker.RequestedSlice(
                                                 entry.getKey().number(),
                                                 entry.getKey().keys(),
                                                 entry.getValue() / sum))
                         .toList();
-        String id = router.name + "q" + asked++;
+        String id = router.name + "q" + queriesSent++;
         Duration until = now.plus(PATIENCE);
-        referee.asked(
+        checker.querySent(
                 now,
                 id,
                 router.name,
@@ -332,7 +332,7 @@
 
     /** A query is over for its client, in time for its SLO or not. */
     void over(boolean answered, Duration askedAt) {
-        good += answered && now.minus(askedAt).compareTo(SLO) <= 0 ? 1 : 0;
+        answeredInTime += answered && now.minus(askedAt).compareTo(SLO) <= 0 ? 1 : 0;
     }
 
     // ---- re-cuts and troubles
@@ -346,7 +346,7 @@
     }
 
     private void nextTrouble() {
-        if (!troubled) {
+        if (!faultsActive) {
             return;
         }
         after(upTo(Duration.ofSeconds(3)), this::nextTrouble);
--- a/src/main/java/postbeam/testbed/simulation/SimulatedDataNode.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedDataNode.java
@@ -42,7 +42,7 @@
             String query,
             String part,
             KeyRange keys,
-            FakeSliceStore.Held held,
+            FakeSliceStore.HeldSlice held,
             boolean repeatsDropped,
             SimulatedQueryRouter.Ended ended) {}
 
@@ -83,15 +83,15 @@
             cluster.hop(() -> ended.ended(AttemptOutcome.UNREACHABLE, null));
             return;
         }
-        cluster.referee.called(cluster.now(), name, query, part, keys, version, WORK);
-        FakeSliceStore.Held one = held.take(slice, version, keys);
+        cluster.checker.called(cluster.now(), name, query, part, keys, version, WORK);
+        FakeSliceStore.HeldSlice one = held.tryAccept(slice, version, keys);
         if (one == null
                 || waiting.size() >= QUEUE
                 || readiness == Readiness.DRAINING && cluster.with(0.5)) {
             if (one != null) {
-                held.over(one);
+                held.completeCall(one);
             }
-            cluster.referee.over(query, part);
+            cluster.checker.callEnded(query, part);
             AttemptOutcome outcome = one == null ? AttemptOutcome.MOVED : AttemptOutcome.OVERLOADED;
             cluster.hop(() -> ended.ended(outcome, null));
             return;
@@ -117,14 +117,14 @@
 
     private void finished(Work work) {
         working.remove(work);
-        held.over(work.held);
+        held.completeCall(work.held);
         if (!work.repeatsDropped || !cluster.moves.repeated(work.query, work.keys)) {
-            cluster.referee.ran(cluster.now(), work.query, work.part, work.keys);
+            cluster.checker.ran(cluster.now(), work.query, work.part, work.keys);
         }
-        cluster.referee.over(work.query, work.part);
-        boolean bad = cluster.troubled() && cluster.with(BAD_ANSWERS);
+        cluster.checker.callEnded(work.query, work.part);
+        boolean bad = cluster.faultsActive() && cluster.with(BAD_ANSWERS);
         Duration late =
-                cluster.troubled() && cluster.with(LATE_ANSWERS)
+                cluster.faultsActive() && cluster.with(LATE_ANSWERS)
                         ? cluster.upTo(LATE_MOST)
                         : Duration.ZERO;
         cluster.after(
@@ -166,8 +166,8 @@
     }
 
     boolean serves(int slice) {
-        FakeSliceStore.Held one = held.of(slice);
-        return one != null && one.standing == FakeSliceStore.Standing.SERVING;
+        FakeSliceStore.HeldSlice one = held.find(slice);
+        return one != null && one.state == FakeSliceStore.SliceState.SERVING;
     }
 
     // ---- troubles
@@ -187,7 +187,7 @@
         for (Work work : working) {
             if (cluster.with(0.5)
                     && !(work.repeatsDropped && cluster.moves.repeated(work.query, work.keys))) {
-                cluster.referee.ran(cluster.now(), work.query, work.part, work.keys);
+                cluster.checker.ran(cluster.now(), work.query, work.part, work.keys);
             }
         }
         working.clear();
@@ -200,7 +200,7 @@
         }
         lost.forEach(
                 work -> {
-                    cluster.referee.over(work.query, work.part);
+                    cluster.checker.callEnded(work.query, work.part);
                     cluster.hop(() -> work.ended.ended(AttemptOutcome.RESET, null));
                 });
         cluster.after(
@@ -208,7 +208,7 @@
                 () -> {
                     if (!alive) {
                         readiness = Readiness.REMOVED;
-                        cluster.listed();
+                        cluster.publishNodeList();
                     }
                 });
         cluster.after(back, this::back);
@@ -219,9 +219,9 @@
             alive = true;
             readiness = Readiness.READY;
             startedAt = cluster.now();
-            cluster.referee.nodeStarted(cluster.now(), name);
-            cluster.referee.told(cluster.now(), name, false);
-            cluster.listed();
+            cluster.checker.nodeStarted(cluster.now(), name);
+            cluster.checker.onDrainingChanged(cluster.now(), name, false);
+            cluster.publishNodeList();
         }
     }
 
@@ -243,19 +243,19 @@
     void drain(Duration span) {
         if (alive && readiness == Readiness.READY) {
             readiness = Readiness.DRAINING;
-            cluster.listed();
+            cluster.publishNodeList();
             cluster.after(
                     Duration.ofMillis(2),
                     () ->
-                            cluster.referee.told(
+                            cluster.checker.onDrainingChanged(
                                     cluster.now(), name, readiness == Readiness.DRAINING));
             cluster.after(
                     span,
                     () -> {
                         if (readiness == Readiness.DRAINING) {
                             readiness = Readiness.READY;
-                            cluster.referee.told(cluster.now(), name, false);
-                            cluster.listed();
+                            cluster.checker.onDrainingChanged(cluster.now(), name, false);
+                            cluster.publishNodeList();
                         }
                     });
         }
@@ -268,7 +268,7 @@
         back();
         if (readiness != Readiness.READY) {
             readiness = Readiness.READY;
-            cluster.referee.told(cluster.now(), name, false);
+            cluster.checker.onDrainingChanged(cluster.now(), name, false);
         }
         work();
     }
--- a/src/main/java/postbeam/testbed/simulation/SimulatedMoveCoordinator.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedMoveCoordinator.java
@@ -59,9 +59,9 @@
     private int recordsLeft = -1;
 
     private Duration awayFor = Duration.ZERO;
-    private int begun;
-    private int cut;
-    private int abandoned;
+    private int movesStarted;
+    private int movesCutOver;
+    private int movesAbandoned;
 
     SimulatedMoveCoordinator(SimulatedCluster cluster, Layout first) {
         this.cluster = cluster;
@@ -105,8 +105,8 @@
         for (CoordinatorAction act : acts) {
             if (act instanceof CoordinatorAction.AppendRecord write) {
                 records.add(MoveRecordCodec.write(write.record()));
-                cut += write.record() instanceof JournalRecord.CutOver ? 1 : 0;
-                abandoned += write.record() instanceof JournalRecord.RolledBack ? 1 : 0;
+                movesCutOver += write.record() instanceof JournalRecord.CutOver ? 1 : 0;
+                movesAbandoned += write.record() instanceof JournalRecord.RolledBack ? 1 : 0;
                 if (recordsLeft > 0 && --recordsLeft == 0) {
                     recordsLeft = -1;
                     crash(awayFor);
@@ -121,7 +121,7 @@
     }
 
     private void tell(CoordinatorAction.SendCommand tell) {
-        if (cluster.troubled() && cluster.with(LOST_MESSAGES)) {
+        if (cluster.faultsActive() && cluster.with(LOST_MESSAGES)) {
             return;
         }
         int mine = life;
@@ -132,7 +132,7 @@
                                         tell,
                                         () -> {
                                             if (mine == life
-                                                    && !(cluster.troubled()
+                                                    && !(cluster.faultsActive()
                                                             && cluster.with(LOST_MESSAGES))) {
                                                 coordinator.acknowledged(
                                                         tell.move(),
@@ -210,10 +210,10 @@
         // Now and then an operator takes a node that is gone for dead.
         List<LayoutChange> mends = cluster.with(0.3) ? coordinator.repairs() : List.of();
         if (!mends.isEmpty()) {
-            begun++;
+            movesStarted++;
             carryOut(coordinator.plan(mends.get(0), cluster.now()));
         } else if (coordinator.rejectionReason(change).isEmpty()) {
-            begun++;
+            movesStarted++;
             carryOut(coordinator.plan(change, cluster.now()));
         } else if (change instanceof LayoutChange.Merge merge) {
             // Neighbours that other nodes hold are first brought together.
@@ -229,7 +229,7 @@
                                 ? null
                                 : new LayoutChange.Transfer(other.number(), off, node);
                 if (near != null && coordinator.rejectionReason(near).isEmpty()) {
-                    begun++;
+                    movesStarted++;
                     carryOut(coordinator.plan(near, cluster.now()));
                     return;
                 }
@@ -282,16 +282,16 @@
         }
     }
 
-    public int cut() {
-        return cut;
+    public int movesCutOver() {
+        return movesCutOver;
     }
 
-    public int abandoned() {
-        return abandoned;
+    public int movesAbandoned() {
+        return movesAbandoned;
     }
 
-    public int begun() {
-        return begun;
+    public int movesStarted() {
+        return movesStarted;
     }
 
     /** What has not come to rest long after the last trouble. */
--- a/src/main/java/postbeam/testbed/simulation/SimulatedQueryRouter.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedQueryRouter.java
@@ -120,7 +120,7 @@
             String id,
             SimulatedCluster.Kind kind,
             long version,
-            List<InvariantChecker.Wanted> wanted,
+            List<InvariantChecker.RequestedSlice> wanted,
             Duration until) {
         Duration now = cluster.now();
         Query query = new Query(verticals.get(kind.name()), null, now, until);
@@ -132,7 +132,7 @@
                             .map(one -> new SliceRequest(one.slice(), one.weight(), null))
                             .toList());
         } catch (UnroutableQueryException e) {
-            cluster.referee.rejected(now, id);
+            cluster.checker.rejected(now, id);
             return;
         }
         open.put(query, new Open(id, now, query));
@@ -253,18 +253,18 @@
                 counted.requests().stream()
                         .map(piece -> new InvariantChecker.Value(piece.keys, q.values.get(piece)))
                         .toList();
-        cluster.referee.answered(cluster.now(), q.id, whole, counted.version(), values);
+        cluster.checker.answered(cluster.now(), q.id, whole, counted.version(), values);
         cluster.over(true, q.askedAt);
     }
 
     @Override
     public void reject(Query query, Duration comeBack) {
-        cluster.referee.rejected(cluster.now(), open.remove(query).id);
+        cluster.checker.rejected(cluster.now(), open.remove(query).id);
     }
 
     @Override
     public void abort(Query query) {
-        cluster.referee.failed(cluster.now(), open.remove(query).id);
+        cluster.checker.failed(cluster.now(), open.remove(query).id);
     }
 
     @Override
--- a/src/main/java/postbeam/testbed/trials/CoordinationTrial.java
+++ b/src/main/java/postbeam/testbed/trials/CoordinationTrial.java
@@ -96,7 +96,7 @@
                                 use.used() / use.budget(),
                                 world.fullest(),
                                 use.won(),
-                                hearsay.taken())),
+                                hearsay.countedAttempts())),
                 broken);
     }
 }
--- a/src/main/java/postbeam/testbed/trials/LoopbackReshardingTrial.java
+++ b/src/main/java/postbeam/testbed/trials/LoopbackReshardingTrial.java
@@ -110,10 +110,10 @@
             AtomicReference<Layout> layout = new AtomicReference<>();
             LongPollWatcher<Layout> watch =
                     LayoutWatch.of(
-                            cluster.layouts(),
+                            cluster.layoutServiceAddress(),
                             next -> {
                                 layout.set(next);
-                                generator.known(next);
+                                generator.onLayout(next);
                             });
             Thread watching = new Thread(watch, "trial layouts");
             watching.setDaemon(true);
@@ -125,7 +125,7 @@
             // often then.
             double rougher = defect == null ? 1 : 10;
             cluster.nodes.forEach(
-                    node -> node.troubles(BAD_ANSWERS * rougher, LATE_ANSWERS * rougher));
+                    node -> node.setFaultRates(BAD_ANSWERS * rougher, LATE_ANSWERS * rougher));
             Duration beat = defect == null ? recutEvery : recutEvery.dividedBy(5);
             Thread operators =
                     new Thread(
@@ -135,11 +135,13 @@
             generator.run(rate, length);
             operators.join();
             watch.stop();
-            cluster.referee.end(cluster.now());
+            cluster.checker.end(cluster.now());
             long usedMb =
                     (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 20;
             long over =
-                    cluster.movesSeen().stream().filter(move -> move.contains("forgotten")).count();
+                    cluster.describeMoves().stream()
+                            .filter(move -> move.contains("forgotten"))
+                            .count();
             figures.add(
                     String.format(
                             Locale.ROOT,
@@ -148,15 +150,15 @@
                                 + " last moves %d done",
                             seed,
                             recuts ? "re-cuts" : "none   ",
-                            generator.asked(),
-                            generator.inTime(),
-                            (double) cluster.referee.calls() / generator.asked(),
-                            generator.millis(99),
+                            generator.queriesSent(),
+                            generator.fractionInTime(),
+                            (double) cluster.checker.calls() / generator.queriesSent(),
+                            generator.latencyMillis(99),
                             usedMb,
                             layout.get().version,
                             generator.statuses(),
                             over));
-            broken.addAll(cluster.referee.broken());
+            broken.addAll(cluster.checker.violations());
         }
     }
 
@@ -179,16 +181,16 @@
                 beat++;
                 FakeDataNode node = cluster.nodes.get(chance.nextInt(cluster.nodes.size()));
                 if (beat % 7 == 3) {
-                    node.slow(8);
+                    node.setSlowdown(8);
                 } else if (beat % 7 == 5) {
-                    cluster.nodes.forEach(all -> all.slow(1));
+                    cluster.nodes.forEach(all -> all.setSlowdown(1));
                 }
                 if (recuts && beat % 11 == 6) {
                     cluster.stopService();
-                } else if (recuts && beat % 11 == 8 && !cluster.serving()) {
+                } else if (recuts && beat % 11 == 8 && !cluster.isServiceRunning()) {
                     cluster.startService();
                 }
-                if (recuts && cluster.serving()) {
+                if (recuts && cluster.isServiceRunning()) {
                     recut(cluster, layout.get(), chance);
                 }
             }
--- a/src/main/java/postbeam/testbed/trials/PagingTrial.java
+++ b/src/main/java/postbeam/testbed/trials/PagingTrial.java
@@ -31,7 +31,7 @@
     @Override
     public List<String> defects() {
         return Stream.of(DefectivePageAssembly.Defect.values())
-                .map(DefectivePageAssembly.Defect::spelt)
+                .map(DefectivePageAssembly.Defect::argumentName)
                 .toList();
     }
 
@@ -53,15 +53,15 @@
                                     + " ranges, %d short; %.2f rows fetched over rows given, %.2f"
                                     + " calls a page; layouts %d, cursors up to %d",
                                 seed,
-                                world.given(),
+                                world.rowsGiven(),
                                 world.rows(),
                                 world.pages(),
-                                world.pagesMissing(),
-                                world.pagesShort(),
-                                (double) world.fetched() / Math.max(1, world.given()),
+                                world.pagesWithMissingRanges(),
+                                world.truncatedPages(),
+                                (double) world.rowsFetched() / Math.max(1, world.rowsGiven()),
                                 (double) world.calls() / Math.max(1, world.pages()),
                                 world.layouts(),
-                                world.longestCursor())),
+                                world.maxCursorLength())),
                 broken);
     }
 }
--- a/src/main/java/postbeam/testbed/trials/ProcessClusterTrial.java
+++ b/src/main/java/postbeam/testbed/trials/ProcessClusterTrial.java
@@ -114,14 +114,14 @@
                             "seed %d: %d queries, %.4f in SLO time; %d calls, %d further, %d runs; "
                                     + "99th percentile %.0f ms; statuses %s",
                             seed,
-                            generator.asked(),
-                            generator.inTime(),
+                            generator.queriesSent(),
+                            generator.fractionInTime(),
                             judged.calls(),
-                            judged.further(),
+                            judged.retries(),
                             judged.runs(),
-                            generator.millis(99),
+                            generator.latencyMillis(99),
                             generator.statuses()));
-            broken.addAll(judged.broken());
+            broken.addAll(judged.violations());
         } catch (IOException e) {
             broken.add("the fleet broke: " + e);
         } catch (InterruptedException e) {
@@ -135,7 +135,7 @@
     private record Script(ProcessCluster fleet, UniformRandomProvider chance, boolean untold) {
         void play() throws IOException, InterruptedException {
             if (untold) {
-                fleet.pretendTold("n0");
+                fleet.pretendAnnounced("n0");
             }
             String down = null;
             String stopped = null;
@@ -144,16 +144,16 @@
                 Thread.sleep(BEAT + chance.nextInt(BEAT_MORE));
                 String router = "r" + chance.nextInt(ROUTERS);
                 String node = "n" + chance.nextInt(NODES);
-                FaultProxy way = fleet.way(router, node);
+                FaultProxy way = fleet.proxy(router, node);
                 switch (chance.nextInt(8)) {
                     case 0, 1 ->
                             way.set(
-                                    FaultProxy.Way.values()[chance.nextInt(2)],
+                                    FaultProxy.Direction.values()[chance.nextInt(2)],
                                     FaultProxy.Fault.values()[1 + chance.nextInt(2)],
                                     Duration.ZERO);
-                    case 2 -> way.both(FaultProxy.Fault.CUT, Duration.ZERO);
+                    case 2 -> way.setBoth(FaultProxy.Fault.CUT, Duration.ZERO);
                     case 3 ->
-                            way.both(
+                            way.setBoth(
                                     FaultProxy.Fault.values()[3 + chance.nextInt(2)],
                                     Duration.ofMillis(chance.nextInt(100)));
                     case 4 -> way.reset();
@@ -174,7 +174,7 @@
                     }
                     default -> {
                         if (stopped != null) {
-                            fleet.wake(stopped);
+                            fleet.resume(stopped);
                             stopped = null;
                         } else if (draining != null) {
                             fleet.tell(draining, "up");
@@ -191,7 +191,7 @@
             }
             fleet.healAll();
             if (stopped != null) {
-                fleet.wake(stopped);
+                fleet.resume(stopped);
             }
             if (down != null) {
                 fleet.start(down);
--- a/src/main/java/postbeam/testbed/trials/ReshardingTrial.java
+++ b/src/main/java/postbeam/testbed/trials/ReshardingTrial.java
@@ -79,14 +79,17 @@
                                 "seed %d: %d queries, %.3f in SLO time; %d calls, %.3f a query; %d"
                                         + " re-cuts planned, %d cut over, %d abandoned, layout %d",
                                 seed,
-                                cluster.asked(),
-                                (double) cluster.good() / Math.max(1, cluster.asked()),
-                                cluster.referee.calls(),
-                                (double) cluster.referee.calls() / Math.max(1, cluster.asked()),
-                                cluster.moves.begun(),
-                                cluster.moves.cut(),
-                                cluster.moves.abandoned(),
-                                cluster.told.get(cluster.told.size() - 1).version)),
+                                cluster.queriesSent(),
+                                (double) cluster.answeredInTime()
+                                        / Math.max(1, cluster.queriesSent()),
+                                cluster.checker.calls(),
+                                (double) cluster.checker.calls()
+                                        / Math.max(1, cluster.queriesSent()),
+                                cluster.moves.movesStarted(),
+                                cluster.moves.movesCutOver(),
+                                cluster.moves.movesAbandoned(),
+                                cluster.publishedLayouts.get(cluster.publishedLayouts.size() - 1)
+                                        .version)),
                 broken);
     }
 }
--- a/src/main/java/postbeam/testbed/trials/TrialCommand.java
+++ b/src/main/java/postbeam/testbed/trials/TrialCommand.java
@@ -157,13 +157,14 @@
                         .filter(
                                 seed -> {
                                     TrialResult result = trial.run(seed, plant);
-                                    if (range[1] - range[0] < 20 || !result.broken().isEmpty()) {
+                                    if (range[1] - range[0] < 20
+                                            || !result.violations().isEmpty()) {
                                         result.figures().forEach(out::line);
                                     }
-                                    result.broken().stream()
+                                    result.violations().stream()
                                             .limit(BROKEN_SHOWN)
                                             .forEach(line -> out.line("BROKEN " + line));
-                                    if (!result.broken().isEmpty()) {
+                                    if (!result.violations().isEmpty()) {
                                         out.line(
                                                 "again: java -jar target/postbeam.jar trial "
                                                         + trial.name()
@@ -173,7 +174,7 @@
                                                                 ? ""
                                                                 : " --plant " + plant));
                                     }
-                                    return !result.broken().isEmpty();
+                                    return !result.violations().isEmpty();
                                 })
                         .count();
         out.line(
--- a/src/main/java/postbeam/testbed/verification/InvariantChecker.java
+++ b/src/main/java/postbeam/testbed/verification/InvariantChecker.java
@@ -27,20 +27,20 @@
     private final Duration drainGrace;
     private final Rules rules;
     private final TreeMap<Long, Layout> layouts = new TreeMap<>();
-    private final Map<String, Watched> queries = new HashMap<>();
+    private final Map<String, ObservedQuery> queries = new HashMap<>();
     private final Map<String, Duration> drainingSince = new HashMap<>();
     private final Map<String, Duration> startedAt = new HashMap<>();
 
     /** Routers that are killed or stopped: what they had taken has lost its promise. */
     private final Set<String> away = new HashSet<>();
 
-    private final Map<String, Cold> cold = new HashMap<>();
+    private final Map<String, WarmingUpNode> warmingUpNodes = new HashMap<>();
     private final Map<String, Budget> budgets = new HashMap<>();
     private final Map<String, Long> versions = new HashMap<>();
     private final Map<String, Duration> versionAt = new HashMap<>();
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private long calls;
-    private long further;
+    private long retries;
     private long runs;
 
     /** What is counted on: zero spans and nulls where a rule is not stated. */
@@ -63,64 +63,64 @@
     }
 
     /** One slice that a client named, with its share. */
-    public record Wanted(int slice, KeyRange keys, double weight) {}
+    public record RequestedSlice(int slice, KeyRange keys, double weight) {}
 
     /** A value in an answer. */
     public record Value(KeyRange keys, String text) {}
 
-    private static final class Watched {
+    private static final class ObservedQuery {
         final String id;
         final String router;
         final Kind kind;
         final double need;
         final double floor;
         final long version;
-        final List<Wanted> wanted;
-        final Duration askedAt;
+        final List<RequestedSlice> requestedSlices;
+        final Duration sentAt;
         final Duration until;
         int firstCalls;
         int partsCounted;
         final Map<KeyRange, Duration> sent = new LinkedHashMap<>();
         final Map<KeyRange, Duration> ran = new LinkedHashMap<>();
-        final Map<String, KeyRange> out = new LinkedHashMap<>();
+        final Map<String, KeyRange> attemptsInFlight = new LinkedHashMap<>();
 
         /** What the client saw in place of an answer, for the verdict's reader. */
         String seenInstead = "";
 
         boolean answered;
-        boolean left;
+        boolean routerLost;
         boolean rejected;
 
-        Watched(
+        ObservedQuery(
                 String id,
                 String router,
                 Kind kind,
                 double need,
                 double floor,
                 long version,
-                List<Wanted> wanted,
+                List<RequestedSlice> wanted,
                 Duration askedAt,
                 Duration until) {
-            this.askedAt = askedAt;
+            this.sentAt = askedAt;
             this.id = id;
             this.router = router;
             this.kind = kind;
             this.need = need;
             this.floor = floor;
             this.version = version;
-            this.wanted = wanted;
+            this.requestedSlices = wanted;
             this.until = until;
         }
     }
 
     /** Work that cold nodes were sent, by time. */
-    private static final class Cold {
+    private static final class WarmingUpNode {
         final TreeMap<Duration, Double> work = new TreeMap<>();
     }
 
     private static final class Budget {
-        final TreeMap<Duration, Integer> taken = new TreeMap<>();
-        final TreeMap<Duration, Integer> further = new TreeMap<>();
+        final TreeMap<Duration, Integer> queriesAndParts = new TreeMap<>();
+        final TreeMap<Duration, Integer> retries = new TreeMap<>();
     }
 
     public InvariantChecker(Rules rules, Duration drainGrace, Duration slack) {
@@ -131,12 +131,12 @@
 
     // ---- what is seen
 
-    public synchronized void layout(Layout layout) {
+    public synchronized void onLayout(Layout layout) {
         layouts.put(layout.version, layout);
     }
 
     @Override
-    public synchronized void asked(
+    public synchronized void querySent(
             Duration now,
             String id,
             String router,
@@ -144,18 +144,19 @@
             double need,
             double floor,
             long version,
-            List<Wanted> wanted,
+            List<RequestedSlice> wanted,
             Duration until) {
-        queries.put(id, new Watched(id, router, kind, need, floor, version, wanted, now, until));
+        queries.put(
+                id, new ObservedQuery(id, router, kind, need, floor, version, wanted, now, until));
         // What counts as taken is the query and its parts, as the newest layout cuts them; more
         // come with their calls.
-        Watched q = queries.get(id);
-        q.left = away.contains(router);
+        ObservedQuery q = queries.get(id);
+        q.routerLost = away.contains(router);
         Layout newest = layouts.lastEntry().getValue();
         int parts = wanted.stream().mapToInt(one -> newest.overlapping(one.keys).size()).sum();
         q.partsCounted = Math.max(wanted.size(), parts);
         budgets.computeIfAbsent(router, key -> new Budget())
-                .taken
+                .queriesAndParts
                 .merge(now, 1 + q.partsCounted, Integer::sum);
     }
 
@@ -164,7 +165,7 @@
         away.add(router);
         queries.values().stream()
                 .filter(q -> q.router.equals(router) && !q.answered)
-                .forEach(q -> q.left = true);
+                .forEach(q -> q.routerLost = true);
     }
 
     public synchronized void routerBack(String router) {
@@ -174,10 +175,10 @@
     @Override
     public synchronized void nodeStarted(Duration now, String node) {
         startedAt.put(node, now);
-        cold.put(node, new Cold());
+        warmingUpNodes.put(node, new WarmingUpNode());
     }
 
-    public synchronized void told(Duration now, String node, boolean draining) {
+    public synchronized void onDrainingChanged(Duration now, String node, boolean draining) {
         if (draining) {
             drainingSince.putIfAbsent(node, now);
         } else {
@@ -199,15 +200,15 @@
             long version,
             Duration work) {
         calls++;
-        Watched q = queries.get(query);
+        ObservedQuery q = queries.get(query);
         if (q == null) {
             breaks(now, 5, query, part, "a part that no client asked for");
             return;
         }
-        if (q.wanted.stream().noneMatch(one -> one.keys.overlaps(keys))) {
+        if (q.requestedSlices.stream().noneMatch(one -> one.keys.overlaps(keys))) {
             breaks(now, 5, query, part, "keys that the client did not ask for: " + keys);
         }
-        if (q.answered && !q.left && now.compareTo(q.until.plus(slack)) > 0) {
+        if (q.answered && !q.routerLost && now.compareTo(q.until.plus(slack)) > 0) {
             breaks(now, 1, query, part, "sent after the client's time was up");
         }
         Duration since = drainingSince.get(node);
@@ -219,7 +220,8 @@
                     part,
                     "sent to " + node + ", which drains since " + since.toMillis() + " ms");
         }
-        if (q.kind != Kind.REPEATABLE && q.out.values().stream().anyMatch(keys::overlaps)) {
+        if (q.kind != Kind.REPEATABLE
+                && q.attemptsInFlight.values().stream().anyMatch(keys::overlaps)) {
             breaks(now, 2, query, part, "two calls out for the keys " + keys);
         }
         Duration first =
@@ -238,12 +240,12 @@
         }
         boolean again = q.sent.keySet().stream().anyMatch(keys::overlaps);
         q.sent.putIfAbsent(keys, now);
-        q.out.put(part, keys);
+        q.attemptsInFlight.put(part, keys);
         if (again) {
-            further++;
+            retries++;
             budget(now, q, part);
         } else if (++q.firstCalls > q.partsCounted) {
-            budgets.get(q.router).taken.merge(q.askedAt, 1, Integer::sum);
+            budgets.get(q.router).queriesAndParts.merge(q.sentAt, 1, Integer::sum);
         }
         coldCheck(now, node, query, part, work);
         long highest = versions.getOrDefault(q.router, 0L);
@@ -260,17 +262,17 @@
         }
     }
 
-    private void budget(Duration now, Watched q, String part) {
+    private void budget(Duration now, ObservedQuery q, String part) {
         Budget budget = budgets.get(q.router);
-        budget.further.merge(now, 1, Integer::sum);
+        budget.retries.merge(now, 1, Integer::sum);
         if (rules.furtherSpan != null) {
             Duration from = now.minus(rules.furtherSpan);
             int made =
-                    budget.further.tailMap(from).values().stream()
+                    budget.retries.tailMap(from).values().stream()
                             .mapToInt(Integer::intValue)
                             .sum();
             int taken =
-                    budget.taken.tailMap(from.minus(slack)).values().stream()
+                    budget.queriesAndParts.tailMap(from.minus(slack)).values().stream()
                             .mapToInt(Integer::intValue)
                             .sum();
             if (made > rules.freeFurther + rules.furtherShare * taken + 1) {
@@ -286,7 +288,7 @@
                 || now.minus(started).compareTo(rules.ramp) >= 0) {
             return;
         }
-        TreeMap<Duration, Double> sent = cold.get(node).work;
+        TreeMap<Duration, Double> sent = warmingUpNodes.get(node).work;
         sent.merge(now, work.toNanos() / 1e9, Double::sum);
         double sum =
                 sent.tailMap(now.minus(rules.fall)).values().stream()
@@ -312,7 +314,7 @@
     @Override
     public synchronized void ran(Duration now, String query, String part, KeyRange keys) {
         runs++;
-        Watched q = queries.get(query);
+        ObservedQuery q = queries.get(query);
         if (q == null) {
             return;
         }
@@ -334,21 +336,21 @@
 
     /** The call is over for its node: it has answered, or can do nothing more. */
     @Override
-    public synchronized void over(String query, String part) {
-        Watched q = queries.get(query);
+    public synchronized void callEnded(String query, String part) {
+        ObservedQuery q = queries.get(query);
         if (q != null) {
-            q.out.remove(part);
+            q.attemptsInFlight.remove(part);
         }
     }
 
     synchronized void left(String query) {
-        queries.get(query).left = true;
+        queries.get(query).routerLost = true;
     }
 
     /** A rejection: asking again must be harmless. */
     @Override
     public synchronized void rejected(Duration now, String query) {
-        Watched q = finished(now, query);
+        ObservedQuery q = finished(now, query);
         q.rejected = true;
         if (q.kind != Kind.REPEATABLE && !q.ran.isEmpty()) {
             breaks(now, 2, query, "-", "rejected though the keys " + q.ran.keySet() + " have run");
@@ -368,7 +370,7 @@
     public synchronized void unanswered(Duration now, String query, String seen) {
         queries.get(query).seenInstead =
                 "; its client saw after "
-                        + now.minus(queries.get(query).askedAt).toMillis()
+                        + now.minus(queries.get(query).sentAt).toMillis()
                         + " ms: "
                         + seen;
     }
@@ -377,7 +379,7 @@
     @Override
     public synchronized void answered(
             Duration now, String query, boolean whole, long counted, List<Value> values) {
-        Watched q = finished(now, query);
+        ObservedQuery q = finished(now, query);
         List<KeyRange> in = new ArrayList<>();
         for (Value value : values) {
             if (!value.text.equals(valueOf(query, value.keys))) {
@@ -413,13 +415,13 @@
         }
     }
 
-    private Watched finished(Duration now, String query) {
-        Watched q = queries.get(query);
+    private ObservedQuery finished(Duration now, String query) {
+        ObservedQuery q = queries.get(query);
         if (q.answered) {
             breaks(now, 1, query, "-", "a second final answer");
         }
         q.answered = true;
-        if (!q.left && now.compareTo(q.until.plus(slack)) > 0) {
+        if (!q.routerLost && now.compareTo(q.until.plus(slack)) > 0) {
             breaks(
                     now,
                     1,
@@ -432,8 +434,8 @@
 
     /** At the end of a run: whoever still has no answer will have none. */
     public synchronized void end(Duration now) {
-        for (Watched q : queries.values()) {
-            if (!q.answered && !q.left && now.compareTo(q.until.plus(slack)) > 0) {
+        for (ObservedQuery q : queries.values()) {
+            if (!q.answered && !q.routerLost && now.compareTo(q.until.plus(slack)) > 0) {
                 breaks(now, 1, q.id, "-", "no answer" + q.seenInstead);
             }
         }
@@ -454,20 +456,20 @@
         return held == keys.size();
     }
 
-    private static double weight(Watched q, long version, List<KeyRange> in) {
-        return q.wanted.stream()
+    private static double weight(ObservedQuery q, long version, List<KeyRange> in) {
+        return q.requestedSlices.stream()
                 .filter(one -> covered(one.keys, in))
-                .mapToDouble(Wanted::weight)
+                .mapToDouble(RequestedSlice::weight)
                 .sum();
     }
 
     /** By the slices of another layout: one counts with all that the query wants of it. */
-    private static double weightBy(Watched q, Layout layout, List<KeyRange> in) {
+    private static double weightBy(ObservedQuery q, Layout layout, List<KeyRange> in) {
         double sum = 0;
-        for (Wanted one : q.wanted) {
+        for (RequestedSlice one : q.requestedSlices) {
             for (Slice slice : layout.overlapping(one.keys)) {
                 boolean all = true;
-                for (Wanted other : q.wanted) {
+                for (RequestedSlice other : q.requestedSlices) {
                     all &=
                             !other.keys.overlaps(slice.keys())
                                     || covered(other.keys.intersection(slice.keys()), in);
@@ -479,7 +481,7 @@
     }
 
     private void breaks(Duration now, int rule, String query, String part, String what) {
-        broken.add(
+        violations.add(
                 "rule "
                         + rule
                         + ", query "
@@ -492,16 +494,16 @@
                         + what);
     }
 
-    public synchronized List<String> broken() {
-        return List.copyOf(broken);
+    public synchronized List<String> violations() {
+        return List.copyOf(violations);
     }
 
     public synchronized long calls() {
         return calls;
     }
 
-    public synchronized long further() {
-        return further;
+    public synchronized long retries() {
+        return retries;
     }
 
     public synchronized long runs() {
--- a/src/main/java/postbeam/testbed/verification/ObservedCalls.java
+++ b/src/main/java/postbeam/testbed/verification/ObservedCalls.java
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public void asked(
+    public void querySent(
             Duration now,
             String id,
             String router,
@@ -41,9 +41,9 @@
             double need,
             double floor,
             long version,
-            List<InvariantChecker.Wanted> wanted,
+            List<InvariantChecker.RequestedSlice> wanted,
             Duration until) {
-        add(now, to -> to.asked(now, id, router, kind, need, floor, version, wanted, until));
+        add(now, to -> to.querySent(now, id, router, kind, need, floor, version, wanted, until));
     }
 
     @Override
@@ -119,7 +119,7 @@
                                             Long.parseLong(words[7]),
                                             Duration.ofNanos(Long.parseLong(words[8])));
                     case "ran" -> to -> to.ran(at, words[2], words[3], keys(words, 4));
-                    case "over" -> to -> to.over(words[2], words[3]);
+                    case "over" -> to -> to.callEnded(words[2], words[3]);
                     default ->
                             throw new IllegalArgumentException(
                                     "not what a node writes: " + words[0]);
@@ -192,7 +192,7 @@
         }
 
         @Override
-        public void over(String query, String part) {
+        public void callEnded(String query, String part) {
             write("over", now(), query, part);
         }
 
--- a/src/main/java/postbeam/testbed/verification/RunObserver.java
+++ b/src/main/java/postbeam/testbed/verification/RunObserver.java
@@ -10,7 +10,7 @@
 
     /** What is seen where clients are. */
     public interface ClientObserver {
-        void asked(
+        void querySent(
                 Duration now,
                 String id,
                 String router,
@@ -18,7 +18,7 @@
                 double need,
                 double floor,
                 long version,
-                List<InvariantChecker.Wanted> wanted,
+                List<InvariantChecker.RequestedSlice> wanted,
                 Duration until);
 
         void rejected(Duration now, String query);
@@ -51,6 +51,6 @@
 
         void ran(Duration now, String query, String part, KeyRange keys);
 
-        void over(String query, String part);
+        void callEnded(String query, String part);
     }
 }
--- a/src/main/java/postbeam/testbed/verification/SlowStartUsage.java
+++ b/src/main/java/postbeam/testbed/verification/SlowStartUsage.java
@@ -14,7 +14,7 @@
 
     private final List<Take> takes = new ArrayList<>();
 
-    public synchronized void taken(Duration begun, Duration ended, double work) {
+    public synchronized void record(Duration begun, Duration ended, double work) {
         takes.add(new Take(begun, ended, work));
     }
 
@@ -23,7 +23,7 @@
     }
 
     /** The most work that any window surely holds. */
-    public synchronized double most(Duration window) {
+    public synchronized double maxWorkIn(Duration window) {
         double most = 0;
         for (Take first : takes) {
             Duration end = first.begun.plus(window);
--- a/src/main/java/postbeam/testbed/verification/TrialResult.java
+++ b/src/main/java/postbeam/testbed/verification/TrialResult.java
@@ -8,4 +8,4 @@
  * @param figures measured figures, a line each
  * @param broken broken rules, a line each; empty where all rules held
  */
-public record TrialResult(List<String> figures, List<String> broken) {}
+public record TrialResult(List<String> figures, List<String> violations) {}
--- a/src/test/java/postbeam/coordination/CoordinationIT.java
+++ b/src/test/java/postbeam/coordination/CoordinationIT.java
@@ -20,7 +20,7 @@
  */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class CoordinationIT {
-    private static final ProcessCluster.Altered AS_IT_IS = (all, file, text) -> text;
+    private static final ProcessCluster.FileRewriter AS_IT_IS = (all, file, text) -> text;
 
     /** Queries a second. */
     private static final double RATE = 100;
@@ -33,7 +33,8 @@
     private ProcessCluster cluster;
     private ProcessCluster.Clients clients;
 
-    private void stage(int nodes, int routers, ProcessCluster.Altered altered) throws Exception {
+    private void stage(int nodes, int routers, ProcessCluster.FileRewriter altered)
+            throws Exception {
         cluster =
                 new ProcessCluster(
                         new ProcessCluster.Size(
@@ -61,13 +62,13 @@
         cluster.kill("n1");
         for (String router : List.of("r0", "r1")) {
             for (String far : List.of("n2", "n3", "r2", "r3", "r4")) {
-                cluster.way(router, far).both(FaultProxy.Fault.CUT, Duration.ZERO);
-                cluster.way(far, router).both(FaultProxy.Fault.CUT, Duration.ZERO);
+                cluster.proxy(router, far).setBoth(FaultProxy.Fault.CUT, Duration.ZERO);
+                cluster.proxy(far, router).setBoth(FaultProxy.Fault.CUT, Duration.ZERO);
             }
         }
         cluster.start("n0", "n1");
         for (String node : List.of("n0", "n1")) {
-            cluster.until(node + " carries work", () -> cluster.calls(node) > 80);
+            cluster.awaitCondition(node + " carries work", () -> cluster.calls(node) > 80);
         }
         cluster.healAll();
         clients.allServe();
@@ -77,16 +78,19 @@
     @Test
     void waysCutInOneDirectionOnlyCostNoPromise() throws Exception {
         stage(5, 3, AS_IT_IS);
-        cluster.way("r0", "n0").set(FaultProxy.Way.THERE, FaultProxy.Fault.CUT, Duration.ZERO);
-        cluster.way("r1", "n0").set(FaultProxy.Way.BACK, FaultProxy.Fault.CUT, Duration.ZERO);
-        cluster.way("r2", "n1").set(FaultProxy.Way.BACK, FaultProxy.Fault.SILENT, Duration.ZERO);
-        cluster.way("r2", ProcessCluster.DISCOVERY)
-                .set(FaultProxy.Way.BACK, FaultProxy.Fault.CUT, Duration.ZERO);
-        cluster.way("r1", "n2").both(FaultProxy.Fault.REORDER, Duration.ofMillis(50));
-        cluster.way("r0", "n3").both(FaultProxy.Fault.DELAY, Duration.ofMillis(30));
+        cluster.proxy("r0", "n0")
+                .set(FaultProxy.Direction.TO_TARGET, FaultProxy.Fault.CUT, Duration.ZERO);
+        cluster.proxy("r1", "n0")
+                .set(FaultProxy.Direction.FROM_TARGET, FaultProxy.Fault.CUT, Duration.ZERO);
+        cluster.proxy("r2", "n1")
+                .set(FaultProxy.Direction.FROM_TARGET, FaultProxy.Fault.SILENT, Duration.ZERO);
+        cluster.proxy("r2", ProcessCluster.DISCOVERY)
+                .set(FaultProxy.Direction.FROM_TARGET, FaultProxy.Fault.CUT, Duration.ZERO);
+        cluster.proxy("r1", "n2").setBoth(FaultProxy.Fault.REORDER, Duration.ofMillis(50));
+        cluster.proxy("r0", "n3").setBoth(FaultProxy.Fault.DELAY, Duration.ofMillis(30));
         clients.allServe();
         cluster.healAll();
-        cluster.way("r0", "n1").reset();
+        cluster.proxy("r0", "n1").reset();
         clients.allServe();
         assertEquals(List.of(), clients.broken());
     }
@@ -114,8 +118,8 @@
         cluster.kill("n0");
         cluster.start("n0");
         cluster.tell("n3", "draining");
-        cluster.until("the others serve", () -> cluster.calls("n0") > 30);
-        cluster.wake("r0");
+        cluster.awaitCondition("the others serve", () -> cluster.calls("n0") > 30);
+        cluster.resume("r0");
         clients.allServe();
         assertEquals(List.of(), clients.broken());
     }
@@ -167,7 +171,7 @@
             assertTrue(starts++ < COLD_STARTS, "in no cold start was n0 sent too much");
             cluster.kill("n0");
             cluster.start("n0");
-            cluster.until("n0 carries work", () -> cluster.calls("n0") > 100);
+            cluster.awaitCondition("n0 carries work", () -> cluster.calls("n0") > 100);
         } while (!sentTooMuch("n0"));
         System.out.println("sent too much in cold start " + starts);
         List<String> broken = clients.broken();
--- a/src/test/java/postbeam/coordination/CoordinationWithSlicesIT.java
+++ b/src/test/java/postbeam/coordination/CoordinationWithSlicesIT.java
@@ -69,10 +69,10 @@
     }
 
     private void atRest() throws Exception {
-        cluster.until(
+        cluster.awaitCondition(
                 "no move is under way",
                 () -> cluster.get(ProcessCluster.LAYOUTS, "/v1/status").contains("\"moves\":[]"));
-        cluster.until(
+        cluster.awaitCondition(
                 "the layout is known",
                 () ->
                         cluster.get(ProcessCluster.LAYOUTS, "/v1/status")
@@ -80,7 +80,7 @@
     }
 
     private void sound() throws Exception {
-        cluster.until(
+        cluster.awaitCondition(
                 "the layout is sound",
                 () -> cluster.get(ProcessCluster.LAYOUTS, "/v1/verify").startsWith("sound"));
         clients.allServe();
@@ -110,9 +110,9 @@
      */
     @Test
     void movesComeToAnEndThoughNodesAndWaysFail() throws Exception {
-        cluster.way(ProcessCluster.LAYOUTS, "n3")
-                .set(FaultProxy.Way.BACK, FaultProxy.Fault.CUT, Duration.ZERO);
-        cluster.way("r0", ProcessCluster.LAYOUTS).both(FaultProxy.Fault.CUT, Duration.ZERO);
+        cluster.proxy(ProcessCluster.LAYOUTS, "n3")
+                .set(FaultProxy.Direction.FROM_TARGET, FaultProxy.Fault.CUT, Duration.ZERO);
+        cluster.proxy("r0", ProcessCluster.LAYOUTS).setBoth(FaultProxy.Fault.CUT, Duration.ZERO);
         cluster.post(ProcessCluster.LAYOUTS, "/v1/start", change());
         atRest();
         cluster.post(ProcessCluster.LAYOUTS, "/v1/start", change());
@@ -131,7 +131,7 @@
     void aSecondLayoutServiceIsRefusedThoughTheFirstIsStopped() throws Exception {
         cluster.stop(ProcessCluster.LAYOUTS);
         Path other =
-                cluster.besides(
+                cluster.writeFile(
                         "other.json5",
                         Files.readString(cluster.file("layouts.json5"))
                                 .replace(
@@ -139,7 +139,7 @@
                                         LoopbackCluster.freeAddress()));
         Process second =
                 new ProcessBuilder(
-                                ProcessCluster.built(
+                                ProcessCluster.postbeamCommand(
                                         "layouts", "serve", "--settings", other.toString()))
                         .redirectErrorStream(true)
                         .start();
@@ -151,10 +151,10 @@
         } finally {
             second.destroyForcibly().waitFor();
         }
-        cluster.wake(ProcessCluster.LAYOUTS);
+        cluster.resume(ProcessCluster.LAYOUTS);
         long before = cluster.layout().version;
         assertTrue(cluster.post(ProcessCluster.LAYOUTS, "/v1/start", change()).startsWith("move"));
-        cluster.until("the move is done", () -> cluster.layout().version > before);
+        cluster.awaitCondition("the move is done", () -> cluster.layout().version > before);
         sound();
     }
 }
--- a/src/test/java/postbeam/coordination/LeaderElectionIT.java
+++ b/src/test/java/postbeam/coordination/LeaderElectionIT.java
@@ -67,7 +67,7 @@
                         .append(
                                 other.equals(name)
                                         ? all.address(name)
-                                        : all.way(name, other).address())
+                                        : all.proxy(name, other).address())
                         .append("\"},");
             }
         }
@@ -95,7 +95,7 @@
                                 "/together/v1/take",
                                 "{\"node\":\"n0\",\"incarnation\":7,\"work\":" + WORK + "}")
                         .contains("\"taken\":true")) {
-                    takes.taken(begun, cluster.now(), WORK);
+                    takes.record(begun, cluster.now(), WORK);
                     byRouter.incrementAndGet(router);
                 }
                 Thread.sleep(5);
@@ -122,7 +122,7 @@
     /** Waits for one that grants, other than this; null where it can be any. */
     private String keeper(String notThis) throws Exception {
         String[] found = new String[1];
-        cluster.until(
+        cluster.awaitCondition(
                 "a keeper grants",
                 () -> {
                     for (int i = 0; i < ROUTERS; i++) {
@@ -143,12 +143,13 @@
     private void takes(int... routers) throws Exception {
         for (int router : routers) {
             AtomicInteger before = new AtomicInteger(byRouter.get(router));
-            cluster.until("r" + router + " takes", () -> byRouter.get(router) > before.get() + 3);
+            cluster.awaitCondition(
+                    "r" + router + " takes", () -> byRouter.get(router) > before.get() + 3);
         }
     }
 
     private void within() {
-        double most = takes.most(WINDOW);
+        double most = takes.maxWorkIn(WINDOW);
         System.out.println(
                 takes.count() + " takes, at most " + most + " of " + BUDGET + " in a window");
         assertTrue(most <= BUDGET + 1e-9, "taken in a window: " + most);
@@ -178,13 +179,13 @@
         cluster.stop(first);
         String second = keeper(first);
         takes(Integer.parseInt(second.substring(1)));
-        cluster.wake(first);
+        cluster.resume(first);
         takes(0, 1, 2, 3, 4);
         for (String one : List.of("r0", "r1")) {
             for (String other : List.of("r2", "r3", "r4")) {
-                cluster.way(one, other).both(FaultProxy.Fault.CUT, Duration.ZERO);
-                cluster.way(other, one)
-                        .set(FaultProxy.Way.BACK, FaultProxy.Fault.CUT, Duration.ZERO);
+                cluster.proxy(one, other).setBoth(FaultProxy.Fault.CUT, Duration.ZERO);
+                cluster.proxy(other, one)
+                        .set(FaultProxy.Direction.FROM_TARGET, FaultProxy.Fault.CUT, Duration.ZERO);
             }
         }
         // The cut ones have their reserve, the others go on.
@@ -198,7 +199,8 @@
     void routersThatEachThinkTheyAreAloneAreCaught() throws Exception {
         stage(true);
         takes(0, 1, 2, 3, 4, 0, 1, 2, 3, 4);
-        cluster.until("the budget is passed", () -> takes.most(WINDOW) > BUDGET + WORK);
+        cluster.awaitCondition(
+                "the budget is passed", () -> takes.maxWorkIn(WINDOW) > BUDGET + WORK);
         assertEquals(5, askers.size());
     }
 }
--- a/src/test/java/postbeam/layoutservice/LayoutServiceIT.java
+++ b/src/test/java/postbeam/layoutservice/LayoutServiceIT.java
@@ -144,7 +144,7 @@
                 "0 move 1: split 0 at [100]",
                 layouts("start", "--change", "{\"split\": 0, \"at\": [100]}"));
         until(() -> layouts("verify").equals("0 sound: layout 2, 5 slices"));
-        nodes.get(2).hang(true);
+        nodes.get(2).setHanging(true);
         assertEquals(
                 "0 move 2: move 4 from n0 to n2",
                 layouts("start", "--change", "{\"move\": 4, \"off\": \"n0\", \"onto\": \"n2\"}"));
@@ -153,7 +153,7 @@
         serve();
         until(() -> layouts("status").contains("COPYING"));
         assertEquals("0 move 2 is being abandoned", layouts("abandon", "--move", "2"));
-        nodes.get(2).hang(false);
+        nodes.get(2).setHanging(false);
         until(() -> layouts("status").contains("ABANDONED"));
         until(() -> layouts("verify").equals("0 sound: layout 3, 5 slices"));
         assertTrue(layouts("show").contains("\"version\":3"));
--- a/src/test/java/postbeam/migration/MigrationIT.java
+++ b/src/test/java/postbeam/migration/MigrationIT.java
@@ -201,7 +201,7 @@
 
     /** Sends holds for slices 0 to 3, one after the other, until the test is over. */
     private Thread holds(String router) {
-        checker.layout(Layout.initial(4, List.of("n0", "n1"), 2));
+        checker.onLayout(Layout.initial(4, List.of("n0", "n1"), 2));
         Thread thread =
                 new Thread(
                         () -> {
@@ -212,7 +212,7 @@
                                         new KeyRange(
                                                 KeyRange.KEY_SPACE_SIZE / 4 * slice,
                                                 KeyRange.KEY_SPACE_SIZE / 4 * (slice + 1));
-                                checker.asked(
+                                checker.querySent(
                                         now(),
                                         id,
                                         "r",
@@ -220,7 +220,9 @@
                                         1,
                                         1,
                                         1,
-                                        List.of(new InvariantChecker.Wanted(slice, keys, 1)),
+                                        List.of(
+                                                new InvariantChecker.RequestedSlice(
+                                                        slice, keys, 1)),
                                         now().plus(PATIENCE));
                                 try {
                                     int status =
@@ -270,7 +272,7 @@
     private void nothingRanTwice() {
         assertEquals(
                 List.of(),
-                checker.broken().stream().filter(line -> line.startsWith("rule 2")).toList());
+                checker.violations().stream().filter(line -> line.startsWith("rule 2")).toList());
     }
 
     /** The checkpoint that is open: version and digest. */
--- a/src/test/java/postbeam/pages/PagesIT.java
+++ b/src/test/java/postbeam/pages/PagesIT.java
@@ -88,7 +88,7 @@
                                     checker, () -> Duration.ZERO, new ConcurrentHashMap<>()),
                             RandomSource.XO_RO_SHI_RO_128_PP.create(i),
                             false);
-            node.rows(rows);
+            node.setRows(rows);
             nodes.add(node);
             discovery.tell(node, "up", 0);
         }
@@ -315,7 +315,7 @@
             } else if (pages == 4) {
                 change("{\"move\": 2, \"off\": \"n2\", \"onto\": \"n0\"}", "layout 3, 5 slices");
                 // One of two holders spoils the order from now on: what it says is not merged.
-                nodes.get(1).spoilOrder(true);
+                nodes.get(1).setSwapsRows(true);
             } else if (pages == 6) {
                 change("{\"merge\": [4, 5]}", "layout 4, 4 slices");
                 routers.get(0).destroyForcibly().waitFor();
@@ -348,14 +348,14 @@
         List<Row> chain = new ArrayList<>();
         Map<String, Object> page = page(0, first(50), chain);
         // The slice of these two is gone.
-        nodes.get(0).die();
-        nodes.get(1).die();
+        nodes.get(0).crash();
+        nodes.get(1).crash();
         page = page(1, next(50, (String) page.get("cursor")), chain);
         assertEquals(
                 List.of(Map.of("from", 0, "to", KeyRange.KEY_SPACE_SIZE / 4)), page.get("missing"));
         assertEquals(false, page.get("total"));
-        nodes.get(0).back();
-        nodes.get(1).back();
+        nodes.get(0).restart();
+        nodes.get(1).restart();
         int router = 2;
         while (page.get("cursor") != null) {
             Map<String, Object> came =
--- a/src/test/java/postbeam/router/RouterIT.java
+++ b/src/test/java/postbeam/router/RouterIT.java
@@ -69,7 +69,7 @@
     @BeforeEach
     void standIns() throws IOException {
         node = node();
-        discovery = discovery(node.entry("n1", "up"));
+        discovery = discovery(node.hostEntry("n1", "up"));
     }
 
     private ScriptedDataNode node() throws IOException {
@@ -408,7 +408,7 @@
         serving();
         assertEquals("200", status(query("lookup", "q1", 3000, 0)).substring(0, 3));
         ScriptedDataNode moved = node();
-        discovery.tell(moved.entry("n1", "up"));
+        discovery.tell(moved.hostEntry("n1", "up"));
         until(
                 () ->
                         status(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200")
@@ -416,17 +416,17 @@
         discovery.tellHalf();
         until(() -> log.stream().anyMatch(line -> line.contains("discovery answers again")));
         assertEquals("200", status(query("lookup", "q3", 3000, 0)).substring(0, 3));
-        discovery.tell(moved.entry("n1", "draining"));
+        discovery.tell(moved.hostEntry("n1", "draining"));
         until(() -> status(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("503"));
         discovery.tell("");
-        until(() -> discovery.asked.stream().anyMatch(path -> path.contains("index=5")));
+        until(() -> discovery.requestedPaths.stream().anyMatch(path -> path.contains("index=5")));
         assertEquals("503", status(query("lookup", "q4", 3000, 0)).substring(0, 3));
     }
 
     @Test
     void whileDiscoveryIsSilentTheListHeldLastServes() throws Exception {
         discovery.server.close();
-        run(config("{\"seq\":7,\"whole\":true,\"hosts\":[" + node.entry("n1", "up") + "]}"));
+        run(config("{\"seq\":7,\"whole\":true,\"hosts\":[" + node.hostEntry("n1", "up") + "]}"));
         until(() -> status(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200"));
     }
 
@@ -480,7 +480,7 @@
         String config = config("null");
         serving(config);
         ScriptedDataNode second = node();
-        FakeDiscovery next = discovery(second.entry("n2", "up"));
+        FakeDiscovery next = discovery(second.hostEntry("n2", "up"));
         String moved =
                 config.replace(
                         "127.0.0.1:" + discovery.server.getLocalPort(),
@@ -692,7 +692,7 @@
     @Test
     void anAddressInUseEndsTheStart() throws Exception {
         String config = config("null");
-        String taken = config.replace(address, node.dial());
+        String taken = config.replace(address, node.dialAddress());
         run(taken);
         assertTrue(program.waitFor(LONG, TimeUnit.SECONDS));
         assertEquals(1, program.exitValue());
@@ -747,8 +747,8 @@
                 fillers.add(new Socket(HERE, full.getLocalPort()));
             }
             discovery.tell(
-                    node.entry("n1", "up")
-                            .replace(node.dial(), "127.0.0.1:" + full.getLocalPort()));
+                    node.hostEntry("n1", "up")
+                            .replace(node.dialAddress(), "127.0.0.1:" + full.getLocalPort()));
             until(
                     () ->
                             status(query("lookup", "q" + System.nanoTime(), 3000, 0))
@@ -925,8 +925,9 @@
     private void gone(boolean clientFirst) throws Exception {
         try (Full full = new Full()) {
             discovery.tell(
-                    node.entry("n1", "up")
-                            .replace(node.dial(), "127.0.0.1:" + full.server.getLocalPort()));
+                    node.hostEntry("n1", "up")
+                            .replace(
+                                    node.dialAddress(), "127.0.0.1:" + full.server.getLocalPort()));
             serving(
                     config("null")
                             .replace("\"connectTimeout\":250000", "\"connectTimeout\":8000000"));
@@ -959,8 +960,8 @@
     void aCallThatWaitsForItsConnectionIsNotWrittenOnceItsNodeIsToldToDrain() throws Exception {
         try (Full full = new Full()) {
             String entry =
-                    node.entry("n1", "up")
-                            .replace(node.dial(), "127.0.0.1:" + full.server.getLocalPort());
+                    node.hostEntry("n1", "up")
+                            .replace(node.dialAddress(), "127.0.0.1:" + full.server.getLocalPort());
             discovery.tell(entry);
             serving(
                     config("null")
@@ -968,9 +969,9 @@
             try (Socket client = connect()) {
                 write(client, query("hold", "q1", 9000, 0));
                 until(() -> connecting(full.server.getLocalPort()));
-                int asked = discovery.asked.size();
+                int asked = discovery.requestedPaths.size();
                 discovery.tell(entry.replace("\"up\"", "\"draining\""));
-                until(() -> discovery.asked.size() > asked);
+                until(() -> discovery.requestedPaths.size() > asked);
                 try (Socket late = full.next()) {
                     assertEquals("", firstOn(late, 500));
                 }
@@ -994,15 +995,15 @@
                 Socket client = connect()) {
             write(client, query("lookup", "q1", 9000, 0));
             frame("m q1.0");
-            int asked = discovery.asked.size();
+            int asked = discovery.requestedPaths.size();
             discovery.tell(
-                    node.entry("n1", "up")
+                    node.hostEntry("n1", "up")
                             + ","
-                            + node.entry("n2", "up")
+                            + node.hostEntry("n2", "up")
                                     .replace(
-                                            node.dial(),
+                                            node.dialAddress(),
                                             "127.0.0.1:" + full.server.getLocalPort()));
-            until(() -> discovery.asked.size() > asked);
+            until(() -> discovery.requestedPaths.size() > asked);
             node.sockets.get(0).setSoLinger(true, 0);
             node.sockets.get(0).close();
             until(() -> connecting(full.server.getLocalPort()));
@@ -1042,14 +1043,14 @@
         serving();
         assertEquals("200", status(query("lookup", "q0", 3000, 0)).substring(0, 3));
         for (int i = 1; i <= 3; i++) {
-            discovery.tell(node.entry("n1", "up"));
+            discovery.tell(node.hostEntry("n1", "up"));
             until(
                     () ->
                             status(query("lookup", "q" + System.nanoTime(), 3000, 0))
                                     .startsWith("200"));
             held();
             Thread.sleep(6000);
-            discovery.tell(node.entry("n1", "draining"));
+            discovery.tell(node.hostEntry("n1", "draining"));
             try (Socket client = connect()) {
                 write(client, query("hold", "stood" + i, 3000, 0));
                 signal("CONT");
@@ -1141,7 +1142,7 @@
                             return null;
                         });
         until(() -> descriptors() > 110);
-        FakeDiscovery back = discovery(node.entry("n1", "draining"));
+        FakeDiscovery back = discovery(node.hostEntry("n1", "draining"));
         long start = System.nanoTime();
         reload(config.replace("127.0.0.1:" + discovery.server.getLocalPort(), back.address()));
         until(() -> status(query("hold", "q" + System.nanoTime(), 900, 0)).startsWith("503"));
@@ -1154,7 +1155,7 @@
     @Test
     void withoutDiscoveryItIsReadyByTheListHeldLastWithinTenSeconds() throws Exception {
         discovery.server.close();
-        run(config("{\"seq\":7,\"whole\":true,\"hosts\":[" + node.entry("n1", "up") + "]}"));
+        run(config("{\"seq\":7,\"whole\":true,\"hosts\":[" + node.hostEntry("n1", "up") + "]}"));
         long start = System.nanoTime();
         until(
                 () ->
--- a/src/test/java/postbeam/testbed/cluster/FaultProxyTest.java
+++ b/src/test/java/postbeam/testbed/cluster/FaultProxyTest.java
@@ -103,7 +103,7 @@
         Pair other = pair();
         passes(one.near, one.far, 1);
         passes(other.far, other.near, 2);
-        assertEquals(2, proxy.open());
+        assertEquals(2, proxy.openConnections());
         one.near.shutdownOutput();
         assertEquals(-1, one.far.getInputStream().read());
         passes(one.far, one.near, 3);
@@ -114,7 +114,7 @@
     @Test
     void cutNothingPassesNothingComesUpAndTheEndResets() throws IOException {
         Pair one = pair();
-        proxy.both(FaultProxy.Fault.CUT, Duration.ZERO);
+        proxy.setBoth(FaultProxy.Fault.CUT, Duration.ZERO);
         one.near.getOutputStream().write(1);
         one.far.getOutputStream().write(2);
         neverComes(one.far);
@@ -134,13 +134,13 @@
     @Test
     void cutOneWayTheOtherStillPasses() throws IOException {
         Pair one = pair();
-        proxy.set(FaultProxy.Way.BACK, FaultProxy.Fault.CUT, Duration.ZERO);
+        proxy.set(FaultProxy.Direction.FROM_TARGET, FaultProxy.Fault.CUT, Duration.ZERO);
         passes(one.near, one.far, 1);
         one.far.getOutputStream().write(2);
         neverComes(one.near);
         proxy.heal();
         Pair other = pair();
-        proxy.set(FaultProxy.Way.THERE, FaultProxy.Fault.CUT, Duration.ZERO);
+        proxy.set(FaultProxy.Direction.TO_TARGET, FaultProxy.Fault.CUT, Duration.ZERO);
         passes(other.far, other.near, 3);
         other.near.getOutputStream().write(4);
         neverComes(other.far);
@@ -149,7 +149,7 @@
     @Test
     void silentAConnectionComesUpAndWhatIsSentIsTakenAndLost() throws IOException {
         Pair one = pair();
-        proxy.both(FaultProxy.Fault.SILENT, Duration.ZERO);
+        proxy.setBoth(FaultProxy.Fault.SILENT, Duration.ZERO);
         // More than all buffers on the way hold: it is really taken.
         one.near.getOutputStream().write(new byte[32 << 20]);
         Socket late = dial();
@@ -163,7 +163,7 @@
     @Test
     void aCutWayTakesNoMoreThanItsBuffers() throws Exception {
         Pair one = pair();
-        proxy.both(FaultProxy.Fault.CUT, Duration.ZERO);
+        proxy.setBoth(FaultProxy.Fault.CUT, Duration.ZERO);
         Thread writer =
                 new Thread(
                         () -> {
@@ -184,11 +184,11 @@
     @Test
     void delayedItComesNoSoonerAndWhole() throws IOException {
         Pair one = pair();
-        proxy.set(FaultProxy.Way.THERE, FaultProxy.Fault.DELAY, Duration.ofMillis(200));
+        proxy.set(FaultProxy.Direction.TO_TARGET, FaultProxy.Fault.DELAY, Duration.ofMillis(200));
         long sent = System.nanoTime();
         passes(one.near, one.far, 1);
         assertTrue(System.nanoTime() - sent >= Duration.ofMillis(200).toNanos());
-        proxy.set(FaultProxy.Way.THERE, FaultProxy.Fault.DELAY, AGE);
+        proxy.set(FaultProxy.Direction.TO_TARGET, FaultProxy.Fault.DELAY, AGE);
         one.near.getOutputStream().write(2);
         neverComes(one.far);
         proxy.heal();
@@ -199,12 +199,12 @@
     void reorderedWhatIsSentLaterOnAnotherConnectionComesFirst() throws IOException {
         Pair one = pair();
         Pair other = pair();
-        proxy.set(FaultProxy.Way.THERE, FaultProxy.Fault.REORDER, AGE);
+        proxy.set(FaultProxy.Direction.TO_TARGET, FaultProxy.Fault.REORDER, AGE);
         one.near.getOutputStream().write(1);
         neverComes(one.far);
         passes(other.near, other.far, 2);
         assertEquals(1, one.far.getInputStream().read());
-        proxy.set(FaultProxy.Way.THERE, FaultProxy.Fault.REORDER, Duration.ofMillis(50));
+        proxy.set(FaultProxy.Direction.TO_TARGET, FaultProxy.Fault.REORDER, Duration.ofMillis(50));
         passes(one.near, one.far, 3);
     }
 
@@ -230,7 +230,7 @@
             passes(near, moved.accept(), 1);
             proxy.close();
             isReset(near);
-            assertEquals(0, proxy.open());
+            assertEquals(0, proxy.openConnections());
         }
     }
 }
--- a/src/test/java/postbeam/testbed/simulation/MixedWorkloadsTest.java
+++ b/src/test/java/postbeam/testbed/simulation/MixedWorkloadsTest.java
@@ -124,7 +124,8 @@
         }
 
         String entry(String name, String health) {
-            return FakeDiscovery.entry(name, "127.0.0.1:" + server.getLocalPort(), "a", health, 0);
+            return FakeDiscovery.hostEntry(
+                    name, "127.0.0.1:" + server.getLocalPort(), "a", health, 0);
         }
 
         @Override
--- a/src/test/java/postbeam/testbed/trials/CoordinationTrialTest.java
+++ b/src/test/java/postbeam/testbed/trials/CoordinationTrialTest.java
@@ -16,7 +16,7 @@
                 List.of(),
                 LongStream.rangeClosed(1, 60)
                         .parallel()
-                        .mapToObj(seed -> trial.run(seed, null).broken())
+                        .mapToObj(seed -> trial.run(seed, null).violations())
                         .flatMap(List::stream)
                         .toList());
     }
@@ -32,7 +32,7 @@
             assertTrue(
                     LongStream.rangeClosed(1, 400)
                             .parallel()
-                            .anyMatch(seed -> !trial.run(seed, defect).broken().isEmpty()),
+                            .anyMatch(seed -> !trial.run(seed, defect).violations().isEmpty()),
                     defect);
         }
     }
--- a/src/test/java/postbeam/testbed/trials/MigrationTrialTest.java
+++ b/src/test/java/postbeam/testbed/trials/MigrationTrialTest.java
@@ -20,7 +20,8 @@
                         .mapToObj(
                                 seed -> {
                                     MigrationSimulation world = trial.world(seed, null);
-                                    assertEquals(List.of(), world.run().broken(), "seed " + seed);
+                                    assertEquals(
+                                            List.of(), world.run().violations(), "seed " + seed);
                                     return world;
                                 })
                         .toList();
@@ -76,7 +77,7 @@
             assertTrue(
                     LongStream.rangeClosed(1, 120)
                             .parallel()
-                            .anyMatch(seed -> !trial.run(seed, defect).broken().isEmpty()),
+                            .anyMatch(seed -> !trial.run(seed, defect).violations().isEmpty()),
                     defect);
         }
     }
--- a/src/test/java/postbeam/testbed/trials/PagingTrialTest.java
+++ b/src/test/java/postbeam/testbed/trials/PagingTrialTest.java
@@ -16,7 +16,7 @@
                 List.of(),
                 LongStream.rangeClosed(1, 600)
                         .parallel()
-                        .mapToObj(seed -> trial.run(seed, null).broken())
+                        .mapToObj(seed -> trial.run(seed, null).violations())
                         .flatMap(List::stream)
                         .limit(5)
                         .toList());
@@ -33,7 +33,7 @@
             assertTrue(
                     LongStream.rangeClosed(1, 100)
                             .parallel()
-                            .anyMatch(seed -> !trial.run(seed, defect).broken().isEmpty()),
+                            .anyMatch(seed -> !trial.run(seed, defect).violations().isEmpty()),
                     defect);
         }
     }
--- a/src/test/java/postbeam/testbed/trials/ReshardingTrialTest.java
+++ b/src/test/java/postbeam/testbed/trials/ReshardingTrialTest.java
@@ -18,7 +18,7 @@
                 List.of(),
                 LongStream.rangeClosed(1, 16)
                         .parallel()
-                        .mapToObj(seed -> trial.run(seed, null).broken())
+                        .mapToObj(seed -> trial.run(seed, null).violations())
                         .flatMap(List::stream)
                         .toList());
     }
@@ -42,9 +42,9 @@
                             seed);
             assertEquals(List.of(), cluster.runWithoutMoves(Duration.ofSeconds(60)));
             assertTrue(
-                    cluster.good() > 0.6 * cluster.asked(),
-                    cluster.good() + " of " + cluster.asked());
-            assertTrue(cluster.moves.cut() > 5);
+                    cluster.answeredInTime() > 0.6 * cluster.queriesSent(),
+                    cluster.answeredInTime() + " of " + cluster.queriesSent());
+            assertTrue(cluster.moves.movesCutOver() > 5);
         }
     }
 
@@ -59,7 +59,7 @@
             assertTrue(
                     LongStream.rangeClosed(1, 300)
                             .parallel()
-                            .anyMatch(seed -> !trial.run(seed, defect).broken().isEmpty()),
+                            .anyMatch(seed -> !trial.run(seed, defect).violations().isEmpty()),
                     defect);
         }
     }
--- a/src/test/java/postbeam/testbed/verification/ObservedCallsTest.java
+++ b/src/test/java/postbeam/testbed/verification/ObservedCallsTest.java
@@ -33,7 +33,7 @@
     void stage() throws IOException {
         n0 = new ObservedCalls.Node(folder, "n0", System.nanoTime());
         n1 = new ObservedCalls.Node(folder, "n1", System.nanoTime());
-        here.add(Duration.ZERO, to -> to.layout(ProcessCluster.fixed(8)));
+        here.add(Duration.ZERO, to -> to.onLayout(ProcessCluster.fixed(8)));
     }
 
     private static Duration at(long ms) {
@@ -41,7 +41,7 @@
     }
 
     private void asks(long ms, String query, String router, InvariantChecker.Kind kind) {
-        here.asked(
+        here.querySent(
                 at(ms),
                 query,
                 router,
@@ -50,8 +50,8 @@
                 0.5,
                 LoadGenerator.FIXED,
                 List.of(
-                        new InvariantChecker.Wanted(0, KEYS, 0.4),
-                        new InvariantChecker.Wanted(1, OTHER, 0.6)),
+                        new InvariantChecker.RequestedSlice(0, KEYS, 0.4),
+                        new InvariantChecker.RequestedSlice(1, OTHER, 0.6)),
                 at(ms + 3000));
     }
 
@@ -78,7 +78,7 @@
     private List<String> broken() throws IOException {
         InvariantChecker checker = ProcessCluster.referee(ProcessCluster.STRICT);
         here.tell(checker, folder, at(60_000));
-        return checker.broken();
+        return checker.violations();
     }
 
     private void breaks(int rule, String what) throws IOException {
@@ -143,7 +143,7 @@
 
     @Test
     void rule3ACallToANodeThatDrains() throws IOException {
-        here.add(at(0), to -> to.told(at(0), "n0", true));
+        here.add(at(0), to -> to.onDrainingChanged(at(0), "n0", true));
         asks(2900, "q1", "r0", InvariantChecker.Kind.REPEATABLE);
         runs(n0, "n0", 2950, "q1", KEYS);
         answers(3010, "q1", false, KEYS, OTHER);
