--- a/src/test/java/postbeam/coordination/ColdNodeQuotaTest.java
+++ b/src/test/java/postbeam/coordination/ColdNodeQuotaTest.java
@@ -36,14 +36,14 @@
     }
 
     @Test
-    void withoutAKeeperItKeepsToItsPartOfTheReserve() {
+    void withoutALeaseOnlyTheReservedQuotaIsAvailable() {
         take(0, 1);
         assertFalse(leases.tryAcquire(ms(1000), 0.1, BUDGET));
         take(1040, 1);
     }
 
     @Test
-    void aLeaseIsARateAndNeverUsedPastItsEndFromTheQuestionOn() {
+    void leaseIsARateAndExpiresCountedFromItsRequest() {
         leases.tryAcquire(ms(0), 5, BUDGET);
         assertTrue(leases.requestAmount(ms(0), BUDGET, 1) > 0);
         take(1, 1);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void ofSeveralLeasesTheLargestHoldsAndNotTheirSum() {
+    void largestOfSeveralLeasesCountsNotTheirSum() {
         leases.tryAcquire(ms(0), 5, BUDGET);
         assertTrue(leases.requestAmount(ms(0), BUDGET, 1) > 0);
         assertEquals(
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void aLateAnswerIsNoGrant() {
+    void grantAfterTheLeaseExpiredIsIgnored() {
         leases.tryAcquire(ms(0), 5, BUDGET);
         leases.requestAmount(ms(0), BUDGET, 1);
         leases.onGrant(ms(600), 1, 2);
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void whatIsUnderWayIsHeldDown() {
+    void workInFlightIsLimited() {
         leases.tryAcquire(ms(0), 5, BUDGET);
         leases.requestAmount(ms(0), BUDGET, 1);
         leases.onGrant(ms(1), 1, 2);
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void whereAPartHoldsNoLeafCallFewerShareANodeAndAllDrawTheSame() {
+    void fewerRoutersShareANodeWhoseBudgetIsSmallAndAllAgreeWhich() {
         LeaseParameters many = new LeaseParameters(ms(600), ms(1000), ms(10), 0.25, 0.25, 100, 0.1);
         List<String> names = IntStream.range(0, 100).mapToObj(i -> "r" + i).toList();
         NodeIncarnation node = new NodeIncarnation("n", 7);
@@ -109,8 +109,8 @@
                 grown.stream()
                                 .filter(
                                         name ->
-                                                many.participates(node, name, names, sharers)
-                                                                && names.contains(name)
+                                                (many.participates(node, name, names, sharers)
+                                                                && names.contains(name))
                                                         || many.participates(
                                                                 node, name, grown, sharers))
                                 .count()
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void theKeeperLeasesNoMoreThanIsLeftAndAnswersARepeatAsBefore() {
+    void leaseTableGrantsWhatIsLeftAndRepeatsItsAnswer() {
         assertEquals(4, ledger.grant(ms(0), who("a"), 1, 4, 6, terms.countedFor()));
         assertEquals(4, ledger.grant(ms(1), who("a"), 1, 4, 6, terms.countedFor()));
         assertEquals(2, ledger.grant(ms(2), who("b"), 1, 4, 6, terms.countedFor()));
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void termsThatCantHoldAreRefused() {
+    void invalidParametersAreRejected() {
         for (double[] shares : new double[][] {{0, 0.5}, {0.5, 0}, {0.5, 0.5}, {1, 0.1}}) {
             assertThrows(
                     IllegalArgumentException.class,
--- a/src/test/java/postbeam/coordination/CoordinationIT.java
+++ b/src/test/java/postbeam/coordination/CoordinationIT.java
@@ -134,10 +134,10 @@
         double started = 0;
         for (String line : Files.readAllLines(cluster.file(node + ".seen"))) {
             if (line.startsWith("started ")) {
-                started = Long.parseLong(line.split(" ")[1]) / 1e9;
+                started = Long.parseLong(line.split(" ", -1)[1]) / 1e9;
                 calls.clear();
             } else if (line.startsWith("called ")) {
-                calls.add(Long.parseLong(line.split(" ")[1]) / 1e9 - started);
+                calls.add(Long.parseLong(line.split(" ", -1)[1]) / 1e9 - started);
             }
         }
         double ramp = ProcessCluster.RAMP.toMillis() / 1e3;
--- a/src/test/java/postbeam/coordination/CoordinationWithSlicesIT.java
+++ b/src/test/java/postbeam/coordination/CoordinationWithSlicesIT.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -144,7 +145,8 @@
                         .redirectErrorStream(true)
                         .start();
         try {
-            String said = new String(second.getInputStream().readAllBytes());
+            String said =
+                    new String(second.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             assertTrue(said.contains("moves.log is in use by another process"), said);
             assertTrue(second.waitFor(60, TimeUnit.SECONDS));
             assertEquals(1, second.exitValue());
--- a/src/test/java/postbeam/coordination/HealthGossipTest.java
+++ b/src/test/java/postbeam/coordination/HealthGossipTest.java
@@ -21,7 +21,7 @@
         return Duration.ofNanos((long) (seconds * 1e9));
     }
 
-    private void told(
+    private void report(
             double at,
             NodeIncarnation node,
             HealthReport.Kind kind,
@@ -36,27 +36,27 @@
     }
 
     @Test
-    void oneReporterOrReportersOfOneZoneCondemnNobody() {
-        told(0, N1, HealthReport.Kind.UNRESPONSIVE, 0, "r1", "a", "r1", "b", "r1", "c");
+    void oneReporterOrOneZoneMarksNoNode() {
+        report(0, N1, HealthReport.Kind.UNRESPONSIVE, 0, "r1", "a", "r1", "b", "r1", "c");
         assertFalse(judgements.isUnhealthy(s(0), N1));
-        told(0, N1, HealthReport.Kind.UNRESPONSIVE, 0, "r2", "b", "r3", "b", "r1", "b");
+        report(0, N1, HealthReport.Kind.UNRESPONSIVE, 0, "r2", "b", "r3", "b", "r1", "b");
         assertFalse(judgements.isUnhealthy(s(0), N1));
-        told(0, N1, HealthReport.Kind.UNRESPONSIVE, 0, "r4", "a");
+        report(0, N1, HealthReport.Kind.UNRESPONSIVE, 0, "r4", "a");
         assertTrue(judgements.isUnhealthy(s(0), N1));
         assertEquals(Map.of(N1, 0.1, N2, 1.0, N3, 1.0), judgements.trafficFractions(s(0), HOLDERS));
     }
 
     @Test
-    void asManyWhoSayItIsWellOutweighThem() {
-        told(0, N1, HealthReport.Kind.FAILING, 0, "r1", "a", "r2", "b", "r3", "c");
+    void asManyHealthyReportsOutweighUnhealthyOnes() {
+        report(0, N1, HealthReport.Kind.FAILING, 0, "r1", "a", "r2", "b", "r3", "c");
         assertTrue(judgements.isUnhealthy(s(0), N1));
-        told(1, N1, HealthReport.Kind.HEALTHY, 0, "r4", "a", "r5", "a", "r3", "c");
+        report(1, N1, HealthReport.Kind.HEALTHY, 0, "r4", "a", "r5", "a", "r3", "c");
         assertFalse(judgements.isUnhealthy(s(1), N1));
     }
 
     @Test
-    void ownEvidenceGoesFirstWhileItIsYoung() {
-        told(0, N1, HealthReport.Kind.FAILING, 0, "r1", "a", "r2", "b", "r3", "c");
+    void recentLocalReportGoesBeforeGossip() {
+        report(0, N1, HealthReport.Kind.FAILING, 0, "r1", "a", "r2", "b", "r3", "c");
         judgements.recordLocal(
                 s(0), new HealthReport("r0", "a", N1, HealthReport.Kind.HEALTHY, 1, 3, s(0)));
         assertFalse(judgements.isUnhealthy(s(0), N1));
@@ -67,18 +67,18 @@
     }
 
     @Test
-    void hearsayAgesByWhenItWasHeardAndHowOldItWasThen() {
-        told(0, N1, HealthReport.Kind.SLOW, 3, "r1", "a", "r2", "b", "r3", "c");
+    void reportAgesFromItsReceiptWithTheAgeItHadThen() {
+        report(0, N1, HealthReport.Kind.SLOW, 3, "r1", "a", "r2", "b", "r3", "c");
         assertTrue(judgements.isUnhealthy(s(1.9), N1));
         assertFalse(judgements.isUnhealthy(s(2), N1));
-        told(2, N1, HealthReport.Kind.SLOW, 6, "r1", "a", "r2", "b", "r3", "c");
+        report(2, N1, HealthReport.Kind.SLOW, 6, "r1", "a", "r2", "b", "r3", "c");
         assertFalse(judgements.isUnhealthy(s(2), N1), "older news");
     }
 
     @Test
-    void theLastHolderIsNeverMarkedAndOnlyAShareOfThem() {
+    void lastReplicaIsNeverMarkedAndOnlyAFractionIs() {
         for (NodeIncarnation node : HOLDERS) {
-            told(0, node, HealthReport.Kind.UNRESPONSIVE, 0, "r1", "a", "r2", "b", "r3", "c");
+            report(0, node, HealthReport.Kind.UNRESPONSIVE, 0, "r1", "a", "r2", "b", "r3", "c");
         }
         assertEquals(
                 1,
@@ -89,25 +89,25 @@
     }
 
     @Test
-    void whoIsWellAgainComesBackByAndBy() {
-        told(0, N1, HealthReport.Kind.UNRESPONSIVE, 0, "r1", "a", "r2", "b", "r3", "c");
+    void recoveredNodeGetsItsTrafficBackInARamp() {
+        report(0, N1, HealthReport.Kind.UNRESPONSIVE, 0, "r1", "a", "r2", "b", "r3", "c");
         judgements.trafficFractions(s(0), HOLDERS);
-        told(1, N1, HealthReport.Kind.HEALTHY, 0, "r1", "a", "r2", "b", "r3", "c");
+        report(1, N1, HealthReport.Kind.HEALTHY, 0, "r1", "a", "r2", "b", "r3", "c");
         assertEquals(0.325, judgements.trafficFractions(s(1), HOLDERS).get(N1), 1e-9);
         assertEquals(0.55, judgements.trafficFractions(s(2), HOLDERS).get(N1), 1e-9);
         assertEquals(1, judgements.trafficFractions(s(4), HOLDERS).get(N1));
     }
 
     @Test
-    void anotherIncarnationBeginsWithAClearNameAndAllIsBounded() {
-        told(0, N1, HealthReport.Kind.UNRESPONSIVE, 0, "r1", "a", "r2", "b", "r3", "c");
-        told(0, new NodeIncarnation("n1", 2), HealthReport.Kind.UNRESPONSIVE, 0, "r1", "a");
+    void newIncarnationForgetsReportsAndTheirNumberIsBounded() {
+        report(0, N1, HealthReport.Kind.UNRESPONSIVE, 0, "r1", "a", "r2", "b", "r3", "c");
+        report(0, new NodeIncarnation("n1", 2), HealthReport.Kind.UNRESPONSIVE, 0, "r1", "a");
         assertFalse(judgements.isUnhealthy(s(0), new NodeIncarnation("n1", 2)));
-        told(0, N1, HealthReport.Kind.UNRESPONSIVE, 0, "r4", "b");
+        report(0, N1, HealthReport.Kind.UNRESPONSIVE, 0, "r4", "b");
         assertEquals(1, judgements.size(), "of the earlier one nothing is believed");
         for (int i = 0; i < 10_100; i++) {
             for (int j = 0; j < 20; j++) {
-                told(
+                report(
                         0,
                         new NodeIncarnation("m" + i, 1),
                         HealthReport.Kind.UNRESPONSIVE,
--- a/src/test/java/postbeam/coordination/LeaderElectionTest.java
+++ b/src/test/java/postbeam/coordination/LeaderElectionTest.java
@@ -12,44 +12,44 @@
 import org.junit.jupiter.api.Test;
 
 class LeaderElectionTest {
-    private static final List<String> FLEET = List.of("a", "b", "c");
+    private static final List<String> MEMBERS = List.of("a", "b", "c");
     private static final NodeIncarnation NODE = new NodeIncarnation("n", 1);
 
-    private final ElectionTimeouts terms = new ElectionTimeouts(ms(300), ms(900), ms(10));
-    private final LeaseParameters leases =
+    private final ElectionTimeouts timeouts = new ElectionTimeouts(ms(300), ms(900), ms(10));
+    private final LeaseParameters leaseParameters =
             new LeaseParameters(ms(200), ms(100), ms(10), 0.25, 0.25, 3, 0);
-    private final LeaderElection a = office("a", 0);
-    private final LeaderElection b = office("b", 0);
-    private final LeaderElection c = office("c", 0);
+    private final LeaderElection a = election("a", 0);
+    private final LeaderElection b = election("b", 0);
+    private final LeaderElection c = election("c", 0);
 
     private static Duration ms(long millis) {
         return Duration.ofMillis(millis);
     }
 
-    private LeaderElection office(String name, long startedAt) {
+    private LeaderElection election(String name, long startedAt) {
         return new LeaderElection(
                 new ProcessIdentity(name, startedAt),
                 0,
-                FLEET,
-                terms,
+                MEMBERS,
+                timeouts,
                 ms(startedAt),
                 new Random(1));
     }
 
-    private long win(LeaderElection who, long from, LeaderElection... voters) {
-        VoteRequest ballot = null;
+    private long win(LeaderElection candidate, long from, LeaderElection... voters) {
+        VoteRequest request = null;
         long at = from;
-        while (ballot == null) {
-            ballot = who.tick(ms(at++));
+        while (request == null) {
+            request = candidate.tick(ms(at++));
         }
         for (LeaderElection voter : voters) {
-            who.onVote(ms(at), voter.handleVoteRequest(ms(at), ballot));
+            candidate.onVote(ms(at), voter.handleVoteRequest(ms(at), request));
         }
         return at;
     }
 
     @Test
-    void aMajorityOfAllConfiguredMakesAKeeperAndItsOfficeEndsFromTheQuestionOn() {
+    void majorityOfAllMembersElectsALeaderWhoseLeaseCountsFromItsRequest() {
         long at = win(a, 910);
         assertFalse(a.isLeader(ms(at)), "one of three");
         at = win(a, at + 100, b);
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void whoPromisedVotesForNobodyElseUntilAfterThatOffice() {
+    void voteBindsTheVoterUntilTheLeaseIsPast() {
         long at = win(a, 910, b);
         VoteRequest other = new VoteRequest(0, 9, 1, new ProcessIdentity("c", 0));
         assertFalse(b.handleVoteRequest(ms(at + 309), other).granted());
@@ -82,16 +82,16 @@
     }
 
     @Test
-    void whoStartsVotesForNobodyUntilTheLongestOfficeIsPast() {
-        VoteRequest ballot = new VoteRequest(0, 1, 1, new ProcessIdentity("a", 0));
-        LeaderElection again = office("b", 1000);
-        assertFalse(again.handleVoteRequest(ms(1909), ballot).granted());
+    void restartedVoterWaitsForTheLongestLease() {
+        VoteRequest request = new VoteRequest(0, 1, 1, new ProcessIdentity("a", 0));
+        LeaderElection again = election("b", 1000);
+        assertFalse(again.handleVoteRequest(ms(1909), request).granted());
         assertNull(again.tick(ms(1909)));
-        assertTrue(again.handleVoteRequest(ms(1910), ballot).granted());
+        assertTrue(again.handleVoteRequest(ms(1910), request).granted());
     }
 
     @Test
-    void anOfficeIsRenewedWithoutAGapAndAnswersToOtherRoundsAreNotHeard() {
+    void leaseIsRenewedWithoutAGapAndOtherRoundsVotesAreIgnored() {
         long at = win(a, 910, b);
         Duration since = a.leaderSince();
         VoteRequest anew = a.tick(ms(at + 100));
@@ -108,24 +108,24 @@
     }
 
     @Test
-    void aSuccessorGrantsNothingUntilAllThatCanHaveBeenGrantedIsPast() {
-        LeaseIssuer keeper = new LeaseIssuer(a, leases);
-        LeaseRequest ask = new LeaseRequest(NODE, new ProcessIdentity("b", 0), 1, 1, 8);
-        assertEquals(0, keeper.grant(ms(910), ask).amount());
+    void newLeaderGrantsNothingUntilItsPredecessorsLeasesArePast() {
+        LeaseIssuer issuer = new LeaseIssuer(a, leaseParameters);
+        LeaseRequest leaseRequest = new LeaseRequest(NODE, new ProcessIdentity("b", 0), 1, 1, 8);
+        assertEquals(0, issuer.grant(ms(910), leaseRequest).amount());
         long at = win(a, 910, b);
         long won = at;
         for (; at < won + 310; at += 90) {
-            assertEquals(0, keeper.grant(ms(at), ask).amount());
+            assertEquals(0, issuer.grant(ms(at), leaseRequest).amount());
             win(a, at + 20, b, c);
         }
-        assertEquals(1, keeper.grant(ms(at), ask).amount());
+        assertEquals(1, issuer.grant(ms(at), leaseRequest).amount());
         assertEquals(
                 3,
-                keeper.grant(ms(at), new LeaseRequest(NODE, new ProcessIdentity("c", 0), 1, 4, 8))
+                issuer.grant(ms(at), new LeaseRequest(NODE, new ProcessIdentity("c", 0), 1, 4, 8))
                         .amount());
         assertEquals(
                 0,
-                keeper.grant(
+                issuer.grant(
                                 ms(at + 400),
                                 new LeaseRequest(NODE, new ProcessIdentity("c", 0), 2, 4, 8))
                         .amount());
--- a/src/test/java/postbeam/coordination/QuotaCountersTest.java
+++ b/src/test/java/postbeam/coordination/QuotaCountersTest.java
@@ -20,14 +20,14 @@
     }
 
     @Test
-    void whoHearsNothingHasItsEvenShareAndNoMore() {
+    void withoutGossipARouterHasItsEvenShare() {
         assertTrue(a.tryCount("m", 10, 2, 6));
         assertFalse(a.tryCount("m", 10, 0.1, 6));
         assertTrue(a.tryCount("m", 11, 2, 6));
     }
 
     @Test
-    void whatOneGivesUpTheOthersUseInEvenParts() {
+    void yieldedShareIsSplitEvenlyAmongTheOthers() {
         b.startBucket(9);
         b.capOwnShare("m", 10, 0, 6);
         a.startBucket(10);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void newsIsMergedOnceAndOldNewsAndOldRunsChangeNothing() {
+    void entriesAreMergedOnceAndOlderOnesIgnored() {
         b.tryCount("m", 10, 1, 6);
         List<QuotaCounterEntry> old = b.entriesToSend();
         b.tryCount("m", 10, 1, 6);
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void whoCameBackCountsNothingWhereItsEarlierRunMayHave() {
+    void restartedRouterCountsNothingWhereItsEarlierRunMayHave() {
         QuotaCounters again = counts("a", 2);
         assertFalse(again.tryCount("m", 9, 1, 6));
         assertTrue(again.tryCount("m", 10, 1, 6));
--- a/src/test/java/postbeam/peers/PeerMessageCodecTest.java
+++ b/src/test/java/postbeam/peers/PeerMessageCodecTest.java
@@ -32,7 +32,7 @@
     @TempDir private Path folder;
 
     @Test
-    void whatIsWrittenIsReadAgain() throws IOException {
+    void encodedMessagesAreDecodedToEqualOnes() throws IOException {
         PeerMessageCodec.PeerRequest asks =
                 new PeerMessageCodec.PeerRequest(
                         "d",
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void whatCantBeReadIsToldAndNothingElseHappens() {
+    void malformedRequestsAreRejected() {
         String sound =
                 "{\"digest\":\"d\",\"from\":\"a\",\"run\":1,\"ballots\":[[1,2,3]],\"leases\":[]}";
         for (String bad :
@@ -73,8 +73,7 @@
     }
 
     @Test
-    void theSectionUnderDeployMakesAFleetAndBadOnesAreNamed()
-            throws IOException, OperatorErrorException {
+    void deployedSectionIsReadAndInvalidOnesAreNamed() throws IOException, OperatorErrorException {
         String text = Files.readString(Path.of("deploy/postbeam.json5"));
         FleetConfig place = FleetConfigReader.read(read(text));
         new PeerCoordinator(place).stop();
@@ -102,7 +101,7 @@
     }
 
     @Test
-    void eachKindOfErrorSaysWhatHappenedToWhatAndWhatToDo() {
+    void eachErrorNamesItsSubjectAndARemedy() {
         List<CoordinationError> all =
                 List.of(
                         new CoordinationError.MismatchedTerms("r7"),
--- a/src/test/java/postbeam/peers/PeerSamplesTest.java
+++ b/src/test/java/postbeam/peers/PeerSamplesTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -113,10 +114,10 @@
     void livePeerAnswersEachRequestAsBefore() throws Exception {
         XnioWorker worker =
                 Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        QueryServer door =
+        QueryServer server =
                 new QueryServer(
                         worker,
-                        new InetSocketAddress("127.0.0.1", 0),
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         null,
                         Map.of(),
                         Set.of(),
@@ -124,35 +125,35 @@
                         8);
         PeerCoordinator peer = peer();
         try {
-            peer.registerHandlers(door);
-            door.start();
+            peer.registerHandlers(server);
+            server.start();
             String request = new String(sample("request.json"), StandardCharsets.UTF_8);
-            assertSample("fresh-response.json", answer(door, "ask", request));
-            assertSample("state.json", answer(door, "state", ""));
+            assertSample("fresh-response.json", answer(server, "ask", request));
+            assertSample("state.json", answer(server, "state", ""));
             assertSample(
                     "take-response.json",
-                    answer(door, "take", "{\"node\":\"n:1\",\"incarnation\":7,\"work\":0.01}"));
+                    answer(server, "take", "{\"node\":\"n:1\",\"incarnation\":7,\"work\":0.01}"));
             Map<String, Object> refusals = new TreeMap<>();
-            refusals.put("malformed", refusal(door, "[]"));
-            refusals.put("unknown stripe", refusal(door, request.replace("[5,1,1]", "[8,1,1]")));
-            refusals.put("unknown router", refusal(door, request.replace("\"r2\"", "\"r9\"")));
-            refusals.put("other terms", refusal(door, request.replace("5e2e", "0000")));
+            refusals.put("malformed", refusal(server, "[]"));
+            refusals.put("unknown stripe", refusal(server, request.replace("[5,1,1]", "[8,1,1]")));
+            refusals.put("unknown router", refusal(server, request.replace("\"r2\"", "\"r9\"")));
+            refusals.put("other terms", refusal(server, request.replace("5e2e", "0000")));
             assertSample("refusals.json", PeerMessageCodec.toJson(refusals));
         } finally {
             peer.stop();
-            door.stop();
+            server.stop();
             worker.shutdownNow();
         }
     }
 
-    private static HttpResponse<String> post(QueryServer door, String path, String body)
+    private static HttpResponse<String> post(QueryServer server, String path, String body)
             throws Exception {
         return HttpClient.newHttpClient()
                 .send(
                         HttpRequest.newBuilder(
                                         URI.create(
                                                 "http://"
-                                                        + door.address()
+                                                        + server.address()
                                                         + "/together/v1/"
                                                         + path))
                                 .POST(HttpRequest.BodyPublishers.ofString(body))
@@ -160,16 +161,16 @@
                         HttpResponse.BodyHandlers.ofString());
     }
 
-    private static byte[] answer(QueryServer door, String path, String body) throws Exception {
-        HttpResponse<String> response = post(door, path, body);
+    private static byte[] answer(QueryServer server, String path, String body) throws Exception {
+        HttpResponse<String> response = post(server, path, body);
         assertEquals(200, response.statusCode(), response.body());
         return response.body()
                 .replaceAll("\"run\":\\d+", "\"run\":0")
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    private static List<Object> refusal(QueryServer door, String body) throws Exception {
-        HttpResponse<String> response = post(door, "ask", body);
+    private static List<Object> refusal(QueryServer server, String body) throws Exception {
+        HttpResponse<String> response = post(server, "ask", body);
         return List.of(response.statusCode(), response.body());
     }
 }
--- a/src/test/java/postbeam/router/PagingServiceTest.java
+++ b/src/test/java/postbeam/router/PagingServiceTest.java
@@ -41,31 +41,28 @@
 import postbeam.slices.SliceTranslator;
 import postbeam.slices.UnroutableQueryException;
 
-/**
- * Pages by the decisions, with the test as the data nodes: what is sent, and as whose leaf call it
- * counts.
- */
+/** Pages, with the test as the data nodes: what is sent, and as whose attempt it counts. */
 class PagingServiceTest {
     private static final SortOrder ORDER = new SortOrder(List.of(new SortKey("k", false, false)));
     private static final long HALF = KeyRange.KEY_SPACE_SIZE / 2;
-    private static final byte[] TEXT = "x".getBytes(StandardCharsets.UTF_8);
+    private static final byte[] PAYLOAD = "x".getBytes(StandardCharsets.UTF_8);
 
     /** Rows 0 to 19 by turns in two slices. */
     private final List<Row> rows = new ArrayList<>();
 
     private final Map<String, Integer> callsByKeys = new TreeMap<>();
     private PagingService paging;
-    private PolicyExecutor decisions;
+    private PolicyExecutor executor;
 
-    /** Rows that a node gives at the most, whatever it is asked for. */
-    private int most = 2;
+    /** Rows that a node gives at most, whatever it is requested. */
+    private int maxRowsPerFetch = 2;
 
     private void router(int attempts, double free) throws IOException, OperatorErrorException {
         for (int i = 0; i < 20; i++) {
             rows.add(new Row(new RowPosition(List.of((long) i), i % 2 * HALF + i, i), "row " + i));
         }
         paging = new PagingService("0a".repeat(32), null, 100);
-        decisions =
+        executor =
                 new PolicyExecutor(
                         new InstanceSettings(
                                 Json.parseObject(
@@ -84,19 +81,19 @@
                         Duration.ofMillis(50),
                         new SliceTranslator(),
                         paging);
-        decisions.onEndpointUpdate(
+        executor.onEndpointUpdate(
                 new EndpointUpdate(
                         1,
                         true,
                         List.of(new Endpoint("n1", "a", 0, 0, Readiness.READY)),
                         Map.of("n1", "127.0.0.1:1")));
-        decisions.onLayout(Layout.initial(2, List.of("n1"), 1));
+        executor.onLayout(Layout.initial(2, List.of("n1"), 1));
     }
 
-    private static ClientRequest asked(String vertical, String cursor, int size) {
+    private static ClientRequest request(String queryClass, String cursor, int size) {
         return new ClientRequest(
                 "q",
-                vertical,
+                queryClass,
                 "acme",
                 Duration.ofSeconds(30),
                 cursor != null
@@ -104,56 +101,62 @@
                         : List.of(
                                 new ClientRequest.RequestedShard(0, 0.5, null),
                                 new ClientRequest.RequestedShard(1, 0.5, null)),
-                TEXT,
+                PAYLOAD,
                 0,
                 false,
                 new PageRequest(ORDER, size, cursor));
     }
 
-    /** Serves it as a router's thread does; each call is answered at once. */
-    private QueryAction served(InFlightQuery q) {
+    /** Serves it as a router's thread does; each attempt is answered at once. */
+    private QueryAction serve(InFlightQuery query) {
         return assertTimeoutPreemptively(
                 Duration.ofSeconds(10),
                 () -> {
                     while (true) {
-                        decisions.runDueTimers();
-                        QueryAction step = decisions.pollAction(q);
-                        if (step == null) {
+                        executor.runDueTimers();
+                        QueryAction action = executor.pollAction(query);
+                        if (action == null) {
                             Thread.onSpinWait();
-                        } else if (step instanceof QueryAction.Send send) {
-                            for (DispatchedAttempt call : send.attempts()) {
-                                decisions.onAttemptResults(
+                        } else if (action instanceof QueryAction.Send send) {
+                            for (DispatchedAttempt attempt : send.attempts()) {
+                                executor.onAttemptResults(
                                         List.of(
                                                 new AttemptResult(
-                                                        call,
+                                                        attempt,
                                                         AttemptOutcome.SUCCESS,
-                                                        answer(call))));
+                                                        answer(attempt))));
                             }
-                        } else if (!(step instanceof QueryAction.CancelAttempt)) {
-                            return step;
+                        } else if (!(action instanceof QueryAction.CancelAttempt)) {
+                            return action;
                         }
                     }
                 });
     }
 
-    private byte[] answer(DispatchedAttempt call) throws IOException {
-        String head = new String(call.frameHeader(), StandardCharsets.UTF_8);
-        String[] keys = head.replaceAll("(?s).*,k=([0-9-]+),.*", "$1").split("-");
+    private byte[] answer(DispatchedAttempt attempt) throws IOException {
+        String head = new String(attempt.frameHeader(), StandardCharsets.UTF_8);
+        String[] keys = head.replaceAll("(?s).*,k=([0-9-]+),.*", "$1").split("-", -1);
         KeyRange range = new KeyRange(Long.parseLong(keys[0]), Long.parseLong(keys[1]));
         callsByKeys.merge(range.toString(), 1, Integer::sum);
-        int ask = Integer.parseInt(head.replaceAll("(?s).*,p=([0-9]+) .*", "$1"));
-        RowCodec.FetchRequest asked =
+        int fetchBytes = Integer.parseInt(head.replaceAll("(?s).*,p=([0-9]+) .*", "$1"));
+        RowCodec.FetchRequest request =
                 RowCodec.decodeFetchRequest(
                         Arrays.copyOfRange(
-                                call.payload, call.payload.length - ask, call.payload.length));
+                                attempt.payload,
+                                attempt.payload.length - fetchBytes,
+                                attempt.payload.length));
         assertEquals(
                 "x",
-                new String(call.payload, 0, call.payload.length - ask, StandardCharsets.UTF_8));
+                new String(
+                        attempt.payload,
+                        0,
+                        attempt.payload.length - fetchBytes,
+                        StandardCharsets.UTF_8));
         List<Row> found =
                 rows.stream()
                         .filter(
                                 row ->
-                                        asked.fetches().stream()
+                                        request.fetches().stream()
                                                 .anyMatch(
                                                         one ->
                                                                 one.range().from()
@@ -173,7 +176,7 @@
                                         range.from() <= row.position().key()
                                                 && row.position().key() < range.to())
                         .toList();
-        int give = Math.min(found.size(), most);
+        int give = Math.min(found.size(), maxRowsPerFetch);
         return RowCodec.encodePartialPage(
                 new PartialPage(
                         range,
@@ -183,19 +186,19 @@
 
     private PageResult page(String cursor, int size)
             throws UnroutableQueryException, InterruptedException {
-        InFlightQuery q =
-                decisions.accept(asked("search", cursor, size), Duration.ZERO).orElseThrow();
-        QueryAction.Answer answer = assertInstanceOf(QueryAction.Answer.class, served(q));
+        InFlightQuery query =
+                executor.accept(request("search", cursor, size), Duration.ZERO).orElseThrow();
+        QueryAction.Answer answer = assertInstanceOf(QueryAction.Answer.class, serve(query));
         return assertInstanceOf(
                         QueryAction.Answer.class,
                         paging.completePage(
-                                q,
+                                query,
                                 answer,
-                                asks -> {
-                                    Optional<InFlightQuery> more =
-                                            decisions.acceptFollowUp(q, asks);
-                                    more.ifPresent(this::served);
-                                    return more.map(InFlightQuery::pagedQuery);
+                                fetches -> {
+                                    Optional<InFlightQuery> followUp =
+                                            executor.acceptFollowUp(query, fetches);
+                                    followUp.ifPresent(this::serve);
+                                    return followUp.map(InFlightQuery::pagedQuery);
                                 }))
                 .page();
     }
@@ -207,7 +210,7 @@
     }
 
     @Test
-    void aPageIsFilledByFurtherAsksAndItsCursorGoesOn() throws Exception {
+    void followUpsFillAPageAndItsCursorContinues() throws Exception {
         router(3, 50);
         PageResult first = page(null, 8);
         assertEquals(List.of(0L, 1L, 2L, 3L, 4L, 5L, 6L, 7L), values(first));
@@ -218,10 +221,11 @@
     }
 
     /**
-     * A part that had its calls gets no more by being asked again: the page ends where it ran out.
+     * A shard request that has had its attempts gets no more by a follow-up: the page ends where
+     * they ran out.
      */
     @Test
-    void theLimitOfCallsCountsFirstAndFurtherAsksTogether() throws Exception {
+    void attemptLimitCountsFirstQueryAndFollowUpsTogether() throws Exception {
         router(2, 50);
         PageResult page = page(null, 12);
         assertEquals(
@@ -234,7 +238,7 @@
     }
 
     @Test
-    void withoutABudgetNothingIsAskedAgain() throws Exception {
+    void withoutABudgetThereIsNoFollowUp() throws Exception {
         router(3, 0);
         PageResult page = page(null, 8);
         assertEquals(2, callsByKeys.values().stream().mapToInt(calls -> calls).sum());
@@ -243,14 +247,13 @@
     }
 
     /**
-     * Half of 4 is set aside for 20 queries and parts that ask again, so rule 6 leaves 2 further
-     * calls and no third.
+     * Half of the 4 spare attempts is set aside for follow-ups, so that the retry budget leaves 2
+     * retries and no third.
      */
     @Test
-    void furtherAsksEatFromRuleSixAndLeaveWhatTheyAddToIt() throws Exception {
+    void followUpsTakeFromTheRetryBudget() throws Exception {
         router(9, 4);
-        most = 1;
-        int calls = 0;
+        maxRowsPerFetch = 1;
         String cursor = null;
         int pages = 0;
         int given = 0;
@@ -260,36 +263,38 @@
             cursor = page.cursor();
             pages++;
         } while (pages < 3);
-        calls = callsByKeys.values().stream().mapToInt(count -> count).sum();
-        // 3 queries of 2 parts were taken: 4 + 0.1 * 9 further calls at the most.
+        int calls = callsByKeys.values().stream().mapToInt(count -> count).sum();
+        // 3 queries of 2 shards were accepted: 4 + 0.1 * 9 further attempts at most.
         assertTrue(calls - 2 * pages <= 4, calls + " calls for " + pages + " pages");
         assertTrue(given >= 2 * pages, given + " rows");
     }
 
     @Test
-    void onlyRepeatableVerticalsGivePages() throws Exception {
+    void onlyIdempotentQueryClassesServePages() throws Exception {
         router(3, 50);
         assertEquals(
                 UnroutableQueryException.Reason.UNKNOWN_SLICE,
                 assertThrows(
                                 UnroutableQueryException.class,
-                                () -> decisions.accept(asked("hold", null, 8), Duration.ZERO))
+                                () -> executor.accept(request("hold", null, 8), Duration.ZERO))
                         .reason);
     }
 
     @Test
-    void aClientThatLeavesEndsWhatAsksAgainToo() throws Exception {
+    void disconnectedClientEndsFollowUpsToo() throws Exception {
         router(3, 50);
-        InFlightQuery q = decisions.accept(asked("search", null, 8), Duration.ZERO).orElseThrow();
-        served(q);
-        InFlightQuery more =
-                decisions.acceptFollowUp(q, q.pagedQuery().addRowsOf(q.pagedQuery())).orElseThrow();
-        decisions.clientDisconnected(q);
-        QueryAction step = decisions.pollAction(more);
-        while (step instanceof QueryAction.Send || step instanceof QueryAction.CancelAttempt) {
-            step = decisions.pollAction(more);
+        InFlightQuery query =
+                executor.accept(request("search", null, 8), Duration.ZERO).orElseThrow();
+        serve(query);
+        InFlightQuery followUp =
+                executor.acceptFollowUp(query, query.pagedQuery().addRowsOf(query.pagedQuery()))
+                        .orElseThrow();
+        executor.clientDisconnected(query);
+        QueryAction action = executor.pollAction(followUp);
+        while (action instanceof QueryAction.Send || action instanceof QueryAction.CancelAttempt) {
+            action = executor.pollAction(followUp);
         }
-        assertInstanceOf(QueryAction.ClientGone.class, step);
-        assertTrue(decisions.acceptFollowUp(q, List.of()).isEmpty());
+        assertInstanceOf(QueryAction.ClientGone.class, action);
+        assertTrue(executor.acceptFollowUp(query, List.of()).isEmpty());
     }
 }
--- a/src/test/java/postbeam/router/PolicyExecutorTest.java
+++ b/src/test/java/postbeam/router/PolicyExecutorTest.java
@@ -41,17 +41,17 @@
 import postbeam.slices.UnroutableQueryException;
 
 class PolicyExecutorTest {
-    private static final Duration PATIENCE = Duration.ofSeconds(5);
+    private static final Duration TIMEOUT = Duration.ofSeconds(5);
     private static final byte[] VALUE = {'v'};
 
-    private final PolicyExecutor decisions;
-    private final BlockingQueue<QueryAction> errands = new LinkedBlockingQueue<>();
-    private final Thread ticks =
+    private final PolicyExecutor executor;
+    private final BlockingQueue<QueryAction> backgroundActions = new LinkedBlockingQueue<>();
+    private final Thread backgroundThread =
             new Thread(
                     () -> {
                         try {
                             while (true) {
-                                errands.addAll(decisions().awaitBackgroundActions());
+                                backgroundActions.addAll(executor().awaitBackgroundActions());
                             }
                         } catch (InterruptedException e) {
                             // The test is over.
@@ -59,7 +59,7 @@
                     });
 
     PolicyExecutorTest() throws IOException {
-        decisions =
+        executor =
                 new PolicyExecutor(
                         new InstanceSettings(
                                 Json.parseObject(
@@ -73,7 +73,7 @@
                         2,
                         Duration.ofMillis(50),
                         null);
-        decisions.onEndpointUpdate(
+        executor.onEndpointUpdate(
                 new EndpointUpdate(
                         1,
                         true,
@@ -81,61 +81,65 @@
                         Map.of("n1", "127.0.0.1:1")));
     }
 
-    private InFlightQuery take(ClientRequest clientRequest, Duration age) {
+    private InFlightQuery accept(ClientRequest clientRequest, Duration age) {
         try {
-            return decisions.accept(clientRequest, age).orElse(null);
+            return executor.accept(clientRequest, age).orElse(null);
         } catch (UnroutableQueryException e) {
             throw new AssertionError("no slices move here", e);
         }
     }
 
-    private PolicyExecutor decisions() {
-        return decisions;
+    private PolicyExecutor executor() {
+        return executor;
     }
 
     @BeforeEach
-    void startTicks() {
-        ticks.start();
+    void startBackgroundThread() {
+        backgroundThread.start();
     }
 
     @AfterEach
-    void stopTicks() throws InterruptedException {
-        ticks.interrupt();
-        ticks.join();
+    void stopBackgroundThread() throws InterruptedException {
+        backgroundThread.interrupt();
+        backgroundThread.join();
     }
 
-    private static ClientRequest asked(String id, String vertical, Duration patience, int parts) {
+    private static ClientRequest request(
+            String id, String queryClass, Duration timeout, int parts) {
         List<ClientRequest.RequestedShard> list = new ArrayList<>();
         for (int i = 0; i < parts; i++) {
             list.add(new ClientRequest.RequestedShard(i, 1.0 / parts, null));
         }
-        return new ClientRequest(id, vertical, null, patience, list, VALUE);
+        return new ClientRequest(id, queryClass, null, timeout, list, VALUE);
     }
 
-    private QueryAction pick(InFlightQuery q) {
-        return assertTimeoutPreemptively(Duration.ofSeconds(20), () -> decisions.awaitAction(q));
+    private QueryAction awaitAction(InFlightQuery query) {
+        return assertTimeoutPreemptively(Duration.ofSeconds(20), () -> executor.awaitAction(query));
     }
 
-    private QueryAction.Send send(InFlightQuery q) {
-        return assertInstanceOf(QueryAction.Send.class, pick(q));
+    private QueryAction.Send send(InFlightQuery query) {
+        return assertInstanceOf(QueryAction.Send.class, awaitAction(query));
     }
 
     @Test
-    void whatOneTurnSendsToANodeTravelsTogetherUpToTheLimit() {
-        InFlightQuery q = take(asked("a", "lookup", PATIENCE, 3), Duration.ZERO);
+    void attemptsOfOneDecisionTravelInBatchesOfLimitedSize() {
+        InFlightQuery query = accept(request("a", "lookup", TIMEOUT, 3), Duration.ZERO);
         assertEquals(
-                List.of("a.0", "a.1"), send(q).attempts().stream().map(call -> call.id).toList());
-        assertEquals(List.of("a.2"), send(q).attempts().stream().map(call -> call.id).toList());
+                List.of("a.0", "a.1"),
+                send(query).attempts().stream().map(attempt -> attempt.id).toList());
+        assertEquals(
+                List.of("a.2"),
+                send(query).attempts().stream().map(attempt -> attempt.id).toList());
     }
 
     @Test
-    void allPartsInMakeAWholeAnswerOfTheNodesValues() {
-        InFlightQuery q = take(asked("a", "lookup", PATIENCE, 2), Duration.ZERO);
-        decisions.onAttemptResults(
-                send(q).attempts().stream()
-                        .map(call -> new AttemptResult(call, AttemptOutcome.SUCCESS, VALUE))
+    void allShardsAnsweredMakeACompleteAnswer() {
+        InFlightQuery query = accept(request("a", "lookup", TIMEOUT, 2), Duration.ZERO);
+        executor.onAttemptResults(
+                send(query).attempts().stream()
+                        .map(attempt -> new AttemptResult(attempt, AttemptOutcome.SUCCESS, VALUE))
                         .toList());
-        QueryAction.Answer answer = assertInstanceOf(QueryAction.Answer.class, pick(q));
+        QueryAction.Answer answer = assertInstanceOf(QueryAction.Answer.class, awaitAction(query));
         assertTrue(answer.complete());
         assertEquals(
                 List.of(0, 1),
@@ -144,152 +148,153 @@
     }
 
     @Test
-    void aCallThatIsReportedTwiceCountsOnce() {
-        InFlightQuery q = take(asked("a", "lookup", PATIENCE, 2), Duration.ZERO);
-        DispatchedAttempt call = send(q).attempts().get(0);
-        decisions.onAttemptResults(
+    void attemptReportedTwiceCountsOnce() {
+        InFlightQuery query = accept(request("a", "lookup", TIMEOUT, 2), Duration.ZERO);
+        DispatchedAttempt attempt = send(query).attempts().get(0);
+        executor.onAttemptResults(
                 List.of(
-                        new AttemptResult(call, AttemptOutcome.SUCCESS, VALUE),
-                        new AttemptResult(call, AttemptOutcome.SUCCESS, VALUE)));
-        decisions.clientDisconnected(q);
-        assertInstanceOf(QueryAction.CancelAttempt.class, pick(q));
-        assertInstanceOf(QueryAction.ClientGone.class, pick(q));
+                        new AttemptResult(attempt, AttemptOutcome.SUCCESS, VALUE),
+                        new AttemptResult(attempt, AttemptOutcome.SUCCESS, VALUE)));
+        executor.clientDisconnected(query);
+        assertInstanceOf(QueryAction.CancelAttempt.class, awaitAction(query));
+        assertInstanceOf(QueryAction.ClientGone.class, awaitAction(query));
     }
 
     @Test
-    void whatIsOverIsMarkedSoBeforeItsLastStepIsGiven() {
-        InFlightQuery q = take(asked("a", "lookup", PATIENCE, 1), Duration.ZERO);
-        DispatchedAttempt call = send(q).attempts().get(0);
-        decisions.clientDisconnected(q);
-        assertTrue(call.abandoned());
+    void attemptsOfAnEndedQueryAreAbandonedFirst() {
+        InFlightQuery query = accept(request("a", "lookup", TIMEOUT, 1), Duration.ZERO);
+        DispatchedAttempt attempt = send(query).attempts().get(0);
+        executor.clientDisconnected(query);
+        assertTrue(attempt.abandoned());
     }
 
     @Test
-    void anIdThatIsOpenIsNotTakenAgain() {
-        InFlightQuery q = take(asked("a", "lookup", PATIENCE, 1), Duration.ZERO);
-        assertNull(take(asked("a", "lookup", PATIENCE, 1), Duration.ZERO));
-        decisions.clientDisconnected(q);
-        assertNotNull(take(asked("a", "lookup", PATIENCE, 1), Duration.ZERO));
+    void idInFlightIsNotAcceptedAgain() {
+        InFlightQuery query = accept(request("a", "lookup", TIMEOUT, 1), Duration.ZERO);
+        assertNull(accept(request("a", "lookup", TIMEOUT, 1), Duration.ZERO));
+        executor.clientDisconnected(query);
+        assertNotNull(accept(request("a", "lookup", TIMEOUT, 1), Duration.ZERO));
     }
 
     @Test
-    void aFailureOfTheDecisionsAbortsItsQueryAndNoOther() {
-        InFlightQuery sound = take(asked("a", "lookup", PATIENCE, 1), Duration.ZERO);
-        InFlightQuery failing = take(asked("b", "no such vertical", PATIENCE, 1), Duration.ZERO);
-        assertInstanceOf(QueryAction.Abort.class, pick(failing));
-        decisions.onAttemptResults(
+    void policyFailureAbortsItsQueryAndNoOther() {
+        InFlightQuery healthy = accept(request("a", "lookup", TIMEOUT, 1), Duration.ZERO);
+        InFlightQuery failing = accept(request("b", "no such vertical", TIMEOUT, 1), Duration.ZERO);
+        assertInstanceOf(QueryAction.Abort.class, awaitAction(failing));
+        executor.onAttemptResults(
                 List.of(
                         new AttemptResult(
-                                send(sound).attempts().get(0), AttemptOutcome.SUCCESS, VALUE)));
-        assertInstanceOf(QueryAction.Answer.class, pick(sound));
+                                send(healthy).attempts().get(0), AttemptOutcome.SUCCESS, VALUE)));
+        assertInstanceOf(QueryAction.Answer.class, awaitAction(healthy));
     }
 
     @Test
-    void ageCountsAgainstTheClientsPatience() {
-        InFlightQuery q = take(asked("a", "hold", PATIENCE, 1), Duration.ofSeconds(3));
-        assertTrue(send(q).attempts().get(0).remainingMillis() <= 2000);
+    void ageCountsAgainstTheTimeout() {
+        InFlightQuery query = accept(request("a", "hold", TIMEOUT, 1), Duration.ofSeconds(3));
+        assertTrue(send(query).attempts().get(0).remainingMillis() <= 2000);
     }
 
     @Test
-    void timeAloneEndsAQueryBeforeItsClientLeaves() {
+    void deadlineEndsAQuery() {
         long start = System.nanoTime();
-        InFlightQuery q = take(asked("a", "hold", Duration.ofMillis(400), 1), Duration.ZERO);
-        send(q);
-        QueryAction step = pick(q);
-        while (step instanceof QueryAction.CancelAttempt) {
-            step = pick(q);
+        InFlightQuery query =
+                accept(request("a", "hold", Duration.ofMillis(400), 1), Duration.ZERO);
+        send(query);
+        QueryAction action = awaitAction(query);
+        while (action instanceof QueryAction.CancelAttempt) {
+            action = awaitAction(query);
         }
-        assertInstanceOf(QueryAction.Abort.class, step);
+        assertInstanceOf(QueryAction.Abort.class, action);
         assertTrue(System.nanoTime() - start >= 100_000_000);
     }
 
     @Test
-    void aFailingNodeIsProbedAndAProbeWithoutAnswerEnds() {
-        InFlightQuery q = take(asked("a", "lookup", PATIENCE, 1), Duration.ZERO);
-        decisions.onAttemptResults(
-                List.of(new AttemptResult(send(q).attempts().get(0), AttemptOutcome.RESET)));
-        take(asked("b", "hold", PATIENCE, 1), Duration.ZERO);
+    void failingNodeIsHealthCheckedAgainAfterATimeout() {
+        InFlightQuery query = accept(request("a", "lookup", TIMEOUT, 1), Duration.ZERO);
+        executor.onAttemptResults(
+                List.of(new AttemptResult(send(query).attempts().get(0), AttemptOutcome.RESET)));
+        accept(request("b", "hold", TIMEOUT, 1), Duration.ZERO);
         QueryAction.HealthCheck first =
-                assertInstanceOf(QueryAction.HealthCheck.class, nextProbe());
+                assertInstanceOf(QueryAction.HealthCheck.class, nextHealthCheck());
         assertEquals("127.0.0.1:1", first.address());
-        assertInstanceOf(QueryAction.HealthCheck.class, nextProbe());
+        assertInstanceOf(QueryAction.HealthCheck.class, nextHealthCheck());
     }
 
-    private QueryAction nextProbe() {
+    private QueryAction nextHealthCheck() {
         return assertTimeoutPreemptively(
                 Duration.ofSeconds(20),
                 () -> {
-                    QueryAction step = errands.take();
-                    while (!(step instanceof QueryAction.HealthCheck)) {
-                        step = errands.take();
+                    QueryAction action = backgroundActions.take();
+                    while (!(action instanceof QueryAction.HealthCheck)) {
+                        action = backgroundActions.take();
                     }
-                    return step;
+                    return action;
                 });
     }
 
     @Test
-    void aNodeIsReachedFromTheTurnOnThatToldOfIt() {
-        decisions.onEndpointUpdate(new EndpointUpdate(2, true, List.of(), Map.of()));
-        InFlightQuery q = take(asked("a", "lookup", PATIENCE, 1), Duration.ZERO);
-        decisions.onEndpointUpdate(
+    void newNodeIsSentToFromItsUpdateOn() {
+        executor.onEndpointUpdate(new EndpointUpdate(2, true, List.of(), Map.of()));
+        InFlightQuery query = accept(request("a", "lookup", TIMEOUT, 1), Duration.ZERO);
+        executor.onEndpointUpdate(
                 new EndpointUpdate(
                         3,
                         true,
                         List.of(new Endpoint("n2", "a", 0, 0, Readiness.READY)),
                         Map.of("n2", "127.0.0.1:2")));
-        assertEquals("127.0.0.1:2", send(q).address());
+        assertEquals("127.0.0.1:2", send(query).address());
     }
 
     @Test
-    void aCallThatHasEndedLeavesNothingThatWaits() throws InterruptedException {
-        InFlightQuery q = take(asked("a", "hold", Duration.ofDays(1), 1), Duration.ZERO);
-        decisions.onAttemptResults(
+    void endedAttemptLeavesNoTimer() throws InterruptedException {
+        InFlightQuery query = accept(request("a", "hold", Duration.ofDays(1), 1), Duration.ZERO);
+        executor.onAttemptResults(
                 List.of(
                         new AttemptResult(
-                                send(q).attempts().get(0), AttemptOutcome.SUCCESS, VALUE)));
-        assertInstanceOf(QueryAction.Answer.class, pick(q));
-        long end = System.nanoTime() + PATIENCE.toNanos();
-        while (decisions.pendingTimers() > 0 && System.nanoTime() < end) {
+                                send(query).attempts().get(0), AttemptOutcome.SUCCESS, VALUE)));
+        assertInstanceOf(QueryAction.Answer.class, awaitAction(query));
+        long end = System.nanoTime() + TIMEOUT.toNanos();
+        while (executor.pendingTimers() > 0 && System.nanoTime() < end) {
             Thread.sleep(5);
         }
-        assertEquals(0, decisions.pendingTimers());
+        assertEquals(0, executor.pendingTimers());
     }
 
     @Test
-    void whatComesWhileDecidingIsDearIsDecidedOnTogether() {
+    void eventsWithinAPauseAreDecidedOnTogether() {
         List<InFlightQuery> all = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            all.add(take(asked("q" + i, "lookup", PATIENCE, 10), Duration.ZERO));
+            all.add(accept(request("q" + i, "lookup", TIMEOUT, 10), Duration.ZERO));
         }
         assertTrue(
-                decisions.decisionCount() < 200,
-                decisions.decisionCount() + " times for 200 queries");
+                executor.decisionCount() < 200,
+                executor.decisionCount() + " times for 200 queries");
         send(all.get(0));
     }
 
     @Test
-    void aRehearsalAnswersItsQueriesAndLeavesNothingToSend() {
-        int answered = new WarmUp(decisions, "a", 1, List.of("lookup", "hold"), null, 4).run();
+    void warmUpAnswersItsQueriesAndLeavesNothingToSend() {
+        int answered = new WarmUp(executor, "a", 1, List.of("lookup", "hold"), null, 4).run();
         assertTrue(answered > 100, answered + " answered");
-        decisions.runDueTimers();
-        assertTrue(errands.stream().noneMatch(QueryAction.Send.class::isInstance));
+        executor.runDueTimers();
+        assertTrue(backgroundActions.stream().noneMatch(QueryAction.Send.class::isInstance));
     }
 
     @Test
-    void aRehearsedDoorAnswersEachOfItsRequests() throws Exception {
+    void warmedUpServerAnswersEachRequest() throws Exception {
         XnioWorker worker =
                 Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        WarmUp rehearsal = new WarmUp(decisions, "a", 1, List.of("lookup"), null, 4);
-        AtomicInteger taken = new AtomicInteger();
-        QueryServer door =
+        WarmUp warmUp = new WarmUp(executor, "a", 1, List.of("lookup"), null, 4);
+        AtomicInteger accepted = new AtomicInteger();
+        QueryServer server =
                 new QueryServer(
                         worker,
                         null,
                         new QueryServer.QueryHandler() {
                             @Override
                             public PendingQuery submit(ClientRequest clientRequest, Duration age) {
-                                taken.incrementAndGet();
-                                return rehearsal.submit(clientRequest, age);
+                                accepted.incrementAndGet();
+                                return warmUp.submit(clientRequest, age);
                             }
 
                             @Override
@@ -301,9 +306,9 @@
                         Set.of(),
                         4,
                         1);
-        door.warmUp(rehearsal::request, 20, PATIENCE);
-        door.stop();
+        server.warmUp(warmUp::request, 20, TIMEOUT);
+        server.stop();
         worker.shutdownNow();
-        assertEquals(20, taken.get());
+        assertEquals(20, accepted.get());
     }
 }
--- a/src/test/java/postbeam/router/ShutdownDeadlinesTest.java
+++ b/src/test/java/postbeam/router/ShutdownDeadlinesTest.java
@@ -16,14 +16,14 @@
     }
 
     @Test
-    void theLastWordComesBeforeARouterMayBeKilled() {
+    void finalAnswersComeBeforeTheProcessIsKilled() {
         endsBefore(Duration.ofMillis(2500 + 700), Duration.ofMillis(2500), Duration.ofMillis(2000));
         endsBefore(Duration.ofMillis(3000 + 700), Duration.ofMillis(7500), null);
         endsBefore(Duration.ofMillis(300 + 700), Duration.ofMillis(300));
     }
 
     @Test
-    void whereNoDeadlineIsStatedThePagesMostIsTaken() {
+    void withoutDeadlinesTheMaximumApplies() {
         assertEquals(Duration.ofSeconds(3), ShutdownDeadlines.of(List.of()).servingEnds());
     }
 }
