--- a/src/main/java/postbeam/testbed/cluster/FaultProxy.java
+++ b/src/main/java/postbeam/testbed/cluster/FaultProxy.java
@@ -92,6 +92,7 @@
         thread.start();
     }
 
+    /** Where clients of the target connect, as host:port. */
     public String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
@@ -103,6 +104,11 @@
         target = next;
     }
 
+    /**
+     * Sets the fault of one direction, from now on.
+     *
+     * @param by the delay, for faults that delay; zero for others
+     */
     public synchronized void set(Direction way, Fault fault, Duration by) {
         Side side = sides.get(way);
         boolean ends = side.fault == Fault.CUT || side.fault == Fault.SILENT;
@@ -118,6 +124,7 @@
         notifyAll();
     }
 
+    /** Sets the fault of both directions, as {@link #set} does. */
     public void setBoth(Fault fault, Duration by) {
         set(Direction.TO_TARGET, fault, by);
         set(Direction.FROM_TARGET, fault, by);
--- a/src/main/java/postbeam/testbed/cluster/LoadGenerator.java
+++ b/src/main/java/postbeam/testbed/cluster/LoadGenerator.java
@@ -99,6 +99,12 @@
             Duration askedAt,
             int tried) {}
 
+    /**
+     * Creates a generator that sends nothing yet.
+     *
+     * @param sliced whether queries name slices of the layout, else numbered shards
+     * @param shards how many numbered shards there are
+     */
     public LoadGenerator(Target stage, boolean sliced, int shards, UniformRandomProvider chance) {
         this.target = stage;
         this.sliced = sliced;
@@ -106,6 +112,7 @@
         this.chance = chance;
     }
 
+    /** Queries from now on name slices of this layout. */
     public void onLayout(Layout layout) {
         latestLayout.set(layout);
     }
@@ -314,18 +321,26 @@
 
     // ---- figures
 
+    /** Queries sent so far. */
     public int queriesSent() {
         return queriesSent.get();
     }
 
+    /** The fraction of the queries that were answered in time. */
     public double fractionInTime() {
         return (double) answeredInTime.get() / Math.max(1, queriesSent.get());
     }
 
+    /**
+     * Latency of answers in milliseconds.
+     *
+     * @param percentile from 0 to 100
+     */
     public double latencyMillis(double percentile) {
         return latencies.getValueAtPercentile(percentile) / 1000.0;
     }
 
+    /** Counts of answers by their HTTP status, as "200:17 503:2". */
     public String statuses() {
         StringBuilder text = new StringBuilder();
         new java.util.TreeMap<>(statuses)
--- a/src/main/java/postbeam/testbed/cluster/LoopbackCluster.java
+++ b/src/main/java/postbeam/testbed/cluster/LoopbackCluster.java
@@ -94,6 +94,7 @@
     private LayoutService service;
     private String serviceAddress;
 
+    /** Starts nodes, discovery, layout service and routers within this process. */
     public LoopbackCluster(Size size, long seed) throws IOException, InterruptedException {
         chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         discovery = new FakeDiscovery();
@@ -230,6 +231,7 @@
 
     // ---- the layout service
 
+    /** Starts the layout service, which goes on from its journal. */
     public void startService() throws IOException {
         LayoutService next = new LayoutService(serviceConfig, checker::onLayout);
         next.start();
@@ -247,6 +249,7 @@
         }
     }
 
+    /** Whether the layout service was started and not stopped since. */
     public boolean isServiceRunning() {
         return service != null;
     }
@@ -268,10 +271,12 @@
                 .body();
     }
 
+    /** The address of the layout service, as host:port. */
     public String layoutServiceAddress() {
         return serviceAddress;
     }
 
+    /** The moves as the layout service describes them; none while it is stopped. */
     public List<String> describeMoves() {
         return service == null ? List.of() : service.describeMoves();
     }
--- a/src/main/java/postbeam/testbed/cluster/ProcessCluster.java
+++ b/src/main/java/postbeam/testbed/cluster/ProcessCluster.java
@@ -85,9 +85,16 @@
      * none), another.
      */
     public interface FileRewriter {
+        /** The text to start the router with in place of this one. */
         String rewrite(ProcessCluster cluster, String file, String text) throws IOException;
     }
 
+    /**
+     * What the cluster consists of.
+     *
+     * @param slack how much later than its time an answer may come
+     * @param rewriter null where files stay as they are
+     */
     public record Size(
             int nodes,
             int routers,
@@ -131,6 +138,7 @@
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
+    /** Starts all processes and waits until they serve. */
     public ProcessCluster(Size size, long seed) throws IOException, InterruptedException {
         this.size = size;
         Runtime.getRuntime().addShutdownHook(shutdownHook);
@@ -234,6 +242,7 @@
 
     // ---- processes
 
+    /** The command line of a postbeam process with these arguments. */
     public static List<String> postbeamCommand(String... words) {
         List<String> command = new ArrayList<>(JAVA);
         command.addAll(List.of("-jar", "target/postbeam.jar"));
@@ -363,6 +372,7 @@
         }
     }
 
+    /** Ends the faults of all connections. */
     public void healAll() {
         synchronized (proxies) {
             proxies.values().forEach(FaultProxy::heal);
@@ -389,6 +399,12 @@
         observedCalls.add(now(), to -> to.routerBack(router));
     }
 
+    /**
+     * Waits until the condition holds; one that throws does not hold yet.
+     *
+     * @param what the condition in words, for the error
+     * @throws IOException where it does not hold in time
+     */
     public void awaitCondition(String what, Callable<Boolean> condition)
             throws IOException, InterruptedException {
         long end = System.nanoTime() + LONG.toNanos();
@@ -435,6 +451,7 @@
         signal(name, "-STOP");
     }
 
+    /** Continues a process that was stopped; a router is ready again on return. */
     public void resume(String name) throws IOException, InterruptedException {
         signal(name, "-CONT");
         if (discoveryClients.contains(name) && !name.equals(LAYOUTS)) {
@@ -486,14 +503,17 @@
         return directory.resolve(name);
     }
 
+    /** Writes a file into the directory of the cluster. */
     public Path writeFile(String name, String text) throws IOException {
         return Files.writeString(file(name), text);
     }
 
+    /** Sends GET to a process; the text of the answer, also of an error. */
     public String get(String name, String path) throws IOException, InterruptedException {
         return request(name, path, null);
     }
 
+    /** Sends POST to a process; the text of the answer, also of an error. */
     public String post(String name, String path, String body)
             throws IOException, InterruptedException {
         return request(name, path, body);
@@ -586,6 +606,7 @@
             }
         }
 
+        /** Stops the clients and waits for their last answers. */
         public void stop() throws InterruptedException {
             load.stop();
             thread.join();
@@ -631,6 +652,7 @@
         return IntStream.range(0, size.routers()).mapToObj(i -> addresses.get("r" + i)).toList();
     }
 
+    /** The address of a process, as host:port. */
     public String address(String name) {
         return addresses.get(name);
     }
--- /dev/null
+++ b/src/main/java/postbeam/testbed/demo/package-info.java
@@ -0,0 +1,2 @@
+/** The demo command. */
+package postbeam.testbed.demo;
--- a/src/main/java/postbeam/testbed/fakes/FakeDataNode.java
+++ b/src/main/java/postbeam/testbed/fakes/FakeDataNode.java
@@ -103,6 +103,11 @@
      */
     private final boolean unsliced;
 
+    /**
+     * Listens on a free port of the loopback interface.
+     *
+     * @param unsliced whether it accepts every call, as for a router without a layout
+     */
     public FakeDataNode(
             String name, String zone, Seen seen, UniformRandomProvider chance, boolean unsliced)
             throws IOException {
@@ -465,6 +470,10 @@
 
     // ---- troubles
 
+    /**
+     * Sets the share of parts that run and are answered with an error, and of answers that come
+     * late.
+     */
     public void setFaultRates(double bad, double late) {
         badAnswers = bad;
         lateAnswers = late;
@@ -475,10 +484,12 @@
         work = each;
     }
 
+    /** From now on each part takes so many times as long. */
     public void setSlowdown(int times) {
         slowness = times;
     }
 
+    /** Whether it accepts calls and answers none. */
     public void setHanging(boolean hangs) {
         hanging = hangs;
     }
--- a/src/main/java/postbeam/testbed/fakes/FakeDiscovery.java
+++ b/src/main/java/postbeam/testbed/fakes/FakeDiscovery.java
@@ -32,6 +32,7 @@
 
     private boolean half;
 
+    /** Listens on a free port of the loopback interface and lists no host. */
     public FakeDiscovery() throws IOException {
         this(null);
     }
@@ -44,6 +45,7 @@
         thread.start();
     }
 
+    /** Where it listens, as host:port. */
     public String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
@@ -69,6 +71,7 @@
         notifyAll();
     }
 
+    /** One host as it stands in the list. */
     public static String hostEntry(
             String name, String dial, String zone, String health, long bornMs) {
         return "{\"host\":\""
--- a/src/main/java/postbeam/testbed/fakes/FakeSliceStore.java
+++ b/src/main/java/postbeam/testbed/fakes/FakeSliceStore.java
@@ -10,6 +10,7 @@
  * ran.
  */
 public final class FakeSliceStore {
+    /** How far a slice is held here. */
     public enum SliceState {
         COPYING,
         HOLDING,
@@ -35,6 +36,7 @@
 
     private final Map<Integer, HeldSlice> slices = new TreeMap<>();
 
+    /** The slice of this number; null where it is not held. */
     public HeldSlice find(int slice) {
         return slices.get(slice);
     }
@@ -55,6 +57,7 @@
         return one;
     }
 
+    /** Ends a call that {@link #tryAccept} accepted. */
     public void completeCall(HeldSlice one) {
         one.runningCalls--;
     }
--- a/src/main/java/postbeam/testbed/fakes/ScriptedDataNode.java
+++ b/src/main/java/postbeam/testbed/fakes/ScriptedDataNode.java
@@ -28,6 +28,7 @@
      */
     public volatile String mode = "good";
 
+    /** Listens on a free port of the loopback interface. */
     public ScriptedDataNode() throws IOException {
         daemon(this::accept);
     }
@@ -113,6 +114,7 @@
         }
     }
 
+    /** Sends a frame: its length, then the text in UTF-8. */
     public void send(Socket socket, String frame) throws IOException {
         byte[] bytes = frame.getBytes(StandardCharsets.UTF_8);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -123,10 +125,12 @@
         socket.getOutputStream().write(out.toByteArray());
     }
 
+    /** Where it listens, as host:port. */
     public String dialAddress() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
+    /** Its entry in discovery's list. */
     public String hostEntry(String name, String health) {
         return FakeDiscovery.hostEntry(name, dialAddress(), "a", health, 0);
     }
--- a/src/main/java/postbeam/testbed/package-info.java
+++ b/src/main/java/postbeam/testbed/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Stand-ins for all that postbeam speaks to, faults by seed, and a referee that sees all traffic
- * and checks the six rules. Nothing of it is loaded by a router that serves.
+ * The testbed: fakes of all that postbeam speaks to, clusters of processes, simulations on a
+ * simulated clock, and a checker that sees all traffic and verifies the six rules of the protocol.
+ * A router that serves loads nothing of it.
  */
 package postbeam.testbed;
--- a/src/main/java/postbeam/testbed/simulation/CoordinationSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/CoordinationSimulation.java
@@ -328,6 +328,7 @@
     private double measured;
     private Duration carriesAt;
 
+    /** Prepares a run, in which the seed decides every choice. */
     public CoordinationSimulation(Plan plan, long seed) {
         this.plan = plan;
         this.chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
@@ -366,6 +367,7 @@
         return broken;
     }
 
+    /** How much of the budgets was used. */
     public Use use() {
         double budget = 0;
         for (NodeIncarnation key : nodes.values()) {
--- a/src/main/java/postbeam/testbed/simulation/DefectiveCoordination.java
+++ b/src/main/java/postbeam/testbed/simulation/DefectiveCoordination.java
@@ -58,6 +58,7 @@
         defect = MAKING.get();
     }
 
+    /** The defects, as trials take them as arguments. */
     public static List<String> names() {
         return Stream.of(Defect.values()).map(Defect::argumentName).toList();
     }
--- a/src/main/java/postbeam/testbed/simulation/DefectivePageAssembly.java
+++ b/src/main/java/postbeam/testbed/simulation/DefectivePageAssembly.java
@@ -12,6 +12,7 @@
 
 /** Pages with a defect put in, to show that trials catch it. */
 public final class DefectivePageAssembly extends PageAssembler {
+    /** The defects; each must be caught by the trial. */
     public enum Defect {
         /** Rows that are alike in their sort keys come as their parts came. */
         TIES_BY_ARRIVAL,
@@ -26,6 +27,7 @@
         /** Rows out of order are merged. */
         SPOILT_MERGED;
 
+        /** The defect, as the trial takes it as an argument. */
         public String argumentName() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
--- a/src/main/java/postbeam/testbed/simulation/GossipSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/GossipSimulation.java
@@ -42,6 +42,7 @@
     private long runs;
     private long countedAttempts;
 
+    /** Prepares a run, in which the seed decides every choice. */
     public GossipSimulation(int routers, DefectiveCoordination.Defect defect, long seed) {
         this.chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         this.defect = defect;
@@ -76,6 +77,7 @@
         };
     }
 
+    /** Runs it. Returns the violations, a line each; empty where there is none. */
     public List<String> run() {
         for (int step = 0; step < STEPS && broken.isEmpty(); step++) {
             long bucket = step / BUCKET;
@@ -142,6 +144,7 @@
         }
     }
 
+    /** Attempts that were counted in the run. */
     public long countedAttempts() {
         return countedAttempts;
     }
--- a/src/main/java/postbeam/testbed/simulation/MigrationSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/MigrationSimulation.java
@@ -127,6 +127,12 @@
     private long turns;
     private boolean calm;
 
+    /**
+     * Prepares a run, in which the seed decides every choice.
+     *
+     * @param defect null for none
+     * @param faults whether processes die and messages are lost
+     */
     public MigrationSimulation(long seed, DefectiveMigration.Defect defect, boolean faults) {
         this.seed = seed;
         this.defect = defect;
@@ -223,6 +229,7 @@
 
     // ---- the run
 
+    /** Runs it, and checks what it left. */
     public TrialResult run() {
         chief = new SimulatedMigrationCoordinator(this);
         routers.forEach(this::poll);
--- a/src/main/java/postbeam/testbed/simulation/PagingSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/PagingSimulation.java
@@ -83,6 +83,11 @@
     private int calls;
     private int maxCursorLength;
 
+    /**
+     * Prepares a run, in which the seed decides every choice.
+     *
+     * @param defect null for none
+     */
     public PagingSimulation(long seed, DefectivePageAssembly.Defect defect) {
         chance = new Random(seed);
         this.defect = defect;
@@ -465,38 +470,47 @@
 
     // ---- figures
 
+    /** Rows that there are. */
     public int rows() {
         return rows.size();
     }
 
+    /** Pages that were given. */
     public int pages() {
         return pages;
     }
 
+    /** Pages that were given without some ranges. */
     public int pagesWithMissingRanges() {
         return pagesWithMissingRanges;
     }
 
+    /** Pages that were not full although rows were left. */
     public int truncatedPages() {
         return truncatedPages;
     }
 
+    /** Rows on all pages. */
     public int rowsGiven() {
         return rowsGiven;
     }
 
+    /** Rows that shards sent for all pages. */
     public int rowsFetched() {
         return rowsFetched;
     }
 
+    /** Calls to shards for all pages. */
     public int calls() {
         return calls;
     }
 
+    /** Versions of the layout. */
     public int layouts() {
         return layouts.size();
     }
 
+    /** Characters of the longest cursor. */
     public int maxCursorLength() {
         return maxCursorLength;
     }
--- a/src/main/java/postbeam/testbed/simulation/SimulatedCluster.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedCluster.java
@@ -90,6 +90,12 @@
                             1,
                             1));
 
+    /**
+     * A kind of queries that clients send.
+     *
+     * @param need the weight of answers that a query needs
+     * @param floor the weight below which a partial answer is none
+     */
     public record Kind(
             String name,
             SideEffects effect,
@@ -125,6 +131,7 @@
     private int queriesSent;
     private int answeredInTime;
 
+    /** Prepares a run, in which the seed decides every choice. */
     public SimulatedCluster(Plan plan, long seed) {
         this.plan = plan;
         this.chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
@@ -153,6 +160,7 @@
         return RULES;
     }
 
+    /** The kinds of queries that clients send. */
     public static List<Kind> kinds() {
         return KINDS;
     }
@@ -235,10 +243,12 @@
         publishNodeList();
     }
 
+    /** Queries sent. */
     public int queriesSent() {
         return queriesSent;
     }
 
+    /** Queries answered in time. */
     public int answeredInTime() {
         return answeredInTime;
     }
--- a/src/main/java/postbeam/testbed/simulation/SimulatedMoveCoordinator.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedMoveCoordinator.java
@@ -282,14 +282,17 @@
         }
     }
 
+    /** Moves that were cut over. */
     public int movesCutOver() {
         return movesCutOver;
     }
 
+    /** Moves that were abandoned. */
     public int movesAbandoned() {
         return movesAbandoned;
     }
 
+    /** Moves that were started. */
     public int movesStarted() {
         return movesStarted;
     }
--- a/src/main/java/postbeam/testbed/trials/Trial.java
+++ b/src/main/java/postbeam/testbed/trials/Trial.java
@@ -5,6 +5,7 @@
 
 /** A proof that anyone can run again with other seeds. */
 public interface Trial {
+    /** Its name on the command line. */
     String name();
 
     /** What it shows, in a line. */
--- a/src/main/java/postbeam/testbed/verification/InvariantChecker.java
+++ b/src/main/java/postbeam/testbed/verification/InvariantChecker.java
@@ -123,6 +123,12 @@
         final TreeMap<Duration, Integer> retries = new TreeMap<>();
     }
 
+    /**
+     * Has seen nothing yet.
+     *
+     * @param drainGrace how long after a node drains it may still be called
+     * @param slack how much later than its time something may be seen
+     */
     public InvariantChecker(Rules rules, Duration drainGrace, Duration slack) {
         this.rules = rules;
         this.drainGrace = drainGrace;
@@ -131,6 +137,7 @@
 
     // ---- what is seen
 
+    /** A version of the layout is in force. */
     public synchronized void onLayout(Layout layout) {
         layouts.put(layout.version, layout);
     }
@@ -168,6 +175,7 @@
                 .forEach(q -> q.routerLost = true);
     }
 
+    /** A router that was away serves again. */
     public synchronized void routerBack(String router) {
         away.remove(router);
     }
@@ -178,6 +186,7 @@
         warmingUpNodes.put(node, new WarmingUpNode());
     }
 
+    /** Routers were told whether a node drains. */
     public synchronized void onDrainingChanged(Duration now, String node, boolean draining) {
         if (draining) {
             drainingSince.putIfAbsent(node, now);
@@ -494,18 +503,22 @@
                         + what);
     }
 
+    /** The violations found, a line each. */
     public synchronized List<String> violations() {
         return List.copyOf(violations);
     }
 
+    /** Calls seen at nodes. */
     public synchronized long calls() {
         return calls;
     }
 
+    /** Calls seen beyond the first of their parts. */
     public synchronized long retries() {
         return retries;
     }
 
+    /** Parts that were run. */
     public synchronized long runs() {
         return runs;
     }
--- a/src/main/java/postbeam/testbed/verification/ObservedCalls.java
+++ b/src/main/java/postbeam/testbed/verification/ObservedCalls.java
@@ -28,6 +28,7 @@
 
     private final List<Event> events = new ArrayList<>();
 
+    /** Adds an observation at this time, to be passed on in the order of times. */
     public synchronized void add(Duration at, Consumer<InvariantChecker> what) {
         events.add(new Event(at, what));
     }
@@ -144,6 +145,7 @@
             this.startNanos = startNanos;
         }
 
+        /** The time since the start of the run. */
         public Duration now() {
             return Duration.ofNanos(System.nanoTime() - startNanos);
         }
--- a/src/main/java/postbeam/testbed/verification/RunObserver.java
+++ b/src/main/java/postbeam/testbed/verification/RunObserver.java
@@ -10,6 +10,14 @@
 
     /** What is seen where clients are. */
     public interface ClientObserver {
+        /**
+         * A client sends a query.
+         *
+         * @param need the weight of answers that it needs
+         * @param floor the weight below which a partial answer is none
+         * @param version of the layout that it names its slices by
+         * @param until when it gives up
+         */
         void querySent(
                 Duration now,
                 String id,
@@ -21,13 +29,20 @@
                 List<InvariantChecker.RequestedSlice> wanted,
                 Duration until);
 
+        /** A query was rejected, so none of it may have run. */
         void rejected(Duration now, String query);
 
+        /** A query failed; some of it may have run. */
         void failed(Duration now, String query);
 
         /** No answer has come, and none will: what the client saw instead. */
         void unanswered(Duration now, String query, String seen);
 
+        /**
+         * A query was answered.
+         *
+         * @param counted the version of the layout that the answer counts its keys by
+         */
         void answered(
                 Duration now,
                 String query,
@@ -38,8 +53,10 @@
 
     /** What is seen where data nodes are. */
     public interface NodeObserver {
+        /** A node has started and is warming up. */
         void nodeStarted(Duration now, String node);
 
+        /** A call has arrived at a node. */
         void called(
                 Duration now,
                 String node,
@@ -49,8 +66,10 @@
                 long version,
                 Duration work);
 
+        /** A node has run a part of a query. */
         void ran(Duration now, String query, String part, KeyRange keys);
 
+        /** A call is over, answered or not. */
         void callEnded(String query, String part);
     }
 }
--- a/src/main/java/postbeam/testbed/verification/SlowStartUsage.java
+++ b/src/main/java/postbeam/testbed/verification/SlowStartUsage.java
@@ -14,10 +14,12 @@
 
     private final List<Take> takes = new ArrayList<>();
 
+    /** Adds work that was taken at some time within this span. */
     public synchronized void record(Duration begun, Duration ended, double work) {
         takes.add(new Take(begun, ended, work));
     }
 
+    /** How many times work was taken. */
     public synchronized int count() {
         return takes.size();
     }
--- /dev/null
+++ b/src/main/java/postbeam/testbed/verification/package-info.java
@@ -0,0 +1,2 @@
+/** What is seen of a run, and the checker of the invariants over it. */
+package postbeam.testbed.verification;
