--- a/src/main/java/postbeam/layoutservice/LayoutService.java
+++ b/src/main/java/postbeam/layoutservice/LayoutService.java
@@ -596,7 +596,7 @@
                                     : ""));
         }
         List<String> lines = new ArrayList<>();
-        Planner.nextChanges(journalState.layout(), targetLayout, journalState.busy())
+        Planner.nextChanges(journalState.layout(), targetLayout, journalState.busySlices())
                 .forEach(change -> lines.add("first: " + change));
         return lines.isEmpty() ? List.of("nothing is to be done") : lines;
     }
--- /dev/null
+++ b/src/main/java/postbeam/slices/ChangePlanner.java
@@ -0,0 +1,192 @@
+package postbeam.slices;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.stream.IntStream;
+import postbeam.model.Readiness;
+
+/** Decides whether a change can be made now, and plans it. */
+final class ChangePlanner {
+    /** A layout that is only tried out keeps no more history than this. */
+    private static final long TRIAL_HISTORY = 1;
+
+    private final MoveJournalState state;
+    private final MoveLimits limits;
+    private final NodeStates nodes;
+    private final MoveApproval approval;
+
+    ChangePlanner(
+            MoveJournalState state, MoveLimits limits, NodeStates nodes, MoveApproval approval) {
+        this.state = state;
+        this.limits = limits;
+        this.nodes = nodes;
+        this.approval = approval;
+    }
+
+    /**
+     * Plans a change.
+     *
+     * @throws IllegalArgumentException it can't be planned now; nothing has changed then
+     */
+    void plan(ActionList actions, LayoutChange change) {
+        rejectionReason(change)
+                .ifPresent(
+                        reason -> {
+                            throw new IllegalArgumentException(reason);
+                        });
+        String source =
+                change instanceof LayoutChange.Transfer transfer && transfer.to() != null
+                        ? copySource(transfer).orElse(null)
+                        : null;
+        actions.append(
+                new JournalRecord.Planned(
+                        state.nextMove(), change, newSliceNumbers(change), source, actions.now()));
+    }
+
+    private List<Integer> newSliceNumbers(LayoutChange change) {
+        return IntStream.range(0, change.newSliceCount())
+                .mapToObj(i -> state.nextSlice() + i)
+                .toList();
+    }
+
+    /** Why the change can't be planned now, in one line; empty where it can. */
+    Optional<String> rejectionReason(LayoutChange change) {
+        Optional<String> conflict =
+                sliceConflict(change).or(() -> approval.reservationConflict(change));
+        if (conflict.isPresent()) {
+            return conflict;
+        }
+        Layout changed;
+        try {
+            changed =
+                    state.layout()
+                            .withChange(
+                                    change,
+                                    newSliceNumbers(change),
+                                    state.nextVersion(),
+                                    Duration.ZERO,
+                                    TRIAL_HISTORY);
+        } catch (IllegalArgumentException e) {
+            return Optional.of(e.getMessage());
+        }
+        return change instanceof LayoutChange.Transfer transfer
+                ? transferProblem(transfer, changed)
+                : goneHolder(change.slices().get(0));
+    }
+
+    private Optional<String> sliceConflict(LayoutChange change) {
+        for (int number : change.slices()) {
+            if (state.layout().slice(number) == null) {
+                return Optional.of("there is no slice " + number);
+            }
+            if (state.isBusy(number)) {
+                return Optional.of("slice " + number + " is moving already");
+            }
+        }
+        return Optional.empty();
+    }
+
+    private Optional<String> transferProblem(LayoutChange.Transfer transfer, Layout changed) {
+        Optional<String> problem =
+                transfer.to() == null ? Optional.empty() : destinationProblem(transfer);
+        return problem.or(
+                () ->
+                        replicationProblem(
+                                state.layout().slice(transfer.slice()),
+                                changed.slice(transfer.slice())));
+    }
+
+    private Optional<String> destinationProblem(LayoutChange.Transfer transfer) {
+        Readiness readiness =
+                nodes.find(transfer.to())
+                        .map(TargetLayout.NodeInfo::readiness)
+                        .orElse(Readiness.REMOVED);
+        if (readiness == Readiness.REMOVED) {
+            return Optional.of("there is no node " + transfer.to());
+        }
+        if (readiness == Readiness.DRAINING) {
+            return Optional.of("node " + transfer.to() + " is draining");
+        }
+        return copySource(transfer).isPresent()
+                ? Optional.empty()
+                : Optional.of("slice " + transfer.slice() + " has no holder left to copy from");
+    }
+
+    /** A split or merge takes the part of each holder. */
+    private Optional<String> goneHolder(int slice) {
+        return state.layout().slice(slice).nodes().stream()
+                .filter(nodes::isGone)
+                .findFirst()
+                .map(node -> "holder " + node + " of slice " + slice + " is gone: move it first");
+    }
+
+    /**
+     * The node that hands a slice over: who lets it go, else another holder that is ready, else one
+     * that is listed.
+     */
+    private Optional<String> copySource(LayoutChange.Transfer transfer) {
+        if (transfer.from() != null && nodes.isReady(transfer.from())) {
+            return Optional.of(transfer.from());
+        }
+        List<String> holders = state.layout().slice(transfer.slice()).nodes();
+        return holders.stream()
+                .filter(nodes::isReady)
+                .findFirst()
+                .or(() -> holders.stream().filter(node -> !nodes.isGone(node)).findFirst());
+    }
+
+    /**
+     * A slice may not come below the minimum of holders or zones; one that is below already may not
+     * get worse.
+     */
+    private Optional<String> replicationProblem(Slice before, Slice after) {
+        List<String> oldHolders = listedHolders(before);
+        List<String> newHolders = listedHolders(after);
+        if (newHolders.size() < limits.minHolders() && newHolders.size() < oldHolders.size()) {
+            return Optional.of(
+                    "slice "
+                            + after.number()
+                            + ": "
+                            + newHolders.size()
+                            + " holders, at least "
+                            + limits.minHolders()
+                            + " are needed");
+        }
+        long newZones = zoneCount(newHolders);
+        if (newZones < limits.minZones() && newZones < zoneCount(oldHolders)) {
+            return Optional.of(
+                    "slice "
+                            + after.number()
+                            + ": holders in "
+                            + newZones
+                            + " zones, at least "
+                            + limits.minZones()
+                            + " are needed");
+        }
+        return Optional.empty();
+    }
+
+    private List<String> listedHolders(Slice slice) {
+        return slice.nodes().stream().filter(node -> !nodes.isGone(node)).toList();
+    }
+
+    private long zoneCount(List<String> holders) {
+        return holders.stream().map(nodes::zone).distinct().count();
+    }
+
+    /** Moves that would bring slices off nodes that are gone, as many as could be planned now. */
+    List<LayoutChange> repairs() {
+        List<LayoutChange> repairs =
+                new ArrayList<>(
+                        SlicePlacement.repairs(
+                                state.layout(),
+                                nodes.all(),
+                                nodes.gone(),
+                                state.busySlices(),
+                                2 * limits.maxMoves()));
+        repairs.removeIf(change -> rejectionReason(change).isPresent());
+        return repairs;
+    }
+}
--- a/src/main/java/postbeam/slices/Coverage.java
+++ b/src/main/java/postbeam/slices/Coverage.java
@@ -3,19 +3,18 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Whether ranges cover the key space once. */
+/** Checks that key ranges cover the key space exactly once. */
 final class Coverage {
     private Coverage() {}
 
     /**
-     * The first gap or overlap of ranges that are sorted, in a line; empty where they cover all
-     * keys once.
+     * The first gap or overlap of sorted ranges, in one line; empty where they cover each key once.
      */
     static Optional<String> firstProblem(List<KeyRange> sorted) {
         long end = 0;
         for (KeyRange keys : sorted) {
             if (keys.from() > end) {
-                return Optional.of("gap: no slice holds the keys " + end + "-" + keys.from());
+                return gap(end, keys.from());
             }
             if (keys.from() < end) {
                 return Optional.of(
@@ -28,7 +27,10 @@
         }
         return end == KeyRange.KEY_SPACE_SIZE
                 ? Optional.empty()
-                : Optional.of(
-                        "gap: no slice holds the keys " + end + "-" + KeyRange.KEY_SPACE_SIZE);
+                : gap(end, KeyRange.KEY_SPACE_SIZE);
+    }
+
+    private static Optional<String> gap(long from, long to) {
+        return Optional.of("gap: no slice holds the keys " + from + "-" + to);
     }
 }
--- a/src/main/java/postbeam/slices/Fragment.java
+++ b/src/main/java/postbeam/slices/Fragment.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Some keys of one slice of the layout in force, of which a query wants an answer. */
+/** Keys of one slice of the layout in force that a query asks for. */
 public record Fragment(int slice, KeyRange keys) implements Comparable<Fragment> {
-    /** Cut along the slices of the layout. */
+    /** The keys, split along the slices of a layout. */
     public static List<Fragment> split(Layout layout, KeyRange keys) {
         List<Fragment> fragments = new ArrayList<>();
         for (Slice slice : layout.overlapping(keys)) {
@@ -14,22 +14,26 @@
         return fragments;
     }
 
-    /** With those that touch within one slice joined: one answer for both. */
+    /** The fragments in order, with neighbours within one slice merged. */
     public static List<Fragment> merged(List<Fragment> fragments) {
         List<Fragment> sorted = new ArrayList<>(fragments);
         sorted.sort(null);
-        List<Fragment> joined = new ArrayList<>();
+        List<Fragment> merged = new ArrayList<>();
         for (Fragment next : sorted) {
-            Fragment last = joined.isEmpty() ? null : joined.get(joined.size() - 1);
-            if (last != null && last.slice == next.slice && last.keys.to() == next.keys.from()) {
-                joined.set(
-                        joined.size() - 1,
+            Fragment last = merged.isEmpty() ? null : merged.get(merged.size() - 1);
+            if (last != null && last.isFollowedBy(next)) {
+                merged.set(
+                        merged.size() - 1,
                         new Fragment(last.slice, last.keys.joinedWith(next.keys)));
             } else {
-                joined.add(next);
+                merged.add(next);
             }
         }
-        return joined;
+        return merged;
+    }
+
+    private boolean isFollowedBy(Fragment next) {
+        return slice == next.slice && keys.to() == next.keys.from();
     }
 
     @Override
--- a/src/main/java/postbeam/slices/HandoffCommand.java
+++ b/src/main/java/postbeam/slices/HandoffCommand.java
@@ -1,18 +1,21 @@
 package postbeam.slices;
 
-/** What a data node is told to do with a slice. Each may come twice and then does nothing more. */
+/**
+ * What a data node is to do with a slice. Commands are idempotent: each may come twice and then
+ * changes nothing.
+ */
 public enum HandoffCommand {
     /**
-     * Copy the keys' data from another node, or take it up under another number where it holds it
-     * itself.
+     * Copy the keys' data from another node, or take it up under another number where the node
+     * holds it itself.
      */
     COPY,
     /** Keep what was copied up to date. */
     HOLD,
-    /** Take nothing new for it, and say so once nothing that was taken is left. */
+    /** Accept no new calls for it, and acknowledge once no accepted call is left. */
     FENCE,
     /** Serve it, for calls of this version of the layout or a later one. */
     SERVE,
-    /** Forget it. */
+    /** Delete it. */
     DROP
 }
--- a/src/main/java/postbeam/slices/JournalRecord.java
+++ b/src/main/java/postbeam/slices/JournalRecord.java
@@ -4,11 +4,20 @@
 import java.util.List;
 
 /**
- * What the log of moves holds; {@link MoveJournalState} is what its records add up to. Times are
- * spans since 1970.
+ * A record of the journal; {@link MoveJournalState} is what the records add up to. Times are since
+ * 1970.
  */
 public sealed interface JournalRecord {
-    /** All that is known: the first record of each log. The target is null where there is none. */
+    /**
+     * All that is known: the first record of each journal.
+     *
+     * @param lastVersion the highest layout version used so far
+     * @param lastMove the highest number of a move
+     * @param lastSlice the highest number of a slice
+     * @param moves the moves under way
+     * @param target null where there is none
+     * @param pendingDrops what nodes have yet to be told to drop
+     */
     record Snapshot(
             Layout layout,
             long lastVersion,
@@ -19,7 +28,11 @@
             List<Move.OldHolder> pendingDrops)
             implements JournalRecord {}
 
-    /** A move as it stands; why is null where it is not abandoned. */
+    /**
+     * A move under way, as part of a snapshot.
+     *
+     * @param abandonReason null where it is not abandoned
+     */
     record MoveSnapshot(
             long id,
             LayoutChange change,
@@ -33,35 +46,47 @@
             boolean reverseWhenDone,
             boolean mayBeFenced) {}
 
-    /** A move is planned; the source is null where no data goes from one node to another. */
+    /**
+     * A move is planned.
+     *
+     * @param newSlices the numbers of the slices that it creates
+     * @param source null where no data goes from one node to another
+     */
     record Planned(
             long id, LayoutChange change, List<Integer> newSlices, String source, Duration at)
             implements JournalRecord {}
 
-    /** A move has come to this state. */
+    /** A move has come to a state. */
     record Advanced(long id, MoveState state, Duration at) implements JournalRecord {}
 
-    /** The layout with the move's change, of this version, is in force. */
+    /** The layout with the move's change is in force, under this version. */
     record CutOver(long id, long version, Duration at) implements JournalRecord {}
 
-    /** A move goes back, or is to be turned back once it is over. */
+    /** A move is rolled back, or is reversed once it is completed where it is cut over already. */
     record AbandonRequested(long id, String reason, Duration at) implements JournalRecord {}
 
-    /** The layout without the move's change, under this version, is in force. */
+    /** The layout without the move's change is in force, under this version. */
     record RolledBack(long id, long version, Duration at) implements JournalRecord {}
 
     /**
-     * A node has yet to be told that a slice is no longer its own; or, where it is not owed any
-     * more, has dropped it.
+     * A node has yet to drop a slice that is no longer its own.
+     *
+     * @param pending false once it has dropped it
      */
     record PendingDrop(Move.OldHolder oldHolder, boolean pending) implements JournalRecord {}
 
-    /** A process has begun to write this log: records and orders of lower terms count no more. */
+    /**
+     * A process has begun to write this journal: records and commands of lower terms count no more.
+     */
     record TermStarted(long term) implements JournalRecord {}
 
-    /** What a workflow over moves writes among them; the {@link MoveJournalState} hands it on. */
+    /** A record of a workflow over moves; {@link MoveJournalState} hands it on. */
     non-sealed interface WorkflowRecord extends JournalRecord {}
 
-    /** Where the layout is to get; null: nowhere any more. */
+    /**
+     * Where the layout is to get.
+     *
+     * @param target null: nowhere any more
+     */
     record TargetSet(TargetLayout target) implements JournalRecord {}
 }
--- a/src/main/java/postbeam/slices/KeyRangeRequest.java
+++ b/src/main/java/postbeam/slices/KeyRangeRequest.java
@@ -4,10 +4,17 @@
 import postbeam.model.Query;
 import postbeam.model.ShardRequest;
 
-/** A part of a query that asks for some keys of one slice. */
+/** A part of a query that asks for keys of one slice. */
 public final class KeyRangeRequest extends ShardRequest {
+    /** The keys that it asks for. */
     public final KeyRange keys;
 
+    /**
+     * Adds a part to a query.
+     *
+     * @param weight its share of the answer
+     * @param work the estimate of its work; null where there is none
+     */
     public KeyRangeRequest(Query query, int slice, KeyRange keys, double weight, Duration work) {
         super(query, slice, weight, work);
         this.keys = keys;
--- a/src/main/java/postbeam/slices/Layout.java
+++ b/src/main/java/postbeam/slices/Layout.java
@@ -11,11 +11,12 @@
 import java.util.Set;
 
 /**
- * One version of which slices there are and who holds them, with the lineage of those that it has
- * replaced. It covers the key space once, by construction: {@link #validated} is the only way to
- * one from outside, {@link #withChange} the only way on. Never changed once made.
+ * One version of which slices there are and who holds them, with the slices that were replaced in
+ * the versions before. It covers the key space exactly once, by construction: {@link #validated} is
+ * the only way to one from outside, {@link #withChange} the only way on. Immutable.
  */
 public final class Layout {
+    /** The version's number, from 1. */
     public final long version;
 
     /** The oldest version whose slices it still knows. */
@@ -26,22 +27,31 @@
     private final Map<Integer, RetiredSlice> retiredSlices = new LinkedHashMap<>();
 
     private Layout(
-            long version, long oldest, List<Slice> slices, Collection<RetiredSlice> retired) {
+            long version,
+            long oldestVersion,
+            List<Slice> slices,
+            Collection<RetiredSlice> retired) {
         this.version = version;
-        this.oldestVersion = oldest;
+        this.oldestVersion = oldestVersion;
         this.slices = List.copyOf(slices);
         slices.forEach(slice -> byNumber.put(slice.number(), slice));
         retired.stream()
-                .filter(old -> old.retiredVersion() > oldest)
-                .forEach(old -> this.retiredSlices.put(old.number(), old));
+                .filter(slice -> slice.retiredVersion() > oldestVersion)
+                .forEach(slice -> retiredSlices.put(slice.number(), slice));
     }
 
-    /** From what somebody tells; an IllegalArgumentException names what is wrong with it. */
+    // ---- creation
+
+    /**
+     * A layout from outside.
+     *
+     * @throws IllegalArgumentException it is none; the message names what is wrong with it
+     */
     public static Layout validated(
-            long version, long oldest, List<Slice> slices, List<RetiredSlice> retired) {
-        if (version < 1 || oldest < 0 || oldest > version) {
+            long version, long oldestVersion, List<Slice> slices, List<RetiredSlice> retired) {
+        if (version < 1 || oldestVersion < 0 || oldestVersion > version) {
             throw new IllegalArgumentException(
-                    "versions can't be used: " + version + ", oldest " + oldest);
+                    "versions can't be used: " + version + ", oldest " + oldestVersion);
         }
         List<Slice> sorted = new ArrayList<>(slices);
         sorted.sort(Comparator.comparing(Slice::keys));
@@ -52,63 +62,72 @@
                         });
         Set<Integer> numbers = new HashSet<>();
         for (Slice slice : sorted) {
-            if (!numbers.add(slice.number())) {
-                throw new IllegalArgumentException(
-                        "slice " + slice.number() + " stands there twice");
-            }
-            if (slice.holders().isEmpty()
-                    || new HashSet<>(slice.nodes()).size() < slice.holders().size()) {
-                throw new IllegalArgumentException(
-                        "slice " + slice.number() + " has no holder, or one twice");
-            }
-            if (slice.createdVersion() > version) {
-                throw new IllegalArgumentException(
-                        "slice " + slice.number() + " is younger than its layout");
-            }
+            requireNewNumber(slice.number(), numbers);
+            requireValid(slice, version);
         }
-        for (RetiredSlice old : retired) {
-            if (!numbers.add(old.number())) {
-                throw new IllegalArgumentException("slice " + old.number() + " stands there twice");
-            }
-            if (old.createdVersion() >= old.retiredVersion() || old.retiredVersion() > version) {
-                throw new IllegalArgumentException(
-                        "retired slice " + old.number() + " has ages that can't be");
-            }
+        for (RetiredSlice slice : retired) {
+            requireNewNumber(slice.number(), numbers);
+            requireValid(slice, version);
         }
-        return new Layout(version, oldest, sorted, retired);
+        return new Layout(version, oldestVersion, sorted, retired);
     }
 
-    /** The first layout: so many slices of even size, each with these holders in turn. */
-    public static Layout initial(int count, List<String> nodes, int holders) {
+    private static void requireNewNumber(int number, Set<Integer> numbers) {
+        if (!numbers.add(number)) {
+            throw new IllegalArgumentException("slice " + number + " stands there twice");
+        }
+    }
+
+    private static void requireValid(Slice slice, long version) {
+        if (slice.holders().isEmpty()
+                || new HashSet<>(slice.nodes()).size() < slice.holders().size()) {
+            throw new IllegalArgumentException(
+                    "slice " + slice.number() + " has no holder, or one twice");
+        }
+        if (slice.createdVersion() > version) {
+            throw new IllegalArgumentException(
+                    "slice " + slice.number() + " is younger than its layout");
+        }
+    }
+
+    private static void requireValid(RetiredSlice slice, long version) {
+        if (slice.createdVersion() >= slice.retiredVersion() || slice.retiredVersion() > version) {
+            throw new IllegalArgumentException(
+                    "retired slice " + slice.number() + " has ages that can't be");
+        }
+    }
+
+    /**
+     * The first layout: slices of even size, each with so many of the nodes as holders, in turn.
+     */
+    public static Layout initial(int sliceCount, List<String> nodes, int holderCount) {
+        long size = KeyRange.KEY_SPACE_SIZE / sliceCount;
         List<Slice> slices = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
-            List<Holder> held = new ArrayList<>();
-            for (int j = 0; j < Math.min(holders, nodes.size()); j++) {
-                held.add(new Holder(nodes.get((i + j) % nodes.size()), Duration.ZERO));
+        for (int i = 0; i < sliceCount; i++) {
+            List<Holder> holders = new ArrayList<>();
+            for (int j = 0; j < Math.min(holderCount, nodes.size()); j++) {
+                holders.add(new Holder(nodes.get((i + j) % nodes.size()), Duration.ZERO));
             }
-            slices.add(
-                    new Slice(
-                            i,
-                            new KeyRange(
-                                    KeyRange.KEY_SPACE_SIZE / count * i,
-                                    i + 1 == count
-                                            ? KeyRange.KEY_SPACE_SIZE
-                                            : KeyRange.KEY_SPACE_SIZE / count * (i + 1)),
-                            1,
-                            held));
+            boolean last = i + 1 == sliceCount;
+            KeyRange keys = new KeyRange(size * i, last ? KeyRange.KEY_SPACE_SIZE : size * (i + 1));
+            slices.add(new Slice(i, keys, 1, holders));
         }
         return validated(1, 1, slices, List.of());
     }
 
+    // ---- slices
+
+    /** The slices in the order of their keys. */
     public List<Slice> slices() {
         return slices;
     }
 
-    /** Null where there is none of that number in this version. */
+    /** The slice of this number; null where this version has none. */
     public Slice slice(int number) {
         return byNumber.get(number);
     }
 
+    /** The slices that were split or merged since the oldest version. */
     public Collection<RetiredSlice> retiredSlices() {
         return retiredSlices.values();
     }
@@ -117,14 +136,16 @@
      * The keys that a slice had in a version between the oldest and this one; null where there was
      * no such slice.
      */
-    public KeyRange keysOf(int number, long in) {
+    public KeyRange keysOf(int number, long inVersion) {
         Slice slice = byNumber.get(number);
         if (slice != null) {
-            return slice.createdVersion() <= in ? slice.keys() : null;
+            return slice.createdVersion() <= inVersion ? slice.keys() : null;
         }
-        RetiredSlice old = retiredSlices.get(number);
-        return old != null && old.createdVersion() <= in && in < old.retiredVersion()
-                ? old.keys()
+        RetiredSlice retired = retiredSlices.get(number);
+        return retired != null
+                        && retired.createdVersion() <= inVersion
+                        && inVersion < retired.retiredVersion()
+                ? retired.keys()
                 : null;
     }
 
@@ -147,71 +168,89 @@
         return slices.subList(low, end);
     }
 
-    /** How many nodes hold a slice, on the mean and rounded up. */
+    /** How many nodes hold a slice on average, rounded up; 1 at least. */
     public int meanHolders() {
-        int held = slices.stream().mapToInt(slice -> slice.holders().size()).sum();
-        return Math.max(1, (held + slices.size() - 1) / slices.size());
+        int holders = slices.stream().mapToInt(slice -> slice.holders().size()).sum();
+        return Math.max(1, (holders + slices.size() - 1) / slices.size());
     }
 
-    // ---- on to the next
+    // ---- the next version
 
     /**
-     * The same slices under a higher version: what was fenced may be taken up again by its old
+     * The same slices under a higher version: what was fenced may be served again by its old
      * holders.
      */
-    public Layout withVersion(long next) {
-        return new Layout(
-                requireHigherVersion(next), oldestVersion, slices, retiredSlices.values());
+    public Layout withVersion(long newVersion) {
+        requireHigherVersion(newVersion);
+        return new Layout(newVersion, oldestVersion, slices, retiredSlices.values());
     }
 
     /**
-     * With the change, under a higher version. Slices born get these numbers, a new holder takes
-     * its slice at this time, and versions more than so many back are forgotten. An
-     * IllegalArgumentException says why it can't be done.
+     * The layout with a change, under a higher version.
+     *
+     * @param newNumbers the numbers of the slices that the change creates
+     * @param now when a new holder takes its slice, since 1970
+     * @param history how many versions back slices are still known
+     * @throws IllegalArgumentException the change can't be made; the message says why
      */
     public Layout withChange(
-            LayoutChange change, List<Integer> births, long next, Duration now, long history) {
-        List<Slice> then = new ArrayList<>(slices);
-        List<RetiredSlice> dead = new ArrayList<>(retiredSlices.values());
-        requireHigherVersion(next);
-        if (change instanceof LayoutChange.Transfer move) {
-            Slice slice = requireSlice(move.slice());
-            int at = then.indexOf(slice);
-            then.set(
-                    at,
+            LayoutChange change,
+            List<Integer> newNumbers,
+            long newVersion,
+            Duration now,
+            long history) {
+        requireHigherVersion(newVersion);
+        List<Slice> newSlices = new ArrayList<>(slices);
+        List<RetiredSlice> newRetired = new ArrayList<>(retiredSlices.values());
+        if (change instanceof LayoutChange.Transfer transfer) {
+            Slice slice = requireSlice(transfer.slice());
+            newSlices.set(
+                    newSlices.indexOf(slice),
                     new Slice(
                             slice.number(),
                             slice.keys(),
                             slice.createdVersion(),
-                            holdersAfter(slice, move, now)));
+                            holdersAfter(slice, transfer, now)));
         } else {
-            List<KeyRange> born = newSliceRanges(change);
-            if (births.size() != born.size()) {
-                throw new IllegalArgumentException(
-                        change + " bears " + born.size() + " slices, not " + births.size());
-            }
-            List<Holder> holders = requireSlice(change.slices().get(0)).holders();
-            int at = then.indexOf(requireSlice(change.slices().get(0)));
-            for (int number : change.slices()) {
-                Slice slice = requireSlice(number);
-                then.remove(slice);
-                dead.add(
-                        new RetiredSlice(
-                                number, slice.keys(), slice.createdVersion(), next, births));
-                holders = latestAcquired(holders, slice.holders());
-            }
-            for (int i = 0; i < born.size(); i++) {
-                then.add(at + i, new Slice(births.get(i), born.get(i), next, holders));
-            }
+            recut(change, newNumbers, newVersion, newSlices, newRetired);
+        }
+        return new Layout(
+                newVersion, Math.max(oldestVersion, newVersion - history), newSlices, newRetired);
+    }
+
+    private void recut(
+            LayoutChange change,
+            List<Integer> newNumbers,
+            long newVersion,
+            List<Slice> newSlices,
+            List<RetiredSlice> newRetired) {
+        List<KeyRange> ranges = newSliceRanges(change);
+        if (newNumbers.size() != ranges.size()) {
+            throw new IllegalArgumentException(
+                    change + " bears " + ranges.size() + " slices, not " + newNumbers.size());
+        }
+        Slice first = requireSlice(change.slices().get(0));
+        int position = newSlices.indexOf(first);
+        List<Holder> holders = first.holders();
+        for (int number : change.slices()) {
+            Slice slice = requireSlice(number);
+            newSlices.remove(slice);
+            newRetired.add(
+                    new RetiredSlice(
+                            number, slice.keys(), slice.createdVersion(), newVersion, newNumbers));
+            holders = latestAcquired(holders, slice.holders());
+        }
+        for (int i = 0; i < ranges.size(); i++) {
+            newSlices.add(
+                    position + i, new Slice(newNumbers.get(i), ranges.get(i), newVersion, holders));
         }
-        return new Layout(next, Math.max(oldestVersion, next - history), then, dead);
     }
 
-    private long requireHigherVersion(long next) {
-        if (next <= version) {
-            throw new IllegalArgumentException("version " + next + " is not above " + version);
+    private void requireHigherVersion(long newVersion) {
+        if (newVersion <= version) {
+            throw new IllegalArgumentException(
+                    "version " + newVersion + " is not above " + version);
         }
-        return next;
     }
 
     private Slice requireSlice(int number) {
@@ -222,79 +261,89 @@
         return slice;
     }
 
-    /** The keys of the slices that a split or a merge bears. */
-    public List<KeyRange> newSliceRanges(LayoutChange change) {
+    /**
+     * The keys of the slices that a change creates; an IllegalArgumentException where it can't be
+     * made.
+     */
+    List<KeyRange> newSliceRanges(LayoutChange change) {
         if (change instanceof LayoutChange.Split split) {
-            KeyRange keys = requireSlice(split.slice()).keys();
-            List<KeyRange> born = new ArrayList<>();
-            long from = keys.from();
-            for (long cut : split.cuts()) {
-                if (cut <= from || cut >= keys.to()) {
-                    throw new IllegalArgumentException(
-                            "slice "
-                                    + split.slice()
-                                    + " (keys "
-                                    + keys
-                                    + ") can't be cut at "
-                                    + cut);
-                }
-                born.add(new KeyRange(from, cut));
-                from = cut;
-            }
-            if (born.isEmpty()) {
+            return splitRanges(split);
+        }
+        if (change instanceof LayoutChange.Merge merge) {
+            return List.of(mergedRange(merge));
+        }
+        return List.of();
+    }
+
+    private List<KeyRange> splitRanges(LayoutChange.Split split) {
+        KeyRange keys = requireSlice(split.slice()).keys();
+        List<KeyRange> ranges = new ArrayList<>();
+        long from = keys.from();
+        for (long cut : split.cuts()) {
+            if (cut <= from || cut >= keys.to()) {
                 throw new IllegalArgumentException(
-                        "a split of slice " + split.slice() + " without a cut");
+                        "slice " + split.slice() + " (keys " + keys + ") can't be cut at " + cut);
             }
-            born.add(new KeyRange(from, keys.to()));
-            return born;
+            ranges.add(new KeyRange(from, cut));
+            from = cut;
         }
-        if (change instanceof LayoutChange.Merge merge) {
-            if (merge.slices().size() < 2) {
-                throw new IllegalArgumentException("a merge takes two slices or more");
+        if (ranges.isEmpty()) {
+            throw new IllegalArgumentException(
+                    "a split of slice " + split.slice() + " without a cut");
+        }
+        ranges.add(new KeyRange(from, keys.to()));
+        return ranges;
+    }
+
+    private KeyRange mergedRange(LayoutChange.Merge merge) {
+        List<Integer> numbers = merge.slices();
+        if (numbers.size() < 2) {
+            throw new IllegalArgumentException("a merge takes two slices or more");
+        }
+        Slice first = requireSlice(numbers.get(0));
+        Set<String> nodes = new HashSet<>(first.nodes());
+        KeyRange keys = first.keys();
+        for (int number : numbers.subList(1, numbers.size())) {
+            Slice next = requireSlice(number);
+            if (keys.to() != next.keys().from()) {
+                throw new IllegalArgumentException(
+                        "slices " + numbers + " are no neighbours in order");
             }
-            Slice first = requireSlice(merge.slices().get(0));
-            KeyRange keys = first.keys();
-            for (int number : merge.slices().subList(1, merge.slices().size())) {
-                Slice next = requireSlice(number);
-                if (keys.to() != next.keys().from()) {
-                    throw new IllegalArgumentException(
-                            "slices " + merge.slices() + " are no neighbours in order");
-                }
-                if (!new HashSet<>(next.nodes()).equals(new HashSet<>(first.nodes()))) {
-                    throw new IllegalArgumentException(
-                            "slices "
-                                    + first.number()
-                                    + " and "
-                                    + number
-                                    + " are held by other nodes: move them together first");
-                }
-                keys = keys.joinedWith(next.keys());
+            if (!new HashSet<>(next.nodes()).equals(nodes)) {
+                throw new IllegalArgumentException(
+                        "slices "
+                                + first.number()
+                                + " and "
+                                + number
+                                + " are held by other nodes: move them together first");
             }
-            return List.of(keys);
+            keys = keys.joinedWith(next.keys());
         }
-        return List.of();
+        return keys;
     }
 
     private static List<Holder> holdersAfter(
-            Slice slice, LayoutChange.Transfer move, Duration now) {
-        if (move.from() != null && !slice.heldBy(move.from())) {
+            Slice slice, LayoutChange.Transfer transfer, Duration now) {
+        String from = transfer.from();
+        String to = transfer.to();
+        if (from != null && !slice.heldBy(from)) {
             throw new IllegalArgumentException(
-                    "slice " + slice.number() + " is not held by " + move.from());
+                    "slice " + slice.number() + " is not held by " + from);
         }
-        if (move.to() != null && slice.heldBy(move.to())) {
+        if (to != null && slice.heldBy(to)) {
             throw new IllegalArgumentException(
-                    "slice " + slice.number() + " is held by " + move.to() + " already");
+                    "slice " + slice.number() + " is held by " + to + " already");
         }
         List<Holder> holders = new ArrayList<>();
         for (Holder holder : slice.holders()) {
-            if (!holder.node().equals(move.from())) {
+            if (!holder.node().equals(from)) {
                 holders.add(holder);
-            } else if (move.to() != null) {
-                holders.add(new Holder(move.to(), now));
+            } else if (to != null) {
+                holders.add(new Holder(to, now));
             }
         }
-        if (move.from() == null) {
-            holders.add(new Holder(move.to(), now));
+        if (from == null) {
+            holders.add(new Holder(to, now));
         }
         if (holders.isEmpty()) {
             throw new IllegalArgumentException(
@@ -303,7 +352,9 @@
         return holders;
     }
 
-    /** Of slices joined each holder has what it took last. */
+    /**
+     * Each holder of merged slices has acquired the new slice when it acquired the last of them.
+     */
     private static List<Holder> latestAcquired(List<Holder> holders, List<Holder> others) {
         return holders.stream()
                 .map(
--- a/src/main/java/postbeam/slices/LayoutChange.java
+++ b/src/main/java/postbeam/slices/LayoutChange.java
@@ -2,13 +2,17 @@
 
 import java.util.List;
 
-/** What can be done to a layout. */
+/** A change of a layout: split, merge or transfer. The text of each is what operators read. */
 public sealed interface LayoutChange {
-    /** The slices it is about. */
+    /** The numbers of the slices that it changes. */
     List<Integer> slices();
 
+    /** How many slices it creates. */
+    int newSliceCount();
+
     /** Cuts a slice at these keys, each strictly inside it, in order. */
     record Split(int slice, List<Long> cuts) implements LayoutChange {
+        /** A split of one slice. */
         public Split {
             cuts = List.copyOf(cuts);
         }
@@ -18,6 +22,11 @@
             return List.of(slice);
         }
 
+        @Override
+        public int newSliceCount() {
+            return cuts.size() + 1;
+        }
+
         @Override
         public String toString() {
             return "split " + slice + " at " + cuts;
@@ -26,10 +35,16 @@
 
     /** Joins neighbours, in order, that the same nodes hold. */
     record Merge(List<Integer> slices) implements LayoutChange {
+        /** A merge of neighbours. */
         public Merge {
             slices = List.copyOf(slices);
         }
 
+        @Override
+        public int newSliceCount() {
+            return 1;
+        }
+
         @Override
         public String toString() {
             return "merge " + slices;
@@ -37,10 +52,16 @@
     }
 
     /**
-     * Hands a slice from one node to another; without the first a holder is added, without the
-     * second one let go.
+     * Hands a slice from one node to another.
+     *
+     * @param from the node that lets it go; null where a holder is only added
+     * @param to the node that takes it; null where a holder only lets it go
      */
     record Transfer(int slice, String from, String to) implements LayoutChange {
+        /**
+         * A transfer with at least one of both nodes; an IllegalArgumentException where both are
+         * null.
+         */
         public Transfer {
             if (from == null && to == null) {
                 throw new IllegalArgumentException(
@@ -53,6 +74,11 @@
             return List.of(slice);
         }
 
+        @Override
+        public int newSliceCount() {
+            return 0;
+        }
+
         @Override
         public String toString() {
             return "move "
@@ -63,11 +89,4 @@
                     + (to == null ? "-" : to);
         }
     }
-
-    /** How many slices are born by it. */
-    default int newSliceCount() {
-        return this instanceof Split split
-                ? split.cuts().size() + 1
-                : this instanceof Merge ? 1 : 0;
-    }
 }
--- a/src/main/java/postbeam/slices/LayoutCompleteness.java
+++ b/src/main/java/postbeam/slices/LayoutCompleteness.java
@@ -14,102 +14,89 @@
 import postbeam.model.ShardRequest;
 
 /**
- * What a query is held against: the slices that its client named, and those in force now. A slice
- * counts where all keys that the query wants of it are in; what counts is the larger sum of the
- * two. Guards the floor and the whole mark against a mix of both, where half a slice of each would
- * pass for one.
+ * How complete a query's answer is, against the slices that its client named and against those in
+ * force. A slice counts where all keys that the query wants of it are answered; what counts is the
+ * larger sum of the two. A mix of both layouts does not count: half a slice of each is no slice of
+ * either.
  */
 public final class LayoutCompleteness implements CompletenessRule {
     /**
-     * A slice as the client named it, with its share of the answer and, where a guess came, its
-     * work.
+     * A slice as the client named it.
+     *
+     * @param weight its share of the answer
+     * @param work the client's estimate of its work; null where there is none
      */
     public record RequestedSlice(int slice, KeyRange keys, double weight, Duration work) {}
 
-    /** Which parts count, and the version whose slices they make whole. */
+    /**
+     * The parts that count.
+     *
+     * @param version of the layout whose slices they make complete
+     */
     public record CompleteParts(long version, List<KeyRangeRequest> requests) {}
 
+    private interface SliceLookup {
+        /** The slices that hold any of these keys. */
+        List<?> overlapping(KeyRange keys);
+    }
+
+    /** The version by which the client named the slices. */
     public final long requestedVersion;
+
     private final List<RequestedSlice> requested;
-    private final Supplier<Layout> inForce;
+    private final Supplier<Layout> currentLayout;
 
-    /** Parts and slices are no longer one and the same. */
-    private boolean recut;
+    /** Parts and requested slices are no longer one and the same. */
+    private boolean remapped;
 
     LayoutCompleteness(
-            long version, List<RequestedSlice> named, Supplier<Layout> inForce, boolean recut) {
-        this.requestedVersion = version;
-        this.requested = named.stream().sorted(Comparator.comparing(RequestedSlice::keys)).toList();
-        this.inForce = inForce;
-        this.recut = recut;
+            long requestedVersion,
+            List<RequestedSlice> requested,
+            Supplier<Layout> currentLayout,
+            boolean remapped) {
+        this.requestedVersion = requestedVersion;
+        this.requested =
+                requested.stream().sorted(Comparator.comparing(RequestedSlice::keys)).toList();
+        this.currentLayout = currentLayout;
+        this.remapped = remapped;
     }
 
-    void recut() {
-        recut = true;
+    void onRemapped() {
+        remapped = true;
     }
 
+    // ---- weight and work of keys
+
     /**
-     * The weight of keys: by what the client gave each slice that it named, however often they were
-     * cut and joined since. Within one of these it goes by the keys.
+     * The weight of keys, from the weights that the client gave the slices it named; within one of
+     * these it is proportional to the keys.
      */
     double weightOf(KeyRange keys) {
         double sum = 0;
-        for (RequestedSlice one : overlapping(keys)) {
-            sum += one.weight() * one.keys().overlapFraction(keys);
+        for (RequestedSlice slice : overlapping(keys)) {
+            sum += slice.weight() * slice.keys().overlapFraction(keys);
         }
         return sum;
     }
 
-    /** The work of keys, in the same way; null where any of it was not guessed. */
+    /** The work of keys, in the same way; null where the client gave no estimate for any of it. */
     Duration workOf(KeyRange keys) {
         double nanos = 0;
-        for (RequestedSlice one : overlapping(keys)) {
-            if (one.work() == null) {
+        for (RequestedSlice slice : overlapping(keys)) {
+            if (slice.work() == null) {
                 return null;
             }
-            nanos += one.work().toNanos() * one.keys().overlapFraction(keys);
+            nanos += slice.work().toNanos() * slice.keys().overlapFraction(keys);
         }
         return Duration.ofNanos(Math.round(nanos));
     }
 
-    @Override
-    public double weight(Query query, Predicate<ShardRequest> which) {
-        if (!recut) {
-            double sum = 0;
-            for (ShardRequest request : query.shardRequests) {
-                sum += which.test(request) ? request.weight : 0;
-            }
-            return sum;
-        }
-        return Math.max(weight(byNamed(query, which)), weight(inForce(query, which)));
-    }
-
-    /** What of the merged parts goes into an answer. */
-    public CompleteParts completeParts(Query query) {
-        Predicate<ShardRequest> merged = ShardRequest::isAnswered;
-        if (!recut) {
-            return new CompleteParts(
-                    requestedVersion,
-                    query.shardRequests.stream()
-                            .filter(merged)
-                            .map(KeyRangeRequest.class::cast)
-                            .toList());
-        }
-        List<KeyRangeRequest> asNamed = byNamed(query, merged);
-        List<KeyRangeRequest> now = inForce(query, merged);
-        return weight(now) > weight(asNamed)
-                ? new CompleteParts(inForce.get().version, now)
-                : new CompleteParts(requestedVersion, asNamed);
-    }
-
-    /** The slices, as its client named them, that hold any of these keys. */
+    /** The numbers of the slices, as the client named them, that hold any of these keys. */
     public List<Integer> requestedSlicesIn(KeyRange keys) {
         return overlapping(keys).stream().map(RequestedSlice::slice).toList();
     }
 
-    /**
-     * Those that hold any of these keys; they are sorted and apart, as slices of one layout are.
-     */
+    /** The requested slices that hold any of these keys; they are sorted and don't overlap. */
     private List<RequestedSlice> overlapping(KeyRange keys) {
         int low = 0;
         int high = requested.size();
@@ -128,44 +115,73 @@
         return requested.subList(low, end);
     }
 
-    private static double weight(List<KeyRangeRequest> pieces) {
-        double sum = 0;
-        for (KeyRangeRequest piece : pieces) {
-            sum += piece.weight;
+    // ---- completeness
+
+    @Override
+    public double weight(Query query, Predicate<ShardRequest> counts) {
+        if (!remapped) {
+            double sum = 0;
+            for (ShardRequest request : query.shardRequests) {
+                sum += counts.test(request) ? request.weight : 0;
+            }
+            return sum;
         }
-        return sum;
+        return Math.max(
+                totalWeight(completeByRequest(query, counts)),
+                totalWeight(completeByLayout(query, counts)));
     }
 
-    private List<KeyRangeRequest> byNamed(Query query, Predicate<ShardRequest> which) {
-        return whole(query, which, this::overlapping);
+    /** Which of the answered parts go into an answer. */
+    public CompleteParts completeParts(Query query) {
+        Predicate<ShardRequest> answered = ShardRequest::isAnswered;
+        if (!remapped) {
+            return new CompleteParts(
+                    requestedVersion,
+                    query.shardRequests.stream()
+                            .filter(answered)
+                            .map(KeyRangeRequest.class::cast)
+                            .toList());
+        }
+        List<KeyRangeRequest> byRequest = completeByRequest(query, answered);
+        List<KeyRangeRequest> byLayout = completeByLayout(query, answered);
+        return totalWeight(byLayout) > totalWeight(byRequest)
+                ? new CompleteParts(currentLayout.get().version, byLayout)
+                : new CompleteParts(requestedVersion, byRequest);
     }
 
-    private List<KeyRangeRequest> inForce(Query query, Predicate<ShardRequest> which) {
-        Layout layout = inForce.get();
-        return whole(query, which, layout::overlapping);
+    private List<KeyRangeRequest> completeByRequest(Query query, Predicate<ShardRequest> counts) {
+        return complete(query, counts, this::overlapping);
     }
 
-    private interface SliceLookup {
-        List<?> of(KeyRange keys);
+    private List<KeyRangeRequest> completeByLayout(Query query, Predicate<ShardRequest> counts) {
+        return complete(query, counts, currentLayout.get()::overlapping);
     }
 
-    /** The parts for which all slices that they belong to are in with every part of the query. */
-    private static List<KeyRangeRequest> whole(
-            Query query, Predicate<ShardRequest> which, SliceLookup groups) {
-        Map<Object, Boolean> in = new LinkedHashMap<>();
-        Map<ShardRequest, List<?>> of = new IdentityHashMap<>();
+    /** The parts of which each slice that they belong to counts with all parts of the query. */
+    private static List<KeyRangeRequest> complete(
+            Query query, Predicate<ShardRequest> counts, SliceLookup lookup) {
+        Map<Object, Boolean> completeSlices = new LinkedHashMap<>();
+        IdentityHashMap<ShardRequest, List<?>> slicesOf = new IdentityHashMap<>();
         for (ShardRequest request : query.shardRequests) {
-            boolean counts = which.test(request);
-            List<?> slices = groups.of(((KeyRangeRequest) request).keys);
-            of.put(request, slices);
-            slices.forEach(slice -> in.merge(slice, counts, Boolean::logicalAnd));
+            boolean partCounts = counts.test(request);
+            List<?> slices = lookup.overlapping(((KeyRangeRequest) request).keys);
+            slicesOf.put(request, slices);
+            slices.forEach(slice -> completeSlices.merge(slice, partCounts, Boolean::logicalAnd));
         }
-        List<KeyRangeRequest> pieces = new ArrayList<>();
+        List<KeyRangeRequest> complete = new ArrayList<>();
         for (ShardRequest request : query.shardRequests) {
-            if (of.get(request).stream().allMatch(in::get)) {
-                pieces.add((KeyRangeRequest) request);
+            if (slicesOf.get(request).stream().allMatch(completeSlices::get)) {
+                complete.add((KeyRangeRequest) request);
             }
         }
-        return pieces;
+        return complete;
+    }
+
+    private static double totalWeight(List<KeyRangeRequest> parts) {
+        double sum = 0;
+        for (KeyRangeRequest request : parts) {
+            sum += request.weight;
+        }
+        return sum;
     }
 }
--- a/src/main/java/postbeam/slices/LayoutReplicaPlacement.java
+++ b/src/main/java/postbeam/slices/LayoutReplicaPlacement.java
@@ -14,83 +14,90 @@
 import postbeam.model.ReplicaPlacement;
 
 /**
- * Replica lists by the layout in force: its holders that discovery lists, less those that said they
- * hold it no more.
+ * Replica lists by the layout in force: a slice's holders that discovery lists, without those that
+ * said they don't hold it. Not thread-safe: its owner calls it under the policy's lock.
  */
 public final class LayoutReplicaPlacement implements ReplicaPlacement {
     private final Map<String, DataNode> listedNodes = new LinkedHashMap<>();
-    private final Map<Integer, List<DataNode>> replicas = new HashMap<>();
-    private final Map<Integer, Set<DataNode>> left = new HashMap<>();
+    private final Map<Integer, List<DataNode>> cachedReplicas = new HashMap<>();
+    private final Map<Integer, Set<DataNode>> excluded = new HashMap<>();
     private Function<DataNode, String> nodeNames;
     private Function<Duration, Duration> toRouterTime = Function.identity();
-    private Comparator<DataNode> order;
+    private Comparator<DataNode> replicaOrder;
     private Layout layout;
 
     /**
-     * Where nodes have their names, and how a time since 1970 is told in the router's own spans.
+     * Sets how nodes and times are translated.
+     *
+     * @param names the name that the layout has for a node
+     * @param routerTime from a time since 1970 to the router's time
      */
-    public void configure(Function<DataNode, String> names, Function<Duration, Duration> spans) {
+    public void configure(
+            Function<DataNode, String> names, Function<Duration, Duration> routerTime) {
         this.nodeNames = names;
-        this.toRouterTime = spans;
+        this.toRouterTime = routerTime;
     }
 
-    void layout(Layout next) {
-        layout = next;
-        replicas.clear();
-        left.clear();
+    /** Uses a new layout; nodes that were excluded by the old one are used again. */
+    void setLayout(Layout newLayout) {
+        layout = newLayout;
+        cachedReplicas.clear();
+        excluded.clear();
     }
 
     @Override
     public void setReplicaOrder(Comparator<DataNode> order) {
-        this.order = order;
+        replicaOrder = order;
     }
 
     @Override
     public void add(DataNode node) {
         listedNodes.put(nodeNames.apply(node), node);
-        replicas.clear();
+        cachedReplicas.clear();
     }
 
     @Override
     public void remove(DataNode node) {
         listedNodes.remove(nodeNames.apply(node), node);
-        replicas.clear();
+        cachedReplicas.clear();
     }
 
-    /** The node has said that it holds the slice no more, or not yet. */
-    void left(int slice, DataNode node) {
-        left.computeIfAbsent(slice, key -> new HashSet<>()).add(node);
-        replicas.remove(slice);
+    /** The node has said that it does not hold the slice. */
+    void exclude(int slice, DataNode node) {
+        excluded.computeIfAbsent(slice, key -> new HashSet<>()).add(node);
+        cachedReplicas.remove(slice);
     }
 
-    /** What it said is too long ago to be held against it. */
+    /** What the node has said is too old to rely on. */
     void readmit(int slice, DataNode node) {
-        Set<DataNode> gone = left.get(slice);
-        if (gone != null && gone.remove(node)) {
-            replicas.remove(slice);
+        Set<DataNode> nodes = excluded.get(slice);
+        if (nodes != null && nodes.remove(node)) {
+            cachedReplicas.remove(slice);
         }
     }
 
     @Override
     public List<DataNode> replicas(int shard) {
-        return replicas.computeIfAbsent(shard, this::findReplicas);
+        return cachedReplicas.computeIfAbsent(shard, this::findReplicas);
     }
 
     private List<DataNode> findReplicas(int number) {
-        List<DataNode> found = new ArrayList<>();
+        List<DataNode> replicas = new ArrayList<>();
         Slice slice = layout == null ? null : layout.slice(number);
-        if (slice != null) {
-            for (Holder holder : slice.holders()) {
-                DataNode node = listedNodes.get(holder.node());
-                if (node != null && !left.getOrDefault(number, Set.of()).contains(node)) {
-                    found.add(node);
-                }
-            }
-            if (order != null) {
-                found.sort(order);
+        if (slice == null) {
+            return replicas;
+        }
+        Set<DataNode> excludedNodes = excluded.getOrDefault(number, Set.of());
+        for (Holder holder : slice.holders()) {
+            DataNode node = listedNodes.get(holder.node());
+            if (node != null && !excludedNodes.contains(node)) {
+                replicas.add(node);
             }
         }
-        return found;
+        if (replicaOrder != null) {
+            replicas.sort(replicaOrder);
+        }
+        return replicas;
     }
 
     @Override
@@ -101,14 +108,15 @@
     @Override
     public Duration acquiredAt(int shard, DataNode node) {
         Slice slice = layout == null ? null : layout.slice(shard);
-        if (slice != null) {
-            String name = nodeNames.apply(node);
-            for (Holder holder : slice.holders()) {
-                if (holder.node().equals(name)) {
-                    return holder.acquiredAt().isZero()
-                            ? null
-                            : toRouterTime.apply(holder.acquiredAt());
-                }
+        if (slice == null) {
+            return null;
+        }
+        String name = nodeNames.apply(node);
+        for (Holder holder : slice.holders()) {
+            if (holder.node().equals(name)) {
+                return holder.acquiredAt().isZero()
+                        ? null
+                        : toRouterTime.apply(holder.acquiredAt());
             }
         }
         return null;
--- a/src/main/java/postbeam/slices/Move.java
+++ b/src/main/java/postbeam/slices/Move.java
@@ -6,91 +6,172 @@
 import java.util.List;
 import java.util.Set;
 
-/** One change on its way: as the log has it, and whom it concerns. */
+/**
+ * One change of the layout on its way, and the nodes that it concerns. Its state changes by records
+ * of the journal alone, which {@link MoveJournalState} applies. Not thread-safe.
+ */
 public final class Move {
     /**
-     * A node that is to hold keys under a number, from a node that has them (itself, where only the
-     * number is new).
+     * A node that is to hold keys as a slice.
+     *
+     * @param source the node that it gets the data from; itself where only the slice's number is
+     *     new
      */
     public record Destination(String node, int slice, KeyRange keys, String source) {}
 
     /** A node that is to let a slice go. */
     public record OldHolder(String node, int slice, KeyRange keys) {}
 
+    /** The move's number. */
     public final long id;
+
+    /** What is done to the layout. */
     public final LayoutChange change;
 
-    /** Numbers of the slices that it bears. */
+    /** Numbers of the slices that it creates. */
     public final List<Integer> newSlices;
 
+    /** The nodes that are to hold slices by it. */
     public final List<Destination> destinations;
-    public final List<OldHolder> oldHolders;
-    public final Duration plannedAt;
-    MoveState state = MoveState.PLANNED;
-
-    /** Since when it stands there. */
-    Duration stateSince;
 
-    /** Why it is abandoned, or is to be turned back once it is over; null while it is not. */
-    String abandonReason;
+    /** The nodes that are to let slices go. */
+    public final List<OldHolder> oldHolders;
 
-    /** It was cut over already when it was abandoned: its opposite follows. */
-    boolean reverseWhenDone;
+    /** When it was planned, since 1970. */
+    public final Duration plannedAt;
 
-    /** Its old holders may have been fenced. */
-    boolean mayBeFenced;
+    private MoveState state = MoveState.PLANNED;
+    private Duration stateSince;
+    private String abandonReason;
+    private boolean reverseWhenDone;
+    private boolean mayBeFenced;
 
-    Move(
+    private Move(
             long id,
             LayoutChange change,
-            List<Integer> births,
-            List<Destination> gains,
-            List<OldHolder> losses,
+            List<Integer> newSlices,
+            List<Destination> destinations,
+            List<OldHolder> oldHolders,
             Duration plannedAt) {
         this.id = id;
         this.change = change;
-        this.newSlices = List.copyOf(births);
-        this.destinations = List.copyOf(gains);
-        this.oldHolders = List.copyOf(losses);
+        this.newSlices = List.copyOf(newSlices);
+        this.destinations = List.copyOf(destinations);
+        this.oldHolders = List.copyOf(oldHolders);
         this.plannedAt = plannedAt;
         this.stateSince = plannedAt;
     }
 
-    /**
-     * As the layout stands; data is copied from the source, which only a move with a new holder
-     * has.
-     */
-    static Move plan(
-            long id,
-            LayoutChange change,
-            List<Integer> births,
+    // ---- creation
+
+    /** The move that a record plans, as the layout stands. */
+    static Move plan(JournalRecord.Planned planned, Layout layout) {
+        List<Destination> destinations = new ArrayList<>();
+        List<OldHolder> oldHolders = new ArrayList<>();
+        if (planned.change() instanceof LayoutChange.Transfer transfer) {
+            planTransfer(transfer, planned.source(), layout, destinations, oldHolders);
+        } else {
+            planRecut(planned, layout, destinations, oldHolders);
+        }
+        return new Move(
+                planned.id(),
+                planned.change(),
+                planned.newSlices(),
+                destinations,
+                oldHolders,
+                planned.at());
+    }
+
+    private static void planTransfer(
+            LayoutChange.Transfer transfer,
             String source,
             Layout layout,
-            Duration at) {
-        List<Destination> gains = new ArrayList<>();
-        List<OldHolder> losses = new ArrayList<>();
-        if (change instanceof LayoutChange.Transfer move) {
-            Slice slice = layout.slice(move.slice());
-            if (move.to() != null) {
-                gains.add(new Destination(move.to(), slice.number(), slice.keys(), source));
+            List<Destination> destinations,
+            List<OldHolder> oldHolders) {
+        Slice slice = layout.slice(transfer.slice());
+        if (transfer.to() != null) {
+            destinations.add(new Destination(transfer.to(), slice.number(), slice.keys(), source));
+        }
+        if (transfer.from() != null) {
+            oldHolders.add(new OldHolder(transfer.from(), slice.number(), slice.keys()));
+        }
+    }
+
+    /** Each holder takes its own data up under the new slices' numbers. */
+    private static void planRecut(
+            JournalRecord.Planned planned,
+            Layout layout,
+            List<Destination> destinations,
+            List<OldHolder> oldHolders) {
+        List<Integer> slices = planned.change().slices();
+        List<KeyRange> ranges = layout.newSliceRanges(planned.change());
+        for (String node : layout.slice(slices.get(0)).nodes()) {
+            for (int i = 0; i < ranges.size(); i++) {
+                destinations.add(
+                        new Destination(node, planned.newSlices().get(i), ranges.get(i), node));
             }
-            if (move.from() != null) {
-                losses.add(new OldHolder(move.from(), slice.number(), slice.keys()));
+            for (int number : slices) {
+                oldHolders.add(new OldHolder(node, number, layout.slice(number).keys()));
             }
+        }
+    }
+
+    /** The move as a snapshot holds it. */
+    static Move restore(JournalRecord.MoveSnapshot snapshot) {
+        Move move =
+                new Move(
+                        snapshot.id(),
+                        snapshot.change(),
+                        snapshot.newSlices(),
+                        snapshot.destinations(),
+                        snapshot.oldHolders(),
+                        snapshot.plannedAt());
+        move.state = snapshot.state();
+        move.stateSince = snapshot.stateSince();
+        move.abandonReason = snapshot.abandonReason();
+        move.reverseWhenDone = snapshot.reverseWhenDone();
+        move.mayBeFenced = snapshot.mayBeFenced();
+        return move;
+    }
+
+    JournalRecord.MoveSnapshot snapshot() {
+        return new JournalRecord.MoveSnapshot(
+                id,
+                change,
+                newSlices,
+                destinations,
+                oldHolders,
+                plannedAt,
+                state,
+                stateSince,
+                abandonReason,
+                reverseWhenDone,
+                mayBeFenced);
+    }
+
+    // ---- records
+
+    /** The move has come to this state. */
+    void enter(MoveState next, Duration at) {
+        state = next;
+        stateSince = at;
+        mayBeFenced |= next == MoveState.FENCED;
+    }
+
+    /**
+     * The move is rolled back; one that is cut over already is completed first, and reversed then.
+     */
+    void abandon(String reason, Duration at) {
+        abandonReason = reason;
+        if (isCutOver()) {
+            reverseWhenDone = true;
         } else {
-            List<KeyRange> born = layout.newSliceRanges(change);
-            for (String node : layout.slice(change.slices().get(0)).nodes()) {
-                for (int i = 0; i < born.size(); i++) {
-                    gains.add(new Destination(node, births.get(i), born.get(i), node));
-                }
-                for (int number : change.slices()) {
-                    losses.add(new OldHolder(node, number, layout.slice(number).keys()));
-                }
-            }
+            enter(MoveState.ABANDONING, at);
         }
-        return new Move(id, change, births, gains, losses, at);
     }
 
+    // ---- state
+
     /** How far it has come. */
     public MoveState state() {
         return state;
@@ -114,26 +195,46 @@
         return reverseWhenDone;
     }
 
+    /** Whether its old holders may have been fenced. */
+    boolean mayBeFenced() {
+        return mayBeFenced;
+    }
+
+    /** Whether the new layout is in force. */
+    public boolean isCutOver() {
+        return state == MoveState.CUT_OVER || state == MoveState.COMPLETED;
+    }
+
+    // ---- whom it concerns
+
+    /** Whether it changes or creates the slice. */
+    boolean concerns(int slice) {
+        return change.slices().contains(slice) || newSlices.contains(slice);
+    }
+
+    boolean hasDestination(String node, int slice) {
+        return destinations.stream()
+                .anyMatch(
+                        destination ->
+                                destination.slice() == slice && destination.node().equals(node));
+    }
+
     /** All nodes that it needs. */
     public Set<String> requiredNodes() {
         Set<String> nodes = new LinkedHashSet<>();
         destinations.forEach(
-                gain -> {
-                    nodes.add(gain.node());
-                    nodes.add(gain.source());
+                destination -> {
+                    nodes.add(destination.node());
+                    nodes.add(destination.source());
                 });
-        oldHolders.forEach(loss -> nodes.add(loss.node()));
+        oldHolders.forEach(holder -> nodes.add(holder.node()));
         return nodes;
     }
 
-    /** It takes data from one node to another. */
+    /** Whether it takes data from one node to another. */
     public boolean copiesData() {
-        return destinations.stream().anyMatch(gain -> !gain.node().equals(gain.source()));
-    }
-
-    /** The new layout is in force. */
-    public boolean isCutOver() {
-        return state == MoveState.CUT_OVER || state == MoveState.COMPLETED;
+        return destinations.stream()
+                .anyMatch(destination -> !destination.node().equals(destination.source()));
     }
 
     @Override
--- a/src/main/java/postbeam/slices/MoveAdmission.java
+++ b/src/main/java/postbeam/slices/MoveAdmission.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 
 /**
- * Who else has a say in moves: a workflow over several of them. Asked at each look, so it needs no
- * memory here.
+ * A workflow over several moves that decides whether each may go on. Asked at each look, so it
+ * needs no memory here.
  */
 public interface MoveAdmission {
-    /** All may go on. */
+    /** Without a workflow all moves may go on. */
     MoveAdmission UNRESTRICTED =
             new MoveAdmission() {
                 @Override
@@ -26,10 +26,10 @@
                 }
             };
 
-    /** Whether the move may go on to COPYING, HOLDING_BOTH, FENCED or FORGOTTEN. */
+    /** Whether the move may go on to COPYING, REPLICATING, FENCED or COMPLETED. */
     boolean permits(Move move, MoveState next);
 
-    /** Whether a copy that takes long is abandoned. */
+    /** Whether a copy that takes too long is abandoned. */
     boolean copyTimeoutApplies(Move move);
 
     /** Why the change may not be planned now, in one line; empty where it may. */
--- a/src/main/java/postbeam/slices/MoveJournalState.java
+++ b/src/main/java/postbeam/slices/MoveJournalState.java
@@ -1,6 +1,7 @@
 package postbeam.slices;
 
 import java.util.ArrayDeque;
+import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Deque;
 import java.util.HashSet;
@@ -11,8 +12,8 @@
 import java.util.Set;
 
 /**
- * What the records of a log add up to: the layout in force, the moves under way, and where they
- * lead.
+ * What the records of the journal add up to: the layout in force, the moves under way and the
+ * target. Changed only by {@link #apply}, so that it is the same after a restart. Not thread-safe.
  */
 public final class MoveJournalState {
     /** Moves that are over and still shown to operators. */
@@ -23,267 +24,253 @@
     private final Deque<Move> finishedMoves = new ArrayDeque<>();
     private final Set<Move.OldHolder> pendingDrops = new LinkedHashSet<>();
     private Layout layout;
-    private TargetLayout targetLayout;
+    private TargetLayout target;
     private long lastVersion;
     private long lastMove;
     private int lastSlice;
     private long term;
-    private WorkflowState setWorkflow;
+    private WorkflowState workflow;
 
     /** What the records of a workflow over moves add up to. */
     public interface WorkflowState {
-        /** An IllegalArgumentException says why a record can't follow on those before. */
+        /**
+         * Applies a record.
+         *
+         * @throws IllegalArgumentException the record can't follow on those before
+         */
         void apply(JournalRecord.WorkflowRecord record);
 
-        /** Records that stand for all of it. */
+        /** Records that stand for all before. */
         List<JournalRecord.WorkflowRecord> snapshotRecords();
     }
 
-    /** A layout knows the slices of so many versions back. */
-    public MoveJournalState(long history) {
-        this.historyVersions = history;
+    /**
+     * An empty state.
+     *
+     * @param historyVersions how many versions back a layout knows the slices of
+     */
+    public MoveJournalState(long historyVersions) {
+        this.historyVersions = historyVersions;
     }
 
-    /** Who hears the records of a workflow; without one they can't be read. */
-    public void setWorkflow(WorkflowState next) {
-        setWorkflow = next;
+    /** Sets who takes the records of a workflow; null where none is expected. */
+    public void setWorkflow(WorkflowState newWorkflow) {
+        workflow = newWorkflow;
     }
 
-    /** What follows on {@link #snapshot} where the log is written anew. */
-    public List<JournalRecord> recordsAfterSnapshot() {
-        List<JournalRecord> rest = new java.util.ArrayList<>();
-        if (term > 0) {
-            rest.add(new JournalRecord.TermStarted(term));
-        }
-        if (setWorkflow != null) {
-            rest.addAll(setWorkflow.snapshotRecords());
-        }
-        return rest;
-    }
+    // ---- the state
 
-    /** Of the process that wrote last; 0 where none was ever taken. */
+    /** The term of the process that has written last; 0 where terms are not kept. */
     public long term() {
         return term;
     }
 
-    /** Null before the first record. */
+    /** The layout in force; null before the first record. */
     public Layout layout() {
         return layout;
     }
 
-    /** Null where there is none. */
+    /** Where the layout is to get; null where there is no target. */
     public TargetLayout target() {
-        return targetLayout;
+        return target;
     }
 
-    /** Those under way, the oldest first. */
+    /** The moves under way, the oldest first. */
     public Collection<Move> activeMoves() {
         return activeMoves.values();
     }
 
-    /** The last ones that are over, the latest last. */
+    /** The moves that were over last, the latest last. */
     public Collection<Move> finishedMoves() {
         return finishedMoves;
     }
 
-    /** What nodes have yet to be told that they hold no more. */
+    /** What nodes have yet to be told to drop. */
     public Collection<Move.OldHolder> pendingDrops() {
         return pendingDrops;
     }
 
-    /** Null where none of that number is under way. */
+    /** The move under way with this number; null where there is none. */
     public Move move(long id) {
         return activeMoves.get(id);
     }
 
+    /** The version of the next layout. */
     public long nextVersion() {
         return lastVersion + 1;
     }
 
+    /** The number of the next move. */
     public long nextMove() {
         return lastMove + 1;
     }
 
     /**
-     * Numbers are never used again: a call for a slice that is no more finds nobody who thinks it
-     * means him.
+     * The number of the next slice. Numbers are never used again, so a late call for an old slice
+     * finds no other.
      */
     public int nextSlice() {
         return lastSlice + 1;
     }
 
-    /** Slices that a move under way is about. */
-    public Set<Integer> busy() {
+    /** The slices that a move under way concerns. */
+    public Set<Integer> busySlices() {
         Set<Integer> busy = new HashSet<>();
-        activeMoves.values().forEach(move -> busy.addAll(move.change.slices()));
-        activeMoves.values().forEach(move -> busy.addAll(move.newSlices));
+        activeMoves
+                .values()
+                .forEach(
+                        move -> {
+                            busy.addAll(move.change.slices());
+                            busy.addAll(move.newSlices);
+                        });
         return busy;
     }
 
-    public boolean busy(int slice) {
-        return activeMoves.values().stream()
-                .anyMatch(
-                        move ->
-                                move.change.slices().contains(slice)
-                                        || move.newSlices.contains(slice));
+    /** Whether a move under way concerns the slice. */
+    public boolean isBusy(int slice) {
+        return activeMoves.values().stream().anyMatch(move -> move.concerns(slice));
     }
 
-    /** The record that stands for all of it. */
+    // ---- snapshots
+
+    /** The record that stands for all records of moves before. */
     public JournalRecord.Snapshot snapshot() {
         return new JournalRecord.Snapshot(
                 layout,
                 lastVersion,
                 lastMove,
                 lastSlice,
-                activeMoves.values().stream()
-                        .map(
-                                move ->
-                                        new JournalRecord.MoveSnapshot(
-                                                move.id,
-                                                move.change,
-                                                move.newSlices,
-                                                move.destinations,
-                                                move.oldHolders,
-                                                move.plannedAt,
-                                                move.state,
-                                                move.stateSince,
-                                                move.abandonReason,
-                                                move.reverseWhenDone,
-                                                move.mayBeFenced))
-                        .toList(),
-                targetLayout,
+                activeMoves.values().stream().map(Move::snapshot).toList(),
+                target,
                 List.copyOf(pendingDrops));
     }
 
-    /** An IllegalArgumentException says why a record can't follow on those before. */
+    /** What follows on {@link #snapshot} where the journal is written anew. */
+    public List<JournalRecord> recordsAfterSnapshot() {
+        List<JournalRecord> records = new ArrayList<>();
+        if (term > 0) {
+            records.add(new JournalRecord.TermStarted(term));
+        }
+        if (workflow != null) {
+            records.addAll(workflow.snapshotRecords());
+        }
+        return records;
+    }
+
+    // ---- records
+
+    /**
+     * Applies the next record.
+     *
+     * @throws IllegalArgumentException the record can't follow on those before
+     */
     public void apply(JournalRecord record) {
-        if (record instanceof JournalRecord.Snapshot whole) {
-            apply(whole);
-        } else if (record instanceof JournalRecord.TermStarted office) {
-            if (office.term() < term) {
-                throw new IllegalArgumentException(
-                        "term " + office.term() + " is not above " + term);
-            }
-            term = office.term();
+        if (record instanceof JournalRecord.Snapshot snapshot) {
+            restore(snapshot);
+        } else if (record instanceof JournalRecord.TermStarted started) {
+            startTerm(started);
         } else if (layout == null) {
             throw new IllegalArgumentException("a log that does not begin with a whole layout");
-        } else if (record instanceof JournalRecord.TargetSet aimed) {
-            targetLayout = aimed.target();
+        } else if (record instanceof JournalRecord.WorkflowRecord workflowRecord) {
+            applyToWorkflow(workflowRecord);
+        } else if (record instanceof JournalRecord.TargetSet targetSet) {
+            target = targetSet.target();
         } else if (record instanceof JournalRecord.Planned planned) {
-            if (planned.id() <= lastMove) {
-                throw new IllegalArgumentException("move " + planned.id() + " is planned twice");
-            }
-            lastMove = planned.id();
-            planned.newSlices().forEach(number -> lastSlice = Math.max(lastSlice, number));
-            Move move =
-                    Move.plan(
-                            planned.id(),
-                            planned.change(),
-                            planned.newSlices(),
-                            planned.source(),
-                            layout,
-                            planned.at());
-            activeMoves.put(move.id, move);
-            // Who is to have a slice again is not told to drop it for what was once.
-            pendingDrops.removeIf(
-                    loss ->
-                            move.destinations.stream()
-                                    .anyMatch(
-                                            gain ->
-                                                    gain.slice() == loss.slice()
-                                                            && gain.node().equals(loss.node())));
-        } else if (record instanceof JournalRecord.WorkflowRecord other) {
-            if (setWorkflow == null) {
-                throw new IllegalArgumentException(
-                        "migrations stand in this log: switch layouts.migration on");
-            }
-            setWorkflow.apply(other);
-        } else if (record instanceof JournalRecord.PendingDrop one) {
-            if (one.pending()) {
-                pendingDrops.add(one.oldHolder());
-            } else {
-                pendingDrops.remove(one.oldHolder());
-            }
+            plan(planned);
         } else if (record instanceof JournalRecord.Advanced advanced) {
-            Move move = requireMove(advanced.id());
-            move.state = advanced.state();
-            move.stateSince = advanced.at();
-            move.mayBeFenced |= move.state == MoveState.FENCED;
-            retireIfFinished(move);
-        } else if (record instanceof JournalRecord.CutOver cut) {
-            Move move = requireMove(cut.id());
-            layout =
-                    layout.withChange(
-                            move.change,
-                            move.newSlices,
-                            advanceVersion(cut.version()),
-                            cut.at(),
-                            historyVersions);
-            move.state = MoveState.CUT_OVER;
-            move.stateSince = cut.at();
-        } else if (record instanceof JournalRecord.AbandonRequested abandoning) {
-            Move move = requireMove(abandoning.id());
-            move.abandonReason = abandoning.reason();
-            if (move.isCutOver()) {
-                move.reverseWhenDone = true;
-            } else {
-                move.state = MoveState.ABANDONING;
-                move.stateSince = abandoning.at();
-            }
-        } else if (record instanceof JournalRecord.RolledBack back) {
-            Move move = requireMove(back.id());
-            layout = layout.withVersion(advanceVersion(back.version()));
-            move.state = MoveState.ABANDONED;
-            move.stateSince = back.at();
-            retireIfFinished(move);
+            advance(advanced);
+        } else if (record instanceof JournalRecord.CutOver cutOver) {
+            cutOver(cutOver);
+        } else if (record instanceof JournalRecord.AbandonRequested abandon) {
+            requireMove(abandon.id()).abandon(abandon.reason(), abandon.at());
+        } else if (record instanceof JournalRecord.RolledBack rolledBack) {
+            rollBack(rolledBack);
+        } else if (record instanceof JournalRecord.PendingDrop drop) {
+            setPendingDrop(drop);
         }
     }
 
-    private void apply(JournalRecord.Snapshot whole) {
-        layout = whole.layout();
-        lastVersion = whole.lastVersion();
-        lastMove = whole.lastMove();
-        lastSlice = whole.lastSlice();
-        targetLayout = whole.target();
+    private void restore(JournalRecord.Snapshot snapshot) {
+        layout = snapshot.layout();
+        lastVersion = snapshot.lastVersion();
+        lastMove = snapshot.lastMove();
+        lastSlice = snapshot.lastSlice();
+        target = snapshot.target();
         pendingDrops.clear();
-        pendingDrops.addAll(whole.pendingDrops());
+        pendingDrops.addAll(snapshot.pendingDrops());
         activeMoves.clear();
-        for (JournalRecord.MoveSnapshot standing : whole.moves()) {
-            Move move =
-                    new Move(
-                            standing.id(),
-                            standing.change(),
-                            standing.newSlices(),
-                            standing.destinations(),
-                            standing.oldHolders(),
-                            standing.plannedAt());
-            move.state = standing.state();
-            move.stateSince = standing.stateSince();
-            move.abandonReason = standing.abandonReason();
-            move.reverseWhenDone = standing.reverseWhenDone();
-            move.mayBeFenced = standing.mayBeFenced();
-            activeMoves.put(move.id, move);
+        snapshot.moves().forEach(move -> activeMoves.put(move.id(), Move.restore(move)));
+    }
+
+    private void startTerm(JournalRecord.TermStarted started) {
+        if (started.term() < term) {
+            throw new IllegalArgumentException("term " + started.term() + " is not above " + term);
         }
+        term = started.term();
     }
 
-    private long advanceVersion(long next) {
-        if (next <= lastVersion) {
-            throw new IllegalArgumentException("version " + next + " is not above " + lastVersion);
+    private void applyToWorkflow(JournalRecord.WorkflowRecord record) {
+        if (workflow == null) {
+            throw new IllegalArgumentException(
+                    "migrations stand in this log: switch layouts.migration on");
         }
-        lastVersion = next;
-        return next;
+        workflow.apply(record);
     }
 
-    private void retireIfFinished(Move move) {
-        if (move.state.isFinal()) {
-            activeMoves.remove(move.id);
-            finishedMoves.add(move);
-            if (finishedMoves.size() > FINISHED_MOVES_KEPT) {
-                finishedMoves.poll();
-            }
+    private void plan(JournalRecord.Planned planned) {
+        if (planned.id() <= lastMove) {
+            throw new IllegalArgumentException("move " + planned.id() + " is planned twice");
+        }
+        lastMove = planned.id();
+        planned.newSlices().forEach(number -> lastSlice = Math.max(lastSlice, number));
+        Move move = Move.plan(planned, layout);
+        activeMoves.put(move.id, move);
+        // A node that is to get a slice again is not told to drop what it held of it before.
+        pendingDrops.removeIf(drop -> move.hasDestination(drop.node(), drop.slice()));
+    }
+
+    private void advance(JournalRecord.Advanced advanced) {
+        Move move = requireMove(advanced.id());
+        move.enter(advanced.state(), advanced.at());
+        retireIfFinished(move);
+    }
+
+    private void cutOver(JournalRecord.CutOver cutOver) {
+        Move move = requireMove(cutOver.id());
+        layout =
+                layout.withChange(
+                        move.change,
+                        move.newSlices,
+                        advanceVersion(cutOver.version()),
+                        cutOver.at(),
+                        historyVersions);
+        move.enter(MoveState.CUT_OVER, cutOver.at());
+    }
+
+    private void rollBack(JournalRecord.RolledBack rolledBack) {
+        Move move = requireMove(rolledBack.id());
+        layout = layout.withVersion(advanceVersion(rolledBack.version()));
+        move.enter(MoveState.ABANDONED, rolledBack.at());
+        retireIfFinished(move);
+    }
+
+    private void setPendingDrop(JournalRecord.PendingDrop drop) {
+        if (drop.pending()) {
+            pendingDrops.add(drop.oldHolder());
+        } else {
+            pendingDrops.remove(drop.oldHolder());
         }
     }
 
+    private long advanceVersion(long version) {
+        if (version <= lastVersion) {
+            throw new IllegalArgumentException(
+                    "version " + version + " is not above " + lastVersion);
+        }
+        lastVersion = version;
+        return version;
+    }
+
     private Move requireMove(long id) {
         Move move = activeMoves.get(id);
         if (move == null) {
@@ -291,4 +278,14 @@
         }
         return move;
     }
+
+    private void retireIfFinished(Move move) {
+        if (move.state().isFinal()) {
+            activeMoves.remove(move.id);
+            finishedMoves.add(move);
+            if (finishedMoves.size() > FINISHED_MOVES_KEPT) {
+                finishedMoves.poll();
+            }
+        }
+    }
 }
--- a/src/main/java/postbeam/slices/MoveState.java
+++ b/src/main/java/postbeam/slices/MoveState.java
@@ -1,27 +1,28 @@
 package postbeam.slices;
 
 /**
- * Where a move stands. Up to FENCED the old layout is in force; from CUT_OVER on the new one is.
+ * How far a move has come. Up to {@link #FENCED} the old layout is in force, from {@link #CUT_OVER}
+ * on the new one. Operators and the journal have names of their own for these.
  */
 public enum MoveState {
-    /** Waits until its nodes and the limits allow it to begin. */
+    /** Waits until its nodes and the limits allow it to start. */
     PLANNED("planned"),
-    /** Those who gain a slice copy its data. */
+    /** The destinations copy the data. */
     COPYING("copying"),
-    /** Those who gain hold all of it and are kept up to date; the old holders still serve. */
+    /** The destinations hold all data and are kept up to date; the old holders still serve. */
     REPLICATING("holding both"),
     /**
-     * The old holders take nothing new for it and finish what they have; then the new ones are let
+     * The old holders accept no new calls and finish what they have; then the destinations are let
      * serve.
      */
     FENCED("fenced"),
-    /** The new layout is told; the old holders let go. */
+    /** The new layout is published; the old holders drop the data. */
     CUT_OVER("cut over"),
     /** All is done. */
     COMPLETED("forgotten"),
     /** On the way back to the old layout. */
     ABANDONING("abandoning"),
-    /** Back under a higher version. */
+    /** Back at the old layout, under a higher version. */
     ABANDONED("abandoned");
 
     private final String text;
@@ -35,6 +36,7 @@
         return text;
     }
 
+    /** Whether the move is over. */
     public boolean isFinal() {
         return this == COMPLETED || this == ABANDONED;
     }
--- /dev/null
+++ b/src/main/java/postbeam/slices/MoveStateMachine.java
@@ -0,0 +1,254 @@
+package postbeam.slices;
+
+import java.time.Duration;
+import java.util.List;
+import java.util.Optional;
+
+/**
+ * The steps of one move: from {@link MoveState#PLANNED} over copying, replicating, fencing and
+ * cut-over to {@link MoveState#COMPLETED}, or back to the old layout. Commands are sent from what
+ * the journaled state asks for, so a coordinator that starts anew goes on where its predecessor
+ * stopped.
+ */
+final class MoveStateMachine {
+    private final MoveJournalState state;
+    private final MoveLimits limits;
+    private final NodeStates nodes;
+    private final MoveCommands commands;
+    private final MoveApproval approval;
+    private final ChangePlanner planner;
+    private final StartLimits startLimits;
+
+    MoveStateMachine(
+            MoveJournalState state,
+            MoveLimits limits,
+            NodeStates nodes,
+            MoveCommands commands,
+            MoveApproval approval,
+            ChangePlanner planner) {
+        this.state = state;
+        this.limits = limits;
+        this.nodes = nodes;
+        this.commands = commands;
+        this.approval = approval;
+        this.planner = planner;
+        this.startLimits = new StartLimits(state, limits, nodes, approval);
+    }
+
+    /** Takes all steps that the move can take now. */
+    void advance(ActionList actions, Move move) {
+        MoveState before;
+        do {
+            before = move.state();
+            step(actions, move);
+        } while (move.state() != before && !move.state().isFinal());
+    }
+
+    private void step(ActionList actions, Move move) {
+        switch (move.state()) {
+            case PLANNED -> start(actions, move);
+            case COPYING -> copy(actions, move);
+            case REPLICATING -> replicate(actions, move);
+            case FENCED -> fenceAndCutOver(actions, move);
+            case CUT_OVER -> release(actions, move);
+            case ABANDONING -> rollBack(actions, move);
+            default -> {
+                // The move is over.
+            }
+        }
+    }
+
+    // ---- forward
+
+    private void start(ActionList actions, Move move) {
+        Optional<String> missing = missingNode(move);
+        if (missing.isPresent()) {
+            abandon(actions, move, isGone(missing.get()));
+        } else if (startLimits.mayStart(move, actions.now())
+                && approval.permits(move, MoveState.COPYING)) {
+            enter(actions, move, MoveState.COPYING);
+        }
+    }
+
+    private void copy(ActionList actions, Move move) {
+        Optional<String> missing = missingNode(move);
+        if (isLate(actions, move)) {
+            abandon(actions, move, "the copy is stuck");
+        } else if (missing.isPresent()) {
+            abandon(actions, move, isGone(missing.get()));
+        } else if (approval.permits(move, MoveState.REPLICATING)
+                && commands.sendToDestinations(actions, move, HandoffCommand.COPY)) {
+            enter(actions, move, MoveState.REPLICATING);
+        }
+    }
+
+    private void replicate(ActionList actions, Move move) {
+        Optional<String> missing = missingNode(move);
+        if (isLate(actions, move)) {
+            abandon(actions, move, "nodes don't keep up");
+        } else if (missing.isPresent()) {
+            abandon(actions, move, isGone(missing.get()));
+        } else if (commands.sendToDestinations(actions, move, HandoffCommand.HOLD)
+                && approval.permits(move, MoveState.FENCED)) {
+            enter(actions, move, MoveState.FENCED);
+        }
+    }
+
+    /**
+     * Fences the old holders first, then lets the destinations serve, then cuts over: at no time do
+     * two versions take calls for a slice that changes hands. A source that dies once it is fenced
+     * is not needed any more.
+     */
+    private void fenceAndCutOver(ActionList actions, Move move) {
+        boolean fenced = true;
+        for (Move.OldHolder holder : move.oldHolders) {
+            boolean acknowledged = commands.send(actions, move, HandoffCommand.FENCE, holder);
+            boolean gone = nodes.isGone(holder.node());
+            if (!acknowledged && gone && !wasLostBefore(move, holder.node())) {
+                // It may only be cut off from here, and still take calls of the old version.
+                abandon(actions, move, isGone(holder.node()) + " before it was fenced");
+                return;
+            }
+            fenced &= acknowledged || gone;
+        }
+        Optional<String> missing =
+                move.destinations.stream()
+                        .map(Move.Destination::node)
+                        .filter(nodes::isGone)
+                        .findFirst();
+        if (isLate(actions, move)) {
+            abandon(actions, move, "nodes don't answer while it is fenced");
+        } else if (missing.isPresent()) {
+            abandon(actions, move, isGone(missing.get()));
+        } else if (fenced && commands.sendToDestinations(actions, move, HandoffCommand.SERVE)) {
+            actions.append(new JournalRecord.CutOver(move.id, state.nextVersion(), actions.now()));
+            actions.publishLayout();
+        }
+    }
+
+    /** Whether the move was planned without this node, as what it held was lost already. */
+    private static boolean wasLostBefore(Move move, String node) {
+        return move.change instanceof LayoutChange.Transfer
+                && move.destinations.stream()
+                        .noneMatch(destination -> destination.source().equals(node));
+    }
+
+    /** The old holders drop what they held. */
+    private void release(ActionList actions, Move move) {
+        if (move.reverseWhenDone() && move.change instanceof LayoutChange.Transfer) {
+            // What the old holders have is wanted again: the reverse move copies onto it, and
+            // cancels the drop.
+            move.oldHolders.forEach(
+                    holder -> actions.append(new JournalRecord.PendingDrop(holder, true)));
+            complete(actions, move);
+        } else if (approval.permits(move, MoveState.COMPLETED)
+                && (commands.sendToOldHolders(actions, move, HandoffCommand.DROP)
+                        || isLate(actions, move))) {
+            // A holder that does not answer drops when it is back; until then its fence keeps it
+            // harmless.
+            move.oldHolders.stream()
+                    .filter(
+                            holder ->
+                                    !commands.isAcknowledged(
+                                            move,
+                                            HandoffCommand.DROP,
+                                            holder.node(),
+                                            holder.slice()))
+                    .forEach(holder -> actions.append(new JournalRecord.PendingDrop(holder, true)));
+            complete(actions, move);
+        }
+    }
+
+    private void complete(ActionList actions, Move move) {
+        enter(actions, move, MoveState.COMPLETED);
+        if (move.reverseWhenDone()) {
+            LayoutChange reverse = reverse(move);
+            if (planner.rejectionReason(reverse).isEmpty()) {
+                planner.plan(actions, reverse);
+            }
+        }
+    }
+
+    // ---- back
+
+    private void rollBack(ActionList actions, Move move) {
+        boolean dropped =
+                commands.sendToDestinations(actions, move, HandoffCommand.DROP)
+                        || isLate(actions, move);
+        // Each old holder must take the slice again: one that stayed fenced would be a holder in
+        // name only.
+        boolean served =
+                !move.mayBeFenced()
+                        || commands.sendToOldHolders(actions, move, HandoffCommand.SERVE);
+        if (served && dropped) {
+            actions.append(
+                    new JournalRecord.RolledBack(move.id, state.nextVersion(), actions.now()));
+            actions.publishLayout();
+        }
+    }
+
+    private static LayoutChange reverse(Move move) {
+        if (move.change instanceof LayoutChange.Transfer transfer) {
+            return new LayoutChange.Transfer(transfer.slice(), transfer.to(), transfer.from());
+        }
+        if (move.change instanceof LayoutChange.Split) {
+            return new LayoutChange.Merge(move.newSlices);
+        }
+        return new LayoutChange.Split(move.newSlices.get(0), mergeBoundaries(move));
+    }
+
+    /** Where the slices that a merge joined met. */
+    private static List<Long> mergeBoundaries(Move merge) {
+        String node = merge.oldHolders.get(0).node();
+        return merge.oldHolders.stream()
+                .filter(holder -> holder.node().equals(node))
+                .skip(1)
+                .map(holder -> holder.keys().from())
+                .toList();
+    }
+
+    // ---- shared by the steps
+
+    private void enter(ActionList actions, Move move, MoveState next) {
+        actions.append(new JournalRecord.Advanced(move.id, next, actions.now()));
+    }
+
+    /**
+     * Rolls the move back, or marks it to be reversed once it is completed where it is cut over
+     * already.
+     */
+    void abandon(ActionList actions, Move move, String reason) {
+        actions.append(new JournalRecord.AbandonRequested(move.id, reason, actions.now()));
+    }
+
+    private static String isGone(String node) {
+        return "node " + node + " is gone";
+    }
+
+    /** Whether the move has been in its state for longer than it may. */
+    private boolean isLate(ActionList actions, Move move) {
+        boolean copying = move.state() == MoveState.COPYING;
+        Duration timeout = copying ? limits.copyTimeout() : limits.stepTimeout();
+        if (actions.now().minus(move.stateSince()).compareTo(timeout) <= 0) {
+            return false;
+        }
+        boolean needsCopy = copying || move.state() == MoveState.REPLICATING;
+        return !needsCopy || approval.copyTimeoutApplies(move);
+    }
+
+    /**
+     * A destination or source that is gone. An old holder may be: a move with another source takes
+     * the slice off it.
+     */
+    private Optional<String> missingNode(Move move) {
+        for (Move.Destination destination : move.destinations) {
+            if (nodes.isGone(destination.node())) {
+                return Optional.of(destination.node());
+            }
+            if (nodes.isGone(destination.source())) {
+                return Optional.of(destination.source());
+            }
+        }
+        return Optional.empty();
+    }
+}
--- a/src/main/java/postbeam/slices/Planner.java
+++ b/src/main/java/postbeam/slices/Planner.java
@@ -2,67 +2,70 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 
 /**
- * Which changes bring a layout towards a target. It is asked again after each that is done, so it
- * needs no memory, and a move that was abandoned is planned again. First slices are cut where the
- * target has an edge, then pieces go to the nodes that are to hold them, last those that belong
- * together are joined: copies are of pieces no larger than needed, and joined is only what the same
- * nodes hold.
+ * Which changes bring a layout towards a target. It is asked again after each change, so it needs
+ * no memory, and a move that was abandoned is planned again. Slices are first split where the
+ * target has a boundary, then transferred to the nodes that are to hold them, and merged last:
+ * copies are of slices no larger than needed, and only what the same nodes hold is merged.
  */
 public final class Planner {
     private Planner() {}
 
-    /**
-     * Changes that can be made now, each about slices of its own and none of those that are busy.
-     */
+    /** Changes that can be made now, each of slices of its own and none of a busy slice. */
     public static List<LayoutChange> nextChanges(
-            Layout layout, TargetLayout targetLayout, Set<Integer> busy) {
+            Layout layout, TargetLayout target, Set<Integer> busy) {
         List<LayoutChange> changes = new ArrayList<>();
+        List<TargetLayout.DesiredSlice> desired = target.slices();
         int at = 0;
-        List<TargetLayout.DesiredSlice> wanted = targetLayout.slices();
-        List<Slice> ready = new ArrayList<>();
+        List<Slice> inPlace = new ArrayList<>();
         for (Slice slice : layout.slices()) {
-            while (wanted.get(at).keys().to() <= slice.keys().from()) {
+            while (desired.get(at).keys().to() <= slice.keys().from()) {
                 at++;
-                ready.clear();
+                inPlace.clear();
             }
-            TargetLayout.DesiredSlice here = wanted.get(at);
             if (busy.contains(slice.number())) {
                 continue;
             }
+            TargetLayout.DesiredSlice here = desired.get(at);
             if (slice.keys().to() > here.keys().to()) {
-                changes.add(new LayoutChange.Split(slice.number(), splitKeys(slice, wanted, at)));
+                changes.add(
+                        new LayoutChange.Split(
+                                slice.number(), boundariesWithin(slice, desired, at)));
                 continue;
             }
-            LayoutChange step = transferTowards(slice, here.nodes());
-            if (step != null) {
-                changes.add(step);
+            Optional<LayoutChange> transfer = transferTowards(slice, here.nodes());
+            if (transfer.isPresent()) {
+                changes.add(transfer.get());
                 continue;
             }
-            ready.add(slice);
-            if (ready.size() > 1
-                    && ready.get(0).keys().from() == here.keys().from()
-                    && slice.keys().to() == here.keys().to()
-                    && contiguous(ready)) {
-                changes.add(new LayoutChange.Merge(ready.stream().map(Slice::number).toList()));
+            inPlace.add(slice);
+            if (makesUp(here, inPlace)) {
+                changes.add(new LayoutChange.Merge(inPlace.stream().map(Slice::number).toList()));
             }
         }
         return changes;
     }
 
-    private static List<Long> splitKeys(
-            Slice slice, List<TargetLayout.DesiredSlice> wanted, int at) {
-        List<Long> cuts = new ArrayList<>();
-        for (int i = at; i < wanted.size() && wanted.get(i).keys().to() < slice.keys().to(); i++) {
-            cuts.add(wanted.get(i).keys().to());
+    /**
+     * The boundaries of the target strictly inside a slice that begins in its slice number {@code
+     * first}.
+     */
+    private static List<Long> boundariesWithin(
+            Slice slice, List<TargetLayout.DesiredSlice> desired, int first) {
+        List<Long> boundaries = new ArrayList<>();
+        for (int i = first;
+                i < desired.size() && desired.get(i).keys().to() < slice.keys().to();
+                i++) {
+            boundaries.add(desired.get(i).keys().to());
         }
-        return cuts;
+        return boundaries;
     }
 
-    /** Null where these nodes hold it. New holders come before old ones are let go. */
-    private static LayoutChange transferTowards(Slice slice, List<String> nodes) {
+    /** Empty where these nodes hold the slice. New holders come before old ones are let go. */
+    private static Optional<LayoutChange> transferTowards(Slice slice, List<String> nodes) {
         String missing =
                 nodes.stream().filter(node -> !slice.heldBy(node)).findFirst().orElse(null);
         String extra =
@@ -71,11 +74,20 @@
                         .findFirst()
                         .orElse(null);
         return missing == null && extra == null
-                ? null
-                : new LayoutChange.Transfer(slice.number(), extra, missing);
+                ? Optional.empty()
+                : Optional.of(new LayoutChange.Transfer(slice.number(), extra, missing));
+    }
+
+    /** Whether two or more slices together are the desired one. */
+    private static boolean makesUp(TargetLayout.DesiredSlice desired, List<Slice> slices) {
+        int last = slices.size() - 1;
+        return last > 0
+                && slices.get(0).keys().from() == desired.keys().from()
+                && slices.get(last).keys().to() == desired.keys().to()
+                && areContiguous(slices);
     }
 
-    private static boolean contiguous(List<Slice> slices) {
+    private static boolean areContiguous(List<Slice> slices) {
         for (int i = 1; i < slices.size(); i++) {
             if (slices.get(i - 1).keys().to() != slices.get(i).keys().from()) {
                 return false;
--- a/src/main/java/postbeam/slices/SlicePlacement.java
+++ b/src/main/java/postbeam/slices/SlicePlacement.java
@@ -16,15 +16,15 @@
     private SlicePlacement() {}
 
     /**
-     * Nodes that want work, the zones by turns, so that neighbours in the list are in different
-     * ones where they can be.
+     * The ready nodes, zone after zone in turn, so that neighbours in the list are in different
+     * zones where possible.
      */
     public static List<String> spreadOverZones(Map<String, TargetLayout.NodeInfo> nodes) {
         Map<String, List<String>> zones = new LinkedHashMap<>();
         nodes.forEach(
-                (name, known) -> {
-                    if (known.readiness() == Readiness.READY) {
-                        zones.computeIfAbsent(known.zone(), zone -> new ArrayList<>()).add(name);
+                (name, info) -> {
+                    if (info.readiness() == Readiness.READY) {
+                        zones.computeIfAbsent(info.zone(), zone -> new ArrayList<>()).add(name);
                     }
                 });
         List<String> spread = new ArrayList<>();
@@ -41,47 +41,63 @@
     }
 
     /**
-     * Moves that bring slices off these nodes, which are gone for good as far as anyone can tell:
-     * each to a node that wants work, in a zone that holds it not yet where there is such a one, to
-     * whom holds fewest before others. Slices with the fewest holders left come first; one without
-     * any holder left is not among them, since nobody has its data.
+     * Transfers that bring slices off nodes that are gone: each to a ready node, in a zone that
+     * does not hold the slice yet where there is one, and among these to the node that holds the
+     * fewest slices. Slices with the fewest holders left come first; one without any holder left is
+     * not among them, since nobody has its data.
+     *
+     * @param busy slices that a move under way concerns, which are left out
+     * @param maxRepairs how many transfers at most
      */
-    public static List<LayoutChange> repairs(
+    static List<LayoutChange> repairs(
             Layout layout,
             Map<String, TargetLayout.NodeInfo> nodes,
             Set<String> gone,
             Set<Integer> busy,
-            int most) {
-        Map<String, Integer> holds = new HashMap<>();
+            int maxRepairs) {
+        Map<String, Integer> slicesHeld = new HashMap<>();
         layout.slices()
                 .forEach(
-                        slice -> slice.nodes().forEach(node -> holds.merge(node, 1, Integer::sum)));
-        List<Slice> hurt = new ArrayList<>();
-        for (Slice slice : layout.slices()) {
-            if (!busy.contains(slice.number())
-                    && slice.nodes().stream().anyMatch(gone::contains)
-                    && listedHolders(slice, nodes).size() > 0) {
-                hurt.add(slice);
-            }
-        }
-        hurt.sort(Comparator.comparingInt(slice -> listedHolders(slice, nodes).size()));
+                        slice ->
+                                slice.nodes()
+                                        .forEach(node -> slicesHeld.merge(node, 1, Integer::sum)));
         List<LayoutChange> repairs = new ArrayList<>();
-        for (Slice slice : hurt) {
-            if (repairs.size() >= most) {
+        for (Slice slice : damagedSlices(layout, nodes, gone, busy)) {
+            if (repairs.size() >= maxRepairs) {
                 break;
             }
-            String off = slice.nodes().stream().filter(gone::contains).findFirst().orElseThrow();
-            bestTarget(slice, nodes, holds)
+            String from = slice.nodes().stream().filter(gone::contains).findFirst().orElseThrow();
+            bestTarget(slice, nodes, slicesHeld)
                     .ifPresent(
-                            onto -> {
-                                holds.merge(onto, 1, Integer::sum);
-                                repairs.add(new LayoutChange.Transfer(slice.number(), off, onto));
+                            to -> {
+                                slicesHeld.merge(to, 1, Integer::sum);
+                                repairs.add(new LayoutChange.Transfer(slice.number(), from, to));
                             });
         }
         return repairs;
     }
 
-    /** Its holders that are listed. */
+    /**
+     * Slices with a holder that is gone and one that is listed, those with the fewest listed
+     * holders first.
+     */
+    private static List<Slice> damagedSlices(
+            Layout layout,
+            Map<String, TargetLayout.NodeInfo> nodes,
+            Set<String> gone,
+            Set<Integer> busy) {
+        List<Slice> damaged = new ArrayList<>();
+        for (Slice slice : layout.slices()) {
+            if (!busy.contains(slice.number())
+                    && slice.nodes().stream().anyMatch(gone::contains)
+                    && !listedHolders(slice, nodes).isEmpty()) {
+                damaged.add(slice);
+            }
+        }
+        damaged.sort(Comparator.comparingInt(slice -> listedHolders(slice, nodes).size()));
+        return damaged;
+    }
+
     private static List<String> listedHolders(
             Slice slice, Map<String, TargetLayout.NodeInfo> nodes) {
         return slice.nodes().stream()
@@ -93,19 +109,20 @@
     }
 
     private static Optional<String> bestTarget(
-            Slice slice, Map<String, TargetLayout.NodeInfo> nodes, Map<String, Integer> holds) {
+            Slice slice,
+            Map<String, TargetLayout.NodeInfo> nodes,
+            Map<String, Integer> slicesHeld) {
         Set<String> zones = new HashSet<>();
         listedHolders(slice, nodes).forEach(node -> zones.add(nodes.get(node).zone()));
-        return nodes.entrySet().stream()
+        return nodes.keySet().stream()
                 .filter(
-                        entry ->
-                                entry.getValue().readiness() == Readiness.READY
-                                        && !slice.heldBy(entry.getKey()))
+                        node ->
+                                nodes.get(node).readiness() == Readiness.READY
+                                        && !slice.heldBy(node))
                 .min(
-                        Comparator.<Map.Entry<String, TargetLayout.NodeInfo>>comparingInt(
-                                        entry -> zones.contains(entry.getValue().zone()) ? 1 : 0)
-                                .thenComparingInt(entry -> holds.getOrDefault(entry.getKey(), 0))
-                                .thenComparing(Map.Entry::getKey))
-                .map(Map.Entry::getKey);
+                        Comparator.<String>comparingInt(
+                                        node -> zones.contains(nodes.get(node).zone()) ? 1 : 0)
+                                .thenComparingInt(node -> slicesHeld.getOrDefault(node, 0))
+                                .thenComparing(Comparator.naturalOrder()));
     }
 }
--- a/src/main/java/postbeam/slices/SliceTranslator.java
+++ b/src/main/java/postbeam/slices/SliceTranslator.java
@@ -5,59 +5,63 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import postbeam.model.CompletenessRule;
 import postbeam.model.DataNode;
 import postbeam.model.Query;
 import postbeam.model.ShardRequest;
 import postbeam.model.SideEffects;
 
 /**
- * What one router makes of the layout: which version it believes, how a query's parts stand in it,
- * and what becomes of open queries when it changes. Decide sees parts and replica lists as ever. To
- * be called by one thread at a time.
+ * A router's view of the layout: which version it uses, how a query's parts map onto its slices,
+ * and what becomes of queries in flight when it changes. The routing policy sees parts and replica
+ * lists as without a layout. Not thread-safe: its owner calls it under the policy's lock.
  */
 public class SliceTranslator {
     /**
-     * How long a node that said it holds a slice no more is not asked for it again: the next
-     * version mostly comes sooner, and clears it; a node that was wrong about itself, as after a
-     * restart, is found again after it.
+     * For how long a node that said it does not hold a slice gets no calls for it. The next layout
+     * version mostly comes sooner and clears it; a node that was wrong about itself, as after a
+     * restart, is used again after it.
      */
     public static final Duration EXCLUSION_TIME = Duration.ofMillis(500);
 
-    /**
-     * Parts that one query may become: what a page of the clients names, cut ever finer, ends
-     * somewhere.
-     */
+    /** Parts that one query may be translated into. */
     private static final int MAX_PARTS = 2048;
 
+    /** A client that names this version means the layout in force. */
+    private static final long CURRENT_VERSION = 0;
+
     private final LayoutReplicaPlacement placement = new LayoutReplicaPlacement();
     private Layout currentLayout;
     private long rejectedLayouts;
 
     /** Null where layouts are held without a lease. */
-    private Duration setLeaseDuration;
+    private Duration leaseDuration;
 
-    private Duration leaseUntil;
+    private Duration leaseEnd;
 
+    // ---- the layout
+
+    /** The replicas of each slice by the layout in force. */
     public LayoutReplicaPlacement placement() {
         return placement;
     }
 
-    /** The layout in force here; null before the first. */
+    /** The layout in force; null before the first. */
     public final Layout currentLayout() {
         return currentLayout;
     }
 
-    /** How many layouts were refused because they go back. */
+    /** How many layouts were rejected because they go back to an older version. */
     public final long rejectedLayouts() {
         return rejectedLayouts;
     }
 
     /**
-     * Takes a layout over; false where it is none that may follow. Guards against a layout service
-     * that comes back from an older state, or an old answer that comes late: a version once left is
-     * fenced at its nodes, and what stood in between would be asked of nodes that hold it no more.
-     * It could hurt where operators begin anew from an older log: then routers must be restarted,
-     * as the operators' page says.
+     * Adopts a layout, unless it is older than the one in force: a layout service that was restored
+     * from an older state, or a late response, would direct calls to nodes that are fenced for
+     * them. Where operators begin anew from an older journal, routers must be restarted.
+     *
+     * @return whether the layout is in force now
      */
     public final boolean onUpdate(Layout next) {
         if (!isSuccessor(currentLayout, next)) {
@@ -65,200 +69,230 @@
             return false;
         }
         currentLayout = next;
-        placement.layout(next);
+        placement.setLayout(next);
         return true;
     }
 
-    /** From now on a layout may be gone by for so long after it was asked for. */
-    public final void setLeaseDuration(Duration span) {
-        setLeaseDuration = span;
-        leaseUntil = Duration.ZERO;
+    /** Whether a layout may follow the one in force, which is null before the first. */
+    protected boolean isSuccessor(Layout current, Layout next) {
+        return current == null || next.version > current.version;
     }
 
-    /** The layout in force was told in answer to a question of this time. */
-    public final void renewLease(Duration askedAt) {
-        if (setLeaseDuration != null && leaseUntil.compareTo(askedAt.plus(setLeaseDuration)) < 0) {
-            leaseUntil = askedAt.plus(setLeaseDuration);
-        }
+    /**
+     * From now on a layout may be used for so long after it was requested, for queries that are not
+     * idempotent.
+     */
+    public final void setLeaseDuration(Duration duration) {
+        leaseDuration = duration;
+        leaseEnd = Duration.ZERO;
     }
 
-    protected boolean isSuccessor(Layout held, Layout next) {
-        return held == null || next.version > held.version;
+    /**
+     * The layout service has answered a request that was sent at this time with the layout in
+     * force.
+     */
+    public final void renewLease(Duration requestedAt) {
+        if (leaseDuration == null) {
+            return;
+        }
+        Duration end = requestedAt.plus(leaseDuration);
+        if (leaseEnd.compareTo(end) < 0) {
+            leaseEnd = end;
+        }
     }
 
-    // ---- a query comes
+    // ---- a query arrives
 
     /**
-     * Gives the query its parts: what the client names by a version that it knows (0: the one in
-     * force), cut and joined to the slices in force. An Unroutable says why it can't be done, and
-     * nothing has been done then.
+     * Gives the query its parts: what the client names by a version that it knows, cut and merged
+     * to the slices in force.
+     *
+     * @param version 0 for the version in force
+     * @throws UnroutableQueryException the slices can't be found; the query has no part then
      */
-    public final void assignParts(Query query, long named, List<SliceRequest> askings)
+    public final void assignParts(Query query, long version, List<SliceRequest> requests)
             throws UnroutableQueryException {
+        boolean current = version == CURRENT_VERSION && currentLayout != null;
         assignKeys(
-                query,
-                named == 0 && currentLayout != null ? currentLayout.version : named,
-                resolveSlices(named, askings));
+                query, current ? currentLayout.version : version, resolveSlices(version, requests));
     }
 
     /**
-     * The keys of what a client names by a version that it knows; an Unroutable says why they can't
-     * be found.
+     * The keys of what a client names by a version that it knows.
+     *
+     * @param version 0 for the version in force
+     * @throws UnroutableQueryException the slices can't be found
      */
     public final List<LayoutCompleteness.RequestedSlice> resolveSlices(
-            long named, List<SliceRequest> askings) throws UnroutableQueryException {
+            long version, List<SliceRequest> requests) throws UnroutableQueryException {
         if (currentLayout == null) {
             throw new UnroutableQueryException(
                     UnroutableQueryException.Reason.LAYOUT_UNKNOWN, "no layout is known yet");
         }
-        long version = named == 0 ? currentLayout.version : named;
-        if (version > currentLayout.version) {
+        long known = version == CURRENT_VERSION ? currentLayout.version : version;
+        if (known > currentLayout.version) {
             throw new UnroutableQueryException(
                     UnroutableQueryException.Reason.LAYOUT_UNKNOWN,
-                    "layout " + version + " is not known yet; " + currentLayout.version + " is");
+                    "layout " + known + " is not known yet; " + currentLayout.version + " is");
         }
-        if (version < currentLayout.oldestVersion) {
+        if (known < currentLayout.oldestVersion) {
             throw new UnroutableQueryException(
                     UnroutableQueryException.Reason.LAYOUT_EXPIRED,
                     "layout "
-                            + version
+                            + known
                             + " is no longer kept; "
                             + currentLayout.version
                             + " is in force");
         }
-        List<LayoutCompleteness.RequestedSlice> names = new ArrayList<>();
-        for (SliceRequest asking : askings) {
-            KeyRange keys = currentLayout.keysOf(asking.slice(), version);
+        List<LayoutCompleteness.RequestedSlice> resolved = new ArrayList<>();
+        for (SliceRequest request : requests) {
+            KeyRange keys = currentLayout.keysOf(request.slice(), known);
             if (keys == null) {
                 throw new UnroutableQueryException(
                         UnroutableQueryException.Reason.UNKNOWN_SLICE,
-                        "layout " + version + " has no slice " + asking.slice());
+                        "layout " + known + " has no slice " + request.slice());
             }
-            names.add(
+            resolved.add(
                     new LayoutCompleteness.RequestedSlice(
-                            asking.slice(), keys, asking.weight(), asking.work()));
+                            request.slice(), keys, request.weight(), request.work()));
         }
-        return names;
+        return resolved;
     }
 
     /**
-     * Gives the query its parts: these keys, which are apart, cut and joined to the slices in
+     * Gives the query its parts: these keys, which don't overlap, cut and merged to the slices in
      * force.
+     *
+     * @param version the version by which the client names the slices
+     * @throws UnroutableQueryException there would be too many parts, or the layout's lease is over
      */
     public final void assignKeys(
-            Query query, long version, List<LayoutCompleteness.RequestedSlice> names)
+            Query query, long version, List<LayoutCompleteness.RequestedSlice> requested)
             throws UnroutableQueryException {
-        // Guards what runs once against a layout long past; hurts where the layout service is away
-        // for longer.
-        if (setLeaseDuration != null
-                && query.queryClass().sideEffects == SideEffects.NON_IDEMPOTENT
-                && query.arrivedAt.compareTo(leaseUntil) >= 0) {
-            throw new UnroutableQueryException(
-                    UnroutableQueryException.Reason.LAYOUT_UNKNOWN,
-                    "the lease of layout " + currentLayout.version + " is over");
-        }
+        requireLease(query);
         List<Fragment> cut = new ArrayList<>();
-        names.forEach(one -> cut.addAll(Fragment.split(currentLayout, one.keys())));
+        requested.forEach(slice -> cut.addAll(Fragment.split(currentLayout, slice.keys())));
         List<Fragment> fragments = Fragment.merged(cut);
         if (fragments.size() > MAX_PARTS) {
             throw new UnroutableQueryException(
                     UnroutableQueryException.Reason.UNKNOWN_SLICE,
                     "the query would take " + fragments.size() + " parts");
         }
-        boolean same =
-                fragments.size() == names.size()
-                        && names.stream()
-                                .allMatch(
-                                        one -> {
-                                            Slice slice = currentLayout.slice(one.slice());
-                                            return slice != null && slice.keys().equals(one.keys());
-                                        });
+        boolean unchanged =
+                fragments.size() == requested.size()
+                        && requested.stream().allMatch(this::isInForce);
         LayoutCompleteness completeness =
-                new LayoutCompleteness(version, names, this::currentLayout, !same);
+                new LayoutCompleteness(version, requested, this::currentLayout, !unchanged);
         query.useCompletenessRule(completenessRule(completeness));
-        fragments.forEach(one -> newRequest(query, completeness, one));
+        fragments.forEach(fragment -> newRequest(query, completeness, fragment));
+    }
+
+    /** A query that is not idempotent must not run by a layout that may long have been replaced. */
+    private void requireLease(Query query) throws UnroutableQueryException {
+        if (leaseDuration != null
+                && query.queryClass().sideEffects == SideEffects.NON_IDEMPOTENT
+                && query.arrivedAt.compareTo(leaseEnd) >= 0) {
+            throw new UnroutableQueryException(
+                    UnroutableQueryException.Reason.LAYOUT_UNKNOWN,
+                    "the lease of layout " + currentLayout.version + " is over");
+        }
+    }
+
+    private boolean isInForce(LayoutCompleteness.RequestedSlice requested) {
+        Slice slice = currentLayout.slice(requested.slice());
+        return slice != null && slice.keys().equals(requested.keys());
     }
 
     private static KeyRangeRequest newRequest(
-            Query query, LayoutCompleteness completeness, Fragment one) {
+            Query query, LayoutCompleteness completeness, Fragment fragment) {
         return new KeyRangeRequest(
                 query,
-                one.slice(),
-                one.keys(),
-                completeness.weightOf(one.keys()),
-                completeness.workOf(one.keys()));
+                fragment.slice(),
+                fragment.keys(),
+                completeness.weightOf(fragment.keys()),
+                completeness.workOf(fragment.keys()));
     }
 
     /** How the query's weights count. */
-    protected postbeam.model.CompletenessRule completenessRule(LayoutCompleteness completeness) {
+    protected CompletenessRule completenessRule(LayoutCompleteness completeness) {
         return completeness;
     }
 
-    /** What the query is held against. */
+    /** The slices that the query is held against. */
     public LayoutCompleteness completenessOf(Query query) {
         return (LayoutCompleteness) query.completenessRule();
     }
 
-    // ---- what has happened meanwhile
+    // ---- while a query is in flight
 
     /**
-     * A node has said that it holds the part's slice no more, or not yet: it is not asked for it
-     * for a while.
+     * A node has said that it does not hold the part's slice: it gets no calls for it for a while.
      */
     public final void excludeReplica(ShardRequest request, DataNode node) {
-        placement.left(request.shard, node);
+        placement.exclude(request.shard, node);
     }
 
+    /** The node may get calls for the slice again. */
     public final void readmitReplica(int slice, DataNode node) {
         placement.readmit(slice, node);
     }
 
     /**
-     * Turns the parts of an open query that are neither merged nor out, and whose slices are no
-     * more, into parts of the slices in force. What is out stays as it was sent: its answer covers
-     * its keys, whatever they are called by now. True where anything was turned.
+     * Replaces the parts of a query in flight whose slices are no more, and that are neither
+     * answered nor being asked for, by parts of the slices in force. A part that is being asked for
+     * stays as it was sent: its answer covers its keys, by whatever number they go now.
+     *
+     * @return whether any part was replaced
      */
     public final boolean remapStaleParts(Query query) {
-        List<KeyRangeRequest> stale = new ArrayList<>();
-        for (ShardRequest request : query.shardRequests) {
-            if (!request.isAnswered()
-                    && request.attemptsInFlight.isEmpty()
-                    && currentLayout.slice(request.shard) == null) {
-                stale.add((KeyRangeRequest) request);
-            }
-        }
+        List<KeyRangeRequest> stale = staleParts(query);
         if (stale.isEmpty()) {
             return false;
         }
         query.removeShardRequests(stale);
         LayoutCompleteness completeness = completenessOf(query);
-        // Those that nothing was sent for are joined where they meet in one slice; the others keep
-        // their own past.
-        List<Fragment> fresh = new ArrayList<>();
-        Map<ShardRequest, List<Fragment>> touched = new LinkedHashMap<>();
-        for (KeyRangeRequest old : stale) {
-            List<Fragment> cut = Fragment.split(currentLayout, old.keys);
-            if (old.attempts.isEmpty() && !old.isClosed()) {
-                fresh.addAll(cut);
+        // Parts that nothing was sent for are merged where they meet in one slice; the others keep
+        // their own attempts.
+        List<Fragment> untried = new ArrayList<>();
+        Map<KeyRangeRequest, List<Fragment>> tried = new LinkedHashMap<>();
+        for (KeyRangeRequest request : stale) {
+            List<Fragment> fragments = Fragment.split(currentLayout, request.keys);
+            if (request.attempts.isEmpty() && !request.isClosed()) {
+                untried.addAll(fragments);
             } else {
-                touched.put(old, cut);
+                tried.put(request, fragments);
             }
         }
-        Fragment.merged(fresh).forEach(one -> newRequest(query, completeness, one));
-        touched.forEach(
-                (old, cut) ->
-                        cut.forEach(one -> inherit(newRequest(query, completeness, one), old)));
-        completeness.recut();
+        Fragment.merged(untried).forEach(fragment -> newRequest(query, completeness, fragment));
+        tried.forEach(
+                (request, fragments) ->
+                        fragments.forEach(
+                                fragment ->
+                                        inherit(
+                                                newRequest(query, completeness, fragment),
+                                                request)));
+        completeness.onRemapped();
         return true;
     }
 
+    private List<KeyRangeRequest> staleParts(Query query) {
+        List<KeyRangeRequest> stale = new ArrayList<>();
+        for (ShardRequest request : query.shardRequests) {
+            if (!request.isAnswered()
+                    && request.attemptsInFlight.isEmpty()
+                    && currentLayout.slice(request.shard) == null) {
+                stale.add((KeyRangeRequest) request);
+            }
+        }
+        return stale;
+    }
+
     /**
-     * What may have run for the old part may have run for the new: leaf calls, the time of the
-     * first that may have run, and that no further one is taken. Guards rule 2 and the budget
-     * across a re-cut, whichever way it went: a slice split or joined keeps what its keys have been
-     * through.
+     * What may have run for the replaced part may have run for its successor: its attempts, when
+     * the first of them may have run, and that no further one is made. So retry rules and budgets
+     * hold across a split or merge.
      */
-    protected void inherit(KeyRangeRequest young, ShardRequest old) {
-        young.inherit(old);
+    protected void inherit(KeyRangeRequest successor, ShardRequest replaced) {
+        successor.inherit(replaced);
     }
 }
--- a/src/main/java/postbeam/slices/TargetLayout.java
+++ b/src/main/java/postbeam/slices/TargetLayout.java
@@ -1,16 +1,18 @@
 package postbeam.slices;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
 import java.util.Set;
 import postbeam.model.Readiness;
 
-/** Where a layout is to get: ranges that cover the key space, and who is to hold each. */
+/** Where a layout is to get: ranges that cover the key space, and which nodes are to hold each. */
 public record TargetLayout(List<DesiredSlice> slices) {
+    /** A slice as it is to be. */
     public record DesiredSlice(KeyRange keys, List<String> nodes) {
+        /** A slice and the nodes that are to hold it. */
         public DesiredSlice {
             nodes = List.copyOf(nodes);
         }
@@ -19,52 +21,51 @@
     /** What is known of a data node. */
     public record NodeInfo(String zone, Readiness readiness) {}
 
+    /** A target with its slices in the order of their keys. */
     public TargetLayout {
         List<DesiredSlice> sorted = new ArrayList<>(slices);
-        sorted.sort((a, b) -> a.keys().compareTo(b.keys()));
+        sorted.sort(Comparator.comparing(DesiredSlice::keys));
         slices = List.copyOf(sorted);
     }
 
-    /** What is wrong with it, a line each; empty where it can be aimed at. */
-    public List<String> problems(Map<String, NodeInfo> nodes, int holders, int zones) {
+    /** What is wrong with it, a line each; empty where a layout can be brought there. */
+    public List<String> problems(Map<String, NodeInfo> nodes, int minHolders, int minZones) {
         List<String> problems = new ArrayList<>();
-        Optional<String> coverage =
-                Coverage.firstProblem(slices.stream().map(DesiredSlice::keys).toList());
-        coverage.ifPresent(problems::add);
-        for (DesiredSlice wanted : slices) {
-            problems.addAll(
-                    problems("keys " + wanted.keys(), wanted.nodes(), nodes, holders, zones));
-        }
+        Coverage.firstProblem(slices.stream().map(DesiredSlice::keys).toList())
+                .ifPresent(problems::add);
+        slices.forEach(
+                slice -> problems.addAll(holderProblems(slice, nodes, minHolders, minZones)));
         return problems;
     }
 
-    /** What is wrong with these nodes as the holders of something. */
-    static List<String> problems(
-            String of, List<String> held, Map<String, NodeInfo> nodes, int holders, int zones) {
+    private static List<String> holderProblems(
+            DesiredSlice slice, Map<String, NodeInfo> nodes, int minHolders, int minZones) {
+        String prefix = "keys " + slice.keys() + ": ";
         List<String> problems = new ArrayList<>();
-        Set<String> seen = new HashSet<>();
-        Set<String> inZones = new HashSet<>();
-        for (String name : held) {
+        Set<String> holders = new HashSet<>();
+        Set<String> zones = new HashSet<>();
+        for (String name : slice.nodes()) {
             NodeInfo node = nodes.get(name);
             if (node == null || node.readiness() == Readiness.REMOVED) {
-                problems.add(of + ": there is no node " + name);
+                problems.add(prefix + "there is no node " + name);
             } else {
-                inZones.add(node.zone());
+                zones.add(node.zone());
             }
-            if (!seen.add(name)) {
-                problems.add(of + ": node " + name + " stands there twice");
+            if (!holders.add(name)) {
+                problems.add(prefix + "node " + name + " stands there twice");
             }
         }
-        if (seen.size() < holders) {
-            problems.add(of + ": " + seen.size() + " holders, at least " + holders + " are needed");
+        if (holders.size() < minHolders) {
+            problems.add(
+                    prefix + holders.size() + " holders, at least " + minHolders + " are needed");
         }
-        if (problems.isEmpty() && inZones.size() < zones) {
+        if (problems.isEmpty() && zones.size() < minZones) {
             problems.add(
-                    of
-                            + ": holders in "
-                            + inZones.size()
+                    prefix
+                            + "holders in "
+                            + zones.size()
                             + " zones, at least "
-                            + zones
+                            + minZones
                             + " are needed");
         }
         return problems;
--- a/src/test/java/postbeam/slices/CoordinatorTest.java
+++ b/src/test/java/postbeam/slices/CoordinatorTest.java
@@ -106,16 +106,16 @@
         for (int i = 0;
                 i < 200
                         && coordinator.state().move(id) != null
-                        && coordinator.state().move(id).state != state;
+                        && coordinator.state().move(id).state() != state;
                 i++) {
             carryOut(coordinator.tick(now), -1);
             if (coordinator.state().move(id) != null
-                    && coordinator.state().move(id).state != state) {
+                    && coordinator.state().move(id).state() != state) {
                 answer();
             }
             now = now.plusMillis(100);
         }
-        return coordinator.state().move(id) == null ? null : coordinator.state().move(id).state;
+        return coordinator.state().move(id) == null ? null : coordinator.state().move(id).state();
     }
 
     private Move over(long id) {
@@ -148,7 +148,7 @@
                         HandoffCommand.SERVE,
                         HandoffCommand.DROP),
                 orders);
-        assertEquals(MoveState.COMPLETED, over(id).state);
+        assertEquals(MoveState.COMPLETED, over(id).state());
         assertEquals(List.of("c", "b"), layout().slice(0).nodes());
         assertEquals(1, published.size());
     }
@@ -235,11 +235,11 @@
         long second = plan(new LayoutChange.Transfer(1, "c", "a"));
         silent.add("c");
         goOn(Duration.ofSeconds(1));
-        assertEquals(MoveState.COPYING, coordinator.state().move(first).state);
-        assertEquals(MoveState.PLANNED, coordinator.state().move(second).state);
+        assertEquals(MoveState.COPYING, coordinator.state().move(first).state());
+        assertEquals(MoveState.PLANNED, coordinator.state().move(second).state());
         silent.clear();
         goOn(Duration.ofSeconds(4));
-        assertEquals(MoveState.COMPLETED, over(second).state);
+        assertEquals(MoveState.COMPLETED, over(second).state());
     }
 
     @Test
@@ -248,20 +248,20 @@
         readiness("b", Readiness.DRAINING);
         long drains = plan(new LayoutChange.Transfer(0, "a", "c"));
         goOn(Duration.ofSeconds(3));
-        assertEquals(MoveState.PLANNED, coordinator.state().move(drains).state);
+        assertEquals(MoveState.PLANNED, coordinator.state().move(drains).state());
         readiness("a", Readiness.READY);
         readiness("b", Readiness.READY);
         goOn(Duration.ofSeconds(3));
-        assertEquals(MoveState.COMPLETED, over(drains).state);
+        assertEquals(MoveState.COMPLETED, over(drains).state());
         // a then has just taken a slice: it is given no other for a while.
         long first = plan(new LayoutChange.Transfer(0, "c", "a"));
         goOn(Duration.ofSeconds(1));
-        assertEquals(MoveState.COMPLETED, over(first).state);
+        assertEquals(MoveState.COMPLETED, over(first).state());
         long rests = plan(new LayoutChange.Transfer(1, "c", "a"));
         goOn(Duration.ofMillis(200));
-        assertEquals(MoveState.PLANNED, coordinator.state().move(rests).state);
+        assertEquals(MoveState.PLANNED, coordinator.state().move(rests).state());
         goOn(Duration.ofSeconds(4));
-        assertEquals(MoveState.COMPLETED, over(rests).state);
+        assertEquals(MoveState.COMPLETED, over(rests).state());
     }
 
     @Test
@@ -274,7 +274,7 @@
                         .map(Move.Destination::source)
                         .toList());
         goOn(Duration.ofSeconds(3));
-        assertEquals(MoveState.COMPLETED, over(id).state);
+        assertEquals(MoveState.COMPLETED, over(id).state());
     }
 
     @Test
@@ -282,10 +282,10 @@
         silent.add("c");
         long id = plan(new LayoutChange.Transfer(0, "a", "c"));
         goOn(Duration.ofSeconds(9));
-        assertEquals(MoveState.COPYING, coordinator.state().move(id).state);
+        assertEquals(MoveState.COPYING, coordinator.state().move(id).state());
         goOn(Duration.ofSeconds(10));
-        assertEquals(MoveState.ABANDONED, over(id).state);
-        assertEquals("the copy is stuck", over(id).abandonReason);
+        assertEquals(MoveState.ABANDONED, over(id).state());
+        assertEquals("the copy is stuck", over(id).abandonReason());
         assertEquals(2, layout().version);
         assertEquals(List.of("a", "b"), layout().slice(0).nodes());
     }
@@ -297,7 +297,7 @@
         silent.add("c");
         readiness("c", Readiness.REMOVED);
         goOn(Duration.ofSeconds(10));
-        assertEquals(MoveState.ABANDONED, over(id).state);
+        assertEquals(MoveState.ABANDONED, over(id).state());
         assertEquals(List.of("a", "b"), layout().slice(0).nodes());
     }
 
@@ -309,7 +309,7 @@
         silent.add("a");
         readiness("a", Readiness.REMOVED);
         goOn(Duration.ofSeconds(10));
-        assertEquals(MoveState.COMPLETED, over(id).state);
+        assertEquals(MoveState.COMPLETED, over(id).state());
         assertEquals(List.of("c", "b"), layout().slice(0).nodes());
     }
 
@@ -321,7 +321,7 @@
         told.clear();
         readiness("a", Readiness.REMOVED);
         goOn(Duration.ofSeconds(10));
-        assertEquals(MoveState.ABANDONED, over(id).state);
+        assertEquals(MoveState.ABANDONED, over(id).state());
         assertEquals(List.of("a", "b"), layout().slice(0).nodes());
     }
 
@@ -346,7 +346,7 @@
             assertTrue(layout().version > version, state + ": under a higher version");
             assertEquals(
                     state == MoveState.CUT_OVER ? MoveState.COMPLETED : MoveState.ABANDONED,
-                    over(id).state);
+                    over(id).state());
         }
     }
 
