--- /dev/null
+++ b/src/main/java/postbeam/layoutservice/JsonFields.java
@@ -0,0 +1,126 @@
+package postbeam.layoutservice;
+
+import com.fasterxml.jackson.core.JsonGenerator;
+import java.io.IOException;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import postbeam.json.Json;
+import postbeam.slices.KeyRange;
+
+/**
+ * Members of JSON objects that the codecs of this package share. Each reader throws an IOException
+ * that names a member that is missing or of the wrong kind.
+ */
+final class JsonFields {
+    private JsonFields() {}
+
+    // ---- reading
+
+    static String text(Map<?, ?> object, String name) throws IOException {
+        return Json.member(object, name, String.class);
+    }
+
+    /** Null where the member is absent. */
+    static String optionalText(Map<?, ?> object, String name) throws IOException {
+        return object.containsKey(name) ? text(object, name) : null;
+    }
+
+    static boolean flag(Map<?, ?> object, String name) throws IOException {
+        return Json.member(object, name, Boolean.class);
+    }
+
+    static long number(Map<?, ?> object, String name) throws IOException {
+        return Json.member(object, name, Number.class).longValue();
+    }
+
+    static int integer(Map<?, ?> object, String name) throws IOException {
+        return (int) number(object, name);
+    }
+
+    static double decimal(Map<?, ?> object, String name) throws IOException {
+        return Json.member(object, name, Number.class).doubleValue();
+    }
+
+    static Duration millis(Map<?, ?> object, String name) throws IOException {
+        return Duration.ofMillis(number(object, name));
+    }
+
+    static Map<?, ?> object(Map<?, ?> object, String name) throws IOException {
+        return Json.member(object, name, Map.class);
+    }
+
+    static List<Integer> integers(Map<?, ?> object, String name) throws IOException {
+        return list(object, name, Integer.class, "whole numbers");
+    }
+
+    static List<String> texts(Map<?, ?> object, String name) throws IOException {
+        return list(object, name, String.class, "strings");
+    }
+
+    /** Keys of the key space: numbers of any size. */
+    static List<Long> keys(Map<?, ?> object, String name) throws IOException {
+        return list(object, name, Number.class, "keys").stream().map(Number::longValue).toList();
+    }
+
+    static List<Map<?, ?>> objects(Map<?, ?> object, String name) throws IOException {
+        List<Map<?, ?>> objects = new ArrayList<>();
+        for (Map<?, ?> one : list(object, name, Map.class, "objects")) {
+            objects.add(one);
+        }
+        return objects;
+    }
+
+    private static <T> List<T> list(Map<?, ?> object, String name, Class<T> kind, String kindName)
+            throws IOException {
+        List<T> list = new ArrayList<>();
+        for (Object one : Json.member(object, name, List.class)) {
+            if (!kind.isInstance(one)) {
+                throw new IOException(name + " holds something else than " + kindName);
+            }
+            list.add(kind.cast(one));
+        }
+        return list;
+    }
+
+    /** The range from the member "from" (inclusive) to the member "to" (exclusive). */
+    static KeyRange keyRange(Map<?, ?> object) throws IOException {
+        try {
+            return new KeyRange(number(object, "from"), number(object, "to"));
+        } catch (IllegalArgumentException e) {
+            throw new IOException(e.getMessage(), e);
+        }
+    }
+
+    // ---- writing
+
+    static void writeKeyRange(JsonGenerator json, KeyRange keys) throws IOException {
+        json.writeNumberField("from", keys.from());
+        json.writeNumberField("to", keys.to());
+    }
+
+    static void writeIntegers(JsonGenerator json, String name, List<Integer> numbers)
+            throws IOException {
+        json.writeArrayFieldStart(name);
+        for (int number : numbers) {
+            json.writeNumber(number);
+        }
+        json.writeEndArray();
+    }
+
+    static void writeTexts(JsonGenerator json, String name, List<String> texts) throws IOException {
+        json.writeArrayFieldStart(name);
+        for (String text : texts) {
+            json.writeString(text);
+        }
+        json.writeEndArray();
+    }
+
+    /** Leaves the member out where the text is null. */
+    static void writeOptionalText(JsonGenerator json, String name, String text) throws IOException {
+        if (text != null) {
+            json.writeStringField(name, text);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/postbeam/layoutservice/LayoutController.java
@@ -0,0 +1,437 @@
+package postbeam.layoutservice;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import postbeam.endpoints.EndpointUpdate;
+import postbeam.errors.OperatorErrorException;
+import postbeam.migration.MigrationAction;
+import postbeam.migration.MigrationError;
+import postbeam.migration.MigrationJournalState;
+import postbeam.migration.MigrationManager;
+import postbeam.migration.RangeDigest;
+import postbeam.slices.Coordinator;
+import postbeam.slices.CoordinatorAction;
+import postbeam.slices.HandoffCommand;
+import postbeam.slices.JournalRecord;
+import postbeam.slices.Layout;
+import postbeam.slices.MoveJournalState;
+import postbeam.slices.SlicePlacement;
+import postbeam.slices.TargetLayout;
+
+/**
+ * Owner of the layout service's state: the journal and what its records add up to, the coordinator,
+ * the migrations, the published layout and the requests that wait for a newer one. Its monitor is
+ * the one lock over all of it, taken by whichever thread brings something: HTTP, discovery, a data
+ * node's connection or "moves". Nothing waits for a peer under the lock, only for the disk. Only
+ * {@link #stopped} is read and set without it.
+ *
+ * <p>An action that follows a record is done once that record is on disk. Where a record can't be
+ * written, or another process has taken the journal over, no further move is decided in this
+ * process; the layout that was published last stays published, and a restart goes on from what is
+ * on disk.
+ */
+final class LayoutController {
+    private static final System.Logger LOG = System.getLogger(LayoutController.class.getName());
+
+    /** Between two looks at the moves while nothing happens. */
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
+
+    private static final long MAX_WAIT_MILLIS = 60_000;
+
+    /**
+     * A router's request is answered at least so many times per lease, so that the lease is renewed
+     * in time.
+     */
+    private static final int ANSWERS_PER_LEASE = 3;
+
+    private final LayoutService.Config config;
+    private final Consumer<Layout> listener;
+    private final MoveJournalState state;
+    private final Coordinator coordinator;
+    private final HandoffClient handoffClient;
+    private final EndpointDirectory endpoints = new EndpointDirectory();
+    private final LayoutWatchers watchers = new LayoutWatchers();
+    private final LayoutRequestHandler layoutRequests;
+
+    /** Null until the journal is open. */
+    private MoveJournal journal;
+
+    /** Null until the journal is open, and where migrations are switched off. */
+    private MigrationHandler migrations;
+
+    /** Null until the journal is open. */
+    private Layout published;
+
+    private byte[] publishedJson;
+    private boolean wakeRequested;
+    private volatile boolean stopped;
+
+    /** The listener gets each layout before it is published. */
+    LayoutController(LayoutService.Config config, Consumer<Layout> listener) {
+        this.config = config;
+        this.listener = listener;
+        this.state = new MoveJournalState(config.history());
+        this.coordinator = new Coordinator(state, config.limits());
+        this.handoffClient = new HandoffClient(this::onCommandDone);
+        this.layoutRequests =
+                new LayoutRequestHandler(
+                        coordinator, endpoints, watchers, config.limits().minHolders());
+    }
+
+    // ---- journal
+
+    /**
+     * Opens the journal where there is one; else the first list of nodes begins it.
+     *
+     * @throws IOException the journal is damaged or in use
+     */
+    synchronized void openExistingJournal() throws IOException {
+        if (Files.exists(config.log())) {
+            openJournal(null);
+        }
+    }
+
+    private void openJournal(JournalRecord.Snapshot first) throws IOException {
+        MigrationJournalState migrationState =
+                config.migrationLimits() == null ? null : new MigrationJournalState();
+        state.setWorkflow(migrationState);
+        journal = MoveJournal.open(config.log(), state, first);
+        if (migrationState != null) {
+            handoffClient.startTerm(journal.startTerm(state), this::onDigests, this::onSuperseded);
+            MigrationManager manager =
+                    new MigrationManager(
+                            coordinator,
+                            migrationState,
+                            config.migrationLimits(),
+                            ServiceClock.now());
+            migrations = new MigrationHandler(manager, coordinator);
+        }
+        if (journal.tornBytes() > 0) {
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "{0}: a torn record of {1} bytes was cut off; the layout goes on as "
+                            + "version {2}",
+                    config.log(),
+                    journal.tornBytes(),
+                    state.layout().version);
+        }
+        LOG.log(
+                System.Logger.Level.INFO,
+                "layout {0}: {1} slices, {2} moves under way",
+                state.layout().version,
+                state.layout().slices().size(),
+                state.activeMoves().size());
+        publish(state.layout());
+    }
+
+    /** Begins the journal of a new installation: slices of even size over the listed nodes. */
+    private void createJournal(List<String> nodes) {
+        try {
+            Layout first = Layout.initial(config.initialSlices(), nodes, config.initialHolders());
+            openJournal(
+                    new JournalRecord.Snapshot(
+                            first,
+                            first.version,
+                            0,
+                            first.slices().size() - 1,
+                            List.of(),
+                            null,
+                            List.of()));
+        } catch (IOException e) {
+            LOG.log(System.Logger.Level.ERROR, "{0}; no layout is published", e.getMessage());
+        }
+    }
+
+    // ---- events
+
+    /** Takes an update of the data-node list. */
+    synchronized void onEndpointUpdate(EndpointUpdate update) {
+        List<String> restarted = endpoints.apply(update);
+        Map<String, TargetLayout.NodeInfo> nodes = endpoints.nodeInfos();
+        handoffClient.updateAddresses(endpoints.addresses());
+        coordinator.onNodesListed(nodes, restarted);
+        if (migrations != null && !restarted.isEmpty() && !stopped) {
+            try {
+                execute(migrations.manager().onNodesStarted(restarted, ServiceClock.now()));
+            } catch (IOException e) {
+                // The failure is logged where it happened; no move is decided any more.
+                return;
+            }
+        }
+        List<String> ready = SlicePlacement.spreadOverZones(nodes);
+        if (journal == null && ready.size() >= config.initialHolders()) {
+            createJournal(ready);
+        }
+        wake();
+    }
+
+    private synchronized void onCommandDone(
+            long move, String node, HandoffCommand command, int slice) {
+        coordinator.acknowledged(move, node, command, slice);
+        wake();
+    }
+
+    private synchronized void onDigests(long requestId, String node, List<RangeDigest> digests) {
+        migrations.manager().onRangeDigests(requestId, node, digests, ServiceClock.now());
+        wake();
+    }
+
+    /** A node has taken a command of a later term. */
+    private void onSuperseded() {
+        LOG.log(
+                System.Logger.Level.ERROR,
+                new MigrationError.LeadershipLost(state.term(), "a node").message());
+        stopped = true;
+    }
+
+    private void wake() {
+        wakeRequested = true;
+        notifyAll();
+    }
+
+    // ---- moves
+
+    /**
+     * Advances the moves until the service stops, fails or is interrupted. The body of the thread
+     * "moves".
+     */
+    void runMoves() {
+        while (!stopped) {
+            try {
+                advanceMoves();
+            } catch (InterruptedException e) {
+                return;
+            } catch (IOException | RuntimeException e) {
+                fail(e);
+                return;
+            }
+        }
+    }
+
+    @SuppressWarnings(
+            "WaitNotInLoop") // A spurious wake-up looks at the moves early, which is harmless.
+    private synchronized void advanceMoves() throws IOException, InterruptedException {
+        if (journal != null) {
+            if (migrations != null) {
+                journal.requireLeadership();
+                execute(migrations.manager().tick(ServiceClock.now()));
+            }
+            executeMoves(coordinator.tick(ServiceClock.now()));
+            journal.compact(state);
+        }
+        watchers.removeExpired(System.nanoTime()).forEach(this::sendLayout);
+        if (!wakeRequested) {
+            wait(TICK_INTERVAL.toMillis());
+        }
+        wakeRequested = false;
+    }
+
+    private synchronized void fail(Exception e) {
+        stopped = true;
+        if (e instanceof MoveJournal.LeadershipLostException) {
+            LOG.log(System.Logger.Level.ERROR, e.getMessage());
+        } else {
+            LOG.log(
+                    System.Logger.Level.ERROR,
+                    "moves stop here: the log can't be trusted any more; restart",
+                    e);
+        }
+    }
+
+    private void execute(List<MigrationAction> actions) throws IOException {
+        for (MigrationAction action : actions) {
+            if (action instanceof MigrationAction.Delegated delegated) {
+                execute(delegated.action());
+            } else if (action instanceof MigrationAction.RequestDigests request) {
+                handoffClient.requestDigests(request);
+            }
+        }
+    }
+
+    private void executeMoves(List<CoordinatorAction> actions) throws IOException {
+        for (CoordinatorAction action : actions) {
+            execute(action);
+        }
+    }
+
+    private void execute(CoordinatorAction action) throws IOException {
+        if (action instanceof CoordinatorAction.AppendRecord append) {
+            append(append.record());
+        } else if (action instanceof CoordinatorAction.SendCommand send) {
+            handoffClient.send(send);
+        } else if (action instanceof CoordinatorAction.PublishLayout publish) {
+            publish(publish.layout());
+        }
+    }
+
+    private void append(JournalRecord record) throws IOException {
+        try {
+            journal.append(record);
+        } catch (IOException e) {
+            fail(e);
+            throw e;
+        }
+    }
+
+    // ---- the published layout
+
+    private void publish(Layout layout) {
+        listener.accept(layout);
+        published = layout;
+        publishedJson = LayoutCodec.write(layout);
+        watchers.removeAll().forEach(this::sendLayout);
+    }
+
+    /**
+     * Answers a request for the layout, unless it is to wait for a newer one.
+     *
+     * @return whether the request was answered; otherwise it is to be handed to {@link
+     *     #awaitNewerLayout}
+     */
+    synchronized boolean answerLayoutRequest(LayoutRequest request) {
+        if (published == null) {
+            request.responder().sendUnavailable("there is no layout yet");
+            return true;
+        }
+        if (migrations != null && request.router().isPresent()) {
+            migrations
+                    .manager()
+                    .routerAcknowledgements()
+                    .onRequest(request.router().get(), request.heldVersion(), ServiceClock.now());
+        }
+        if (request.knownVersion() < published.version || waitMillis(request) <= 0) {
+            sendLayout(request);
+            return true;
+        }
+        if (watchers.isFull()) {
+            request.responder().sendOverloaded("too many wait for a newer layout");
+            return true;
+        }
+        return false;
+    }
+
+    /**
+     * Keeps the request until a newer layout is published or its wait is over, and answers it then.
+     */
+    synchronized void awaitNewerLayout(LayoutRequest request) {
+        if (published.version > request.knownVersion()) {
+            sendLayout(request);
+        } else {
+            watchers.add(
+                    request,
+                    System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMillis(request)));
+        }
+    }
+
+    /**
+     * A router under a lease is answered before the lease runs out, so that it is renewed while
+     * nothing changes.
+     */
+    private long waitMillis(LayoutRequest request) {
+        long wait = Math.min(MAX_WAIT_MILLIS, request.waitMillis());
+        if (migrations == null || request.router().isEmpty()) {
+            return wait;
+        }
+        return Math.min(
+                wait, config.migrationLimits().routerLease().toMillis() / ANSWERS_PER_LEASE);
+    }
+
+    private void sendLayout(LayoutRequest request) {
+        if (migrations != null && !isLeader()) {
+            // A layout given out now would be a lease that the successor knows nothing of.
+            request.responder().sendUnavailable("another service has taken over");
+            return;
+        }
+        if (migrations != null && request.router().isPresent()) {
+            migrations
+                    .manager()
+                    .routerAcknowledgements()
+                    .onResponse(request.router().get(), published.version, ServiceClock.now());
+        }
+        request.responder().sendLayout(publishedJson);
+    }
+
+    private boolean isLeader() {
+        try {
+            return !stopped && journal.isLeader();
+        } catch (IOException e) {
+            return false;
+        }
+    }
+
+    // ---- operators
+
+    /**
+     * Handles an operator's request.
+     *
+     * @return the answer's text
+     * @throws RequestRejectedException the request is unknown, or can't be served now
+     * @throws OperatorErrorException a request about migrations can't be fulfilled
+     * @throws IllegalArgumentException a request about layouts or moves can't be fulfilled
+     * @throws IOException the body can't be read, or the journal can't be written
+     */
+    synchronized String handle(OperatorRequest request)
+            throws RequestRejectedException, OperatorErrorException, IOException {
+        if (journal == null || stopped) {
+            throw new RequestRejectedException(
+                    503,
+                    journal == null
+                            ? "there is no layout yet"
+                            : "the log failed: restart the service");
+        }
+        OperatorResponse response = respond(request);
+        execute(response.actions());
+        if (response.wakesMoves()) {
+            wake();
+        }
+        return response.text().get();
+    }
+
+    private OperatorResponse respond(OperatorRequest request)
+            throws RequestRejectedException, OperatorErrorException, IOException {
+        if (LayoutRequestHandler.handles(request.path())) {
+            return layoutRequests.handle(request, ServiceClock.now());
+        }
+        if (!MigrationHandler.handles(request.path())) {
+            throw new RequestRejectedException(404, "no such request");
+        }
+        if (migrations == null) {
+            throw new OperatorErrorException(new MigrationError.MigrationsDisabled());
+        }
+        return migrations.handle(request, ServiceClock.now());
+    }
+
+    /** The moves that are under way or finished lately, a line each. */
+    synchronized List<String> describeMoves() {
+        List<String> lines = new ArrayList<>();
+        state.finishedMoves().forEach(move -> lines.add(Objects.toString(move)));
+        state.activeMoves().forEach(move -> lines.add(Objects.toString(move)));
+        return lines;
+    }
+
+    // ---- shutdown
+
+    /** No move is decided any more. */
+    void stop() {
+        stopped = true;
+    }
+
+    /** Gives back the threads and connections to data nodes. */
+    void closeConnections() {
+        handoffClient.close();
+    }
+
+    synchronized void closeJournal() throws IOException {
+        if (journal != null) {
+            journal.close();
+            journal = null;
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/postbeam/layoutservice/LayoutRequestHandler.java
@@ -0,0 +1,235 @@
+package postbeam.layoutservice;
+
+import com.fasterxml.jackson.core.JsonGenerator;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import postbeam.json.Json;
+import postbeam.migration.MigrationAction;
+import postbeam.slices.Coordinator;
+import postbeam.slices.CoordinatorAction;
+import postbeam.slices.LayoutChange;
+import postbeam.slices.Move;
+import postbeam.slices.MoveJournalState;
+import postbeam.slices.Planner;
+import postbeam.slices.Slice;
+import postbeam.slices.TargetLayout;
+
+/**
+ * Operators' requests about layouts and moves: plan, start, abandon, status, verify. Not
+ * thread-safe: {@link LayoutController} guards it with its lock.
+ */
+final class LayoutRequestHandler {
+    private static final Set<String> PATHS =
+            Set.of(
+                    "GET /v1/status",
+                    "GET /v1/verify",
+                    "POST /v1/plan",
+                    "POST /v1/start",
+                    "POST /v1/abandon");
+    private static final long NO_SUCH_MOVE = -1;
+
+    private final Coordinator coordinator;
+    private final EndpointDirectory endpoints;
+    private final LayoutWatchers watchers;
+    private final int minHolders;
+
+    /** A slice with fewer ready holders than the minimum is reported by verify. */
+    LayoutRequestHandler(
+            Coordinator coordinator,
+            EndpointDirectory endpoints,
+            LayoutWatchers watchers,
+            int minHolders) {
+        this.coordinator = coordinator;
+        this.endpoints = endpoints;
+        this.watchers = watchers;
+        this.minHolders = minHolders;
+    }
+
+    /** Whether requests of this method and path are for this handler. */
+    static boolean handles(String path) {
+        return PATHS.contains(path);
+    }
+
+    /**
+     * Handles a request of one of the {@link #handles known} paths.
+     *
+     * @throws IOException the body can't be read
+     * @throws IllegalArgumentException the request can't be fulfilled; the message says why in its
+     *     first line
+     */
+    OperatorResponse handle(OperatorRequest request, Duration now) throws IOException {
+        return switch (request.path()) {
+            case "GET /v1/status" -> OperatorResponse.query(status(now));
+            case "GET /v1/verify" -> OperatorResponse.query(verify());
+            case "POST /v1/plan" -> OperatorResponse.query(plan(Json.parseObject(request.body())));
+            case "POST /v1/start" -> start(Json.parseObject(request.body()), now);
+            case "POST /v1/abandon" -> abandon(request, now);
+            default -> throw new IllegalArgumentException("no such request");
+        };
+    }
+
+    // ---- plan, start and abandon
+
+    /** The changes that a target would take first, or that a change is possible. */
+    private String plan(Map<String, Object> body) throws IOException {
+        return isTarget(body)
+                ? planTarget(LayoutChangeCodec.readTarget(body))
+                : planChange(LayoutChangeCodec.readChange(body));
+    }
+
+    private String planChange(LayoutChange change) {
+        coordinator
+                .rejectionReason(change)
+                .ifPresent(
+                        reason -> {
+                            throw new IllegalArgumentException(reason);
+                        });
+        return "possible: " + change;
+    }
+
+    private String planTarget(TargetLayout target) {
+        List<String> problems = coordinator.targetProblems(target);
+        if (!problems.isEmpty()) {
+            String more = problems.size() > 1 ? " (and " + (problems.size() - 1) + " more)" : "";
+            throw new IllegalArgumentException(problems.get(0) + more);
+        }
+        List<LayoutChange> changes =
+                Planner.nextChanges(state().layout(), target, state().busySlices());
+        if (changes.isEmpty()) {
+            return "nothing is to be done";
+        }
+        return String.join("\n", changes.stream().map(change -> "first: " + change).toList());
+    }
+
+    private OperatorResponse start(Map<String, Object> body, Duration now) throws IOException {
+        if (isTarget(body)) {
+            TargetLayout target = LayoutChangeCodec.readTarget(body);
+            return command(coordinator.setTarget(target), "the target is taken");
+        }
+        long id = state().nextMove();
+        LayoutChange change = LayoutChangeCodec.readChange(body);
+        return command(coordinator.plan(change, now), "move " + id + ": " + change);
+    }
+
+    private OperatorResponse abandon(OperatorRequest request, Duration now) {
+        if (request.parameters().containsKey("target")) {
+            return command(
+                    coordinator.setTarget(null), "the target is dropped; moves under way go on");
+        }
+        long id = request.longParameter("move", NO_SUCH_MOVE);
+        return command(
+                coordinator.abandon(id, "abandoned by an operator", now),
+                "move " + id + " is being abandoned");
+    }
+
+    private static boolean isTarget(Map<String, Object> body) {
+        return body.containsKey("slices");
+    }
+
+    private static OperatorResponse command(List<CoordinatorAction> actions, String text) {
+        List<MigrationAction> delegated = new ArrayList<>();
+        actions.forEach(action -> delegated.add(new MigrationAction.Delegated(action)));
+        return OperatorResponse.command(delegated, () -> text);
+    }
+
+    private MoveJournalState state() {
+        return coordinator.state();
+    }
+
+    // ---- status
+
+    private String status(Duration now) {
+        return new String(
+                Json.encode(
+                        json -> {
+                            json.writeStartObject();
+                            json.writeNumberField("version", state().layout().version);
+                            json.writeNumberField("slices", state().layout().slices().size());
+                            json.writeNumberField("watchers", watchers.size());
+                            json.writeBooleanField("target", state().target() != null);
+                            json.writeArrayFieldStart("moves");
+                            for (Move move : state().activeMoves()) {
+                                writeMove(json, move, now);
+                            }
+                            json.writeEndArray();
+                            json.writeArrayFieldStart("over");
+                            for (Move move : state().finishedMoves()) {
+                                writeMove(json, move, now);
+                            }
+                            json.writeEndArray();
+                            json.writeEndObject();
+                        }),
+                StandardCharsets.UTF_8);
+    }
+
+    private static void writeMove(JsonGenerator json, Move move, Duration now) throws IOException {
+        json.writeStartObject();
+        json.writeNumberField("move", move.id);
+        json.writeStringField("change", move.change.toString());
+        json.writeStringField("state", MoveRecordCodec.STATE_NAMES.of(move.state()));
+        json.writeNumberField("for_ms", Math.max(0, now.minus(move.stateSince()).toMillis()));
+        if (move.abandonReason() != null) {
+            json.writeStringField("why", move.abandonReason());
+        }
+        json.writeEndObject();
+    }
+
+    // ---- verify
+
+    /**
+     * Holders that are gone or draining and slices with too few ready ones, a line each, and
+     * repairs.
+     */
+    private String verify() {
+        List<String> lines = new ArrayList<>();
+        state().layout().slices().forEach(slice -> lines.addAll(findings(slice)));
+        int findings = lines.size();
+        coordinator
+                .repairs()
+                .forEach(change -> lines.add("to mend it, if the node is dead: " + change));
+        lines.add(
+                (lines.isEmpty() ? "sound: " : findings + " findings: ")
+                        + "layout "
+                        + state().layout().version
+                        + ", "
+                        + state().layout().slices().size()
+                        + " slices");
+        return String.join("\n", lines);
+    }
+
+    private List<String> findings(Slice slice) {
+        List<String> findings = new ArrayList<>();
+        int ready = 0;
+        for (String holder : slice.nodes()) {
+            switch (endpoints.readiness(holder)) {
+                case REMOVED ->
+                        findings.add(
+                                "slice "
+                                        + slice.number()
+                                        + ": holder "
+                                        + holder
+                                        + " is not listed");
+                case DRAINING ->
+                        findings.add(
+                                "slice " + slice.number() + ": holder " + holder + " is draining");
+                default -> ready++;
+            }
+        }
+        if (ready < minHolders) {
+            findings.add(
+                    "slice "
+                            + slice.number()
+                            + ": "
+                            + ready
+                            + " holders are ready, at least "
+                            + minHolders
+                            + " are needed");
+        }
+        return findings;
+    }
+}
--- a/src/main/java/postbeam/layoutservice/LayoutWatch.java
+++ b/src/main/java/postbeam/layoutservice/LayoutWatch.java
@@ -9,17 +9,27 @@
 import postbeam.json.Json;
 import postbeam.slices.Layout;
 
-/** The watch of the layout, for a router; while the service is absent the layout held stays. */
+/**
+ * How a router follows the layout, by long polling; while the service is absent the router keeps
+ * the layout it has.
+ */
 public final class LayoutWatch {
-    /** Bytes: some 20,000 slices with the lineage of the last versions. */
+    /** Bytes: some 20,000 slices with the history of the last versions. */
     static final int MAX_LAYOUT_BYTES = 8 << 20;
 
+    /** Query parameter: the router's name. */
     static final String ROUTER = "router";
+
+    /** Query parameter: the version that the router holds. */
     static final String HELD = "held";
 
     private LayoutWatch() {}
 
-    /** What a router of this name says with each question that holds this version, 0 for none. */
+    /**
+     * The query parameters by which a router says who it is and which layout it holds.
+     *
+     * @param version the version held; 0 for none
+     */
     public static String queryParameters(String router, long version) {
         return ROUTER
                 + "="
@@ -30,22 +40,26 @@
                 + version;
     }
 
-    public static LongPollWatcher<Layout> of(String address, Consumer<Layout> told) {
-        return of(address, told, () -> "");
+    /** A watch that does not say who asks. */
+    public static LongPollWatcher<Layout> of(String address, Consumer<Layout> listener) {
+        return of(address, listener, () -> "");
     }
 
     /**
-     * A router that says at each question who it is and which layout it holds: {@link
-     * #queryParameters}.
+     * A watch that sends query parameters with each request.
+     *
+     * @param address HOST:PORT of the layout service
+     * @param listener gets each new layout
+     * @param queryParameters see {@link #queryParameters}
      */
     public static LongPollWatcher<Layout> of(
-            String address, Consumer<Layout> told, Supplier<String> says) {
+            String address, Consumer<Layout> listener, Supplier<String> queryParameters) {
         return new LongPollWatcher<>(
                 new LongPollWatcher.Source(
-                        "layouts", address, "/v1/layout", MAX_LAYOUT_BYTES, says),
+                        "layouts", address, "/v1/layout", MAX_LAYOUT_BYTES, queryParameters),
                 body -> LayoutCodec.read(Json.parseObject(body)),
                 layout -> layout.version,
-                told,
+                listener,
                 PollTimings.RELAXED);
     }
 }
--- a/src/main/java/postbeam/layoutservice/LayoutsCommand.java
+++ b/src/main/java/postbeam/layoutservice/LayoutsCommand.java
@@ -3,37 +3,33 @@
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
 import java.io.IOException;
-import java.io.InputStream;
 import java.io.PrintStream;
-import java.net.HttpURLConnection;
-import java.net.Proxy;
-import java.net.URI;
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.Paths;
-import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import postbeam.config.InstanceSettings;
 import postbeam.config.SubsystemSettings;
-import postbeam.migration.MigrationLimits;
-import postbeam.slices.MoveLimits;
 
-/** The layout service, and what operators ask of one that runs. */
+/**
+ * The sub-command {@code layouts}: runs the layout service, or sends an operator's request to one
+ * that runs.
+ */
 @Parameters(
         commandDescription =
                 "serve: run the layout service; show, plan, start, abandon, status, verify,"
                         + " migrate, migrations, pause, resume, checkpoint, rollback: ask one")
 public final class LayoutsCommand {
-    private static final Duration ANSWER_MOST = Duration.ofSeconds(10);
+    private static final int EXIT_USAGE = 2;
 
     @Parameter(
             description =
                     "serve|show|plan|start|abandon|status|verify|migrate|migrations|pause|resume|checkpoint|"
                         + "rollback")
-    private List<String> what = new ArrayList<>();
+    private List<String> verbs = new ArrayList<>();
 
     @Parameter(
             names = "--settings",
@@ -76,72 +72,31 @@
     @Parameter(names = "--digest", description = "checkpoint: the digest that it was opened for")
     private String digest;
 
-    /** The exit status: 0 done, 1 it can't be done, 2 it was not asked well. */
+    /**
+     * Runs the sub-command.
+     *
+     * @param out gets the answer
+     * @param err gets what went wrong
+     * @return the exit status: 0 for done, 1 where it can't be done, 2 where the arguments are
+     *     wrong
+     */
     public int run(PrintStream out, PrintStream err) throws InterruptedException {
-        String verb = what.size() == 1 ? what.get(0) : "";
+        String verb = verbs.size() == 1 ? verbs.get(0) : "";
         try {
             return switch (verb) {
                 case "serve" -> serve();
-                case "show" -> ask("GET", "/v1/layout", null, out, err);
-                case "status", "verify" -> ask("GET", "/v1/" + verb, null, out, err);
-                case "migrations" -> ask("GET", "/v1/migrations", null, out, err);
-                case "pause", "resume", "rollback", "checkpoint" -> {
-                    boolean checkpoint = verb.equals("checkpoint");
-                    if (migration == null || checkpoint && (version == null || digest == null)) {
-                        err.println(
-                                "layouts "
-                                        + verb
-                                        + ": give --migration"
-                                        + (checkpoint ? ", --version and --digest" : ""));
-                        yield 2;
-                    }
-                    yield ask(
-                            "POST",
-                            "/v1/"
-                                    + verb
-                                    + "?migration="
-                                    + migration
-                                    + (checkpoint
-                                            ? "&version="
-                                                    + version
-                                                    + "&digest="
-                                                    + URLEncoder.encode(
-                                                            digest, StandardCharsets.UTF_8)
-                                            : ""),
-                            "",
-                            out,
-                            err);
-                }
-                case "plan", "start", "migrate" -> {
-                    if ((file == null) == (change == null)) {
-                        err.println("layouts " + verb + ": give --file or --change");
-                        yield 2;
-                    }
-                    yield ask(
-                            "POST",
-                            "/v1/" + verb,
-                            change != null ? change : Files.readString(Path.of(file)),
-                            out,
-                            err);
-                }
-                case "abandon" -> {
-                    if ((move == null) == !target) {
-                        err.println("layouts abandon: give --move or --target");
-                        yield 2;
-                    }
-                    yield ask(
-                            "POST",
-                            "/v1/abandon?" + (target ? "target=1" : "move=" + move),
-                            "",
-                            out,
-                            err);
-                }
-                default -> {
-                    err.println(
-                            "layouts: say serve, show, plan, start, abandon, status, verify,"
-                                + " migrate, migrations, pause, resume, checkpoint or rollback");
-                    yield 2;
-                }
+                case "show" -> client(out, err).get("/v1/layout");
+                case "status", "verify", "migrations" -> client(out, err).get("/v1/" + verb);
+                case "plan", "start", "migrate" -> post(verb, out, err);
+                case "abandon" -> abandon(out, err);
+                case "pause", "resume", "rollback", "checkpoint" ->
+                        commandMigration(verb, out, err);
+                default ->
+                        usageError(
+                                err,
+                                "layouts: say serve, show, plan, start, abandon, status, verify,"
+                                        + " migrate, migrations, pause, resume, checkpoint or"
+                                        + " rollback");
             };
         } catch (IOException | IllegalArgumentException e) {
             err.println(
@@ -149,23 +104,75 @@
                             + verb
                             + ": "
                             + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
-            return 1;
+            return OperatorClient.EXIT_FAILED;
         }
     }
 
+    private static int usageError(PrintStream err, String problem) {
+        err.println(problem);
+        return EXIT_USAGE;
+    }
+
+    private int post(String verb, PrintStream out, PrintStream err) throws IOException {
+        if ((file == null) == (change == null)) {
+            return usageError(err, "layouts " + verb + ": give --file or --change");
+        }
+        String body = change != null ? change : Files.readString(Path.of(file));
+        return client(out, err).post("/v1/" + verb, body);
+    }
+
+    private int abandon(PrintStream out, PrintStream err) throws IOException {
+        if ((move == null) == !target) {
+            return usageError(err, "layouts abandon: give --move or --target");
+        }
+        return client(out, err).post("/v1/abandon?" + (target ? "target=1" : "move=" + move), "");
+    }
+
+    private int commandMigration(String verb, PrintStream out, PrintStream err) throws IOException {
+        boolean checkpoint = verb.equals("checkpoint");
+        if (migration == null || (checkpoint && (version == null || digest == null))) {
+            return usageError(
+                    err,
+                    "layouts "
+                            + verb
+                            + ": give --migration"
+                            + (checkpoint ? ", --version and --digest" : ""));
+        }
+        String parameters = "migration=" + migration;
+        if (checkpoint) {
+            parameters +=
+                    "&version="
+                            + version
+                            + "&digest="
+                            + URLEncoder.encode(digest, StandardCharsets.UTF_8);
+        }
+        return client(out, err).post("/v1/" + verb + "?" + parameters, "");
+    }
+
+    private OperatorClient client(PrintStream out, PrintStream err) throws IOException {
+        String address =
+                service != null
+                        ? service
+                        : SubsystemSettings.read(Paths.get(settings))
+                                .required("layouts.serve.listen");
+        return new OperatorClient(address, out, err);
+    }
+
+    /** Runs the layout service until the process is ended. */
     private int serve() throws IOException, InterruptedException {
-        InstanceSettings info = SubsystemSettings.read(Paths.get(settings));
-        if (!Boolean.TRUE.equals(info.flag("layouts.serve.enabled"))) {
+        InstanceSettings instanceSettings = SubsystemSettings.read(Paths.get(settings));
+        if (!Boolean.TRUE.equals(instanceSettings.flag("layouts.serve.enabled"))) {
             throw new IllegalArgumentException(settings + ": layouts.serve.enabled is not true");
         }
-        LayoutService running = new LayoutService(place(info));
-        running.start();
+        LayoutService layoutService =
+                new LayoutService(LayoutServiceSettings.read(instanceSettings));
+        layoutService.start();
         Runtime.getRuntime()
                 .addShutdownHook(
                         new Thread(
                                 () -> {
                                     try {
-                                        running.close();
+                                        layoutService.close();
                                     } catch (IOException e) {
                                         // What counts is on disk already.
                                     }
@@ -174,83 +181,4 @@
         Thread.currentThread().join();
         return 0;
     }
-
-    private static LayoutService.Config place(InstanceSettings info) {
-        String path = "layouts.serve.";
-        String limits = path + "limits.";
-        return new LayoutService.Config(
-                info.required(path + "listen"),
-                Path.of(info.required(path + "log")),
-                info.required(path + "discovery"),
-                info.integerAtLeast(path + "history", 1),
-                new MoveLimits(
-                        info.integerAtLeast(limits + "moves", 1),
-                        info.integerAtLeast(limits + "movesANode", 1),
-                        info.integerAtLeast(limits + "movesAZone", 1),
-                        millis(info, limits + "copyMs"),
-                        millis(info, limits + "stepMs"),
-                        millis(info, limits + "restMs"),
-                        millis(info, limits + "againMs"),
-                        info.integerAtLeast(limits + "holders", 1),
-                        info.integerAtLeast(limits + "zones", 1)),
-                info.integerAtLeast(path + "firstSlices", 1),
-                info.integerAtLeast(path + "firstHolders", 1),
-                migration(info));
-    }
-
-    /** Null where migrations are off. */
-    private static MigrationLimits migration(InstanceSettings info) {
-        String path = "layouts.migration.";
-        if (!Boolean.TRUE.equals(info.flag(path + "enabled"))) {
-            return null;
-        }
-        return new MigrationLimits(
-                info.integerAtLeast(path + "atOnce", 1),
-                info.integerAtLeast(path + "batch", 1),
-                info.integerAtLeast(path + "movesASecond", 1),
-                info.integerAtLeast(path + "bytesASecond", 1),
-                millis(info, path + "starvedMs"),
-                millis(info, path + "coldMs"),
-                millis(info, path + "watchMs"),
-                info.number(path + "leastUtility"),
-                millis(info, path + "againMs"),
-                info.integerAtLeast(path + "patience", 1),
-                info.number(path + "finestKeys").longValue(),
-                millis(info, path + "leaseMs"),
-                millis(info, path + "driftMs"));
-    }
-
-    private static Duration millis(InstanceSettings info, String path) {
-        return Duration.ofMillis(info.integerAtLeast(path, 0));
-    }
-
-    private int ask(String method, String path, String body, PrintStream out, PrintStream err)
-            throws IOException {
-        String at =
-                service != null
-                        ? service
-                        : SubsystemSettings.read(Paths.get(settings))
-                                .required("layouts.serve.listen");
-        HttpURLConnection call =
-                (HttpURLConnection)
-                        URI.create("http://" + at + path).toURL().openConnection(Proxy.NO_PROXY);
-        call.setRequestMethod(method);
-        call.setConnectTimeout((int) ANSWER_MOST.toMillis());
-        call.setReadTimeout((int) ANSWER_MOST.toMillis());
-        if (body != null) {
-            call.setDoOutput(true);
-            call.getOutputStream().write(body.getBytes(StandardCharsets.UTF_8));
-        }
-        int status = call.getResponseCode();
-        try (InputStream answer = status < 400 ? call.getInputStream() : call.getErrorStream()) {
-            String text =
-                    answer == null
-                            ? ""
-                            : new String(
-                                    answer.readNBytes(LayoutWatch.MAX_LAYOUT_BYTES),
-                                    StandardCharsets.UTF_8);
-            (status < 400 ? out : err).println(text.stripTrailing());
-        }
-        return status < 400 ? 0 : 1;
-    }
 }
--- a/src/main/java/postbeam/layoutservice/MigrationHandler.java
+++ b/src/main/java/postbeam/layoutservice/MigrationHandler.java
@@ -1,27 +1,32 @@
 package postbeam.layoutservice;
 
+import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
-import java.util.Deque;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.Supplier;
 import postbeam.errors.OperatorErrorException;
 import postbeam.json.Json;
 import postbeam.migration.Checkpoint;
 import postbeam.migration.Migration;
 import postbeam.migration.MigrationAction;
 import postbeam.migration.MigrationError;
-import postbeam.migration.MigrationLimits;
 import postbeam.migration.MigrationManager;
 import postbeam.migration.SliceTransfer;
 import postbeam.slices.Coordinator;
+import postbeam.slices.Layout;
+import postbeam.slices.Slice;
 
-/** Operators' orders about migrations, as the layout service hears them. */
-record MigrationHandler(
-        MigrationManager migrations, Coordinator coordinator, MigrationLimits limits) {
+/**
+ * Operators' requests about migrations. Not thread-safe: {@link LayoutController} guards it with
+ * its lock.
+ *
+ * @param manager decides on migrations
+ * @param coordinator knows the layout in force
+ */
+record MigrationHandler(MigrationManager manager, Coordinator coordinator) {
     private static final Set<String> PATHS =
             Set.of(
                     "GET /v1/migrations",
@@ -31,134 +36,116 @@
                     "POST /v1/checkpoint",
                     "POST /v1/rollback",
                     "POST /v1/utility");
-    private static final int MEMBER_LONGEST = 200;
-
-    /** What is to be done, and what is said once it is. */
-    record Response(List<MigrationAction> actions, Supplier<String> text) {}
+    private static final int MAX_MEMBER_LENGTH = 200;
+    private static final double PERMILLE = 1000.0;
+    private static final String OPERATOR_REASON = "by an operator";
 
+    /** Whether requests of this method and path are for this handler. */
     static boolean handles(String path) {
         return PATHS.contains(path);
     }
 
-    Response handle(String path, Map<String, Deque<String>> asked, byte[] body, Duration now)
-            throws OperatorErrorException {
-        switch (path) {
-            case "GET /v1/migrations" -> {
-                return new Response(List.of(), () -> all(now));
-            }
-            case "POST /v1/migrate" -> {
-                return migrate(body, now);
-            }
-            case "POST /v1/utility" -> {
-                migrations.updateUtility(text(asked, "member"), number(asked, "permille") / 1000.0);
-                return new Response(List.of(), () -> "noted");
-            }
-            default -> {}
-        }
-        long id = number(asked, "migration");
-        List<MigrationAction> doings =
-                switch (path) {
-                    case "POST /v1/pause" -> migrations.pause(id, "by an operator", now);
-                    case "POST /v1/resume" -> migrations.resume(id, now);
-                    case "POST /v1/rollback" -> migrations.rollBack(id, "by an operator", now);
-                    default ->
-                            migrations.passCheckpoint(
-                                    id,
-                                    new Checkpoint(number(asked, "version"), text(asked, "digest")),
-                                    now);
-                };
-        return new Response(doings, () -> text(migrations.journalState().find(id).orElse(null)));
+    /**
+     * Handles a request of one of the {@link #handles known} paths.
+     *
+     * @throws OperatorErrorException the request is malformed or can't be fulfilled
+     */
+    OperatorResponse handle(OperatorRequest request, Duration now) throws OperatorErrorException {
+        return switch (request.path()) {
+            case "GET /v1/migrations" ->
+                    OperatorResponse.command(List.of(), () -> listMigrations(now));
+            case "POST /v1/migrate" -> migrate(request, now);
+            case "POST /v1/utility" -> updateUtility(request);
+            default -> command(request, now);
+        };
     }
 
-    private Response migrate(byte[] body, Duration now) throws OperatorErrorException {
+    private OperatorResponse migrate(OperatorRequest request, Duration now)
+            throws OperatorErrorException {
         String member;
-        List<SliceTransfer> hops;
+        List<SliceTransfer> transfers;
         try {
-            Map<String, Object> asked = Json.parseObject(body);
-            member = Json.member(asked, "member", String.class);
-            hops = MigrationRecordCodec.transfers(asked);
+            Map<String, Object> body = Json.parseObject(request.body());
+            member = JsonFields.text(body, "member");
+            transfers = MigrationRecordCodec.readTransfers(body);
         } catch (IOException e) {
             throw new OperatorErrorException(
                     new MigrationError.MalformedCommand(e.getMessage()), e);
         }
-        if (member.isEmpty() || member.length() > MEMBER_LONGEST) {
-            throw new OperatorErrorException(
-                    new MigrationError.MalformedCommand(
-                            "a member of " + member.length() + " letters"));
+        if (member.isEmpty() || member.length() > MAX_MEMBER_LENGTH) {
+            throw malformed("a member of " + member.length() + " letters");
         }
-        long id = migrations.journalState().nextId();
-        return new Response(
-                migrations.createMigration(member, hops, now),
-                () -> text(migrations.journalState().find(id).orElse(null)));
+        long id = manager.journalState().nextId();
+        return OperatorResponse.command(
+                manager.createMigration(member, transfers, now), () -> describe(id));
     }
 
-    /** One migration in a line, as operators read it. */
-    private static String text(Migration one) {
-        return one == null
-                ? "null"
-                : "migration "
-                        + one.id
-                        + " of "
-                        + one.member
-                        + " "
-                        + MigrationRecordCodec.STATE_NAMES.of(one.state())
-                        + (one.isPaused() ? ", paused: " + one.pauseDetail() : "")
-                        + (one.rollbackReason() == null ? "" : ", back: " + one.rollbackReason());
+    private OperatorResponse updateUtility(OperatorRequest request) throws OperatorErrorException {
+        manager.updateUtility(
+                requiredText(request, "member"), requiredLong(request, "permille") / PERMILLE);
+        return OperatorResponse.command(List.of(), () -> "noted");
     }
 
-    /**
-     * One JSON object: each migration with its stage, its pause, its checkpoint, and who is behind.
-     */
-    private String all(Duration now) {
+    /** A command about one migration that is under way. */
+    private OperatorResponse command(OperatorRequest request, Duration now)
+            throws OperatorErrorException {
+        long id = requiredLong(request, "migration");
+        List<MigrationAction> actions =
+                switch (request.path()) {
+                    case "POST /v1/pause" -> manager.pause(id, OPERATOR_REASON, now);
+                    case "POST /v1/resume" -> manager.resume(id, now);
+                    case "POST /v1/rollback" -> manager.rollBack(id, OPERATOR_REASON, now);
+                    default ->
+                            manager.passCheckpoint(
+                                    id,
+                                    new Checkpoint(
+                                            requiredLong(request, "version"),
+                                            requiredText(request, "digest")),
+                                    now);
+                };
+        return OperatorResponse.command(actions, () -> describe(id));
+    }
+
+    // ---- answers
+
+    /** One migration in a line; "null" where there is none of that number. */
+    private String describe(long id) {
+        return manager.journalState().find(id).map(MigrationHandler::describe).orElse("null");
+    }
+
+    private static String describe(Migration migration) {
+        StringBuilder line =
+                new StringBuilder("migration ")
+                        .append(migration.id)
+                        .append(" of ")
+                        .append(migration.member)
+                        .append(' ')
+                        .append(MigrationRecordCodec.STATE_NAMES.of(migration.state()));
+        if (migration.isPaused()) {
+            line.append(", paused: ").append(migration.pauseDetail());
+        }
+        if (migration.rollbackReason() != null) {
+            line.append(", back: ").append(migration.rollbackReason());
+        }
+        return line.toString();
+    }
+
+    /** One JSON object: each migration, and the routers that may still use an older layout. */
+    private String listMigrations(Duration now) {
+        Layout layout = coordinator.state().layout();
         return new String(
-                LayoutCodec.toBytes(
+                Json.encode(
                         json -> {
                             json.writeStartObject();
                             json.writeArrayFieldStart("migrations");
-                            for (Migration one : migrations.journalState().migrations()) {
-                                json.writeStartObject();
-                                json.writeNumberField("migration", one.id);
-                                json.writeStringField("member", one.member);
-                                json.writeStringField(
-                                        "stage", MigrationRecordCodec.STATE_NAMES.of(one.state()));
-                                json.writeNumberField(
-                                        "for_ms", Math.max(0, now.minus(one.since()).toMillis()));
-                                json.writeNumberField("hops", one.transfers.size());
-                                json.writeNumberField(
-                                        "moved",
-                                        one.transfers.stream()
-                                                .filter(
-                                                        hop -> {
-                                                            var slice =
-                                                                    coordinator
-                                                                            .state()
-                                                                            .layout()
-                                                                            .slice(hop.slice());
-                                                            return slice != null
-                                                                    && slice.heldBy(hop.target());
-                                                        })
-                                                .count());
-                                if (one.isPaused()) {
-                                    json.writeStringField(
-                                            "cause",
-                                            MigrationRecordCodec.PAUSE_REASON_NAMES.of(
-                                                    one.pauseReason()));
-                                    json.writeStringField("paused", one.pauseDetail());
-                                }
-                                MigrationRecordCodec.checkpoint(
-                                        json, "checkpoint", one.openCheckpoint());
-                                if (one.rollbackReason() != null) {
-                                    json.writeStringField("back", one.rollbackReason());
-                                }
-                                json.writeEndObject();
+                            for (Migration migration : manager.journalState().migrations()) {
+                                writeMigration(json, migration, layout, now);
                             }
                             json.writeEndArray();
                             json.writeArrayFieldStart("behind");
                             for (String router :
-                                    migrations
-                                            .routerAcknowledgements()
-                                            .routersBehind(
-                                                    coordinator.state().layout().version, now)) {
+                                    manager.routerAcknowledgements()
+                                            .routersBehind(layout.version, now)) {
                                 json.writeString(router);
                             }
                             json.writeEndArray();
@@ -167,23 +154,60 @@
                 StandardCharsets.UTF_8);
     }
 
-    private static String text(Map<String, Deque<String>> asked, String name)
+    private static void writeMigration(
+            JsonGenerator json, Migration migration, Layout layout, Duration now)
+            throws IOException {
+        json.writeStartObject();
+        json.writeNumberField("migration", migration.id);
+        json.writeStringField("member", migration.member);
+        json.writeStringField("stage", MigrationRecordCodec.STATE_NAMES.of(migration.state()));
+        json.writeNumberField("for_ms", Math.max(0, now.minus(migration.since()).toMillis()));
+        json.writeNumberField("hops", migration.transfers.size());
+        json.writeNumberField(
+                "moved",
+                migration.transfers.stream()
+                        .filter(transfer -> isAtTarget(transfer, layout))
+                        .count());
+        if (migration.isPaused()) {
+            json.writeStringField(
+                    "cause", MigrationRecordCodec.PAUSE_REASON_NAMES.of(migration.pauseReason()));
+            json.writeStringField("paused", migration.pauseDetail());
+        }
+        MigrationRecordCodec.writeCheckpoint(json, "checkpoint", migration.openCheckpoint());
+        if (migration.rollbackReason() != null) {
+            json.writeStringField("back", migration.rollbackReason());
+        }
+        json.writeEndObject();
+    }
+
+    private static boolean isAtTarget(SliceTransfer transfer, Layout layout) {
+        Slice slice = layout.slice(transfer.slice());
+        return slice != null && slice.heldBy(transfer.target());
+    }
+
+    // ---- parameters
+
+    private static String requiredText(OperatorRequest request, String name)
             throws OperatorErrorException {
-        Deque<String> values = asked.get(name);
-        if (values == null || values.getFirst().isEmpty()) {
-            throw new OperatorErrorException(
-                    new MigrationError.MalformedCommand(name + " is missing"));
+        String value = request.parameter(name);
+        if (value == null || value.isEmpty()) {
+            throw malformed(name + " is missing");
         }
-        return values.getFirst();
+        return value;
     }
 
-    private static long number(Map<String, Deque<String>> asked, String name)
+    private static long requiredLong(OperatorRequest request, String name)
             throws OperatorErrorException {
+        String value = requiredText(request, name);
         try {
-            return Long.parseLong(text(asked, name));
+            return Long.parseLong(value);
         } catch (NumberFormatException e) {
             throw new OperatorErrorException(
                     new MigrationError.MalformedCommand(name + " is no whole number"), e);
         }
     }
+
+    private static OperatorErrorException malformed(String problem) {
+        return new OperatorErrorException(new MigrationError.MalformedCommand(problem));
+    }
 }
--- a/src/main/java/postbeam/layoutservice/MigrationRecordCodec.java
+++ b/src/main/java/postbeam/layoutservice/MigrationRecordCodec.java
@@ -9,7 +9,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import postbeam.json.Json;
 import postbeam.migration.Checkpoint;
 import postbeam.migration.MigrationRecord;
 import postbeam.migration.MigrationState;
@@ -18,10 +17,11 @@
 import postbeam.migration.SliceTransfer;
 
 /**
- * The records of migrations in JSON, one object each, and an operator's plan of one; an IOException
- * says what is wrong.
+ * The records of migrations in JSON, one object each; the member "what" tells the kind of record.
+ * Also reads an operator's plan of a migration and the digests that nodes answer with.
  */
 final class MigrationRecordCodec {
+    /** The states of a migration as they are stored and shown to operators. */
     static final WireNames<MigrationState> STATE_NAMES =
             WireNames.of(
                     MigrationState.class,
@@ -38,6 +38,8 @@
                     entry(MigrationState.RETIRED, "RETIRED"),
                     entry(MigrationState.ROLLING_BACK, "ROLLING_BACK"),
                     entry(MigrationState.ROLLED_BACK, "ROLLED_BACK"));
+
+    /** The reasons of a pause as they are stored and shown to operators. */
     static final WireNames<PauseReason> PAUSE_REASON_NAMES =
             WireNames.of(
                     PauseReason.class,
@@ -52,203 +54,235 @@
 
     private MigrationRecordCodec() {}
 
-    static void write(JsonGenerator json, MigrationRecord noted) throws IOException {
+    // ---- writing
+
+    /** Writes the members of a record into an object that is already started. */
+    static void writeMembers(JsonGenerator json, MigrationRecord record) throws IOException {
         json.writeStringField("kind", "migration");
-        json.writeNumberField("migration", noted.id());
-        if (noted instanceof MigrationRecord.Created one) {
-            start(json, "opened", one.at());
-            json.writeStringField("member", one.member());
-            transfers(json, one.transfers());
-            json.writeNumberField("version", one.layoutVersion());
-            json.writeNumberField("utility", one.utility());
-        } else if (noted instanceof MigrationRecord.StateEntered one) {
-            start(json, "entered", one.at());
-            json.writeStringField("stage", STATE_NAMES.of(one.state()));
-        } else if (noted instanceof MigrationRecord.MoveVerified one) {
+        json.writeNumberField("migration", record.id());
+        if (record instanceof MigrationRecord.Created created) {
+            writeCreated(json, created);
+        } else if (record instanceof MigrationRecord.StateEntered entered) {
+            writeStart(json, "entered", entered.at());
+            json.writeStringField("stage", STATE_NAMES.of(entered.state()));
+        } else if (record instanceof MigrationRecord.MoveVerified verified) {
             json.writeStringField("what", "verified");
-            json.writeNumberField("move", one.moveId());
-            json.writeStringField("digest", one.digest());
-        } else if (noted instanceof MigrationRecord.CheckpointOpened one) {
-            start(json, "opening", one.at());
-            checkpoint(json, new Checkpoint(one.layoutVersion(), one.digest()));
-        } else if (noted instanceof MigrationRecord.CheckpointPassed one) {
-            start(json, "passed", one.at());
-        } else if (noted instanceof MigrationRecord.Paused one) {
-            start(json, "paused", one.at());
-            json.writeStringField("cause", PAUSE_REASON_NAMES.of(one.reason()));
-            json.writeStringField("why", one.detail());
-        } else if (noted instanceof MigrationRecord.Resumed one) {
-            start(json, "resumed", one.at());
-        } else if (noted instanceof MigrationRecord.RollbackStarted one) {
-            start(json, "rollingBack", one.at());
-            json.writeStringField("why", one.reason());
-        } else if (noted instanceof MigrationRecord.Snapshot one) {
-            start(json, "standing", one.since());
-            json.writeStringField("member", one.member());
-            transfers(json, one.transfers());
-            json.writeNumberField("version", one.initialLayoutVersion());
-            json.writeNumberField("utility", one.initialUtility());
-            json.writeStringField("stage", STATE_NAMES.of(one.state()));
-            json.writeNumberField("openings", one.checkpointsOpened());
-            if (one.pauseReason() != null) {
-                json.writeStringField("cause", PAUSE_REASON_NAMES.of(one.pauseReason()));
-                json.writeStringField("pausedWhy", one.pauseDetail());
-            }
-            if (one.rollbackReason() != null) {
-                json.writeStringField("rollbackWhy", one.rollbackReason());
-            }
-            checkpoint(json, "open", one.openCheckpoint());
-            checkpoint(json, "passed", one.passedCheckpoint());
-            json.writeArrayFieldStart("verified");
-            for (Map.Entry<Long, String> verified : one.verifiedDigests().entrySet()) {
-                json.writeStartObject();
-                json.writeNumberField("move", verified.getKey());
-                json.writeStringField("digest", verified.getValue());
-                json.writeEndObject();
-            }
-            json.writeEndArray();
+            writeVerified(json, verified.moveId(), verified.digest());
+        } else if (record instanceof MigrationRecord.CheckpointOpened opened) {
+            writeStart(json, "opening", opened.at());
+            writeMembers(json, new Checkpoint(opened.layoutVersion(), opened.digest()));
+        } else if (record instanceof MigrationRecord.CheckpointPassed passed) {
+            writeStart(json, "passed", passed.at());
+        } else if (record instanceof MigrationRecord.Paused paused) {
+            writeStart(json, "paused", paused.at());
+            json.writeStringField("cause", PAUSE_REASON_NAMES.of(paused.reason()));
+            json.writeStringField("why", paused.detail());
+        } else if (record instanceof MigrationRecord.Resumed resumed) {
+            writeStart(json, "resumed", resumed.at());
+        } else if (record instanceof MigrationRecord.RollbackStarted rollback) {
+            writeStart(json, "rollingBack", rollback.at());
+            json.writeStringField("why", rollback.reason());
+        } else if (record instanceof MigrationRecord.Snapshot snapshot) {
+            writeSnapshot(json, snapshot);
         }
     }
 
-    private static void start(JsonGenerator json, String what, Duration at) throws IOException {
+    private static void writeStart(JsonGenerator json, String what, Duration at)
+            throws IOException {
         json.writeStringField("what", what);
         json.writeNumberField("at_ms", at.toMillis());
     }
 
-    private static void transfers(JsonGenerator json, List<SliceTransfer> hops) throws IOException {
+    private static void writeCreated(JsonGenerator json, MigrationRecord.Created created)
+            throws IOException {
+        writeStart(json, "opened", created.at());
+        json.writeStringField("member", created.member());
+        writeTransfers(json, created.transfers());
+        json.writeNumberField("version", created.layoutVersion());
+        json.writeNumberField("utility", created.utility());
+    }
+
+    private static void writeSnapshot(JsonGenerator json, MigrationRecord.Snapshot snapshot)
+            throws IOException {
+        writeStart(json, "standing", snapshot.since());
+        json.writeStringField("member", snapshot.member());
+        writeTransfers(json, snapshot.transfers());
+        json.writeNumberField("version", snapshot.initialLayoutVersion());
+        json.writeNumberField("utility", snapshot.initialUtility());
+        json.writeStringField("stage", STATE_NAMES.of(snapshot.state()));
+        json.writeNumberField("openings", snapshot.checkpointsOpened());
+        if (snapshot.pauseReason() != null) {
+            json.writeStringField("cause", PAUSE_REASON_NAMES.of(snapshot.pauseReason()));
+            json.writeStringField("pausedWhy", snapshot.pauseDetail());
+        }
+        JsonFields.writeOptionalText(json, "rollbackWhy", snapshot.rollbackReason());
+        writeCheckpoint(json, "open", snapshot.openCheckpoint());
+        writeCheckpoint(json, "passed", snapshot.passedCheckpoint());
+        json.writeArrayFieldStart("verified");
+        for (Map.Entry<Long, String> verified : snapshot.verifiedDigests().entrySet()) {
+            json.writeStartObject();
+            writeVerified(json, verified.getKey(), verified.getValue());
+            json.writeEndObject();
+        }
+        json.writeEndArray();
+    }
+
+    private static void writeVerified(JsonGenerator json, long move, String digest)
+            throws IOException {
+        json.writeNumberField("move", move);
+        json.writeStringField("digest", digest);
+    }
+
+    private static void writeTransfers(JsonGenerator json, List<SliceTransfer> transfers)
+            throws IOException {
         json.writeArrayFieldStart("hops");
-        for (SliceTransfer hop : hops) {
+        for (SliceTransfer transfer : transfers) {
             json.writeStartObject();
-            json.writeNumberField("move", hop.slice());
-            json.writeStringField("off", hop.source());
-            json.writeStringField("onto", hop.target());
+            json.writeNumberField("move", transfer.slice());
+            json.writeStringField("off", transfer.source());
+            json.writeStringField("onto", transfer.target());
             json.writeEndObject();
         }
         json.writeEndArray();
     }
 
-    static void checkpoint(JsonGenerator json, String name, Checkpoint one) throws IOException {
-        if (one != null) {
+    /** Writes a checkpoint as a member; leaves it out where it is null. */
+    static void writeCheckpoint(JsonGenerator json, String name, Checkpoint checkpoint)
+            throws IOException {
+        if (checkpoint != null) {
             json.writeObjectFieldStart(name);
-            checkpoint(json, one);
+            writeMembers(json, checkpoint);
             json.writeEndObject();
         }
     }
 
-    private static void checkpoint(JsonGenerator json, Checkpoint one) throws IOException {
-        json.writeNumberField("version", one.layoutVersion());
-        json.writeStringField("digest", one.digest());
+    private static void writeMembers(JsonGenerator json, Checkpoint checkpoint) throws IOException {
+        json.writeNumberField("version", checkpoint.layoutVersion());
+        json.writeStringField("digest", checkpoint.digest());
     }
 
-    static MigrationRecord read(Map<String, Object> object) throws IOException {
-        long id = LayoutCodec.readLong(object, "migration");
-        String what = text(object, "what");
+    // ---- reading
+
+    /**
+     * Reads what {@link #writeMembers} has written.
+     *
+     * @throws IOException the object is no record of a known kind
+     */
+    static MigrationRecord read(Map<?, ?> object) throws IOException {
+        long id = JsonFields.number(object, "migration");
+        String what = JsonFields.text(object, "what");
         return switch (what) {
-            case "opened" ->
-                    new MigrationRecord.Created(
-                            id,
-                            text(object, "member"),
-                            transfers(object),
-                            LayoutCodec.readLong(object, "version"),
-                            Json.member(object, "utility", Number.class).doubleValue(),
-                            at(object));
-            case "entered" ->
-                    new MigrationRecord.StateEntered(
-                            id, STATE_NAMES.constant(text(object, "stage")), at(object));
+            case "opened" -> readCreated(id, object);
+            case "entered" -> new MigrationRecord.StateEntered(id, state(object), at(object));
             case "verified" ->
                     new MigrationRecord.MoveVerified(
-                            id, LayoutCodec.readLong(object, "move"), text(object, "digest"));
+                            id, JsonFields.number(object, "move"), digest(object));
             case "opening" ->
                     new MigrationRecord.CheckpointOpened(
-                            id,
-                            LayoutCodec.readLong(object, "version"),
-                            text(object, "digest"),
-                            at(object));
+                            id, version(object), digest(object), at(object));
             case "passed" -> new MigrationRecord.CheckpointPassed(id, at(object));
             case "paused" ->
                     new MigrationRecord.Paused(
-                            id,
-                            PAUSE_REASON_NAMES.constant(text(object, "cause")),
-                            text(object, "why"),
-                            at(object));
+                            id, pauseReason(object), JsonFields.text(object, "why"), at(object));
             case "resumed" -> new MigrationRecord.Resumed(id, at(object));
             case "rollingBack" ->
-                    new MigrationRecord.RollbackStarted(id, text(object, "why"), at(object));
-            case "standing" -> standing(id, object);
+                    new MigrationRecord.RollbackStarted(
+                            id, JsonFields.text(object, "why"), at(object));
+            case "standing" -> readSnapshot(id, object);
             default -> throw new IOException("a migration's record of an unknown kind: " + what);
         };
     }
 
-    private static MigrationRecord standing(long id, Map<String, Object> object)
-            throws IOException {
+    private static MigrationRecord readCreated(long id, Map<?, ?> object) throws IOException {
+        return new MigrationRecord.Created(
+                id,
+                JsonFields.text(object, "member"),
+                readTransfers(object),
+                version(object),
+                JsonFields.decimal(object, "utility"),
+                at(object));
+    }
+
+    private static MigrationRecord readSnapshot(long id, Map<?, ?> object) throws IOException {
         Map<Long, String> verified = new TreeMap<>();
-        for (Map<?, ?> one : LayoutCodec.readObjects(object, "verified")) {
-            verified.put(LayoutCodec.readLong(one, "move"), text(one, "digest"));
+        for (Map<?, ?> one : JsonFields.objects(object, "verified")) {
+            verified.put(JsonFields.number(one, "move"), digest(one));
         }
         return new MigrationRecord.Snapshot(
                 id,
-                text(object, "member"),
-                transfers(object),
-                LayoutCodec.readLong(object, "version"),
-                Json.member(object, "utility", Number.class).doubleValue(),
-                STATE_NAMES.constant(text(object, "stage")),
+                JsonFields.text(object, "member"),
+                readTransfers(object),
+                version(object),
+                JsonFields.decimal(object, "utility"),
+                state(object),
                 at(object),
-                object.containsKey("cause")
-                        ? PAUSE_REASON_NAMES.constant(text(object, "cause"))
-                        : null,
-                object.containsKey("pausedWhy") ? text(object, "pausedWhy") : null,
+                object.containsKey("cause") ? pauseReason(object) : null,
+                JsonFields.optionalText(object, "pausedWhy"),
                 verified,
-                (int) LayoutCodec.readLong(object, "openings"),
-                checkpoint(object, "open"),
-                checkpoint(object, "passed"),
-                object.containsKey("rollbackWhy") ? text(object, "rollbackWhy") : null);
+                JsonFields.integer(object, "openings"),
+                readCheckpoint(object, "open"),
+                readCheckpoint(object, "passed"),
+                JsonFields.optionalText(object, "rollbackWhy"));
     }
 
-    private static Checkpoint checkpoint(Map<?, ?> object, String name) throws IOException {
+    /** Null where there is no such checkpoint. */
+    private static Checkpoint readCheckpoint(Map<?, ?> object, String name) throws IOException {
         if (!object.containsKey(name)) {
             return null;
         }
-        Map<?, ?> one = Json.member(object, name, Map.class);
-        return new Checkpoint(LayoutCodec.readLong(one, "version"), text(one, "digest"));
+        Map<?, ?> checkpoint = JsonFields.object(object, name);
+        return new Checkpoint(version(checkpoint), digest(checkpoint));
     }
 
-    /** {"hops": [{"move": 3, "off": "n1", "onto": "n2"}]}. */
-    static List<SliceTransfer> transfers(Map<?, ?> object) throws IOException {
-        List<SliceTransfer> hops = new ArrayList<>();
-        for (Map<?, ?> hop : LayoutCodec.readObjects(object, "hops")) {
-            hops.add(
+    /** Reads {@code {"hops": [{"move": 3, "off": "n1", "onto": "n2"}]}}. */
+    static List<SliceTransfer> readTransfers(Map<?, ?> object) throws IOException {
+        List<SliceTransfer> transfers = new ArrayList<>();
+        for (Map<?, ?> transfer : JsonFields.objects(object, "hops")) {
+            transfers.add(
                     new SliceTransfer(
-                            (int) LayoutCodec.readLong(hop, "move"),
-                            text(hop, "off"),
-                            text(hop, "onto")));
+                            JsonFields.integer(transfer, "move"),
+                            JsonFields.text(transfer, "off"),
+                            JsonFields.text(transfer, "onto")));
         }
-        return hops;
+        return transfers;
     }
 
     /**
-     * {"open": 0, "mark": 7, "rows": 2, "bytes": 20, "digest": "...", "from": KEY, "to": KEY} in an
-     * array "said".
+     * Reads {@code {"open": 0, "mark": 7, "rows": 2, "bytes": 20, "digest": "...", "from": KEY,
+     * "to": KEY}} in an array "said".
      */
-    static List<RangeDigest> digests(Map<String, Object> object) throws IOException {
-        List<RangeDigest> said = new ArrayList<>();
-        for (Map<?, ?> one : LayoutCodec.readObjects(object, "said")) {
-            said.add(
+    static List<RangeDigest> readDigests(Map<?, ?> object) throws IOException {
+        List<RangeDigest> digests = new ArrayList<>();
+        for (Map<?, ?> one : JsonFields.objects(object, "said")) {
+            digests.add(
                     new RangeDigest(
-                            LayoutCodec.readKeys(one),
-                            (int) LayoutCodec.readLong(one, "open"),
-                            LayoutCodec.readLong(one, "mark"),
-                            LayoutCodec.readLong(one, "rows"),
-                            LayoutCodec.readLong(one, "bytes"),
-                            text(one, "digest")));
+                            JsonFields.keyRange(one),
+                            JsonFields.integer(one, "open"),
+                            JsonFields.number(one, "mark"),
+                            JsonFields.number(one, "rows"),
+                            JsonFields.number(one, "bytes"),
+                            digest(one)));
         }
-        return said;
+        return digests;
+    }
+
+    private static MigrationState state(Map<?, ?> object) throws IOException {
+        return STATE_NAMES.constant(JsonFields.text(object, "stage"));
+    }
+
+    private static PauseReason pauseReason(Map<?, ?> object) throws IOException {
+        return PAUSE_REASON_NAMES.constant(JsonFields.text(object, "cause"));
+    }
+
+    private static long version(Map<?, ?> object) throws IOException {
+        return JsonFields.number(object, "version");
     }
 
-    private static String text(Map<?, ?> object, String name) throws IOException {
-        return Json.member(object, name, String.class);
+    private static String digest(Map<?, ?> object) throws IOException {
+        return JsonFields.text(object, "digest");
     }
 
     private static Duration at(Map<?, ?> object) throws IOException {
-        return Duration.ofMillis(LayoutCodec.readLong(object, "at_ms"));
+        return JsonFields.millis(object, "at_ms");
     }
 }
--- a/src/main/java/postbeam/layoutservice/MoveRecordCodec.java
+++ b/src/main/java/postbeam/layoutservice/MoveRecordCodec.java
@@ -13,9 +13,14 @@
 import postbeam.slices.JournalRecord;
 import postbeam.slices.Move;
 import postbeam.slices.MoveState;
+import postbeam.slices.TargetLayout;
 
-/** The records of the log of moves in JSON, one object each, named by "kind". */
+/**
+ * The records of the move journal in JSON, one object each; the member "kind" tells the kind of
+ * record.
+ */
 public final class MoveRecordCodec {
+    /** The states of a move as they are stored and shown to operators. */
     static final WireNames<MoveState> STATE_NAMES =
             WireNames.of(
                     MoveState.class,
@@ -29,248 +34,281 @@
                     entry(MoveState.ABANDONING, "ABANDONING"),
                     entry(MoveState.ABANDONED, "ABANDONED"));
 
+    /** The term of records that are written without one. */
+    private static final long NO_TERM = 0;
+
     private MoveRecordCodec() {}
 
+    // ---- writing
+
+    /** A record without a term. */
     public static byte[] write(JournalRecord record) {
-        return write(record, 0);
+        return write(record, NO_TERM);
     }
 
-    /** With the term of who writes it; 0 where terms are not kept. */
+    /** A record with the term of the process that writes it; 0 where terms are not kept. */
     public static byte[] write(JournalRecord record, long term) {
-        return LayoutCodec.toBytes(json -> write(json, record, term));
-    }
-
-    /** The term that a record was written in; 0 where none was kept. */
-    public static long term(Map<String, Object> object) {
-        return object.get("term") instanceof Number term ? term.longValue() : 0;
+        return Json.encode(
+                json -> {
+                    json.writeStartObject();
+                    if (term > NO_TERM) {
+                        json.writeNumberField("term", term);
+                    }
+                    writeMembers(json, record);
+                    json.writeEndObject();
+                });
     }
 
-    private static void write(JsonGenerator json, JournalRecord record, long term)
-            throws IOException {
-        json.writeStartObject();
-        if (term > 0) {
-            json.writeNumberField("term", term);
-        }
-        if (record instanceof MigrationRecord noted) {
-            MigrationRecordCodec.write(json, noted);
-        } else if (record instanceof JournalRecord.TermStarted office) {
+    private static void writeMembers(JsonGenerator json, JournalRecord record) throws IOException {
+        if (record instanceof MigrationRecord migration) {
+            MigrationRecordCodec.writeMembers(json, migration);
+        } else if (record instanceof JournalRecord.TermStarted started) {
             json.writeStringField("kind", "office");
-            json.writeNumberField("office", office.term());
-        } else if (record instanceof JournalRecord.Snapshot whole) {
-            json.writeStringField("kind", "whole");
-            json.writeFieldName("layout");
-            LayoutCodec.write(json, whole.layout());
-            json.writeNumberField("lastVersion", whole.lastVersion());
-            json.writeNumberField("lastMove", whole.lastMove());
-            json.writeNumberField("lastSlice", whole.lastSlice());
-            json.writeArrayFieldStart("moves");
-            for (JournalRecord.MoveSnapshot move : whole.moves()) {
-                write(json, move);
-            }
-            json.writeEndArray();
-            json.writeArrayFieldStart("owed");
-            for (Move.OldHolder loss : whole.pendingDrops()) {
-                write(json, loss);
-            }
-            json.writeEndArray();
-            if (whole.target() != null) {
-                json.writeFieldName("target");
-                LayoutCodec.write(json, whole.target());
-            }
+            json.writeNumberField("office", started.term());
+        } else if (record instanceof JournalRecord.Snapshot snapshot) {
+            writeSnapshot(json, snapshot);
         } else if (record instanceof JournalRecord.Planned planned) {
-            start(json, "planned", planned.id(), planned.at());
-            json.writeFieldName("change");
-            LayoutCodec.write(json, planned.change());
-            LayoutCodec.writeInts(json, "births", planned.newSlices());
-            if (planned.source() != null) {
-                json.writeStringField("source", planned.source());
-            }
+            writePlanned(json, planned);
         } else if (record instanceof JournalRecord.Advanced advanced) {
-            start(json, "advanced", advanced.id(), advanced.at());
+            writeStart(json, "advanced", advanced.id(), advanced.at());
             json.writeStringField("state", STATE_NAMES.of(advanced.state()));
-        } else if (record instanceof JournalRecord.CutOver cut) {
-            start(json, "cutOver", cut.id(), cut.at());
-            json.writeNumberField("version", cut.version());
-        } else if (record instanceof JournalRecord.AbandonRequested abandoning) {
-            start(json, "abandoning", abandoning.id(), abandoning.at());
-            json.writeStringField("why", abandoning.reason());
-        } else if (record instanceof JournalRecord.RolledBack back) {
-            start(json, "back", back.id(), back.at());
-            json.writeNumberField("version", back.version());
-        } else if (record instanceof JournalRecord.PendingDrop owed) {
+        } else if (record instanceof JournalRecord.CutOver cutOver) {
+            writeStart(json, "cutOver", cutOver.id(), cutOver.at());
+            json.writeNumberField("version", cutOver.version());
+        } else if (record instanceof JournalRecord.AbandonRequested abandon) {
+            writeStart(json, "abandoning", abandon.id(), abandon.at());
+            json.writeStringField("why", abandon.reason());
+        } else if (record instanceof JournalRecord.RolledBack rolledBack) {
+            writeStart(json, "back", rolledBack.id(), rolledBack.at());
+            json.writeNumberField("version", rolledBack.version());
+        } else if (record instanceof JournalRecord.PendingDrop drop) {
             json.writeStringField("kind", "owed");
             json.writeFieldName("loss");
-            write(json, owed.oldHolder());
-            json.writeBooleanField("owed", owed.pending());
-        } else if (record instanceof JournalRecord.TargetSet aimed) {
+            writeOldHolder(json, drop.oldHolder());
+            json.writeBooleanField("owed", drop.pending());
+        } else if (record instanceof JournalRecord.TargetSet target) {
             json.writeStringField("kind", "aimed");
-            if (aimed.target() != null) {
+            if (target.target() != null) {
                 json.writeFieldName("target");
-                LayoutCodec.write(json, aimed.target());
+                LayoutChangeCodec.write(json, target.target());
             }
         }
-        json.writeEndObject();
-    }
-
-    private static void write(JsonGenerator json, Move.OldHolder loss) throws IOException {
-        json.writeStartObject();
-        json.writeStringField("node", loss.node());
-        json.writeNumberField("slice", loss.slice());
-        LayoutCodec.write(json, loss.keys());
-        json.writeEndObject();
     }
 
-    private static List<Move.OldHolder> losses(Map<?, ?> object, String name) throws IOException {
-        List<Move.OldHolder> losses = new ArrayList<>();
-        for (Map<?, ?> loss : LayoutCodec.readObjects(object, name)) {
-            losses.add(loss(loss));
-        }
-        return losses;
+    private static void writeStart(JsonGenerator json, String kind, long id, Duration at)
+            throws IOException {
+        json.writeStringField("kind", kind);
+        json.writeNumberField("move", id);
+        json.writeNumberField("at_ms", at.toMillis());
     }
 
-    private static Move.OldHolder loss(Map<?, ?> loss) throws IOException {
-        return new Move.OldHolder(
-                Json.member(loss, "node", String.class),
-                (int) LayoutCodec.readLong(loss, "slice"),
-                LayoutCodec.readKeys(loss));
+    private static void writePlanned(JsonGenerator json, JournalRecord.Planned planned)
+            throws IOException {
+        writeStart(json, "planned", planned.id(), planned.at());
+        json.writeFieldName("change");
+        LayoutChangeCodec.write(json, planned.change());
+        JsonFields.writeIntegers(json, "births", planned.newSlices());
+        JsonFields.writeOptionalText(json, "source", planned.source());
     }
 
-    private static void start(JsonGenerator json, String kind, long id, Duration at)
+    private static void writeSnapshot(JsonGenerator json, JournalRecord.Snapshot snapshot)
             throws IOException {
-        json.writeStringField("kind", kind);
-        json.writeNumberField("move", id);
-        json.writeNumberField("at_ms", at.toMillis());
+        json.writeStringField("kind", "whole");
+        json.writeFieldName("layout");
+        LayoutCodec.write(json, snapshot.layout());
+        json.writeNumberField("lastVersion", snapshot.lastVersion());
+        json.writeNumberField("lastMove", snapshot.lastMove());
+        json.writeNumberField("lastSlice", snapshot.lastSlice());
+        json.writeArrayFieldStart("moves");
+        for (JournalRecord.MoveSnapshot move : snapshot.moves()) {
+            writeMove(json, move);
+        }
+        json.writeEndArray();
+        writeOldHolders(json, "owed", snapshot.pendingDrops());
+        if (snapshot.target() != null) {
+            json.writeFieldName("target");
+            LayoutChangeCodec.write(json, snapshot.target());
+        }
     }
 
-    private static void write(JsonGenerator json, JournalRecord.MoveSnapshot move)
+    private static void writeMove(JsonGenerator json, JournalRecord.MoveSnapshot move)
             throws IOException {
         json.writeStartObject();
         json.writeNumberField("move", move.id());
         json.writeFieldName("change");
-        LayoutCodec.write(json, move.change());
-        LayoutCodec.writeInts(json, "births", move.newSlices());
+        LayoutChangeCodec.write(json, move.change());
+        JsonFields.writeIntegers(json, "births", move.newSlices());
         json.writeArrayFieldStart("gains");
-        for (Move.Destination gain : move.destinations()) {
-            json.writeStartObject();
-            json.writeStringField("node", gain.node());
-            json.writeNumberField("slice", gain.slice());
-            LayoutCodec.write(json, gain.keys());
-            json.writeStringField("source", gain.source());
-            json.writeEndObject();
-        }
-        json.writeEndArray();
-        json.writeArrayFieldStart("losses");
-        for (Move.OldHolder loss : move.oldHolders()) {
-            write(json, loss);
+        for (Move.Destination destination : move.destinations()) {
+            writeDestination(json, destination);
         }
         json.writeEndArray();
+        writeOldHolders(json, "losses", move.oldHolders());
         json.writeNumberField("planned_ms", move.plannedAt().toMillis());
         json.writeStringField("state", STATE_NAMES.of(move.state()));
         json.writeNumberField("since_ms", move.stateSince().toMillis());
-        if (move.abandonReason() != null) {
-            json.writeStringField("why", move.abandonReason());
-        }
+        JsonFields.writeOptionalText(json, "why", move.abandonReason());
         json.writeBooleanField("turnsBack", move.reverseWhenDone());
         json.writeBooleanField("fenced", move.mayBeFenced());
         json.writeEndObject();
     }
 
-    /** An IOException says what can't be used of it. */
+    private static void writeDestination(JsonGenerator json, Move.Destination destination)
+            throws IOException {
+        json.writeStartObject();
+        json.writeStringField("node", destination.node());
+        json.writeNumberField("slice", destination.slice());
+        JsonFields.writeKeyRange(json, destination.keys());
+        json.writeStringField("source", destination.source());
+        json.writeEndObject();
+    }
+
+    private static void writeOldHolders(
+            JsonGenerator json, String name, List<Move.OldHolder> holders) throws IOException {
+        json.writeArrayFieldStart(name);
+        for (Move.OldHolder holder : holders) {
+            writeOldHolder(json, holder);
+        }
+        json.writeEndArray();
+    }
+
+    private static void writeOldHolder(JsonGenerator json, Move.OldHolder holder)
+            throws IOException {
+        json.writeStartObject();
+        json.writeStringField("node", holder.node());
+        json.writeNumberField("slice", holder.slice());
+        JsonFields.writeKeyRange(json, holder.keys());
+        json.writeEndObject();
+    }
+
+    // ---- reading
+
+    /** The term that a record was written in; 0 where none was kept. */
+    public static long term(Map<String, Object> object) {
+        return object.get("term") instanceof Number term ? term.longValue() : NO_TERM;
+    }
+
+    /**
+     * Reads what {@link #write(JournalRecord)} has written.
+     *
+     * @throws IOException the bytes are no record of a known kind
+     */
     public static JournalRecord read(byte[] bytes) throws IOException {
         return read(Json.parseObject(bytes));
     }
 
     static JournalRecord read(Map<String, Object> object) throws IOException {
-        String kind = Json.member(object, "kind", String.class);
+        String kind = JsonFields.text(object, "kind");
         return switch (kind) {
-            case "whole" -> whole(object);
-            case "planned" ->
-                    new JournalRecord.Planned(
-                            LayoutCodec.readLong(object, "move"),
-                            LayoutCodec.readChange(Json.member(object, "change", Map.class)),
-                            LayoutCodec.readInts(object, "births"),
-                            object.containsKey("source")
-                                    ? Json.member(object, "source", String.class)
-                                    : null,
-                            at(object));
+            case "whole" -> readSnapshot(object);
+            case "planned" -> readPlanned(object);
             case "advanced" ->
-                    new JournalRecord.Advanced(
-                            LayoutCodec.readLong(object, "move"), state(object), at(object));
+                    new JournalRecord.Advanced(moveId(object), state(object), at(object));
             case "cutOver" ->
-                    new JournalRecord.CutOver(
-                            LayoutCodec.readLong(object, "move"),
-                            LayoutCodec.readLong(object, "version"),
-                            at(object));
+                    new JournalRecord.CutOver(moveId(object), version(object), at(object));
             case "abandoning" ->
                     new JournalRecord.AbandonRequested(
-                            LayoutCodec.readLong(object, "move"),
-                            Json.member(object, "why", String.class),
-                            at(object));
+                            moveId(object), JsonFields.text(object, "why"), at(object));
             case "back" ->
-                    new JournalRecord.RolledBack(
-                            LayoutCodec.readLong(object, "move"),
-                            LayoutCodec.readLong(object, "version"),
-                            at(object));
+                    new JournalRecord.RolledBack(moveId(object), version(object), at(object));
             case "owed" ->
                     new JournalRecord.PendingDrop(
-                            loss(Json.member(object, "loss", Map.class)),
-                            Json.member(object, "owed", Boolean.class));
-            case "aimed" ->
-                    new JournalRecord.TargetSet(
-                            object.containsKey("target")
-                                    ? LayoutCodec.readTarget(
-                                            Json.member(object, "target", Map.class))
-                                    : null);
-            case "office" -> new JournalRecord.TermStarted(LayoutCodec.readLong(object, "office"));
+                            readOldHolder(JsonFields.object(object, "loss")),
+                            JsonFields.flag(object, "owed"));
+            case "aimed" -> new JournalRecord.TargetSet(readOptionalTarget(object));
+            case "office" -> new JournalRecord.TermStarted(JsonFields.number(object, "office"));
             case "migration" -> MigrationRecordCodec.read(object);
             default -> throw new IOException("a record of an unknown kind: " + kind);
         };
     }
 
+    private static long moveId(Map<?, ?> object) throws IOException {
+        return JsonFields.number(object, "move");
+    }
+
+    private static long version(Map<?, ?> object) throws IOException {
+        return JsonFields.number(object, "version");
+    }
+
     private static Duration at(Map<?, ?> object) throws IOException {
-        return Duration.ofMillis(LayoutCodec.readLong(object, "at_ms"));
+        return JsonFields.millis(object, "at_ms");
     }
 
     private static MoveState state(Map<?, ?> object) throws IOException {
-        return STATE_NAMES.constant(Json.member(object, "state", String.class));
+        return STATE_NAMES.constant(JsonFields.text(object, "state"));
     }
 
-    @SuppressWarnings("unchecked")
-    private static JournalRecord whole(Map<String, Object> object) throws IOException {
+    private static JournalRecord readPlanned(Map<?, ?> object) throws IOException {
+        return new JournalRecord.Planned(
+                moveId(object),
+                LayoutChangeCodec.readChange(JsonFields.object(object, "change")),
+                JsonFields.integers(object, "births"),
+                JsonFields.optionalText(object, "source"),
+                at(object));
+    }
+
+    private static JournalRecord readSnapshot(Map<?, ?> object) throws IOException {
         List<JournalRecord.MoveSnapshot> moves = new ArrayList<>();
-        for (Map<?, ?> move : LayoutCodec.readObjects(object, "moves")) {
-            List<Move.Destination> gains = new ArrayList<>();
-            for (Map<?, ?> gain : LayoutCodec.readObjects(move, "gains")) {
-                gains.add(
-                        new Move.Destination(
-                                Json.member(gain, "node", String.class),
-                                (int) LayoutCodec.readLong(gain, "slice"),
-                                LayoutCodec.readKeys(gain),
-                                Json.member(gain, "source", String.class)));
-            }
-            moves.add(
-                    new JournalRecord.MoveSnapshot(
-                            LayoutCodec.readLong(move, "move"),
-                            LayoutCodec.readChange(Json.member(move, "change", Map.class)),
-                            LayoutCodec.readInts(move, "births"),
-                            gains,
-                            losses(move, "losses"),
-                            Duration.ofMillis(LayoutCodec.readLong(move, "planned_ms")),
-                            state(move),
-                            Duration.ofMillis(LayoutCodec.readLong(move, "since_ms")),
-                            move.get("why") instanceof String why ? why : null,
-                            Json.member(move, "turnsBack", Boolean.class),
-                            Json.member(move, "fenced", Boolean.class)));
+        for (Map<?, ?> move : JsonFields.objects(object, "moves")) {
+            moves.add(readMove(move));
         }
         return new JournalRecord.Snapshot(
-                LayoutCodec.read(Json.member(object, "layout", Map.class)),
-                LayoutCodec.readLong(object, "lastVersion"),
-                LayoutCodec.readLong(object, "lastMove"),
-                (int) LayoutCodec.readLong(object, "lastSlice"),
+                LayoutCodec.read(JsonFields.object(object, "layout")),
+                JsonFields.number(object, "lastVersion"),
+                JsonFields.number(object, "lastMove"),
+                JsonFields.integer(object, "lastSlice"),
                 moves,
-                object.containsKey("target")
-                        ? LayoutCodec.readTarget(Json.member(object, "target", Map.class))
-                        : null,
-                losses(object, "owed"));
+                readOptionalTarget(object),
+                readOldHolders(object, "owed"));
+    }
+
+    /** Null where there is no target. */
+    private static TargetLayout readOptionalTarget(Map<?, ?> object) throws IOException {
+        return object.containsKey("target")
+                ? LayoutChangeCodec.readTarget(JsonFields.object(object, "target"))
+                : null;
+    }
+
+    private static JournalRecord.MoveSnapshot readMove(Map<?, ?> move) throws IOException {
+        List<Move.Destination> destinations = new ArrayList<>();
+        for (Map<?, ?> destination : JsonFields.objects(move, "gains")) {
+            destinations.add(readDestination(destination));
+        }
+        return new JournalRecord.MoveSnapshot(
+                moveId(move),
+                LayoutChangeCodec.readChange(JsonFields.object(move, "change")),
+                JsonFields.integers(move, "births"),
+                destinations,
+                readOldHolders(move, "losses"),
+                JsonFields.millis(move, "planned_ms"),
+                state(move),
+                JsonFields.millis(move, "since_ms"),
+                move.get("why") instanceof String why ? why : null,
+                JsonFields.flag(move, "turnsBack"),
+                JsonFields.flag(move, "fenced"));
+    }
+
+    private static Move.Destination readDestination(Map<?, ?> destination) throws IOException {
+        return new Move.Destination(
+                JsonFields.text(destination, "node"),
+                JsonFields.integer(destination, "slice"),
+                JsonFields.keyRange(destination),
+                JsonFields.text(destination, "source"));
+    }
+
+    private static List<Move.OldHolder> readOldHolders(Map<?, ?> object, String name)
+            throws IOException {
+        List<Move.OldHolder> holders = new ArrayList<>();
+        for (Map<?, ?> holder : JsonFields.objects(object, name)) {
+            holders.add(readOldHolder(holder));
+        }
+        return holders;
+    }
+
+    private static Move.OldHolder readOldHolder(Map<?, ?> holder) throws IOException {
+        return new Move.OldHolder(
+                JsonFields.text(holder, "node"),
+                JsonFields.integer(holder, "slice"),
+                JsonFields.keyRange(holder));
     }
 }
--- /dev/null
+++ b/src/main/java/postbeam/layoutservice/QueryParameters.java
@@ -0,0 +1,25 @@
+package postbeam.layoutservice;
+
+import java.util.Deque;
+import java.util.Map;
+
+/** Reads query parameters of HTTP requests. */
+final class QueryParameters {
+    private QueryParameters() {}
+
+    /** The first value of a parameter; null where it is absent. */
+    static String text(Map<String, Deque<String>> parameters, String name) {
+        Deque<String> values = parameters.get(name);
+        return values == null ? null : values.getFirst();
+    }
+
+    /** A parameter as a number; the default where it is absent or no number. */
+    static long longValue(Map<String, Deque<String>> parameters, String name, long defaultValue) {
+        String value = text(parameters, name);
+        try {
+            return value == null ? defaultValue : Long.parseLong(value);
+        } catch (NumberFormatException e) {
+            return defaultValue;
+        }
+    }
+}
--- a/src/main/java/postbeam/layoutservice/WireNames.java
+++ b/src/main/java/postbeam/layoutservice/WireNames.java
@@ -31,7 +31,9 @@
     static <E extends Enum<E>> WireNames<E> of(
             Class<E> type, String unknown, Map.Entry<E, String>... names) {
         Map<E, String> all = new EnumMap<>(type);
-        all.putAll(Map.ofEntries(names));
+        for (Map.Entry<E, String> name : names) {
+            all.put(name.getKey(), name.getValue());
+        }
         WireNames<E> made = new WireNames<>(unknown, all);
         if (made.constants.size() != type.getEnumConstants().length) {
             throw new IllegalArgumentException(
