--- a/src/main/java/postbeam/clients/RouterExtension.java
+++ b/src/main/java/postbeam/clients/RouterExtension.java
@@ -1,13 +1,13 @@
 package postbeam.clients;
 
-/**
- * What runs beside a router where our own settings switch it on: it adds forms to the door before
- * it opens.
- */
+/** A subsystem that the settings add to a router, which starts and stops it. */
 public interface RouterExtension {
-    void registerHandlers(QueryServer door);
+    /** Adds its handlers to the server; called before that listens. */
+    void registerHandlers(QueryServer server);
 
+    /** Starts once the router listens. */
     void start();
 
+    /** Stops before the router closes its server. */
     void stop();
 }
--- a/src/main/java/postbeam/coordination/CoordinationError.java
+++ b/src/main/java/postbeam/coordination/CoordinationError.java
@@ -2,9 +2,9 @@
 
 import postbeam.errors.OperatorError;
 
-/** What can go wrong among routers. */
+/** What can go wrong among routers; peers are answered with these texts. */
 public sealed interface CoordinationError extends OperatorError {
-    /** Another router has other names or terms. */
+    /** Another router disagrees on the fleet's routers or parameters. */
     record MismatchedTerms(String router) implements CoordinationError {
         @Override
         public String problem() {
@@ -18,7 +18,7 @@
         }
     }
 
-    /** A second process speaks under this router's name. */
+    /** A second process uses this router's name. */
     record DuplicateName(String router, long ownIncarnation, long otherIncarnation)
             implements CoordinationError {
         @Override
@@ -37,7 +37,7 @@
         }
     }
 
-    /** A router that is not in the settings. */
+    /** A message of a router that is not in the settings. */
     record UnknownRouter(String router) implements CoordinationError {
         @Override
         public String problem() {
@@ -51,7 +51,7 @@
         }
     }
 
-    /** A message that can't be read. */
+    /** A message that can't be decoded. */
     record MalformedMessage(String sender, String cause) implements CoordinationError {
         @Override
         public String problem() {
@@ -65,7 +65,7 @@
         }
     }
 
-    /** No answer, for so many asks. */
+    /** A router that has failed to respond to so many requests in a row. */
     record UnresponsiveRouter(String router, String cause, int requests)
             implements CoordinationError {
         @Override
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Our settings name no such router. */
+    /** The fleet's routers in the settings don't include this one. */
     record NotAMember(String router) implements CoordinationError {
         @Override
         public String problem() {
--- a/src/main/java/postbeam/coordination/CoordinationStripe.java
+++ b/src/main/java/postbeam/coordination/CoordinationStripe.java
@@ -31,10 +31,10 @@
             VoteRequest voteRequest, ProcessIdentity leader, List<LeaseRequest> leaseRequests) {}
 
     private static final class TrackedNode {
-        final ColdNodeQuota quota;
+        final SlowStartQuota quota;
         double budget;
 
-        TrackedNode(ColdNodeQuota quota) {
+        TrackedNode(SlowStartQuota quota) {
             this.quota = quota;
         }
     }
@@ -88,9 +88,9 @@
     }
 
     /** Creates the quota of one node. */
-    protected ColdNodeQuota nodeQuota(
+    protected SlowStartQuota nodeQuota(
             LeaseParameters parameters, int participants, boolean participating) {
-        return new ColdNodeQuota(parameters, participants, participating);
+        return new SlowStartQuota(parameters, participants, participating);
     }
 
     // ---- sends
@@ -144,7 +144,7 @@
         return tracked;
     }
 
-    private ColdNodeQuota newQuota(NodeIncarnation node, SlowStartBudget budget) {
+    private SlowStartQuota newQuota(NodeIncarnation node, SlowStartBudget budget) {
         int participants = leaseParameters.participants(budget.initial());
         boolean participating =
                 leaseParameters.participates(node, self.name(), members, participants);
--- a/src/main/java/postbeam/coordination/ElectionTimeouts.java
+++ b/src/main/java/postbeam/coordination/ElectionTimeouts.java
@@ -19,11 +19,11 @@
                 || maxLeaderLease.compareTo(leaderLease) < 0
                 || maxClockDrift.isNegative()) {
             throw new IllegalArgumentException(
-                    "terms of office can't be used: office "
+                    "election timeouts can't be used: leader lease "
                             + leaderLease
-                            + ", longest "
+                            + ", longest lease "
                             + maxLeaderLease
-                            + ", drift "
+                            + ", clock drift "
                             + maxClockDrift);
         }
     }
--- a/src/main/java/postbeam/coordination/HealthGossip.java
+++ b/src/main/java/postbeam/coordination/HealthGossip.java
@@ -24,7 +24,7 @@
     private static final Duration LOCAL_MAX_AGE = Duration.ofSeconds(5);
 
     /** Attempts that a report must rest on: a single failure says little. */
-    private static final int MIN_CALLS = 3;
+    private static final int MIN_ATTEMPTS = 3;
 
     /** Where the fleet has as many. */
     private static final int MIN_REPORTERS = 3;
@@ -59,7 +59,7 @@
 
         /** Whether it rests on enough attempts and is not older than this. */
         boolean counts(Duration now, Duration maxAge) {
-            return age(now).compareTo(maxAge) < 0 && report.calls() >= MIN_CALLS;
+            return age(now).compareTo(maxAge) < 0 && report.attempts() >= MIN_ATTEMPTS;
         }
     }
 
--- a/src/main/java/postbeam/coordination/HealthReport.java
+++ b/src/main/java/postbeam/coordination/HealthReport.java
@@ -8,7 +8,7 @@
  * @param router that reports, by name
  * @param zone of the router
  * @param slowness latency relative to the usual
- * @param calls attempts that the report rests on
+ * @param attempts that the report rests on
  * @param age how old it was when it was sent
  */
 public record HealthReport(
@@ -17,7 +17,7 @@
         NodeIncarnation node,
         Kind kind,
         double slowness,
-        int calls,
+        int attempts,
         Duration age) {
     /** The state of a node. */
     public enum Kind {
--- a/src/main/java/postbeam/coordination/LeaseParameters.java
+++ b/src/main/java/postbeam/coordination/LeaseParameters.java
@@ -48,19 +48,19 @@
                 || window.isNegative()
                 || maxClockDrift.isNegative()) {
             throw new IllegalArgumentException(
-                    "terms of leases can't be used: reserved "
+                    "lease parameters can't be used: reserved "
                             + reservedFraction
-                            + ", under way "
+                            + ", in flight "
                             + inFlight
-                            + ", shares "
+                            + ", most routers "
                             + maxRouters
-                            + ", largest call "
+                            + ", largest attempt "
                             + maxAttemptWork
-                            + ", use "
+                            + ", duration "
                             + duration
                             + ", window "
                             + window
-                            + ", drift "
+                            + ", clock drift "
                             + maxClockDrift);
         }
     }
--- a/src/main/java/postbeam/coordination/ColdNodeQuota.java
+++ b/src/main/java/postbeam/coordination/SlowStartQuota.java
@@ -13,7 +13,7 @@
  *
  * <p>Not thread-safe; {@link StripedCoordinator} guards it by the stripe's lock.
  */
-public class ColdNodeQuota {
+public class SlowStartQuota {
     /** A lease that was requested and, once its amount is above 0, granted. */
     private static final class Lease {
         final long number;
@@ -54,7 +54,7 @@
      * @param participants how many routers share the node
      * @param participating whether this router is one of them
      */
-    public ColdNodeQuota(LeaseParameters parameters, int participants, boolean participating) {
+    public SlowStartQuota(LeaseParameters parameters, int participants, boolean participating) {
         this.parameters = parameters;
         this.participants = participants;
         this.participating = participating;
--- a/src/main/java/postbeam/datanodes/NodeConnection.java
+++ b/src/main/java/postbeam/datanodes/NodeConnection.java
@@ -214,7 +214,8 @@
                                 frame ->
                                         frame.calls() == null
                                                 || frame.calls().stream()
-                                                        .allMatch(DispatchedAttempt::abandoned))) {
+                                                        .allMatch(
+                                                                DispatchedAttempt::isAbandoned))) {
             close(null);
         }
     }
--- a/src/main/java/postbeam/dispatch/DispatchedAttempt.java
+++ b/src/main/java/postbeam/dispatch/DispatchedAttempt.java
@@ -64,7 +64,7 @@
     }
 
     /** Whether {@link #abandon} was called. */
-    public boolean abandoned() {
+    public boolean isAbandoned() {
         return abandoned;
     }
 
--- a/src/main/java/postbeam/router/InFlightQuery.java
+++ b/src/main/java/postbeam/router/InFlightQuery.java
@@ -33,7 +33,7 @@
     /** Reports a client that has disconnected; run on the I/O thread of its connection. */
     private volatile Runnable clientCheck = () -> {};
 
-    /** The page that is asked for, or null. */
+    /** Creates a query without attempts; the page side is null where no page is requested. */
     InFlightQuery(
             ClientRequest request, Query query, Condition actionAvailable, PagedQuery pagedQuery) {
         this.request = request;
@@ -55,7 +55,7 @@
         return pagedQuery != null;
     }
 
-    /** Null where no page is asked for. */
+    /** Null where no page is requested. */
     PagedQuery pagedQuery() {
         return pagedQuery;
     }
--- a/src/main/java/postbeam/router/QueryFactory.java
+++ b/src/main/java/postbeam/router/QueryFactory.java
@@ -73,7 +73,7 @@
      * A query that arrived so long ago. Where slices move, its shard requests are assigned; else
      * {@link #addShardRequests} does so.
      *
-     * @param page the page that is asked for, or null
+     * @param page null where no page is requested
      * @throws UnroutableQueryException if its slices can't be resolved
      */
     InFlightQuery create(ClientRequest request, Duration now, Duration age, PagedQuery page)
--- a/src/main/java/postbeam/testbed/simulation/DefectiveCoordination.java
+++ b/src/main/java/postbeam/testbed/simulation/DefectiveCoordination.java
@@ -5,13 +5,13 @@
 import java.util.Locale;
 import java.util.Random;
 import java.util.stream.Stream;
-import postbeam.coordination.ColdNodeQuota;
 import postbeam.coordination.CoordinationStripe;
 import postbeam.coordination.ElectionTimeouts;
 import postbeam.coordination.LeaderElection;
 import postbeam.coordination.LeaseIssuer;
 import postbeam.coordination.LeaseParameters;
 import postbeam.coordination.ProcessIdentity;
+import postbeam.coordination.SlowStartQuota;
 
 /** A router's shared decisions with one defect, which the trial must catch. */
 public final class DefectiveCoordination extends CoordinationStripe {
@@ -128,10 +128,10 @@
     }
 
     @Override
-    protected ColdNodeQuota nodeQuota(LeaseParameters leaseTerms, int sharers, boolean drawn) {
+    protected SlowStartQuota nodeQuota(LeaseParameters leaseTerms, int sharers, boolean drawn) {
         return defect != Defect.LEASE_USED_AFTER_STOP
                 ? super.nodeQuota(leaseTerms, sharers, drawn)
-                : new ColdNodeQuota(leaseTerms, sharers, drawn) {
+                : new SlowStartQuota(leaseTerms, sharers, drawn) {
                     private Duration lookedAt = Duration.ZERO;
 
                     @Override
--- a/src/test/java/postbeam/coordination/ColdNodeQuotaTest.java
+++ b/src/test/java/postbeam/coordination/SlowStartQuotaTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-class ColdNodeQuotaTest {
+class SlowStartQuotaTest {
     private static final double BUDGET = 8;
 
     /**
@@ -19,7 +19,7 @@
     private final LeaseParameters terms =
             new LeaseParameters(ms(600), ms(1000), ms(10), 0.25, 0.5, 2, 0);
 
-    private final ColdNodeQuota leases = new ColdNodeQuota(terms, 2, true);
+    private final SlowStartQuota leases = new SlowStartQuota(terms, 2, true);
     private final LeaseTable ledger = new LeaseTable();
 
     private static Duration ms(long millis) {
--- a/src/test/java/postbeam/router/PolicyExecutorTest.java
+++ b/src/test/java/postbeam/router/PolicyExecutorTest.java
@@ -165,7 +165,7 @@
         InFlightQuery query = accept(request("a", "lookup", TIMEOUT, 1), Duration.ZERO);
         DispatchedAttempt attempt = send(query).attempts().get(0);
         executor.clientDisconnected(query);
-        assertTrue(attempt.abandoned());
+        assertTrue(attempt.isAbandoned());
     }
 
     @Test
