--- a/src/main/java/postbeam/testbed/cluster/FaultProxy.java
+++ b/src/main/java/postbeam/testbed/cluster/FaultProxy.java
@@ -49,7 +49,7 @@
 
     private static final int CONNECT_MILLIS = 1000;
 
-    private final class Connection {
+    private static final class Connection {
         final Socket near;
 
         /** Null until the target is reached. */
@@ -272,7 +272,7 @@
                 case DELAY, REORDER -> {
                     boolean alone =
                             side.fault == Fault.DELAY
-                                    || side.held == null && !holds
+                                    || (side.held == null && !holds)
                                     || side.held == one;
                     if (left <= 0 || !alone) {
                         side.held = side.held == one ? null : side.held;
--- a/src/main/java/postbeam/testbed/cluster/LoadGenerator.java
+++ b/src/main/java/postbeam/testbed/cluster/LoadGenerator.java
@@ -212,19 +212,22 @@
         openQueries.incrementAndGet();
         CompletableFuture<HttpResponse<byte[]>> answer =
                 http.sendAsync(request.build(), HttpResponse.BodyHandlers.ofByteArray());
-        answer.whenComplete(
-                (response, failure) -> {
-                    try {
-                        if (failure != null) {
-                            target.observer().unanswered(target.now(), id, String.valueOf(failure));
-                        }
-                        over(query, id, router, response);
-                    } catch (IOException e) {
-                        statuses.computeIfAbsent(-2, key -> new AtomicInteger()).incrementAndGet();
-                    } finally {
-                        openQueries.decrementAndGet();
-                    }
-                });
+        CompletableFuture<?> unused =
+                answer.whenComplete(
+                        (response, failure) -> {
+                            try {
+                                if (failure != null) {
+                                    target.observer()
+                                            .unanswered(target.now(), id, String.valueOf(failure));
+                                }
+                                over(query, id, router, response);
+                            } catch (IOException e) {
+                                statuses.computeIfAbsent(-2, key -> new AtomicInteger())
+                                        .incrementAndGet();
+                            } finally {
+                                openQueries.decrementAndGet();
+                            }
+                        });
     }
 
     private void over(Query query, String id, int router, HttpResponse<byte[]> response)
--- a/src/main/java/postbeam/testbed/cluster/ProcessCluster.java
+++ b/src/main/java/postbeam/testbed/cluster/ProcessCluster.java
@@ -337,7 +337,7 @@
             addresses.put(name, at);
             for (Map.Entry<String, FaultProxy> way : proxies.entrySet()) {
                 if (way.getKey().endsWith("-" + name)) {
-                    way.getValue().target(target(way.getKey().split("-")[0], name));
+                    way.getValue().target(target(way.getKey().split("-", 0)[0], name));
                 }
             }
         }
@@ -351,7 +351,9 @@
         return at == null
                 ? null
                 : RouterConfig.socketAddress(
-                        to.equals(DISCOVERY) ? at.split(",")[discoveryClients.indexOf(from)] : at);
+                        to.equals(DISCOVERY)
+                                ? at.split(",", 0)[discoveryClients.indexOf(from)]
+                                : at);
     }
 
     /**
--- a/src/main/java/postbeam/testbed/fakes/FakeDataNode.java
+++ b/src/main/java/postbeam/testbed/fakes/FakeDataNode.java
@@ -19,6 +19,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.ScheduledExecutorService;
+import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
@@ -57,6 +58,8 @@
             Supplier<Duration> now,
             Map<String, Map<KeyRange, Boolean>> runs) {}
 
+    // The bytes are written once and only read: identity is enough.
+    @SuppressWarnings("ArrayRecordComponent")
     private record Work(
             Socket socket,
             String query,
@@ -187,13 +190,13 @@
         String rest = parts;
         while (!rest.isEmpty()) {
             int end = rest.indexOf('\n');
-            String[] words = rest.substring(0, end).split(" ");
+            String[] words = rest.substring(0, end).split(" ", 0);
             String text = rest.substring(end + 1, end + 1 + Integer.parseInt(words[3]));
             rest = rest.substring(end + 1 + text.length());
             long version = 0;
             byte[] ask = null;
             KeyRange keys = KeyRange.ALL;
-            for (String item : words[2].split(",")) {
+            for (String item : words[2].split(",", 0)) {
                 if (item.startsWith("v=")) {
                     version = Long.parseLong(item.substring(2));
                 } else if (item.startsWith("k=")) {
@@ -284,10 +287,11 @@
                                             ? InvariantChecker.valueOf(work.query, work.keys)
                                             : page(work));
             if (chance() < lateAnswers) {
-                workers.schedule(
-                        () -> late(work.socket, answer),
-                        (long) (chance() * 500),
-                        TimeUnit.MILLISECONDS);
+                ScheduledFuture<?> unused =
+                        workers.schedule(
+                                () -> late(work.socket, answer),
+                                (long) (chance() * 500),
+                                TimeUnit.MILLISECONDS);
             } else {
                 send(work.socket, answer);
             }
@@ -356,7 +360,7 @@
     // ---- orders
 
     private void order(Socket socket, String line) throws IOException {
-        String[] words = line.split(" ");
+        String[] words = line.split(" ", 0);
         if (words[0].equals("SAY")) {
             say(socket, words);
             return;
@@ -402,7 +406,7 @@
         if (!has) {
             return;
         }
-        for (String range : words[3].split(",")) {
+        for (String range : words[3].split(",", 0)) {
             int dash = range.indexOf('-');
             KeyRange keys =
                     new KeyRange(
--- a/src/main/java/postbeam/testbed/fakes/FakeDiscovery.java
+++ b/src/main/java/postbeam/testbed/fakes/FakeDiscovery.java
@@ -108,7 +108,7 @@
                             new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
             String line;
             while ((line = in.readLine()) != null) {
-                String path = line.split(" ")[1];
+                String path = line.split(" ", 0)[1];
                 while (!in.readLine().isEmpty()) {
                     // Headers say nothing here.
                 }
--- a/src/main/java/postbeam/testbed/fakes/FakeServerMain.java
+++ b/src/main/java/postbeam/testbed/fakes/FakeServerMain.java
@@ -73,7 +73,7 @@
         System.out.println("at " + node.dialAddress());
         String line;
         while ((line = told.readLine()) != null) {
-            String[] words = line.split(" ");
+            String[] words = line.split(" ", 0);
             switch (words[0]) {
                 case "hang" -> node.setHanging(Boolean.parseBoolean(words[1]));
                 case "slow" -> node.setSlowdown(Integer.parseInt(words[1]));
--- a/src/main/java/postbeam/testbed/fakes/ScriptedDataNode.java
+++ b/src/main/java/postbeam/testbed/fakes/ScriptedDataNode.java
@@ -82,7 +82,7 @@
         String rest = parts;
         while (!rest.isEmpty()) {
             int end = rest.indexOf('\n');
-            String[] words = rest.substring(0, end).split(" ");
+            String[] words = rest.substring(0, end).split(" ", 0);
             int after = end + 1 + Integer.parseInt(words[3]);
             frames.add("m " + words[0] + " " + words[1] + " " + rest.substring(end + 1, after));
             answer(socket, words[0]);
@@ -119,7 +119,7 @@
         byte[] bytes = frame.getBytes(StandardCharsets.UTF_8);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (int i = 0; i < Integer.BYTES; i++) {
-            out.write(bytes.length >> 8 * i);
+            out.write(bytes.length >> (8 * i));
         }
         out.write(bytes);
         socket.getOutputStream().write(out.toByteArray());
--- a/src/main/java/postbeam/testbed/simulation/DefectiveMigration.java
+++ b/src/main/java/postbeam/testbed/simulation/DefectiveMigration.java
@@ -39,7 +39,7 @@
     @Override
     public boolean isVerified(Migration migration, Move move) {
         return defect == Defect.VERIFY_SKIPPED
-                || defect == Defect.ROLLBACK_LOSES && migration.rollbackReason() != null
+                || (defect == Defect.ROLLBACK_LOSES && migration.rollbackReason() != null)
                 || super.isVerified(migration, move);
     }
 
--- a/src/main/java/postbeam/testbed/simulation/MigrationSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/MigrationSimulation.java
@@ -13,6 +13,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
+import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import org.apache.commons.rng.UniformRandomProvider;
@@ -41,6 +42,7 @@
  * sees against that.
  */
 public final class MigrationSimulation {
+    private static final List<MigrationState> STATES = List.of(MigrationState.values());
     private static final int NODES = 7;
     private static final int SLICES = 6;
     private static final int HOLDERS = 3;
@@ -212,7 +214,7 @@
     }
 
     /** A copy comes out wrong now and then: a row is missing. */
-    void spoil(TreeMap<Long, SimulatedMigrationNode.Row> rows) {
+    void spoil(SortedMap<Long, SimulatedMigrationNode.Row> rows) {
         if (!calm && !rows.isEmpty() && with(SPOILT_COPIES)) {
             rows.remove(new ArrayList<>(rows.keySet()).get(chance.nextInt(rows.size())));
             count("copies spoilt");
@@ -613,8 +615,7 @@
                         id ->
                                 !faults
                                         ? MigrationState.RETIRED
-                                        : MigrationState.values()[
-                                                chance.nextInt(MigrationState.values().length)]);
+                                        : STATES.get(chance.nextInt(STATES.size())));
         if (one.state() == back && one.state().allowsRollback() && with(0.3)) {
             chief.ordered(
                     migrations -> () -> migrations.rollBack(one.id, "an operator's wish", now));
@@ -687,8 +688,9 @@
                 Slice slice = layout.slice(hop.slice());
                 boolean old = slice.heldBy(hop.source()) && !slice.heldBy(hop.target());
                 boolean fresh = !slice.heldBy(hop.source()) && slice.heldBy(hop.target());
-                if (one.state() == MigrationState.RETIRED && !fresh
-                        || one.state() == MigrationState.ROLLED_BACK && !old) {
+                if (one.state() == MigrationState.RETIRED
+                        ? !fresh
+                        : one.state() == MigrationState.ROLLED_BACK && !old) {
                     breaks(one + " left slice " + hop.slice() + " with " + slice.nodes());
                 }
             }
--- a/src/main/java/postbeam/testbed/simulation/PagingSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/PagingSimulation.java
@@ -432,7 +432,7 @@
         int length = page.rows().size();
         if (length > same.size()
                 || !written(page.rows()).equals(written(same.subList(0, length)))
-                || length < same.size() && !page.truncated()) {
+                || (length < same.size() && !page.truncated())) {
             broken.add("page " + pages + " differs from another router's");
         }
     }
--- a/src/main/java/postbeam/testbed/simulation/SimulatedDataNode.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedDataNode.java
@@ -87,7 +87,7 @@
         FakeSliceStore.HeldSlice one = held.tryAccept(slice, version, keys);
         if (one == null
                 || waiting.size() >= QUEUE
-                || readiness == Readiness.DRAINING && cluster.with(0.5)) {
+                || (readiness == Readiness.DRAINING && cluster.with(0.5))) {
             if (one != null) {
                 held.completeCall(one);
             }
@@ -156,7 +156,7 @@
             Duration ready =
                     copies.computeIfAbsent(
                             tell.slice(), key -> cluster.now().plus(cluster.upTo(COPY_MOST)));
-            copied = own || source != null && source.alive && cluster.now().compareTo(ready) >= 0;
+            copied = own || (source != null && source.alive && cluster.now().compareTo(ready) >= 0);
         } else if (tell.command() == HandoffCommand.DROP) {
             copies.remove(tell.slice());
         }
--- a/src/main/java/postbeam/testbed/simulation/SimulatedMigrationCoordinator.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedMigrationCoordinator.java
@@ -61,6 +61,8 @@
     private static final Duration LOOK = Duration.ofMillis(20);
 
     /** A record and the term that it was written in, as they stand in the log. */
+    // The bytes are written once and only read: identity is enough.
+    @SuppressWarnings("ArrayRecordComponent")
     record Stored(long term, byte[] bytes) {}
 
     /** Thrown where the process ends in the middle of what it does. */
--- a/src/main/java/postbeam/testbed/simulation/SimulatedMoveCoordinator.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedMoveCoordinator.java
@@ -215,7 +215,7 @@
         } else if (coordinator.rejectionReason(change).isEmpty()) {
             movesStarted++;
             carryOut(coordinator.plan(change, cluster.now()));
-        } else if (change instanceof LayoutChange.Merge merge) {
+        } else if (change instanceof LayoutChange.Merge) {
             // Neighbours that other nodes hold are first brought together.
             Slice other = slices.get(at + 1);
             for (String node : slice.nodes()) {
--- a/src/main/java/postbeam/testbed/simulation/SimulatedQueryRouter.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedQueryRouter.java
@@ -42,13 +42,11 @@
     private static final class Open {
         final String id;
         final Duration askedAt;
-        final Query query;
-        final Map<ShardRequest, String> values = new IdentityHashMap<>();
+        final IdentityHashMap<ShardRequest, String> values = new IdentityHashMap<>();
 
-        Open(String id, Duration askedAt, Query query) {
+        Open(String id, Duration askedAt) {
             this.id = id;
             this.askedAt = askedAt;
-            this.query = query;
         }
     }
 
@@ -58,8 +56,8 @@
     private final EndpointRegistry registry;
     private final RoutingPolicy policy;
     private final Map<String, QueryClass> verticals = new LinkedHashMap<>();
-    private final Map<Query, Open> open = new IdentityHashMap<>();
-    private final Map<Attempt, Boolean> out = new IdentityHashMap<>();
+    private final IdentityHashMap<Query, Open> open = new IdentityHashMap<>();
+    private final IdentityHashMap<Attempt, Boolean> out = new IdentityHashMap<>();
     private final List<Attempt> calledOff = new ArrayList<>();
     private long listVersion;
 
@@ -135,7 +133,7 @@
             cluster.checker.rejected(now, id);
             return;
         }
-        open.put(query, new Open(id, now, query));
+        open.put(query, new Open(id, now));
         policy.onQuery(now, query);
         query.shardRequests.forEach(request -> policy.onShardRequest(now, request));
         turnEnded();
--- a/src/main/java/postbeam/testbed/trials/ProcessClusterTrial.java
+++ b/src/main/java/postbeam/testbed/trials/ProcessClusterTrial.java
@@ -21,6 +21,9 @@
  * seed.
  */
 final class ProcessClusterTrial implements Trial {
+    private static final List<FaultProxy.Direction> DIRECTIONS =
+            List.of(FaultProxy.Direction.values());
+    private static final List<FaultProxy.Fault> FAULT_KINDS = List.of(FaultProxy.Fault.values());
     private static final int NODES = 6;
     private static final int ROUTERS = 4;
     private static final int SHARDS = 8;
@@ -148,13 +151,13 @@
                 switch (chance.nextInt(8)) {
                     case 0, 1 ->
                             way.set(
-                                    FaultProxy.Direction.values()[chance.nextInt(2)],
-                                    FaultProxy.Fault.values()[1 + chance.nextInt(2)],
+                                    DIRECTIONS.get(chance.nextInt(2)),
+                                    FAULT_KINDS.get(1 + chance.nextInt(2)),
                                     Duration.ZERO);
                     case 2 -> way.setBoth(FaultProxy.Fault.CUT, Duration.ZERO);
                     case 3 ->
                             way.setBoth(
-                                    FaultProxy.Fault.values()[3 + chance.nextInt(2)],
+                                    FAULT_KINDS.get(3 + chance.nextInt(2)),
                                     Duration.ofMillis(chance.nextInt(100)));
                     case 4 -> way.reset();
                     case 5 -> fleet.healAll();
--- a/src/main/java/postbeam/testbed/verification/InvariantChecker.java
+++ b/src/main/java/postbeam/testbed/verification/InvariantChecker.java
@@ -399,7 +399,7 @@
             }
             in.add(value.keys);
         }
-        double weight = weight(q, q.version, in);
+        double weight = weight(q, in);
         Layout end = layouts.get(counted);
         if (end == null) {
             breaks(now, 5, query, "-", "counts by layout " + counted + ", which never was");
@@ -465,7 +465,7 @@
         return held == keys.size();
     }
 
-    private static double weight(ObservedQuery q, long version, List<KeyRange> in) {
+    private static double weight(ObservedQuery q, List<KeyRange> in) {
         return q.requestedSlices.stream()
                 .filter(one -> covered(one.keys, in))
                 .mapToDouble(RequestedSlice::weight)
--- a/src/test/java/postbeam/testbed/cluster/FaultProxyTest.java
+++ b/src/test/java/postbeam/testbed/cluster/FaultProxyTest.java
@@ -58,7 +58,7 @@
         Socket near =
                 new Socket(
                         InetAddress.getLoopbackAddress(),
-                        Integer.parseInt(proxy.address().split(":")[1]));
+                        Integer.parseInt(proxy.address().split(":", 0)[1]));
         near.setSoTimeout(LONG_MS);
         sockets.add(near);
         return near;
--- a/src/test/java/postbeam/testbed/simulation/MixedWorkloadsTest.java
+++ b/src/test/java/postbeam/testbed/simulation/MixedWorkloadsTest.java
@@ -22,6 +22,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
+import java.util.concurrent.Future;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -73,13 +74,14 @@
 
         Node(Seen seen) throws IOException {
             this.seen = seen;
-            threads.submit(
-                    () -> {
-                        while (true) {
-                            Socket socket = server.accept();
-                            threads.submit(() -> serve(socket));
-                        }
-                    });
+            Future<?> unused =
+                    threads.submit(
+                            () -> {
+                                while (true) {
+                                    Socket socket = server.accept();
+                                    Future<?> unusedServe = threads.submit(() -> serve(socket));
+                                }
+                            });
         }
 
         private Void serve(Socket socket) throws Exception {
@@ -97,11 +99,11 @@
                 for (String rest = text.charAt(0) == 'm' ? text.substring(1) : "";
                         !rest.isEmpty(); ) {
                     int end = rest.indexOf('\n');
-                    String[] words = rest.substring(0, end).split(" ");
+                    String[] words = rest.substring(0, end).split(" ", 0);
                     rest = rest.substring(end + 1 + Integer.parseInt(words[3]));
                     seen.called(words[0], System.nanoTime() > drainedAt);
                     if (!hangs) {
-                        threads.submit(() -> work(socket, words[0]));
+                        Future<?> unused = threads.submit(() -> work(socket, words[0]));
                     }
                 }
             }
