--- /dev/null
+++ b/src/test/java/postbeam/router/MonotonicClockTest.java
@@ -0,0 +1,30 @@
+package postbeam.router;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.time.Duration;
+import org.junit.jupiter.api.Test;
+
+class MonotonicClockTest {
+    private final MonotonicClock clock = new MonotonicClock();
+
+    @Test
+    void policyTimeAndNanoTimeAreTranslatedBothWays() {
+        Duration time = Duration.ofSeconds(7).plusNanos(3);
+        assertEquals(time, clock.fromNanoTime(clock.toNanoTime(time)));
+    }
+
+    @Test
+    void unixTimesAreTranslatedAlikeFromMicrosecondsAndSpans() {
+        long micros = 1_790_000_000_000_123L;
+        assertEquals(
+                clock.fromUnixTime(Duration.ofNanos(micros * 1000)), clock.fromUnixMicros(micros));
+    }
+
+    @Test
+    void presentUnixTimeIsThePresentPolicyTime() {
+        Duration apart = clock.fromUnixMicros(System.currentTimeMillis() * 1000).minus(clock.now());
+        assertTrue(apart.abs().compareTo(Duration.ofSeconds(5)) < 0, apart + " apart");
+    }
+}
