--- a/src/main/java/postbeam/model/Attempt.java
+++ b/src/main/java/postbeam/model/Attempt.java
@@ -2,9 +2,9 @@
 
 import java.time.Duration;
 
-/** One sending of a shard request to a data node. */
+/** One attempt to execute a shard request at a data node. */
 public final class Attempt {
-    /** What was sent. */
+    /** The shard request that was sent. */
     public final ShardRequest shardRequest;
 
     /** The node that it was sent to. */
--- a/src/main/java/postbeam/model/CompletenessRule.java
+++ b/src/main/java/postbeam/model/CompletenessRule.java
@@ -3,10 +3,10 @@
 import java.util.function.Predicate;
 
 /**
- * Rule for the weight of a query's requests after slices were split or joined since the client
+ * Rule for the weight of a query's requests after slices were split or merged since the client
  * named them.
  */
 public interface CompletenessRule {
     /** The weight, from 0 to 1, of the requests that match, in terms of one layout. */
-    double weight(Query query, Predicate<ShardRequest> which);
+    double weight(Query query, Predicate<ShardRequest> condition);
 }
--- a/src/main/java/postbeam/model/Query.java
+++ b/src/main/java/postbeam/model/Query.java
@@ -24,7 +24,7 @@
     private final List<ShardRequest> requests = new ArrayList<>();
     private final List<ShardRequest> answeredRequests = new ArrayList<>();
 
-    /** The requests of its present step; an unmodifiable view. */
+    /** The requests of its current step; an unmodifiable view. */
     public final List<ShardRequest> shardRequests = Collections.unmodifiableList(requests);
 
     /** The requests of its first step once that is answered, else empty; an unmodifiable view. */
@@ -50,7 +50,7 @@
         this.deadline = deadline;
     }
 
-    /** The class of its present step. */
+    /** The class of its current step. */
     public QueryClass queryClass() {
         return queryClass;
     }
@@ -90,7 +90,7 @@
         ended = true;
     }
 
-    /** Whether the replica offset of its present step is chosen. */
+    /** Whether the replica offset of its current step is chosen. */
     public boolean hasReplicaOffset() {
         return replicaOffset >= 0;
     }
@@ -100,13 +100,13 @@
         return replicaOffset;
     }
 
-    /** Sets the replica offset of its present step. */
+    /** Sets the replica offset of its current step. */
     public void chooseReplicaOffset(int offset) {
         replicaOffset = offset;
     }
 
     /**
-     * The rule for its weights after slices were split or joined; null if each request counts by
+     * The rule for its weights after slices were split or merged; null if each request counts by
      * itself.
      */
     public CompletenessRule completenessRule() {
@@ -154,24 +154,24 @@
     }
 
     /** The weight of the requests that match, from 0 to 1. */
-    public double weightOf(Predicate<ShardRequest> which) {
+    public double weightOf(Predicate<ShardRequest> condition) {
         if (completenessRule != null) {
-            return completenessRule.weight(this, which);
+            return completenessRule.weight(this, condition);
         }
         double sum = 0;
         for (ShardRequest request : requests) {
-            if (which.test(request)) {
+            if (condition.test(request)) {
                 sum += request.weight;
             }
         }
         return sum;
     }
 
-    /** Number of requests of its present step that match. */
-    public int countRequests(Predicate<ShardRequest> which) {
+    /** Number of requests of its current step that match. */
+    public int countRequests(Predicate<ShardRequest> condition) {
         int count = 0;
         for (ShardRequest request : requests) {
-            count += which.test(request) ? 1 : 0;
+            count += condition.test(request) ? 1 : 0;
         }
         return count;
     }
@@ -215,7 +215,7 @@
         replicaOffset = -1;
     }
 
-    /** Removes requests that others have replaced. */
+    /** Removes requests that have been replaced by others. */
     public void removeShardRequests(Collection<? extends ShardRequest> replaced) {
         requests.removeAll(replaced);
     }
--- a/src/main/java/postbeam/model/ShardRequest.java
+++ b/src/main/java/postbeam/model/ShardRequest.java
@@ -35,7 +35,7 @@
     private boolean closed;
     private Duration mayHaveExecutedSince;
 
-    /** Creates a request of the query's present step and adds it to the query. */
+    /** Creates a request of the query's current step and adds it to the query. */
     public ShardRequest(Query query, int shard, double weight, Duration estimatedWork) {
         this.query = query;
         this.queryClass = query.queryClass();
@@ -78,7 +78,7 @@
     }
 
     /**
-     * Takes over the past of a request that this one replaces: what may have been executed for the
+     * Inherits the history of a request that this one replaces: what may have been executed for the
      * other may have been executed for this one.
      */
     public void inherit(ShardRequest other) {
@@ -89,7 +89,10 @@
         }
     }
 
-    /** Counts the attempts of a request that this one replaces as its own, and no more of it. */
+    /**
+     * Counts the attempts of a request that this one replaces as its own, without the rest of its
+     * history.
+     */
     public void inheritAttempts(ShardRequest other) {
         allAttempts.addAll(other.allAttempts);
     }
--- a/src/main/java/postbeam/model/SlidingWindowCounter.java
+++ b/src/main/java/postbeam/model/SlidingWindowCounter.java
@@ -4,11 +4,11 @@
 import java.util.Arrays;
 
 /**
- * A sum over a sliding window, kept in a ring of buckets of time. As buckets expire as a whole,
+ * A sum over a sliding window, kept in a ring buffer of time buckets. As buckets expire as a whole,
  * only an upper and a lower bound of the sum over a span are known.
  */
 public final class SlidingWindowCounter {
-    /** Bounds differ by the content of one bucket, a fiftieth of the span. */
+    /** Number of buckets per span; the bounds differ by the content of one bucket. */
     private static final int DEFAULT_BUCKETS = 50;
 
     private final long bucketNanos;
--- a/src/main/java/postbeam/policy/AdmissionControl.java
+++ b/src/main/java/postbeam/policy/AdmissionControl.java
@@ -12,17 +12,17 @@
 import postbeam.model.Tenant;
 
 /**
- * Load and quota accounting: whether the router is crowded, which queries exceed their tenant's
- * quota, and the Retry-After of rejected clients.
+ * Load and quota accounting: whether the router is crowded (close to its capacity), which queries
+ * exceed their tenant's quota, and the Retry-After of rejected clients.
  */
 public final class AdmissionControl {
-    /** Share of {@code maxHeld} above which the router counts as crowded. */
+    /** Fraction of {@code maxHeld} above which the router counts as crowded. */
     private static final double CROWDED_SHARE = 0.7;
 
     /** Window over which tenants' queries are counted. */
     private static final Duration QUOTA_WINDOW = Duration.ofSeconds(5);
 
-    /** Queries by which a tenant may exceed its quota: a burst of two is normal. */
+    /** Number of queries by which a tenant may exceed its quota: a burst of two is normal. */
     private static final double QUOTA_TOLERANCE = 2;
 
     /** Retry-After of rejections while the router is crowded. */
@@ -55,11 +55,11 @@
 
     /** Recomputes the load from the open queries. */
     void update(List<Query> open) {
-        int held = 0;
+        int openCount = 0;
         for (Query query : open) {
-            held += 1 + query.shardRequests.size();
+            openCount += 1 + query.shardRequests.size();
         }
-        crowded = maxHeld != null && held > CROWDED_SHARE * maxHeld;
+        crowded = maxHeld != null && openCount > CROWDED_SHARE * maxHeld;
     }
 
     /** Whether the router holds nearly as many queries and requests as it may. */
@@ -96,8 +96,8 @@
         queries.add(now, 1);
         allQueries.add(now, 1);
         double received = queries.lowerBoundSum(now, QUOTA_WINDOW);
-        double evenShare = tenant.quotaPerSecond / routerCount * seconds(QUOTA_WINDOW);
-        return received > evenShare + QUOTA_TOLERANCE
+        double routerQuota = tenant.quotaPerSecond / routerCount * seconds(QUOTA_WINDOW);
+        return received > routerQuota + QUOTA_TOLERANCE
                 && received * sumOfQuotas
                         >= allQueries.lowerBoundSum(now, QUOTA_WINDOW) * tenant.quotaPerSecond;
     }
--- a/src/main/java/postbeam/policy/CanaryPolicy.java
+++ b/src/main/java/postbeam/policy/CanaryPolicy.java
@@ -14,9 +14,10 @@
  * when nodes crash for other reasons.
  */
 final class CanaryPolicy {
-    /** Window in which crashes are counted, and the number of crashes that requires canaries. */
+    /** Window in which crashes are counted. */
     private static final Duration CRASH_MEMORY = Duration.ofSeconds(10);
 
+    /** Number of crashes within the window from which canaries are required. */
     private static final int MIN_CRASHES = 2;
 
     /** Nodes that disappeared or restarted without draining, according to the endpoint list. */
--- a/src/main/java/postbeam/policy/ClientRetryDating.java
+++ b/src/main/java/postbeam/policy/ClientRetryDating.java
@@ -16,7 +16,9 @@
  * wrong for clients that use shorter timeouts for retries for other reasons.
  */
 final class ClientRetryDating {
-    /** Weight of a new sample that is longer than the estimate. */
+    /**
+     * Smoothing factor for a sample that is longer than the estimate; a shorter one replaces it.
+     */
     private static final double SMOOTHING = 0.25;
 
     /** Estimated client timeout of first requests, per class. */
--- a/src/main/java/postbeam/policy/CompletionForecast.java
+++ b/src/main/java/postbeam/policy/CompletionForecast.java
@@ -25,18 +25,20 @@
      */
     boolean isTooLate(Duration now, Query query, double rounds) {
         QueryClass queryClass = query.queryClass();
-        Duration done =
+        Duration expectedCompletion =
                 query.requestsNeeded() > query.requestsInFlight()
                         ? now.plus(latencies.typicalLatency(now, queryClass, rounds))
                         : now;
         if (queryClass.secondStep != null) {
-            done = done.plus(latencies.typicalLatency(now, queryClass.secondStep, 1));
+            expectedCompletion =
+                    expectedCompletion.plus(
+                            latencies.typicalLatency(now, queryClass.secondStep, 1));
         }
-        return done.compareTo(query.sloDeadline()) >= 0;
+        return expectedCompletion.compareTo(query.sloDeadline()) >= 0;
     }
 
     /**
-     * Like {@link #isTooLate}, with as many rounds as the present window needs for the missing
+     * Like {@link #isTooLate}, with as many rounds as the current window needs for the missing
      * requests.
      */
     boolean isTooLateInWindow(Duration now, Query query) {
@@ -46,19 +48,20 @@
     /**
      * Whether the query would miss its objective or its client's deadline at the typical latency.
      * Starting such queries would only waste capacity. While nothing is in flight this is always
-     * false, as what was learnt may be out of date.
+     * false, as the estimates may be out of date.
      */
     boolean cannotFinishInTime(Duration now, Query query) {
         QueryClass queryClass = query.queryClass();
         double factor = slowestFactor(query);
         Duration clientLimit = query.deadline.minus(PolicyTiming.FINAL_ANSWER_MARGIN);
-        Duration left = min(query.sloDeadline(), clientLimit).minus(now);
+        Duration remaining = min(query.sloDeadline(), clientLimit).minus(now);
         if (queryClass.secondStep != null) {
-            left = left.minus(latencies.typicalLatency(now, queryClass.secondStep, factor));
+            remaining =
+                    remaining.minus(latencies.typicalLatency(now, queryClass.secondStep, factor));
         }
         return window.inFlight() > 0
                 && latencies.hasLearntBaseline(queryClass)
-                && left.compareTo(latencies.typicalLatency(now, queryClass, factor)) < 0;
+                && remaining.compareTo(latencies.typicalLatency(now, queryClass, factor)) < 0;
     }
 
     /**
--- a/src/main/java/postbeam/policy/ConcurrencyWindow.java
+++ b/src/main/java/postbeam/policy/ConcurrencyWindow.java
@@ -7,31 +7,30 @@
 import postbeam.model.QueryClass;
 
 /**
- * Limit on the attempts that this router may have in flight (the threads of the SEDPT-R paper). The
- * window is halved when a node is overloaded, narrowed by late answers, and widened by answers
+ * Limit on the attempts that this router may have in flight (called threads in the SEDPT-R paper).
+ * The window is halved when a node is overloaded, narrowed by late answers, and widened by answers
  * while it is in use.
  */
 final class ConcurrencyWindow {
-    /** Initial and minimum size, in attempts. */
+    /** Initial size, in attempts. */
     private static final int INITIAL = 32;
 
+    /** Minimum size, in attempts. */
     private static final int MIN = 4;
 
     /** Minimum size summed over all routers, in attempts per node. */
     private static final double MIN_PER_NODE = 2.5;
 
-    /**
-     * Share of the latency objective above which an answer is late, and the decrease per late
-     * answer.
-     */
+    /** Fraction of the latency objective above which an answer is late. */
     private static final double LATE_SHARE = 0.25;
 
+    /** Decrease of the size per late answer, in attempts. */
     private static final int LATE_DECREASE = 2;
 
     /** Multiple of the typical latency that must be late itself for a late answer to count. */
     private static final double LATE_TYPICAL_FACTOR = 2;
 
-    /** Share of the window above which it counts as in use. */
+    /** Fraction of the window above which it counts as in use. */
     private static final double IN_USE_SHARE = 0.6;
 
     private final Cluster cluster;
@@ -67,7 +66,7 @@
         return inFlight - lost < size;
     }
 
-    /** Whether one more attempt fits and leaves room for others. */
+    /** Whether one more attempt fits and leaves capacity for others. */
     boolean hasAmpleRoom(int lost) {
         return inFlight - lost < size * IN_USE_SHARE;
     }
@@ -103,13 +102,13 @@
                                         .typicalLatency(now, queryClass, LATE_TYPICAL_FACTOR)
                                         .compareTo(limit)
                                 > 0;
-        double next = size;
+        double newSize = size;
         if (late) {
-            next = size - LATE_DECREASE;
+            newSize = size - LATE_DECREASE;
         } else if (inFlight + 1 >= size * IN_USE_SHARE) {
-            next = size + 1;
+            newSize = size + 1;
         }
-        size = Math.max(min(), next);
+        size = Math.max(min(), newSize);
     }
 
     /**
--- a/src/main/java/postbeam/policy/HealthRecord.java
+++ b/src/main/java/postbeam/policy/HealthRecord.java
@@ -10,12 +10,13 @@
     /** Window in which outcomes are counted. */
     private static final Duration MEMORY = LatencyEstimator.MEMORY;
 
-    /** Duration of the first ejection, doubled by each further one up to the maximum. */
+    /** Duration of the first ejection; it backs off exponentially, doubling each time. */
     private static final Duration FIRST_EJECTION = Duration.ofMillis(500);
 
+    /** Maximum duration of an ejection. */
     private static final Duration LONGEST_EJECTION = Duration.ofSeconds(4);
 
-    /** Keeps the multiplier within a long. */
+    /** Maximum exponent of the backoff; prevents overflow of the multiplier. */
     private static final int MAX_DOUBLINGS = 10;
 
     private final SlidingWindowCounter successes = new SlidingWindowCounter(MEMORY);
@@ -43,8 +44,8 @@
         if (ejectedUntil != null && now.compareTo(ejectedUntil) < 0) {
             return false;
         }
-        long times = 1L << Math.min(ejectionCount, MAX_DOUBLINGS);
-        ejectedUntil = now.plus(min(LONGEST_EJECTION, FIRST_EJECTION.multipliedBy(times)));
+        long multiplier = 1L << Math.min(ejectionCount, MAX_DOUBLINGS);
+        ejectedUntil = now.plus(min(LONGEST_EJECTION, FIRST_EJECTION.multipliedBy(multiplier)));
         ejectionCount++;
         return true;
     }
--- a/src/main/java/postbeam/policy/HedgingPolicy.java
+++ b/src/main/java/postbeam/policy/HedgingPolicy.java
@@ -13,7 +13,7 @@
     /** Maximum number of attempts of one request in flight. */
     private static final int MAX_PARALLEL_ATTEMPTS = 2;
 
-    /** Maximum share of spares among the attempts in flight. */
+    /** Maximum fraction of spares among the attempts in flight. */
     private static final double SPARE_SHARE = 0.1;
 
     private final AttemptLimits limits;
--- a/src/main/java/postbeam/policy/LatencyEstimator.java
+++ b/src/main/java/postbeam/policy/LatencyEstimator.java
@@ -24,29 +24,28 @@
     /** Time for which a node's last answer is taken into account. */
     static final Duration MEMORY = Duration.ofSeconds(4);
 
-    /** Weights of a sample below and above the baseline. */
+    /** Smoothing factor for a sample below the baseline. */
     private static final double BASELINE_FALL = 0.2;
 
+    /** Maximum smoothing factor for a sample above the baseline. */
     private static final double BASELINE_RISE = 0.01;
 
     /** Minimum time constant for rising, in seconds, so that a short overload has little effect. */
     private static final double BASELINE_RISE_SECONDS = 20;
 
-    /** Initial baseline, as a share of the latency objective. */
+    /** Initial baseline, as a fraction of the latency objective. */
     private static final double BASELINE_GUESS = 0.1;
 
-    /** Minimum divisor of a slowdown, in seconds. */
+    /** Minimum baseline by which a latency is divided to compute a slowdown, in seconds. */
     private static final double LEAST_BASELINE_SECONDS = 0.001;
 
     /** Quantile of the slowdowns that is typical. */
     private static final double TYPICAL_QUANTILE = 0.5;
 
-    /**
-     * Lower quantile, used where it is smaller by more than this ratio: up to two thirds of the
-     * nodes may be slow.
-     */
+    /** Lower quantile: up to two thirds of the nodes may be slow. */
     private static final double LOWER_QUANTILE = 0.33;
 
+    /** Ratio of the typical to the lower quantile above which the lower one is used. */
     private static final double MAX_QUANTILE_RATIO = 2;
 
     private static final class Baseline {
@@ -112,18 +111,18 @@
     }
 
     void onAttemptEnded(Duration now, Attempt attempt, AttemptOutcome outcome, Duration latency) {
-        NodeLatency node = NodeState.of(attempt.node).latency;
+        NodeLatency nodeLatency = NodeState.of(attempt.node).latency;
         QueryClass queryClass = attempt.shardRequest.queryClass;
         boolean success = outcome == AttemptOutcome.SUCCESS;
         if (success) {
             updateBaseline(now, queryClass, latency);
-            node.recordAnswer(now, attempt.sentAt);
+            nodeLatency.recordAnswer(now, attempt.sentAt);
             moveToRecentlyAnswered(attempt.node);
         }
         double slowdown =
                 seconds(latency) / Math.max(LEAST_BASELINE_SECONDS, seconds(baseline(queryClass)));
-        if (success || (outcome.isAbandoned() && slowdown > node.slowdown())) {
-            node.addSample(slowdown);
+        if (success || (outcome.isAbandoned() && slowdown > nodeLatency.slowdown())) {
+            nodeLatency.addSample(slowdown);
         }
     }
 
@@ -147,15 +146,15 @@
             baseline.latency = scale(latency, 1 / typicalSlowdown(now));
             baselines.put(queryClass, baseline);
         }
-        Duration known = baseline.latency;
-        double weight =
-                latency.compareTo(known) < 0
+        Duration previous = baseline.latency;
+        double smoothing =
+                latency.compareTo(previous) < 0
                         ? BASELINE_FALL
                         : Math.min(
                                 BASELINE_RISE,
                                 seconds(now.minus(baseline.updatedAt)) / BASELINE_RISE_SECONDS);
         baseline.updatedAt = now;
-        baseline.latency = known.plus(scale(latency.minus(known), weight));
+        baseline.latency = previous.plus(scale(latency.minus(previous), smoothing));
     }
 
     private void moveToRecentlyAnswered(DataNode node) {
--- a/src/main/java/postbeam/policy/NodeLatency.java
+++ b/src/main/java/postbeam/policy/NodeLatency.java
@@ -4,7 +4,7 @@
 
 /** Recent answers of one data node. */
 final class NodeLatency {
-    /** Weight of a new sample: about the last four count. */
+    /** Smoothing factor of the exponential moving average. */
     private static final double SMOOTHING = 0.25;
 
     private double slowdown;
--- a/src/main/java/postbeam/policy/OutlierDetector.java
+++ b/src/main/java/postbeam/policy/OutlierDetector.java
@@ -17,20 +17,24 @@
  * node, so that no node is an outlier when all are slow.
  */
 final class OutlierDetector {
-    /** Minimum share and number of failures for which a node is ejected. */
+    /** Minimum fraction of failed outcomes for which a node is ejected. */
     private static final double NODE_FAILURE_SHARE = 0.3;
 
+    /** Minimum number of failures for which a node is ejected. */
     private static final int NODE_MIN_FAILURES = 2;
 
     /**
-     * Minimum share and number of failures for which a zone is ejected. Nodes of a zone fail
+     * Minimum fraction of failed outcomes for which a zone is ejected. Nodes of a zone fail
      * together only if the network to it does.
      */
     private static final double ZONE_FAILURE_SHARE = 0.5;
 
+    /** Minimum number of failures for which a zone is ejected. */
     private static final int ZONE_MIN_FAILURES = 4;
 
-    /** Share of the latency objective after which an attempt in flight makes its node suspect. */
+    /**
+     * Fraction of the latency objective after which an attempt in flight makes its node suspect.
+     */
     private static final double STUCK_SHARE = 0.5;
 
     /** Slowdown relative to the typical node above which a node is suspect. */
@@ -99,12 +103,12 @@
      * Detects a broken or slow network path to a zone: a router sends too few requests to each node
      * to detect that per node. An ejected zone gets one trial attempt at a time.
      */
-    private void updateZone(Duration now, Attempt attempt, NodeHealth node, boolean failed) {
-        ZoneHealth zone = node.zone;
+    private void updateZone(Duration now, Attempt attempt, NodeHealth health, boolean failed) {
+        ZoneHealth zone = health.zone;
         if (zone.isTrial(attempt) && !failed) {
             zone.forgetEjections();
         }
-        if (!node.countsForZone(now)) {
+        if (!health.countsForZone(now)) {
             return;
         }
         if (!failed) {
--- a/src/main/java/postbeam/policy/QueryCompletion.java
+++ b/src/main/java/postbeam/policy/QueryCompletion.java
@@ -13,18 +13,20 @@
 import postbeam.model.ShardRequest;
 import postbeam.model.SideEffects;
 
-/** Keeps the open queries and decides when each is answered, rejected or aborted. */
+/** Holds the open queries and decides when each is answered, rejected or aborted. */
 final class QueryCompletion {
     /** Tolerance for sums of weights, which add up to 1 except for rounding. */
     private static final double ROUNDING = 0.00005;
 
-    /** Share of the latency objective after which a query that has not started is rejected. */
+    /** Fraction of the latency objective after which a query that has not started is rejected. */
     private static final double START_SHARE = 0.4;
 
-    /** The same share for queries of low priority. */
+    /** The same fraction for queries of low priority. */
     private static final double LOW_PRIORITY_START_SHARE = 0.1;
 
-    /** Lateness, as a share of the latency objective, after which a crowded router ends a query. */
+    /**
+     * Lateness, as a fraction of the latency objective, after which a crowded router ends a query.
+     */
     private static final double MAX_LATENESS_SHARE = 0.5;
 
     private final PolicyActions actions;
@@ -175,13 +177,13 @@
     private void giveUp(Query query) {
         QueryClass queryClass = query.queryClass();
         double answered = query.answeredWeight();
-        boolean harmless = isRetryHarmless(query);
+        boolean retryHarmless = isRetryHarmless(query);
         end(query);
         if (answered > 0
                 && reaches(answered, queryClass.minimumWeight)
                 && queryClass.secondStep == null) {
             actions.answer(query, false);
-        } else if (harmless) {
+        } else if (retryHarmless) {
             actions.reject(query, admission.retryAfter());
         } else {
             actions.abort(query);
--- a/src/main/java/postbeam/policy/QueryPriority.java
+++ b/src/main/java/postbeam/policy/QueryPriority.java
@@ -18,7 +18,7 @@
     }
 
     /**
-     * Whether the query exceeds its tenant's quota, can't be on time with the present window, or
+     * Whether the query exceeds its tenant's quota, can't be on time with the current window, or
      * has not started and can't be placed on healthy nodes. Such queries are not rejected for that
      * alone, as the window may grow.
      */
--- a/src/main/java/postbeam/policy/ReplicaSelector.java
+++ b/src/main/java/postbeam/policy/ReplicaSelector.java
@@ -31,8 +31,15 @@
     /** Weight of a rank, larger than any load. */
     private static final double RANK_WEIGHT = 100;
 
+    /** Rank of a suspect node. */
     private static final double RANK_SUSPECT = 2;
+
+    /**
+     * Rank of a node that was ejected and has not recovered since, for a non-idempotent request.
+     */
     private static final double RANK_FAILED_LATELY = 1;
+
+    /** Added to the rank for each earlier attempt of the request at the node. */
     private static final double RANK_EARLIER_ATTEMPT = 1;
 
     private final AttemptLimits limits;
@@ -73,22 +80,22 @@
     }
 
     /**
-     * Chooses the offset of the query's present step unless it is chosen: the one whose nodes have
+     * Chooses the offset of the query's current step unless it is chosen: the one whose nodes have
      * the fewest batches in flight, and among equals the one with the fewest remote requests.
      */
     void chooseOffset(Duration now, Query query) {
         if (query.hasReplicaOffset()) {
             return;
         }
-        int offsets = 1;
+        int offsetCount = 1;
         for (ShardRequest request : query.shardRequests) {
-            offsets = Math.max(offsets, cluster.replicas(request.shard).size());
+            offsetCount = Math.max(offsetCount, cluster.replicas(request.shard).size());
         }
-        int first = random.nextInt(offsets);
-        int best = first;
+        int start = random.nextInt(offsetCount);
+        int best = start;
         double leastCost = Double.MAX_VALUE;
-        for (int i = 0; i < offsets; i++) {
-            int offset = (first + i) % offsets;
+        for (int i = 0; i < offsetCount; i++) {
+            int offset = (start + i) % offsetCount;
             double cost = costOfOffset(now, query, offset);
             if (cost < leastCost) {
                 leastCost = cost;
@@ -132,7 +139,7 @@
     DataNode chooseNode(Duration now, ShardRequest request) {
         List<DataNode> replicas = cluster.replicas(request.shard);
         Duration work = workCounted(request);
-        boolean first = request.attemptsInFlight.isEmpty();
+        boolean noneInFlight = request.attemptsInFlight.isEmpty();
         DataNode best = null;
         double leastCost = Double.MAX_VALUE;
         for (int i = 0; i < replicas.size(); i++) {
@@ -143,7 +150,7 @@
             double rank = rank(now, node, request);
             double load = limits.batchingEnabled() ? 0 : load(now, node);
             double cost = RANK_WEIGHT * rank + load;
-            if (!isWaitedFor(node, request) && (first || rank == 0) && cost < leastCost) {
+            if (!isWaitedFor(node, request) && (noneInFlight || rank == 0) && cost < leastCost) {
                 best = node;
                 leastCost = cost;
             }
--- a/src/main/java/postbeam/policy/RoutingPolicy.java
+++ b/src/main/java/postbeam/policy/RoutingPolicy.java
@@ -107,8 +107,8 @@
     }
 
     /** A health probe of a node has succeeded or failed. */
-    public void onProbeResult(Duration now, DataNode node, boolean answered) {
-        modules.ejection.onProbeResult(now, node, answered);
+    public void onProbeResult(Duration now, DataNode node, boolean healthy) {
+        modules.ejection.onProbeResult(now, node, healthy);
     }
 
     /** All events that arrived together have been reported: decides and acts. */
--- a/src/main/java/postbeam/policy/SlowStart.java
+++ b/src/main/java/postbeam/policy/SlowStart.java
@@ -16,7 +16,7 @@
     /** Capacity of a warm node, in seconds of work per second: at least two cores. */
     private static final double WARM_WORK_RATE = 2.0;
 
-    /** Share of the budget that is used; the rest allows for requests in transit. */
+    /** Fraction of the budget that is used; the rest allows for requests in transit. */
     private static final double SAFETY = 0.9;
 
     /** Number of routers from which shares are rounded at random. */
@@ -133,14 +133,18 @@
     }
 
     private boolean isWithinBudget(
-            Duration now, Duration warmingUpSince, double sent, NodeWarmUp warmUp, Duration work) {
+            Duration now,
+            Duration warmingUpSince,
+            double sentSeconds,
+            NodeWarmUp warmUp,
+            Duration work) {
         if (hasForgotten(now, warmingUpSince)) {
             return false;
         }
-        double share = shareOfBudget(now, warmingUpSince);
-        return sent + seconds(work) <= share
+        double budgetSeconds = shareOfBudget(now, warmingUpSince);
+        return sentSeconds + seconds(work) <= budgetSeconds
                 || (routerCount >= SAMPLING_MIN_ROUTERS
-                        && sent + warmUp.samplingThreshold * seconds(work) <= share);
+                        && sentSeconds + warmUp.samplingThreshold * seconds(work) <= budgetSeconds);
     }
 
     /**
@@ -155,11 +159,14 @@
      * This router's even share of what the node may be sent within a window, in seconds of work.
      */
     private double shareOfBudget(Duration now, Duration warmingUpSince) {
-        double risen =
+        double rampFraction =
                 Math.max(
                         0,
                         seconds(now.minus(warmingUpSince).minus(window)) / seconds(rampDuration));
-        double rate = loadFactor * (initialCapacityShare * (1 - risen) + risen) * WARM_WORK_RATE;
+        double rate =
+                loadFactor
+                        * (initialCapacityShare * (1 - rampFraction) + rampFraction)
+                        * WARM_WORK_RATE;
         return SAFETY * rate * seconds(window) / routerCount;
     }
 }
--- a/src/main/java/postbeam/policy/StragglerDetector.java
+++ b/src/main/java/postbeam/policy/StragglerDetector.java
@@ -11,9 +11,13 @@
 
 /** Distinguishes attempts that are probably lost from attempts that are queued at a slow node. */
 final class StragglerDetector {
-    /** Minimum and maximum time until an attempt is overdue, as shares of the latency objective. */
+    /** Minimum time until an attempt is overdue, as a fraction of the latency objective. */
     private static final double OVERDUE_MIN_SHARE = 0.45;
 
+    /**
+     * Maximum time until an attempt is overdue where hedging is allowed, as a fraction of the
+     * latency objective.
+     */
     private static final double OVERDUE_MAX_SHARE = 0.6;
 
     private final AttemptLimits limits;
--- a/src/main/java/postbeam/simulator/ActionWriter.java
+++ b/src/main/java/postbeam/simulator/ActionWriter.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** Writes one simulated router's actions as lines of the simulator's wire. */
+/** Writes one simulated router's actions as lines of the simulator's wire protocol. */
 final class ActionWriter {
     private static final long NANOS_PER_MICRO = 1000;
 
@@ -19,7 +19,7 @@
         write("ATTEMPT", requestId, node, microsOrZero(timeout));
     }
 
-    /** Cancels an attempt, named by its place among those of its shard request. */
+    /** Cancels an attempt, identified by its index among those of its shard request. */
     void recall(String requestId, int attemptIndex) {
         write("RECALL", requestId, attemptIndex);
     }
@@ -28,7 +28,7 @@
         write("WRAP_UP", queryId, complete ? 1 : 0);
     }
 
-    /** Rejects a query; a null or zero wait is no advice when to retry. */
+    /** Rejects a query; a null or zero Retry-After means that none is given. */
     void reject(String queryId, Duration retryAfter) {
         write("REJECT", queryId, microsOrZero(retryAfter));
     }
@@ -37,7 +37,7 @@
         write("REPORT_FAILURE", queryId);
     }
 
-    /** Sets a timer that comes back with its cookie. */
+    /** Sets a timer; its expiry event carries the cookie. */
     void defer(Duration wait, int cookie) {
         write("DEFER", wait.toNanos() / NANOS_PER_MICRO, cookie);
     }
@@ -56,7 +56,7 @@
         write("TRACE", text);
     }
 
-    /** Tells that the policy failed, and where. */
+    /** Reports that the policy failed, and where. */
     void panic(RuntimeException e) {
         StackTraceElement[] stack = e.getStackTrace();
         String place = stack.length == 0 ? "an unknown place" : stack[0].toString();
--- a/src/main/java/postbeam/simulator/EventReader.java
+++ b/src/main/java/postbeam/simulator/EventReader.java
@@ -11,17 +11,21 @@
 import postbeam.model.AttemptOutcome;
 import postbeam.model.Readiness;
 
-/** Reads events of the simulator's wire, and maps its words to the terms of the code. */
+/** Reads events of the simulator's wire protocol, and maps its names to the terms of the code. */
 final class EventReader {
-    /** Attributes of a request, as bits. */
+    /** Attribute bit: the request carries an estimate of its work. */
     private static final int HAS_WORK_HINT = 1;
 
+    /** Attribute bit: the client marks the query as a retry. */
     private static final int CLIENT_RETRY = 2;
 
-    /** Scopes of an endpoint list. */
+    /** Scope of an endpoint update: all endpoints, in response to a poll. */
     private static final int SCOPE_COMPLETE = 1;
 
+    /** Scope of an endpoint update: all endpoints, not in response to a poll. */
     private static final int SCOPE_CACHED = 2;
+
+    /** Scope of an endpoint update: none, as the poll failed. */
     private static final int SCOPE_FAILED = 3;
 
     private static final long NANOS_PER_MICRO = 1000;
--- a/src/main/java/postbeam/simulator/InvalidFieldException.java
+++ b/src/main/java/postbeam/simulator/InvalidFieldException.java
@@ -1,6 +1,6 @@
 package postbeam.simulator;
 
-/** A field of the simulator's wire that is missing or has an invalid value. */
+/** A field of the simulator's wire protocol that is missing or has an invalid value. */
 final class InvalidFieldException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/postbeam/simulator/LineReader.java
+++ b/src/main/java/postbeam/simulator/LineReader.java
@@ -3,7 +3,7 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 
-/** Reads the simulator's wire line by line, and a line field by field. */
+/** Reads the simulator's wire protocol line by line, and a line field by field. */
 final class LineReader {
     private static final char FIELD_SEPARATOR = '\t';
     private static final String ABSENT = "-";
@@ -89,7 +89,7 @@
         }
     }
 
-    /** The error for the present line. */
+    /** The error for the current line. */
     MalformedLineException malformed(String problem) {
         String start = "";
         if (line != null) {
--- a/src/main/java/postbeam/simulator/QueryTable.java
+++ b/src/main/java/postbeam/simulator/QueryTable.java
@@ -7,9 +7,9 @@
 import postbeam.model.ShardRequest;
 
 /**
- * The queries and shard requests of one simulated router, by the ids of the wire. A query has an id
- * and a number, by which its shard requests name it. An ended query is forgotten, and each of its
- * requests once the last of its attempts has ended.
+ * The queries and shard requests of one simulated router, by their ids on the wire. A query has an
+ * id, and a number by which its shard requests refer to it. An ended query is removed, and each of
+ * its requests once the last of its attempts has ended.
  */
 final class QueryTable {
     private record QueryKey(String id, long number) {}
@@ -31,28 +31,28 @@
         requestIds.put(request, id);
     }
 
-    /** The query of this id; null where it is not known, or forgotten. */
+    /** The query of this id; null if it is unknown or was removed. */
     Query query(String id) {
         return queriesById.get(id);
     }
 
-    /** The query of this number; null where it is not known, or forgotten. */
+    /** The query of this number; null if it is unknown or was removed. */
     Query query(long number) {
         return queriesByNumber.get(number);
     }
 
-    /** The shard request of this id; null where it is not known, or forgotten. */
+    /** The shard request of this id; null if it is unknown or was removed. */
     ShardRequest request(String id) {
         return requestsById.get(id);
     }
 
-    /** The id of a query; null where it is forgotten. */
+    /** The id of a query; null if it was removed. */
     String id(Query query) {
         QueryKey key = queryKeys.get(query);
         return key == null ? null : key.id;
     }
 
-    /** The id of a shard request; null where it is forgotten. */
+    /** The id of a shard request; null if it was removed. */
     String id(ShardRequest request) {
         return requestIds.get(request);
     }
--- a/src/main/java/postbeam/simulator/SimulatedRouter.java
+++ b/src/main/java/postbeam/simulator/SimulatedRouter.java
@@ -18,9 +18,10 @@
 
 /** One simulated router: reports events to its policy, and writes the policy's actions. */
 final class SimulatedRouter implements PolicyActions {
-    /** Cookies of timers: the policy's, and the one for polling discovery. */
+    /** Cookie of the policy's timer. */
     private static final int WAKE_UP_TIMER = 0;
 
+    /** Cookie of the timer for polling discovery. */
     private static final int POLL_TIMER = 1;
 
     private static final long NANOS_PER_MICRO = 1000;
--- a/src/main/java/postbeam/simulator/SimulatorSession.java
+++ b/src/main/java/postbeam/simulator/SimulatorSession.java
@@ -15,8 +15,8 @@
 import postbeam.policy.RoutingPolicy;
 
 /**
- * A session on the simulator's wire: reads batches of events, and writes one reply of actions for
- * each.
+ * A session of the simulator's wire protocol: reads batches of events, and writes one reply of
+ * actions for each.
  */
 public final class SimulatorSession {
     private static final int BUFFER_CHARS = 1 << 16;
@@ -28,7 +28,7 @@
     private final StringBuilder reply = new StringBuilder();
     private final Map<Integer, SimulatedRouter> routers = new HashMap<>();
 
-    /** The routers with an event in the present batch, in order of their first one. */
+    /** The routers with an event in the current batch, in order of their first one. */
     private final Set<SimulatedRouter> touchedRouters = new LinkedHashSet<>();
 
     /** Creates a session that reads events from the source and writes replies to the sink. */
@@ -42,7 +42,7 @@
     /**
      * Serves batches until the input ends.
      *
-     * @throws MalformedLineException if the input does not follow the wire
+     * @throws MalformedLineException if the input does not follow the wire protocol
      * @throws IOException if the source can't be read or the sink can't be written
      */
     public void run() throws IOException {
