--- a/src/main/java/postbeam/coordination/LeaseIssuer.java
+++ b/src/main/java/postbeam/coordination/LeaseIssuer.java
@@ -52,7 +52,7 @@
                         request.number(),
                         request.requested(),
                         parameters.leasable(request.nodeBudget()),
-                        parameters.countedFor());
+                        parameters.leaseRetention());
     }
 
     /** Whether it is leader, and has been for long enough. */
@@ -62,7 +62,7 @@
 
     /** Whether the leases of earlier leaders are past. */
     protected boolean waitedOutPredecessors(Duration now, Duration electedAt) {
-        return now.compareTo(electedAt.plus(parameters.countedFor())) >= 0;
+        return now.compareTo(electedAt.plus(parameters.leaseRetention())) >= 0;
     }
 
     /** The leases by node. */
--- a/src/main/java/postbeam/coordination/LeaseParameters.java
+++ b/src/main/java/postbeam/coordination/LeaseParameters.java
@@ -24,7 +24,7 @@
  * @param maxAttemptWork the largest attempt's work, in the budget's unit
  */
 public record LeaseParameters(
-        Duration duration,
+        Duration leaseDuration,
         Duration window,
         Duration maxClockDrift,
         double reservedFraction,
@@ -43,8 +43,8 @@
                 || reservedFraction + inFlight >= 1
                 || maxRouters < 1
                 || maxAttemptWork < 0
-                || duration.isNegative()
-                || duration.isZero()
+                || leaseDuration.isNegative()
+                || leaseDuration.isZero()
                 || window.isNegative()
                 || maxClockDrift.isNegative()) {
             throw new IllegalArgumentException(
@@ -57,7 +57,7 @@
                             + ", largest attempt "
                             + maxAttemptWork
                             + ", duration "
-                            + duration
+                            + leaseDuration
                             + ", window "
                             + window
                             + ", clock drift "
@@ -71,8 +71,8 @@
      * leader grants nothing for as long: by then all is past that its predecessors can have
      * granted.
      */
-    public Duration countedFor() {
-        return duration.plus(window).plus(maxClockDrift);
+    public Duration leaseRetention() {
+        return leaseDuration.plus(window).plus(maxClockDrift);
     }
 
     /** What a leader may lease out of a budget. */
--- a/src/main/java/postbeam/coordination/LeaseTable.java
+++ b/src/main/java/postbeam/coordination/LeaseTable.java
@@ -19,14 +19,15 @@
      * @param amount of work in any window
      * @param countsUntil when the leader forgets it, which is after the holder does
      */
-    public record Lease(ProcessIdentity holder, long number, double amount, Duration countsUntil) {}
+    public record IssuedLease(
+            ProcessIdentity holder, long number, double amount, Duration countsUntil) {}
 
     private record Demand(double amount, Duration countsUntil) {}
 
     /** A router requests again after a third of a lease at the earliest. */
     private static final int MAX_LEASES = 4096;
 
-    private final Map<String, Lease> leases = new LinkedHashMap<>();
+    private final Map<String, IssuedLease> leases = new LinkedHashMap<>();
 
     /** By router, its latest request: for fair shares where there is not enough. */
     private final Map<String, Demand> demands = new LinkedHashMap<>();
@@ -47,7 +48,7 @@
             Duration countedFor) {
         expire(now);
         String key = requester.name() + ":" + requester.incarnation() + ":" + number;
-        Lease earlier = leases.get(key);
+        IssuedLease earlier = leases.get(key);
         if (earlier != null) {
             return earlier.amount();
         }
@@ -58,7 +59,7 @@
         if (amount <= 0 || leases.size() >= MAX_LEASES) {
             return 0;
         }
-        leases.put(key, new Lease(requester, number, amount, countsUntil));
+        leases.put(key, new IssuedLease(requester, number, amount, countsUntil));
         return amount;
     }
 
@@ -102,7 +103,7 @@
     }
 
     /** The leases that counted at the last call with a time. */
-    public Collection<Lease> leases() {
+    public Collection<IssuedLease> leases() {
         return leases.values();
     }
 }
--- a/src/main/java/postbeam/coordination/SlowStartQuota.java
+++ b/src/main/java/postbeam/coordination/SlowStartQuota.java
@@ -78,12 +78,12 @@
                 || requested <= 0) {
             return 0;
         }
-        leases.add(new Lease(number, now, now.plus(parameters.duration())));
+        leases.add(new Lease(number, now, now.plus(parameters.leaseDuration())));
         return requested;
     }
 
     private boolean hasRecentRequest(Duration now) {
-        Duration third = parameters.duration().dividedBy(3);
+        Duration third = parameters.leaseDuration().dividedBy(3);
         return leases.stream().anyMatch(lease -> now.minus(lease.requestedAt).compareTo(third) < 0);
     }
 
--- a/src/main/java/postbeam/dispatch/DispatchedAttempt.java
+++ b/src/main/java/postbeam/dispatch/DispatchedAttempt.java
@@ -15,7 +15,7 @@
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     /** The policy's view of it. */
-    public final Attempt attempt;
+    public final Attempt policyAttempt;
 
     /** Names it on the wire. */
     public final String id;
@@ -50,7 +50,7 @@
             byte[] payload,
             long deadlineNanos) {
         this.client = client;
-        this.attempt = attempt;
+        this.policyAttempt = attempt;
         this.shard = attempt.shardRequest.shard;
         this.id = id;
         this.headerFields = headerFields;
--- a/src/main/java/postbeam/model/Query.java
+++ b/src/main/java/postbeam/model/Query.java
@@ -61,7 +61,7 @@
     }
 
     /** Sets when its client first sent it. */
-    public void backdateTo(Duration at) {
+    public void setFirstRequestedAt(Duration at) {
         firstRequestedAt = at;
     }
 
--- a/src/main/java/postbeam/peers/FleetConfig.java
+++ b/src/main/java/postbeam/peers/FleetConfig.java
@@ -53,7 +53,7 @@
                 + " "
                 + stripes
                 + " LeaseTerms[use="
-                + leases.duration()
+                + leases.leaseDuration()
                 + ", window="
                 + leases.window()
                 + ", drift="
--- a/src/main/java/postbeam/policy/AdmissionControl.java
+++ b/src/main/java/postbeam/policy/AdmissionControl.java
@@ -28,7 +28,7 @@
     /** Retry-After of rejections while the router is crowded. */
     private static final Duration CROWDED_RETRY_AFTER = Duration.ofMillis(300);
 
-    private final Integer maxHeld;
+    private final Integer maxInFlight;
     private final int routerCount;
     private final Double overQuotaUtility;
     private final Duration maxRetryAfter;
@@ -47,7 +47,7 @@
      */
     public AdmissionControl(
             Integer maxHeld, Integer routerCount, Double overQuotaUtility, Duration maxRetryAfter) {
-        this.maxHeld = maxHeld;
+        this.maxInFlight = maxHeld;
         this.routerCount = routerCount == null ? 1 : Math.max(1, routerCount);
         this.overQuotaUtility = overQuotaUtility;
         this.maxRetryAfter = maxRetryAfter;
@@ -59,11 +59,11 @@
         for (Query query : open) {
             openCount += 1 + query.shardRequests.size();
         }
-        crowded = maxHeld != null && openCount > CROWDED_SHARE * maxHeld;
+        crowded = maxInFlight != null && openCount > CROWDED_SHARE * maxInFlight;
     }
 
     /** Whether the router holds nearly as many queries and requests as it may. */
-    boolean isCrowded() {
+    boolean isNearCapacity() {
         return crowded;
     }
 
@@ -80,7 +80,7 @@
      * tenants are on average: a router with more clients than the others would otherwise see every
      * tenant over quota.
      */
-    boolean countsAsOverQuota(Duration now, Tenant tenant) {
+    boolean recordAndCheckQuota(Duration now, Tenant tenant) {
         if (tenant == null
                 || tenant.quotaPerSecond == null
                 || overQuotaUtility == null
--- a/src/main/java/postbeam/policy/ClientRetryDating.java
+++ b/src/main/java/postbeam/policy/ClientRetryEstimator.java
@@ -15,7 +15,7 @@
  * first requests have is assumed to have the rest of its client's total timeout. The estimate is
  * wrong for clients that use shorter timeouts for retries for other reasons.
  */
-final class ClientRetryDating {
+final class ClientRetryEstimator {
     /**
      * Smoothing factor for a sample that is longer than the estimate; a shorter one replaces it.
      */
@@ -33,7 +33,7 @@
         } else if (queryClass.totalClientTimeout != null
                 && estimate != null
                 && timeout.plus(FINAL_ANSWER_MARGIN).compareTo(estimate) < 0) {
-            query.backdateTo(query.deadline.minus(queryClass.totalClientTimeout));
+            query.setFirstRequestedAt(query.deadline.minus(queryClass.totalClientTimeout));
         }
     }
 
--- a/src/main/java/postbeam/policy/ConcurrencyWindow.java
+++ b/src/main/java/postbeam/policy/ConcurrencyWindow.java
@@ -62,12 +62,12 @@
     }
 
     /** Whether one more attempt fits, not counting this number of lost ones. */
-    boolean hasRoom(int lost) {
+    boolean hasCapacity(int lost) {
         return inFlight - lost < size;
     }
 
     /** Whether one more attempt fits and leaves capacity for others. */
-    boolean hasAmpleRoom(int lost) {
+    boolean hasSpareCapacity(int lost) {
         return inFlight - lost < size * IN_USE_SHARE;
     }
 
@@ -86,7 +86,7 @@
     void onOverloaded(Duration now, Duration sentAt) {
         if (halvedAt == null || sentAt.compareTo(halvedAt) > 0) {
             halvedAt = now;
-            size = Math.max(min(), size / 2);
+            size = Math.max(minimumSize(), size / 2);
         }
     }
 
@@ -108,14 +108,14 @@
         } else if (inFlight + 1 >= size * IN_USE_SHARE) {
             newSize = size + 1;
         }
-        size = Math.max(min(), newSize);
+        size = Math.max(minimumSize(), newSize);
     }
 
     /**
      * This router's share of a few attempts per node: less would leave nodes idle while queries
      * wait.
      */
-    private double min() {
+    private double minimumSize() {
         return Math.max(MIN, MIN_PER_NODE * cluster.size() / routerCount);
     }
 }
--- a/src/main/java/postbeam/policy/HealthRecord.java
+++ b/src/main/java/postbeam/policy/HealthRecord.java
@@ -14,7 +14,7 @@
     private static final Duration FIRST_EJECTION = Duration.ofMillis(500);
 
     /** Maximum duration of an ejection. */
-    private static final Duration LONGEST_EJECTION = Duration.ofSeconds(4);
+    private static final Duration MAX_EJECTION = Duration.ofSeconds(4);
 
     /** Maximum exponent of the backoff; prevents overflow of the multiplier. */
     private static final int MAX_DOUBLINGS = 10;
@@ -45,7 +45,7 @@
             return false;
         }
         long multiplier = 1L << Math.min(ejectionCount, MAX_DOUBLINGS);
-        ejectedUntil = now.plus(min(LONGEST_EJECTION, FIRST_EJECTION.multipliedBy(multiplier)));
+        ejectedUntil = now.plus(min(MAX_EJECTION, FIRST_EJECTION.multipliedBy(multiplier)));
         ejectionCount++;
         return true;
     }
@@ -56,13 +56,13 @@
     }
 
     /** Ends the ejection and resets the count. */
-    void forgetEjections() {
+    void resetEjectionCount() {
         ejectedUntil = null;
         ejectionCount = 0;
     }
 
     /** Reduces the count by one. */
-    void forgetOneEjection() {
+    void decrementEjectionCount() {
         ejectionCount = Math.max(0, ejectionCount - 1);
     }
 
--- a/src/main/java/postbeam/policy/LatencyEstimator.java
+++ b/src/main/java/postbeam/policy/LatencyEstimator.java
@@ -34,10 +34,10 @@
     private static final double BASELINE_RISE_SECONDS = 20;
 
     /** Initial baseline, as a fraction of the latency objective. */
-    private static final double BASELINE_GUESS = 0.1;
+    private static final double INITIAL_BASELINE_SHARE = 0.1;
 
     /** Minimum baseline by which a latency is divided to compute a slowdown, in seconds. */
-    private static final double LEAST_BASELINE_SECONDS = 0.001;
+    private static final double MIN_BASELINE_SECONDS = 0.001;
 
     /** Quantile of the slowdowns that is typical. */
     private static final double TYPICAL_QUANTILE = 0.5;
@@ -70,7 +70,7 @@
     Duration baseline(QueryClass queryClass) {
         Baseline baseline = baselines.get(queryClass);
         return baseline == null
-                ? scale(queryClass.latencyObjective, BASELINE_GUESS)
+                ? scale(queryClass.latencyObjective, INITIAL_BASELINE_SHARE)
                 : baseline.latency;
     }
 
@@ -120,7 +120,7 @@
             moveToRecentlyAnswered(attempt.node);
         }
         double slowdown =
-                seconds(latency) / Math.max(LEAST_BASELINE_SECONDS, seconds(baseline(queryClass)));
+                seconds(latency) / Math.max(MIN_BASELINE_SECONDS, seconds(baseline(queryClass)));
         if (success || (outcome.isAbandoned() && slowdown > nodeLatency.slowdown())) {
             nodeLatency.addSample(slowdown);
         }
--- a/src/main/java/postbeam/policy/NodeHealth.java
+++ b/src/main/java/postbeam/policy/NodeHealth.java
@@ -33,7 +33,7 @@
     }
 
     /** Returns whether an outcome counts for the zone now, and if so records the time. */
-    boolean countsForZone(Duration now) {
+    boolean tryCountForZone(Duration now) {
         if (countedByZoneAt != null
                 && now.minus(countedByZoneAt).compareTo(ZONE_SAMPLE_INTERVAL) < 0) {
             return false;
@@ -44,7 +44,7 @@
 
     /** Resets the ejections of a node that has restarted. */
     void onRestart() {
-        forgetEjections();
+        resetEjectionCount();
         probeInFlight = false;
     }
 }
--- a/src/main/java/postbeam/policy/OutlierDetector.java
+++ b/src/main/java/postbeam/policy/OutlierDetector.java
@@ -74,7 +74,7 @@
         NodeHealth health = NodeState.of(attempt.node).health;
         if (outcome == AttemptOutcome.SUCCESS) {
             health.recordSuccess(now);
-            health.forgetOneEjection();
+            health.decrementEjectionCount();
         }
         // A node that answers nothing is seen only by attempts that end without an answer.
         boolean late =
@@ -106,9 +106,9 @@
     private void updateZone(Duration now, Attempt attempt, NodeHealth health, boolean failed) {
         ZoneHealth zone = health.zone;
         if (zone.isTrial(attempt) && !failed) {
-            zone.forgetEjections();
+            zone.resetEjectionCount();
         }
-        if (!health.countsForZone(now)) {
+        if (!health.tryCountForZone(now)) {
             return;
         }
         if (!failed) {
@@ -131,7 +131,7 @@
         return health.isEjected()
                 || (health.hasEjections() && oldest != null)
                 || isAvoided(now, health.zone)
-                || (oldest != null && isHeldUp(now, oldest, queryClass))
+                || (oldest != null && isStuck(now, oldest, queryClass))
                 || latencies.relativeSlowdown(now, node) > SLOW_RATIO;
     }
 
@@ -140,7 +140,7 @@
         return NodeState.of(node).health.hasEjections();
     }
 
-    private boolean isHeldUp(Duration now, Attempt oldest, QueryClass queryClass) {
+    private boolean isStuck(Duration now, Attempt oldest, QueryClass queryClass) {
         Duration limit = scale(queryClass.latencyObjective, STUCK_SHARE);
         return stragglers.isUnresponsive(now, oldest)
                 || now.minus(oldest.sentAt).compareTo(limit) > 0;
--- a/src/main/java/postbeam/policy/PolicyModules.java
+++ b/src/main/java/postbeam/policy/PolicyModules.java
@@ -9,7 +9,7 @@
     final RetryBudget retryBudget;
     final SlowStart slowStart;
     final CanaryPolicy canaries = new CanaryPolicy();
-    final ClientRetryDating clientRetries = new ClientRetryDating();
+    final ClientRetryEstimator clientRetries = new ClientRetryEstimator();
     final LatencyEstimator latencies;
     final OutlierEjection ejection;
     final OutlierDetector outliers;
--- a/src/main/java/postbeam/policy/QueryCompletion.java
+++ b/src/main/java/postbeam/policy/QueryCompletion.java
@@ -98,7 +98,7 @@
                 || (requestsKnown && isOutOfReach(query.queryClass(), answered, possible))
                 || isExpired(now, query)
                 || (query.hasNotStarted() && isStartOverdue(now, query))) {
-            giveUp(query);
+            endUnfinished(query);
         }
     }
 
@@ -134,7 +134,7 @@
     private boolean isExpired(Duration now, Query query) {
         return forecast.isTooLate(now, query, 1)
                 && (query.queryClass().lateUtility == 0
-                        || (admission.isCrowded()
+                        || (admission.isNearCapacity()
                                 && (query.requestsNeeded() > query.requestsInFlight()
                                         || isFarPastObjective(now, query))));
     }
@@ -174,7 +174,7 @@
      * Ends the query now: with a partial answer if that is allowed, else with a rejection or an
      * abort.
      */
-    private void giveUp(Query query) {
+    private void endUnfinished(Query query) {
         QueryClass queryClass = query.queryClass();
         double answered = query.answeredWeight();
         boolean retryHarmless = isRetryHarmless(query);
--- a/src/main/java/postbeam/policy/ReplicaSelector.java
+++ b/src/main/java/postbeam/policy/ReplicaSelector.java
@@ -114,7 +114,7 @@
                 DataNode node = replicas.get(offset % replicas.size());
                 cost += node.zone.local ? 0 : REMOTE_ZONE_COST;
                 if (nodes.add(node) || !limits.batchingEnabled()) {
-                    cost += batchesCounted(now, node, query);
+                    cost += effectiveBatches(now, node, query);
                 }
             }
         }
@@ -122,7 +122,7 @@
     }
 
     /** Batches that the node has in flight, increased if it is suspect. */
-    int batchesCounted(Duration now, DataNode node, Query query) {
+    int effectiveBatches(Duration now, DataNode node, Query query) {
         return node.batchesInFlight()
                 + (outliers.isSuspect(now, node, query.queryClass()) ? SUSPECT_BATCHES : 0);
     }
@@ -138,19 +138,21 @@
      */
     DataNode chooseNode(Duration now, ShardRequest request) {
         List<DataNode> replicas = cluster.replicas(request.shard);
-        Duration work = workCounted(request);
+        Duration work = admissionWork(request);
         boolean noneInFlight = request.attemptsInFlight.isEmpty();
         DataNode best = null;
         double leastCost = Double.MAX_VALUE;
         for (int i = 0; i < replicas.size(); i++) {
             DataNode node = replicas.get((request.query.replicaOffset() + i) % replicas.size());
-            if (!mayTake(now, node, request, work)) {
+            if (!accepts(now, node, request, work)) {
                 continue;
             }
             double rank = rank(now, node, request);
             double load = limits.batchingEnabled() ? 0 : load(now, node);
             double cost = RANK_WEIGHT * rank + load;
-            if (!isWaitedFor(node, request) && (noneInFlight || rank == 0) && cost < leastCost) {
+            if (!isPendingOrEjectedAt(node, request)
+                    && (noneInFlight || rank == 0)
+                    && cost < leastCost) {
                 best = node;
                 leastCost = cost;
             }
@@ -162,13 +164,13 @@
      * Work that is checked against slow start: at least a typical request's, as each router has
      * some light requests and together they would exceed the budget.
      */
-    private Duration workCounted(ShardRequest request) {
+    private Duration admissionWork(ShardRequest request) {
         return max(
                 latencies.baseline(request.queryClass),
                 slowStart.estimateWork(request, Duration.ZERO));
     }
 
-    private boolean mayTake(Duration now, DataNode node, ShardRequest request, Duration work) {
+    private boolean accepts(Duration now, DataNode node, ShardRequest request, Duration work) {
         return node.readiness() == Readiness.READY
                 && slowStart.allows(now, node, cluster.acquiredAt(request.shard, node), work);
     }
@@ -194,7 +196,7 @@
      * Otherwise a request would spend its attempts within a round trip on replicas that are all
      * down.
      */
-    private boolean isWaitedFor(DataNode node, ShardRequest request) {
+    private boolean isPendingOrEjectedAt(DataNode node, ShardRequest request) {
         for (Attempt attempt : request.attempts) {
             if (attempt.node == node && (!attempt.hasEnded() || ejection.isEjected(node))) {
                 return true;
--- a/src/main/java/postbeam/policy/RoutingPolicy.java
+++ b/src/main/java/postbeam/policy/RoutingPolicy.java
@@ -49,7 +49,7 @@
         modules.completion.onQuery(query);
         modules.retryBudget.recordRequest(now);
         modules.clientRetries.onQuery(now, query);
-        if (modules.admission.countsAsOverQuota(now, query.tenant)) {
+        if (modules.admission.recordAndCheckQuota(now, query.tenant)) {
             query.markOverQuota();
         }
     }
--- a/src/main/java/postbeam/policy/SlotScheduler.java
+++ b/src/main/java/postbeam/policy/SlotScheduler.java
@@ -26,12 +26,13 @@
      * first.
      */
     private static final Comparator<Candidate> ORDER =
-            Comparator.comparingInt(Candidate::value)
+            Comparator.comparingInt(Candidate::answersMissing)
                     .thenComparing(Candidate::lowPriority)
                     .thenComparing(candidate -> candidate.query.sloDeadline())
                     .thenComparing(Candidate::arrivalOrder);
 
-    private record Candidate(Query query, int value, boolean lowPriority, int arrivalOrder) {}
+    private record Candidate(
+            Query query, int answersMissing, boolean lowPriority, int arrivalOrder) {}
 
     private record Choice(ShardRequest request, DataNode node) {}
 
@@ -70,17 +71,17 @@
         for (Query query : open) {
             lost += stragglers.lostRequests(now, query);
         }
-        if (!window.hasRoom(lost)) {
+        if (!window.hasCapacity(lost)) {
             return;
         }
         hedging.countSpares(open);
         PriorityQueue<Candidate> candidates = candidates(now, open);
-        while (window.hasRoom(lost) && !candidates.isEmpty()) {
+        while (window.hasCapacity(lost) && !candidates.isEmpty()) {
             Candidate best = candidates.poll();
             Query query = best.query;
             boolean mayStart =
-                    !query.hasNotStarted() || !best.lowPriority || window.hasAmpleRoom(lost);
-            if (mayStart && sendNext(now, query, best.value)) {
+                    !query.hasNotStarted() || !best.lowPriority || window.hasSpareCapacity(lost);
+            if (mayStart && sendNext(now, query, best.answersMissing)) {
                 candidates.add(
                         new Candidate(
                                 query, value(now, query), best.lowPriority, best.arrivalOrder));
@@ -162,7 +163,7 @@
     private double rank(Duration now, Query query, ShardRequest request, DataNode node) {
         double rank = request.attemptsInFlight.isEmpty() ? 0 : HEDGE_RANK;
         if (query.queryClass().acceptsSubset()) {
-            return rank + replicas.batchesCounted(now, node, query);
+            return rank + replicas.effectiveBatches(now, node, query);
         }
         return query.queryClass().minimumWeight < 1 ? rank + replicas.load(now, node) : rank;
     }
--- a/src/main/java/postbeam/policy/SlowStart.java
+++ b/src/main/java/postbeam/policy/SlowStart.java
@@ -17,7 +17,7 @@
     private static final double WARM_WORK_RATE = 2.0;
 
     /** Fraction of the budget that is used; the rest allows for requests in transit. */
-    private static final double SAFETY = 0.9;
+    private static final double BUDGET_UTILIZATION = 0.9;
 
     /** Number of routers from which shares are rounded at random. */
     private static final int SAMPLING_MIN_ROUTERS = 9;
@@ -138,7 +138,7 @@
             double sentSeconds,
             NodeWarmUp warmUp,
             Duration work) {
-        if (hasForgotten(now, warmingUpSince)) {
+        if (mayHaveSentBeforeRestart(now, warmingUpSince)) {
             return false;
         }
         double budgetSeconds = shareOfBudget(now, warmingUpSince);
@@ -151,7 +151,7 @@
      * Whether this router started after the node, and work that it sent before may still be in the
      * window.
      */
-    private boolean hasForgotten(Duration now, Duration warmingUpSince) {
+    private boolean mayHaveSentBeforeRestart(Duration now, Duration warmingUpSince) {
         return warmingUpSince.isNegative() && now.compareTo(countedWindow()) < 0;
     }
 
@@ -167,6 +167,6 @@
                 loadFactor
                         * (initialCapacityShare * (1 - rampFraction) + rampFraction)
                         * WARM_WORK_RATE;
-        return SAFETY * rate * seconds(window) / routerCount;
+        return BUDGET_UTILIZATION * rate * seconds(window) / routerCount;
     }
 }
--- a/src/main/java/postbeam/router/ActionOutbox.java
+++ b/src/main/java/postbeam/router/ActionOutbox.java
@@ -45,7 +45,9 @@
     }
 
     void add(DispatchedAttempt attempt) {
-        unsentByNode.computeIfAbsent(attempt.attempt.node, node -> new ArrayList<>()).add(attempt);
+        unsentByNode
+                .computeIfAbsent(attempt.policyAttempt.node, node -> new ArrayList<>())
+                .add(attempt);
     }
 
     /** Delivers the attempts that were added, in batches. */
@@ -59,7 +61,7 @@
             int to = Math.min(attempts.size(), from + maxBatchSize);
             List<DispatchedAttempt> batch = List.copyOf(attempts.subList(from, to));
             deliver(
-                    queries.get(batch.get(0).attempt.shardRequest.query),
+                    queries.get(batch.get(0).policyAttempt.shardRequest.query),
                     new QueryAction.Send(nodes.address(node), batch));
         }
     }
--- a/src/main/java/postbeam/router/AttemptTable.java
+++ b/src/main/java/postbeam/router/AttemptTable.java
@@ -24,7 +24,7 @@
     }
 
     void add(DispatchedAttempt dispatched, TimerQueue.Timer timeout) {
-        inFlight.put(dispatched.attempt, new Entry(dispatched, timeout));
+        inFlight.put(dispatched.policyAttempt, new Entry(dispatched, timeout));
     }
 
     /** Null where the attempt has ended. */
--- a/src/main/java/postbeam/router/DecisionLoop.java
+++ b/src/main/java/postbeam/router/DecisionLoop.java
@@ -120,7 +120,7 @@
 
     /** Keeps what a data node gave and ends the attempt; one that had ended is ignored. */
     void endAttempt(Duration now, AttemptResult result) {
-        Attempt attempt = result.attempt().attempt;
+        Attempt attempt = result.attempt().policyAttempt;
         InFlightQuery query = queries.get(attempt.shardRequest.query);
         if (query != null && !attempt.hasEnded() && result.outcome() == AttemptOutcome.SUCCESS) {
             query.recordSuccess(result);
--- a/src/main/java/postbeam/router/InFlightQuery.java
+++ b/src/main/java/postbeam/router/InFlightQuery.java
@@ -93,7 +93,7 @@
     /** Keeps what a node gave for a shard request; the first success counts. */
     void recordSuccess(AttemptResult result) {
         if (pagedQuery == null) {
-            values.putIfAbsent(result.attempt().attempt.shardRequest, result.value());
+            values.putIfAbsent(result.attempt().policyAttempt.shardRequest, result.value());
         } else {
             pagedQuery.recordRows(result);
         }
--- a/src/main/java/postbeam/router/WarmUp.java
+++ b/src/main/java/postbeam/router/JitWarmUp.java
@@ -27,7 +27,7 @@
  * server that reads them from a pipe. On part of a core the first seconds' queries would pile up
  * otherwise. Nothing reaches a socket, and the executor's state is thrown away.
  */
-final class WarmUp implements QueryServer.QueryHandler {
+final class JitWarmUp implements QueryServer.QueryHandler {
     /** A restarted router is away for as long. */
     private static final Duration MAX_DURATION = Duration.ofMillis(1500);
 
@@ -65,7 +65,7 @@
      * @param executor used by nothing else; slices don't move in it
      * @param tenant null where the settings have none
      */
-    WarmUp(
+    JitWarmUp(
             PolicyExecutor executor,
             String zone,
             int cells,
--- a/src/main/java/postbeam/router/PagedAttempt.java
+++ b/src/main/java/postbeam/router/PagedAttempt.java
@@ -32,7 +32,7 @@
                 || result.outcome() != AttemptOutcome.SUCCESS) {
             return result;
         }
-        KeyRangeRequest request = (KeyRangeRequest) attempt.attempt.shardRequest;
+        KeyRangeRequest request = (KeyRangeRequest) attempt.policyAttempt.shardRequest;
         attempt.rows =
                 attempt.pagedQuery.readRows(attempt.id, request.keys, result.value()).orElse(null);
         return new AttemptResult(
--- a/src/main/java/postbeam/router/PagedQuery.java
+++ b/src/main/java/postbeam/router/PagedQuery.java
@@ -134,7 +134,7 @@
     /** Keeps the rows for a shard request; the first success counts. */
     void recordRows(AttemptResult result) {
         PagedAttempt attempt = (PagedAttempt) result.attempt();
-        partialPages.putIfAbsent(attempt.attempt.shardRequest, attempt.rows());
+        partialPages.putIfAbsent(attempt.policyAttempt.shardRequest, attempt.rows());
     }
 
     /** The rows for this request count in the answer. */
--- a/src/main/java/postbeam/router/QueryFactory.java
+++ b/src/main/java/postbeam/router/QueryFactory.java
@@ -122,7 +122,7 @@
         Query query =
                 new Query(
                         firstQuery.queryClass(), firstQuery.tenant, firstQuery.arrivedAt, deadline);
-        query.backdateTo(firstQuery.firstRequestedAt());
+        query.setFirstRequestedAt(firstQuery.firstRequestedAt());
         Layout layout = slicing.currentLayout();
         PagedQuery page =
                 first.pagedQuery()
--- a/src/main/java/postbeam/router/Router.java
+++ b/src/main/java/postbeam/router/Router.java
@@ -50,7 +50,7 @@
     private final DataNodeClient dataNodes;
     private final QueryServer clients;
     private final ActionRunner actions;
-    private final WarmUp warmUp;
+    private final JitWarmUp warmUp;
     private final QueryServer warmUpServer;
     private final RouterReadiness readiness;
     private final ShutdownDeadlines shutdownDeadlines;
@@ -136,7 +136,7 @@
             clients.enablePages(paging.maxRows());
         }
         warmUp =
-                new WarmUp(
+                new JitWarmUp(
                         new PolicyExecutor(
                                 settings, config.seed(), maxBatchSize, connectTimeout, null),
                         settings.text("zone"),
--- a/src/main/java/postbeam/simulator/ActionWriter.java
+++ b/src/main/java/postbeam/simulator/ActionWriter.java
@@ -20,11 +20,11 @@
     }
 
     /** Cancels an attempt, identified by its index among those of its shard request. */
-    void recall(String requestId, int attemptIndex) {
+    void cancel(String requestId, int attemptIndex) {
         write("RECALL", requestId, attemptIndex);
     }
 
-    void wrapUp(String queryId, boolean complete) {
+    void answer(String queryId, boolean complete) {
         write("WRAP_UP", queryId, complete ? 1 : 0);
     }
 
@@ -33,31 +33,31 @@
         write("REJECT", queryId, microsOrZero(retryAfter));
     }
 
-    void reportFailure(String queryId) {
+    void abort(String queryId) {
         write("REPORT_FAILURE", queryId);
     }
 
     /** Sets a timer; its expiry event carries the cookie. */
-    void defer(Duration wait, int cookie) {
+    void setTimer(Duration wait, int cookie) {
         write("DEFER", wait.toNanos() / NANOS_PER_MICRO, cookie);
     }
 
     /** Probes a node's health. */
-    void sample(String node) {
+    void probe(String node) {
         write("SAMPLE", node);
     }
 
     /** Polls discovery for the endpoint list. */
-    void observe() {
+    void pollDiscovery() {
         write("OBSERVE", 1);
     }
 
-    void trace(String text) {
+    void log(String text) {
         write("TRACE", text);
     }
 
     /** Reports that the policy failed, and where. */
-    void panic(RuntimeException e) {
+    void reportPolicyFailure(RuntimeException e) {
         StackTraceElement[] stack = e.getStackTrace();
         String place = stack.length == 0 ? "an unknown place" : stack[0].toString();
         write("PANIC", String.valueOf(e).replaceAll("\\s", " ") + " at " + place);
--- a/src/main/java/postbeam/simulator/QueryTable.java
+++ b/src/main/java/postbeam/simulator/SimulatedQueryTable.java
@@ -11,7 +11,7 @@
  * id, and a number by which its shard requests refer to it. An ended query is removed, and each of
  * its requests once the last of its attempts has ended.
  */
-final class QueryTable {
+final class SimulatedQueryTable {
     private record QueryKey(String id, long number) {}
 
     private final Map<String, Query> queriesById = new HashMap<>();
@@ -57,7 +57,7 @@
         return requestIds.get(request);
     }
 
-    void forgetIfEnded(Query query) {
+    void removeIfEnded(Query query) {
         if (!query.hasEnded()) {
             return;
         }
@@ -66,11 +66,11 @@
             queriesById.remove(key.id);
             queriesByNumber.remove(key.number, query);
         }
-        forgetSettled(query.shardRequests);
-        forgetSettled(query.firstStepRequests);
+        removeFinished(query.shardRequests);
+        removeFinished(query.firstStepRequests);
     }
 
-    private void forgetSettled(List<ShardRequest> requests) {
+    private void removeFinished(List<ShardRequest> requests) {
         for (ShardRequest request : requests) {
             if (request.attemptsInFlight.isEmpty()) {
                 requestsById.remove(requestIds.remove(request));
--- a/src/main/java/postbeam/simulator/SimulatedRouter.java
+++ b/src/main/java/postbeam/simulator/SimulatedRouter.java
@@ -31,7 +31,7 @@
     private final EndpointRegistry registry;
     private final Map<String, QueryClass> queryClasses;
     private final Map<String, Tenant> tenants;
-    private final QueryTable table = new QueryTable();
+    private final SimulatedQueryTable table = new SimulatedQueryTable();
     private final RoutingPolicy policy;
     private final PollSchedule pollSchedule;
     private Duration scheduledPollAt;
@@ -89,7 +89,7 @@
         Attempt attempt = request.attempts.get(event.attemptIndex());
         if (!attempt.hasEnded()) {
             policy.onAttemptEnded(now, attempt, event.outcome(), event.latency(), event.isLast());
-            table.forgetIfEnded(request.query);
+            table.removeIfEnded(request.query);
         }
     }
 
@@ -97,7 +97,7 @@
         Query query = table.query(event.queryId());
         if (query != null && !query.hasEnded()) {
             policy.onClientDisconnected(now, query);
-            table.forgetIfEnded(query);
+            table.removeIfEnded(query);
         }
     }
 
@@ -133,18 +133,18 @@
     /** Polls discovery if that is due, or sets a timer for when it is. */
     void pollIfDue(Duration now) {
         if (pollSchedule.startPollIfDue(now)) {
-            actions.observe();
+            actions.pollDiscovery();
         }
         Duration next = pollSchedule.nextPollAt();
         if (next != null && !next.equals(scheduledPollAt)) {
             scheduledPollAt = next;
-            actions.defer(next.minus(now), POLL_TIMER);
+            actions.setTimer(next.minus(now), POLL_TIMER);
         }
     }
 
     /** The policy failed on an event of this router. */
     void onFailure(RuntimeException e) {
-        actions.panic(e);
+        actions.reportPolicyFailure(e);
     }
 
     // ---- actions of the policy
@@ -157,39 +157,39 @@
 
     @Override
     public void cancel(Attempt attempt) {
-        actions.recall(table.id(attempt.shardRequest), attempt.index);
+        actions.cancel(table.id(attempt.shardRequest), attempt.index);
     }
 
     @Override
     public void answer(Query query, boolean complete) {
-        actions.wrapUp(table.id(query), complete);
-        table.forgetIfEnded(query);
+        actions.answer(table.id(query), complete);
+        table.removeIfEnded(query);
     }
 
     @Override
     public void reject(Query query, Duration retryAfter) {
         actions.reject(table.id(query), retryAfter);
-        table.forgetIfEnded(query);
+        table.removeIfEnded(query);
     }
 
     @Override
     public void abort(Query query) {
-        actions.reportFailure(table.id(query));
-        table.forgetIfEnded(query);
+        actions.abort(table.id(query));
+        table.removeIfEnded(query);
     }
 
     @Override
     public void wakeAfter(Duration wait) {
-        actions.defer(wait, WAKE_UP_TIMER);
+        actions.setTimer(wait, WAKE_UP_TIMER);
     }
 
     @Override
     public void probe(DataNode node) {
-        actions.sample(registry.nameOf(node));
+        actions.probe(registry.nameOf(node));
     }
 
     @Override
     public void log(String text) {
-        actions.trace(text);
+        actions.log(text);
     }
 }
--- a/src/test/java/postbeam/coordination/SlowStartQuotaTest.java
+++ b/src/test/java/postbeam/coordination/SlowStartQuotaTest.java
@@ -119,22 +119,27 @@
 
     @Test
     void leaseTableGrantsWhatIsLeftAndRepeatsItsAnswer() {
-        assertEquals(4, ledger.grant(ms(0), who("a"), 1, 4, 6, terms.countedFor()));
-        assertEquals(4, ledger.grant(ms(1), who("a"), 1, 4, 6, terms.countedFor()));
-        assertEquals(2, ledger.grant(ms(2), who("b"), 1, 4, 6, terms.countedFor()));
-        assertEquals(0, ledger.grant(ms(3), who("c"), 1, 4, 6, terms.countedFor()));
+        assertEquals(4, ledger.grant(ms(0), who("a"), 1, 4, 6, terms.leaseRetention()));
+        assertEquals(4, ledger.grant(ms(1), who("a"), 1, 4, 6, terms.leaseRetention()));
+        assertEquals(2, ledger.grant(ms(2), who("b"), 1, 4, 6, terms.leaseRetention()));
+        assertEquals(0, ledger.grant(ms(3), who("c"), 1, 4, 6, terms.leaseRetention()));
         assertEquals(
                 0,
-                ledger.grant(ms(4), new ProcessIdentity("a", 2), 1, 4, 6, terms.countedFor()),
+                ledger.grant(ms(4), new ProcessIdentity("a", 2), 1, 4, 6, terms.leaseRetention()),
                 "an earlier run's leases count");
         assertEquals(
                 2,
-                ledger.grant(ms(5), who("a"), 2, 6, 6, terms.countedFor()),
+                ledger.grant(ms(5), who("a"), 2, 6, 6, terms.leaseRetention()),
                 "even parts once others ask, too");
         assertEquals(
                 4,
                 ledger.grant(
-                        terms.countedFor().multipliedBy(2), who("b"), 2, 4, 6, terms.countedFor()));
+                        terms.leaseRetention().multipliedBy(2),
+                        who("b"),
+                        2,
+                        4,
+                        6,
+                        terms.leaseRetention()));
     }
 
     @Test
--- a/src/test/java/postbeam/policy/AdmissionControlTest.java
+++ b/src/test/java/postbeam/policy/AdmissionControlTest.java
@@ -19,16 +19,16 @@
         Tenant loud = new Tenant(1.0);
         Tenant quiet = new Tenant(9.0);
         for (int i = 0; i < 12; i++) {
-            admission.countsAsOverQuota(ms(i), quiet);
+            admission.recordAndCheckQuota(ms(i), quiet);
         }
-        assertFalse(admission.countsAsOverQuota(ms(20), loud));
+        assertFalse(admission.recordAndCheckQuota(ms(20), loud));
         for (int i = 0; i < 10; i++) {
-            admission.countsAsOverQuota(ms(21), loud);
+            admission.recordAndCheckQuota(ms(21), loud);
         }
-        assertTrue(admission.countsAsOverQuota(ms(30), loud));
-        assertFalse(admission.countsAsOverQuota(ms(30), quiet));
+        assertTrue(admission.recordAndCheckQuota(ms(30), loud));
+        assertFalse(admission.recordAndCheckQuota(ms(30), quiet));
         AdmissionControl oneOfTen = new AdmissionControl(100, 10, 0.1, null);
-        assertFalse(oneOfTen.countsAsOverQuota(ms(0), new Tenant(1.0)));
+        assertFalse(oneOfTen.recordAndCheckQuota(ms(0), new Tenant(1.0)));
     }
 
     @Test
@@ -36,12 +36,12 @@
         AdmissionControl admission = new AdmissionControl(4, 1, 0.1, ms(200));
         Query query = new Query(PolicyFixture.idempotent(), null, ms(0), ms(6000));
         admission.update(List.of(query));
-        assertFalse(admission.isCrowded());
+        assertFalse(admission.isNearCapacity());
         assertEquals(Duration.ZERO, admission.retryAfter());
         new ShardRequest(query, 0, 0.5, null);
         new ShardRequest(query, 1, 0.5, null);
         admission.update(List.of(query));
-        assertTrue(admission.isCrowded());
+        assertTrue(admission.isNearCapacity());
         assertEquals(ms(200), admission.retryAfter());
     }
 }
--- a/src/test/java/postbeam/policy/ClientRetryDatingTest.java
+++ b/src/test/java/postbeam/policy/ClientRetryEstimatorTest.java
@@ -11,7 +11,7 @@
 import postbeam.model.Query;
 import postbeam.model.QueryClass;
 
-class ClientRetryDatingTest {
+class ClientRetryEstimatorTest {
     private final PolicyFixture fixture = new PolicyFixture(3, true);
     private final QueryClass queryClass =
             PolicyFixture.idempotent().toBuilder().totalClientTimeout(DEADLINE).build();
--- a/src/test/java/postbeam/router/PolicyExecutorTest.java
+++ b/src/test/java/postbeam/router/PolicyExecutorTest.java
@@ -274,7 +274,7 @@
 
     @Test
     void warmUpAnswersItsQueriesAndLeavesNothingToSend() {
-        int answered = new WarmUp(executor, "a", 1, List.of("lookup", "hold"), null, 4).run();
+        int answered = new JitWarmUp(executor, "a", 1, List.of("lookup", "hold"), null, 4).run();
         assertTrue(answered > 100, answered + " answered");
         executor.runDueTimers();
         assertTrue(backgroundActions.stream().noneMatch(QueryAction.Send.class::isInstance));
@@ -284,7 +284,7 @@
     void warmedUpServerAnswersEachRequest() throws Exception {
         XnioWorker worker =
                 Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        WarmUp warmUp = new WarmUp(executor, "a", 1, List.of("lookup"), null, 4);
+        JitWarmUp warmUp = new JitWarmUp(executor, "a", 1, List.of("lookup"), null, 4);
         AtomicInteger accepted = new AtomicInteger();
         QueryServer server =
                 new QueryServer(
--- a/src/test/java/postbeam/simulator/QueryTableTest.java
+++ b/src/test/java/postbeam/simulator/SimulatedQueryTableTest.java
@@ -13,8 +13,8 @@
 import postbeam.model.SideEffects;
 import postbeam.model.Zone;
 
-class QueryTableTest {
-    private final QueryTable table = new QueryTable();
+class SimulatedQueryTableTest {
+    private final SimulatedQueryTable table = new SimulatedQueryTable();
     private final Query query =
             new Query(
                     QueryClass.builder(Duration.ofSeconds(1), SideEffects.IDEMPOTENT).build(),
@@ -29,15 +29,15 @@
         table.add("p-id", request);
         Attempt attempt =
                 new Attempt(request, new DataNode(0, new Zone(true)), Duration.ZERO, null);
-        table.forgetIfEnded(query);
+        table.removeIfEnded(query);
         assertEquals(query, table.query("q-id"));
         query.end();
-        table.forgetIfEnded(query);
+        table.removeIfEnded(query);
         assertNull(table.query("q-id"));
         assertNull(table.query(7));
         assertEquals(request, table.request("p-id"));
         attempt.end();
-        table.forgetIfEnded(query);
+        table.removeIfEnded(query);
         assertNull(table.request("p-id"));
         assertNull(table.id(request));
     }
@@ -48,7 +48,7 @@
         Query later = new Query(query.queryClass(), null, Duration.ZERO, Duration.ofSeconds(3));
         table.add("r-id", 7, later);
         query.end();
-        table.forgetIfEnded(query);
+        table.removeIfEnded(query);
         assertEquals(later, table.query(7));
     }
 }
