--- /dev/null
+++ b/src/main/java/postbeam/datanodes/ConnectionPool.java
@@ -0,0 +1,141 @@
+package postbeam.datanodes;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.IdentityHashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.concurrent.TimeUnit;
+import org.xnio.XnioIoThread;
+import postbeam.config.RouterConfig;
+import postbeam.dispatch.AttemptListener;
+import postbeam.dispatch.DispatchedAttempt;
+
+/**
+ * Owner of the connections to data nodes, each from its opening to its close, within one limit over
+ * all of them; on the I/O thread alone.
+ */
+final class ConnectionPool {
+    private static final System.Logger LOG = System.getLogger(ConnectionPool.class.getName());
+
+    private static final long MIN_SWEEP_INTERVAL_MILLIS = 100;
+
+    /** Sweeps within the idle time, so that a connection outlives it by a tenth at most. */
+    private static final int SWEEPS_PER_IDLE_TIME = 10;
+
+    private final XnioIoThread ioThread;
+    private final AttemptListener listener;
+    private final int maxAttemptsPerConnection;
+    private final Duration connectTimeout;
+    private final Duration maxIdle;
+    private final int maxConnections;
+    private final Map<String, List<NodeConnection>> byAddress = new LinkedHashMap<>();
+
+    /** The connection that each attempt is in flight on. */
+    private final IdentityHashMap<DispatchedAttempt, NodeConnection> byAttempt =
+            new IdentityHashMap<>();
+
+    private int connectionCount;
+
+    ConnectionPool(
+            XnioIoThread ioThread,
+            AttemptListener listener,
+            int maxAttemptsPerConnection,
+            Duration connectTimeout,
+            Duration maxIdle,
+            int maxConnections) {
+        this.ioThread = ioThread;
+        this.listener = listener;
+        this.maxAttemptsPerConnection = maxAttemptsPerConnection;
+        this.connectTimeout = connectTimeout;
+        this.maxIdle = maxIdle;
+        this.maxConnections = maxConnections;
+    }
+
+    /** A connection to this address that takes so many attempts more, opened now if need be. */
+    Optional<NodeConnection> acquire(String address, int attempts) {
+        for (NodeConnection connection : byAddress.getOrDefault(address, List.of())) {
+            if (connection.hasCapacityFor(attempts, maxAttemptsPerConnection)) {
+                return Optional.of(connection);
+            }
+        }
+        if (connectionCount >= maxConnections) {
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "no connection to {0}: the limit of {1} is reached",
+                    address,
+                    maxConnections);
+            return Optional.empty();
+        }
+        return open(address);
+    }
+
+    private Optional<NodeConnection> open(String address) {
+        NodeConnection connection =
+                new NodeConnection(this, listener, address, connectTimeout, maxIdle);
+        try {
+            connection.open(ioThread, RouterConfig.socketAddress(address));
+        } catch (RuntimeException e) {
+            LOG.log(System.Logger.Level.ERROR, "no connection to " + address, e);
+            return Optional.empty();
+        }
+        // Kept from here on: what failed to open at once has nothing to give back, and its end
+        // comes later.
+        byAddress.computeIfAbsent(address, key -> new ArrayList<>()).add(connection);
+        connectionCount++;
+        return Optional.of(connection);
+    }
+
+    /** The connection that the attempt is in flight on, if it is. */
+    Optional<NodeConnection> connectionOf(DispatchedAttempt attempt) {
+        return Optional.ofNullable(byAttempt.get(attempt));
+    }
+
+    int connectionCount() {
+        return connectionCount;
+    }
+
+    int attemptsInFlight() {
+        return byAttempt.size();
+    }
+
+    // ---- called by the connections
+
+    void attemptStarted(DispatchedAttempt attempt, NodeConnection connection) {
+        byAttempt.put(attempt, connection);
+    }
+
+    void attemptEnded(DispatchedAttempt attempt) {
+        byAttempt.remove(attempt);
+    }
+
+    void connectionClosed(NodeConnection connection) {
+        List<NodeConnection> connections = byAddress.get(connection.address());
+        if (connections != null && connections.remove(connection)) {
+            connectionCount--;
+            if (connections.isEmpty()) {
+                byAddress.remove(connection.address());
+            }
+        }
+    }
+
+    // ---- idle connections
+
+    /** Closes idle connections from now on, time and again. */
+    void startSweeping() {
+        long interval =
+                Math.max(MIN_SWEEP_INTERVAL_MILLIS, maxIdle.toMillis() / SWEEPS_PER_IDLE_TIME);
+        ioThread.executeAfter(this::sweep, interval, TimeUnit.MILLISECONDS);
+    }
+
+    private void sweep() {
+        startSweeping();
+        for (List<NodeConnection> connections : List.copyOf(byAddress.values())) {
+            for (NodeConnection connection : List.copyOf(connections)) {
+                connection.closeIfIdle();
+            }
+        }
+    }
+}
--- a/src/main/java/postbeam/datanodes/DataNodeClient.java
+++ b/src/main/java/postbeam/datanodes/DataNodeClient.java
@@ -1,178 +1,101 @@
 package postbeam.datanodes;
 
 import java.time.Duration;
-import java.util.ArrayList;
-import java.util.IdentityHashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.concurrent.TimeUnit;
+import java.util.Optional;
 import org.xnio.XnioIoThread;
-import postbeam.config.RouterConfig;
 import postbeam.dispatch.AttemptListener;
 import postbeam.dispatch.AttemptResult;
 import postbeam.dispatch.DispatchedAttempt;
 import postbeam.model.AttemptOutcome;
 
 /**
- * The connections to data nodes. All of it lives on one I/O thread; calls from others are handed
- * over to it. Owner of the connections: each is kept here from its opening until {@link
- * NodeConnection#close}.
+ * Sends attempts and health checks to data nodes and reports how they end. Its methods may be
+ * called on any thread unless they say otherwise: all work is handed over to one I/O thread, which
+ * the connections and everything in them belong to.
  */
 public final class DataNodeClient {
-    private static final System.Logger LOG = System.getLogger(DataNodeClient.class.getName());
-
     private final XnioIoThread ioThread;
     private final AttemptListener listener;
-    private final int maxPartsPerConnection;
-    private final Duration connectTimeout;
-    private final Duration maxIdle;
-    private final int maxConnections;
-    private final char probeLetter;
-    private final Map<String, List<NodeConnection>> connectionsByAddress = new LinkedHashMap<>();
-
-    /** Which connection each call is out on, from its writing to its end. */
-    private final Map<DispatchedAttempt, NodeConnection> connectionByAttempt =
-            new IdentityHashMap<>();
-
-    private int connectionCount;
+    private final ConnectionPool pool;
+    private final char probeType;
 
+    /**
+     * A client without connections; they are opened as they are needed.
+     *
+     * @param ioThread owns all connections
+     * @param listener is told how attempts and health checks end
+     * @param maxAttemptsPerConnection further ones go on another connection
+     * @param connectTimeout after which a connection that is not up has failed
+     * @param maxIdle after which an unused connection is closed
+     * @param maxConnections over all data nodes
+     * @param loadReports whether health checks ask for a load report
+     */
     public DataNodeClient(
-            XnioIoThread io,
+            XnioIoThread ioThread,
             AttemptListener listener,
-            int partsAConnection,
-            Duration connectWithin,
-            Duration idleMost,
-            int connectionsMost,
+            int maxAttemptsPerConnection,
+            Duration connectTimeout,
+            Duration maxIdle,
+            int maxConnections,
             boolean loadReports) {
-        this.ioThread = io;
+        this.ioThread = ioThread;
         this.listener = listener;
-        this.maxPartsPerConnection = partsAConnection;
-        this.connectTimeout = connectWithin;
-        this.maxIdle = idleMost;
-        this.maxConnections = connectionsMost;
-        this.probeLetter = loadReports ? FrameCodec.LOAD_PROBE : FrameCodec.PROBE;
-        io.executeAfter(this::closeIdleConnections, sweepIntervalMillis(), TimeUnit.MILLISECONDS);
+        this.pool =
+                new ConnectionPool(
+                        ioThread,
+                        listener,
+                        maxAttemptsPerConnection,
+                        connectTimeout,
+                        maxIdle,
+                        maxConnections);
+        this.probeType = loadReports ? FrameCodec.LOAD_PROBE : FrameCodec.PROBE;
+        pool.startSweeping();
     }
 
-    /**
-     * Sends these calls to the node at the address, together in one frame; may be called on any
-     * thread.
-     */
-    public void send(String address, List<DispatchedAttempt> calls) {
+    /** Sends these attempts to the node at the address (HOST:PORT), together in one frame. */
+    public void send(String address, List<DispatchedAttempt> attempts) {
         ioThread.execute(
-                () -> {
-                    NodeConnection connection = connection(address, calls.size());
-                    if (connection == null) {
-                        listener.onAttemptResults(
-                                calls.stream()
-                                        .map(
-                                                call ->
-                                                        new AttemptResult(
-                                                                call, AttemptOutcome.UNREACHABLE))
-                                        .toList());
-                    } else {
-                        connection.send(calls);
-                    }
-                });
+                () ->
+                        pool.acquire(address, attempts.size())
+                                .ifPresentOrElse(
+                                        connection -> connection.send(attempts),
+                                        () -> reportUnreachable(attempts)));
+    }
+
+    private void reportUnreachable(List<DispatchedAttempt> attempts) {
+        listener.onAttemptResults(
+                attempts.stream()
+                        .map(attempt -> new AttemptResult(attempt, AttemptOutcome.UNREACHABLE))
+                        .toList());
     }
 
-    /** Tells the call's node that nobody waits for it any more; may be called on any thread. */
-    public void cancel(DispatchedAttempt call) {
+    /** Tells the attempt's node that nobody waits for it any more; nothing if it has ended. */
+    public void cancel(DispatchedAttempt attempt) {
         ioThread.execute(
-                () -> {
-                    NodeConnection carrier = connectionByAttempt.get(call);
-                    if (carrier != null) {
-                        carrier.cancel(call);
-                    }
-                });
+                () ->
+                        pool.connectionOf(attempt)
+                                .ifPresent(connection -> connection.cancel(attempt)));
     }
 
-    /** Asks the node at the address how it is; may be called on any thread. */
+    /** Asks the node at the address (HOST:PORT) how it is. */
     public void probe(String node, String address) {
         ioThread.execute(
                 () -> {
-                    NodeConnection connection = connection(address, 0);
-                    if (connection == null) {
-                        listener.onHealthCheck(node, false);
+                    Optional<NodeConnection> connection = pool.acquire(address, 0);
+                    if (connection.isPresent()) {
+                        connection.get().probe(node, probeType);
                     } else {
-                        connection.probe(node, probeLetter);
+                        listener.onHealthCheck(node, false);
                     }
                 });
     }
 
-    /**
-     * An open connection with room for so many parts more, else a new one; null where none can be
-     * had.
-     */
-    private NodeConnection connection(String address, int parts) {
-        for (NodeConnection connection : connectionsByAddress.getOrDefault(address, List.of())) {
-            if (connection.hasCapacityFor(parts, maxPartsPerConnection)) {
-                return connection;
-            }
-        }
-        if (connectionCount >= maxConnections) {
-            LOG.log(
-                    System.Logger.Level.WARNING,
-                    "no connection to {0}: the limit of {1} is reached",
-                    address,
-                    maxConnections);
-            return null;
-        }
-        NodeConnection connection =
-                new NodeConnection(this, listener, address, connectTimeout, maxIdle);
-        try {
-            connection.open(ioThread, RouterConfig.socketAddress(address));
-        } catch (RuntimeException e) {
-            LOG.log(System.Logger.Level.ERROR, "no connection to " + address, e);
-            return null;
-        }
-        // Kept from here on: what failed to open at once has nothing to give back, and its end
-        // comes later.
-        connectionsByAddress.computeIfAbsent(address, key -> new ArrayList<>()).add(connection);
-        connectionCount++;
-        return connection;
-    }
-
-    /** Calls that are out on the sockets, and connections; to be asked on the I/O thread. */
+    /** How many attempts and connections there are, for the log; to be called on the I/O thread. */
     public String describe() {
-        return connectionByAttempt.size()
+        return pool.attemptsInFlight()
                 + " calls on "
-                + connectionCount
+                + pool.connectionCount()
                 + " connections to data nodes";
     }
-
-    void attemptStarted(DispatchedAttempt call, NodeConnection connection) {
-        connectionByAttempt.put(call, connection);
-    }
-
-    void attemptEnded(DispatchedAttempt call) {
-        connectionByAttempt.remove(call);
-    }
-
-    /** A connection has been closed. */
-    void connectionClosed(NodeConnection connection) {
-        List<NodeConnection> peer = connectionsByAddress.get(connection.address);
-        if (peer != null && peer.remove(connection)) {
-            connectionCount--;
-            if (peer.isEmpty()) {
-                connectionsByAddress.remove(connection.address);
-            }
-        }
-    }
-
-    private long sweepIntervalMillis() {
-        return Math.max(100, maxIdle.toMillis() / 10);
-    }
-
-    /** Closes what has stood idle. */
-    private void closeIdleConnections() {
-        ioThread.executeAfter(
-                this::closeIdleConnections, sweepIntervalMillis(), TimeUnit.MILLISECONDS);
-        for (List<NodeConnection> peer : List.copyOf(connectionsByAddress.values())) {
-            for (NodeConnection connection : List.copyOf(peer)) {
-                connection.closeIfIdle();
-            }
-        }
-    }
 }
--- a/src/main/java/postbeam/datanodes/FrameCodec.java
+++ b/src/main/java/postbeam/datanodes/FrameCodec.java
@@ -5,95 +5,119 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
+import java.util.regex.Pattern;
 import postbeam.dispatch.DispatchedAttempt;
 import postbeam.model.AttemptOutcome;
 
-/** The frames that a router and a data node send each other: a length, a letter, the rest. */
+/**
+ * Encodes and decodes the frames between a router and a data node: four bytes of length, least
+ * significant first, that count what follows; one letter, the frame's type; the payload.
+ */
 final class FrameCodec {
+    /** From the router: attempts that the node takes as one call. */
     static final char CALL = 'm';
+
+    /** From the router: nobody waits for this attempt any more. */
     static final char CANCEL = 'n';
+
+    /** Both ways: a health check. */
     static final char PROBE = 'o';
+
+    /** Both ways: a health check that asks for a load report. */
     static final char LOAD_PROBE = 'p';
+
+    /** From the node: how an attempt ended. */
     static final char RESPONSE = 'q';
+
+    /** From the node: a frame could not be used. */
     static final char PROTOCOL_ERROR = 'r';
 
-    /** Bytes of the length. */
     static final int LENGTH_BYTES = 4;
 
-    /** Bytes: a body of the client's protocol holds 64 KiB, and no value may be larger. */
-    static final int MAX_PAYLOAD_BYTES = (64 << 10) + 1024;
+    /** Bytes of letter and payload: a value may be as large as a client's body, 64 KiB. */
+    static final int MAX_FRAME_BYTES = (64 << 10) + 1024;
 
-    /** A part's answer. */
-    record ShardResponse(String attemptId, AttemptOutcome outcome, byte[] value) {}
+    private static final int TYPE_BYTES = 1;
+
+    /** A response's first line: id, how it ended, score, load report. */
+    private static final int RESPONSE_FIELDS = 4;
+
+    private static final Pattern SCORE = Pattern.compile("-?[0-9]+");
 
     private FrameCodec() {}
 
-    /** One call with these parts, each with its text. */
-    static ByteBuffer encodeCall(List<DispatchedAttempt> parts) {
-        byte[][] heads = new byte[parts.size()][];
+    // ---- encoding
+
+    /** A call of these attempts, each with its text. */
+    static ByteBuffer encodeCall(List<DispatchedAttempt> attempts) {
+        byte[][] heads = new byte[attempts.size()][];
         int size = 0;
         for (int i = 0; i < heads.length; i++) {
-            heads[i] = parts.get(i).frameHeader();
-            size += heads[i].length + parts.get(i).payload.length;
+            heads[i] = attempts.get(i).frameHeader();
+            size += heads[i].length + attempts.get(i).payload.length;
         }
         ByteBuffer frame = allocate(CALL, size);
         for (int i = 0; i < heads.length; i++) {
-            frame.put(heads[i]).put(parts.get(i).payload);
+            frame.put(heads[i]).put(attempts.get(i).payload);
         }
         return frame.flip();
     }
 
-    static ByteBuffer encode(char letter, String rest) {
-        byte[] bytes = rest.getBytes(StandardCharsets.UTF_8);
-        return allocate(letter, bytes.length).put(bytes).flip();
+    /** A frame whose payload is text. */
+    static ByteBuffer encode(char type, String payload) {
+        byte[] bytes = payload.getBytes(StandardCharsets.UTF_8);
+        return allocate(type, bytes.length).put(bytes).flip();
     }
 
-    private static ByteBuffer allocate(char letter, int size) {
-        return ByteBuffer.allocate(LENGTH_BYTES + 1 + size)
+    private static ByteBuffer allocate(char type, int payloadBytes) {
+        return ByteBuffer.allocate(LENGTH_BYTES + TYPE_BYTES + payloadBytes)
                 .order(ByteOrder.LITTLE_ENDIAN)
-                .putInt(1 + size)
-                .put((byte) letter);
+                .putInt(TYPE_BYTES + payloadBytes)
+                .put((byte) type);
     }
 
-    /** The rest of an answer's frame: ID END SCORE REPORT, a line feed, the value. */
-    static ShardResponse decodeResponse(byte[] rest) throws MalformedFrameException {
-        int end = 0;
-        while (end < rest.length && rest[end] != '\n') {
-            end++;
+    // ---- decoding
+
+    /** The payload of a response: a line of id, end, score and load report, then the value. */
+    static ShardResponse decodeResponse(byte[] payload) throws MalformedFrameException {
+        int lineEnd = 0;
+        while (lineEnd < payload.length && payload[lineEnd] != '\n') {
+            lineEnd++;
         }
         // The report comes last and nothing is read from it: one that can't be read spoils no
-        // answer.
-        String[] words = new String(rest, 0, end, StandardCharsets.UTF_8).split(" ", 4);
-        if (end == rest.length || words.length != 4 || !words[2].matches("-?[0-9]+")) {
+        // response.
+        String[] fields =
+                new String(payload, 0, lineEnd, StandardCharsets.UTF_8).split(" ", RESPONSE_FIELDS);
+        if (lineEnd == payload.length
+                || fields.length != RESPONSE_FIELDS
+                || !SCORE.matcher(fields[2]).matches()) {
             throw new MalformedFrameException(
                     "an answer without its line of id, end, score and report");
         }
-        AttemptOutcome outcome =
-                switch (words[1]) {
-                    case "good" -> AttemptOutcome.SUCCESS;
-                    case "bad" -> AttemptOutcome.ERROR;
-                    case "later" -> AttemptOutcome.OVERLOADED;
-                    case "moved" -> AttemptOutcome.MOVED;
-                    default ->
-                            throw new MalformedFrameException(
-                                    "an answer that ended in an unknown way");
-                };
-        byte[] value = Arrays.copyOfRange(rest, end + 1, rest.length);
+        byte[] value = Arrays.copyOfRange(payload, lineEnd + 1, payload.length);
+        AttemptOutcome outcome = decodeOutcome(fields[1]);
+        checkIsText(value);
+        return new ShardResponse(fields[0], outcome, value);
+    }
+
+    private static AttemptOutcome decodeOutcome(String word) throws MalformedFrameException {
+        return switch (word) {
+            case "good" -> AttemptOutcome.SUCCESS;
+            case "bad" -> AttemptOutcome.ERROR;
+            case "later" -> AttemptOutcome.OVERLOADED;
+            case "moved" -> AttemptOutcome.MOVED;
+            default -> throw new MalformedFrameException("an answer that ended in an unknown way");
+        };
+    }
+
+    /**
+     * A length that reaches into the next frame brings that frame's head along, which is no text.
+     */
+    private static void checkIsText(byte[] value) throws MalformedFrameException {
         for (byte b : value) {
             if (b >= 0 && b < ' ') {
-                // A length that reaches into the next frame brings that frame's head along.
                 throw new MalformedFrameException("a value that is no text");
             }
         }
-        return new ShardResponse(words[0], outcome, value);
-    }
-
-    /** A frame that does not follow the protocol. */
-    static final class MalformedFrameException extends Exception {
-        private static final long serialVersionUID = 1L;
-
-        MalformedFrameException(String what) {
-            super(what);
-        }
     }
 }
--- a/src/main/java/postbeam/datanodes/NodeConnection.java
+++ b/src/main/java/postbeam/datanodes/NodeConnection.java
@@ -2,18 +2,12 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import org.xnio.IoFuture;
 import org.xnio.IoUtils;
@@ -22,7 +16,6 @@
 import org.xnio.StreamConnection;
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
-import org.xnio.conduits.ConduitStreamSinkChannel;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 import postbeam.dispatch.AttemptListener;
 import postbeam.dispatch.AttemptResult;
@@ -30,116 +23,87 @@
 import postbeam.model.AttemptOutcome;
 
 /**
- * One connection to a data node, on the I/O thread alone. It is given back in {@link #close}, and
- * only there.
+ * One connection to a data node, from its opening to its close; on the I/O thread alone. Every
+ * attempt and probe given to it ends exactly once: by a response, a cancel, or the close.
  */
-final class NodeConnection {
+final class NodeConnection implements FrameWriter.Listener {
     private static final System.Logger LOG = System.getLogger(NodeConnection.class.getName());
 
-    /** Bytes read at once, and kept while nothing larger comes. */
-    private static final int READ_BUFFER_BYTES = 4096;
-
-    /**
-     * How long the rest of a frame may take: a node sends it together, and a router on part of a
-     * core may stall.
-     */
-    private static final Duration MAX_FRAME_DURATION = Duration.ofMillis(400);
-
-    /**
-     * Ids of ended calls that are kept: a second answer, or one that crossed its giving up, comes
-     * soon.
-     */
-    private static final int MAX_REMEMBERED_IDS = 128;
-
-    /** A frame that waits for its turn: leaf calls, encoded when they go, or bytes. */
-    private record QueuedFrame(List<DispatchedAttempt> calls, ByteBuffer bytes) {}
-
-    private static final class InFlightAttempt {
-        final DispatchedAttempt call;
-        boolean written;
-
-        /** When its frame was written or, before that, taken up. */
-        long sinceNanos = System.nanoTime();
-
-        InFlightAttempt(DispatchedAttempt call) {
-            this.call = call;
-        }
-    }
-
-    final String address;
-    private final DataNodeClient owner;
+    private final ConnectionPool pool;
     private final AttemptListener listener;
+    private final String address;
     private final Duration connectTimeout;
     private final Duration maxIdle;
-    private final Deque<QueuedFrame> writeQueue = new ArrayDeque<>();
-    private final Map<String, InFlightAttempt> inFlight = new LinkedHashMap<>();
 
-    /** The latest calls that ended on it, by id. */
-    private final Set<String> recentlyEnded = new LinkedHashSet<>();
+    private final InFlightTable inFlight = new InFlightTable();
+    private final FrameReader reader = new FrameReader();
+    private final FrameWriter writer = new FrameWriter(this);
 
+    /** Names of the nodes whose probe is queued or sent, in order. */
     private final Deque<String> pendingProbes = new ArrayDeque<>();
+
+    /** Null until the connection is up. */
     private StreamConnection channel;
+
     private XnioExecutor.Key connectTimer;
-    private ByteBuffer readBuffer =
-            ByteBuffer.allocate(READ_BUFFER_BYTES).order(ByteOrder.LITTLE_ENDIAN);
-    private ByteBuffer currentFrame;
-    private long currentFrameSinceNanos;
-    private List<InFlightAttempt> currentAttempts = List.of();
-    private int queuedAttempts;
-    private long lastUsedNanos = System.nanoTime();
-    private long lastReceivedNanos = lastUsedNanos;
-
-    /** Since when a frame has begun to come; 0 while none has. */
-    private long partialFrameSinceNanos;
+    private long lastEnqueuedNanos = System.nanoTime();
 
+    /**
+     * It was silent where a response was due: it takes no more, and closes once nothing is in
+     * flight.
+     */
     private boolean suspect;
+
     private boolean closed;
 
     NodeConnection(
-            DataNodeClient owner,
+            ConnectionPool pool,
             AttemptListener listener,
             String address,
-            Duration connectWithin,
-            Duration idleMost) {
-        this.owner = owner;
+            Duration connectTimeout,
+            Duration maxIdle) {
+        this.pool = pool;
         this.listener = listener;
         this.address = address;
-        this.connectTimeout = connectWithin;
-        this.maxIdle = idleMost;
+        this.connectTimeout = connectTimeout;
+        this.maxIdle = maxIdle;
+    }
+
+    String address() {
+        return address;
     }
 
-    void open(XnioIoThread io, InetSocketAddress to) {
+    // ---- opening
+
+    /** Begins to connect; what is sent meanwhile waits. */
+    void open(XnioIoThread ioThread, InetSocketAddress target) {
         IoFuture<StreamConnection> opening =
-                io.openStreamConnection(
-                        to, opened -> {}, null, OptionMap.create(Options.TCP_NODELAY, true));
+                ioThread.openStreamConnection(
+                        target, opened -> {}, null, OptionMap.create(Options.TCP_NODELAY, true));
         connectTimer =
-                io.executeAfter(
+                ioThread.executeAfter(
                         () -> {
                             opening.cancel();
                             close("no connection in time");
                         },
                         connectTimeout.toMillis(),
                         TimeUnit.MILLISECONDS);
-        opening.addNotifier((future, none) -> io.execute(() -> opened(future)), null);
+        opening.addNotifier((future, none) -> ioThread.execute(() -> opened(future)), null);
     }
 
     private void opened(IoFuture<? extends StreamConnection> future) {
         try {
             if (future.getStatus() != IoFuture.Status.DONE) {
-                close(
-                        "no connection: "
-                                + (future.getStatus() == IoFuture.Status.FAILED
-                                        ? future.getException().getMessage()
-                                        : "cancelled"));
+                close("no connection: " + connectFailure(future));
                 return;
             }
-            StreamConnection made = future.get();
+            StreamConnection connected = future.get();
             if (closed) {
-                IoUtils.safeClose(made);
+                IoUtils.safeClose(connected);
                 return;
             }
             connectTimer.remove();
-            channel = made;
+            channel = connected;
             ConduitStreamSourceChannel source = channel.getSourceChannel();
             source.setReadListener(this::read);
             source.resumeReads();
@@ -150,301 +114,210 @@
         }
     }
 
-    /**
-     * Whether so many parts more may go on it; one that was silent where an answer was due takes no
-     * more.
-     */
-    boolean hasCapacityFor(int parts, int most) {
-        int load = inFlight.size() + queuedAttempts;
-        return !closed
-                && !suspect
-                && (load == 0 || load + parts <= most)
-                && (load > 0
-                        || channel == null
-                        || System.nanoTime() - lastUsedNanos < maxIdle.toNanos())
-                && (currentFrame == null || !connectTimeoutPassedSince(currentFrameSinceNanos));
+    private static String connectFailure(IoFuture<? extends StreamConnection> future) {
+        boolean failed = future.getStatus() == IoFuture.Status.FAILED;
+        return failed ? future.getException().getMessage() : "cancelled";
     }
 
-    /** So long ago that a new connection would be up by now. */
-    private boolean connectTimeoutPassedSince(long since) {
-        return System.nanoTime() - since > connectTimeout.toNanos();
+    // ---- sending
+
+    /** Whether it takes so many attempts more, where at most the number given may be on it. */
+    boolean hasCapacityFor(int attempts, int maxAttempts) {
+        int load = inFlight.size() + writer.queuedAttempts();
+        return !closed
+                && !suspect
+                && (load == 0 || load + attempts <= maxAttempts)
+                && (load > 0 || channel == null || !isIdleTooLong())
+                && !writer.isStalled(connectTimeout);
     }
 
-    void send(List<DispatchedAttempt> calls) {
-        queuedAttempts += calls.size();
-        enqueue(new QueuedFrame(calls, null));
+    /** Sends these together in one frame. */
+    void send(List<DispatchedAttempt> attempts) {
+        enqueue(new QueuedFrame.Attempts(attempts));
     }
 
-    void probe(String node, char letter) {
+    /** Asks the node how it is, by a frame of this type. */
+    void probe(String node, char type) {
         pendingProbes.add(node);
-        enqueue(new QueuedFrame(null, FrameCodec.encode(letter, "")));
+        enqueue(new QueuedFrame.Encoded(FrameCodec.encode(type, "")));
     }
 
-    void cancel(DispatchedAttempt call) {
-        InFlightAttempt given = inFlight.get(call.id);
-        if (given == null || given.call != call) {
+    /** Tells the node that nobody waits for this attempt any more. */
+    void cancel(DispatchedAttempt attempt) {
+        InFlightAttempt inFlightAttempt = inFlight.find(attempt);
+        if (inFlightAttempt == null) {
             return;
         }
-        attemptEnded(call);
+        endAttempt(attempt);
         // Guards against a connection that leads nowhere any more, which nothing tells: the machine
         // vanished
-        // or was cut off. Further calls go on a new one, which comes up or fails in time.
+        // or was cut off. Further attempts go on a new one, which comes up or fails in time.
         suspect |=
-                lastReceivedNanos < given.sinceNanos && connectTimeoutPassedSince(given.sinceNanos);
-        enqueue(new QueuedFrame(null, FrameCodec.encode(FrameCodec.CANCEL, call.id)));
+                reader.lastReadNanos() < inFlightAttempt.sinceNanos()
+                        && wouldHaveConnectedSince(inFlightAttempt.sinceNanos());
+        enqueue(new QueuedFrame.Encoded(FrameCodec.encode(FrameCodec.CANCEL, attempt.id)));
         closeIfSuspectAndDone();
     }
 
-    void closeIfIdle() {
-        if (channel != null
-                && inFlight.isEmpty()
-                && queuedAttempts == 0
-                && pendingProbes.isEmpty()
-                && System.nanoTime() - lastUsedNanos >= maxIdle.toNanos()) {
-            close(null);
-        }
-    }
-
-    private void closeIfSuspectAndDone() {
-        if (suspect
-                && inFlight.isEmpty()
-                && pendingProbes.isEmpty()
-                && writeQueue.stream()
-                        .allMatch(
-                                frame ->
-                                        frame.calls() == null
-                                                || frame.calls().stream()
-                                                        .allMatch(
-                                                                DispatchedAttempt::isAbandoned))) {
-            close(null);
-        }
+    /** Whether a new connection begun then would be up by now. */
+    private boolean wouldHaveConnectedSince(long nanos) {
+        return System.nanoTime() - nanos > connectTimeout.toNanos();
     }
 
     private void enqueue(QueuedFrame frame) {
         if (closed) {
             return;
         }
-        writeQueue.add(frame);
-        lastUsedNanos = System.nanoTime();
-        if (channel != null && currentFrame == null) {
+        writer.enqueue(frame);
+        lastEnqueuedNanos = System.nanoTime();
+        if (channel != null && !writer.isWriting()) {
             write();
         }
     }
 
-    // ---- writing
-
     private void write() {
-        ConduitStreamSinkChannel sink = channel.getSinkChannel();
         try {
-            while (currentFrame != null || takeNextFrame()) {
-                if (currentFrame.position() > 0 && anyUnsendable(currentAttempts)) {
-                    close("a frame that can't go on, as part of it is not wanted any more");
-                    return;
-                }
-                sink.write(currentFrame);
-                if (currentFrame.hasRemaining()) {
-                    sink.resumeWrites();
-                    return;
-                }
-                long now = System.nanoTime();
-                for (InFlightAttempt call : currentAttempts) {
-                    call.written = true;
-                    call.sinceNanos = now;
-                }
-                currentFrame = null;
-                currentAttempts = List.of();
+            if (writer.write(channel.getSinkChannel()) == FrameWriter.Progress.ABANDONED) {
+                close("a frame that can't go on, as part of it is not wanted any more");
             }
-            sink.suspendWrites();
         } catch (IOException | RuntimeException e) {
             close("write failed: " + e);
         }
     }
 
-    /**
-     * Guards against a frame that stood half written while its client left, its node began to drain
-     * or its time passed: its last byte would begin the attempt. It costs the other calls on a
-     * connection whose node does not read.
-     */
-    private static boolean anyUnsendable(List<InFlightAttempt> calls) {
-        DispatchedAttempt.checkClientPresence(calls.stream().map(out -> out.call).toList());
-        return calls.stream().anyMatch(out -> out.call.unsentOutcome() != null);
+    @Override
+    public void attemptsDropped(List<AttemptResult> endings) {
+        listener.onAttemptResults(endings);
     }
 
-    /** Takes up the next frame; leaf calls that are not to be sent any more are left out. */
-    private boolean takeNextFrame() {
-        while (!writeQueue.isEmpty()) {
-            QueuedFrame first = writeQueue.poll();
-            if (first.calls() == null) {
-                currentFrame = first.bytes();
-                currentFrameSinceNanos = System.nanoTime();
-                return true;
-            }
-            queuedAttempts -= first.calls().size();
-            DispatchedAttempt.checkClientPresence(first.calls());
-            List<DispatchedAttempt> live = new ArrayList<>();
-            List<AttemptResult> endings = new ArrayList<>();
-            for (DispatchedAttempt call : first.calls()) {
-                AttemptOutcome outcome = call.unsentOutcome();
-                if (outcome == null) {
-                    live.add(call);
-                } else {
-                    endings.add(new AttemptResult(call, outcome));
-                }
-            }
-            if (!endings.isEmpty()) {
-                listener.onAttemptResults(endings);
-            }
-            if (!live.isEmpty()) {
-                currentFrame = FrameCodec.encodeCall(live);
-                currentFrameSinceNanos = System.nanoTime();
-                currentAttempts = live.stream().map(InFlightAttempt::new).toList();
-                for (InFlightAttempt call : currentAttempts) {
-                    inFlight.put(call.call.id, call);
-                    owner.attemptStarted(call.call, this);
-                }
-                return true;
-            }
+    @Override
+    public void attemptsStarted(List<InFlightAttempt> attempts) {
+        for (InFlightAttempt inFlightAttempt : attempts) {
+            inFlight.add(inFlightAttempt);
+            pool.attemptStarted(inFlightAttempt.attempt(), this);
         }
-        return false;
     }
 
-    // ---- reading
+    // ---- receiving
 
     private void read(ConduitStreamSourceChannel source) {
         if (closed) {
             return;
         }
         List<AttemptResult> endings = new ArrayList<>();
-        String broken = null;
-        boolean spoilt = false;
+        String failure = null;
+        boolean malformed = false;
         try {
-            int got;
-            while ((got = source.read(readBuffer)) > 0) {
-                lastReceivedNanos = System.nanoTime();
-                lastUsedNanos = lastReceivedNanos;
-                decodeFrames(endings);
-            }
-            broken = got < 0 ? "closed by the node" : null;
+            boolean open =
+                    reader.read(source, (type, payload) -> handleFrame(type, payload, endings));
+            failure = open ? null : "closed by the node";
             checkPartialFrame();
-        } catch (FrameCodec.MalformedFrameException e) {
-            broken = e.getMessage();
-            spoilt = true;
+        } catch (MalformedFrameException e) {
+            failure = e.getMessage();
+            malformed = true;
         } catch (IOException | RuntimeException e) {
-            broken = "read failed: " + e;
+            failure = "read failed: " + e;
         }
         if (!endings.isEmpty()) {
             listener.onAttemptResults(endings);
         }
-        if (broken != null) {
-            close(broken, spoilt);
+        if (failure != null) {
+            close(failure, malformed);
         } else {
             closeIfSuspectAndDone();
         }
     }
 
-    /**
-     * Guards against lengths that do not fit, noise and values that never end: part of a frame
-     * where nothing is owed, or for too long, leads nowhere any more. It could hurt where a good
-     * frame's bytes stall for so long.
-     */
-    private void checkPartialFrame() throws FrameCodec.MalformedFrameException {
-        if (readBuffer.position() == 0) {
-            partialFrameSinceNanos = 0;
-        } else if (inFlight.isEmpty() && pendingProbes.isEmpty()) {
-            throw new FrameCodec.MalformedFrameException("bytes that belong to nothing");
-        } else if (partialFrameSinceNanos == 0) {
-            partialFrameSinceNanos = lastReceivedNanos;
+    private void checkPartialFrame() throws MalformedFrameException {
+        boolean responseExpected = !inFlight.isEmpty() || !pendingProbes.isEmpty();
+        if (reader.checkPartialFrame(responseExpected)) {
             channel.getIoThread()
                     .executeAfter(
                             () -> read(channel.getSourceChannel()),
-                            MAX_FRAME_DURATION.toMillis() + 1,
+                            FrameReader.MAX_FRAME_DURATION.toMillis() + 1,
                             TimeUnit.MILLISECONDS);
-        } else if (System.nanoTime() - partialFrameSinceNanos > MAX_FRAME_DURATION.toNanos()) {
-            throw new FrameCodec.MalformedFrameException("a frame that does not end");
         }
     }
 
-    /** Takes the whole frames out of what was read, and makes room for the rest. */
-    private void decodeFrames(List<AttemptResult> endings)
-            throws FrameCodec.MalformedFrameException {
-        readBuffer.flip();
-        int needs = READ_BUFFER_BYTES;
-        while (readBuffer.remaining() >= FrameCodec.LENGTH_BYTES) {
-            int length = readBuffer.getInt(readBuffer.position());
-            if (length < 1 || length > FrameCodec.MAX_PAYLOAD_BYTES) {
-                throw new FrameCodec.MalformedFrameException("a frame of " + length + " bytes");
-            }
-            if (readBuffer.remaining() < FrameCodec.LENGTH_BYTES + length) {
-                needs = FrameCodec.LENGTH_BYTES + length;
-                break;
-            }
-            partialFrameSinceNanos = 0;
-            readBuffer.getInt();
-            char letter = (char) readBuffer.get();
-            byte[] rest = new byte[length - 1];
-            readBuffer.get(rest);
-            handleFrame(letter, rest, endings);
+    private void handleFrame(char type, byte[] payload, List<AttemptResult> endings)
+            throws MalformedFrameException {
+        switch (type) {
+            case FrameCodec.RESPONSE -> handleResponse(payload, endings);
+            case FrameCodec.PROBE, FrameCodec.LOAD_PROBE -> handleProbeResult(payload);
+            case FrameCodec.PROTOCOL_ERROR ->
+                    throw new MalformedFrameException(
+                            "the node could not use a frame: "
+                                    + new String(payload, StandardCharsets.UTF_8));
+            default -> throw new MalformedFrameException("a frame of an unknown letter");
         }
-        if (needs > readBuffer.capacity()
-                || needs == READ_BUFFER_BYTES && readBuffer.capacity() > READ_BUFFER_BYTES) {
-            readBuffer = ByteBuffer.allocate(needs).order(ByteOrder.LITTLE_ENDIAN).put(readBuffer);
-        } else {
-            readBuffer.compact();
+    }
+
+    private void handleResponse(byte[] payload, List<AttemptResult> endings)
+            throws MalformedFrameException {
+        ShardResponse response = FrameCodec.decodeResponse(payload);
+        InFlightAttempt inFlightAttempt = inFlight.find(response.attemptId());
+        if (inFlightAttempt != null) {
+            endAttempt(inFlightAttempt.attempt());
+            endings.add(
+                    new AttemptResult(
+                            inFlightAttempt.attempt(), response.outcome(), response.value()));
+        } else if (!inFlight.hasEndedRecently(response.attemptId())) {
+            throw new MalformedFrameException("an answer to nothing that was sent on it");
         }
     }
 
-    private void handleFrame(char letter, byte[] rest, List<AttemptResult> endings)
-            throws FrameCodec.MalformedFrameException {
-        switch (letter) {
-            case FrameCodec.RESPONSE -> {
-                FrameCodec.ShardResponse answer = FrameCodec.decodeResponse(rest);
-                InFlightAttempt answered = inFlight.get(answer.attemptId());
-                if (answered != null) {
-                    attemptEnded(answered.call);
-                    endings.add(new AttemptResult(answered.call, answer.outcome(), answer.value()));
-                } else if (!recentlyEnded.contains(answer.attemptId())) {
-                    throw new FrameCodec.MalformedFrameException(
-                            "an answer to nothing that was sent on it");
-                }
-            }
-            case FrameCodec.PROBE, FrameCodec.LOAD_PROBE -> {
-                String node = pendingProbes.poll();
-                if (node == null) {
-                    throw new FrameCodec.MalformedFrameException("an answer to no probe");
-                }
-                listener.onHealthCheck(
-                        node, !"bad".equals(new String(rest, StandardCharsets.UTF_8)));
-            }
-            case FrameCodec.PROTOCOL_ERROR ->
-                    throw new FrameCodec.MalformedFrameException(
-                            "the node could not use a frame: "
-                                    + new String(rest, StandardCharsets.UTF_8));
-            default -> throw new FrameCodec.MalformedFrameException("a frame of an unknown letter");
+    private void handleProbeResult(byte[] payload) throws MalformedFrameException {
+        String node = pendingProbes.poll();
+        if (node == null) {
+            throw new MalformedFrameException("an answer to no probe");
         }
+        listener.onHealthCheck(node, !"bad".equals(new String(payload, StandardCharsets.UTF_8)));
     }
 
-    /** A call has ended on it; late or second answers to it are known from now on. */
-    private void attemptEnded(DispatchedAttempt call) {
-        inFlight.remove(call.id);
-        owner.attemptEnded(call);
-        recentlyEnded.add(call.id);
-        if (recentlyEnded.size() > MAX_REMEMBERED_IDS) {
-            recentlyEnded.remove(recentlyEnded.iterator().next());
+    private void endAttempt(DispatchedAttempt attempt) {
+        inFlight.end(attempt);
+        pool.attemptEnded(attempt);
+    }
+
+    // ---- closing
+
+    /** Closes it if nothing is on it and nothing was for the idle time. */
+    void closeIfIdle() {
+        if (channel != null
+                && inFlight.isEmpty()
+                && writer.queuedAttempts() == 0
+                && pendingProbes.isEmpty()
+                && isIdleTooLong()) {
+            close(null);
         }
     }
 
-    // ---- the end
+    private boolean isIdleTooLong() {
+        long lastUsed = Math.max(lastEnqueuedNanos, reader.lastReadNanos());
+        return System.nanoTime() - lastUsed >= maxIdle.toNanos();
+    }
 
-    private void close(String why) {
-        close(why, false);
+    private void closeIfSuspectAndDone() {
+        if (suspect
+                && inFlight.isEmpty()
+                && pendingProbes.isEmpty()
+                && writer.isOnlyAbandonedQueued()) {
+            close(null);
+        }
+    }
+
+    private void close(String reason) {
+        close(reason, false);
     }
 
     /**
-     * Gives everything back: the socket, the timer, and each call that is out or waits, once. Where
-     * the node spoilt the connection it is alive and answers: the calls on it are aborted ones that
-     * may have run, no broken way.
+     * Closes the socket and ends everything that is in flight or queued. A node that sent something
+     * malformed is alive: attempts that were written then end as failed, as they may have run,
+     * rather than as lost with their connection.
+     *
+     * @param reason null where nothing is wrong
      */
-    private void close(String why, boolean spoilt) {
+    private void close(String reason, boolean malformed) {
         if (closed) {
             return;
         }
@@ -453,33 +326,14 @@
         if (channel != null) {
             IoUtils.safeClose(channel);
         }
-        owner.connectionClosed(this);
-        List<AttemptResult> endings = new ArrayList<>();
-        for (InFlightAttempt call : inFlight.values()) {
-            owner.attemptEnded(call.call);
-            endings.add(
-                    new AttemptResult(
-                            call.call,
-                            !call.written
-                                    ? AttemptOutcome.UNREACHABLE
-                                    : spoilt ? AttemptOutcome.ERROR : AttemptOutcome.RESET));
-        }
-        for (QueuedFrame frame : writeQueue) {
-            if (frame.calls() != null) {
-                frame.calls()
-                        .forEach(
-                                call ->
-                                        endings.add(
-                                                new AttemptResult(
-                                                        call, AttemptOutcome.UNREACHABLE)));
-            }
-        }
-        if (why != null && (!endings.isEmpty() || !pendingProbes.isEmpty())) {
+        pool.connectionClosed(this);
+        List<AttemptResult> endings = endAll(malformed);
+        if (reason != null && (!endings.isEmpty() || !pendingProbes.isEmpty())) {
             LOG.log(
                     System.Logger.Level.DEBUG,
                     "connection to {0}: {1}; {2} calls end",
                     address,
-                    why,
+                    reason,
                     endings.size());
         }
         if (!endings.isEmpty()) {
@@ -487,4 +341,25 @@
         }
         pendingProbes.forEach(node -> listener.onHealthCheck(node, false));
     }
+
+    private List<AttemptResult> endAll(boolean malformed) {
+        List<AttemptResult> endings = new ArrayList<>();
+        for (InFlightAttempt inFlightAttempt : inFlight.all()) {
+            pool.attemptEnded(inFlightAttempt.attempt());
+            endings.add(
+                    new AttemptResult(
+                            inFlightAttempt.attempt(), lostOutcome(inFlightAttempt, malformed)));
+        }
+        for (DispatchedAttempt attempt : writer.queuedFrameAttempts()) {
+            endings.add(new AttemptResult(attempt, AttemptOutcome.UNREACHABLE));
+        }
+        return endings;
+    }
+
+    private static AttemptOutcome lostOutcome(InFlightAttempt inFlightAttempt, boolean malformed) {
+        if (!inFlightAttempt.isWritten()) {
+            return AttemptOutcome.UNREACHABLE;
+        }
+        return malformed ? AttemptOutcome.ERROR : AttemptOutcome.RESET;
+    }
 }
--- a/src/test/java/postbeam/datanodes/FrameCodecTest.java
+++ b/src/test/java/postbeam/datanodes/FrameCodecTest.java
@@ -21,8 +21,8 @@
     }
 
     @Test
-    void anAnswerIsReadWithItsValueAsItIs() throws FrameCodec.MalformedFrameException {
-        FrameCodec.ShardResponse answer =
+    void anAnswerIsReadWithItsValueAsItIs() throws MalformedFrameException {
+        ShardResponse answer =
                 FrameCodec.decodeResponse(bytes("ab.3 good 1840277719 -\nx  y\u00e4z"));
         assertEquals("ab.3", answer.attemptId());
         assertEquals(AttemptOutcome.SUCCESS, answer.outcome());
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void theWayAPartEndedTellsWhetherItMayHaveRun() throws FrameCodec.MalformedFrameException {
+    void theWayAPartEndedTellsWhetherItMayHaveRun() throws MalformedFrameException {
         assertEquals(
                 AttemptOutcome.ERROR, FrameCodec.decodeResponse(bytes("a.1 bad 0 -\n")).outcome());
         assertEquals(
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aReportThatCantBeReadSpoilsNoAnswer() throws FrameCodec.MalformedFrameException {
+    void aReportThatCantBeReadSpoilsNoAnswer() throws MalformedFrameException {
         assertArrayEquals(
                 bytes("v"), FrameCodec.decodeResponse(bytes("a.1 good 0 \7 x= = ?\nv")).value());
     }
@@ -56,7 +56,7 @@
                     "a.1 good 0 -\nvalue\5\0\0\0q"
                 }) {
             assertThrows(
-                    FrameCodec.MalformedFrameException.class,
+                    MalformedFrameException.class,
                     () -> FrameCodec.decodeResponse(bytes(rest)),
                     rest);
         }
--- a/src/test/java/postbeam/datanodes/FrameSamplesTest.java
+++ b/src/test/java/postbeam/datanodes/FrameSamplesTest.java
@@ -203,7 +203,7 @@
     })
     void answerIsReadFromTheSample(String sample, AttemptOutcome outcome, String value)
             throws Exception {
-        FrameCodec.ShardResponse answer =
+        ShardResponse answer =
                 FrameCodec.decodeResponse(
                         payload(FrameCodec.RESPONSE, SampleFile.bytes(FROM_NODE + sample)));
         assertEquals(ID + ".3", answer.attemptId());
