--- a/src/main/java/postbeam/clients/ClientConnection.java
+++ b/src/main/java/postbeam/clients/ClientConnection.java
@@ -1,5 +1,7 @@
 package postbeam.clients;
 
+import io.undertow.server.HttpServerExchange;
+import io.undertow.server.protocol.http.HttpServerConnection;
 import java.io.IOException;
 import java.net.SocketAddress;
 import java.nio.ByteBuffer;
@@ -20,36 +22,36 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * A client's socket, on the I/O thread alone. Closing it while the client still sends would have
- * its machine throw away the answer before the client reads it; so whatever closes it, what the
- * client still sends is read off and dropped for a while before the socket goes. It is given back
- * in {@link #closeImmediately}, and only there.
+ * A client's socket, on the I/O thread alone, with a lingering close: closing a socket while its
+ * client still sends would have the client's machine throw away a response that it has not read
+ * yet. So whatever closes the connection, what the client still sends is read and dropped for a
+ * while before the socket is closed, which only {@link #closeImmediately} does.
  */
 final class ClientConnection extends StreamConnection {
     /**
-     * How long what still comes is read off: time enough to read an answer, and within what a bad
-     * client is owed.
+     * How long what still comes is dropped: enough to read a response, within what a bad client is
+     * owed.
      */
     private static final Duration LINGER = Duration.ofSeconds(2);
 
-    /**
-     * Bytes read off at once: a whole body of the protocol's size and its head take three turns.
-     */
+    /** Bytes dropped in one read: a body of the protocol's size and its head take three. */
     private static final int DRAIN_CHUNK_BYTES = 32 << 10;
 
     /**
-     * Bytes read off at full speed; what is beyond is read at a pace: sending without end must not
-     * take the core.
+     * Bytes dropped at full speed; beyond, reads are paced: sending without end must not take the
+     * core.
      */
     private static final int UNPACED_DRAIN_BYTES = 1 << 20;
 
     /**
-     * Between reads beyond it: some 3 MB a second, so that the end behind what a client sent at
-     * once is seen soon.
+     * Between paced reads: some 3 MB a second, so that the end of what was sent at once is seen
+     * soon.
      */
     private static final Duration DRAIN_INTERVAL = Duration.ofMillis(10);
 
-    /** Shared by all connections: what is in it is thrown away. */
+    /**
+     * Shared by all connections, as what is in it is thrown away; direct, for the I/O thread alone.
+     */
     private static final ByteBuffer DISCARD_BUFFER = ByteBuffer.allocateDirect(DRAIN_CHUNK_BYTES);
 
     private final StreamConnection socket;
@@ -57,28 +59,23 @@
     private final StreamSinkConduit output;
     private XnioExecutor.Key lingerTimer;
     private boolean closing;
-    private int readOff;
 
-    /** When something may be read off again, beyond what goes at full speed. */
+    private int drainedBytes;
     private long nextDrainAtNanos = System.nanoTime();
 
-    /** Bytes came after a whole request and before its answer: what they ask for is lost. */
-    boolean pipelined;
-
-    /** Its query is served, so that only a look at the socket shows that the client leaves. */
-    boolean watched;
+    /** Bytes came after a whole request and before its response: what they ask for is lost. */
+    private boolean pipelined;
 
-    /** Since when it waits for its next request to be there as a whole. */
-    long idleSinceNanos = System.nanoTime();
+    /** Its query is served, and the socket alone shows that the client disconnects. */
+    private boolean watched;
 
-    /** Nothing had been read of it at the last look, though its time was over. */
-    boolean markedForClose;
+    private long idleSinceNanos = System.nanoTime();
 
-    /** A whole request has come on it. */
-    boolean hasRequested;
+    /** It was found idle too long at the last look. */
+    private boolean markedForClose;
 
-    /** A whole request is in, and its answer not yet out. */
-    boolean requestInProgress;
+    private boolean sentRequest;
+    private boolean requestInProgress;
 
     ClientConnection(StreamConnection socket) {
         super(socket.getIoThread());
@@ -89,116 +86,104 @@
         setSinkConduit(new OutputUntilClosed());
     }
 
-    /** Gives the socket back at once; no bytes are owed on it any more. */
-    void closeImmediately() {
-        if (lingerTimer != null) {
-            lingerTimer.remove();
-        }
-        IoUtils.safeClose(socket);
-        IoUtils.safeClose(this);
+    /** The connection that a request came on. */
+    static ClientConnection of(HttpServerExchange exchange) {
+        return (ClientConnection) ((HttpServerConnection) exchange.getConnection()).getChannel();
     }
 
-    boolean isSocketClosed() {
-        return !socket.isOpen();
-    }
+    // ---- requests
 
     /**
-     * Answers in place of the HTTP library, which would wait for the rest of the request, and
-     * closes.
+     * The head of a request has been read: the client has so long again for the rest of it, unless
+     * it is the first.
      */
-    void rejectAndClose(int status, String reason) {
-        ByteBuffer answer =
-                ByteBuffer.wrap(
-                        ("HTTP/1.1 "
-                                        + status
-                                        + " "
-                                        + reason
-                                        + "\r\nContent-Type: text/plain\r\n"
-                                        + "Connection: close\r\nContent-Length: "
-                                        + (reason.length() + 1)
-                                        + "\r\n\r\n"
-                                        + reason
-                                        + "\n")
-                                .getBytes(StandardCharsets.ISO_8859_1));
-        try {
-            // Nothing else is in the socket's buffer, so that this fits; if not, the close alone
-            // has to tell.
-            output.write(answer);
-        } catch (IOException e) {
-            closeImmediately();
+    void headReceived(long nowNanos) {
+        markedForClose = false;
+        if (sentRequest) {
+            idleSinceNanos = nowNanos;
         }
-        IoUtils.safeClose(this);
     }
 
-    /**
-     * The input for the HTTP library: once closed it brings nothing more, and closing it leaves the
-     * socket's open.
-     */
-    private final class InputUntilClosed extends AbstractStreamSourceConduit<StreamSourceConduit> {
-        InputUntilClosed() {
-            super(input);
-        }
-
-        @Override
-        public long transferTo(long at, long count, FileChannel to) throws IOException {
-            return closing ? 0 : super.transferTo(at, count, to);
-        }
+    /** A whole request is in. */
+    void requestStarted() {
+        requestInProgress = true;
+        sentRequest = true;
+    }
 
-        @Override
-        public long transferTo(long count, ByteBuffer through, StreamSinkChannel to)
-                throws IOException {
-            return closing ? 0 : super.transferTo(count, through, to);
-        }
+    /** Its response is out, to the last byte. */
+    void requestFinished() {
+        requestInProgress = false;
+        idleSinceNanos = System.nanoTime();
+    }
 
-        @Override
-        public int read(ByteBuffer to) throws IOException {
-            return closing ? 0 : super.read(to);
-        }
+    boolean isRequestInProgress() {
+        return requestInProgress;
+    }
 
-        @Override
-        public long read(ByteBuffer[] to, int at, int count) throws IOException {
-            return closing ? 0 : super.read(to, at, count);
-        }
+    /** Whether a whole request has ever come on it. */
+    boolean hasSentRequest() {
+        return sentRequest;
+    }
 
-        @Override
-        public void terminateReads() {}
+    /** Whether it has been without a whole request since before this moment. */
+    boolean isIdleSince(long nanos) {
+        return !requestInProgress && idleSinceNanos - nanos < 0;
     }
 
-    /** The same for the output: once closed, whatever the library would still say is late. */
-    private final class OutputUntilClosed extends AbstractStreamSinkConduit<StreamSinkConduit> {
-        OutputUntilClosed() {
-            super(output);
-        }
+    /** Marks it as to be closed, until its next request; true if it was marked already. */
+    boolean markForClose() {
+        boolean marked = markedForClose;
+        markedForClose = true;
+        return marked;
+    }
 
-        private void check() throws IOException {
-            if (closing) {
-                throw new ClosedChannelException();
-            }
-        }
+    /** Whether bytes came after a request and before its response. */
+    boolean hasPipelined() {
+        return pipelined;
+    }
 
-        @Override
-        public int write(ByteBuffer from) throws IOException {
-            check();
-            return super.write(from);
-        }
+    /** Whether its query is being served, so that whatever comes is dropped. */
+    void setWatched(boolean watched) {
+        this.watched = watched;
+    }
 
-        @Override
-        public long write(ByteBuffer[] from, int at, int count) throws IOException {
-            check();
-            return super.write(from, at, count);
-        }
+    // ---- closing
 
-        @Override
-        public void terminateWrites() throws IOException {
-            check();
-            super.terminateWrites();
+    /** Closes the socket; no bytes are owed on it any more. */
+    void closeImmediately() {
+        if (lingerTimer != null) {
+            lingerTimer.remove();
         }
+        IoUtils.safeClose(socket);
+        IoUtils.safeClose(this);
+    }
 
-        @Override
-        public void truncateWrites() throws IOException {
-            check();
-            super.truncateWrites();
+    /**
+     * Responds in place of the HTTP library, which would wait for the rest of the request, and
+     * closes.
+     */
+    void rejectAndClose(int status, String reason) {
+        String response =
+                "HTTP/1.1 "
+                        + status
+                        + " "
+                        + reason
+                        + "\r\n"
+                        + "Content-Type: text/plain\r\n"
+                        + "Connection: close\r\n"
+                        + "Content-Length: "
+                        + (reason.length() + 1)
+                        + "\r\n\r\n"
+                        + reason
+                        + "\n";
+        try {
+            // Nothing else is in the socket's buffer, so this fits; if not, the close alone has to
+            // tell.
+            output.write(ByteBuffer.wrap(response.getBytes(StandardCharsets.ISO_8859_1)));
+        } catch (IOException e) {
+            closeImmediately();
         }
+        IoUtils.safeClose(this);
     }
 
     /** Lingers once this event is over: until then the HTTP library may still set up. */
@@ -233,7 +218,7 @@
 
     private void drainUntilClosed() {
         try {
-            if (readOff() < 0) {
+            if (drain() < 0) {
                 closeImmediately();
             }
         } catch (IOException e) {
@@ -241,23 +226,54 @@
         }
     }
 
-    /** Reads what has come and drops it: how much, or -1 at the end. */
-    int readOff() throws IOException {
-        if (readOff > UNPACED_DRAIN_BYTES) {
-            long wait = nextDrainAtNanos - System.nanoTime();
-            if (wait > 0) {
-                input.suspendReads();
-                getIoThread()
-                        .executeAfter(
-                                this::resumeDraining, wait / 1_000_000 + 1, TimeUnit.MILLISECONDS);
-                return 0;
+    // The two ways are closed by closeAction, each when its time has come.
+    @Override
+    protected void notifyReadClosed() {}
+
+    @Override
+    protected void notifyWriteClosed() {}
+
+    // ---- dropping input
+
+    /**
+     * Whether the client has closed or reset the connection, by a look at the socket; drops what
+     * has come.
+     */
+    boolean isDisconnected() {
+        try {
+            int count = 1;
+            while (count > 0) {
+                count = drain();
             }
-            nextDrainAtNanos = System.nanoTime() + DRAIN_INTERVAL.toNanos();
+            return count < 0;
+        } catch (IOException e) {
+            // It is reset, or was closed before.
+            return true;
+        }
+    }
+
+    /** Reads what has come and drops it: how many bytes, or -1 at the end. */
+    private int drain() throws IOException {
+        if (drainedBytes > UNPACED_DRAIN_BYTES && !isNextDrainDue()) {
+            return 0;
+        }
+        int count = input.read(DISCARD_BUFFER.clear());
+        drainedBytes += Math.max(0, count);
+        pipelined |= count > 0;
+        return count;
+    }
+
+    /** Whether a paced read may happen now; if not, reading is suspended until then. */
+    private boolean isNextDrainDue() {
+        long waitNanos = nextDrainAtNanos - System.nanoTime();
+        if (waitNanos > 0) {
+            input.suspendReads();
+            long waitMillis = TimeUnit.NANOSECONDS.toMillis(waitNanos) + 1;
+            getIoThread().executeAfter(this::resumeDraining, waitMillis, TimeUnit.MILLISECONDS);
+            return false;
         }
-        int got = input.read(DISCARD_BUFFER.clear());
-        readOff += Math.max(0, got);
-        pipelined |= got > 0;
-        return got;
+        nextDrainAtNanos = System.nanoTime() + DRAIN_INTERVAL.toNanos();
+        return true;
     }
 
     private void resumeDraining() {
@@ -267,28 +283,79 @@
     }
 
     /**
-     * Whether the client has closed or reset it, by a look at the socket itself; while a request of
-     * it is served.
+     * The input for the HTTP library: once closed it brings nothing more, and the socket's stays
+     * open.
      */
-    boolean isDisconnected() {
-        try {
-            int got = 1;
-            while (got > 0) {
-                got = readOff();
-            }
-            return got < 0;
-        } catch (IOException e) {
-            // It is reset, or was given back before.
-            return true;
+    private final class InputUntilClosed extends AbstractStreamSourceConduit<StreamSourceConduit> {
+        InputUntilClosed() {
+            super(input);
         }
+
+        @Override
+        public long transferTo(long position, long count, FileChannel target) throws IOException {
+            return closing ? 0 : super.transferTo(position, count, target);
+        }
+
+        @Override
+        public long transferTo(long count, ByteBuffer throughBuffer, StreamSinkChannel target)
+                throws IOException {
+            return closing ? 0 : super.transferTo(count, throughBuffer, target);
+        }
+
+        @Override
+        public int read(ByteBuffer target) throws IOException {
+            return closing ? 0 : super.read(target);
+        }
+
+        @Override
+        public long read(ByteBuffer[] targets, int offset, int length) throws IOException {
+            return closing ? 0 : super.read(targets, offset, length);
+        }
+
+        @Override
+        public void terminateReads() {}
     }
 
-    // The two ways are closed by closeAction, each when its time has come.
-    @Override
-    protected void notifyReadClosed() {}
+    /**
+     * The output for the HTTP library: once closed, whatever the library would still write is late.
+     */
+    private final class OutputUntilClosed extends AbstractStreamSinkConduit<StreamSinkConduit> {
+        OutputUntilClosed() {
+            super(output);
+        }
 
-    @Override
-    protected void notifyWriteClosed() {}
+        private void checkOpen() throws IOException {
+            if (closing) {
+                throw new ClosedChannelException();
+            }
+        }
+
+        @Override
+        public int write(ByteBuffer source) throws IOException {
+            checkOpen();
+            return super.write(source);
+        }
+
+        @Override
+        public long write(ByteBuffer[] sources, int offset, int length) throws IOException {
+            checkOpen();
+            return super.write(sources, offset, length);
+        }
+
+        @Override
+        public void terminateWrites() throws IOException {
+            checkOpen();
+            super.terminateWrites();
+        }
+
+        @Override
+        public void truncateWrites() throws IOException {
+            checkOpen();
+            super.truncateWrites();
+        }
+    }
+
+    // ---- the socket's own
 
     @Override
     public SocketAddress getPeerAddress() {
--- a/src/main/java/postbeam/clients/PageQueryCodec.java
+++ b/src/main/java/postbeam/clients/PageQueryCodec.java
@@ -12,31 +12,31 @@
 import postbeam.pages.SortOrder;
 import postbeam.slices.KeyRange;
 
-/**
- * What pages add to the clients' form: order, page and cursor in a query; page and cursor in an
- * answer.
- */
+/** What ordered pages add to requests (order, page, cursor) and responses (page, cursor). */
 final class PageQueryCodec {
     private PageQueryCodec() {}
 
-    /** An IOException says what can't be used. */
-    static PageRequest decode(Map<String, Object> query, int rowsMost) throws IOException {
-        if (!(query.get("page") instanceof Integer rows) || rows < 1 || rows > rowsMost) {
-            throw new IOException(
-                    new PageError.InvalidRequestMember(
-                                    "page", "it takes 1 to " + rowsMost + " rows")
+    /**
+     * Decodes the page that a query asks for.
+     *
+     * @throws BadRequestException naming the member that can't be used
+     */
+    static PageRequest decode(Map<String, Object> query, int maxRows) throws BadRequestException {
+        if (!(query.get("page") instanceof Integer rows) || rows < 1 || rows > maxRows) {
+            throw new BadRequestException(
+                    new PageError.InvalidRequestMember("page", "it takes 1 to " + maxRows + " rows")
                             .message());
         }
         SortOrder order;
         try {
             order = RowCodec.readOrder(Json.member(query, "order", List.class));
         } catch (IOException e) {
-            throw new IOException(
+            throw new BadRequestException(
                     new PageError.InvalidRequestMember("order", e.getMessage()).message(), e);
         }
         Object cursor = query.get("cursor");
         if (cursor != null && !(cursor instanceof String)) {
-            throw new IOException(new PageError.InvalidCursor().message());
+            throw new BadRequestException(new PageError.InvalidCursor().message());
         }
         return new PageRequest(order, rows, (String) cursor);
     }
--- a/src/main/java/postbeam/clients/QueryCodec.java
+++ b/src/main/java/postbeam/clients/QueryCodec.java
@@ -4,7 +4,6 @@
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.HeaderValues;
 import io.undertow.util.HttpString;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -18,7 +17,7 @@
 import postbeam.json.Json;
 import postbeam.pages.PageRequest;
 
-/** The query and the answer in the clients' form. */
+/** Decodes requests of the clients' protocol and encodes its responses. */
 final class QueryCodec {
     private static final HttpString REQUEST_ID = new HttpString("Req-Id");
     private static final HttpString TENANT = new HttpString("Req-Owner");
@@ -32,99 +31,139 @@
     /** Milliseconds: a day; no client waits so long. */
     private static final long MAX_TIMEOUT_MILLIS = 86_400_000;
 
-    /** Of a whole: what is lost where portions are written with few digits. */
+    /** Of the sum of weights, which is 1: what is lost where they are written with few digits. */
     private static final double WEIGHT_SUM_TOLERANCE = 0.005;
 
-    private QueryCodec() {}
-
-    /** An IOException says what can't be used. */
-    static ClientRequest decode(
-            HttpServerExchange exchange,
-            byte[] body,
-            String vertical,
-            Set<String> owners,
-            int shards,
-            Duration usualWait,
-            int pageRows)
+    private static final int NANOS_PER_MICRO = 1000;
+
+    private final Map<String, Duration> defaultTimeouts;
+    private final Set<String> tenants;
+    private final int shardCount;
+
+    /** 0 where no pages are given. */
+    private int maxPageRows;
+
+    QueryCodec(Map<String, Duration> defaultTimeouts, Set<String> tenants, int shardCount) {
+        this.defaultTimeouts = defaultTimeouts;
+        this.tenants = tenants;
+        this.shardCount = shardCount;
+    }
+
+    /** To be called before the first request comes. */
+    void enablePages(int maxRows) {
+        maxPageRows = maxRows;
+    }
+
+    boolean hasQueryClass(String name) {
+        return defaultTimeouts.containsKey(name);
+    }
+
+    // ---- requests
+
+    /**
+     * Decodes a query.
+     *
+     * @throws IOException if it can't be used; the message is for the client
+     */
+    ClientRequest decode(HttpServerExchange exchange, byte[] body, String queryClass)
             throws IOException {
-        String id = header(exchange, REQUEST_ID);
-        if (id == null
-                || id.length() > MAX_ID_LENGTH
-                || !id.chars().allMatch(c -> c > ' ' && c < 127 && c != '.')) {
-            throw new IOException("Req-Id is missing or can't be used");
-        }
-        String owner = header(exchange, TENANT);
-        if (!owners.isEmpty() && !owners.contains(owner)) {
-            throw new IOException("Req-Owner is missing or unknown");
-        }
+        String id = decodeId(exchange);
+        String tenant = decodeTenant(exchange);
         Map<String, Object> query = Json.parseObject(body);
         PageRequest page =
-                pageRows > 0 && query.containsKey("page")
-                        ? PageQueryCodec.decode(query, pageRows)
+                maxPageRows > 0 && query.containsKey("page")
+                        ? PageQueryCodec.decode(query, maxPageRows)
                         : null;
-        List<ClientRequest.RequestedShard> parts =
-                page != null && page.cursor() != null ? List.of() : decodeParts(query, shards);
+        boolean followUpPage = page != null && page.cursor() != null;
+        List<ClientRequest.RequestedShard> parts = followUpPage ? List.of() : decodeParts(query);
         byte[] text =
                 Json.member(query, "predicate", String.class).getBytes(StandardCharsets.UTF_8);
-        return new ClientRequest(
-                id,
-                vertical,
-                owner,
-                decodeTimeout(header(exchange, DEADLINE), usualWait),
-                parts,
-                text,
-                decodeLayoutVersion(header(exchange, LAYOUT)),
-                "1".equals(exchange.getRequestHeaders().getFirst(RETRY)),
-                page);
-    }
-
-    private static List<ClientRequest.RequestedShard> decodeParts(
-            Map<String, Object> query, int shards) throws IOException {
-        Set<Integer> seen = new HashSet<>();
+        Duration timeout =
+                decodeTimeout(header(exchange, DEADLINE), defaultTimeouts.get(queryClass));
+        long layout = decodeLayoutVersion(header(exchange, LAYOUT));
+        boolean retry = "1".equals(exchange.getRequestHeaders().getFirst(RETRY));
+        return new ClientRequest(id, queryClass, tenant, timeout, parts, text, layout, retry, page);
+    }
+
+    private static String decodeId(HttpServerExchange exchange) throws BadRequestException {
+        String id = header(exchange, REQUEST_ID);
+        if (id == null
+                || id.length() > MAX_ID_LENGTH
+                || !id.chars().allMatch(QueryCodec::isAllowedInId)) {
+            throw new BadRequestException("Req-Id is missing or can't be used");
+        }
+        return id;
+    }
+
+    /** A dot separates the id from the shard in the ids of attempts. */
+    private static boolean isAllowedInId(int character) {
+        return character > ' ' && character < 127 && character != '.';
+    }
+
+    private String decodeTenant(HttpServerExchange exchange) throws BadRequestException {
+        String tenant = header(exchange, TENANT);
+        if (!tenants.isEmpty() && !tenants.contains(tenant)) {
+            throw new BadRequestException("Req-Owner is missing or unknown");
+        }
+        return tenant;
+    }
+
+    private List<ClientRequest.RequestedShard> decodeParts(Map<String, Object> query)
+            throws IOException {
+        Set<Integer> shards = new HashSet<>();
         List<ClientRequest.RequestedShard> parts = new ArrayList<>();
         for (Object range : Json.member(query, "ranges", List.class)) {
-            if (!(range instanceof Map<?, ?> part)) {
-                throw new IOException("ranges holds something else than objects");
+            if (!(range instanceof Map<?, ?> members)) {
+                throw new BadRequestException("ranges holds something else than objects");
             }
-            int shard = Json.member(part, "range", Integer.class);
-            double weight = Json.member(part, "portion", Number.class).doubleValue();
-            if (shard < 0
-                    || shard >= shards
-                    || !seen.add(shard)
-                    || !(weight > 0 && weight <= 1 + WEIGHT_SUM_TOLERANCE)) {
-                throw new IOException("range or portion can't be used: " + shard + ", " + weight);
+            ClientRequest.RequestedShard part = decodePart(members);
+            if (!shards.add(part.shard())) {
+                throw unusablePart(part.shard(), part.weight());
             }
-            parts.add(
-                    new ClientRequest.RequestedShard(
-                            shard,
-                            weight,
-                            part.get("price") instanceof Integer micros && micros > 0
-                                    ? Duration.ofNanos(micros * 1000L)
-                                    : null));
+            parts.add(part);
         }
         double sum = parts.stream().mapToDouble(ClientRequest.RequestedShard::weight).sum();
         if (Math.abs(sum - 1) > WEIGHT_SUM_TOLERANCE) {
-            throw new IOException("the portions of ranges add up to " + sum + ", not 1");
+            throw new BadRequestException("the portions of ranges add up to " + sum + ", not 1");
         }
         return parts;
     }
 
-    /** The version by which slices are named; 0 where none is told. */
-    private static long decodeLayoutVersion(String header) throws IOException {
+    private ClientRequest.RequestedShard decodePart(Map<?, ?> members) throws IOException {
+        int shard = Json.member(members, "range", Integer.class);
+        double weight = Json.member(members, "portion", Number.class).doubleValue();
+        boolean weightFits = weight > 0 && weight <= 1 + WEIGHT_SUM_TOLERANCE;
+        if (shard < 0 || shard >= shardCount || !weightFits) {
+            throw unusablePart(shard, weight);
+        }
+        Duration estimatedWork =
+                members.get("price") instanceof Integer micros && micros > 0
+                        ? Duration.ofNanos((long) micros * NANOS_PER_MICRO)
+                        : null;
+        return new ClientRequest.RequestedShard(shard, weight, estimatedWork);
+    }
+
+    private static BadRequestException unusablePart(int shard, double weight) {
+        return new BadRequestException("range or portion can't be used: " + shard + ", " + weight);
+    }
+
+    /** The version by which slices are named; 0 where none is stated. */
+    private static long decodeLayoutVersion(String header) throws BadRequestException {
         try {
             long version = header == null ? 0 : Long.parseLong(header);
             if (version >= 0) {
                 return version;
             }
         } catch (NumberFormatException e) {
-            // Told below.
+            // Reported below, as a negative version is.
         }
-        throw new IOException("Req-Layout can't be used");
+        throw new BadRequestException("Req-Layout can't be used");
     }
 
-    private static Duration decodeTimeout(String header, Duration usual) throws IOException {
-        if (header == null && usual != null) {
-            return usual;
+    private static Duration decodeTimeout(String header, Duration defaultTimeout)
+            throws BadRequestException {
+        if (header == null && defaultTimeout != null) {
+            return defaultTimeout;
         }
         try {
             long millis = Long.parseLong(String.valueOf(header));
@@ -132,20 +171,59 @@
                 return Duration.ofMillis(millis);
             }
         } catch (NumberFormatException e) {
-            // Told below, as a number that can't be used is.
+            // Reported below, as a number out of range is.
         }
-        throw new IOException("Req-Deadline-Ms is missing or can't be used");
+        throw new BadRequestException("Req-Deadline-Ms is missing or can't be used");
     }
 
     /** Null where it is missing; which of two was meant nobody can tell. */
-    private static String header(HttpServerExchange exchange, HttpString name) throws IOException {
+    private static String header(HttpServerExchange exchange, HttpString name)
+            throws BadRequestException {
         HeaderValues values = exchange.getRequestHeaders().get(name);
         if (values != null && values.size() > 1) {
-            throw new IOException(name + " stands there twice");
+            throw new BadRequestException(name + " stands there twice");
         }
         return values == null ? null : values.getFirst();
     }
 
+    // ---- responses
+
+    /** The body of a served query's response. */
+    static byte[] encode(QueryAction.Answer answer) {
+        return Json.encode(json -> encode(json, answer));
+    }
+
+    private static void encode(JsonGenerator json, QueryAction.Answer answer) throws IOException {
+        json.writeStartObject();
+        json.writeBooleanField("total", answer.complete());
+        if (answer.layoutVersion() > 0) {
+            json.writeNumberField("layout", answer.layoutVersion());
+        }
+        json.writeArrayFieldStart("answers");
+        for (QueryAction.ShardValue value : answer.values()) {
+            encode(json, value);
+        }
+        json.writeEndArray();
+        if (answer.page() != null) {
+            PageQueryCodec.encode(json, answer.page());
+        }
+        json.writeEndObject();
+    }
+
+    private static void encode(JsonGenerator json, QueryAction.ShardValue value)
+            throws IOException {
+        json.writeStartObject();
+        json.writeNumberField("range", value.shard());
+        if (value.coverage() != null) {
+            encode(json, value.coverage());
+        }
+        if (value.payload() != null) {
+            json.writeFieldName("blob");
+            json.writeUTF8String(value.payload(), 0, value.payload().length);
+        }
+        json.writeEndObject();
+    }
+
     /** Which keys the value is for, and which of the named slices they lie in. */
     private static void encode(JsonGenerator json, QueryAction.KeyCoverage cover)
             throws IOException {
@@ -157,34 +235,4 @@
         }
         json.writeEndArray();
     }
-
-    static byte[] encode(QueryAction.Answer answer) throws IOException {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (JsonGenerator json = Json.FACTORY.createGenerator(bytes)) {
-            json.writeStartObject();
-            json.writeBooleanField("total", answer.complete());
-            if (answer.layoutVersion() > 0) {
-                json.writeNumberField("layout", answer.layoutVersion());
-            }
-            json.writeArrayFieldStart("answers");
-            for (QueryAction.ShardValue value : answer.values()) {
-                json.writeStartObject();
-                json.writeNumberField("range", value.shard());
-                if (value.coverage() != null) {
-                    encode(json, value.coverage());
-                }
-                if (value.payload() != null) {
-                    json.writeFieldName("blob");
-                    json.writeUTF8String(value.payload(), 0, value.payload().length);
-                }
-                json.writeEndObject();
-            }
-            json.writeEndArray();
-            if (answer.page() != null) {
-                PageQueryCodec.encode(json, answer.page());
-            }
-            json.writeEndObject();
-        }
-        return bytes.toByteArray();
-    }
 }
--- /dev/null
+++ b/src/main/java/postbeam/clients/QueryExchange.java
@@ -0,0 +1,208 @@
+package postbeam.clients;
+
+import io.undertow.server.HttpServerExchange;
+import io.undertow.server.protocol.http.HttpServerConnection;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.time.Duration;
+import org.xnio.conduits.StreamSourceConduit;
+import postbeam.dispatch.ClientRequest;
+import postbeam.dispatch.PendingQuery;
+import postbeam.dispatch.QueryAction;
+import postbeam.slices.UnroutableQueryException;
+
+/**
+ * One query, from the last byte of its request to the first of its response. It is submitted and
+ * answered on the I/O thread and served on a query thread in between, while the I/O thread watches
+ * whether its client disconnects.
+ */
+final class QueryExchange {
+    private static final System.Logger LOG = System.getLogger(QueryExchange.class.getName());
+
+    /**
+     * When a client may retry that is ahead of the layout known here: its watch mostly tells it
+     * sooner.
+     */
+    private static final Duration LAYOUT_RETRY_AFTER = Duration.ofMillis(200);
+
+    private final ServerContext context;
+    private final HttpServerExchange exchange;
+    private final long receivedAtNanos;
+    private final ClientConnection client;
+
+    /** The moment is that of the request's head, on the clock of {@link System#nanoTime}. */
+    QueryExchange(ServerContext context, HttpServerExchange exchange, long receivedAtNanos) {
+        this.context = context;
+        this.exchange = exchange;
+        this.receivedAtNanos = receivedAtNanos;
+        this.client = ClientConnection.of(exchange);
+    }
+
+    // ---- submitting
+
+    /** Decodes the request and has the listener take the query, on this thread. */
+    void submit(byte[] body, String queryClass) {
+        ClientRequest request;
+        try {
+            request = context.codec().decode(exchange, body, queryClass);
+        } catch (IOException e) {
+            ResponseWriter.sendText(exchange, 400, RequestDispatcher.firstLine(e.getMessage()));
+            return;
+        }
+        if (client.isDisconnected()) {
+            // It asked and left before the router, being late, came to it: nothing of it is to
+            // begin.
+            client.closeImmediately();
+            exchange.endExchange();
+            return;
+        }
+        if (context.lifecycle().isDraining()) {
+            // What is still open when the process ends would be lost.
+            request = request.withTimeoutAtMost(context.lifecycle().drainTimeLeft(receivedAtNanos));
+        }
+        PendingQuery query;
+        try {
+            query =
+                    context.queries()
+                            .submit(request, Duration.ofNanos(System.nanoTime() - receivedAtNanos));
+        } catch (UnroutableQueryException e) {
+            respondUnroutable(e);
+            return;
+        }
+        if (query == null) {
+            ResponseWriter.sendText(exchange, 400, "a query of this Req-Id is open");
+            return;
+        }
+        begin(query);
+    }
+
+    /**
+     * Nothing of it has run: the client may retry, by the layout that it is told of, or after a
+     * wait.
+     */
+    private void respondUnroutable(UnroutableQueryException e) {
+        if (e.reason == UnroutableQueryException.Reason.LAYOUT_UNKNOWN) {
+            ResponseWriter.setRetryAfter(exchange, LAYOUT_RETRY_AFTER);
+        }
+        int status =
+                switch (e.reason) {
+                    case LAYOUT_EXPIRED -> 410;
+                    case LAYOUT_UNKNOWN -> 503;
+                    case UNKNOWN_SLICE -> 400;
+                };
+        ResponseWriter.sendText(exchange, status, e.getMessage());
+    }
+
+    private void begin(PendingQuery query) {
+        context.connections().trackRequest(exchange);
+        query.setClientCheck(
+                () -> {
+                    if (client.isDisconnected()) {
+                        abandon(query);
+                    }
+                });
+        // Once this event is over: until then Undertow sets up and stops reading by itself. And
+        // before the query
+        // can end, which is told by the same queue.
+        context.ioThread().execute(() -> watchForDisconnect(query));
+        exchange.dispatch(context.queryThreads(), () -> serve(query));
+    }
+
+    // ---- while it is served
+
+    /** Its client has disconnected. */
+    private void abandon(PendingQuery query) {
+        client.closeImmediately();
+        query.clientDisconnected();
+    }
+
+    private void watchForDisconnect(PendingQuery query) {
+        if (exchange.isComplete()) {
+            return;
+        }
+        HttpServerConnection connection = connection();
+        if (!connection.isOpen()) {
+            query.clientDisconnected();
+            return;
+        }
+        // The socket itself: the channel over it ends with the request's body, and then tells no
+        // more.
+        StreamSourceConduit socket = connection.getOriginalSourceConduit();
+        client.setWatched(true);
+        connection
+                .getChannel()
+                .getSourceChannel()
+                .setReadListener(
+                        channel -> {
+                            if (client.isDisconnected()) {
+                                socket.suspendReads();
+                                abandon(query);
+                            }
+                        });
+        socket.resumeReads();
+    }
+
+    private HttpServerConnection connection() {
+        return (HttpServerConnection) exchange.getConnection();
+    }
+
+    /** On a query thread. */
+    private void serve(PendingQuery query) {
+        QueryAction lastAction;
+        try {
+            lastAction = query.serve();
+        } catch (InterruptedException | RuntimeException | Error e) {
+            LOG.log(System.Logger.Level.ERROR, "serving a query failed", e);
+            query.clientDisconnected();
+            lastAction = new QueryAction.Abort();
+        }
+        QueryAction result = lastAction;
+        exchange.dispatch(exchange.getIoThread(), () -> finish(result));
+    }
+
+    // ---- responding
+
+    private void finish(QueryAction result) {
+        connection().getOriginalSourceConduit().suspendReads();
+        client.setWatched(false);
+        if (result instanceof QueryAction.ClientGone || !connection().isOpen()) {
+            client.closeImmediately();
+            exchange.endExchange();
+            return;
+        }
+        // A request sent before this one's response can't be kept in order: the connection is
+        // closed after it.
+        if (context.lifecycle().isClosing() || client.hasPipelined()) {
+            exchange.setPersistent(false);
+        }
+        respond(result);
+    }
+
+    private void respond(QueryAction result) {
+        if (result instanceof QueryAction.Answer answer) {
+            respondWith(answer);
+        } else if (result instanceof QueryAction.Reject reject) {
+            if (!reject.retryAfter().isZero()) {
+                ResponseWriter.setRetryAfter(exchange, reject.retryAfter());
+            }
+            ResponseWriter.sendText(exchange, 503, "rejected; asking again is harmless");
+        } else if (result instanceof QueryAction.RejectWithReason refused) {
+            LOG.log(System.Logger.Level.WARNING, refused.reason().message());
+            ResponseWriter.sendText(exchange, 503, refused.reason().message());
+        } else {
+            ResponseWriter.sendText(exchange, 504, "aborted");
+        }
+    }
+
+    private void respondWith(QueryAction.Answer answer) {
+        byte[] json;
+        try {
+            json = QueryCodec.encode(answer);
+        } catch (UncheckedIOException e) {
+            LOG.log(System.Logger.Level.ERROR, "an answer can't be encoded", e);
+            ResponseWriter.sendText(exchange, 500, "the answer can't be encoded");
+            return;
+        }
+        ResponseWriter.sendJson(exchange, json);
+    }
+}
