--- a/src/test/java/postbeam/layoutservice/HandoffClientMessagesTest.java
+++ b/src/test/java/postbeam/layoutservice/HandoffClientMessagesTest.java
@@ -34,9 +34,9 @@
 
     private record Done(long move, String node, HandoffCommand order, int slice) {}
 
-    private record Answered(long number, String node, List<RangeDigest> said) {}
+    private record Answered(long number, String node, List<RangeDigest> digests) {}
 
-    private final BlockingQueue<Object> heard = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Object> events = new LinkedBlockingQueue<>();
 
     /**
      * Takes a frame for each answer that it has and keeps the bytes; then it closes the connection.
@@ -68,42 +68,42 @@
     void ordersKeepTheirBytesAndAnswersTheirMeaning() throws Exception {
         List<String> answers = Samples.lines("node-order-answers.txt");
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                HandoffClient orders =
+                HandoffClient client =
                         new HandoffClient(
                                 (move, node, command, slice) ->
-                                        heard.add(new Done(move, node, command, slice)))) {
-            orders.updateAddresses(
+                                        events.add(new Done(move, node, command, slice)))) {
+            client.updateAddresses(
                     Map.of("n1", "127.0.0.1:" + server.getLocalPort(), "n2", "127.0.0.1:7002"));
-            orders.send(
+            client.send(
                     new CoordinatorAction.SendCommand(
                             7, "n1", HandoffCommand.COPY, 3, KEYS, 12, "n2"));
-            orders.send(
+            client.send(
                     new CoordinatorAction.SendCommand(
                             7, "n1", HandoffCommand.HOLD, 3, KEYS, 12, "n9"));
-            orders.send(
+            client.send(
                     new CoordinatorAction.SendCommand(
                             7, "n1", HandoffCommand.FENCE, 3, KEYS, 12, null));
-            orders.startTerm(
+            client.startTerm(
                     4,
-                    (number, node, said) -> heard.add(new Answered(number, node, said)),
-                    () -> heard.add(STALE));
-            orders.send(
+                    (number, node, digests) -> events.add(new Answered(number, node, digests)),
+                    () -> events.add(STALE));
+            client.send(
                     new CoordinatorAction.SendCommand(
                             0, "n1", HandoffCommand.SERVE, 3, REST, 13, null));
-            orders.send(
+            client.send(
                     new CoordinatorAction.SendCommand(
                             8, "n1", HandoffCommand.DROP, 3, KEYS, 13, null));
-            orders.requestDigests(
+            client.requestDigests(
                     new MigrationAction.RequestDigests(99, "n1", 3, List.of(KEYS, REST)));
             Samples.assertSameBytes("node-orders.bin", serve(server, answers));
             assertEquals(
-                    new Done(7, "n1", HandoffCommand.COPY, 3), heard.poll(10, TimeUnit.SECONDS));
+                    new Done(7, "n1", HandoffCommand.COPY, 3), events.poll(10, TimeUnit.SECONDS));
             // HOLD is answered with busy, which nobody hears.
             assertEquals(
-                    new Done(7, "n1", HandoffCommand.FENCE, 3), heard.poll(10, TimeUnit.SECONDS));
+                    new Done(7, "n1", HandoffCommand.FENCE, 3), events.poll(10, TimeUnit.SECONDS));
             assertEquals(
-                    new Done(0, "n1", HandoffCommand.SERVE, 3), heard.poll(10, TimeUnit.SECONDS));
-            assertEquals(STALE, heard.poll(10, TimeUnit.SECONDS));
+                    new Done(0, "n1", HandoffCommand.SERVE, 3), events.poll(10, TimeUnit.SECONDS));
+            assertEquals(STALE, events.poll(10, TimeUnit.SECONDS));
             assertEquals(
                     new Answered(
                             99,
@@ -111,7 +111,7 @@
                             List.of(
                                     new RangeDigest(KEYS, 0, 71, 2, 20, "ab".repeat(32)),
                                     new RangeDigest(REST, 1, 0, 0, 0, "cd".repeat(32)))),
-                    heard.poll(10, TimeUnit.SECONDS));
+                    events.poll(10, TimeUnit.SECONDS));
         }
     }
 }
--- a/src/test/java/postbeam/layoutservice/LayoutServiceIT.java
+++ b/src/test/java/postbeam/layoutservice/LayoutServiceIT.java
@@ -103,15 +103,15 @@
                         .start();
     }
 
-    /** The status, a space, and what was said. */
+    /** The status, a space, and the output. */
     private String layouts(String... words) throws IOException, InterruptedException {
         List<String> command = java("layouts");
         command.addAll(List.of(words));
         command.addAll(List.of("--settings", settings));
-        Process asked = new ProcessBuilder(command).redirectErrorStream(true).start();
-        String said =
-                new String(asked.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
-        return asked.waitFor() + " " + said;
+        Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
+        String output =
+                new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
+        return process.waitFor() + " " + output;
     }
 
     private static void until(Callable<Boolean> condition) throws Exception {
@@ -203,17 +203,17 @@
                             return false;
                         }
                     });
-            assertTrue(asked(listen, 1, 0).startsWith("200 {\"total\":true,\"layout\":1,"));
+            assertTrue(query(listen, 1, 0).startsWith("200 {\"total\":true,\"layout\":1,"));
             layouts("start", "--change", "{\"split\": 0, \"at\": [100]}");
-            until(() -> asked(listen, 2, 4).startsWith("200"));
-            String cut = asked(listen, 1, 0);
+            until(() -> query(listen, 2, 4).startsWith("200"));
+            String cut = query(listen, 1, 0);
             assertTrue(
                     cut.contains("\"from\":0,\"to\":100,\"named\":[0]")
                             && cut.contains("\"range\":5,\"from\":100"),
                     cut);
-            assertEquals("400 layout 2 has no slice 0", asked(listen, 2, 0));
-            assertEquals("503 0.2 layout 9 is not known yet; 2 is", asked(listen, 9, 0));
-            assertEquals("400 Req-Layout can't be used", asked(listen, -1, 0));
+            assertEquals("400 layout 2 has no slice 0", query(listen, 2, 0));
+            assertEquals("503 0.2 layout 9 is not known yet; 2 is", query(listen, 9, 0));
+            assertEquals("400 Req-Layout can't be used", query(listen, -1, 0));
             // The history is of one version: the first layout is forgotten with the third.
             layouts(
                     "start",
@@ -221,17 +221,17 @@
                     "{\"split\": 1, \"at\": [" + (KeyRange.KEY_SPACE_SIZE / 3) + "]}");
             until(
                     () ->
-                            asked(listen, 1, 0)
+                            query(listen, 1, 0)
                                     .equals("410 layout 1 is no longer kept; 3 is in force"));
             service.destroyForcibly().waitFor();
-            assertTrue(asked(listen, 2, 5).startsWith("200"), "the layout held stays");
+            assertTrue(query(listen, 2, 5).startsWith("200"), "the layout held stays");
         } finally {
             router.destroyForcibly().waitFor();
         }
     }
 
     /** Status, how long to wait where that is told, and the body. */
-    private static String asked(String router, long version, int slice)
+    private static String query(String router, long version, int slice)
             throws IOException, InterruptedException {
         HttpResponse<String> answer =
                 HttpClient.newHttpClient()
@@ -291,18 +291,19 @@
                 curl = line.contains("curl -i") ? line.strip() : null;
             }
             String[] quoted = curl.split("'");
-            HttpURLConnection asked =
+            HttpURLConnection connection =
                     (HttpURLConnection)
                             URI.create(quoted[1]).toURL().openConnection(Proxy.NO_PROXY);
             for (int i = 3; i < quoted.length - 2; i += 2) {
-                asked.setRequestProperty(quoted[i].split(": ")[0], quoted[i].split(": ")[1]);
+                connection.setRequestProperty(quoted[i].split(": ")[0], quoted[i].split(": ")[1]);
             }
-            asked.setDoOutput(true);
-            asked.getOutputStream()
+            connection.setDoOutput(true);
+            connection
+                    .getOutputStream()
                     .write(quoted[quoted.length - 1].getBytes(StandardCharsets.UTF_8));
-            assertEquals(200, asked.getResponseCode());
+            assertEquals(200, connection.getResponseCode());
             assertTrue(
-                    new String(asked.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
+                    new String(connection.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
                             .contains("\"total\":true"));
         } finally {
             tried.destroyForcibly().waitFor();
@@ -328,9 +329,10 @@
                         .entrySet()) {
             List<String> command = java("trial");
             command.addAll(List.of(one.getKey().split(" ")));
-            Process asked = new ProcessBuilder(command).redirectErrorStream(true).start();
-            String said = new String(asked.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertEquals(one.getValue(), asked.waitFor(), said);
+            Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
+            String output =
+                    new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            assertEquals(one.getValue(), process.waitFor(), output);
         }
     }
 }
--- a/src/test/java/postbeam/layoutservice/MoveJournalTest.java
+++ b/src/test/java/postbeam/layoutservice/MoveJournalTest.java
@@ -64,7 +64,7 @@
         return ends;
     }
 
-    private static byte[] whole(MoveJournalState journalState) {
+    private static byte[] snapshot(MoveJournalState journalState) {
         return MoveRecordCodec.write(journalState.snapshot());
     }
 
@@ -72,15 +72,15 @@
     void recordsComeBackAsTheyWere() throws IOException {
         Path file = dir.resolve("moves.log");
         written(file);
-        MoveJournalState told = new MoveJournalState(10);
-        told.apply(first());
-        records().forEach(told::apply);
+        MoveJournalState expected = new MoveJournalState(10);
+        expected.apply(first());
+        records().forEach(expected::apply);
         MoveJournalState read = new MoveJournalState(10);
         MoveJournal.open(file, read, null).close();
-        assertEquals(new String(whole(told)), new String(whole(read)));
+        assertEquals(new String(snapshot(expected)), new String(snapshot(read)));
         MoveJournalState again = new MoveJournalState(10);
-        again.apply(MoveRecordCodec.read(whole(read)));
-        assertEquals(new String(whole(read)), new String(whole(again)));
+        again.apply(MoveRecordCodec.read(snapshot(read)));
+        assertEquals(new String(snapshot(read)), new String(snapshot(again)));
     }
 
     @Test
@@ -95,24 +95,24 @@
             while (sound + 1 < ends.size() && ends.get(sound + 1) <= length) {
                 sound++;
             }
-            MoveJournalState told = new MoveJournalState(10);
-            told.apply(first());
-            records().subList(0, sound).forEach(told::apply);
+            MoveJournalState expected = new MoveJournalState(10);
+            expected.apply(first());
+            records().subList(0, sound).forEach(expected::apply);
             MoveJournalState read = new MoveJournalState(10);
             try (MoveJournal log = MoveJournal.open(torn, read, null)) {
                 assertEquals(length - ends.get(sound), log.tornBytes());
-                assertEquals(told.activeMoves().size(), read.activeMoves().size());
-                assertEquals(told.layout().slices(), read.layout().slices());
+                assertEquals(expected.activeMoves().size(), read.activeMoves().size());
+                assertEquals(expected.layout().slices(), read.layout().slices());
                 assertEquals(
-                        told.layout().version
+                        expected.layout().version
                                 + (log.tornBytes() == 0
                                         ? 0
-                                        : told.nextVersion() + 1 - told.layout().version),
+                                        : expected.nextVersion() + 1 - expected.layout().version),
                         read.layout().version);
             }
             MoveJournalState after = new MoveJournalState(10);
             MoveJournal.open(torn, after, null).close();
-            assertEquals(new String(whole(read)), new String(whole(after)));
+            assertEquals(new String(snapshot(read)), new String(snapshot(after)));
             Files.delete(torn);
         }
     }
@@ -157,7 +157,7 @@
         assertTrue(Files.size(file) < 30_000, "size " + Files.size(file));
         MoveJournalState read = new MoveJournalState(10);
         MoveJournal.open(file, read, null).close();
-        assertEquals(new String(whole(journalState)), new String(whole(read)));
+        assertEquals(new String(snapshot(journalState)), new String(snapshot(read)));
     }
 
     @Test
--- a/src/test/java/postbeam/layoutservice/StoredMoveRecordsTest.java
+++ b/src/test/java/postbeam/layoutservice/StoredMoveRecordsTest.java
@@ -226,7 +226,7 @@
         return records;
     }
 
-    private static MoveJournalState book() {
+    private static MoveJournalState emptyState() {
         MoveJournalState journalState = new MoveJournalState(HISTORY);
         journalState.setWorkflow(new MigrationJournalState());
         return journalState;
@@ -238,7 +238,7 @@
      */
     private Path written() throws IOException {
         Path file = dir.resolve("written.bin");
-        MoveJournalState journalState = book();
+        MoveJournalState journalState = emptyState();
         try (MoveJournal log = MoveJournal.open(file, journalState, snapshot())) {
             for (JournalRecord record : moveRecords()) {
                 journalState.apply(record);
@@ -312,7 +312,7 @@
 
     @Test
     void aStoredLogIsReadToTheSameState() throws IOException {
-        MoveJournalState journalState = book();
+        MoveJournalState journalState = emptyState();
         try (MoveJournal log = MoveJournal.open(sample("move-journal.bin"), journalState, null)) {
             assertEquals(0, log.tornBytes());
         }
@@ -322,7 +322,7 @@
     @Test
     void aStoredLogIsCompactedToTheSameBytes() throws IOException {
         Path file = sample("move-journal.bin");
-        MoveJournalState journalState = book();
+        MoveJournalState journalState = emptyState();
         try (MoveJournal log = MoveJournal.open(file, journalState, null)) {
             log.startTerm(journalState);
             for (int i = 0; i < ENOUGH_TO_COMPACT; i++) {
@@ -335,7 +335,7 @@
 
     @Test
     void aStoredCompactedLogIsReadToTheSameState() throws IOException {
-        MoveJournalState journalState = book();
+        MoveJournalState journalState = emptyState();
         MoveJournal.open(sample("move-journal-compacted.bin"), journalState, null).close();
         List<String> state =
                 Samples.lines("move-journal-state.jsonl").stream()
--- /dev/null
+++ b/src/test/java/postbeam/slices/ChangePlannerTest.java
@@ -0,0 +1,79 @@
+package postbeam.slices;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import postbeam.model.Readiness;
+
+/** Which changes and targets are rejected, and why. */
+class ChangePlannerTest extends CoordinatorScenario {
+    @Test
+    void badPlansAreRejectedInOneLineAndChangeNothing() {
+        nodes.put("e", new TargetLayout.NodeInfo("z0", Readiness.DRAINING));
+        coordinator.onNodesListed(nodes, List.of());
+        plan(new LayoutChange.Transfer(2, "c", "a"));
+        int before = records.size();
+        Map<LayoutChange, String> bad = new LinkedHashMap<>();
+        bad.put(new LayoutChange.Split(9, List.of(5L)), "there is no slice 9");
+        bad.put(new LayoutChange.Split(0, List.of(KeyRange.KEY_SPACE_SIZE - 1)), "can't be cut at");
+        bad.put(new LayoutChange.Merge(List.of(0, 2)), "slice 2 is moving already");
+        bad.put(new LayoutChange.Merge(List.of(0, 1)), "held by other nodes");
+        bad.put(new LayoutChange.Merge(List.of(1, 0)), "no neighbours in order");
+        bad.put(new LayoutChange.Transfer(0, "a", "x"), "there is no node x");
+        bad.put(new LayoutChange.Transfer(0, "a", "e"), "node e is draining");
+        bad.put(new LayoutChange.Transfer(0, "a", "b"), "is held by b already");
+        bad.put(new LayoutChange.Transfer(0, "d", "c"), "is not held by d");
+        bad.put(new LayoutChange.Transfer(0, "a", null), "1 holders, at least 2 are needed");
+        bad.put(
+                new LayoutChange.Transfer(0, "a", "d"),
+                "holders in 1 zones, at least 2 are needed");
+        bad.forEach(
+                (change, why) -> {
+                    String message =
+                            assertThrows(
+                                            IllegalArgumentException.class,
+                                            () -> coordinator.plan(change, now))
+                                    .getMessage();
+                    assertTrue(message.contains(why), change + ": " + message);
+                    assertFalse(message.contains("\n"));
+                });
+        assertEquals(before, records.size());
+    }
+
+    @Test
+    void aBadTargetIsRejectedLineByLine() {
+        KeyRange low = new KeyRange(0, 100);
+        assertEquals(
+                List.of("gap: no slice holds the keys 100-" + KeyRange.KEY_SPACE_SIZE),
+                coordinator.targetProblems(
+                        new TargetLayout(
+                                List.of(new TargetLayout.DesiredSlice(low, List.of("a", "b"))))));
+        assertEquals(
+                List.of("overlap: two slices hold the keys 50-100"),
+                coordinator.targetProblems(
+                        new TargetLayout(
+                                List.of(
+                                        new TargetLayout.DesiredSlice(low, List.of("a", "b")),
+                                        new TargetLayout.DesiredSlice(
+                                                new KeyRange(50, KeyRange.KEY_SPACE_SIZE),
+                                                List.of("a", "b"))))));
+        assertEquals(
+                3,
+                coordinator
+                        .targetProblems(
+                                new TargetLayout(
+                                        List.of(
+                                                new TargetLayout.DesiredSlice(
+                                                        low, List.of("a", "x")),
+                                                new TargetLayout.DesiredSlice(
+                                                        new KeyRange(100, KeyRange.KEY_SPACE_SIZE),
+                                                        List.of("a", "a")))))
+                        .size());
+    }
+}
--- a/src/test/java/postbeam/slices/LayoutPropertiesTest.java
+++ b/src/test/java/postbeam/slices/LayoutPropertiesTest.java
@@ -158,7 +158,7 @@
     }
 
     @Property(tries = 100, seed = "1")
-    void versionsFurtherBackThanTheHistoryAreForgottenWhole(@ForAll long seed) {
+    void versionsBeyondTheHistoryAreForgottenCompletely(@ForAll long seed) {
         List<Layout> all = recut(seed, 40, 5);
         Layout last = all.get(all.size() - 1);
         assertTrue(last.version - last.oldestVersion <= 6);
--- /dev/null
+++ b/src/test/java/postbeam/slices/NodeReconciliationTest.java
@@ -0,0 +1,76 @@
+package postbeam.slices;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.time.Duration;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import postbeam.model.Readiness;
+
+/** Nodes that come back, and slices of nodes that do not. */
+class NodeReconciliationTest extends CoordinatorScenario {
+    @Test
+    void aNodeThatComesBackIsRemindedOfWhatItServes() {
+        runFor(Duration.ofSeconds(1));
+        setReadiness("a", Readiness.REMOVED);
+        runFor(Duration.ofSeconds(1));
+        setReadiness("a", Readiness.READY);
+        execute(coordinator.tick(now), -1);
+        assertEquals(
+                2,
+                sentCommands.stream()
+                        .filter(
+                                command ->
+                                        command.node().equals("a")
+                                                && command.command() == HandoffCommand.SERVE)
+                        .count());
+        runFor(Duration.ofSeconds(1));
+        assertEquals(0, sentCommands.size());
+    }
+
+    @Test
+    void slicesOfADeadNodeAreRepairedIntoOtherZonesAndDroppedWhenItIsBack() {
+        nodes.put("e", new TargetLayout.NodeInfo("z0", Readiness.READY));
+        coordinator.onNodesListed(nodes, List.of());
+        runFor(Duration.ofSeconds(1));
+        setReadiness("a", Readiness.REMOVED);
+        assertEquals(
+                List.of(
+                        new LayoutChange.Transfer(0, "a", "e"),
+                        new LayoutChange.Transfer(3, "a", "e")),
+                coordinator.repairs());
+        plan(coordinator.repairs().get(0));
+        runFor(Duration.ofSeconds(20));
+        assertEquals(List.of("e", "b"), layout().slice(0).nodes());
+        assertEquals(1, coordinator.state().pendingDrops().size());
+        restart();
+        setReadiness("a", Readiness.READY);
+        execute(coordinator.tick(now), -1);
+        assertEquals(
+                List.of(0),
+                sentCommands.stream()
+                        .filter(
+                                command ->
+                                        command.node().equals("a")
+                                                && command.command() == HandoffCommand.DROP)
+                        .map(CoordinatorAction.SendCommand::slice)
+                        .toList());
+        runFor(Duration.ofSeconds(2));
+        assertEquals(0, coordinator.state().pendingDrops().size());
+    }
+
+    @Test
+    void aNodeThatIsToGetASliceAgainIsNotCommandedToDropIt() {
+        setReadiness("a", Readiness.REMOVED);
+        plan(new LayoutChange.Transfer(0, "a", "c"));
+        runFor(Duration.ofSeconds(20));
+        assertEquals(1, coordinator.state().pendingDrops().size());
+        silentNodes.add("a");
+        setReadiness("a", Readiness.READY);
+        plan(new LayoutChange.Transfer(0, "c", "a"));
+        assertEquals(0, coordinator.state().pendingDrops().size());
+        silentNodes.clear();
+        runFor(Duration.ofSeconds(20));
+        assertEquals(List.of("a", "b"), layout().slice(0).nodes());
+    }
+}
--- a/src/test/java/postbeam/slices/SliceTranslatorTest.java
+++ b/src/test/java/postbeam/slices/SliceTranslatorTest.java
@@ -24,16 +24,16 @@
 class SliceTranslatorTest {
     private static final long QUARTER = KeyRange.KEY_SPACE_SIZE / 4;
 
-    private final SliceTranslator slicing = new SliceTranslator();
+    private final SliceTranslator translator = new SliceTranslator();
     private final DataNode node = new DataNode(0, new Zone(true));
     private final Map<DataNode, String> names = new HashMap<>(Map.of(node, "a"));
     private Layout layout = Layout.initial(4, List.of("a", "b", "c"), 2);
     private int births = 4;
 
     SliceTranslatorTest() {
-        slicing.placement().configure(names::get, at -> at);
-        slicing.placement().add(node);
-        slicing.onUpdate(layout);
+        translator.placement().configure(names::get, at -> at);
+        translator.placement().add(node);
+        translator.onUpdate(layout);
     }
 
     private static Query query(SideEffects effect, double floor) {
@@ -47,15 +47,15 @@
         return new Query(queryClass, null, Duration.ZERO, Duration.ofSeconds(3));
     }
 
-    /** Asks for these slices of the layout told first, with even weights. */
-    private Query asked(SideEffects effect, long version, int... slices)
+    /** Asks for these slices of the first layout, with even weights. */
+    private Query request(SideEffects effect, long version, int... slices)
             throws UnroutableQueryException {
         Query query = query(effect, 0.25);
         List<SliceRequest> askings = new ArrayList<>();
         for (int slice : slices) {
             askings.add(new SliceRequest(slice, 1.0 / slices.length, Duration.ofMillis(8)));
         }
-        slicing.assignParts(query, version, askings);
+        translator.assignParts(query, version, askings);
         return query;
     }
 
@@ -75,9 +75,9 @@
                         layout.version + 1,
                         Duration.ofSeconds(layout.version),
                         100);
-        assertTrue(slicing.onUpdate(layout));
+        assertTrue(translator.onUpdate(layout));
         for (Query query : open) {
-            slicing.remapStaleParts(query);
+            translator.remapStaleParts(query);
         }
     }
 
@@ -95,8 +95,8 @@
     // ---- lineage
 
     @Test
-    void aSplitDividesWeightsAndWorkHintsAndKeepsThePast() throws UnroutableQueryException {
-        Query query = asked(SideEffects.NON_IDEMPOTENT, 1, 0, 1);
+    void aSplitDividesWeightsAndWorkHintsAndKeepsAttempts() throws UnroutableQueryException {
+        Query query = request(SideEffects.NON_IDEMPOTENT, 1, 0, 1);
         Attempt attempt = sent(part(query, 0), 5);
         LayoutChange split = new LayoutChange.Split(0, List.of(QUARTER / 4));
         after(split, query);
@@ -104,7 +104,7 @@
         // Its answer is an error: it may have run.
         attempt.end();
         part(query, 0).recordPossibleExecution(attempt.sentAt);
-        assertTrue(slicing.remapStaleParts(query));
+        assertTrue(translator.remapStaleParts(query));
         assertNull(part(query, 0));
         for (int slice : new int[] {4, 5}) {
             assertEquals(
@@ -120,13 +120,12 @@
     }
 
     @Test
-    void aMergeOfAPartThatMayHaveRunAndOneThatNeverWasSentKeepsBothPasts()
-            throws UnroutableQueryException {
-        Query query = asked(SideEffects.NON_IDEMPOTENT, 1, 1, 2);
+    void aMergeOfASentAndAnUnsentRequestKeepsTheAttemptsOfBoth() throws UnroutableQueryException {
+        Query query = request(SideEffects.NON_IDEMPOTENT, 1, 1, 2);
         Attempt attempt = sent(part(query, 1), 5);
         attempt.end();
         part(query, 1).recordPossibleExecution(attempt.sentAt);
-        Query fresh = asked(SideEffects.NON_IDEMPOTENT, 1, 1, 2);
+        Query fresh = request(SideEffects.NON_IDEMPOTENT, 1, 1, 2);
         layout =
                 layout.withChange(
                         new LayoutChange.Transfer(
@@ -148,14 +147,14 @@
     }
 
     @Test
-    void twoRecutsDuringOneQueryKeepThePastOfEach() throws UnroutableQueryException {
-        Query query = asked(SideEffects.DEDUPLICATED, 1, 0);
+    void twoRecutsDuringOneQueryKeepTheAttemptsOfEach() throws UnroutableQueryException {
+        Query query = request(SideEffects.DEDUPLICATED, 1, 0);
         Attempt attempt = sent(part(query, 0), 7);
         after(new LayoutChange.Split(0, List.of(100L)), query);
         after(new LayoutChange.Merge(List.of(4, 5)), query);
         attempt.end();
         part(query, 0).recordPossibleExecution(attempt.sentAt);
-        slicing.remapStaleParts(query);
+        translator.remapStaleParts(query);
         assertEquals(1, query.shardRequests.size());
         assertEquals(6, query.shardRequests.get(0).shard);
         assertEquals(
@@ -165,8 +164,7 @@
     }
 
     @Test
-    void whatWasJoinedAndIsCutAgainHasTheWeightsThatItsClientGave()
-            throws UnroutableQueryException {
+    void slicesMergedAndSplitAgainKeepTheClientsWeights() throws UnroutableQueryException {
         Query query = query(SideEffects.IDEMPOTENT, 1);
         layout =
                 layout.withChange(
@@ -175,8 +173,8 @@
                         2,
                         Duration.ZERO,
                         9);
-        slicing.onUpdate(layout);
-        slicing.assignParts(
+        translator.onUpdate(layout);
+        translator.assignParts(
                 query,
                 1,
                 List.of(
@@ -191,11 +189,11 @@
     }
 
     @Test
-    void whatIsMergedStaysAndIsNotAskedAgain() throws UnroutableQueryException {
-        Query query = asked(SideEffects.IDEMPOTENT, 1, 0, 1);
+    void anAnsweredRequestStaysAndIsNotSentAgain() throws UnroutableQueryException {
+        Query query = request(SideEffects.IDEMPOTENT, 1, 0, 1);
         part(query, 0).markAnswered();
         after(new LayoutChange.Split(0, List.of(100L)), query);
-        assertFalse(slicing.remapStaleParts(query));
+        assertFalse(translator.remapStaleParts(query));
         assertEquals(2, query.shardRequests.size());
         assertEquals(0.5, query.answeredWeight(), 1e-9);
     }
@@ -205,7 +203,7 @@
     @Test
     void halvesOfTwoSlicesAreNoSliceOfEitherLayout() throws UnroutableQueryException {
         // Named: 0 and 1. Then 0 is cut into 4 and 5, and 5 joined with 1 to 6.
-        Query query = asked(SideEffects.IDEMPOTENT, 1, 0, 1);
+        Query query = request(SideEffects.IDEMPOTENT, 1, 0, 1);
         Attempt attempt = sent(part(query, 1), 5);
         after(new LayoutChange.Split(0, List.of(QUARTER / 2)), query);
         sent(part(query, 5), 6);
@@ -225,17 +223,17 @@
                 "half of 0 is in, and half of 6: neither slice is");
         part(query, 4).markAnswered();
         assertEquals(0.5, query.answeredWeight(), 1e-9, "0 is in, by the layout that was named");
-        LayoutCompleteness.CompleteParts counted =
-                slicing.completenessOf(query).completeParts(query);
-        assertEquals(1, counted.version());
-        assertEquals(2, counted.requests().size());
+        LayoutCompleteness.CompleteParts complete =
+                translator.completenessOf(query).completeParts(query);
+        assertEquals(1, complete.version());
+        assertEquals(2, complete.requests().size());
         attempt.end();
         part(query, 1).markAnswered();
         assertEquals(1, query.answeredWeight(), 1e-9);
     }
 
     @Test
-    void anAnswerTellsWhichNamedSlicesAValueIsFor() throws UnroutableQueryException {
+    void aResponseNamesTheRequestedSlicesOfAValue() throws UnroutableQueryException {
         layout =
                 layout.withChange(
                         new LayoutChange.Transfer(1, layout.slice(1).nodes().get(1), "a"),
@@ -244,10 +242,10 @@
                         Duration.ZERO,
                         9);
         after(new LayoutChange.Merge(List.of(0, 1)));
-        Query query = asked(SideEffects.IDEMPOTENT, 1, 0, 1, 2);
+        Query query = request(SideEffects.IDEMPOTENT, 1, 0, 1, 2);
         assertEquals(2, query.shardRequests.size());
         query.shardRequests.forEach(request -> request.markAnswered());
-        LayoutCompleteness completeness = slicing.completenessOf(query);
+        LayoutCompleteness completeness = translator.completenessOf(query);
         assertEquals(
                 List.of(List.of(0, 1), List.of(2)),
                 completeness.completeParts(query).requests().stream()
@@ -258,16 +256,16 @@
     // ---- versions
 
     @Test
-    void aLayoutThatGoesBackIsRefused() {
+    void anOlderLayoutIsRejected() {
         Layout first = layout;
         after(new LayoutChange.Split(0, List.of(100L)));
-        assertFalse(slicing.onUpdate(first));
-        assertEquals(2, slicing.currentLayout().version);
-        assertEquals(1, slicing.rejectedLayouts());
+        assertFalse(translator.onUpdate(first));
+        assertEquals(2, translator.currentLayout().version);
+        assertEquals(1, translator.rejectedLayouts());
     }
 
     @Test
-    void whatCantBeRoutedIsToldApart() throws UnroutableQueryException {
+    void reasonsWhyAQueryIsUnroutableAreDistinct() throws UnroutableQueryException {
         for (int i = 0; i < 6; i++) {
             layout = layout.withVersion(layout.version + 1);
         }
@@ -278,45 +276,45 @@
                         8,
                         Duration.ZERO,
                         3);
-        slicing.onUpdate(layout);
+        translator.onUpdate(layout);
         assertEquals(UnroutableQueryException.Reason.LAYOUT_EXPIRED, refused(4, 0));
         assertEquals(UnroutableQueryException.Reason.LAYOUT_UNKNOWN, refused(9, 0));
         assertEquals(UnroutableQueryException.Reason.UNKNOWN_SLICE, refused(8, 0));
         assertEquals(UnroutableQueryException.Reason.UNKNOWN_SLICE, refused(7, 4));
-        asked(SideEffects.IDEMPOTENT, 7, 0);
-        asked(SideEffects.IDEMPOTENT, 0, 4);
+        request(SideEffects.IDEMPOTENT, 7, 0);
+        request(SideEffects.IDEMPOTENT, 0, 4);
     }
 
     private UnroutableQueryException.Reason refused(long version, int slice) {
         return assertThrows(
                         UnroutableQueryException.class,
-                        () -> asked(SideEffects.IDEMPOTENT, version, slice))
+                        () -> request(SideEffects.IDEMPOTENT, version, slice))
                 .reason;
     }
 
     // ---- replica lists
 
     @Test
-    void aNodeThatSaysItHoldsASliceNoMoreIsLeftOutForAWhile() throws UnroutableQueryException {
-        assertEquals(List.of(node), slicing.placement().replicas(0));
-        Query query = asked(SideEffects.IDEMPOTENT, 1, 0);
-        slicing.excludeReplica(part(query, 0), node);
-        assertEquals(List.of(), slicing.placement().replicas(0));
-        slicing.readmitReplica(0, node);
-        assertEquals(List.of(node), slicing.placement().replicas(0));
-        slicing.excludeReplica(part(query, 0), node);
+    void aNodeThatDoesNotHoldASliceIsExcludedForAWhile() throws UnroutableQueryException {
+        assertEquals(List.of(node), translator.placement().replicas(0));
+        Query query = request(SideEffects.IDEMPOTENT, 1, 0);
+        translator.excludeReplica(part(query, 0), node);
+        assertEquals(List.of(), translator.placement().replicas(0));
+        translator.readmitReplica(0, node);
+        assertEquals(List.of(node), translator.placement().replicas(0));
+        translator.excludeReplica(part(query, 0), node);
         after(new LayoutChange.Split(1, List.of(QUARTER + 5)));
         assertEquals(
                 List.of(node),
-                slicing.placement().replicas(0),
-                "a new version clears what was said of the last");
+                translator.placement().replicas(0),
+                "a new version clears what was learned under the last");
     }
 
     @Test
-    void aHolderThatTookASliceIsKnownToBeCold() {
-        assertNull(slicing.placement().acquiredAt(1, node));
+    void aHolderThatAcquiredASliceIsKnownToBeWarmingUp() {
+        assertNull(translator.placement().acquiredAt(1, node));
         after(new LayoutChange.Transfer(1, layout.slice(1).nodes().get(1), "a"));
-        assertEquals(Duration.ofSeconds(1), slicing.placement().acquiredAt(1, node));
-        assertEquals(2, slicing.placement().replicationFactor());
+        assertEquals(Duration.ofSeconds(1), translator.placement().acquiredAt(1, node));
+        assertEquals(2, translator.placement().replicationFactor());
     }
 }
--- a/src/test/java/postbeam/slices/TranslationBenchmark.java
+++ b/src/test/java/postbeam/slices/TranslationBenchmark.java
@@ -44,7 +44,7 @@
                     .partialUtility(0.9)
                     .build();
 
-    private final SliceTranslator slicing = new SliceTranslator();
+    private final SliceTranslator translator = new SliceTranslator();
     private final List<SliceRequest> now = new ArrayList<>();
     private final List<SliceRequest> then = new ArrayList<>();
     private Layout old;
@@ -68,7 +68,7 @@
                             Duration.ZERO,
                             1000);
         }
-        slicing.onUpdate(layout);
+        translator.onUpdate(layout);
         for (int i = 0; i < PARTS; i++) {
             then.add(new SliceRequest(old.slices().get(97 * i).number(), 1.0 / PARTS, null));
             now.add(new SliceRequest(layout.slices().get(97 * i).number(), 1.0 / PARTS, null));
@@ -82,14 +82,14 @@
     @Benchmark
     public Query byTheVersionInForce() throws UnroutableQueryException {
         Query query = query();
-        slicing.assignParts(query, 0, now);
+        translator.assignParts(query, 0, now);
         return query;
     }
 
     @Benchmark
     public Query byAVersionOfAHundredRecutsAgo() throws UnroutableQueryException {
         Query query = query();
-        slicing.assignParts(query, old.version, then);
+        translator.assignParts(query, old.version, then);
         return query;
     }
 
@@ -97,7 +97,7 @@
     @Benchmark
     public double weightAcrossRecuts() throws UnroutableQueryException {
         Query query = query();
-        slicing.assignParts(query, old.version, then);
+        translator.assignParts(query, old.version, then);
         return query.answeredWeight();
     }
 
