--- a/src/main/java/postbeam/testbed/simulation/MigrationSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/MigrationSimulation.java
@@ -2,7 +2,6 @@
 
 import java.time.Duration;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.Collections;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -18,21 +17,14 @@
 import java.util.TreeSet;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import postbeam.errors.OperatorErrorException;
 import postbeam.layoutservice.MoveRecordCodec;
-import postbeam.migration.Checkpoint;
 import postbeam.migration.Migration;
-import postbeam.migration.MigrationError;
-import postbeam.migration.MigrationJournalState;
 import postbeam.migration.MigrationRecord;
 import postbeam.migration.MigrationState;
-import postbeam.migration.PauseReason;
 import postbeam.migration.SliceTransfer;
 import postbeam.slices.JournalRecord;
 import postbeam.slices.KeyRange;
 import postbeam.slices.Layout;
-import postbeam.slices.Move;
-import postbeam.slices.MoveJournalState;
 import postbeam.slices.Slice;
 import postbeam.testbed.verification.TrialResult;
 
@@ -42,7 +34,6 @@
  * sees against that.
  */
 public final class MigrationSimulation {
-    private static final List<MigrationState> STATES = List.of(MigrationState.values());
     private static final int NODES = 7;
     private static final int SLICES = 6;
     private static final int HOLDERS = 3;
@@ -102,13 +93,13 @@
     int recordsLeft;
     int slipped;
     private final long seed;
-    private final boolean faults;
+    final boolean faults;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparing(Event::at).thenComparingLong(Event::number));
     private final List<Router> routers = new ArrayList<>();
-    private final Map<String, Integer> runs = new HashMap<>();
-    private final Map<String, Long> keys = new LinkedHashMap<>();
-    private final Set<String> done = new LinkedHashSet<>();
+    final Map<String, Integer> runs = new HashMap<>();
+    final Map<String, Long> keys = new LinkedHashMap<>();
+    final Set<String> done = new LinkedHashSet<>();
     private final Set<String> rejected = new LinkedHashSet<>();
 
     /** The slice that a move is about. */
@@ -116,18 +107,16 @@
 
     private final Map<Integer, Long> lastCut = new HashMap<>();
     private final Map<String, Tally> tallies = new TreeMap<>();
-    private final Map<Long, MigrationState> goBackAt = new HashMap<>();
-    private final Map<Long, Duration> pausedSince = new HashMap<>();
     private final List<String> broken = new ArrayList<>();
     public final Set<String> diedAt = new TreeSet<>();
     public final Map<String, Integer> seen = new TreeMap<>();
     private final Layout first;
     private final List<List<SliceTransfer>> plans = new ArrayList<>();
-    private SimulatedMigrationCoordinator chief;
+    SimulatedMigrationCoordinator chief;
     private long eventCount;
     private long marks;
     private long turns;
-    private boolean calm;
+    boolean calm;
 
     /**
      * Prepares a run, in which the seed decides every choice.
@@ -221,11 +210,11 @@
         }
     }
 
-    private void count(String what) {
+    void count(String what) {
         seen.merge(what, 1, Integer::sum);
     }
 
-    private void breaks(String what) {
+    void breaks(String what) {
         broken.add("at " + now.toMillis() + " ms: " + what);
     }
 
@@ -236,7 +225,7 @@
         chief = new SimulatedMigrationCoordinator(this);
         routers.forEach(this::poll);
         after(Duration.ofMillis(100), this::load);
-        after(Duration.ofMillis(300), this::operate);
+        after(Duration.ofMillis(300), new MigrationOperator(this)::operate);
         for (int i = 0; i < plans.size(); i++) {
             List<SliceTransfer> hops = plans.get(i);
             String member = "m" + i;
@@ -255,7 +244,7 @@
             next.what.run();
         }
         if (broken.isEmpty()) {
-            end();
+            new MigrationFinalChecks(this).check();
         }
         return new TrialResult(List.of(figures()), List.copyOf(broken));
     }
@@ -505,7 +494,7 @@
         after(upTo(Duration.ofMillis(700)), this::succeed);
     }
 
-    private void succeed() {
+    void succeed() {
         if (chief.dead()) {
             chief = new SimulatedMigrationCoordinator(this);
         }
@@ -576,204 +565,6 @@
         after(Duration.ofMillis(200).plus(upTo(Duration.ofMillis(900))), old::wake);
     }
 
-    // ---- the operator
-
-    private void operate() {
-        after(Duration.ofMillis(30), this::operate);
-        if (!chief.works()) {
-            if (chief.dead() && with(0.05)) {
-                succeed();
-            }
-            return;
-        }
-        for (Slice slice : chief.coordinator.state().layout().slices()) {
-            long away =
-                    slice.nodes().stream()
-                            .map(this::node)
-                            .filter(
-                                    node ->
-                                            node.alive
-                                                    && (node.copies.get(slice.number()) == null
-                                                            || node.copies.get(slice.number())
-                                                                            .standing
-                                                                    != SimulatedMigrationNode
-                                                                            .Standing.SERVING))
-                            .count();
-            if (away > 1) {
-                breaks(away + " holders of slice " + slice.number() + " do not serve it");
-            }
-        }
-        for (Migration one : List.copyOf(chief.migrations.journalState().activeMigrations())) {
-            operate(one);
-        }
-    }
-
-    private void operate(Migration one) {
-        MigrationState back =
-                goBackAt.computeIfAbsent(
-                        one.id,
-                        id ->
-                                !faults
-                                        ? MigrationState.RETIRED
-                                        : STATES.get(chance.nextInt(STATES.size())));
-        if (one.state() == back && one.state().allowsRollback() && with(0.3)) {
-            chief.ordered(
-                    migrations -> () -> migrations.rollBack(one.id, "an operator's wish", now));
-            return;
-        }
-        if (one.isPaused()) {
-            Duration since = pausedSince.computeIfAbsent(one.id, id -> now);
-            if (now.minus(since).compareTo(Duration.ofMillis(200)) > 0) {
-                pausedSince.remove(one.id);
-                if (one.pauseReason() == PauseReason.DIGEST_MISMATCH
-                        && one.state().allowsRollback()
-                        && with(0.5)) {
-                    chief.ordered(
-                            migrations ->
-                                    () -> migrations.rollBack(one.id, one.pauseDetail(), now));
-                } else {
-                    chief.migrations.updateUtility(one.member, 1);
-                    chief.ordered(migrations -> () -> migrations.resume(one.id, now));
-                }
-            }
-            return;
-        }
-        if (one.openCheckpoint() != null && (with(0.15) || calm)) {
-            Checkpoint right = one.openCheckpoint();
-            refused(
-                    one.id,
-                    new Checkpoint(right.layoutVersion() + 1, right.digest()),
-                    MigrationError.StaleCheckpoint.class);
-            OperatorErrorException failed =
-                    chief.ordered(
-                            migrations -> () -> migrations.passCheckpoint(one.id, right, now));
-            if (failed != null) {
-                breaks("the right order was refused: " + failed.getMessage());
-            }
-            if (chief.works()) {
-                refused(one.id, right, MigrationError.CheckpointAlreadyPassed.class);
-            }
-        } else if (!calm && with(0.01)) {
-            chief.ordered(migrations -> () -> migrations.pause(one.id, "an operator's wish", now));
-        } else if (!calm && with(0.004)) {
-            chief.migrations.updateUtility(one.member, 0.5);
-        }
-    }
-
-    private void refused(long id, Checkpoint named, Class<? extends MigrationError> as) {
-        if (!chief.works()) {
-            return;
-        }
-        OperatorErrorException refused =
-                chief.ordered(migrations -> () -> migrations.passCheckpoint(id, named, now));
-        if (refused == null || refused.error().getClass() != as) {
-            breaks("an order that is " + as.getSimpleName() + " was taken as " + refused);
-        }
-    }
-
-    // ---- at the end
-
-    private void end() {
-        MigrationJournalState migrations = chief.migrations.journalState();
-        Layout layout = chief.coordinator.state().layout();
-        for (Migration one : migrations.activeMigrations()) {
-            breaks("progress: " + one + " does not end");
-        }
-        for (Move move : chief.coordinator.state().activeMoves()) {
-            breaks("progress: " + move + " does not end");
-        }
-        for (Migration one : migrations.migrations()) {
-            count("ended " + one.state().wireName());
-            for (SliceTransfer hop : one.transfers) {
-                Slice slice = layout.slice(hop.slice());
-                boolean old = slice.heldBy(hop.source()) && !slice.heldBy(hop.target());
-                boolean fresh = !slice.heldBy(hop.source()) && slice.heldBy(hop.target());
-                if (one.state() == MigrationState.RETIRED
-                        ? !fresh
-                        : one.state() == MigrationState.ROLLED_BACK && !old) {
-                    breaks(one + " left slice " + hop.slice() + " with " + slice.nodes());
-                }
-            }
-        }
-        for (Slice slice : layout.slices()) {
-            Set<String> ran = new TreeSet<>();
-            keys.forEach(
-                    (hold, key) -> {
-                        if (runs.containsKey(hold)
-                                && slice.keys().from() <= key
-                                && key < slice.keys().to()) {
-                            ran.add(hold);
-                        }
-                    });
-            for (SimulatedMigrationNode node : nodes) {
-                SimulatedMigrationNode.Copy copy = node.copies.get(slice.number());
-                if (slice.heldBy(node.name)) {
-                    holds(slice, node, copy, ran);
-                } else if (copy != null) {
-                    breaks("node " + node.name + " still has slice " + slice.number());
-                }
-            }
-        }
-        replays();
-    }
-
-    private void holds(
-            Slice slice,
-            SimulatedMigrationNode node,
-            SimulatedMigrationNode.Copy copy,
-            Set<String> ran) {
-        if (copy == null || copy.standing != SimulatedMigrationNode.Standing.SERVING) {
-            breaks("node " + node.name + " does not serve slice " + slice.number());
-            return;
-        }
-        Set<String> has = new TreeSet<>();
-        copy.rows.values().forEach(row -> has.add(row.hold()));
-        if (!has.equals(ran)) {
-            Set<String> missing = new TreeSet<>(ran);
-            missing.removeAll(has);
-            boolean told = missing.stream().anyMatch(done::contains);
-            breaks(
-                    "node "
-                            + node.name
-                            + " serves slice "
-                            + slice.number()
-                            + " without "
-                            + missing
-                            + (told ? ", of which clients were told" : ""));
-        }
-    }
-
-    /** What is on disk adds up to what the coordinator has. */
-    private void replays() {
-        MoveJournalState moves = new MoveJournalState(50);
-        MigrationJournalState again = new MigrationJournalState();
-        moves.setWorkflow(again);
-        try {
-            for (SimulatedMigrationCoordinator.Stored stored : log) {
-                if (stored.term() == 0 || stored.term() >= moves.term()) {
-                    moves.apply(MoveRecordCodec.read(stored.bytes()));
-                }
-            }
-        } catch (java.io.IOException | IllegalArgumentException e) {
-            breaks("the log can't be read: " + e.getMessage());
-            return;
-        }
-        List<JournalRecord.WorkflowRecord> here = chief.migrations.journalState().snapshotRecords();
-        List<JournalRecord.WorkflowRecord> there = again.snapshotRecords();
-        boolean same =
-                here.size() == there.size()
-                        && moves.layout().version == chief.coordinator.state().layout().version;
-        for (int i = 0; same && i < here.size(); i++) {
-            same =
-                    Arrays.equals(
-                            MoveRecordCodec.write(here.get(i)),
-                            MoveRecordCodec.write(there.get(i)));
-        }
-        if (!same) {
-            breaks("the log adds up to something else than the coordinator has");
-        }
-    }
-
     private String figures() {
         StringBuilder line =
                 new StringBuilder(
