--- a/src/main/java/postbeam/testbed/simulation/MigrationFinalChecks.java
+++ b/src/main/java/postbeam/testbed/simulation/MigrationFinalChecks.java
@@ -48,9 +48,9 @@
         }
         for (Slice slice : layout.slices()) {
             Set<String> ran = new TreeSet<>();
-            run.keys.forEach(
+            run.load.keys.forEach(
                     (hold, key) -> {
-                        if (run.runs.containsKey(hold)
+                        if (run.load.runs.containsKey(hold)
                                 && slice.keys().from() <= key
                                 && key < slice.keys().to()) {
                             ran.add(hold);
@@ -82,7 +82,7 @@
         if (!has.equals(ran)) {
             Set<String> missing = new TreeSet<>(ran);
             missing.removeAll(has);
-            boolean acknowledged = missing.stream().anyMatch(run.done::contains);
+            boolean acknowledged = missing.stream().anyMatch(run.load.done::contains);
             run.breaks(
                     "node "
                             + node.name
--- a/src/main/java/postbeam/testbed/simulation/MigrationSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/MigrationSimulation.java
@@ -2,10 +2,8 @@
 
 import java.time.Duration;
 import java.util.ArrayList;
-import java.util.Collections;
 import java.util.Comparator;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Locale;
@@ -23,7 +21,6 @@
 import postbeam.migration.MigrationState;
 import postbeam.migration.SliceTransfer;
 import postbeam.slices.JournalRecord;
-import postbeam.slices.KeyRange;
 import postbeam.slices.Layout;
 import postbeam.slices.Slice;
 import postbeam.testbed.verification.TrialResult;
@@ -37,13 +34,8 @@
     private static final int NODES = 7;
     private static final int SLICES = 6;
     private static final int HOLDERS = 3;
-    private static final int ROUTERS = 3;
-    private static final Duration LOAD = Duration.ofSeconds(9);
+    static final Duration LOAD = Duration.ofSeconds(9);
     private static final Duration END = Duration.ofSeconds(40);
-    private static final Duration POLL = Duration.ofMillis(150);
-    private static final Duration PATIENCE = Duration.ofSeconds(1);
-    private static final Duration SLO = Duration.ofMillis(100);
-    private static final Duration HOLD_EVERY = Duration.ofMillis(12);
     private static final double LOST_MESSAGES = 0.03;
     private static final double SPOILT_COPIES = 0.03;
 
@@ -52,38 +44,6 @@
 
     private record Event(Duration at, long number, Runnable what) {}
 
-    /** A router: its layout, until when it may go by it, and how long nothing reaches it. */
-    private static final class Router {
-        final String name;
-        Layout layout;
-        Duration leaseUntil = Duration.ZERO;
-        Duration cutUntil = Duration.ZERO;
-        int life;
-
-        Router(String name) {
-            this.name = name;
-        }
-    }
-
-    /** Holds of a member at a time: how many, how many in time, and their times. */
-    static final class Tally {
-        int asked;
-        int good;
-        final List<Long> micros = new ArrayList<>();
-
-        double utility() {
-            return asked == 0 ? 1 : (double) good / asked;
-        }
-
-        long percentile(double share) {
-            Collections.sort(micros);
-            return micros.isEmpty()
-                    ? 0
-                    : micros.get(
-                            (int) Math.min(micros.size() - 1L, (long) (share * micros.size())));
-        }
-    }
-
     final UniformRandomProvider chance;
     final DefectiveMigration.Defect defect;
     final List<SimulatedMigrationNode> nodes = new ArrayList<>();
@@ -96,21 +56,16 @@
     final boolean faults;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparing(Event::at).thenComparingLong(Event::number));
-    private final List<Router> routers = new ArrayList<>();
-    final Map<String, Integer> runs = new HashMap<>();
-    final Map<String, Long> keys = new LinkedHashMap<>();
-    final Set<String> done = new LinkedHashSet<>();
-    private final Set<String> rejected = new LinkedHashSet<>();
 
     /** The slice that a move is about. */
     private final Map<Long, Integer> slicesOf = new HashMap<>();
 
     private final Map<Integer, Long> lastCut = new HashMap<>();
-    private final Map<String, Tally> tallies = new TreeMap<>();
     private final List<String> broken = new ArrayList<>();
     public final Set<String> diedAt = new TreeSet<>();
     public final Map<String, Integer> seen = new TreeMap<>();
-    private final Layout first;
+    final Layout first;
+    final MigrationLoad load;
     private final List<List<SliceTransfer>> plans = new ArrayList<>();
     SimulatedMigrationCoordinator chief;
     private long eventCount;
@@ -149,9 +104,7 @@
                         MoveRecordCodec.write(
                                 new JournalRecord.Snapshot(
                                         first, 1, 0, SLICES - 1, List.of(), null, List.of()))));
-        for (int i = 0; i < ROUTERS; i++) {
-            routers.add(new Router("r" + i));
-        }
+        load = new MigrationLoad(this);
         plans.add(List.of(hop(0), hop(1), hop(2)));
         plans.add(List.of(hop(3), hop(4)));
         recordsLeft = faults ? (int) (1 + seed % RECORDS) : 0;
@@ -223,8 +176,7 @@
     /** Runs it, and checks what it left. */
     public TrialResult run() {
         chief = new SimulatedMigrationCoordinator(this);
-        routers.forEach(this::poll);
-        after(Duration.ofMillis(100), this::load);
+        load.start();
         after(Duration.ofMillis(300), new MigrationOperator(this)::operate);
         for (int i = 0; i < plans.size(); i++) {
             List<SliceTransfer> hops = plans.get(i);
@@ -262,7 +214,7 @@
         calm = true;
         recordsLeft = 0;
         nodes.forEach(SimulatedMigrationNode::back);
-        routers.forEach(router -> router.cutUntil = Duration.ZERO);
+        load.reconnectRouters();
         if (chief.dead()) {
             chief = new SimulatedMigrationCoordinator(this);
         }
@@ -286,132 +238,6 @@
         }
     }
 
-    // ---- routers and their holds
-
-    private void poll(Router router) {
-        int life = router.life;
-        Duration asked = now;
-        long version = router.layout == null ? 0 : router.layout.version;
-        if (now.compareTo(router.cutUntil) >= 0) {
-            hop(
-                    () -> {
-                        Layout layout = chief.asked(router.name, version);
-                        hop(
-                                () -> {
-                                    if (layout != null
-                                            && life == router.life
-                                            && now.compareTo(router.cutUntil) >= 0) {
-                                        router.leaseUntil =
-                                                asked.plus(
-                                                        SimulatedMigrationCoordinator.LIMITS
-                                                                .routerLease());
-                                        router.layout =
-                                                router.layout == null
-                                                                || layout.version
-                                                                        > router.layout.version
-                                                        ? layout
-                                                        : router.layout;
-                                    }
-                                });
-                    });
-        }
-        after(POLL, () -> poll(router));
-    }
-
-    private void load() {
-        if (now.compareTo(LOAD) > 0) {
-            return;
-        }
-        after(upTo(HOLD_EVERY.multipliedBy(2)), this::load);
-        String id = "h" + keys.size();
-        long key = (long) (chance.nextDouble() * KeyRange.KEY_SPACE_SIZE);
-        keys.put(id, key);
-        Router router = routers.get(chance.nextInt(routers.size()));
-        int slice = first.overlapping(new KeyRange(key, key + 1)).get(0).number();
-        Migration one = chief.migrations.journalState().activeMigrationOf(slice).orElse(null);
-        String phase =
-                one == null || one.state() == MigrationState.PLANNED
-                        ? "before or after"
-                        : one.state() == MigrationState.SWITCHING
-                                        || one.state() == MigrationState.ROLLING_BACK
-                                ? "switch"
-                                : "during";
-        boolean moves = slice < 5;
-        Tally tally =
-                tallies.computeIfAbsent(
-                        (moves ? "member " : "others ")
-                                + (moves
-                                        ? phase
-                                        : chief.migrations
-                                                        .journalState()
-                                                        .activeMigrations()
-                                                        .isEmpty()
-                                                ? "before or after"
-                                                : "during"),
-                        name -> new Tally());
-        tally.asked++;
-        hold(router, router.life, id, key, now, tally, new ArrayList<>());
-    }
-
-    private void hold(
-            Router router,
-            int life,
-            String id,
-            long key,
-            Duration from,
-            Tally tally,
-            List<String> left) {
-        if (router.life != life) {
-            return;
-        }
-        if (router.layout == null
-                || now.compareTo(router.leaseUntil) >= 0
-                || now.minus(from).compareTo(PATIENCE) > 0) {
-            // It never ran: each that was asked said so.
-            rejected.add(id);
-            return;
-        }
-        Slice slice = router.layout.overlapping(new KeyRange(key, key + 1)).get(0);
-        List<String> holders = slice.nodes().stream().filter(node -> !left.contains(node)).toList();
-        if (holders.isEmpty()) {
-            after(
-                    Duration.ofMillis(15),
-                    () -> hold(router, life, id, key, from, tally, new ArrayList<>()));
-            return;
-        }
-        String node = holders.get(chance.nextInt(holders.size()));
-        long version = router.layout.version;
-        hop(
-                () ->
-                        node(node)
-                                .called(
-                                        id,
-                                        slice.number(),
-                                        key,
-                                        version,
-                                        outcome -> {
-                                            if (outcome.equals("moved")) {
-                                                left.add(node);
-                                                hold(router, life, id, key, from, tally, left);
-                                            } else if (outcome.equals("done")
-                                                    && router.life == life) {
-                                                done.add(id);
-                                                tally.good +=
-                                                        now.minus(from).compareTo(SLO) <= 0 ? 1 : 0;
-                                                tally.micros.add(now.minus(from).toNanos() / 1000);
-                                            }
-                                        }));
-    }
-
-    void ran(String hold) {
-        if (runs.merge(hold, 1, Integer::sum) > 1) {
-            breaks("hold " + hold + " ran twice");
-        }
-        if (rejected.contains(hold)) {
-            breaks("hold " + hold + " ran though it was rejected");
-        }
-    }
-
     // ---- what coordinators write
 
     void written(SimulatedMigrationCoordinator by, JournalRecord record) {
@@ -427,19 +253,7 @@
                             .mapToLong(hop -> lastCut.getOrDefault(hop.slice(), 0L))
                             .max()
                             .orElse(0);
-            for (Router router : routers) {
-                if (router.layout != null
-                        && router.layout.version < version
-                        && now.compareTo(router.leaseUntil) < 0) {
-                    breaks(
-                            "the switch is over, but "
-                                    + router.name
-                                    + " goes by layout "
-                                    + router.layout.version
-                                    + ", not "
-                                    + version);
-                }
-            }
+            load.checkNoneUsesOlder(version);
         }
         if (record instanceof MigrationRecord.StateEntered entered) {
             count("entered " + entered.state().wireName());
@@ -485,7 +299,7 @@
     void killedAtRecord(JournalRecord record) {
         diedAt.add(kind(record));
         if (seed % 3 == 1) {
-            restart(routers.get(chance.nextInt(routers.size())));
+            load.restartRouter();
         } else if (seed % 3 == 2) {
             List<SliceTransfer> hops = plans.get(chance.nextInt(plans.size()));
             node(hops.get(chance.nextInt(hops.size())).source())
@@ -509,12 +323,6 @@
         chief.listed(node, up);
     }
 
-    private void restart(Router router) {
-        router.life++;
-        router.layout = null;
-        router.leaseUntil = Duration.ZERO;
-    }
-
     // ---- troubles
 
     private void trouble() {
@@ -534,10 +342,8 @@
             case 1 ->
                     nodes.get(chance.nextInt(NODES)).slowUntil =
                             now.plus(upTo(Duration.ofSeconds(1)));
-            case 2 ->
-                    routers.get(chance.nextInt(ROUTERS)).cutUntil =
-                            now.plus(upTo(Duration.ofMillis(1500)));
-            case 3 -> restart(routers.get(chance.nextInt(ROUTERS)));
+            case 2 -> load.cutRouterOff();
+            case 3 -> load.restartRouter();
             case 4 -> twoCoordinators();
             default -> {
                 if (recordsLeft == 0) {
@@ -572,20 +378,11 @@
                                 Locale.ROOT,
                                 "seed %d: %d holds, %d done, %d rejected, " + "%d records; ",
                                 seed,
-                                keys.size(),
-                                done.size(),
-                                rejected.size(),
+                                load.keys.size(),
+                                load.done.size(),
+                                load.rejected.size(),
                                 log.size()));
-        tallies.forEach(
-                (name, tally) ->
-                        line.append(
-                                String.format(
-                                        Locale.ROOT,
-                                        "%s: utility %.3f, p99 %.1f ms of %d; ",
-                                        name,
-                                        tally.utility(),
-                                        tally.percentile(0.99) / 1000.0,
-                                        tally.asked)));
+        line.append(load.figures());
         return line + "slipped " + slipped + ", died at " + diedAt + " " + seen;
     }
 }
--- a/src/main/java/postbeam/testbed/simulation/SimulatedMigrationNode.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedMigrationNode.java
@@ -102,7 +102,7 @@
 
     /** Runs it and tells all that hold the slice with it; over once each that is there has it. */
     private void run(Copy copy, int slice, Row row, Ended ended) {
-        world.ran(row.hold);
+        world.load.ran(row.hold);
         copy.rows.put(row.key, row);
         int[] left = {1};
         int mine = life;
