--- a/src/main/java/postbeam/peers/PeerClient.java
+++ b/src/main/java/postbeam/peers/PeerClient.java
@@ -104,13 +104,13 @@
                 Thread.sleep(POLL_INTERVAL.toMillis());
             } catch (InterruptedException e) {
                 return;
-            } catch (IOException | RuntimeException e) {
+            } catch (RuntimeException e) {
                 LOG.log(System.Logger.Level.ERROR, "sending to the other routers failed", e);
             }
         }
     }
 
-    private void poll() throws IOException {
+    private void poll() {
         List<VoteRequest> voteRequests = new ArrayList<>();
         Map<String, Map<Integer, List<LeaseRequest>>> leaseRequestsByLeader = new TreeMap<>();
         for (int i = 0; i < stripes.count(); i++) {
--- a/src/main/java/postbeam/peers/PeerCoordinator.java
+++ b/src/main/java/postbeam/peers/PeerCoordinator.java
@@ -133,7 +133,7 @@
         return PeerMessageCodec.toJson(Map.of("taken", acquired));
     }
 
-    private byte[] describeState() throws IOException {
+    private byte[] describeState() {
         List<Object> states = new ArrayList<>();
         for (int i = 0; i < stripes.count(); i++) {
             states.add(stripes.withStripe(i, this::describeStripe));
--- a/src/main/java/postbeam/peers/PeerMessageCodec.java
+++ b/src/main/java/postbeam/peers/PeerMessageCodec.java
@@ -1,7 +1,5 @@
 package postbeam.peers;
 
-import com.fasterxml.jackson.core.JsonGenerator;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -63,7 +61,7 @@
 
     private PeerMessageCodec() {}
 
-    static byte[] encode(PeerRequest request) throws IOException {
+    static byte[] encode(PeerRequest request) {
         List<Object> voteRequests = new ArrayList<>();
         for (VoteRequest vote : request.voteRequests()) {
             voteRequests.add(List.of(vote.stripe(), vote.term(), vote.round()));
@@ -117,7 +115,7 @@
         return new PeerRequest(readName(message.get(DIGEST)), sender, voteRequests, leaseRequests);
     }
 
-    static byte[] encode(PeerResponse response) throws IOException {
+    static byte[] encode(PeerResponse response) {
         List<Object> votes = new ArrayList<>();
         for (VoteResponse vote : response.votes()) {
             votes.add(
@@ -187,12 +185,8 @@
         return new NodeIncarnation(readName(tuple.get(1)), readLong(tuple.get(2)));
     }
 
-    static byte[] toJson(Object value) throws IOException {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (JsonGenerator json = Json.FACTORY.createGenerator(bytes)) {
-            Json.write(json, value);
-        }
-        return bytes.toByteArray();
+    static byte[] toJson(Object value) {
+        return Json.encode(json -> Json.write(json, value));
     }
 
     private static ProcessIdentity readSender(Map<String, Object> message) throws IOException {
