--- a/src/main/java/postbeam/clients/ClientConnection.java
+++ b/src/main/java/postbeam/clients/ClientConnection.java
@@ -63,7 +63,7 @@
     private int drainedBytes;
     private long nextDrainAtNanos = System.nanoTime();
 
-    /** Bytes came after a whole request and before its response: what they ask for is lost. */
+    /** Bytes came after a complete request and before its response: what they ask for is lost. */
     private boolean pipelined;
 
     /** Its query is served, and the socket alone shows that the client disconnects. */
@@ -104,7 +104,7 @@
         }
     }
 
-    /** A whole request is in. */
+    /** A complete request has been read. */
     void requestStarted() {
         requestInProgress = true;
         sentRequest = true;
@@ -120,12 +120,12 @@
         return requestInProgress;
     }
 
-    /** Whether a whole request has ever come on it. */
+    /** Whether a complete request has ever come on it. */
     boolean hasSentRequest() {
         return sentRequest;
     }
 
-    /** Whether it has been without a whole request since before this moment. */
+    /** Whether it has been without a complete request since before this moment. */
     boolean isIdleSince(long nanos) {
         return !requestInProgress && idleSinceNanos - nanos < 0;
     }
--- a/src/main/java/postbeam/clients/QueryExchange.java
+++ b/src/main/java/postbeam/clients/QueryExchange.java
@@ -50,7 +50,8 @@
             return;
         }
         if (client.isDisconnected()) {
-            // It asked and left before the router, being late, came to it: nothing of it is to
+            // Its client sent it and left before the router, being late, came to it: nothing of it
+            // is to
             // begin.
             client.closeImmediately();
             exchange.endExchange();
@@ -77,8 +78,8 @@
     }
 
     /**
-     * Nothing of it has run: the client may retry, by the layout that it is told of, or after a
-     * wait.
+     * Nothing of it has run: the client may retry, by the layout that the response names, or after
+     * a wait.
      */
     private void respondUnroutable(UnroutableQueryException e) {
         if (e.reason == UnroutableQueryException.Reason.LAYOUT_UNKNOWN) {
--- a/src/main/java/postbeam/datanodes/FrameReader.java
+++ b/src/main/java/postbeam/datanodes/FrameReader.java
@@ -14,7 +14,7 @@
     /** Bytes read at once, and kept while nothing larger comes. */
     private static final int BUFFER_BYTES = 4096;
 
-    /** Takes whole frames. */
+    /** Takes complete frames. */
     interface FrameHandler {
         /** Called for each frame in the order of the bytes. */
         void handleFrame(char type, byte[] payload) throws MalformedFrameException;
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Reads what the channel has, and hands over each frame that is whole.
+     * Reads what the channel has, and hands over each frame that is complete.
      *
      * @return false once the channel has ended
      */
--- a/src/main/java/postbeam/discovery/DeadlineInput.java
+++ b/src/main/java/postbeam/discovery/DeadlineInput.java
@@ -31,7 +31,7 @@
     private Socket socket;
     private InputStream input;
 
-    /** By when the whole response has to be there, on the clock of {@link System#nanoTime}. */
+    /** By when the complete response has to be there, on the clock of {@link System#nanoTime}. */
     private long totalDeadlineNanos;
 
     /** By when what is read next has to be there. */
@@ -53,7 +53,7 @@
         lateReadsLeft = MIN_LATE_READS + maxBodyBytes / BUFFER_BYTES;
     }
 
-    /** What is read next has to be there by then, and before the whole response's deadline. */
+    /** What is read next has to be there by then, and before the complete response's deadline. */
     void setTimeout(Duration timeout) {
         readDeadlineNanos = Math.min(totalDeadlineNanos, System.nanoTime() + timeout.toNanos());
     }
--- a/src/main/java/postbeam/discovery/LongPollWatcher.java
+++ b/src/main/java/postbeam/discovery/LongPollWatcher.java
@@ -69,7 +69,7 @@
     private long version = NO_VERSION;
     private int consecutiveFailures;
 
-    /** A watcher of which nobody is told that a poll is done. */
+    /** A watcher that runs nothing after a poll. */
     public LongPollWatcher(
             Source source,
             Decoder<T> decoder,
--- a/src/test/java/postbeam/clients/HttpSamplesTest.java
+++ b/src/test/java/postbeam/clients/HttpSamplesTest.java
@@ -131,15 +131,15 @@
         public void setClientCheck(Runnable check) {}
     }
 
-    private final Map<String, ClientRequest> asked = new ConcurrentHashMap<>();
+    private final Map<String, ClientRequest> requests = new ConcurrentHashMap<>();
     private volatile boolean ready = true;
     private XnioWorker worker;
-    private QueryServer door;
+    private QueryServer server;
 
     @BeforeEach
     void open() throws IOException {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        door =
+        server =
                 new QueryServer(
                         worker,
                         new InetSocketAddress("127.0.0.1", 0),
@@ -147,7 +147,7 @@
                             @Override
                             public PendingQuery submit(ClientRequest query, Duration age)
                                     throws UnroutableQueryException {
-                                asked.put(query.id(), query);
+                                requests.put(query.id(), query);
                                 switch (query.id()) {
                                     case "duplicate" -> {
                                         return null;
@@ -178,8 +178,8 @@
                         Set.of("acme"),
                         16,
                         8);
-        door.enablePages(100);
-        door.addHandler(
+        server.enablePages(100);
+        server.addHandler(
                 "/form",
                 body -> {
                     if (body.length == 0) {
@@ -187,19 +187,19 @@
                     }
                     return body;
                 });
-        door.start();
+        server.start();
     }
 
     @AfterEach
-    void giveBack() {
-        door.stop();
+    void tearDown() {
+        server.stop();
         worker.shutdownNow();
     }
 
     /** The answer's bytes, whose length is stated, or all until the connection ends. */
     private byte[] answer(byte[] request) throws IOException {
         try (Socket client =
-                new Socket("127.0.0.1", Integer.parseInt(door.address().replaceAll(".*:", "")))) {
+                new Socket("127.0.0.1", Integer.parseInt(server.address().replaceAll(".*:", "")))) {
             client.getOutputStream().write(request);
             StringBuilder answer = new StringBuilder();
             int next;
@@ -266,7 +266,7 @@
     @Test
     void everyHeaderAndMemberOfAQueryIsRead() throws IOException {
         answer(SampleFile.bytes("http/total.request"));
-        ClientRequest query = asked.get("total");
+        ClientRequest query = requests.get("total");
         assertEquals("search", query.queryClass());
         assertEquals("acme", query.tenant());
         assertEquals(Duration.ofMillis(480), query.timeout());
@@ -283,7 +283,7 @@
     @Test
     void layoutRetryPageOrderAndCursorOfAQueryAreRead() throws IOException {
         answer(SampleFile.bytes("http/page.request"));
-        ClientRequest query = asked.get("page");
+        ClientRequest query = requests.get("page");
         assertEquals(11, query.layoutVersion());
         assertTrue(query.clientRetry());
         PageRequest page = query.pageRequest();
@@ -293,8 +293,8 @@
                 page.order().keys().toString());
         assertNull(page.cursor());
         answer(SampleFile.bytes("http/page-last.request"));
-        assertEquals("Y3Vyc29y", asked.get("page-last").pageRequest().cursor());
-        assertEquals(Duration.ofSeconds(9), asked.get("page-last").timeout());
-        assertEquals(List.of(), asked.get("page-last").requestedShards());
+        assertEquals("Y3Vyc29y", requests.get("page-last").pageRequest().cursor());
+        assertEquals(Duration.ofSeconds(9), requests.get("page-last").timeout());
+        assertEquals(List.of(), requests.get("page-last").requestedShards());
     }
 }
--- a/src/test/java/postbeam/clients/QueryServerTest.java
+++ b/src/test/java/postbeam/clients/QueryServerTest.java
@@ -30,14 +30,14 @@
 @Timeout(30)
 class QueryServerTest {
     private XnioWorker worker;
-    private QueryServer door;
+    private QueryServer server;
     private Socket client;
-    private BufferedReader answers;
+    private BufferedReader responses;
 
     @BeforeEach
-    void open() throws IOException {
+    void setUp() throws IOException {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        door =
+        server =
                 new QueryServer(
                         worker,
                         new InetSocketAddress("127.0.0.1", 0),
@@ -56,21 +56,21 @@
                         Set.of(),
                         1,
                         8);
-        door.start();
-        client = new Socket("127.0.0.1", Integer.parseInt(door.address().replaceAll(".*:", "")));
-        answers =
+        server.start();
+        client = new Socket("127.0.0.1", Integer.parseInt(server.address().replaceAll(".*:", "")));
+        responses =
                 new BufferedReader(
                         new InputStreamReader(client.getInputStream(), StandardCharsets.US_ASCII));
     }
 
     @AfterEach
-    void giveBack() throws IOException {
+    void tearDown() throws IOException {
         client.close();
-        door.stop();
+        server.stop();
         worker.shutdownNow();
     }
 
-    private void ask() throws IOException {
+    private void sendRequest() throws IOException {
         client.getOutputStream()
                 .write(
                         "GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n"
@@ -78,24 +78,24 @@
     }
 
     /** Its lines; what follows the empty one is left but for its one line. */
-    private List<String> answer() throws IOException {
+    private List<String> readResponse() throws IOException {
         List<String> lines = new ArrayList<>();
         String line;
-        while ((line = answers.readLine()) != null) {
+        while ((line = responses.readLine()) != null) {
             lines.add(line);
             if (line.isEmpty()) {
-                lines.add(answers.readLine());
+                lines.add(responses.readLine());
                 break;
             }
         }
         return lines;
     }
 
-    /** The router is late: the request has come, and is unread when the door is told to close. */
+    /** The router is late: the request has come, and is unread when the server closes. */
     @Test
-    void aRequestThatCameBeforeTheDoorClosedIsAnsweredAndIsTheLast() throws Exception {
-        ask();
-        assertEquals("HTTP/1.1 200 OK", answer().get(0));
+    void requestReceivedBeforeTheServerClosedIsAnsweredAndIsTheLast() throws Exception {
+        sendRequest();
+        assertEquals("HTTP/1.1 200 OK", readResponse().get(0));
         CountDownLatch late = new CountDownLatch(1);
         worker.getIoThread()
                 .execute(
@@ -106,21 +106,21 @@
                                 Thread.currentThread().interrupt();
                             }
                         });
-        door.close();
-        ask();
+        server.close();
+        sendRequest();
         late.countDown();
-        List<String> answer = answer();
+        List<String> answer = readResponse();
         assertTrue(!answer.isEmpty() && answer.get(0).equals("HTTP/1.1 200 OK"), answer.toString());
         assertTrue(answer.contains("Connection: close"), answer.toString());
-        assertEquals(-1, answers.read());
+        assertEquals(-1, responses.read());
     }
 
     /**
-     * The router is late: connections that its machine has accepted wait for it when the door is
+     * The router is late: connections that its machine has accepted wait for it when the server is
      * told to close.
      */
     @Test
-    void connectionsThatWaitToBeAcceptedWhenTheDoorClosesAreServed() throws Exception {
+    void connectionsInTheBacklogAreServedWhenTheServerCloses() throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch late = new CountDownLatch(1);
         worker.getIoThread()
@@ -138,34 +138,35 @@
         List<Socket> waiting = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             client =
-                    new Socket("127.0.0.1", Integer.parseInt(door.address().replaceAll(".*:", "")));
+                    new Socket(
+                            "127.0.0.1", Integer.parseInt(server.address().replaceAll(".*:", "")));
             waiting.add(client);
-            ask();
+            sendRequest();
         }
-        door.close();
+        server.close();
         late.countDown();
         for (Socket one : waiting) {
-            answers =
+            responses =
                     new BufferedReader(
                             new InputStreamReader(one.getInputStream(), StandardCharsets.US_ASCII));
-            List<String> answer = answer();
+            List<String> answer = readResponse();
             assertTrue(
                     !answer.isEmpty() && answer.get(0).equals("HTTP/1.1 200 OK"),
                     answer.toString());
-            assertEquals(-1, answers.read());
+            assertEquals(-1, responses.read());
             one.close();
         }
     }
 
     @Test
-    void aConnectionThatIsNotUsedIsClosedAndOnlyThenIsTheDoorIdle() throws Exception {
-        ask();
-        answer();
-        door.close();
-        assertEquals(-1, answers.read());
+    void serverIsDrainedOnceItsIdleConnectionsAreClosed() throws Exception {
+        sendRequest();
+        readResponse();
+        server.close();
+        assertEquals(-1, responses.read());
         boolean idle = false;
         while (!idle) {
-            FutureTask<Boolean> asked = new FutureTask<>(door::isDrained);
+            FutureTask<Boolean> asked = new FutureTask<>(server::isDrained);
             worker.getIoThread().execute(asked);
             idle = asked.get();
         }
--- a/src/test/java/postbeam/config/RouterConfigTest.java
+++ b/src/test/java/postbeam/config/RouterConfigTest.java
@@ -9,6 +9,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
+import java.util.Random;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -24,7 +25,7 @@
     }
 
     @Test
-    void nestedSettingsAreReadByThePathsOfTheWire() throws IOException {
+    void nestedSettingsAreReadByTheirPaths() throws IOException {
         InstanceSettings settings =
                 read("{\"settings\":{\"domain\":{\"cells\":9,\"classNeed\":[0.5,1]},"
                          + "\"classes\":[{\"name\":\"a\",\"promise\":2000000},{\"name\":\"b\"}],\"caps\":{\"probes\":true}}}")
@@ -38,7 +39,7 @@
     }
 
     @Test
-    void aLimitThatIsNotToldIsTheLeastOfAScoredDay() throws IOException {
+    void missingLimitHasItsDefault() throws IOException {
         assertEquals(192, read("{\"settings\":{}}").limit("memory_mb", 64));
         assertEquals(
                 2048,
@@ -46,7 +47,7 @@
     }
 
     @Test
-    void whatIsWrongIsNamedByItsKey() throws IOException {
+    void invalidMemberIsNamed() throws IOException {
         names("settings", assertThrows(IOException.class, () -> read("{}")));
         names(
                 "seed",
@@ -91,7 +92,7 @@
     }
 
     @Test
-    void aFileThatIsNotThereOrNotWholeIsSaidSo() {
+    void missingOrTruncatedFileIsReported() {
         names(
                 "read",
                 assertThrows(
@@ -103,16 +104,15 @@
     }
 
     @Test
-    void discoveryThatIsNeitherWayIsNamed() throws IOException {
+    void unknownDiscoveryModeIsNamed() throws IOException {
         RouterConfig wrong = read("{\"settings\":{\"discovery\":\"pull\"}}");
         names(
                 "settings.discovery",
                 assertThrows(
                         IllegalArgumentException.class,
-                        () -> PolicyFactory.pollSchedule(wrong.settings, new java.util.Random(1))));
+                        () -> PolicyFactory.pollSchedule(wrong.settings, new Random(1))));
         assertNull(
-                PolicyFactory.pollSchedule(
-                                read("{\"settings\":{}}").settings, new java.util.Random(1))
+                PolicyFactory.pollSchedule(read("{\"settings\":{}}").settings, new Random(1))
                         .nextPollAt());
     }
 }
--- a/src/test/java/postbeam/config/RunScriptTest.java
+++ b/src/test/java/postbeam/config/RunScriptTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void theHeapFollowsTheMemoryToldWithoutAnotherProgram() throws Exception {
+    void heapFollowsTheConfiguredMemoryWithoutAnotherProgram() throws Exception {
         assertTrue(started("{\"limits\": {\"memory_mb\": 64}}").startsWith("-Xmx24m "));
         assertTrue(
                 started("{\n\"limits\":\n{\"memory_mb\" :96,\"sockets\":256}}")
--- a/src/test/java/postbeam/config/SettingsValidatorTest.java
+++ b/src/test/java/postbeam/config/SettingsValidatorTest.java
@@ -54,58 +54,58 @@
 
     /** The configuration of the rehearsal with these put in its place: path, value, path, value. */
     private static RouterConfig startup(Object... edits) throws IOException {
-        Map<String, Object> told =
+        Map<String, Object> document =
                 Json.parseObject(Files.readAllBytes(Path.of("deploy/rehearsal.json")));
         for (int i = 0; i < edits.length; i += 2) {
-            set(told, (String) edits[i], edits[i + 1]);
+            set(document, (String) edits[i], edits[i + 1]);
         }
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (var json = Json.FACTORY.createGenerator(bytes)) {
-            Json.write(json, told);
+            Json.write(json, document);
         }
         return RouterConfig.parse(bytes.toByteArray());
     }
 
-    /** All that is wrong is told at once, so that one run shows each case. */
-    private static void refused(Object[]... cases) throws IOException {
+    /** All that is wrong is document at once, so that one run shows each case. */
+    private static void assertRejected(Object[]... cases) throws IOException {
         List<String> wrong = new ArrayList<>();
         for (Object[] one : cases) {
             String line = (String) one[0];
             Object[] edits = Arrays.copyOfRange(one, 1, one.length);
             try {
                 new Router(startup(edits));
-                wrong.add("not refused: " + line);
+                wrong.add("not rejected: " + line);
             } catch (IOException | RuntimeException e) {
                 if (!line.equals(e.getMessage())) {
-                    wrong.add("wanted: " + line + "\n   told: " + e);
+                    wrong.add("wanted: " + line + "\n   document: " + e);
                 }
             }
         }
         assertTrue(wrong.isEmpty(), String.join("\n", wrong));
     }
 
-    private static Object[] one(Object... lineAndEdits) {
+    private static Object[] rejectedCase(Object... lineAndEdits) {
         return lineAndEdits;
     }
 
     @Test
-    void anEffectOfAnUnknownWordIsNotTakenForOneThatIsKnown() throws IOException {
-        refused(
-                one(
+    void unknownEffectIsRejected() throws IOException {
+        assertRejected(
+                rejectedCase(
                         "settings.classes.0.effect must be retryable, dedup or fragile, not safe",
                         "settings.classes.0.effect",
                         "safe"));
     }
 
     @Test
-    void aMissingEffectIsTheStrictest() throws IOException {
+    void missingEffectDefaultsToNonIdempotent() throws IOException {
         Map<String, QueryClass> verticals =
                 PolicyFactory.queryClasses(startup("settings.classes.0.effect", ABSENT).settings);
         assertEquals(SideEffects.NON_IDEMPOTENT, verticals.get("search").sideEffects);
     }
 
     @Test
-    void spansThatCannotBeMeantAreRefused() throws IOException {
+    void absurdDurationsAreRejected() throws IOException {
         List<Object[]> cases = new ArrayList<>();
         for (String path :
                 new String[] {
@@ -118,7 +118,7 @@
                 }) {
             for (Object value : new Object[] {-1, 0, 86_400_000_001L}) {
                 cases.add(
-                        one(
+                        rejectedCase(
                                 "settings."
                                         + path
                                         + " must be above 0 and up to a day in microseconds, not "
@@ -130,7 +130,7 @@
         }
         for (Object value : new Object[] {-1, 366 * 86_400_000_000L + 1}) {
             cases.add(
-                    one(
+                    rejectedCase(
                             "settings.classes.0.repeatWindow must be 0 or more and up to a year in"
                                     + " microseconds, not "
                                     + value,
@@ -148,7 +148,7 @@
                 }) {
             for (Object value : new Object[] {-1, 86_400_000_001L}) {
                 cases.add(
-                        one(
+                        rejectedCase(
                                 "settings."
                                         + path
                                         + " must be 0 or more and up to a day in microseconds, not "
@@ -158,20 +158,20 @@
             }
             cases.addAll(notNumbers("settings." + path));
         }
-        refused(cases.toArray(Object[][]::new));
+        assertRejected(cases.toArray(Object[][]::new));
     }
 
     private static List<Object[]> notNumbers(String key) {
         return List.of(
-                one(key + " is not a finite number: NaN", key, "NaN"),
-                one(key + " is not a finite number: Infinity", key, "Infinity"),
-                one(key + " is not a finite number: -Infinity", key, "-Infinity"),
-                one(key + " is not a number: soon", key, "soon"),
-                one(key + " is beyond any time: 1.0E300", key, 1e300));
+                rejectedCase(key + " is not a finite number: NaN", key, "NaN"),
+                rejectedCase(key + " is not a finite number: Infinity", key, "Infinity"),
+                rejectedCase(key + " is not a finite number: -Infinity", key, "-Infinity"),
+                rejectedCase(key + " is not a number: soon", key, "soon"),
+                rejectedCase(key + " is beyond any time: 1.0E300", key, 1e300));
     }
 
     @Test
-    void whatMustBeToldIsMissed() throws IOException {
+    void missingRequiredSettingsAreRejected() throws IOException {
         List<Object[]> cases = new ArrayList<>();
         for (String path :
                 new String[] {
@@ -185,19 +185,20 @@
                     "domain.shards",
                     "domain.partsACall"
                 }) {
-            cases.add(one("settings." + path + " is missing", "settings." + path, ABSENT));
+            cases.add(rejectedCase("settings." + path + " is missing", "settings." + path, ABSENT));
         }
-        cases.add(one("settings.classes.0.name is missing", "settings.classes.0.name", ""));
         cases.add(
-                one(
+                rejectedCase("settings.classes.0.name is missing", "settings.classes.0.name", ""));
+        cases.add(
+                rejectedCase(
                         "settings.classes must name one class at least",
                         "settings.classes",
                         List.of()));
-        refused(cases.toArray(Object[][]::new));
+        assertRejected(cases.toArray(Object[][]::new));
     }
 
     @Test
-    void countsUnderOneOrBeyondWholeNumbersAreRefused() throws IOException {
+    void countsOutOfRangeAreRejected() throws IOException {
         List<Object[]> cases = new ArrayList<>();
         for (String path :
                 new String[] {
@@ -210,105 +211,112 @@
                     "domain.partsACall"
                 }) {
             String key = "settings." + path;
-            cases.add(one(key + " must be 1 or more, not 0", key, 0));
-            cases.add(one(key + " must be 1 or more, not -3", key, -3));
-            cases.add(one(key + " is too large: 4294967297", key, 4_294_967_297L));
+            cases.add(rejectedCase(key + " must be 1 or more, not 0", key, 0));
+            cases.add(rejectedCase(key + " must be 1 or more, not -3", key, -3));
+            cases.add(rejectedCase(key + " is too large: 4294967297", key, 4_294_967_297L));
         }
         cases.add(
-                one(
+                rejectedCase(
                         "settings.caps.maxAttempts must be 0 or more, not -3",
                         "settings.caps.maxAttempts",
                         -3));
         cases.add(
-                one(
+                rejectedCase(
                         "settings.caps.maxAttempts is too large: 4294967297",
                         "settings.caps.maxAttempts",
                         4_294_967_297L));
         cases.add(
-                one(
+                rejectedCase(
                         "settings.domain.cells must be 65536 or less, not 65537",
                         "settings.domain.cells",
                         65_537));
-        refused(cases.toArray(Object[][]::new));
+        assertRejected(cases.toArray(Object[][]::new));
     }
 
     @Test
-    void limitsOfTheMachineThatCannotBeMeantAreRefused() throws IOException {
-        refused(
-                one("limits.sockets must be 128 or more, not 0", "limits.sockets", 0),
-                one("limits.sockets is too large: 4294968320", "limits.sockets", 4_294_968_320L),
-                one("limits.memory_mb must be 64 or more, not -192", "limits.memory_mb", -192),
-                one(
+    void absurdMachineLimitsAreRejected() throws IOException {
+        assertRejected(
+                rejectedCase("limits.sockets must be 128 or more, not 0", "limits.sockets", 0),
+                rejectedCase(
+                        "limits.sockets is too large: 4294968320",
+                        "limits.sockets",
+                        4_294_968_320L),
+                rejectedCase(
+                        "limits.memory_mb must be 64 or more, not -192", "limits.memory_mb", -192),
+                rejectedCase(
                         "limits.memory_mb must be 16777216 or less, not 400000000",
                         "limits.memory_mb",
                         400_000_000),
-                one("limits.memory_mb is not a finite number: NaN", "limits.memory_mb", "NaN"));
+                rejectedCase(
+                        "limits.memory_mb is not a finite number: NaN", "limits.memory_mb", "NaN"));
     }
 
     /** Each would else pass for one that tells nothing, and the usual would be taken in silence. */
     @Test
-    void whatIsOfAnotherKindIsRefused() throws IOException {
-        refused(
-                one("limits must be an object", "limits", 192),
-                one("settings.obligations must be an object", "settings.obligations", "usual"),
-                one(
+    void settingsOfAnotherTypeAreRejected() throws IOException {
+        assertRejected(
+                rejectedCase("limits must be an object", "limits", 192),
+                rejectedCase(
+                        "settings.obligations must be an object", "settings.obligations", "usual"),
+                rejectedCase(
                         "settings.obligations must be an object",
                         "settings.obligations",
                         List.of(Map.of("fall", 1000))),
-                one("settings.caps must be an object", "settings.caps", 3),
-                one("settings.domain must be an object", "settings.domain", List.of(1, 2)),
-                one(
+                rejectedCase("settings.caps must be an object", "settings.caps", 3),
+                rejectedCase("settings.domain must be an object", "settings.domain", List.of(1, 2)),
+                rejectedCase(
                         "settings.classes must be a list of objects",
                         "settings.classes",
                         Map.of("name", "search")),
-                one("settings.classes must be a list of objects", "settings.classes", "search"),
-                one(
+                rejectedCase(
+                        "settings.classes must be a list of objects", "settings.classes", "search"),
+                rejectedCase(
                         "settings.tenants must be a list of objects",
                         "settings.tenants",
                         Map.of("name", "acme")),
-                one(
+                rejectedCase(
                         "settings.tenants must be a list of objects",
                         "settings.tenants",
                         List.of("acme")));
     }
 
     @Test
-    void coldNodesAndBudgetsHaveBounds() throws IOException {
-        refused(
-                one(
+    void slowStartAndRetryBudgetAreBounded() throws IOException {
+        assertRejected(
+                rejectedCase(
                         "settings.obligations.coldFrom must be from 0 to 1, not -0.1",
                         "settings.obligations.coldFrom",
                         -0.1),
-                one(
+                rejectedCase(
                         "settings.obligations.coldFrom must be from 0 to 1, not 1.5",
                         "settings.obligations.coldFrom",
                         1.5),
-                one(
+                rejectedCase(
                         "settings.obligations.fallMultiple must be above 0, not 0",
                         "settings.obligations.fallMultiple",
                         0),
-                one(
+                rejectedCase(
                         "settings.obligations.fallMultiple must be above 0, not -2",
                         "settings.obligations.fallMultiple",
                         -2),
-                one(
+                rejectedCase(
                         "settings.obligations.budgetShare must be 0 or more, not -1",
                         "settings.obligations.budgetShare",
                         -1),
-                one(
+                rejectedCase(
                         "settings.obligations.spareAttempts must be 0 or more, not -1",
                         "settings.obligations.spareAttempts",
                         -1));
     }
 
     @Test
-    void sharesOfClassesAreSharesAndOneForEach() throws IOException {
+    void fractionsOfClassesAreFractionsAndOneForEachClass() throws IOException {
         List<Object[]> cases = new ArrayList<>();
         for (String path :
                 new String[] {"settings.domain.classNeed", "settings.domain.leastShare"}) {
             for (Double bad : new Double[] {0.0, -0.5, 1.5}) {
                 cases.add(
-                        one(
+                        rejectedCase(
                                 path
                                         + " must hold shares above 0 and up to 1, not "
                                         + bad
@@ -320,38 +328,38 @@
         for (String path : new String[] {"classNeed", "leastShare", "shortWorth", "followUp"}) {
             String key = "settings.domain." + path;
             cases.add(
-                    one(
+                    rejectedCase(
                             key + " must have an entry for each of the 2 classes, not 1",
                             key,
                             List.of(0.7)));
             cases.add(
-                    one(
+                    rejectedCase(
                             key + " must have an entry for each of the 2 classes, not 3",
                             key,
                             List.of(0.7, 1, 1)));
-            cases.add(one(key + " is not a number: most", key, List.of("most", 1)));
+            cases.add(rejectedCase(key + " is not a number: most", key, List.of("most", 1)));
         }
         cases.add(
-                one(
+                rejectedCase(
                         "settings.domain.leastShare must not be above domain.classNeed, which it is"
                                 + " at entry 0",
                         "settings.domain.leastShare",
                         List.of(0.8, 1)));
-        refused(cases.toArray(Object[][]::new));
+        assertRejected(cases.toArray(Object[][]::new));
     }
 
     @Test
-    void namesStandOnceAndFitThePath() throws IOException {
-        refused(
-                one(
+    void namesAreUniqueAndFitThePath() throws IOException {
+        assertRejected(
+                rejectedCase(
                         "settings.classes.1.name stands there twice: search",
                         "settings.classes.1.name",
                         "search"),
-                one(
+                rejectedCase(
                         "settings.classes.0.name must hold no /: it is one part of a path, not a/b",
                         "settings.classes.0.name",
                         "a/b"),
-                one(
+                rejectedCase(
                         "settings.tenants.1.name stands there twice: acme",
                         "settings.tenants",
                         List.of(Map.of("name", "acme"), Map.of("name", "acme"))));
@@ -362,22 +370,22 @@
         List<Object[]> cases = new ArrayList<>();
         for (String path : new String[] {"mayDuplicate", "cancelling", "probes", "retryAfter"}) {
             cases.add(
-                    one(
+                    rejectedCase(
                             "settings.caps." + path + " must be true or false, not yes",
                             "settings.caps." + path,
                             "yes"));
             cases.add(
-                    one(
+                    rejectedCase(
                             "settings.caps." + path + " must be true or false, not 2",
                             "settings.caps." + path,
                             2));
         }
-        refused(cases.toArray(Object[][]::new));
+        assertRejected(cases.toArray(Object[][]::new));
     }
 
     /** The settings as the wire's page shows them, with the names and figures of no deployment. */
     @Test
-    void whatIsLegalIsTaken() throws IOException {
+    void validSettingsAreAccepted() throws IOException {
         InstanceSettings wire = new InstanceSettings();
         for (String pair :
                 ("caps.cancelling=true caps.connectTimeout=250000 caps.cpuUsPerRequest=0.0"
@@ -434,7 +442,7 @@
     }
 
     @Test
-    void whatIsReadAgainAndCannotBeUsedChangesNothing() throws Exception {
+    void reloadOfInvalidSettingsChangesNothing() throws Exception {
         Router router = new Router(startup());
         router.start();
         try {
@@ -458,7 +466,7 @@
     }
 
     @Test
-    void theDefaultsOfWhatIsSilentAreThoseOfTheProtocol() throws IOException {
+    void defaultsAreThoseOfTheProtocol() throws IOException {
         InstanceSettings settings =
                 startup(
                                 "settings.classes.1.worth",
--- a/src/test/java/postbeam/config/SubsystemSettingsTest.java
+++ b/src/test/java/postbeam/config/SubsystemSettingsTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void whatIsWrongIsToldWithLineKeyAndReason() throws IOException {
+    void problemIsReportedWithLineKeyAndReason() throws IOException {
         assertEquals("h:1", SubsystemSettings.parse("f", SOUND).text("layouts.follow.service"));
         assertEquals(
                 "f: line 3: layouts.follow.enabeld: unknown key; enabled is known",
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void theFileUnderDeployIsSoundAndSwitchesNothingOn() throws IOException {
+    void deployedFileIsValidAndEnablesNothing() throws IOException {
         InstanceSettings own = SubsystemSettings.read(Path.of("deploy/postbeam.json5"));
         assertEquals(false, own.flag("layouts.follow.enabled"));
         assertEquals(false, own.flag("layouts.serve.enabled"));
--- a/src/test/java/postbeam/datanodes/FrameCodecTest.java
+++ b/src/test/java/postbeam/datanodes/FrameCodecTest.java
@@ -14,14 +14,14 @@
     }
 
     @Test
-    void aFrameIsItsLengthFromTheLeastByteOnThenItsLetterAndTheRest() {
+    void frameIsItsLittleEndianLengthItsTypeAndItsPayload() {
         assertArrayEquals(
                 bytes("\5\0\0\0nab.3"), FrameCodec.encode(FrameCodec.CANCEL, "ab.3").array());
         assertArrayEquals(bytes("\1\0\0\0o"), FrameCodec.encode(FrameCodec.PROBE, "").array());
     }
 
     @Test
-    void anAnswerIsReadWithItsValueAsItIs() throws MalformedFrameException {
+    void responseIsDecodedWithItsValueUnchanged() throws MalformedFrameException {
         ShardResponse answer =
                 FrameCodec.decodeResponse(bytes("ab.3 good 1840277719 -\nx  y\u00e4z"));
         assertEquals("ab.3", answer.attemptId());
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void theWayAPartEndedTellsWhetherItMayHaveRun() throws MalformedFrameException {
+    void outcomeIsDecodedFromTheResponse() throws MalformedFrameException {
         assertEquals(
                 AttemptOutcome.ERROR, FrameCodec.decodeResponse(bytes("a.1 bad 0 -\n")).outcome());
         assertEquals(
@@ -39,13 +39,13 @@
     }
 
     @Test
-    void aReportThatCantBeReadSpoilsNoAnswer() throws MalformedFrameException {
+    void unreadableLoadReportDoesNotSpoilTheResponse() throws MalformedFrameException {
         assertArrayEquals(
                 bytes("v"), FrameCodec.decodeResponse(bytes("a.1 good 0 \7 x= = ?\nv")).value());
     }
 
     @Test
-    void whatFollowsNoFormIsABadFrame() {
+    void malformedResponseIsRejected() {
         for (String rest :
                 new String[] {
                     "",
--- a/src/test/java/postbeam/datanodes/FrameSamplesTest.java
+++ b/src/test/java/postbeam/datanodes/FrameSamplesTest.java
@@ -75,7 +75,7 @@
     FrameSamplesTest() throws IOException {}
 
     @AfterEach
-    void giveBack() throws IOException {
+    void tearDown() throws IOException {
         if (ticks != null) {
             ticks.interrupt();
         }
--- a/src/test/java/postbeam/datanodes/NodeConnectionTest.java
+++ b/src/test/java/postbeam/datanodes/NodeConnectionTest.java
@@ -91,7 +91,7 @@
     }
 
     @AfterEach
-    void giveBack() throws IOException {
+    void tearDown() throws IOException {
         ticks.interrupt();
         worker.shutdownNow();
         node.close();
@@ -136,7 +136,7 @@
 
     private static String part(DataInputStream in) throws IOException {
         byte[] frame = in.readNBytes(Integer.reverseBytes(in.readInt()));
-        return new String(frame, StandardCharsets.UTF_8).split(" ")[0];
+        return new String(frame, StandardCharsets.UTF_8).split(" ", -1)[0];
     }
 
     /**
@@ -144,7 +144,7 @@
      * nobody has read yet.
      */
     @Test
-    void aCallIsNotWrittenForAClientThatIsGoneByThen() throws Exception {
+    void attemptIsNotWrittenOnceItsClientHasDisconnected() throws Exception {
         InFlightQuery gone = take("gone");
         InFlightQuery stays = take("stays");
         CountDownLatch[] left = {new CountDownLatch(1)};
