--- a/src/main/java/postbeam/slices/JournalRecord.java
+++ b/src/main/java/postbeam/slices/JournalRecord.java
@@ -16,7 +16,7 @@
      * @param lastSlice the highest number of a slice
      * @param moves the moves under way
      * @param target null where there is none
-     * @param pendingDrops what nodes have yet to be told to drop
+     * @param pendingDrops what nodes have yet to drop
      */
     record Snapshot(
             Layout layout,
--- a/src/main/java/postbeam/slices/MoveCommands.java
+++ b/src/main/java/postbeam/slices/MoveCommands.java
@@ -98,7 +98,7 @@
         return deliveries != null && deliveries.isAcknowledged(node, command, slice);
     }
 
-    /** Whether it holds for all; each is asked, as asking sends what is due. */
+    /** Whether it holds for all; each is tested, since the test sends what is due. */
     private static <T> boolean all(List<T> list, Predicate<T> predicate) {
         boolean all = true;
         for (T one : list) {
--- a/src/main/java/postbeam/slices/MoveJournalState.java
+++ b/src/main/java/postbeam/slices/MoveJournalState.java
@@ -40,7 +40,7 @@
          */
         void apply(JournalRecord.WorkflowRecord record);
 
-        /** Records that stand for all before. */
+        /** Records that replace all before. */
         List<JournalRecord.WorkflowRecord> snapshotRecords();
     }
 
@@ -85,7 +85,7 @@
         return finishedMoves;
     }
 
-    /** What nodes have yet to be told to drop. */
+    /** What nodes have yet to drop. */
     public Collection<Move.OldHolder> pendingDrops() {
         return pendingDrops;
     }
@@ -133,7 +133,7 @@
 
     // ---- snapshots
 
-    /** The record that stands for all records of moves before. */
+    /** The record that replaces all records of moves before. */
     public JournalRecord.Snapshot snapshot() {
         return new JournalRecord.Snapshot(
                 layout,
@@ -225,7 +225,7 @@
         planned.newSlices().forEach(number -> lastSlice = Math.max(lastSlice, number));
         Move move = Move.plan(planned, layout);
         activeMoves.put(move.id, move);
-        // A node that is to get a slice again is not told to drop what it held of it before.
+        // A node that is to get a slice again does not drop what it held of it before.
         pendingDrops.removeIf(drop -> move.hasDestination(drop.node(), drop.slice()));
     }
 
--- a/src/main/java/postbeam/slices/NodeReconciliation.java
+++ b/src/main/java/postbeam/slices/NodeReconciliation.java
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Has old holders drop what they could not be told to drop in time: a node that was gone while
-     * a slice was taken off it would serve old data to a router that is as far behind.
+     * Has old holders drop what no command to drop reached them for in time: a node that was gone
+     * while a slice was taken off it would serve old data to a router that is as far behind.
      */
     void sendPendingDrops(ActionList actions) {
         for (Move.OldHolder holder : List.copyOf(state.pendingDrops())) {
--- a/src/main/java/postbeam/slices/Planner.java
+++ b/src/main/java/postbeam/slices/Planner.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /**
- * Which changes bring a layout towards a target. It is asked again after each change, so it needs
+ * Which changes bring a layout towards a target. It is called again after each change, so it needs
  * no memory, and a move that was abandoned is planned again. Slices are first split where the
  * target has a boundary, then transferred to the nodes that are to hold them, and merged last:
  * copies are of slices no larger than needed, and only what the same nodes hold is merged.
--- a/src/main/java/postbeam/slices/StartLimits.java
+++ b/src/main/java/postbeam/slices/StartLimits.java
@@ -64,7 +64,7 @@
                 && (takesUpOwnData || hasCooledDown(destination.node(), now));
     }
 
-    /** A node is not given slice after slice while its caches are still cold for the last. */
+    /** A node is not given slice after slice while it still warms up for the last. */
     private boolean hasCooledDown(String node, Duration now) {
         for (Slice slice : state.layout().slices()) {
             for (Holder holder : slice.holders()) {
