--- a/src/main/java/postbeam/coordination/LeaseParameters.java
+++ b/src/main/java/postbeam/coordination/LeaseParameters.java
@@ -12,7 +12,7 @@
  * What all routers must agree on for leases of the budget of a node that warms up; the letters are
  * those of docs/together.md.
  *
- * @param duration u: how long a router may use a lease, from when it requested it
+ * @param leaseDuration u: how long a router may use a lease, from when it requested it
  * @param window w: the span in which the rule counts what such a node is sent
  * @param maxClockDrift d: what two clocks may differ by over the longest span here
  * @param reservedFraction s: fraction of each budget that is never leased; a router that hears
--- a/src/test/java/postbeam/clients/HttpSamplesTest.java
+++ b/src/test/java/postbeam/clients/HttpSamplesTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -142,7 +143,7 @@
         server =
                 new QueryServer(
                         worker,
-                        new InetSocketAddress("127.0.0.1", 0),
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         new QueryServer.QueryHandler() {
                             @Override
                             public PendingQuery submit(ClientRequest query, Duration age)
@@ -199,7 +200,9 @@
     /** The answer's bytes, whose length is stated, or all until the connection ends. */
     private byte[] answer(byte[] request) throws IOException {
         try (Socket client =
-                new Socket("127.0.0.1", Integer.parseInt(server.address().replaceAll(".*:", "")))) {
+                new Socket(
+                        InetAddress.getLoopbackAddress(),
+                        Integer.parseInt(server.address().replaceAll(".*:", "")))) {
             client.getOutputStream().write(request);
             StringBuilder answer = new StringBuilder();
             int next;
--- a/src/test/java/postbeam/clients/QueryServerTest.java
+++ b/src/test/java/postbeam/clients/QueryServerTest.java
@@ -6,6 +6,7 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -40,7 +41,7 @@
         server =
                 new QueryServer(
                         worker,
-                        new InetSocketAddress("127.0.0.1", 0),
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         new QueryServer.QueryHandler() {
                             @Override
                             public PendingQuery submit(ClientRequest clientRequest, Duration age) {
@@ -57,7 +58,10 @@
                         1,
                         8);
         server.start();
-        client = new Socket("127.0.0.1", Integer.parseInt(server.address().replaceAll(".*:", "")));
+        client =
+                new Socket(
+                        InetAddress.getLoopbackAddress(),
+                        Integer.parseInt(server.address().replaceAll(".*:", "")));
         responses =
                 new BufferedReader(
                         new InputStreamReader(client.getInputStream(), StandardCharsets.US_ASCII));
@@ -139,7 +143,8 @@
         for (int i = 0; i < 5; i++) {
             client =
                     new Socket(
-                            "127.0.0.1", Integer.parseInt(server.address().replaceAll(".*:", "")));
+                            InetAddress.getLoopbackAddress(),
+                            Integer.parseInt(server.address().replaceAll(".*:", "")));
             waiting.add(client);
             sendRequest();
         }
--- a/src/test/java/postbeam/datanodes/FrameSamplesTest.java
+++ b/src/test/java/postbeam/datanodes/FrameSamplesTest.java
@@ -145,7 +145,9 @@
     }
 
     private static byte[] array(ByteBuffer frame) {
-        return Arrays.copyOfRange(frame.array(), frame.position(), frame.limit());
+        byte[] bytes = new byte[frame.remaining()];
+        frame.duplicate().get(bytes);
+        return bytes;
     }
 
     /** What follows the letter of a frame, whose length must be right. */
--- a/src/test/java/postbeam/layoutservice/LayoutServiceIT.java
+++ b/src/test/java/postbeam/layoutservice/LayoutServiceIT.java
@@ -290,12 +290,14 @@
             while (curl == null && (line = out.readLine()) != null) {
                 curl = line.contains("curl -i") ? line.strip() : null;
             }
-            String[] quoted = curl.split("'");
+            // Without what follows the last quote.
+            String[] quoted = curl.split("'", 0);
             HttpURLConnection connection =
                     (HttpURLConnection)
                             URI.create(quoted[1]).toURL().openConnection(Proxy.NO_PROXY);
             for (int i = 3; i < quoted.length - 2; i += 2) {
-                connection.setRequestProperty(quoted[i].split(": ")[0], quoted[i].split(": ")[1]);
+                connection.setRequestProperty(
+                        quoted[i].split(": ", -1)[0], quoted[i].split(": ", -1)[1]);
             }
             connection.setDoOutput(true);
             connection
--- a/src/test/java/postbeam/layoutservice/LayoutServiceResponsesTest.java
+++ b/src/test/java/postbeam/layoutservice/LayoutServiceResponsesTest.java
@@ -16,6 +16,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Executors;
+import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -39,7 +40,7 @@
      */
     private volatile String listed = "";
 
-    private volatile int seq = 1;
+    private final AtomicInteger seq = new AtomicInteger(1);
     private HttpServer discovery;
     private LayoutService service;
 
@@ -52,7 +53,11 @@
                 "/",
                 exchange -> {
                     byte[] body =
-                            ("{\"seq\":" + seq + ",\"whole\":true,\"hosts\":[" + listed + "]}")
+                            ("{\"seq\":"
+                                            + seq.get()
+                                            + ",\"whole\":true,\"hosts\":["
+                                            + listed
+                                            + "]}")
                                     .getBytes(StandardCharsets.UTF_8);
                     exchange.sendResponseHeaders(200, body.length);
                     exchange.getResponseBody().write(body);
@@ -152,7 +157,7 @@
 
     private void list(String... nodes) {
         listed = String.join(",", nodes);
-        seq++;
+        seq.incrementAndGet();
     }
 
     @Test
--- a/src/test/java/postbeam/layoutservice/MoveJournalTest.java
+++ b/src/test/java/postbeam/layoutservice/MoveJournalTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -77,10 +78,10 @@
         records().forEach(expected::apply);
         MoveJournalState read = new MoveJournalState(10);
         MoveJournal.open(file, read, null).close();
-        assertEquals(new String(snapshot(expected)), new String(snapshot(read)));
+        assertEquals(text(snapshot(expected)), text(snapshot(read)));
         MoveJournalState again = new MoveJournalState(10);
         again.apply(MoveRecordCodec.read(snapshot(read)));
-        assertEquals(new String(snapshot(read)), new String(snapshot(again)));
+        assertEquals(text(snapshot(read)), text(snapshot(again)));
     }
 
     @Test
@@ -112,7 +113,7 @@
             }
             MoveJournalState after = new MoveJournalState(10);
             MoveJournal.open(torn, after, null).close();
-            assertEquals(new String(snapshot(read)), new String(snapshot(after)));
+            assertEquals(text(snapshot(read)), text(snapshot(after)));
             Files.delete(torn);
         }
     }
@@ -124,7 +125,7 @@
         byte[] all = Files.readAllBytes(file);
         for (int at = 0; at < ends.get(ends.size() - 2); at += 3) {
             byte[] bad = all.clone();
-            bad[at] ^= 1 << at % 8;
+            bad[at] = (byte) (bad[at] ^ (1 << (at % 8)));
             Path flipped = dir.resolve("flipped");
             Files.write(flipped, bad);
             assertThrows(
@@ -157,7 +158,7 @@
         assertTrue(Files.size(file) < 30_000, "size " + Files.size(file));
         MoveJournalState read = new MoveJournalState(10);
         MoveJournal.open(file, read, null).close();
-        assertEquals(new String(snapshot(journalState)), new String(snapshot(read)));
+        assertEquals(text(snapshot(journalState)), text(snapshot(read)));
     }
 
     @Test
@@ -184,4 +185,8 @@
                 IOException.class,
                 () -> MoveJournal.open(dir.resolve("none"), new MoveJournalState(10), null));
     }
+
+    private static String text(byte[] bytes) {
+        return new String(bytes, StandardCharsets.UTF_8);
+    }
 }
--- a/src/test/java/postbeam/router/RouterIT.java
+++ b/src/test/java/postbeam/router/RouterIT.java
@@ -18,6 +18,7 @@
 import java.nio.file.StandardCopyOption;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CopyOnWriteArrayList;
@@ -124,7 +125,7 @@
                         .filter(line -> line.startsWith("run = "))
                         .findFirst()
                         .orElseThrow()
-                        .split("\"")[1];
+                        .split("\"", -1)[1];
         String command = more.length > 0 ? run.replaceAll("serve$", String.join(" ", more)) : run;
         // SIGHUP at its default: where a parent ignores it, as nohup does, the program would not
         // hear it.
@@ -200,10 +201,10 @@
         }
         int length = 0;
         String retry = "";
-        for (String line : head.toString().split("\r\n")) {
-            if (line.toLowerCase().startsWith("content-length:")) {
+        for (String line : head.toString().split("\r\n", -1)) {
+            if (line.toLowerCase(Locale.ROOT).startsWith("content-length:")) {
                 length = Integer.parseInt(line.substring(15).trim());
-            } else if (line.toLowerCase().startsWith("retry-after:")) {
+            } else if (line.toLowerCase(Locale.ROOT).startsWith("retry-after:")) {
                 retry = line.substring(12).trim() + " ";
             }
         }
@@ -303,7 +304,7 @@
         serving();
         try (Socket client = connect()) {
             write(client, query("search", "q1", 2500, 0, 1, 2, 3));
-            String first = frame("m q1.").split(" ")[1];
+            String first = frame("m q1.").split(" ", -1)[1];
             node.send(node.sockets.get(0), "q" + first + " good 0 -\nx");
             String answer = answer(client);
             assertTrue(answer.startsWith("200 {\"total\":false,\"answers\":[{"), answer);
@@ -836,10 +837,6 @@
                                 .startsWith("T"));
     }
 
-    private boolean wasSent(String id) {
-        return node.frames.stream().anyMatch(frame -> frame.startsWith("m " + id + "."));
-    }
-
     /**
      * A listener that lets nobody else in until it is emptied; the machine tries again by itself
      * after 1 s and more.
@@ -951,9 +948,9 @@
         String to = String.format("0100007F:%04X 02", port);
         return Files.readAllLines(Path.of("/proc/net/tcp")).stream()
                         .anyMatch(line -> line.contains(to))
-                || Files.exists(Path.of("/proc/net/tcp6"))
+                || (Files.exists(Path.of("/proc/net/tcp6"))
                         && Files.readAllLines(Path.of("/proc/net/tcp6")).stream()
-                                .anyMatch(line -> line.contains(String.format(":%04X 02", port)));
+                                .anyMatch(line -> line.contains(String.format(":%04X 02", port))));
     }
 
     @Test
@@ -1091,7 +1088,8 @@
     }
 
     private boolean refused() throws IOException {
-        try (Socket none = connect()) {
+        try {
+            connect().close();
             return false;
         } catch (java.net.ConnectException e) {
             return true;
--- a/src/test/java/postbeam/slices/CoordinatorMoveTest.java
+++ b/src/test/java/postbeam/slices/CoordinatorMoveTest.java
@@ -112,7 +112,7 @@
         runFor(Duration.ofSeconds(30));
         silentNodes.clear();
         restart();
-        runFor(Duration.ofSeconds(120));
+        runFor(Duration.ofMinutes(2));
         assertEquals(2, layout().slices().size());
         assertEquals(0, coordinator.state().activeMoves().size());
     }
