--- a/src/main/java/postbeam/clients/ClientConnection.java
+++ b/src/main/java/postbeam/clients/ClientConnection.java
@@ -226,7 +226,7 @@
         }
     }
 
-    // The two ways are closed by closeAction, each when its time has come.
+    // closeAction closes reading and writing, each when all of it is done.
     @Override
     protected void notifyReadClosed() {}
 
--- a/src/main/java/postbeam/clients/QueryExchange.java
+++ b/src/main/java/postbeam/clients/QueryExchange.java
@@ -40,7 +40,7 @@
 
     // ---- submitting
 
-    /** Decodes the request and has the listener take the query, on this thread. */
+    /** Decodes the request and submits the query to the handler, on this thread. */
     void submit(byte[] body, String queryClass) {
         ClientRequest request;
         try {
@@ -51,8 +51,7 @@
         }
         if (client.isDisconnected()) {
             // Its client sent it and left before the router, being late, came to it: nothing of it
-            // is to
-            // begin.
+            // is to begin.
             client.closeImmediately();
             exchange.endExchange();
             return;
@@ -103,8 +102,7 @@
                     }
                 });
         // Once this event is over: until then Undertow sets up and stops reading by itself. And
-        // before the query
-        // can end, which is told by the same queue.
+        // before the query can end, which is told by the same queue.
         context.ioThread().execute(() -> watchForDisconnect(query));
         exchange.dispatch(context.queryThreads(), () -> serve(query));
     }
--- a/src/main/java/postbeam/clients/QueryServer.java
+++ b/src/main/java/postbeam/clients/QueryServer.java
@@ -31,7 +31,7 @@
  * query threads.
  *
  * <p>Connections are read and written on the worker's I/O thread alone; each query is served on a
- * thread of its own, of which there are as many as connections.
+ * thread of its own, of which there are at most two for each connection.
  */
 public final class QueryServer {
     /** Bytes in a buffer of the HTTP library: a usual head or response fits into one. */
@@ -49,7 +49,7 @@
     /** Accepts queries. */
     public interface QueryHandler {
         /**
-         * Accepts a query whose head came so long ago. Called on the I/O thread.
+         * Accepts a query whose head was read so long ago. Called on the I/O thread.
          *
          * @return null if a query of its id is open
          * @throws UnroutableQueryException if it names slices that can't be turned into those in
@@ -119,8 +119,8 @@
     }
 
     /**
-     * One for each connection, and as many again that are just ending: no query ever waits for a
-     * thread.
+     * One thread for each connection, and as many again that are just ending: no query ever waits
+     * for a thread.
      */
     private static ExecutorService newQueryThreads(int maxConnections) {
         return new ThreadPoolExecutor(
--- a/src/main/java/postbeam/datanodes/NodeConnection.java
+++ b/src/main/java/postbeam/datanodes/NodeConnection.java
@@ -150,8 +150,8 @@
         }
         endAttempt(attempt);
         // Guards against a connection that leads nowhere any more, which nothing tells: the machine
-        // vanished
-        // or was cut off. Further attempts go on a new one, which comes up or fails in time.
+        // vanished or was cut off. Further attempts go on a new one, which comes up or fails in
+        // time.
         suspect |=
                 reader.lastReadNanos() < inFlightAttempt.sinceNanos()
                         && wouldHaveConnectedSince(inFlightAttempt.sinceNanos());
--- a/src/main/java/postbeam/testbed/trials/CoordinationTrial.java
+++ b/src/main/java/postbeam/testbed/trials/CoordinationTrial.java
@@ -52,8 +52,7 @@
     @Override
     public TrialResult run(long seed, String defect) {
         // What may be under way is little, so that little hides in it. Every second seed has leases
-        // that outlast offices,
-        // every fourth has more routers than parts that hold a leaf call.
+        // that outlast offices, every fourth has more routers than parts that hold a leaf call.
         boolean outlasts = seed % 2 == 0;
         int routers = seed % 4 == 0 ? 9 : seed % 4 == 1 ? 3 : 5;
         double underWay = seed % 3 == 0 ? 0.05 : 0.1;
