--- a/src/test/java/postbeam/config/SettingsValidatorTest.java
+++ b/src/test/java/postbeam/config/SettingsValidatorTest.java
@@ -66,7 +66,7 @@
         return RouterConfig.parse(bytes.toByteArray());
     }
 
-    /** All that is wrong is document at once, so that one run shows each case. */
+    /** Reports all failures together, so that one run shows each case. */
     private static void assertRejected(Object[]... cases) throws IOException {
         List<String> wrong = new ArrayList<>();
         for (Object[] one : cases) {
@@ -77,7 +77,7 @@
                 wrong.add("not rejected: " + line);
             } catch (IOException | RuntimeException e) {
                 if (!line.equals(e.getMessage())) {
-                    wrong.add("wanted: " + line + "\n   document: " + e);
+                    wrong.add("wanted: " + line + "\n   actual: " + e);
                 }
             }
         }
@@ -99,9 +99,9 @@
 
     @Test
     void missingEffectDefaultsToNonIdempotent() throws IOException {
-        Map<String, QueryClass> verticals =
+        Map<String, QueryClass> queryClasses =
                 PolicyFactory.queryClasses(startup("settings.classes.0.effect", ABSENT).settings);
-        assertEquals(SideEffects.NON_IDEMPOTENT, verticals.get("search").sideEffects);
+        assertEquals(SideEffects.NON_IDEMPOTENT, queryClasses.get("search").sideEffects);
     }
 
     @Test
--- a/src/test/java/postbeam/slices/TranslationBenchmark.java
+++ b/src/test/java/postbeam/slices/TranslationBenchmark.java
@@ -93,7 +93,7 @@
         return query;
     }
 
-    /** What Decide asks for some times a turn. */
+    /** What the routing policy computes several times a batch. */
     @Benchmark
     public double weightAcrossRecuts() throws UnroutableQueryException {
         Query query = query();
