--- a/src/main/java/postbeam/policy/AdmissionControl.java
+++ b/src/main/java/postbeam/policy/AdmissionControl.java
@@ -16,17 +16,17 @@
  * exceed their tenant's quota, and the Retry-After of rejected clients.
  */
 public final class AdmissionControl {
-    /** Fraction of {@code maxHeld} above which the router counts as crowded. */
-    private static final double CROWDED_SHARE = 0.7;
+    /** Fraction of {@code maxInFlight} above which the router counts as crowded. */
+    private static final double NEAR_CAPACITY_SHARE = 0.7;
 
     /** Window over which tenants' queries are counted. */
     private static final Duration QUOTA_WINDOW = Duration.ofSeconds(5);
 
     /** Number of queries by which a tenant may exceed its quota: a burst of two is normal. */
-    private static final double QUOTA_TOLERANCE = 2;
+    private static final double QUOTA_BURST = 2;
 
     /** Retry-After of rejections while the router is crowded. */
-    private static final Duration CROWDED_RETRY_AFTER = Duration.ofMillis(300);
+    private static final Duration NEAR_CAPACITY_RETRY_AFTER = Duration.ofMillis(300);
 
     private final Integer maxInFlight;
     private final int routerCount;
@@ -35,42 +35,42 @@
     private final Map<Tenant, SlidingWindowCounter> queriesByTenant = new HashMap<>();
     private final SlidingWindowCounter allQueries = new SlidingWindowCounter(QUOTA_WINDOW);
     private double sumOfQuotas;
-    private boolean crowded;
+    private boolean nearCapacity;
 
     /**
      * Creates the accounting of one router; a null parameter is not configured.
      *
-     * @param maxHeld maximum number of queries and shard requests that the router may hold
+     * @param maxInFlight maximum number of queries and shard requests that the router may hold
      * @param routerCount number of routers among which quotas are divided
      * @param overQuotaUtility share of the utility that a query beyond its tenant's quota earns
      * @param maxRetryAfter maximum Retry-After; null where rejections may not carry one
      */
     public AdmissionControl(
-            Integer maxHeld, Integer routerCount, Double overQuotaUtility, Duration maxRetryAfter) {
-        this.maxInFlight = maxHeld;
+            Integer maxInFlight, Integer routerCount, Double overQuotaUtility, Duration maxRetryAfter) {
+        this.maxInFlight = maxInFlight;
         this.routerCount = routerCount == null ? 1 : Math.max(1, routerCount);
         this.overQuotaUtility = overQuotaUtility;
         this.maxRetryAfter = maxRetryAfter;
     }
 
     /** Recomputes the load from the open queries. */
-    void update(List<Query> open) {
-        int openCount = 0;
-        for (Query query : open) {
-            openCount += 1 + query.shardRequests.size();
+    void updateLoad(List<Query> openQueries) {
+        int inFlight = 0;
+        for (Query query : openQueries) {
+            inFlight += 1 + query.shardRequests.size();
         }
-        crowded = maxInFlight != null && openCount > CROWDED_SHARE * maxInFlight;
+        nearCapacity = maxInFlight != null && inFlight > NEAR_CAPACITY_SHARE * maxInFlight;
     }
 
     /** Whether the router holds nearly as many queries and requests as it may. */
     boolean isNearCapacity() {
-        return crowded;
+        return nearCapacity;
     }
 
     /** Retry-After of a rejection now; zero for none. */
     Duration retryAfter() {
-        return crowded && maxRetryAfter != null
-                ? min(CROWDED_RETRY_AFTER, maxRetryAfter)
+        return nearCapacity && maxRetryAfter != null
+                ? min(NEAR_CAPACITY_RETRY_AFTER, maxRetryAfter)
                 : Duration.ZERO;
     }
 
@@ -95,10 +95,10 @@
         }
         queries.add(now, 1);
         allQueries.add(now, 1);
-        double received = queries.lowerBoundSum(now, QUOTA_WINDOW);
+        double recentQueries = queries.lowerBoundSum(now, QUOTA_WINDOW);
         double routerQuota = tenant.quotaPerSecond / routerCount * seconds(QUOTA_WINDOW);
-        return received > routerQuota + QUOTA_TOLERANCE
-                && received * sumOfQuotas
+        return recentQueries > routerQuota + QUOTA_BURST
+                && recentQueries * sumOfQuotas
                         >= allQueries.lowerBoundSum(now, QUOTA_WINDOW) * tenant.quotaPerSecond;
     }
 }
--- a/src/main/java/postbeam/policy/CanaryPolicy.java
+++ b/src/main/java/postbeam/policy/CanaryPolicy.java
@@ -15,13 +15,13 @@
  */
 final class CanaryPolicy {
     /** Window in which crashes are counted. */
-    private static final Duration CRASH_MEMORY = Duration.ofSeconds(10);
+    private static final Duration CRASH_WINDOW = Duration.ofSeconds(10);
 
     /** Number of crashes within the window from which canaries are required. */
     private static final int MIN_CRASHES = 2;
 
     /** Nodes that disappeared or restarted without draining, according to the endpoint list. */
-    private final SlidingWindowCounter crashes = new SlidingWindowCounter(CRASH_MEMORY);
+    private final SlidingWindowCounter crashes = new SlidingWindowCounter(CRASH_WINDOW);
 
     void onNodeCrash(Duration now) {
         crashes.add(now, 1);
@@ -41,6 +41,6 @@
     boolean needsCanary(Duration now, Query query) {
         return query.countRequests(ShardRequest::isAnswered) == 0
                 && (query.resetCount() > 0
-                        || crashes.upperBoundSum(now, CRASH_MEMORY) >= MIN_CRASHES);
+                        || crashes.upperBoundSum(now, CRASH_WINDOW) >= MIN_CRASHES);
     }
 }
--- a/src/main/java/postbeam/policy/ClientRetryEstimator.java
+++ b/src/main/java/postbeam/policy/ClientRetryEstimator.java
@@ -29,7 +29,7 @@
         Duration timeout = query.deadline.minus(now);
         Duration estimate = firstRequestTimeouts.get(queryClass);
         if (!query.isClientRetry()) {
-            firstRequestTimeouts.put(queryClass, updated(estimate, timeout));
+            firstRequestTimeouts.put(queryClass, updatedEstimate(estimate, timeout));
         } else if (queryClass.totalClientTimeout != null
                 && estimate != null
                 && timeout.plus(FINAL_ANSWER_MARGIN).compareTo(estimate) < 0) {
@@ -37,7 +37,7 @@
         }
     }
 
-    private static Duration updated(Duration estimate, Duration sample) {
+    private static Duration updatedEstimate(Duration estimate, Duration sample) {
         return estimate == null || sample.compareTo(estimate) < 0
                 ? sample
                 : estimate.plus(scale(sample.minus(estimate), SMOOTHING));
--- a/src/main/java/postbeam/policy/CompletionForecast.java
+++ b/src/main/java/postbeam/policy/CompletionForecast.java
@@ -52,7 +52,7 @@
      */
     boolean cannotFinishInTime(Duration now, Query query) {
         QueryClass queryClass = query.queryClass();
-        double factor = slowestFactor(query);
+        double factor = expectedLatencyFactor(query);
         Duration clientLimit = query.deadline.minus(PolicyTiming.FINAL_ANSWER_MARGIN);
         Duration remaining = min(query.sloDeadline(), clientLimit).minus(now);
         if (queryClass.secondStep != null) {
@@ -60,7 +60,7 @@
                     remaining.minus(latencies.typicalLatency(now, queryClass.secondStep, factor));
         }
         return window.inFlight() > 0
-                && latencies.hasLearntBaseline(queryClass)
+                && latencies.hasMeasuredBaseline(queryClass)
                 && remaining.compareTo(latencies.typicalLatency(now, queryClass, factor)) < 0;
     }
 
@@ -68,7 +68,7 @@
      * Multiple of the typical latency that the query takes: its slowest request, or the number of
      * rounds through the window.
      */
-    private double slowestFactor(Query query) {
+    private double expectedLatencyFactor(Query query) {
         int requests = query.shardRequests.size();
         if (query.queryClass().acceptsSubset() || requests == 1) {
             return 1;
--- a/src/main/java/postbeam/policy/ConcurrencyWindow.java
+++ b/src/main/java/postbeam/policy/ConcurrencyWindow.java
@@ -13,22 +13,22 @@
  */
 final class ConcurrencyWindow {
     /** Initial size, in attempts. */
-    private static final int INITIAL = 32;
+    private static final int INITIAL_SIZE = 32;
 
     /** Minimum size, in attempts. */
-    private static final int MIN = 4;
+    private static final int MIN_SIZE = 4;
 
     /** Minimum size summed over all routers, in attempts per node. */
-    private static final double MIN_PER_NODE = 2.5;
+    private static final double MIN_ATTEMPTS_PER_NODE = 2.5;
 
     /** Fraction of the latency objective above which an answer is late. */
-    private static final double LATE_SHARE = 0.25;
+    private static final double LATE_ANSWER_SHARE = 0.25;
 
     /** Decrease of the size per late answer, in attempts. */
-    private static final int LATE_DECREASE = 2;
+    private static final int LATE_ANSWER_DECREASE = 2;
 
     /** Multiple of the typical latency that must be late itself for a late answer to count. */
-    private static final double LATE_TYPICAL_FACTOR = 2;
+    private static final double LATE_TYPICAL_LATENCY_FACTOR = 2;
 
     /** Fraction of the window above which it counts as in use. */
     private static final double IN_USE_SHARE = 0.6;
@@ -36,7 +36,7 @@
     private final Cluster cluster;
     private final LatencyEstimator latencies;
     private final int routerCount;
-    private double size = INITIAL;
+    private double size = INITIAL_SIZE;
     private Duration halvedAt;
     private int inFlight;
 
@@ -58,17 +58,17 @@
 
     /** Whether it is narrower than initially, so that additional work increases queueing. */
     boolean isNarrow() {
-        return size < INITIAL;
+        return size < INITIAL_SIZE;
     }
 
     /** Whether one more attempt fits, not counting this number of lost ones. */
-    boolean hasCapacity(int lost) {
-        return inFlight - lost < size;
+    boolean hasCapacity(int lostRequests) {
+        return inFlight - lostRequests < size;
     }
 
     /** Whether one more attempt fits and leaves capacity for others. */
-    boolean hasSpareCapacity(int lost) {
-        return inFlight - lost < size * IN_USE_SHARE;
+    boolean hasSpareCapacity(int lostRequests) {
+        return inFlight - lostRequests < size * IN_USE_SHARE;
     }
 
     void onAttemptSent() {
@@ -95,16 +95,16 @@
      * the typical node is slow too: then all nodes are slow without rejecting anything.
      */
     void onAnswer(Duration now, QueryClass queryClass, Duration latency) {
-        Duration limit = scale(queryClass.latencyObjective, LATE_SHARE);
+        Duration limit = scale(queryClass.latencyObjective, LATE_ANSWER_SHARE);
         boolean late =
                 latency.compareTo(limit) > 0
                         && latencies
-                                        .typicalLatency(now, queryClass, LATE_TYPICAL_FACTOR)
+                                        .typicalLatency(now, queryClass, LATE_TYPICAL_LATENCY_FACTOR)
                                         .compareTo(limit)
                                 > 0;
         double newSize = size;
         if (late) {
-            newSize = size - LATE_DECREASE;
+            newSize = size - LATE_ANSWER_DECREASE;
         } else if (inFlight + 1 >= size * IN_USE_SHARE) {
             newSize = size + 1;
         }
@@ -116,6 +116,6 @@
      * wait.
      */
     private double minimumSize() {
-        return Math.max(MIN, MIN_PER_NODE * cluster.size() / routerCount);
+        return Math.max(MIN_SIZE, MIN_ATTEMPTS_PER_NODE * cluster.size() / routerCount);
     }
 }
--- a/src/main/java/postbeam/policy/HealthRecord.java
+++ b/src/main/java/postbeam/policy/HealthRecord.java
@@ -8,7 +8,7 @@
 /** Recent outcomes of a node or of a zone, and its ejection. */
 class HealthRecord {
     /** Window in which outcomes are counted. */
-    private static final Duration MEMORY = LatencyEstimator.MEMORY;
+    private static final Duration OUTCOME_WINDOW = LatencyEstimator.RECENT_ANSWER_WINDOW;
 
     /** Duration of the first ejection; it backs off exponentially, doubling each time. */
     private static final Duration FIRST_EJECTION = Duration.ofMillis(500);
@@ -19,8 +19,8 @@
     /** Maximum exponent of the backoff; prevents overflow of the multiplier. */
     private static final int MAX_DOUBLINGS = 10;
 
-    private final SlidingWindowCounter successes = new SlidingWindowCounter(MEMORY);
-    private final SlidingWindowCounter failures = new SlidingWindowCounter(MEMORY);
+    private final SlidingWindowCounter successes = new SlidingWindowCounter(OUTCOME_WINDOW);
+    private final SlidingWindowCounter failures = new SlidingWindowCounter(OUTCOME_WINDOW);
     private Duration ejectedUntil;
     private int ejectionCount;
 
@@ -34,9 +34,9 @@
 
     /** Whether both the number and the share of recent failures reach these minimums. */
     boolean isFailing(Duration now, int minFailures, double minShare) {
-        double failed = failures.upperBoundSum(now, MEMORY);
+        double failed = failures.upperBoundSum(now, OUTCOME_WINDOW);
         return failed >= minFailures
-                && failed >= minShare * (failed + successes.upperBoundSum(now, MEMORY));
+                && failed >= minShare * (failed + successes.upperBoundSum(now, OUTCOME_WINDOW));
     }
 
     /** Starts an ejection unless one is in progress; returns whether it did. */
--- a/src/main/java/postbeam/policy/HedgingPolicy.java
+++ b/src/main/java/postbeam/policy/HedgingPolicy.java
@@ -14,11 +14,11 @@
     private static final int MAX_PARALLEL_ATTEMPTS = 2;
 
     /** Maximum fraction of spares among the attempts in flight. */
-    private static final double SPARE_SHARE = 0.1;
+    private static final double MAX_SPARE_SHARE = 0.1;
 
     private final AttemptLimits limits;
     private final ConcurrencyWindow window;
-    private int spares;
+    private int sparesInFlight;
 
     HedgingPolicy(AttemptLimits limits, ConcurrencyWindow window) {
         this.limits = limits;
@@ -33,10 +33,10 @@
     }
 
     /** Counts the spares in flight: requests beyond what their queries still need. */
-    void countSpares(List<Query> open) {
-        spares = 0;
-        for (Query query : open) {
-            spares += Math.max(0, query.requestsInFlight() - query.requestsNeeded());
+    void countSpares(List<Query> openQueries) {
+        sparesInFlight = 0;
+        for (Query query : openQueries) {
+            sparesInFlight += Math.max(0, query.requestsInFlight() - query.requestsNeeded());
         }
     }
 
@@ -46,10 +46,10 @@
     boolean maySendSpare(Query query) {
         return query.queryClass().acceptsSubset()
                 && !window.isNarrow()
-                && spares + 1 <= SPARE_SHARE * (window.inFlight() + 1);
+                && sparesInFlight + 1 <= MAX_SPARE_SHARE * (window.inFlight() + 1);
     }
 
     void recordSpare() {
-        spares++;
+        sparesInFlight++;
     }
 }
--- a/src/main/java/postbeam/policy/LatencyEstimator.java
+++ b/src/main/java/postbeam/policy/LatencyEstimator.java
@@ -22,16 +22,16 @@
  */
 final class LatencyEstimator {
     /** Time for which a node's last answer is taken into account. */
-    static final Duration MEMORY = Duration.ofSeconds(4);
+    static final Duration RECENT_ANSWER_WINDOW = Duration.ofSeconds(4);
 
     /** Smoothing factor for a sample below the baseline. */
-    private static final double BASELINE_FALL = 0.2;
+    private static final double BASELINE_FALL_SMOOTHING = 0.2;
 
     /** Maximum smoothing factor for a sample above the baseline. */
-    private static final double BASELINE_RISE = 0.01;
+    private static final double MAX_BASELINE_RISE_SMOOTHING = 0.01;
 
     /** Minimum time constant for rising, in seconds, so that a short overload has little effect. */
-    private static final double BASELINE_RISE_SECONDS = 20;
+    private static final double MIN_BASELINE_RISE_SECONDS = 20;
 
     /** Initial baseline, as a fraction of the latency objective. */
     private static final double INITIAL_BASELINE_SHARE = 0.1;
@@ -74,7 +74,7 @@
                 : baseline.latency;
     }
 
-    boolean hasLearntBaseline(QueryClass queryClass) {
+    boolean hasMeasuredBaseline(QueryClass queryClass) {
         return baselines.containsKey(queryClass);
     }
 
@@ -95,10 +95,10 @@
     double typicalSlowdown(Duration now) {
         if (!now.equals(typicalSlowdownAt)) {
             typicalSlowdownAt = now;
-            double[] slowdowns = recentSlowdowns(now.minus(MEMORY));
-            double middle = Math.max(1, quantile(slowdowns, TYPICAL_QUANTILE));
+            double[] slowdowns = recentSlowdowns(now.minus(RECENT_ANSWER_WINDOW));
+            double median = Math.max(1, quantile(slowdowns, TYPICAL_QUANTILE));
             double lower = Math.max(1, quantile(slowdowns, LOWER_QUANTILE));
-            typicalSlowdown = middle > MAX_QUANTILE_RATIO * lower ? lower : middle;
+            typicalSlowdown = median > MAX_QUANTILE_RATIO * lower ? lower : median;
         }
         return typicalSlowdown;
     }
@@ -106,8 +106,8 @@
     /** The node's slowdown relative to the typical one; 1 if the node has not answered recently. */
     double relativeSlowdown(Duration now, DataNode node) {
         NodeLatency latency = NodeState.of(node).latency;
-        boolean known = latency.slowdown() > 0 && latency.hasAnsweredSince(now.minus(MEMORY));
-        return known ? latency.slowdown() / typicalSlowdown(now) : 1;
+        boolean answeredRecently = latency.slowdown() > 0 && latency.hasAnsweredAtOrAfter(now.minus(RECENT_ANSWER_WINDOW));
+        return answeredRecently ? latency.slowdown() / typicalSlowdown(now) : 1;
     }
 
     void onAttemptEnded(Duration now, Attempt attempt, AttemptOutcome outcome, Duration latency) {
@@ -128,7 +128,7 @@
 
     /** Resets the slowdown of a node that has restarted. */
     void onRestart(DataNode node) {
-        NodeState.of(node).latency.forgetSlowdown();
+        NodeState.of(node).latency.resetSlowdown();
     }
 
     void onRemoved(DataNode node) {
@@ -149,10 +149,10 @@
         Duration previous = baseline.latency;
         double smoothing =
                 latency.compareTo(previous) < 0
-                        ? BASELINE_FALL
+                        ? BASELINE_FALL_SMOOTHING
                         : Math.min(
-                                BASELINE_RISE,
-                                seconds(now.minus(baseline.updatedAt)) / BASELINE_RISE_SECONDS);
+                                MAX_BASELINE_RISE_SMOOTHING,
+                                seconds(now.minus(baseline.updatedAt)) / MIN_BASELINE_RISE_SECONDS);
         baseline.updatedAt = now;
         baseline.latency = previous.plus(scale(latency.minus(previous), smoothing));
     }
--- a/src/main/java/postbeam/policy/NodeLatency.java
+++ b/src/main/java/postbeam/policy/NodeLatency.java
@@ -9,7 +9,7 @@
 
     private double slowdown;
     private Duration lastAnsweredAt;
-    private Duration latestAnsweredSendTime;
+    private Duration latestAnsweredAttemptSentAt;
 
     /**
      * Smoothed ratio of the node's latencies to the baseline of their class; 0 before the first.
@@ -22,19 +22,19 @@
         slowdown = slowdown == 0 ? sample : slowdown + SMOOTHING * (sample - slowdown);
     }
 
-    void forgetSlowdown() {
+    void resetSlowdown() {
         slowdown = 0;
     }
 
     /** Records an answer to an attempt. */
     void recordAnswer(Duration now, Duration sentAt) {
         lastAnsweredAt = now;
-        if (latestAnsweredSendTime == null || latestAnsweredSendTime.compareTo(sentAt) < 0) {
-            latestAnsweredSendTime = sentAt;
+        if (latestAnsweredAttemptSentAt == null || latestAnsweredAttemptSentAt.compareTo(sentAt) < 0) {
+            latestAnsweredAttemptSentAt = sentAt;
         }
     }
 
-    boolean hasAnsweredSince(Duration since) {
+    boolean hasAnsweredAtOrAfter(Duration since) {
         return lastAnsweredAt != null && lastAnsweredAt.compareTo(since) >= 0;
     }
 
@@ -45,6 +45,6 @@
 
     /** Whether an attempt that was sent after this time is answered. */
     boolean hasAnsweredAttemptSentAfter(Duration sentAt) {
-        return latestAnsweredSendTime != null && latestAnsweredSendTime.compareTo(sentAt) > 0;
+        return latestAnsweredAttemptSentAt != null && latestAnsweredAttemptSentAt.compareTo(sentAt) > 0;
     }
 }
--- a/src/main/java/postbeam/policy/NodeWarmUp.java
+++ b/src/main/java/postbeam/policy/NodeWarmUp.java
@@ -24,24 +24,24 @@
         this.work = new SlidingWindowCounter(countedWindow);
     }
 
-    void recordWork(Duration now, Duration sent) {
-        work.add(now, seconds(sent));
+    void recordWork(Duration now, Duration sentWork) {
+        work.add(now, seconds(sentWork));
     }
 
-    void recordWorkOnAcquiredShard(Duration now, Duration sent) {
+    void recordWorkOnAcquiredShard(Duration now, Duration sentWork) {
         if (workOnAcquiredShards == null) {
             workOnAcquiredShards = new SlidingWindowCounter(countedWindow);
         }
-        workOnAcquiredShards.add(now, seconds(sent));
+        workOnAcquiredShards.add(now, seconds(sentWork));
     }
 
     /** Upper bound of the work sent within the counted window, in seconds. */
-    double recentWork(Duration now) {
+    double recentWorkSeconds(Duration now) {
         return work.upperBoundSum(now, countedWindow);
     }
 
-    /** Like {@link #recentWork}, for shards that the node recently acquired. */
-    double recentWorkOnAcquiredShards(Duration now) {
+    /** Like {@link #recentWorkSeconds}, for shards that the node recently acquired. */
+    double recentWorkSecondsOnAcquiredShards(Duration now) {
         return workOnAcquiredShards == null
                 ? 0
                 : workOnAcquiredShards.upperBoundSum(now, countedWindow);
--- a/src/main/java/postbeam/policy/OutlierDetector.java
+++ b/src/main/java/postbeam/policy/OutlierDetector.java
@@ -77,11 +77,11 @@
             health.decrementEjectionCount();
         }
         // A node that answers nothing is seen only by attempts that end without an answer.
-        boolean late =
+        boolean overdue =
                 latency.compareTo(stragglers.overdueAfter(now, attempt.shardRequest.queryClass))
                         > 0;
-        boolean broken = isBroken(attempt, outcome, late);
-        updateZone(now, attempt, health, broken || late);
+        boolean broken = isBroken(attempt, outcome, overdue);
+        updateZone(now, attempt, health, broken || overdue);
         if (broken || outcome == AttemptOutcome.ERROR || outcome == AttemptOutcome.OVERLOADED) {
             health.recordFailure(now);
             if (broken || health.isFailing(now, NODE_MIN_FAILURES, NODE_FAILURE_SHARE)) {
@@ -91,12 +91,12 @@
     }
 
     /** Whether the outcome alone shows that the node or the network path to it is broken. */
-    private static boolean isBroken(Attempt attempt, AttemptOutcome outcome, boolean late) {
+    private static boolean isBroken(Attempt attempt, AttemptOutcome outcome, boolean overdue) {
         return outcome == AttemptOutcome.UNREACHABLE
                 || outcome == AttemptOutcome.RESET
                 || (outcome.isAbandoned()
-                        && late
-                        && !NodeState.of(attempt.node).latency.hasAnsweredSince(attempt.sentAt));
+                        && overdue
+                        && !NodeState.of(attempt.node).latency.hasAnsweredAtOrAfter(attempt.sentAt));
     }
 
     /**
@@ -136,7 +136,7 @@
     }
 
     /** Whether the node was ejected and has not recovered since. */
-    boolean hasFailedLately(DataNode node) {
+    boolean hasFailedRecently(DataNode node) {
         return NodeState.of(node).health.hasEjections();
     }
 
--- a/src/main/java/postbeam/policy/QueryCompletion.java
+++ b/src/main/java/postbeam/policy/QueryCompletion.java
@@ -34,7 +34,7 @@
     private final RetryPolicy retries;
     private final AttemptCanceller canceller;
     private final List<Query> openQueries = new ArrayList<>();
-    private final List<Query> openView = Collections.unmodifiableList(openQueries);
+    private final List<Query> openQueriesView = Collections.unmodifiableList(openQueries);
 
     QueryCompletion(
             PolicyActions actions,
@@ -52,8 +52,8 @@
     }
 
     /** The queries without a final answer, in order of arrival; a view that can't be changed. */
-    List<Query> open() {
-        return openView;
+    List<Query> openQueries() {
+        return openQueriesView;
     }
 
     void onQuery(Query query) {
@@ -64,7 +64,7 @@
     void end(Query query) {
         query.end();
         openQueries.remove(query);
-        admission.update(openQueries);
+        admission.updateLoad(openQueries);
         query.shardRequests.forEach(canceller::cancelAttempts);
     }
 
@@ -72,7 +72,7 @@
      * Answers the open queries that are complete, and ends those that can't be complete in time.
      */
     void review(Duration now) {
-        admission.update(openQueries);
+        admission.updateLoad(openQueries);
         for (Query query : List.copyOf(openQueries)) {
             review(now, query);
         }
@@ -86,8 +86,8 @@
         } else if (query.deadline.minus(now).compareTo(FINAL_ANSWER_MARGIN) <= 0
                 || query.isPoisoned()
                 || isPartialAnswerBest(now, query)
-                || (requestsKnown && isOutOfReach(now, query))
-                || isExpired(now, query)
+                || (requestsKnown && isWaitingPointless(now, query))
+                || shouldDropLateQuery(now, query)
                 || (query.hasNotStarted() && isStartOverdue(now, query))) {
             endUnfinished(query);
         }
@@ -99,7 +99,7 @@
     }
 
     /** Whether a complete answer is impossible and waiting can't improve the answer. */
-    private boolean isOutOfReach(Duration now, Query query) {
+    private boolean isWaitingPointless(Duration now, Query query) {
         QueryClass queryClass = query.queryClass();
         Predicate<ShardRequest> answerable = request -> isAnswerable(now, request);
         if (query.isCoveredBy(answerable, queryClass.requiredWeight)) {
@@ -138,7 +138,7 @@
      * router is crowded and the query has unsent requests or is far past its objective. Otherwise
      * it is kept, as ending it would waste the work in flight.
      */
-    private boolean isExpired(Duration now, Query query) {
+    private boolean shouldDropLateQuery(Duration now, Query query) {
         return forecast.isTooLate(now, query, 1)
                 && (query.queryClass().lateUtility == 0
                         || (admission.isNearCapacity()
@@ -200,10 +200,10 @@
     private static boolean isRetryHarmless(Query query) {
         return query.queryClass().sideEffects == SideEffects.IDEMPOTENT
                 || (query.firstStepRequests.isEmpty()
-                        && query.countRequests(QueryCompletion::mayBeExecuted) == 0);
+                        && query.countRequests(QueryCompletion::mayHaveExecuted) == 0);
     }
 
-    private static boolean mayBeExecuted(ShardRequest request) {
+    private static boolean mayHaveExecuted(ShardRequest request) {
         return request.mayHaveExecutedSince() != null || !request.attemptsInFlight.isEmpty();
     }
 }
--- a/src/main/java/postbeam/policy/ReplicaSelector.java
+++ b/src/main/java/postbeam/policy/ReplicaSelector.java
@@ -37,7 +37,7 @@
     /**
      * Rank of a node that was ejected and has not recovered since, for a non-idempotent request.
      */
-    private static final double RANK_FAILED_LATELY = 1;
+    private static final double RANK_FAILED_RECENTLY = 1;
 
     /** Added to the rank for each earlier attempt of the request at the node. */
     private static final double RANK_EARLIER_ATTEMPT = 1;
@@ -180,10 +180,10 @@
         double rank = 0;
         if (outliers.isSuspect(now, node, request.query.queryClass())) {
             rank = RANK_SUSPECT;
-        } else if (outliers.hasFailedLately(node)
+        } else if (outliers.hasFailedRecently(node)
                 && request.query.queryClass().sideEffects == SideEffects.NON_IDEMPOTENT) {
             // A request that can't be retried does not test whether the node has recovered.
-            rank = RANK_FAILED_LATELY;
+            rank = RANK_FAILED_RECENTLY;
         }
         for (Attempt attempt : request.attempts) {
             rank += attempt.node == node ? RANK_EARLIER_ATTEMPT : 0;
--- a/src/main/java/postbeam/policy/RoutingPolicy.java
+++ b/src/main/java/postbeam/policy/RoutingPolicy.java
@@ -116,10 +116,10 @@
         modules.completion.review(now);
         modules.ejection.review(now);
         modules.completion
-                .open()
+                .openQueries()
                 .forEach(query -> modules.stragglerCanceller.cancelStragglers(now, query));
-        modules.scheduler.fillSlots(now, modules.completion.open());
-        if (!modules.completion.open().isEmpty() && !wakeUpScheduled) {
+        modules.scheduler.fillSlots(now, modules.completion.openQueries());
+        if (!modules.completion.openQueries().isEmpty() && !wakeUpScheduled) {
             wakeUpScheduled = true;
             actions.wakeAfter(PolicyTiming.REVIEW_INTERVAL);
         }
--- a/src/main/java/postbeam/policy/SlotScheduler.java
+++ b/src/main/java/postbeam/policy/SlotScheduler.java
@@ -25,7 +25,7 @@
      * Smallest value first; among equals, low priority last, then the earliest latency objective
      * first.
      */
-    private static final Comparator<Candidate> ORDER =
+    private static final Comparator<Candidate> CANDIDATE_ORDER =
             Comparator.comparingInt(Candidate::answersMissing)
                     .thenComparing(Candidate::lowPriority)
                     .thenComparing(candidate -> candidate.query.sloDeadline())
@@ -65,48 +65,48 @@
     }
 
     /** Fills the free slots with requests of the open queries. */
-    void fillSlots(Duration now, List<Query> open) {
+    void fillSlots(Duration now, List<Query> openQueries) {
         // Lost requests hold no slots: a broken network path would fill the window with them.
-        int lost = 0;
-        for (Query query : open) {
-            lost += stragglers.lostRequests(now, query);
+        int lostRequests = 0;
+        for (Query query : openQueries) {
+            lostRequests += stragglers.lostRequests(now, query);
         }
-        if (!window.hasCapacity(lost)) {
+        if (!window.hasCapacity(lostRequests)) {
             return;
         }
-        hedging.countSpares(open);
-        PriorityQueue<Candidate> candidates = candidates(now, open);
-        while (window.hasCapacity(lost) && !candidates.isEmpty()) {
+        hedging.countSpares(openQueries);
+        PriorityQueue<Candidate> candidates = candidates(now, openQueries);
+        while (window.hasCapacity(lostRequests) && !candidates.isEmpty()) {
             Candidate best = candidates.poll();
             Query query = best.query;
             boolean mayStart =
-                    !query.hasNotStarted() || !best.lowPriority || window.hasSpareCapacity(lost);
+                    !query.hasNotStarted() || !best.lowPriority || window.hasSpareCapacity(lostRequests);
             if (mayStart && sendNext(now, query, best.answersMissing)) {
                 candidates.add(
                         new Candidate(
-                                query, value(now, query), best.lowPriority, best.arrivalOrder));
+                                query, answersMissing(now, query), best.lowPriority, best.arrivalOrder));
             }
         }
     }
 
-    private PriorityQueue<Candidate> candidates(Duration now, List<Query> open) {
-        PriorityQueue<Candidate> candidates = new PriorityQueue<>(ORDER);
-        for (Query query : open.subList(0, Math.min(open.size(), MAX_CANDIDATES))) {
-            int value = value(now, query);
+    private PriorityQueue<Candidate> candidates(Duration now, List<Query> openQueries) {
+        PriorityQueue<Candidate> candidates = new PriorityQueue<>(CANDIDATE_ORDER);
+        for (Query query : openQueries.subList(0, Math.min(openQueries.size(), MAX_CANDIDATES))) {
+            int answersMissing = answersMissing(now, query);
             boolean lowPriority = priority.isLow(now, query);
-            candidates.add(new Candidate(query, value, lowPriority, candidates.size()));
+            candidates.add(new Candidate(query, answersMissing, lowPriority, candidates.size()));
         }
         return candidates;
     }
 
     /** Answers needed minus answers expected (alpha - delta). */
-    private int value(Duration now, Query query) {
+    private int answersMissing(Duration now, Query query) {
         return query.requestsNeeded() - stragglers.expectedAnswers(now, query);
     }
 
     /** Sends the query's next request; returns whether there was one to send. */
-    private boolean sendNext(Duration now, Query query, int value) {
-        boolean spare = value <= 0;
+    private boolean sendNext(Duration now, Query query, int answersMissing) {
+        boolean spare = answersMissing <= 0;
         if ((spare && !hedging.maySendSpare(query))
                 || hasSpareInFlight(query)
                 || isWaitingForCanary(now, query)) {
@@ -138,7 +138,7 @@
         double leastRank = Double.MAX_VALUE;
         for (ShardRequest request : query.shardRequests) {
             if (request.isAnswered()
-                    || stragglers.isExpected(now, request)
+                    || stragglers.isAnswerExpected(now, request)
                     || !retries.mayAttemptNow(now, request)) {
                 continue;
             }
--- a/src/main/java/postbeam/policy/SlowStart.java
+++ b/src/main/java/postbeam/policy/SlowStart.java
@@ -116,12 +116,12 @@
         NodeWarmUp warmUp = NodeState.of(node).warmUp;
         Duration warmingUpSince = warmingUpSince(node);
         if (isWarmingUp(now, warmingUpSince)
-                && !isWithinBudget(now, warmingUpSince, warmUp.recentWork(now), warmUp, work)) {
+                && !isWithinBudget(now, warmingUpSince, warmUp.recentWorkSeconds(now), warmUp, work)) {
             return false;
         }
         return !isWarmingUp(now, acquiredAt)
                 || isWithinBudget(
-                        now, acquiredAt, warmUp.recentWorkOnAcquiredShards(now), warmUp, work);
+                        now, acquiredAt, warmUp.recentWorkSecondsOnAcquiredShards(now), warmUp, work);
     }
 
     private boolean isWarmingUp(Duration now, Duration since) {
@@ -138,10 +138,10 @@
             double sentSeconds,
             NodeWarmUp warmUp,
             Duration work) {
-        if (mayHaveSentBeforeRestart(now, warmingUpSince)) {
+        if (mayHaveSentBeforeRouterStart(now, warmingUpSince)) {
             return false;
         }
-        double budgetSeconds = shareOfBudget(now, warmingUpSince);
+        double budgetSeconds = routerBudgetSeconds(now, warmingUpSince);
         return sentSeconds + seconds(work) <= budgetSeconds
                 || (routerCount >= SAMPLING_MIN_ROUTERS
                         && sentSeconds + warmUp.samplingThreshold * seconds(work) <= budgetSeconds);
@@ -151,14 +151,14 @@
      * Whether this router started after the node, and work that it sent before may still be in the
      * window.
      */
-    private boolean mayHaveSentBeforeRestart(Duration now, Duration warmingUpSince) {
+    private boolean mayHaveSentBeforeRouterStart(Duration now, Duration warmingUpSince) {
         return warmingUpSince.isNegative() && now.compareTo(countedWindow()) < 0;
     }
 
     /**
      * This router's even share of what the node may be sent within a window, in seconds of work.
      */
-    private double shareOfBudget(Duration now, Duration warmingUpSince) {
+    private double routerBudgetSeconds(Duration now, Duration warmingUpSince) {
         double rampFraction =
                 Math.max(
                         0,
--- a/src/main/java/postbeam/policy/StragglerDetector.java
+++ b/src/main/java/postbeam/policy/StragglerDetector.java
@@ -51,7 +51,7 @@
         Duration since = now.minus(overdueAfter(now, attempt.shardRequest.queryClass));
         return ejection.isEjected(attempt.node)
                 || (since.compareTo(attempt.sentAt) > 0
-                        && !NodeState.of(attempt.node).latency.hasAnsweredSince(since));
+                        && !NodeState.of(attempt.node).latency.hasAnsweredAtOrAfter(since));
     }
 
     /**
@@ -69,7 +69,7 @@
     /**
      * Whether the request is unanswered and an answer can be expected from its attempts in flight.
      */
-    boolean isExpected(Duration now, ShardRequest request) {
+    boolean isAnswerExpected(Duration now, ShardRequest request) {
         for (Attempt attempt : request.attemptsInFlight) {
             if (!attempt.isCancellationRequested() && !isLost(now, attempt)) {
                 return !request.isAnswered();
@@ -80,12 +80,12 @@
 
     /** Number of requests whose answers can be expected (delta in the SEDPT-R paper). */
     int expectedAnswers(Duration now, Query query) {
-        return query.countRequests(request -> isExpected(now, request));
+        return query.countRequests(request -> isAnswerExpected(now, request));
     }
 
     /** Number of requests in flight whose attempts are all cancelled or lost. */
     int lostRequests(Duration now, Query query) {
         return query.countRequests(
-                request -> !request.attemptsInFlight.isEmpty() && !isExpected(now, request));
+                request -> !request.attemptsInFlight.isEmpty() && !isAnswerExpected(now, request));
     }
 }
--- a/src/test/java/postbeam/policy/AdmissionControlTest.java
+++ b/src/test/java/postbeam/policy/AdmissionControlTest.java
@@ -35,12 +35,12 @@
     void crowdedRouterTellsRejectedClientsToWait() {
         AdmissionControl admission = new AdmissionControl(4, 1, 0.1, ms(200));
         Query query = new Query(PolicyFixture.idempotent(), null, ms(0), ms(6000));
-        admission.update(List.of(query));
+        admission.updateLoad(List.of(query));
         assertFalse(admission.isNearCapacity());
         assertEquals(Duration.ZERO, admission.retryAfter());
         new ShardRequest(query, 0, 0.5, null);
         new ShardRequest(query, 1, 0.5, null);
-        admission.update(List.of(query));
+        admission.updateLoad(List.of(query));
         assertTrue(admission.isNearCapacity());
         assertEquals(ms(200), admission.retryAfter());
     }
