--- a/src/main/java/postbeam/clients/QueryExchange.java
+++ b/src/main/java/postbeam/clients/QueryExchange.java
@@ -164,7 +164,7 @@
     private void finish(QueryAction result) {
         connection().getOriginalSourceConduit().suspendReads();
         client.setWatched(false);
-        if (result instanceof QueryAction.ClientGone || !connection().isOpen()) {
+        if (result instanceof QueryAction.ClientDisconnected || !connection().isOpen()) {
             client.closeImmediately();
             exchange.endExchange();
             return;
--- a/src/main/java/postbeam/dispatch/AttemptListener.java
+++ b/src/main/java/postbeam/dispatch/AttemptListener.java
@@ -13,8 +13,8 @@
     /**
      * Reports the outcome of a health check.
      *
-     * @param node its name
-     * @param answered whether the node answered in time that it is well
+     * @param nodeName its name
+     * @param healthy whether the node answered in time that it is well
      */
-    void onHealthCheck(String node, boolean answered);
+    void onHealthCheck(String nodeName, boolean healthy);
 }
--- a/src/main/java/postbeam/dispatch/DispatchedAttempt.java
+++ b/src/main/java/postbeam/dispatch/DispatchedAttempt.java
@@ -29,7 +29,7 @@
     private final String headerFields;
 
     private final long deadlineNanos;
-    private final ClientPresence client;
+    private final ClientPresence clientPresence;
     private volatile boolean abandoned;
 
     /** Null where it may be written at any time. */
@@ -43,15 +43,15 @@
      * @param deadlineNanos until when its answer is awaited, by {@link System#nanoTime}
      */
     public DispatchedAttempt(
-            ClientPresence client,
-            Attempt attempt,
+            ClientPresence clientPresence,
+            Attempt policyAttempt,
             String id,
             String headerFields,
             byte[] payload,
             long deadlineNanos) {
-        this.client = client;
-        this.policyAttempt = attempt;
-        this.shard = attempt.shardRequest.shard;
+        this.clientPresence = clientPresence;
+        this.policyAttempt = policyAttempt;
+        this.shard = policyAttempt.shardRequest.shard;
         this.id = id;
         this.headerFields = headerFields;
         this.payload = payload;
@@ -86,8 +86,8 @@
             return AttemptOutcome.NEVER_SENT;
         }
         SendDeadline current = sendDeadline;
-        boolean late = current != null && System.nanoTime() - current.nanoTime > 0;
-        return late ? current.outcome : null;
+        boolean pastDeadline = current != null && System.nanoTime() - current.nanoTime > 0;
+        return pastDeadline ? current.outcome : null;
     }
 
     /**
@@ -99,7 +99,7 @@
         Set<ClientPresence> clients = new LinkedHashSet<>();
         for (DispatchedAttempt attempt : attempts) {
             if (!attempt.abandoned) {
-                clients.add(attempt.client);
+                clients.add(attempt.clientPresence);
             }
         }
         clients.forEach(ClientPresence::check);
--- a/src/main/java/postbeam/dispatch/QueryAction.java
+++ b/src/main/java/postbeam/dispatch/QueryAction.java
@@ -25,7 +25,7 @@
      *
      * @param address host and port of the node
      */
-    record HealthCheck(String node, String address) implements QueryAction {}
+    record HealthCheck(String nodeName, String address) implements QueryAction {}
 
     /**
      * Answers the client.
@@ -53,7 +53,7 @@
     record Abort() implements QueryAction {}
 
     /** The client has disconnected: nothing is sent. */
-    record ClientGone() implements QueryAction {}
+    record ClientDisconnected() implements QueryAction {}
 
     /** Rejects the query with a reason for the client and the log; a retry is harmless. */
     record RejectWithReason(OperatorError reason) implements QueryAction {}
--- a/src/main/java/postbeam/model/Attempt.java
+++ b/src/main/java/postbeam/model/Attempt.java
@@ -41,8 +41,8 @@
     }
 
     /** Sets the time after which it must not be sent; null for no limit. */
-    public void limitSendTime(Duration at) {
-        sendDeadline = at;
+    public void setSendDeadline(Duration sendDeadline) {
+        this.sendDeadline = sendDeadline;
     }
 
     /**
--- a/src/main/java/postbeam/model/Durations.java
+++ b/src/main/java/postbeam/model/Durations.java
@@ -19,12 +19,12 @@
     }
 
     /** The duration multiplied by the factor, rounded to nanoseconds. */
-    public static Duration scale(Duration span, double factor) {
-        return Duration.ofNanos(Math.round(span.toNanos() * factor));
+    public static Duration scale(Duration duration, double factor) {
+        return Duration.ofNanos(Math.round(duration.toNanos() * factor));
     }
 
     /** The duration in seconds. */
-    public static double seconds(Duration span) {
-        return span.toNanos() / NANOS_PER_SECOND;
+    public static double seconds(Duration duration) {
+        return duration.toNanos() / NANOS_PER_SECOND;
     }
 }
--- a/src/main/java/postbeam/model/Query.java
+++ b/src/main/java/postbeam/model/Query.java
@@ -19,14 +19,14 @@
     public final Duration deadline;
 
     private final List<ShardRequest> requests = new ArrayList<>();
-    private final List<ShardRequest> answeredRequests = new ArrayList<>();
+    private final List<ShardRequest> completedFirstStep = new ArrayList<>();
 
     /** The requests of its current step; an unmodifiable view. */
     public final List<ShardRequest> shardRequests = Collections.unmodifiableList(requests);
 
     /** The requests of its first step once that is answered, else empty; an unmodifiable view. */
     public final List<ShardRequest> firstStepRequests =
-            Collections.unmodifiableList(answeredRequests);
+            Collections.unmodifiableList(completedFirstStep);
 
     private QueryClass queryClass;
     private Duration firstRequestedAt;
@@ -58,8 +58,8 @@
     }
 
     /** Sets when its client first sent it. */
-    public void setFirstRequestedAt(Duration at) {
-        firstRequestedAt = at;
+    public void setFirstRequestedAt(Duration firstRequestedAt) {
+        this.firstRequestedAt = firstRequestedAt;
     }
 
     /** When its latency objective passes. */
@@ -98,7 +98,7 @@
     }
 
     /** Sets the replica offset of its current step. */
-    public void chooseReplicaOffset(int offset) {
+    public void setReplicaOffset(int offset) {
         replicaOffset = offset;
     }
 
@@ -111,7 +111,7 @@
     }
 
     /** Sets the rule for its weights. */
-    public void useCompletenessRule(CompletenessRule rule) {
+    public void setCompletenessRule(CompletenessRule rule) {
         completenessRule = rule;
     }
 
@@ -182,12 +182,12 @@
      * requests, whatever they weigh; a lower one may be missed by floating-point error only.
      */
     public boolean isCoveredBy(Predicate<ShardRequest> condition, double share) {
-        return takesAllRequests(share)
+        return requiresAllRequests(share)
                 ? requests.stream().allMatch(condition)
                 : missingWeight(condition, share) <= 0;
     }
 
-    private boolean takesAllRequests(double share) {
+    private boolean requiresAllRequests(double share) {
         return share >= 1 || totalWeight() <= 0;
     }
 
@@ -222,7 +222,7 @@
      */
     public int requestsNeeded() {
         int unanswered = countRequests(request -> !request.isAnswered());
-        if (unanswered == 0 || takesAllRequests(queryClass.requiredWeight)) {
+        if (unanswered == 0 || requiresAllRequests(queryClass.requiredWeight)) {
             return unanswered;
         }
         double missing = missingWeight(ShardRequest::isAnswered, queryClass.requiredWeight);
@@ -242,13 +242,13 @@
 
     /** Whether nothing has been sent for it. */
     public boolean hasNotStarted() {
-        return answeredRequests.isEmpty()
+        return completedFirstStep.isEmpty()
                 && countRequests(request -> !request.attempts.isEmpty()) == 0;
     }
 
     /** Starts the second step, whose requests are still to be added. */
     public void beginSecondStep() {
-        answeredRequests.addAll(requests);
+        completedFirstStep.addAll(requests);
         requests.clear();
         queryClass = queryClass.secondStep;
         replicaOffset = -1;
--- a/src/main/java/postbeam/policy/AttemptSender.java
+++ b/src/main/java/postbeam/policy/AttemptSender.java
@@ -51,7 +51,7 @@
         if (canaries.needsCanary(now, query)) {
             attempt.markCanary();
         }
-        attempt.limitSendTime(retries.sendDeadline(request));
+        attempt.setSendDeadline(retries.sendDeadline(request));
         outliers.onAttemptSent(now, attempt);
         window.onAttemptSent();
         actions.send(attempt);
--- a/src/main/java/postbeam/policy/ReplicaSelector.java
+++ b/src/main/java/postbeam/policy/ReplicaSelector.java
@@ -102,7 +102,7 @@
                 best = offset;
             }
         }
-        query.chooseReplicaOffset(best);
+        query.setReplicaOffset(best);
     }
 
     private double costOfOffset(Duration now, Query query, int offset) {
--- a/src/main/java/postbeam/router/ActionRunner.java
+++ b/src/main/java/postbeam/router/ActionRunner.java
@@ -45,7 +45,7 @@
         } else if (action instanceof QueryAction.CancelAttempt cancel) {
             dataNodes.cancel(cancel.attempt());
         } else if (action instanceof QueryAction.HealthCheck check) {
-            dataNodes.probe(check.node(), check.address());
+            dataNodes.probe(check.nodeName(), check.address());
         } else {
             return false;
         }
--- a/src/main/java/postbeam/router/PolicyExecutor.java
+++ b/src/main/java/postbeam/router/PolicyExecutor.java
@@ -224,7 +224,7 @@
         if (queries.contains(query.query())) {
             Duration now = clock.now();
             decisions.runTurn(query, now, () -> policy.onClientDisconnected(now, query.query()));
-            queries.finish(query, new QueryAction.ClientGone());
+            queries.finish(query, new QueryAction.ClientDisconnected());
         }
     }
 
@@ -247,13 +247,13 @@
     }
 
     @Override
-    public void onHealthCheck(String name, boolean answered) {
+    public void onHealthCheck(String nodeName, boolean healthy) {
         lock.lock();
         try {
-            DataNode node = nodes.endHealthCheck(name);
+            DataNode node = nodes.endHealthCheck(nodeName);
             if (node != null) {
                 Duration now = clock.now();
-                decisions.runTurn(null, now, () -> policy.onProbeResult(now, node, answered));
+                decisions.runTurn(null, now, () -> policy.onProbeResult(now, node, healthy));
             }
         } finally {
             lock.unlock();
--- a/src/main/java/postbeam/slices/SliceTranslator.java
+++ b/src/main/java/postbeam/slices/SliceTranslator.java
@@ -183,7 +183,7 @@
                         && requested.stream().allMatch(this::isInForce);
         LayoutCompleteness completeness =
                 new LayoutCompleteness(version, requested, this::currentLayout, !unchanged);
-        query.useCompletenessRule(completenessRule(completeness));
+        query.setCompletenessRule(completenessRule(completeness));
         fragments.forEach(fragment -> newRequest(query, completeness, fragment));
     }
 
--- a/src/test/java/postbeam/datanodes/DataNodeClientTest.java
+++ b/src/test/java/postbeam/datanodes/DataNodeClientTest.java
@@ -38,8 +38,8 @@
                         public void onAttemptResults(List<AttemptResult> results) {}
 
                         @Override
-                        public void onHealthCheck(String name, boolean answered) {
-                            healthChecks.add(answered);
+                        public void onHealthCheck(String nodeName, boolean healthy) {
+                            healthChecks.add(healthy);
                         }
                     },
                     1,
--- a/src/test/java/postbeam/datanodes/NodeConnectionTest.java
+++ b/src/test/java/postbeam/datanodes/NodeConnectionTest.java
@@ -163,6 +163,6 @@
             assertEquals("mstays.0", part(new DataInputStream(router.getInputStream())));
         }
         assertInstanceOf(QueryAction.CancelAttempt.class, decisions.awaitAction(gone));
-        assertInstanceOf(QueryAction.ClientGone.class, decisions.awaitAction(gone));
+        assertInstanceOf(QueryAction.ClientDisconnected.class, decisions.awaitAction(gone));
     }
 }
--- a/src/test/java/postbeam/router/PagingServiceTest.java
+++ b/src/test/java/postbeam/router/PagingServiceTest.java
@@ -294,7 +294,7 @@
         while (action instanceof QueryAction.Send || action instanceof QueryAction.CancelAttempt) {
             action = executor.pollAction(followUp);
         }
-        assertInstanceOf(QueryAction.ClientGone.class, action);
+        assertInstanceOf(QueryAction.ClientDisconnected.class, action);
         assertTrue(executor.acceptFollowUp(query, List.of()).isEmpty());
     }
 }
--- a/src/test/java/postbeam/router/PolicyExecutorTest.java
+++ b/src/test/java/postbeam/router/PolicyExecutorTest.java
@@ -157,7 +157,7 @@
                         new AttemptResult(attempt, AttemptOutcome.SUCCESS, VALUE)));
         executor.clientDisconnected(query);
         assertInstanceOf(QueryAction.CancelAttempt.class, awaitAction(query));
-        assertInstanceOf(QueryAction.ClientGone.class, awaitAction(query));
+        assertInstanceOf(QueryAction.ClientDisconnected.class, awaitAction(query));
     }
 
     @Test
