--- a/src/main/java/postbeam/policy/CompletionForecast.java
+++ b/src/main/java/postbeam/policy/CompletionForecast.java
@@ -23,11 +23,11 @@
      * Whether the latency objective has passed, or will have passed when the requests that are not
      * yet sent have taken this multiple of the typical latency.
      */
-    boolean isTooLate(Duration now, Query query, double rounds) {
+    boolean isTooLate(Duration now, Query query, double latencyFactor) {
         QueryClass queryClass = query.queryClass();
         Duration expectedCompletion =
                 query.requestsNeeded() > query.requestsInFlight()
-                        ? now.plus(latencies.typicalLatency(now, queryClass, rounds))
+                        ? now.plus(latencies.typicalLatency(now, queryClass, latencyFactor))
                         : now;
         if (queryClass.secondStep != null) {
             expectedCompletion =
