--- a/src/main/java/postbeam/policy/AdmissionControl.java
+++ b/src/main/java/postbeam/policy/AdmissionControl.java
@@ -12,20 +12,23 @@
 import postbeam.model.Tenant;
 
 /**
- * Load and quota accounting: whether the router is crowded (close to its capacity), which queries
- * exceed their tenant's quota, and the Retry-After of rejected clients.
+ * Tracks the router's load and its tenants' quotas: whether the router is close to its capacity,
+ * which queries exceed their tenant's quota, and which Retry-After rejected clients get.
  */
 public final class AdmissionControl {
-    /** Fraction of {@code maxInFlight} above which the router counts as crowded. */
+    /** Fraction of {@code maxInFlight} above which the router counts as near its capacity. */
     private static final double NEAR_CAPACITY_SHARE = 0.7;
 
-    /** Window over which tenants' queries are counted. */
+    /** Sliding window over which the queries of each tenant are counted. */
     private static final Duration QUOTA_WINDOW = Duration.ofSeconds(5);
 
-    /** Number of queries by which a tenant may exceed its quota: a burst of two is normal. */
+    /**
+     * Number of queries by which a tenant may exceed its quota within the window, as bursts of two
+     * queries are normal.
+     */
     private static final double QUOTA_BURST = 2;
 
-    /** Retry-After of rejections while the router is crowded. */
+    /** Retry-After of rejections while the router is near its capacity. */
     private static final Duration NEAR_CAPACITY_RETRY_AFTER = Duration.ofMillis(300);
 
     private final Integer maxInFlight;
@@ -38,22 +41,28 @@
     private boolean nearCapacity;
 
     /**
-     * Creates the accounting of one router; a null parameter is not configured.
+     * Creates the admission control of one router. A null parameter means that the limit is not
+     * configured.
      *
-     * @param maxInFlight maximum number of queries and shard requests that the router may hold
+     * @param maxInFlight maximum number of queries and shard requests that the router may have in
+     *     flight
      * @param routerCount number of routers among which quotas are divided
-     * @param overQuotaUtility share of the utility that a query beyond its tenant's quota earns
-     * @param maxRetryAfter maximum Retry-After; null where rejections may not carry one
+     * @param overQuotaUtility share of its utility that a query over its tenant's quota earns; at 1
+     *     or above, quotas are not checked
+     * @param maxRetryAfter maximum Retry-After; null if rejections must not carry one
      */
     public AdmissionControl(
-            Integer maxInFlight, Integer routerCount, Double overQuotaUtility, Duration maxRetryAfter) {
+            Integer maxInFlight,
+            Integer routerCount,
+            Double overQuotaUtility,
+            Duration maxRetryAfter) {
         this.maxInFlight = maxInFlight;
         this.routerCount = routerCount == null ? 1 : Math.max(1, routerCount);
         this.overQuotaUtility = overQuotaUtility;
         this.maxRetryAfter = maxRetryAfter;
     }
 
-    /** Recomputes the load from the open queries. */
+    /** Recomputes the load from the open queries and their shard requests. */
     void updateLoad(List<Query> openQueries) {
         int inFlight = 0;
         for (Query query : openQueries) {
@@ -62,12 +71,15 @@
         nearCapacity = maxInFlight != null && inFlight > NEAR_CAPACITY_SHARE * maxInFlight;
     }
 
-    /** Whether the router holds nearly as many queries and requests as it may. */
+    /**
+     * Returns whether the router has nearly as many queries and shard requests in flight as it may
+     * have.
+     */
     boolean isNearCapacity() {
         return nearCapacity;
     }
 
-    /** Retry-After of a rejection now; zero for none. */
+    /** Returns the Retry-After of a rejection sent now; zero for none. */
     Duration retryAfter() {
         return nearCapacity && maxRetryAfter != null
                 ? min(NEAR_CAPACITY_RETRY_AFTER, maxRetryAfter)
@@ -75,10 +87,11 @@
     }
 
     /**
-     * Counts a query of the tenant and returns whether it exceeds the quota. It does if the tenant
-     * exceeds its even share at this router and is further ahead of its quota than the router's
-     * tenants are on average: a router with more clients than the others would otherwise see every
-     * tenant over quota.
+     * Counts a query of the tenant and returns whether it exceeds the tenant's quota. The query
+     * exceeds it if the tenant is over its even share of the quota at this router and also further
+     * ahead of its quota than this router's tenants are on average. Without the second condition, a
+     * router that has more clients than other routers would see every tenant over quota. Returns
+     * false for a null tenant or one without a quota.
      */
     boolean recordAndCheckQuota(Duration now, Tenant tenant) {
         if (tenant == null
--- a/src/main/java/postbeam/policy/AttemptCanceller.java
+++ b/src/main/java/postbeam/policy/AttemptCanceller.java
@@ -3,7 +3,7 @@
 import postbeam.model.Attempt;
 import postbeam.model.ShardRequest;
 
-/** Cancels attempts that are no longer needed, where the deployment allows cancellation. */
+/** Cancels attempts that are no longer needed, if the deployment allows cancellation. */
 final class AttemptCanceller {
     private final PolicyActions actions;
     private final AttemptLimits limits;
@@ -13,7 +13,10 @@
         this.limits = limits;
     }
 
-    /** Cancels all attempts of the request that are in flight, each at most once. */
+    /**
+     * Cancels all attempts of the request that are in flight. Repeated calls cancel each attempt
+     * once.
+     */
     void cancelAttempts(ShardRequest request) {
         for (Attempt attempt : request.attemptsInFlight) {
             if (limits.cancellationAllowed() && !attempt.isCancellationRequested()) {
--- a/src/main/java/postbeam/policy/AttemptLimits.java
+++ b/src/main/java/postbeam/policy/AttemptLimits.java
@@ -1,13 +1,13 @@
 package postbeam.policy;
 
 /**
- * What the deployment allows for attempts.
+ * Limits on attempts that the settings of a deployment set.
  *
- * @param maxAttempts maximum number of attempts of one shard request
- * @param hedgingAllowed whether a request may have a second attempt in flight
+ * @param maxAttempts maximum number of attempts per shard request
+ * @param hedgingAllowed whether a shard request may have a second attempt in flight
  * @param cancellationAllowed whether attempts may be cancelled
- * @param probesAllowed whether nodes may be probed
- * @param batchingEnabled whether one call carries several requests
+ * @param probesAllowed whether the health of data nodes may be probed
+ * @param batchingEnabled whether one call to a data node may carry several requests
  */
 public record AttemptLimits(
         int maxAttempts,
@@ -17,7 +17,9 @@
         boolean batchingEnabled) {
 
     /**
-     * Creates limits from settings; a null setting allows nothing beyond one attempt per request.
+     * Creates limits from settings. If {@code maxAttempts} is null, one attempt per request is
+     * allowed; hedging, cancellation and probes are not allowed if null; batching is enabled unless
+     * {@code requestsPerCall} is 1 or less.
      */
     public AttemptLimits(
             Integer maxAttempts,
--- a/src/main/java/postbeam/policy/AttemptSender.java
+++ b/src/main/java/postbeam/policy/AttemptSender.java
@@ -7,7 +7,10 @@
 import postbeam.model.Query;
 import postbeam.model.ShardRequest;
 
-/** Sends attempts and updates all modules that account for them. */
+/**
+ * Sends attempts and reports each of them to the modules that track attempts in flight, work and
+ * retries.
+ */
 final class AttemptSender {
     private final PolicyActions actions;
     private final Cluster cluster;
--- a/src/main/java/postbeam/policy/CanaryPolicy.java
+++ b/src/main/java/postbeam/policy/CanaryPolicy.java
@@ -8,19 +8,23 @@
 import postbeam.model.SlidingWindowCounter;
 
 /**
- * Limits the damage of a query whose requests crash the nodes that execute them. While nodes crash,
- * one request of a query is sent first as a canary, and the others follow once it is answered; a
- * query whose canary is lost is marked as poisoned. This costs the latency of one request, also
- * when nodes crash for other reasons.
+ * Limits the damage done by a query whose requests crash the data nodes that execute them. While
+ * nodes are crashing, and for a query of which an attempt has ended in a connection reset, one
+ * request is sent first as a canary and the others are sent once it is answered. A query whose
+ * canary ends in a connection reset is marked as poisoned. The cost is the latency of one request
+ * per query, even if the crashes have other causes.
  */
 final class CanaryPolicy {
-    /** Window in which crashes are counted. */
+    /** Sliding window over which crashes are counted. */
     private static final Duration CRASH_WINDOW = Duration.ofSeconds(10);
 
-    /** Number of crashes within the window from which canaries are required. */
+    /** Number of crashes within the window from which every query needs a canary. */
     private static final int MIN_CRASHES = 2;
 
-    /** Nodes that disappeared or restarted without draining, according to the endpoint list. */
+    /**
+     * Counts nodes that the endpoint list reports as removed or restarted although they were not
+     * draining.
+     */
     private final SlidingWindowCounter crashes = new SlidingWindowCounter(CRASH_WINDOW);
 
     void onNodeCrash(Duration now) {
@@ -37,7 +41,7 @@
         }
     }
 
-    /** Whether the query's next request must be sent as a canary. */
+    /** Returns whether the query's next request must be sent as a canary. */
     boolean needsCanary(Duration now, Query query) {
         return query.countRequests(ShardRequest::isAnswered) == 0
                 && (query.resetCount() > 0
--- a/src/main/java/postbeam/policy/ClientRetryEstimator.java
+++ b/src/main/java/postbeam/policy/ClientRetryEstimator.java
@@ -10,18 +10,20 @@
 import postbeam.model.QueryClass;
 
 /**
- * Backdates retries of clients to their first request, from which the latency objective counts.
- * This avoids work for retries whose objective has already passed: a retry with less time than
- * first requests have is assumed to have the rest of its client's total timeout. The estimate is
- * wrong for clients that use shorter timeouts for retries for other reasons.
+ * Estimates when the first request of a client retry was sent, as the latency objective counts from
+ * there. Without the estimate, work would be spent on retries whose objective has already passed. A
+ * retry whose timeout is shorter than that of first requests is assumed to have the rest of the
+ * client's total timeout. The estimate is wrong for clients that use a shorter timeout for retries
+ * for any other reason.
  */
 final class ClientRetryEstimator {
     /**
-     * Smoothing factor for a sample that is longer than the estimate; a shorter one replaces it.
+     * Smoothing factor for a sample that is longer than the estimate. A shorter sample replaces the
+     * estimate.
      */
     private static final double SMOOTHING = 0.25;
 
-    /** Estimated client timeout of first requests, per class. */
+    /** Estimated client timeout of first requests for each query class. */
     private final Map<QueryClass, Duration> firstRequestTimeouts = new HashMap<>();
 
     void onQuery(Duration now, Query query) {
--- a/src/main/java/postbeam/policy/CompletionForecast.java
+++ b/src/main/java/postbeam/policy/CompletionForecast.java
@@ -8,7 +8,10 @@
 
 /** Predicts from the typical latency when a query can be complete. */
 final class CompletionForecast {
-    /** Multiple of the typical latency that is normal for the slowest of many requests. */
+    /**
+     * Multiple of the typical latency that is normal for the slowest request of a query with many
+     * requests.
+     */
     static final double SLOWEST_REQUEST_FACTOR = 2.5;
 
     private final LatencyEstimator latencies;
@@ -20,8 +23,8 @@
     }
 
     /**
-     * Whether the latency objective has passed, or will have passed when the requests that are not
-     * yet sent have taken this multiple of the typical latency.
+     * Returns whether the latency objective has passed, or will have passed by the time the unsent
+     * requests of the query have taken {@code latencyFactor} times the typical latency.
      */
     boolean isTooLate(Duration now, Query query, double latencyFactor) {
         QueryClass queryClass = query.queryClass();
@@ -38,17 +41,17 @@
     }
 
     /**
-     * Like {@link #isTooLate}, with as many rounds as the current window needs for the missing
-     * requests.
+     * Like {@link #isTooLate}, for the number of rounds that the missing requests need with the
+     * current size of the concurrency window.
      */
     boolean isTooLateInWindow(Duration now, Query query) {
         return isTooLate(now, query, 1 + query.requestsNeeded() / window.size());
     }
 
     /**
-     * Whether the query would miss its objective or its client's deadline at the typical latency.
-     * Starting such queries would only waste capacity. While nothing is in flight this is always
-     * false, as the estimates may be out of date.
+     * Returns whether the query would miss its latency objective or its client's deadline at the
+     * typical latency; starting such a query would only waste capacity. Always returns false while
+     * no attempt is in flight, as the latency estimates may be out of date then.
      */
     boolean cannotFinishInTime(Duration now, Query query) {
         QueryClass queryClass = query.queryClass();
@@ -65,8 +68,8 @@
     }
 
     /**
-     * Multiple of the typical latency that the query takes: its slowest request, or the number of
-     * rounds through the window.
+     * Returns the multiple of the typical latency that the query is expected to take: the larger of
+     * the factor for its slowest request and the number of rounds through the concurrency window.
      */
     private double expectedLatencyFactor(Query query) {
         int requests = query.shardRequests.size();
--- a/src/main/java/postbeam/policy/ConcurrencyWindow.java
+++ b/src/main/java/postbeam/policy/ConcurrencyWindow.java
@@ -7,30 +7,33 @@
 import postbeam.model.QueryClass;
 
 /**
- * Limit on the attempts that this router may have in flight (called threads in the SEDPT-R paper).
- * The window is halved when a node is overloaded, narrowed by late answers, and widened by answers
- * while it is in use.
+ * Limits the number of attempts that this router may have in flight (called threads in the SEDPT-R
+ * paper). The window is halved when a node is overloaded, narrowed by late answers, and widened by
+ * answers while it is in use.
  */
 final class ConcurrencyWindow {
-    /** Initial size, in attempts. */
+    /** Initial size of the window, in attempts. */
     private static final int INITIAL_SIZE = 32;
 
-    /** Minimum size, in attempts. */
+    /** Minimum size of the window, in attempts. */
     private static final int MIN_SIZE = 4;
 
-    /** Minimum size summed over all routers, in attempts per node. */
+    /** Minimum of the windows of all routers together, in attempts per data node. */
     private static final double MIN_ATTEMPTS_PER_NODE = 2.5;
 
-    /** Fraction of the latency objective above which an answer is late. */
+    /** Fraction of the latency objective above which an answer counts as late. */
     private static final double LATE_ANSWER_SHARE = 0.25;
 
-    /** Decrease of the size per late answer, in attempts. */
+    /** Number of attempts by which a late answer narrows the window. */
     private static final int LATE_ANSWER_DECREASE = 2;
 
-    /** Multiple of the typical latency that must be late itself for a late answer to count. */
+    /**
+     * Multiple of the typical latency that must also exceed the limit for late answers, for a late
+     * answer to narrow the window.
+     */
     private static final double LATE_TYPICAL_LATENCY_FACTOR = 2;
 
-    /** Fraction of the window above which it counts as in use. */
+    /** Fraction of the window in flight above which the window counts as in use. */
     private static final double IN_USE_SHARE = 0.6;
 
     private final Cluster cluster;
@@ -46,27 +49,33 @@
         this.routerCount = routerCount;
     }
 
-    /** Maximum number of attempts in flight. */
+    /** Returns the maximum number of attempts in flight. */
     double size() {
         return size;
     }
 
-    /** Number of attempts in flight. */
+    /** Returns the number of attempts in flight. */
     int inFlight() {
         return inFlight;
     }
 
-    /** Whether it is narrower than initially, so that additional work increases queueing. */
+    /**
+     * Returns whether the window is narrower than initially, so that more attempts would only
+     * lengthen the queues of data nodes.
+     */
     boolean isNarrow() {
         return size < INITIAL_SIZE;
     }
 
-    /** Whether one more attempt fits, not counting this number of lost ones. */
+    /**
+     * Returns whether one more attempt fits into the window if {@code lostRequests} of the attempts
+     * in flight do not count.
+     */
     boolean hasCapacity(int lostRequests) {
         return inFlight - lostRequests < size;
     }
 
-    /** Whether one more attempt fits and leaves capacity for others. */
+    /** Like {@link #hasCapacity}, but keeps part of the window free for other queries. */
     boolean hasSpareCapacity(int lostRequests) {
         return inFlight - lostRequests < size * IN_USE_SHARE;
     }
@@ -80,8 +89,9 @@
     }
 
     /**
-     * A node that is not ejected rejected an attempt as overloaded. Attempts sent before the last
-     * halving are ignored, so that one batch of rejections halves the window once.
+     * Called when a node that is not ejected has rejected an attempt as overloaded. Rejections of
+     * attempts that were sent before the last halving are ignored, so that one batch of rejections
+     * halves the window once.
      */
     void onOverloaded(Duration now, Duration sentAt) {
         if (halvedAt == null || sentAt.compareTo(halvedAt) > 0) {
@@ -91,8 +101,9 @@
     }
 
     /**
-     * An answer arrived; its attempt is no longer in flight. Late answers narrow the window only if
-     * the typical node is slow too: then all nodes are slow without rejecting anything.
+     * Called when an answer has arrived and its attempt has been removed from those in flight. A
+     * late answer narrows the window only if the typical node is slow too, as all nodes may be
+     * overloaded without rejecting anything.
      */
     void onAnswer(Duration now, QueryClass queryClass, Duration latency) {
         Duration limit = scale(queryClass.latencyObjective, LATE_ANSWER_SHARE);
@@ -112,8 +123,8 @@
     }
 
     /**
-     * This router's share of a few attempts per node: less would leave nodes idle while queries
-     * wait.
+     * Returns this router's share of a few attempts per data node. A smaller window would leave
+     * nodes idle while queries wait.
      */
     private double minimumSize() {
         return Math.max(MIN_SIZE, MIN_ATTEMPTS_PER_NODE * cluster.size() / routerCount);
--- a/src/main/java/postbeam/policy/HealthRecord.java
+++ b/src/main/java/postbeam/policy/HealthRecord.java
@@ -5,18 +5,23 @@
 import java.time.Duration;
 import postbeam.model.SlidingWindowCounter;
 
-/** Recent outcomes of a node or of a zone, and its ejection. */
+/** Recent outcomes of attempts at a data node or a zone, and the state of its ejection. */
 class HealthRecord {
-    /** Window in which outcomes are counted. */
+    /** Sliding window over which outcomes are counted. */
     private static final Duration OUTCOME_WINDOW = LatencyEstimator.RECENT_ANSWER_WINDOW;
 
-    /** Duration of the first ejection; it backs off exponentially, doubling each time. */
+    /**
+     * Duration of the first ejection. Each further ejection lasts twice as long as the one before,
+     * up to the maximum.
+     */
     private static final Duration FIRST_EJECTION = Duration.ofMillis(500);
 
     /** Maximum duration of an ejection. */
     private static final Duration MAX_EJECTION = Duration.ofSeconds(4);
 
-    /** Maximum exponent of the backoff; prevents overflow of the multiplier. */
+    /**
+     * Maximum number of times that the duration is doubled; prevents an overflow of the multiplier.
+     */
     private static final int MAX_DOUBLINGS = 10;
 
     private final SlidingWindowCounter successes = new SlidingWindowCounter(OUTCOME_WINDOW);
@@ -32,14 +37,16 @@
         failures.add(now, 1);
     }
 
-    /** Whether both the number and the share of recent failures reach these minimums. */
+    /**
+     * Returns whether the recent failures reach both this number and this share of all outcomes.
+     */
     boolean isFailing(Duration now, int minFailures, double minShare) {
         double failed = failures.upperBoundSum(now, OUTCOME_WINDOW);
         return failed >= minFailures
                 && failed >= minShare * (failed + successes.upperBoundSum(now, OUTCOME_WINDOW));
     }
 
-    /** Starts an ejection unless one is in progress; returns whether it did. */
+    /** Starts an ejection and returns true, or returns false if one is in progress. */
     boolean eject(Duration now) {
         if (ejectedUntil != null && now.compareTo(ejectedUntil) < 0) {
             return false;
@@ -50,33 +57,38 @@
         return true;
     }
 
-    /** Ends the ejection; its count is kept, so that the next one is longer. */
+    /** Ends the ejection but keeps the number of ejections, so that the next one lasts longer. */
     void reinstate() {
         ejectedUntil = null;
     }
 
-    /** Ends the ejection and resets the count. */
+    /**
+     * Ends the ejection and resets the number of ejections, so that the next one is short again.
+     */
     void resetEjectionCount() {
         ejectedUntil = null;
         ejectionCount = 0;
     }
 
-    /** Reduces the count by one. */
+    /** Reduces the number of ejections by one, which shortens the next one. */
     void decrementEjectionCount() {
         ejectionCount = Math.max(0, ejectionCount - 1);
     }
 
-    /** Whether it is ejected and not yet reinstated, even if the duration has passed. */
+    /**
+     * Returns whether an ejection has started and not been ended by a reinstatement, even if its
+     * duration has passed.
+     */
     boolean isEjected() {
         return ejectedUntil != null;
     }
 
-    /** Whether it is ejected and the duration has not passed. */
+    /** Returns whether an ejection is in progress whose duration has not passed. */
     boolean isWithinEjection(Duration now) {
         return ejectedUntil != null && now.compareTo(ejectedUntil) < 0;
     }
 
-    /** Whether the count is above zero. */
+    /** Returns whether there were ejections from which it has not yet fully recovered. */
     boolean hasEjections() {
         return ejectionCount > 0;
     }
--- a/src/main/java/postbeam/policy/HedgingPolicy.java
+++ b/src/main/java/postbeam/policy/HedgingPolicy.java
@@ -6,14 +6,15 @@
 import postbeam.model.SideEffects;
 
 /**
- * Decides on redundant requests: a hedged attempt of an idempotent request whose first attempt is
- * probably lost, and spare requests of a query that a subset of its requests completes.
+ * Decides on redundant requests. These are hedged attempts of an idempotent request whose first
+ * attempt is probably lost, and spare requests: requests beyond the number needed, of a query that
+ * is complete with a subset of its requests.
  */
 final class HedgingPolicy {
-    /** Maximum number of attempts of one request in flight. */
+    /** Maximum number of attempts in flight for one shard request. */
     private static final int MAX_PARALLEL_ATTEMPTS = 2;
 
-    /** Maximum fraction of spares among the attempts in flight. */
+    /** Maximum number of spare requests, as a fraction of the attempts in flight. */
     private static final double MAX_SPARE_SHARE = 0.1;
 
     private final AttemptLimits limits;
@@ -25,14 +26,14 @@
         this.window = window;
     }
 
-    /** Whether the request may have a further attempt in addition to those in flight. */
+    /** Returns whether the request may have a further attempt in addition to those in flight. */
     boolean mayHedge(ShardRequest request) {
         return limits.hedgingAllowed()
                 && request.query.queryClass().sideEffects == SideEffects.IDEMPOTENT
                 && request.attemptsInFlight.size() < MAX_PARALLEL_ATTEMPTS;
     }
 
-    /** Counts the spares in flight: requests beyond what their queries still need. */
+    /** Counts the spare requests in flight: those beyond what their queries still need. */
     void countSpares(List<Query> openQueries) {
         sparesInFlight = 0;
         for (Query query : openQueries) {
@@ -41,7 +42,8 @@
     }
 
     /**
-     * Whether the query may send a spare. In a narrow window a spare would only increase queueing.
+     * Returns whether the query may send a spare request. If the window is narrow, a spare request
+     * would only lengthen the queues of data nodes.
      */
     boolean maySendSpare(Query query) {
         return query.queryClass().acceptsSubset()
--- a/src/main/java/postbeam/policy/LatencyEstimator.java
+++ b/src/main/java/postbeam/policy/LatencyEstimator.java
@@ -15,13 +15,13 @@
 import postbeam.model.QueryClass;
 
 /**
- * Estimates latencies: the baseline of each query class is the latency of a shard request at an
- * idle node, the slowdown of a node is the smoothed ratio of its latencies to the baseline, and the
- * typical slowdown is that of a typical node that answered recently, to which single nodes are
- * compared.
+ * Estimates latencies. The baseline of a query class is the latency of a shard request at an idle
+ * node. The slowdown of a node is the smoothed ratio of its latencies to the baseline. The typical
+ * slowdown is that of a typical node among those that answered recently; single nodes are compared
+ * to it.
  */
 final class LatencyEstimator {
-    /** Time for which a node's last answer is taken into account. */
+    /** Time for which the last answer of a node is taken into account. */
     static final Duration RECENT_ANSWER_WINDOW = Duration.ofSeconds(4);
 
     /** Smoothing factor for a sample below the baseline. */
@@ -30,22 +30,30 @@
     /** Maximum smoothing factor for a sample above the baseline. */
     private static final double MAX_BASELINE_RISE_SMOOTHING = 0.01;
 
-    /** Minimum time constant for rising, in seconds, so that a short overload has little effect. */
+    /**
+     * Minimum time constant for a rising baseline, in seconds; keeps a short overload from raising
+     * it much.
+     */
     private static final double MIN_BASELINE_RISE_SECONDS = 20;
 
-    /** Initial baseline, as a fraction of the latency objective. */
+    /** Baseline before the first answer, as a fraction of the latency objective. */
     private static final double INITIAL_BASELINE_SHARE = 0.1;
 
-    /** Minimum baseline by which a latency is divided to compute a slowdown, in seconds. */
+    /** Minimum baseline, in seconds, that a latency is divided by to compute a slowdown. */
     private static final double MIN_BASELINE_SECONDS = 0.001;
 
-    /** Quantile of the slowdowns that is typical. */
+    /** Quantile of the nodes' slowdowns that counts as typical. */
     private static final double TYPICAL_QUANTILE = 0.5;
 
-    /** Lower quantile: up to two thirds of the nodes may be slow. */
+    /**
+     * Quantile that counts as typical instead if the median is much higher; allows up to two thirds
+     * of the nodes to be slow.
+     */
     private static final double LOWER_QUANTILE = 0.33;
 
-    /** Ratio of the typical to the lower quantile above which the lower one is used. */
+    /**
+     * Ratio of the median to the lower quantile above which the lower quantile counts as typical.
+     */
     private static final double MAX_QUANTILE_RATIO = 2;
 
     private static final class Baseline {
@@ -56,7 +64,7 @@
     private final Cluster cluster;
     private final Map<QueryClass, Baseline> baselines = new HashMap<>();
 
-    /** Nodes that have answered, in order of their last answer. */
+    /** Nodes that have answered recently, ordered by the time of their last answer. */
     private final Set<DataNode> recentlyAnswered = new LinkedHashSet<>();
 
     private Duration typicalSlowdownAt;
@@ -66,7 +74,7 @@
         this.cluster = cluster;
     }
 
-    /** The class's latency at an idle node; a guess before the first answer. */
+    /** Returns the latency of the class at an idle node, or a guess before the first answer. */
     Duration baseline(QueryClass queryClass) {
         Baseline baseline = baselines.get(queryClass);
         return baseline == null
@@ -78,19 +86,19 @@
         return baselines.containsKey(queryClass);
     }
 
-    /** Sets the baseline as if learnt. */
+    /** Sets the baseline as if it had been measured. */
     void setBaseline(QueryClass queryClass, Duration latency) {
         baselines.computeIfAbsent(queryClass, key -> new Baseline()).latency = latency;
     }
 
-    /** The class's latency at a typical node, times the factor. */
+    /** Returns the latency of the class at a typical node, multiplied by the factor. */
     Duration typicalLatency(Duration now, QueryClass queryClass, double factor) {
         return scale(baseline(queryClass), typicalSlowdown(now) * factor);
     }
 
     /**
-     * Slowdown of a typical node among those that answered recently; at least 1. Computed once for
-     * each point in time.
+     * Returns the slowdown of a typical node among those that answered recently; at least 1. The
+     * value is cached for calls with the same {@code now}.
      */
     double typicalSlowdown(Duration now) {
         if (!now.equals(typicalSlowdownAt)) {
@@ -103,10 +111,15 @@
         return typicalSlowdown;
     }
 
-    /** The node's slowdown relative to the typical one; 1 if the node has not answered recently. */
+    /**
+     * Returns the slowdown of the node relative to the typical slowdown; 1 if the node has not
+     * answered recently.
+     */
     double relativeSlowdown(Duration now, DataNode node) {
         NodeLatency latency = NodeState.of(node).latency;
-        boolean answeredRecently = latency.slowdown() > 0 && latency.hasAnsweredAtOrAfter(now.minus(RECENT_ANSWER_WINDOW));
+        boolean answeredRecently =
+                latency.slowdown() > 0
+                        && latency.hasAnsweredAtOrAfter(now.minus(RECENT_ANSWER_WINDOW));
         return answeredRecently ? latency.slowdown() / typicalSlowdown(now) : 1;
     }
 
@@ -136,8 +149,9 @@
     }
 
     /**
-     * The first sample of a class is corrected by the typical slowdown: it may come from a slow
-     * node, and in a rare class the next sample comes late.
+     * Updates the baseline with a sample. The first sample of a class is divided by the typical
+     * slowdown: it may come from a slow node, and in a rare class the next sample may come much
+     * later.
      */
     private void updateBaseline(Duration now, QueryClass queryClass, Duration latency) {
         Baseline baseline = baselines.get(queryClass);
@@ -164,7 +178,7 @@
         }
     }
 
-    /** Slowdowns of the nodes that answered after this time, in ascending order. */
+    /** Returns the slowdowns of the nodes that answered after this time, in ascending order. */
     private double[] recentSlowdowns(Duration since) {
         while (!recentlyAnswered.isEmpty()) {
             DataNode oldest = recentlyAnswered.iterator().next();
--- a/src/main/java/postbeam/policy/NodeHealth.java
+++ b/src/main/java/postbeam/policy/NodeHealth.java
@@ -2,15 +2,15 @@
 
 import java.time.Duration;
 
-/** The health of one data node. */
+/** Health of one data node. */
 final class NodeHealth extends HealthRecord {
     /**
-     * Minimum time between outcomes of one node that count for its zone, so that few bad nodes do
-     * not make a bad zone.
+     * Minimum time between two outcomes of one node that count for its zone, so that a few bad
+     * nodes do not get their zone ejected.
      */
     private static final Duration ZONE_SAMPLE_INTERVAL = Duration.ofSeconds(2);
 
-    /** The health of the node's zone. */
+    /** Health of the zone that the node is in. */
     final ZoneHealth zone;
 
     private boolean probeInFlight;
@@ -32,7 +32,9 @@
         probeInFlight = false;
     }
 
-    /** Returns whether an outcome counts for the zone now, and if so records the time. */
+    /**
+     * Returns whether an outcome at this time counts for the zone, and records the time if it does.
+     */
     boolean tryCountForZone(Duration now) {
         if (countedByZoneAt != null
                 && now.minus(countedByZoneAt).compareTo(ZONE_SAMPLE_INTERVAL) < 0) {
@@ -42,7 +44,7 @@
         return true;
     }
 
-    /** Resets the ejections of a node that has restarted. */
+    /** Resets the ejections and the pending probe of a node that has restarted. */
     void onRestart() {
         resetEjectionCount();
         probeInFlight = false;
--- a/src/main/java/postbeam/policy/NodeLatency.java
+++ b/src/main/java/postbeam/policy/NodeLatency.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** Recent answers of one data node. */
+/** Latencies and times of the recent answers of one data node. */
 final class NodeLatency {
     /** Smoothing factor of the exponential moving average. */
     private static final double SMOOTHING = 0.25;
@@ -12,7 +12,8 @@
     private Duration latestAnsweredAttemptSentAt;
 
     /**
-     * Smoothed ratio of the node's latencies to the baseline of their class; 0 before the first.
+     * Returns the smoothed ratio of the node's latencies to the baselines of their classes; 0
+     * before the first sample.
      */
     double slowdown() {
         return slowdown;
@@ -26,7 +27,7 @@
         slowdown = 0;
     }
 
-    /** Records an answer to an attempt. */
+    /** Records an answer, received now, to an attempt sent at {@code sentAt}. */
     void recordAnswer(Duration now, Duration sentAt) {
         lastAnsweredAt = now;
         if (latestAnsweredAttemptSentAt == null || latestAnsweredAttemptSentAt.compareTo(sentAt) < 0) {
@@ -38,12 +39,12 @@
         return lastAnsweredAt != null && lastAnsweredAt.compareTo(since) >= 0;
     }
 
-    /** Whether the last answer came after this time. */
+    /** Returns whether the last answer was received after this time. */
     boolean hasAnsweredAfter(Duration time) {
         return lastAnsweredAt != null && lastAnsweredAt.compareTo(time) > 0;
     }
 
-    /** Whether an attempt that was sent after this time is answered. */
+    /** Returns whether an attempt that was sent after {@code sentAt} has been answered. */
     boolean hasAnsweredAttemptSentAfter(Duration sentAt) {
         return latestAnsweredAttemptSentAt != null && latestAnsweredAttemptSentAt.compareTo(sentAt) > 0;
     }
--- a/src/main/java/postbeam/policy/NodeMembership.java
+++ b/src/main/java/postbeam/policy/NodeMembership.java
@@ -7,7 +7,8 @@
 import postbeam.model.Readiness;
 
 /**
- * Applies updates of the endpoint list to the cluster and to the modules that keep state of nodes.
+ * Applies updates of the endpoint list to the cluster and to the modules that keep state per data
+ * node.
  */
 final class NodeMembership {
     private final Random random;
--- a/src/main/java/postbeam/policy/NodeState.java
+++ b/src/main/java/postbeam/policy/NodeState.java
@@ -3,17 +3,17 @@
 import postbeam.model.DataNode;
 
 /**
- * The policy's state of one data node, attached to {@link DataNode}; each part belongs to one
- * module.
+ * State that the policy keeps for one data node, attached to its {@link DataNode}. Each part
+ * belongs to one module.
  */
 final class NodeState {
-    /** Belongs to {@link LatencyEstimator}. */
+    /** Maintained by {@link LatencyEstimator}. */
     final NodeLatency latency = new NodeLatency();
 
-    /** Belongs to {@link OutlierDetector} and {@link OutlierEjection}. */
+    /** Maintained by {@link OutlierDetector} and {@link OutlierEjection}. */
     final NodeHealth health;
 
-    /** Belongs to {@link SlowStart}. */
+    /** Maintained by {@link SlowStart}. */
     final NodeWarmUp warmUp;
 
     NodeState(NodeHealth health, NodeWarmUp warmUp) {
@@ -21,7 +21,7 @@
         this.warmUp = warmUp;
     }
 
-    /** The state of a node that was listed before. */
+    /** Returns the state of a node that has been in the endpoint list; null for other nodes. */
     static NodeState of(DataNode node) {
         return (NodeState) node.policyState();
     }
--- a/src/main/java/postbeam/policy/NodeWarmUp.java
+++ b/src/main/java/postbeam/policy/NodeWarmUp.java
@@ -5,11 +5,14 @@
 import java.time.Duration;
 import postbeam.model.SlidingWindowCounter;
 
-/** Work recently sent to one data node, in seconds, and since when the node may be warming up. */
+/**
+ * Work recently sent to one data node, in seconds, and the time since which the node may be warming
+ * up.
+ */
 final class NodeWarmUp {
     /**
-     * Random number from 0 to 1, drawn once: decides at which routers a share of less than one
-     * request is rounded up.
+     * Random number from 0 to 1, drawn once per router and node. It decides at which routers a
+     * share of less than one request is rounded up.
      */
     final double samplingThreshold;
 
@@ -35,12 +38,15 @@
         workOnAcquiredShards.add(now, seconds(sentWork));
     }
 
-    /** Upper bound of the work sent within the counted window, in seconds. */
+    /** Returns an upper bound of the work sent within the counted window, in seconds. */
     double recentWorkSeconds(Duration now) {
         return work.upperBoundSum(now, countedWindow);
     }
 
-    /** Like {@link #recentWorkSeconds}, for shards that the node recently acquired. */
+    /**
+     * Like {@link #recentWorkSeconds}, counting only work on shards that the node has recently
+     * acquired.
+     */
     double recentWorkSecondsOnAcquiredShards(Duration now) {
         return workOnAcquiredShards == null
                 ? 0
@@ -52,7 +58,8 @@
     }
 
     /**
-     * The endpoint list reports a start at this time: an earlier connection failure is obsolete.
+     * Called when the endpoint list reports that the node started at this time; an earlier
+     * connection failure no longer counts.
      */
     void onStartKnown(Duration startedAt) {
         if (unreachableAt != null && unreachableAt.compareTo(startedAt) < 0) {
@@ -61,9 +68,9 @@
     }
 
     /**
-     * Since when the node may be warming up, given the start in the endpoint list. The list may
-     * report a start late, so a node may have restarted when it was last unreachable. Null if not
-     * known.
+     * Returns the time since which the node may be warming up, or null if it is not known. {@code
+     * startedAt} is the start time in the endpoint list, which may report a restart late; a node
+     * that was unreachable after that time may have restarted then.
      */
     Duration warmingUpSince(Duration startedAt) {
         boolean startedSince =
--- a/src/main/java/postbeam/policy/OutlierDetector.java
+++ b/src/main/java/postbeam/policy/OutlierDetector.java
@@ -12,24 +12,24 @@
 import postbeam.model.Zone;
 
 /**
- * Detects failing and slow nodes and zones from the outcomes of this router's own attempts. It thus
- * also finds nodes that the endpoint list reports as ready. Slowness is relative to the typical
- * node, so that no node is an outlier when all are slow.
+ * Detects failing and slow data nodes and zones from the outcomes of this router's own attempts. It
+ * therefore also finds nodes that the endpoint list reports as ready. Slowness is measured relative
+ * to the typical node, so that no node is an outlier if all are slow.
  */
 final class OutlierDetector {
-    /** Minimum fraction of failed outcomes for which a node is ejected. */
+    /** Minimum share of failed outcomes for the ejection of a node. */
     private static final double NODE_FAILURE_SHARE = 0.3;
 
-    /** Minimum number of failures for which a node is ejected. */
+    /** Minimum number of failures for the ejection of a node. */
     private static final int NODE_MIN_FAILURES = 2;
 
     /**
-     * Minimum fraction of failed outcomes for which a zone is ejected. Nodes of a zone fail
-     * together only if the network to it does.
+     * Minimum share of failed outcomes for the ejection of a zone. The nodes of a zone fail
+     * together only if the network path to the zone fails.
      */
     private static final double ZONE_FAILURE_SHARE = 0.5;
 
-    /** Minimum number of failures for which a zone is ejected. */
+    /** Minimum number of failures for the ejection of a zone. */
     private static final int ZONE_MIN_FAILURES = 4;
 
     /**
@@ -52,7 +52,7 @@
         this.ejection = ejection;
     }
 
-    /** Creates the health state of a node that is listed for the first time. */
+    /** Creates the health state of a node that is in the endpoint list for the first time. */
     NodeHealth newNode(Zone zone) {
         return new NodeHealth(zones.computeIfAbsent(zone, key -> new ZoneHealth()));
     }
@@ -62,7 +62,10 @@
         NodeState.of(node).health.onRestart();
     }
 
-    /** The first attempt to an ejected zone after its ejection becomes its trial. */
+    /**
+     * Called when an attempt is sent. The first attempt at a zone after the end of its ejection
+     * becomes the trial attempt of the zone.
+     */
     void onAttemptSent(Duration now, Attempt attempt) {
         ZoneHealth zone = NodeState.of(attempt.node).health.zone;
         if (zone.hasEjections() && !isAvoided(now, zone)) {
@@ -76,7 +79,7 @@
             health.recordSuccess(now);
             health.decrementEjectionCount();
         }
-        // A node that answers nothing is seen only by attempts that end without an answer.
+        // A node that answers nothing is detected only by attempts that end without an answer.
         boolean overdue =
                 latency.compareTo(stragglers.overdueAfter(now, attempt.shardRequest.queryClass))
                         > 0;
@@ -90,7 +93,7 @@
         }
     }
 
-    /** Whether the outcome alone shows that the node or the network path to it is broken. */
+    /** Returns whether a single outcome shows that the node or the network path to it is broken. */
     private static boolean isBroken(Attempt attempt, AttemptOutcome outcome, boolean overdue) {
         return outcome == AttemptOutcome.UNREACHABLE
                 || outcome == AttemptOutcome.RESET
@@ -100,8 +103,9 @@
     }
 
     /**
-     * Detects a broken or slow network path to a zone: a router sends too few requests to each node
-     * to detect that per node. An ejected zone gets one trial attempt at a time.
+     * Updates the health of the node's zone, to detect a broken or slow network path to the zone. A
+     * router sends too few requests to a single node to detect this for each node. After its
+     * ejection, a zone gets one trial attempt at a time.
      */
     private void updateZone(Duration now, Attempt attempt, NodeHealth health, boolean failed) {
         ZoneHealth zone = health.zone;
@@ -122,8 +126,9 @@
     }
 
     /**
-     * Whether other replicas should be preferred: the node is ejected, in a zone to be avoided or
-     * slow, its oldest attempt takes too long, or it is on trial after an ejection.
+     * Returns whether other replicas should be preferred to the node. This is so if the node is
+     * ejected or slow, its zone should be avoided, its oldest attempt in flight takes too long, or
+     * it has an attempt in flight and has not recovered from an ejection.
      */
     boolean isSuspect(Duration now, DataNode node, QueryClass queryClass) {
         NodeHealth health = NodeState.of(node).health;
@@ -135,7 +140,7 @@
                 || latencies.relativeSlowdown(now, node) > SLOW_RATIO;
     }
 
-    /** Whether the node was ejected and has not recovered since. */
+    /** Returns whether the node was ejected and has not recovered since. */
     boolean hasFailedRecently(DataNode node) {
         return NodeState.of(node).health.hasEjections();
     }
@@ -147,8 +152,8 @@
     }
 
     /**
-     * Whether no attempts should go to the zone, because it is ejected or on trial and another zone
-     * is healthy.
+     * Returns whether no attempts should be sent to the zone, because it is ejected or has a trial
+     * attempt in flight while another zone is healthy.
      */
     private boolean isAvoided(Duration now, ZoneHealth zone) {
         return zone.hasEjections()
--- a/src/main/java/postbeam/policy/OutlierEjection.java
+++ b/src/main/java/postbeam/policy/OutlierEjection.java
@@ -8,9 +8,9 @@
 import postbeam.model.Readiness;
 
 /**
- * Ejects nodes and reinstates them. After its ejection a node gets a health probe, which is cheaper
- * than a lost request, and then one request at a time until one is answered, as a node that serves
- * nothing may still answer probes.
+ * Ejects data nodes and reinstates them. After its ejection, a node gets a health probe, as a lost
+ * probe costs less than a lost request. It then gets one request at a time until one is answered,
+ * as a node that serves no requests may still answer probes.
  */
 final class OutlierEjection {
     private final PolicyActions actions;
@@ -22,14 +22,14 @@
         this.limits = limits;
     }
 
-    /** Ejects the node; failures during an ejection have no effect. */
+    /** Ejects the node. Failures during an ejection have no effect. */
     void eject(Duration now, DataNode node) {
         if (NodeState.of(node).health.eject(now)) {
             ejected.add(node);
         }
     }
 
-    /** Whether the node is ejected and not yet reinstated. */
+    /** Returns whether the node is ejected and not yet reinstated. */
     boolean isEjected(DataNode node) {
         return NodeState.of(node).health.isEjected();
     }
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Probes the nodes whose ejection is over, or reinstates them where probes are not allowed. */
+    /** Probes the nodes whose ejection is over, or reinstates them if probes are not allowed. */
     void review(Duration now) {
         for (DataNode node : List.copyOf(ejected)) {
             NodeHealth health = NodeState.of(node).health;
--- a/src/main/java/postbeam/policy/PolicyActions.java
+++ b/src/main/java/postbeam/policy/PolicyActions.java
@@ -6,34 +6,40 @@
 import postbeam.model.Query;
 
 /**
- * The actions of a routing policy. Each protocol implements it, with one instance per policy, and
- * carries out every call at once and in order.
+ * Actions that a routing policy takes. Each protocol implements this interface, with one instance
+ * per policy, and carries out the calls immediately and in order.
  */
 public interface PolicyActions {
-    /** Sends an attempt. Attempts sent to one node within one batch of events share a call. */
+    /**
+     * Sends an attempt. Attempts that are sent to the same node within one batch of events share a
+     * call.
+     */
     void send(Attempt attempt);
 
-    /** Cancels an attempt; its outcome is still reported. */
+    /** Cancels an attempt. Its outcome is still reported to the policy. */
     void cancel(Attempt attempt);
 
     /**
-     * Answers the query from the requests that are answered; {@code complete} says whether these
-     * suffice for a complete answer.
+     * Answers the query from its answered requests. {@code complete} tells whether they suffice for
+     * a complete answer.
      */
     void answer(Query query, boolean complete);
 
     /**
-     * Ends the query with a rejection: a retry is harmless, after this time if it is above zero.
+     * Ends the query with a rejection, after which the client may retry without executing side
+     * effects twice. If {@code retryAfter} is above zero, the client should wait that long.
      */
     void reject(Query query, Duration retryAfter);
 
-    /** Ends the query with an error that says nothing about its side effects. */
+    /** Ends the query with an error that does not tell whether side effects were executed. */
     void abort(Query query);
 
     /** Schedules a call of {@link RoutingPolicy#onWakeUp} after this time. */
     void wakeAfter(Duration wait);
 
-    /** Probes a node's health; the result is passed to {@link RoutingPolicy#onProbeResult}. */
+    /**
+     * Probes the health of a node. The result is reported to {@link RoutingPolicy#onProbeResult}.
+     */
     void probe(DataNode node);
 
     /** Writes a line to the log. */
--- a/src/main/java/postbeam/policy/PolicyModules.java
+++ b/src/main/java/postbeam/policy/PolicyModules.java
@@ -3,7 +3,7 @@
 import java.util.Random;
 import postbeam.model.Cluster;
 
-/** Creates and holds the modules of one policy. */
+/** Creates the modules of one policy and holds references to them. */
 final class PolicyModules {
     final AdmissionControl admission;
     final RetryBudget retryBudget;
--- a/src/main/java/postbeam/policy/PolicyTiming.java
+++ b/src/main/java/postbeam/policy/PolicyTiming.java
@@ -4,11 +4,12 @@
 
 /** Durations that several modules share. */
 final class PolicyTiming {
-    /** Interval between reviews of open queries; short relative to latency objectives. */
+    /** Interval between reviews of the open queries; short compared with latency objectives. */
     static final Duration REVIEW_INTERVAL = Duration.ofMillis(20);
 
     /**
-     * Time before a client's deadline at which its query is ended: two reviews and one in reserve.
+     * Time before the deadline of its client at which a query is ended: two review intervals and
+     * one in reserve.
      */
     static final Duration FINAL_ANSWER_MARGIN = REVIEW_INTERVAL.multipliedBy(3);
 
--- a/src/main/java/postbeam/policy/QueryCompletion.java
+++ b/src/main/java/postbeam/policy/QueryCompletion.java
@@ -14,16 +14,20 @@
 import postbeam.model.ShardRequest;
 import postbeam.model.SideEffects;
 
-/** Holds the open queries and decides when each is answered, rejected or aborted. */
+/** Holds the open queries and decides when each of them is answered, rejected or aborted. */
 final class QueryCompletion {
     /** Fraction of the latency objective after which a query that has not started is rejected. */
     private static final double START_SHARE = 0.4;
 
-    /** The same fraction for queries of low priority. */
+    /**
+     * Fraction of the latency objective after which a low-priority query that has not started is
+     * rejected.
+     */
     private static final double LOW_PRIORITY_START_SHARE = 0.1;
 
     /**
-     * Lateness, as a fraction of the latency objective, after which a crowded router ends a query.
+     * Lateness, as a fraction of the latency objective, after which a router near its capacity ends
+     * a query.
      */
     private static final double MAX_LATENESS_SHARE = 0.5;
 
@@ -51,7 +55,7 @@
         this.canceller = canceller;
     }
 
-    /** The queries without a final answer, in order of arrival; a view that can't be changed. */
+    /** Returns the queries without a final answer in order of arrival, as an unmodifiable view. */
     List<Query> openQueries() {
         return openQueriesView;
     }
@@ -60,7 +64,9 @@
         openQueries.add(query);
     }
 
-    /** Ends a query without an answer. */
+    /**
+     * Ends a query and cancels its attempts. The caller sends the final answer, if there is one.
+     */
     void end(Query query) {
         query.end();
         openQueries.remove(query);
@@ -79,7 +85,7 @@
     }
 
     private void review(Duration now, Query query) {
-        // The requests of a second step arrive after the first step is answered.
+        // The requests of a second step arrive only after the first step has been answered.
         boolean requestsKnown = !query.shardRequests.isEmpty();
         if (requestsKnown && isAnswered(query, query.queryClass().requiredWeight)) {
             answerComplete(query);
@@ -93,12 +99,14 @@
         }
     }
 
-    /** Whether this share of the query is answered. */
+    /** Returns whether requests that make up this share of the query's weight are answered. */
     private static boolean isAnswered(Query query, double share) {
         return query.isCoveredBy(ShardRequest::isAnswered, share);
     }
 
-    /** Whether a complete answer is impossible and waiting can't improve the answer. */
+    /**
+     * Returns whether a complete answer is impossible and waiting longer can't improve the answer.
+     */
     private boolean isWaitingPointless(Duration now, Query query) {
         QueryClass queryClass = query.queryClass();
         Predicate<ShardRequest> answerable = request -> isAnswerable(now, request);
@@ -116,8 +124,8 @@
     }
 
     /**
-     * Whether the latency objective is about to pass and a partial answer now earns more than a
-     * late complete one.
+     * Returns whether the latency objective is about to pass and a partial answer now earns more
+     * than a late complete one.
      */
     private static boolean isPartialAnswerBest(Duration now, Query query) {
         QueryClass queryClass = query.queryClass();
@@ -134,9 +142,9 @@
     }
 
     /**
-     * Whether a query that will be late should be ended: if late answers earn nothing, or if the
-     * router is crowded and the query has unsent requests or is far past its objective. Otherwise
-     * it is kept, as ending it would waste the work in flight.
+     * Returns whether a query that will be late should be ended. It is ended if late answers earn
+     * nothing, or if the router is near its capacity and the query has unsent requests or is far
+     * past its objective. Otherwise it is kept, as ending it would waste the work in flight.
      */
     private boolean shouldDropLateQuery(Duration now, Query query) {
         return forecast.isTooLate(now, query, 1)
@@ -152,8 +160,8 @@
     }
 
     /**
-     * Whether a query that has not started should be rejected, so that its client can retry
-     * elsewhere while there is time.
+     * Returns whether a query that has not started should be rejected now, so that its client has
+     * time to retry elsewhere.
      */
     private boolean isStartOverdue(Duration now, Query query) {
         double waited =
@@ -164,8 +172,8 @@
     }
 
     /**
-     * Answers a step of the query: this is the final answer, or the client continues with the
-     * second step.
+     * Answers the current step of the query. This is the final answer unless the class has a second
+     * step, for which the client sends further requests.
      */
     private void answerComplete(Query query) {
         if (query.queryClass().secondStep == null) {
@@ -178,8 +186,8 @@
     }
 
     /**
-     * Ends the query now: with a partial answer if that is allowed, else with a rejection or an
-     * abort.
+     * Ends the query with a partial answer if its class allows one, otherwise with a rejection or
+     * an abort.
      */
     private void endUnfinished(Query query) {
         QueryClass queryClass = query.queryClass();
@@ -196,7 +204,7 @@
         }
     }
 
-    /** Whether a retry by the client can't execute side effects twice. */
+    /** Returns whether a retry by the client can't execute side effects twice. */
     private static boolean isRetryHarmless(Query query) {
         return query.queryClass().sideEffects == SideEffects.IDEMPOTENT
                 || (query.firstStepRequests.isEmpty()
--- a/src/main/java/postbeam/policy/QueryPriority.java
+++ b/src/main/java/postbeam/policy/QueryPriority.java
@@ -5,7 +5,7 @@
 import postbeam.model.Query;
 import postbeam.model.ShardRequest;
 
-/** Decides which queries are served last when slots are scarce. */
+/** Decides which queries are served last while slots of the concurrency window are scarce. */
 final class QueryPriority {
     private final CompletionForecast forecast;
     private final ReplicaSelector replicas;
@@ -18,9 +18,9 @@
     }
 
     /**
-     * Whether the query exceeds its tenant's quota, can't be on time with the current window, or
-     * has not started and can't be placed on healthy nodes. Such queries are not rejected for that
-     * alone, as the window may grow.
+     * Returns whether the query has low priority: it exceeds its tenant's quota, can't be on time
+     * with the current size of the window, or has not started and too few of its requests have a
+     * healthy replica. Low priority alone does not get a query rejected, as the window may widen.
      */
     boolean isLow(Duration now, Query query) {
         return query.isOverQuota()
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Whether enough of the query's requests have a healthy replica: otherwise the work for the
-     * others is likely wasted.
+     * Returns whether enough of the query's requests have a healthy replica. Otherwise the work on
+     * the other requests would probably be wasted.
      */
     private boolean isPlaceable(Duration now, Query query) {
         replicas.chooseOffset(now, query);
--- a/src/main/java/postbeam/policy/ReplicaSelector.java
+++ b/src/main/java/postbeam/policy/ReplicaSelector.java
@@ -18,28 +18,37 @@
 
 /**
  * Chooses the replica for each shard request. All requests of a query start at the same offset in
- * their shards' replica lists, so that they can share calls where one call carries several
+ * the replica lists of their shards, so that they share calls if one call can carry several
  * requests.
  */
 final class ReplicaSelector {
-    /** Batches in flight that a suspect node counts for: more than healthy nodes normally have. */
+    /**
+     * Number of batches in flight that is added to the load of a suspect node; more than a healthy
+     * node normally has.
+     */
     private static final int SUSPECT_BATCHES = 4;
 
-    /** Cost of a request to another zone, in batches in flight: a tie-breaker. */
+    /**
+     * Cost of a request to another zone, in batches in flight; small enough to matter only between
+     * equal loads.
+     */
     private static final double REMOTE_ZONE_COST = 0.01;
 
-    /** Weight of a rank, larger than any load. */
+    /**
+     * Weight of the rank relative to the load; larger than any load, so that the rank decides
+     * first.
+     */
     private static final double RANK_WEIGHT = 100;
 
     /** Rank of a suspect node. */
     private static final double RANK_SUSPECT = 2;
 
     /**
-     * Rank of a node that was ejected and has not recovered since, for a non-idempotent request.
+     * Rank, for a non-idempotent request, of a node that was ejected and has not recovered since.
      */
     private static final double RANK_FAILED_RECENTLY = 1;
 
-    /** Added to the rank for each earlier attempt of the request at the node. */
+    /** Increase of the rank for each earlier attempt of the request at the node. */
     private static final double RANK_EARLIER_ATTEMPT = 1;
 
     private final AttemptLimits limits;
@@ -71,8 +80,9 @@
     }
 
     /**
-     * Local zone first, then by position among the shard's cells: the same offset then leads
-     * neighbouring shards to the same nodes, and their requests share calls.
+     * Orders replicas by zone, the local one first, and then by position among the cells of the
+     * shard. The same offset then selects the same nodes for neighbouring shards, so that their
+     * requests share calls.
      */
     private static Comparator<DataNode> batchingOrder(int replicationFactor) {
         return Comparator.comparingInt(
@@ -80,8 +90,9 @@
     }
 
     /**
-     * Chooses the offset of the query's current step unless it is chosen: the one whose nodes have
-     * the fewest batches in flight, and among equals the one with the fewest remote requests.
+     * Chooses the replica offset of the query's current step unless one is already chosen. It is
+     * the offset whose nodes have the fewest batches in flight; among equals, the one with the
+     * fewest requests to other zones.
      */
     void chooseOffset(Duration now, Query query) {
         if (query.hasReplicaOffset()) {
@@ -121,20 +132,26 @@
         return cost;
     }
 
-    /** Batches that the node has in flight, increased if it is suspect. */
+    /**
+     * Returns the number of batches that the node has in flight, increased if the node is suspect.
+     */
     int effectiveBatches(Duration now, DataNode node, Query query) {
         return node.batchesInFlight()
                 + (outliers.isSuspect(now, node, query.queryClass()) ? SUSPECT_BATCHES : 0);
     }
 
-    /** The node's load: its attempts in flight with one more, times its relative slowdown. */
+    /**
+     * Returns the load of the node: the number of its attempts in flight plus one, multiplied by
+     * its relative slowdown.
+     */
     double load(Duration now, DataNode node) {
         return (1 + node.attemptsInFlight.size()) * latencies.relativeSlowdown(now, node);
     }
 
     /**
-     * The best node for the request; among equals the first one from the query's offset on. Null if
-     * none may take the request. Suspect nodes are used if there are no others.
+     * Returns the best node for the request, or null if no replica may be sent the request now.
+     * Among equals, the first node from the query's replica offset is chosen. Suspect nodes are
+     * chosen only if there are no others.
      */
     DataNode chooseNode(Duration now, ShardRequest request) {
         List<DataNode> replicas = cluster.replicas(request.shard);
@@ -161,8 +178,9 @@
     }
 
     /**
-     * Work that is checked against slow start: at least a typical request's, as each router has
-     * some light requests and together they would exceed the budget.
+     * Returns the work of the request that is checked against the slow start budget: at least that
+     * of a typical request. Every router has some light requests, and together these would exceed
+     * the budget.
      */
     private Duration admissionWork(ShardRequest request) {
         return max(
@@ -175,14 +193,18 @@
                 && slowStart.allows(now, node, cluster.acquiredAt(request.shard, node), work);
     }
 
-    /** Rank of the node for the request; 0 for a healthy node without an earlier attempt. */
+    /**
+     * Returns the rank of the node for the request, the lowest being the best; 0 for a healthy node
+     * without an earlier attempt.
+     */
     private double rank(Duration now, DataNode node, ShardRequest request) {
         double rank = 0;
         if (outliers.isSuspect(now, node, request.query.queryClass())) {
             rank = RANK_SUSPECT;
         } else if (outliers.hasFailedRecently(node)
                 && request.query.queryClass().sideEffects == SideEffects.NON_IDEMPOTENT) {
-            // A request that can't be retried does not test whether the node has recovered.
+            // A request that can't be retried must not be the one that tests whether the node has
+            // recovered.
             rank = RANK_FAILED_RECENTLY;
         }
         for (Attempt attempt : request.attempts) {
@@ -192,9 +214,9 @@
     }
 
     /**
-     * Whether the node has an attempt of the request in flight, or had one and is ejected.
-     * Otherwise a request would spend its attempts within a round trip on replicas that are all
-     * down.
+     * Returns whether the node has an attempt of the request in flight, or had one and is ejected.
+     * Without this check, a request whose replicas are all down would spend all its attempts within
+     * a round trip.
      */
     private boolean isPendingOrEjectedAt(DataNode node, ShardRequest request) {
         for (Attempt attempt : request.attempts) {
--- a/src/main/java/postbeam/policy/RetryBudget.java
+++ b/src/main/java/postbeam/policy/RetryBudget.java
@@ -4,11 +4,11 @@
 import postbeam.model.SlidingWindowCounter;
 
 /**
- * Budget of retries: attempts beyond the first one of each shard request. Retries are counted as an
- * upper bound and requests as a lower one, so that the budget holds for every window.
+ * Budget of retries: attempts after the first one of each shard request. Retries are counted by an
+ * upper bound and requests by a lower bound, so that the budget is kept in every window.
  */
 public final class RetryBudget {
-    /** Window of the counters if there is no budget; they are not read then. */
+    /** Window of the counters if retries are not limited; the counters are not read then. */
     private static final Duration UNUSED_WINDOW = Duration.ofSeconds(4);
 
     private final double baseAllowance;
@@ -18,11 +18,11 @@
     private final SlidingWindowCounter retries;
 
     /**
-     * Creates a budget; a null parameter is not configured.
+     * Creates a budget. A null parameter means that the limit is not configured.
      *
-     * @param baseAllowance retries per window independent of requests
-     * @param retryRatio additional retries per request received
-     * @param window the window in which both are counted; null for no limit
+     * @param baseAllowance number of retries per window that are allowed independently of requests
+     * @param retryRatio number of additional retries per request received
+     * @param window sliding window over which both are counted; null if retries are not limited
      */
     public RetryBudget(Double baseAllowance, Double retryRatio, Duration window) {
         this.baseAllowance = baseAllowance == null ? 0 : baseAllowance;
@@ -32,12 +32,12 @@
         this.retries = new SlidingWindowCounter(window == null ? UNUSED_WINDOW : window);
     }
 
-    /** A query or a shard request was received. */
+    /** Records that a query or a shard request was received. */
     void recordRequest(Duration now) {
         requests.add(now, 1);
     }
 
-    /** A retry was sent. */
+    /** Records that a retry was sent. */
     void recordRetry(Duration now) {
         retries.add(now, 1);
     }
--- a/src/main/java/postbeam/policy/RetryPolicy.java
+++ b/src/main/java/postbeam/policy/RetryPolicy.java
@@ -11,7 +11,7 @@
 
 /**
  * Decides which attempts a shard request may have, given its side effects and earlier attempts, and
- * for how long they are useful.
+ * how long an answer to them is useful.
  */
 final class RetryPolicy {
     private final AttemptLimits limits;
@@ -24,7 +24,7 @@
         this.hedging = hedging;
     }
 
-    /** Whether the request may have a further attempt now or later. */
+    /** Returns whether the request may have a further attempt now or later. */
     boolean mayAttemptLater(Duration now, ShardRequest request) {
         if (request.isClosed() || request.attempts.size() >= limits.maxAttempts()) {
             return false;
@@ -40,7 +40,7 @@
         };
     }
 
-    /** Whether the request may have a further attempt now. */
+    /** Returns whether the request may have a further attempt now. */
     boolean mayAttemptNow(Duration now, ShardRequest request) {
         return (request.attemptsInFlight.isEmpty() || hedging.mayHedge(request))
                 && mayAttemptLater(now, request)
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Whether a request whose attempt is cancelled now can still be retried once the cancellation
-     * is confirmed.
+     * Returns whether a request can still be retried if its attempt is cancelled now and the retry
+     * is sent once the cancellation is confirmed.
      */
     boolean mayCancelAndRetry(Duration now, Duration firstSentAt, QueryClass queryClass) {
         if (queryClass.sideEffects == SideEffects.NON_IDEMPOTENT) {
@@ -60,7 +60,10 @@
                 || isDeduplicated(retryAt, firstSentAt, queryClass);
     }
 
-    /** Timeout of an attempt sent now; null for the client's deadline. */
+    /**
+     * Returns the timeout of an attempt sent now; null if its outcome is awaited until the client's
+     * deadline.
+     */
     Duration timeout(Duration now, Query query) {
         QueryClass queryClass = query.queryClass();
         if (queryClass.sideEffects == SideEffects.NON_IDEMPOTENT) {
@@ -71,8 +74,8 @@
     }
 
     /**
-     * Time after which an attempt must not be sent, as nodes would not recognise it as a duplicate.
-     * Null for no limit.
+     * Returns the time after which an attempt of the request must not be sent, because data nodes
+     * would no longer recognise it as a duplicate; null if there is no limit.
      */
     Duration sendDeadline(ShardRequest request) {
         QueryClass queryClass = request.query.queryClass();
@@ -85,7 +88,7 @@
                 .minus(REVIEW_INTERVAL);
     }
 
-    /** Whether nodes still drop a duplicate at that time. */
+    /** Returns whether data nodes drop a duplicate that arrives at this time. */
     private static boolean isDeduplicated(Duration at, Duration sentAt, QueryClass queryClass) {
         return queryClass.deduplicationWindow != null
                 && at.minus(sentAt).compareTo(queryClass.deduplicationWindow) < 0;
--- a/src/main/java/postbeam/policy/RoutingPolicy.java
+++ b/src/main/java/postbeam/policy/RoutingPolicy.java
@@ -11,8 +11,8 @@
 import postbeam.model.ShardRequest;
 
 /**
- * The decisions of one query router. The caller reports each event in order and calls {@link
- * #onBatchEnd} after all events that arrived together; the policy responds by calling {@link
+ * Makes the routing decisions of one query router. The caller reports each event in order and calls
+ * {@link #onBatchEnd} after all events that arrived together; the policy responds by calling {@link
  * PolicyActions}. All times are durations since the start of the router. Not thread-safe: callers
  * serialize access.
  */
@@ -21,7 +21,7 @@
     private final PolicyModules modules;
     private boolean wakeUpScheduled;
 
-    /** Creates the policy of a router without nodes and queries. */
+    /** Creates the policy of a router that has no data nodes and no queries yet. */
     public RoutingPolicy(
             PolicyActions actions,
             Random random,
@@ -37,14 +37,14 @@
     }
 
     /**
-     * The endpoint list reports the state of a node; its start time is null if not known or long
-     * ago.
+     * Called when the endpoint list reports the state of a node. {@code startedAt} is null if the
+     * list gives no start time, because the node started long ago or its start is not known.
      */
     public void onNodeUpdate(Duration now, DataNode node, Readiness readiness, Duration startedAt) {
         modules.membership.onNodeUpdate(now, node, readiness, startedAt);
     }
 
-    /** A query has arrived; its shard requests may arrive with it or later. */
+    /** Called when a query has arrived. Its shard requests may arrive at the same time or later. */
     public void onQuery(Duration now, Query query) {
         modules.completion.onQuery(query);
         modules.retryBudget.recordRequest(now);
@@ -54,16 +54,16 @@
         }
     }
 
-    /** A shard request has arrived and been added to its query. */
+    /** Called when a shard request has arrived and been added to its query. */
     public void onShardRequest(Duration now, ShardRequest request) {
         modules.retryBudget.recordRequest(now);
     }
 
     /**
-     * An attempt has ended; called once for each attempt.
+     * Called exactly once for each attempt, when it has ended.
      *
      * @param latency time since the attempt was sent
-     * @param isLast whether the shard request may have no further attempts
+     * @param isLast whether the shard request must not have further attempts
      */
     public void onAttemptEnded(
             Duration now,
@@ -96,22 +96,25 @@
         }
     }
 
-    /** The client of a query has disconnected; the query gets no answer. */
+    /** Called when the client of a query has disconnected; the query is ended without an answer. */
     public void onClientDisconnected(Duration now, Query query) {
         modules.completion.end(query);
     }
 
-    /** The time requested with {@link PolicyActions#wakeAfter} has passed. */
+    /** Called when the time requested with {@link PolicyActions#wakeAfter} has passed. */
     public void onWakeUp(Duration now) {
         wakeUpScheduled = false;
     }
 
-    /** A health probe of a node has succeeded or failed. */
+    /** Called when a health probe of a node has succeeded or failed. */
     public void onProbeResult(Duration now, DataNode node, boolean healthy) {
         modules.ejection.onProbeResult(now, node, healthy);
     }
 
-    /** All events that arrived together have been reported: decides and acts. */
+    /**
+     * Called when all events that arrived together have been reported. Makes the decisions and
+     * takes the actions that follow from them.
+     */
     public void onBatchEnd(Duration now) {
         modules.completion.review(now);
         modules.ejection.review(now);
@@ -125,12 +128,12 @@
         }
     }
 
-    /** Whether the node is ejected because of recent failures. */
+    /** Returns whether the node is ejected because of recent failures. */
     public boolean isEjected(DataNode node) {
         return modules.ejection.isEjected(node);
     }
 
-    /** For tests of this package. */
+    /** Gives the tests of this package access to the modules. */
     PolicyModules modules() {
         return modules;
     }
--- a/src/main/java/postbeam/policy/SlotScheduler.java
+++ b/src/main/java/postbeam/policy/SlotScheduler.java
@@ -9,21 +9,24 @@
 import postbeam.model.ShardRequest;
 
 /**
- * Assigns free slots of the window to queries: non-preemptive SEDPT-R (Sun et al., "Provably Delay
- * Efficient Data Retrieving in Storage Clouds"). A slot goes to the query with the smallest
- * difference between the answers that it needs (alpha) and those that it can expect from attempts
- * in flight (delta).
+ * Assigns free slots of the concurrency window to queries by non-preemptive SEDPT-R (Sun et al.,
+ * "Provably Delay Efficient Data Retrieving in Storage Clouds"). A slot goes to the query with the
+ * smallest difference between the number of answers that it needs (alpha) and the number that it
+ * can expect from its attempts in flight (delta).
  */
 final class SlotScheduler {
-    /** Maximum number of queries considered, the oldest first; bounds the cost of a batch. */
+    /**
+     * Maximum number of queries that are considered, the oldest first; bounds the cost of one batch
+     * of events.
+     */
     private static final int MAX_CANDIDATES = 48;
 
-    /** Rank of hedged attempts: after all first attempts. */
+    /** Rank of hedged attempts; places them after all first attempts. */
     private static final double HEDGE_RANK = 1000;
 
     /**
-     * Smallest value first; among equals, low priority last, then the earliest latency objective
-     * first.
+     * Fewest missing answers first; among equals, queries of low priority last, then the earliest
+     * latency objective first.
      */
     private static final Comparator<Candidate> CANDIDATE_ORDER =
             Comparator.comparingInt(Candidate::answersMissing)
@@ -66,7 +69,8 @@
 
     /** Fills the free slots with requests of the open queries. */
     void fillSlots(Duration now, List<Query> openQueries) {
-        // Lost requests hold no slots: a broken network path would fill the window with them.
+        // Lost requests do not occupy slots; otherwise a broken network path would fill the window
+        // with them.
         int lostRequests = 0;
         for (Query query : openQueries) {
             lostRequests += stragglers.lostRequests(now, query);
@@ -99,12 +103,15 @@
         return candidates;
     }
 
-    /** Answers needed minus answers expected (alpha - delta). */
+    /** Returns the number of answers needed minus the number expected (alpha - delta). */
     private int answersMissing(Duration now, Query query) {
         return query.requestsNeeded() - stragglers.expectedAnswers(now, query);
     }
 
-    /** Sends the query's next request; returns whether there was one to send. */
+    /**
+     * Sends the next request of the query and returns true, or returns false if none may be sent
+     * now.
+     */
     private boolean sendNext(Duration now, Query query, int answersMissing) {
         boolean spare = answersMissing <= 0;
         if ((spare && !hedging.maySendSpare(query))
@@ -156,9 +163,10 @@
     }
 
     /**
-     * Rank of a request at a node, lowest first: first attempts before hedged ones; for queries
-     * that need a subset, by the node's batches; for queries that may be partial, by the node's
-     * load, so that requests to congested shards are sent last.
+     * Returns the rank of a request at a node, the lowest being sent first. First attempts come
+     * before hedged ones. The requests of a query that needs only a subset are ordered by the
+     * batches of their nodes. Those of a query that may be answered in part are ordered by the load
+     * of their nodes, so that requests to congested shards are sent last.
      */
     private double rank(Duration now, Query query, ShardRequest request, DataNode node) {
         double rank = request.attemptsInFlight.isEmpty() ? 0 : HEDGE_RANK;
--- a/src/main/java/postbeam/policy/SlowStart.java
+++ b/src/main/java/postbeam/policy/SlowStart.java
@@ -7,22 +7,22 @@
 import postbeam.model.ShardRequest;
 
 /**
- * Limits the work sent to a node that is warming up. The budget per window is divided evenly among
- * all routers. Where that is less than one request per router, each router rounds its share at
- * random by its sampling threshold: the sum over all routers stays within the budget on average,
- * with its square root as the standard deviation.
+ * Limits the work sent to a data node that is warming up. The budget for a window is divided evenly
+ * among all routers. If a router's share is less than one request, the router rounds it at random
+ * by the sampling threshold of the node. The sum over all routers then stays within the budget on
+ * average, with the square root of the budget, in requests, as its standard deviation.
  */
 public final class SlowStart {
-    /** Capacity of a warm node, in seconds of work per second: at least two cores. */
+    /** Capacity of a warm node, in seconds of work per second; a node has at least two cores. */
     private static final double WARM_WORK_RATE = 2.0;
 
-    /** Fraction of the budget that is used; the rest allows for requests in transit. */
+    /** Fraction of the budget that is used; the rest is reserved for requests in transit. */
     private static final double BUDGET_UTILIZATION = 0.9;
 
     /** Number of routers from which shares are rounded at random. */
     private static final int SAMPLING_MIN_ROUTERS = 9;
 
-    /** Window of the counters if there is no limit; they are not read then. */
+    /** Window of the counters if work is not limited; the counters are not read then. */
     private static final Duration UNUSED_WINDOW = Duration.ofSeconds(4);
 
     private final double initialCapacityShare;
@@ -34,15 +34,16 @@
     private final Duration connectTimeout;
 
     /**
-     * Creates the limit; a null parameter is not configured.
+     * Creates the limit. A null parameter means that the limit is not configured.
      *
-     * @param initialCapacityShare share of its capacity that a node has at its start
-     * @param rampDuration time until it has all of its capacity
-     * @param loadFactor multiple of its capacity that it may be sent per window; null for no limit
-     * @param window the window in which work is counted; null for no limit
+     * @param initialCapacityShare share of its capacity that a node has when it starts
+     * @param rampDuration time from the start until the node has its full capacity
+     * @param loadFactor multiple of its capacity that a node may be sent per window; null if work
+     *     is not limited
+     * @param window sliding window over which work is counted; null if work is not limited
      * @param routerCount number of routers among which the budget is divided
      * @param callOverhead additional work of each call
-     * @param connectTimeout maximum delay between the decision and the sending
+     * @param connectTimeout maximum delay between the decision to send a request and its sending
      */
     public SlowStart(
             Double initialCapacityShare,
@@ -61,22 +62,22 @@
         this.connectTimeout = connectTimeout == null ? Duration.ZERO : connectTimeout;
     }
 
-    /** Number of routers among which budgets are divided. */
+    /** Returns the number of routers among which budgets are divided. */
     int routerCount() {
         return routerCount;
     }
 
-    /** Creates the state of a node that is listed for the first time. */
+    /** Creates the warm-up state of a node that is in the endpoint list for the first time. */
     NodeWarmUp newNode(double samplingThreshold) {
         return new NodeWarmUp(samplingThreshold, window == null ? UNUSED_WINDOW : countedWindow());
     }
 
-    /** The window extended by the maximum delay until a request is sent. */
+    /** Returns the window, extended by the maximum delay until a request is sent. */
     private Duration countedWindow() {
         return window.plus(connectTimeout);
     }
 
-    /** Estimated work of the request; the baseline if it came without a hint. */
+    /** Returns the estimated work of the request; the baseline if the client gave no estimate. */
     Duration estimateWork(ShardRequest request, Duration baseline) {
         return request.estimatedWork == null ? baseline : request.estimatedWork.plus(callOverhead);
     }
@@ -85,18 +86,20 @@
         NodeState.of(node).warmUp.onUnreachable(now);
     }
 
-    /** The endpoint list reports the node's start. */
+    /** Called when the endpoint list reports the start time of the node. */
     void onStartKnown(DataNode node, Duration startedAt) {
         NodeState.of(node).warmUp.onStartKnown(startedAt);
     }
 
-    /** Since when the node may be warming up; null if not known or long ago. */
+    /**
+     * Returns the time since which the node may be warming up; null if it is not known or long ago.
+     */
     Duration warmingUpSince(DataNode node) {
         return NodeState.of(node).warmUp.warmingUpSince(node.startedAt());
     }
 
     /**
-     * Records work sent to the node for a shard; {@code acquiredAt} is null if the node has not
+     * Records work sent to the node for a shard. {@code acquiredAt} is null if the node has not
      * recently acquired the shard.
      */
     void recordSent(Duration now, DataNode node, Duration acquiredAt, Duration work) {
@@ -108,9 +111,9 @@
     }
 
     /**
-     * Whether the node may be sent this work. The capacity at the beginning of the window counts,
-     * so that each window is within its budget. A shard that the node recently acquired has its own
-     * budget, as its data is not cached there yet.
+     * Returns whether the node may be sent this work. The capacity at the beginning of the window
+     * counts, so that the work in every window is within the budget. A shard that the node has
+     * recently acquired has a budget of its own, as its data is not yet cached at the node.
      */
     boolean allows(Duration now, DataNode node, Duration acquiredAt, Duration work) {
         NodeWarmUp warmUp = NodeState.of(node).warmUp;
@@ -148,15 +151,16 @@
     }
 
     /**
-     * Whether this router started after the node, and work that it sent before may still be in the
-     * window.
+     * Returns whether this router started after the node and may have sent it work, before that
+     * start, that still counts in the window.
      */
     private boolean mayHaveSentBeforeRouterStart(Duration now, Duration warmingUpSince) {
         return warmingUpSince.isNegative() && now.compareTo(countedWindow()) < 0;
     }
 
     /**
-     * This router's even share of what the node may be sent within a window, in seconds of work.
+     * Returns this router's even share of the work that the node may be sent within a window, in
+     * seconds.
      */
     private double routerBudgetSeconds(Duration now, Duration warmingUpSince) {
         double rampFraction =
--- a/src/main/java/postbeam/policy/StragglerCanceller.java
+++ b/src/main/java/postbeam/policy/StragglerCanceller.java
@@ -8,9 +8,10 @@
 import postbeam.model.ShardRequest;
 
 /**
- * Cancels attempts at unresponsive nodes where a hedged attempt is not possible: hedging is not
- * allowed, or a query that needs a subset has enough requests in flight. A plain timeout would also
- * cancel attempts that are queued at slow nodes, and add load when all nodes are slow.
+ * Cancels attempts at unresponsive data nodes for which no hedged attempt is possible, because
+ * hedging is not allowed or because a query that needs only a subset has enough requests in flight.
+ * A plain timeout would also cancel attempts that are queued at slow nodes, and would add load when
+ * all nodes are slow.
  */
 final class StragglerCanceller {
     private final AttemptLimits limits;
@@ -58,7 +59,10 @@
         }
     }
 
-    /** Whether a query that needs a subset has more requests in flight than it needs. */
+    /**
+     * Returns whether the query needs only a subset of its requests and has more in flight than it
+     * needs.
+     */
     private static boolean hasSubsetInFlight(Query query) {
         return query.queryClass().acceptsSubset()
                 && query.requestsInFlight() > query.requestsNeeded();
--- a/src/main/java/postbeam/policy/StragglerDetector.java
+++ b/src/main/java/postbeam/policy/StragglerDetector.java
@@ -15,8 +15,8 @@
     private static final double OVERDUE_MIN_SHARE = 0.45;
 
     /**
-     * Maximum time until an attempt is overdue where hedging is allowed, as a fraction of the
-     * latency objective.
+     * Maximum time until an attempt is overdue if hedging is allowed, as a fraction of the latency
+     * objective.
      */
     private static final double OVERDUE_MAX_SHARE = 0.6;
 
@@ -30,22 +30,23 @@
         this.ejection = ejection;
     }
 
-    /** Time after which an attempt is overdue. */
+    /** Returns how long after its sending an attempt becomes overdue. */
     Duration overdueAfter(Duration now, QueryClass queryClass) {
         Duration slowest =
                 latencies.typicalLatency(
                         now, queryClass, CompletionForecast.SLOWEST_REQUEST_FACTOR);
         Duration longest = scale(queryClass.latencyObjective, OVERDUE_MAX_SHARE);
         if (slowest.compareTo(longest) > 0) {
-            // Cancelling loses the time spent in the node's queue; hedging does not.
+            // A cancelled attempt loses the time that it has spent in the queue of its node; a
+            // hedged one does not.
             return limits.hedgingAllowed() ? longest : queryClass.latencyObjective;
         }
         return max(slowest, scale(queryClass.latencyObjective, OVERDUE_MIN_SHARE));
     }
 
     /**
-     * Whether the attempt is overdue and its node has answered nothing for that long, or its node
-     * is ejected.
+     * Returns whether the node of the attempt is ejected, or the attempt is overdue and its node
+     * has answered nothing within the last {@link #overdueAfter}.
      */
     boolean isUnresponsive(Duration now, Attempt attempt) {
         Duration since = now.minus(overdueAfter(now, attempt.shardRequest.queryClass));
@@ -55,7 +56,8 @@
     }
 
     /**
-     * Whether the attempt is unresponsive, or overdue while its node has answered a later attempt.
+     * Returns whether the attempt is unresponsive, or overdue while its node has answered a later
+     * attempt.
      */
     boolean isLost(Duration now, Attempt attempt) {
         Duration since = now.minus(overdueAfter(now, attempt.shardRequest.queryClass));
@@ -67,7 +69,8 @@
     }
 
     /**
-     * Whether the request is unanswered and an answer can be expected from its attempts in flight.
+     * Returns whether the request is unanswered and an answer can be expected from its attempts in
+     * flight.
      */
     boolean isAnswerExpected(Duration now, ShardRequest request) {
         for (Attempt attempt : request.attemptsInFlight) {
@@ -78,12 +81,14 @@
         return false;
     }
 
-    /** Number of requests whose answers can be expected (delta in the SEDPT-R paper). */
+    /**
+     * Returns the number of requests whose answers can be expected (delta in the SEDPT-R paper).
+     */
     int expectedAnswers(Duration now, Query query) {
         return query.countRequests(request -> isAnswerExpected(now, request));
     }
 
-    /** Number of requests in flight whose attempts are all cancelled or lost. */
+    /** Returns the number of requests in flight whose attempts are all cancelled or lost. */
     int lostRequests(Duration now, Query query) {
         return query.countRequests(
                 request -> !request.attemptsInFlight.isEmpty() && !isAnswerExpected(now, request));
--- a/src/main/java/postbeam/policy/ZoneHealth.java
+++ b/src/main/java/postbeam/policy/ZoneHealth.java
@@ -2,9 +2,9 @@
 
 import postbeam.model.Attempt;
 
-/** The health of a zone: of its nodes and of the network path to them. */
+/** Health of a zone: of its data nodes and of the network path to them. */
 final class ZoneHealth extends HealthRecord {
-    /** The attempt that tests whether an ejected zone has recovered; null before the first. */
+    /** The attempt that tests whether an ejected zone has recovered; null before the first one. */
     private Attempt trialAttempt;
 
     void beginTrial(Attempt attempt) {
