--- a/src/main/java/postbeam/dispatch/AttemptResult.java
+++ b/src/main/java/postbeam/dispatch/AttemptResult.java
@@ -3,13 +3,13 @@
 import postbeam.model.AttemptOutcome;
 
 /**
- * How an attempt ended.
+ * Result of an attempt.
  *
- * @param value what the node sent, also with an error; null where it sent nothing
+ * @param value bytes that the data node sent, also with an error; null if it sent none
  */
 @SuppressWarnings("ArrayRecordComponent") // Results are never compared, and values are large.
 public record AttemptResult(DispatchedAttempt attempt, AttemptOutcome outcome, byte[] value) {
-    /** A result without a value. */
+    /** Creates a result without a value. */
     public AttemptResult(DispatchedAttempt attempt, AttemptOutcome outcome) {
         this(attempt, outcome, null);
     }
--- a/src/main/java/postbeam/dispatch/ClientPresence.java
+++ b/src/main/java/postbeam/dispatch/ClientPresence.java
@@ -1,7 +1,13 @@
 package postbeam.dispatch;
 
-/** Looks whether a query's client is still connected, just before its attempts are written. */
+/**
+ * Checks whether the client of a query is still connected, just before attempts of the query are
+ * written.
+ */
 public interface ClientPresence {
-    /** Reports a client that has disconnected; called on the I/O thread of its connection. */
+    /**
+     * Checks the connection and, if the client has disconnected, ends its query. Called on the I/O
+     * thread of the connection.
+     */
     void check();
 }
--- a/src/main/java/postbeam/dispatch/ClientRequest.java
+++ b/src/main/java/postbeam/dispatch/ClientRequest.java
@@ -7,15 +7,16 @@
 /**
  * A query as its client requested it.
  *
- * @param id names the query; unique among those in flight
- * @param queryClass by name, as the settings have it
- * @param tenant by name; null where the client states none
- * @param timeout how long the client waits, counted from the query's first byte
- * @param requestedShards empty where a cursor says what to fetch
- * @param payload what data nodes are sent
- * @param layoutVersion by which the client names slices; 0 where it states none
- * @param clientRetry whether the client marks the query as its own retry
- * @param pageRequest null where no page is requested
+ * @param id identifies the query; unique among the queries in flight
+ * @param queryClass name of the query class in the settings
+ * @param tenant name of the tenant; null if the client names none
+ * @param timeout time that the client waits, from the first byte of the query
+ * @param requestedShards shards to query; empty if a cursor determines what to fetch
+ * @param payload bytes that are sent to data nodes
+ * @param layoutVersion version of the layout whose slices the client names; 0 if the client states
+ *     none
+ * @param clientRetry whether the client marked the query as a retry
+ * @param pageRequest the requested page; null if the client requests none
  */
 @SuppressWarnings("ArrayRecordComponent") // Requests are never compared, and payloads are large.
 public record ClientRequest(
@@ -28,7 +29,7 @@
         long layoutVersion,
         boolean clientRetry,
         PageRequest pageRequest) {
-    /** A first request by fixed shards, without a page. */
+    /** Creates a first request, not a retry, for fixed shards and without a page. */
     public ClientRequest(
             String id,
             String queryClass,
@@ -42,12 +43,15 @@
     /**
      * One shard of a query.
      *
-     * @param weight its share of the answer, from 0 to 1
-     * @param estimatedWork null where the client gives no estimate
+     * @param weight share of the shard in the answer, from 0 to 1
+     * @param estimatedWork time that a data node works on it; null if the client gives no estimate
      */
     public record RequestedShard(int shard, double weight, Duration estimatedWork) {}
 
-    /** The request of a follow-up query for the same page, with an id that no client can state. */
+    /**
+     * Returns the request for a follow-up query that fetches more of the same page. Its id is one
+     * that no client can choose.
+     */
     public ClientRequest followUp(int round) {
         return new ClientRequest(
                 id + "." + round,
@@ -61,7 +65,7 @@
                 pageRequest);
     }
 
-    /** The same request of a client that waits no longer than this. */
+    /** Returns the same request with a timeout of at most {@code maxTimeout}. */
     public ClientRequest withTimeoutAtMost(Duration maxTimeout) {
         return timeout.compareTo(maxTimeout) <= 0
                 ? this
--- a/src/main/java/postbeam/dispatch/DispatchedAttempt.java
+++ b/src/main/java/postbeam/dispatch/DispatchedAttempt.java
@@ -8,39 +8,42 @@
 import postbeam.model.AttemptOutcome;
 
 /**
- * An attempt as a data node's connection carries it. The router marks it under its lock; the I/O
- * thread reads the marks.
+ * An attempt as the connection to a data node handles it. The router changes its state under its
+ * lock, and the I/O thread reads that state.
  */
 public class DispatchedAttempt {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** The policy's view of it. */
+    /** The attempt as the routing policy knows it. */
     public final Attempt policyAttempt;
 
-    /** Names it on the wire. */
+    /** Identifies the attempt in frames. */
     public final String id;
 
     public final int shard;
 
-    /** What the node is sent; not to be changed. */
+    /** Bytes that are sent to the data node; not to be modified. */
     public final byte[] payload;
 
-    /** Header fields after the deadline, each with its comma; empty where slices don't move. */
+    /**
+     * Header fields that follow the deadline, each preceded by a comma; empty if slices don't move.
+     */
     private final String headerFields;
 
     private final long deadlineNanos;
     private final ClientPresence clientPresence;
     private volatile boolean abandoned;
 
-    /** Null where it may be written at any time. */
+    /** Time by which the attempt must be written; null if there is no limit. */
     private volatile SendDeadline sendDeadline;
 
     private record SendDeadline(long nanoTime, AttemptOutcome outcome) {}
 
     /**
-     * Creates an attempt that is not written yet.
+     * Creates an attempt that has not been written yet.
      *
-     * @param deadlineNanos until when its answer is awaited, by {@link System#nanoTime}
+     * @param deadlineNanos time until which the answer is awaited, on the clock of {@link
+     *     System#nanoTime}
      */
     public DispatchedAttempt(
             ClientPresence clientPresence,
@@ -58,20 +61,24 @@
         this.deadlineNanos = deadlineNanos;
     }
 
-    /** Nobody waits for it from here on: if it is not written yet, it never will be. */
+    /**
+     * Records that the answer is no longer awaited. If the attempt has not been written yet, it
+     * never will be.
+     */
     public void abandon() {
         abandoned = true;
     }
 
-    /** Whether {@link #abandon} was called. */
+    /** Returns whether {@link #abandon} was called. */
     public boolean isAbandoned() {
         return abandoned;
     }
 
     /**
-     * It must be written by this time, or else ends so. The earliest of several times counts.
+     * Requires that the attempt is written by this time; otherwise it ends with this outcome
+     * without being written. If called several times, the earliest time applies.
      *
-     * @param nanoTime by {@link System#nanoTime}
+     * @param nanoTime time on the clock of {@link System#nanoTime}
      */
     public void requireSentBy(long nanoTime, AttemptOutcome outcome) {
         SendDeadline current = sendDeadline;
@@ -80,7 +87,10 @@
         }
     }
 
-    /** How it ends unwritten, if it must not be written any more; null where it still may be. */
+    /**
+     * Returns the outcome with which the attempt ends if it must not be written any more; null if
+     * it may still be written.
+     */
     public AttemptOutcome unsentOutcome() {
         if (abandoned) {
             return AttemptOutcome.NEVER_SENT;
@@ -91,9 +101,9 @@
     }
 
     /**
-     * Looks whether the clients of these attempts are still connected, just before the attempts are
-     * written: one may have closed while they waited for a thread or a connection. Costs one read
-     * that finds nothing for each query; to be called on the I/O thread.
+     * Checks whether the clients of these attempts are still connected, just before the attempts
+     * are written. A client may have disconnected while they waited for a thread or a connection.
+     * The check costs one read without data per query, and must be made on the I/O thread.
      */
     public static void checkClientPresence(Collection<DispatchedAttempt> attempts) {
         Set<ClientPresence> clients = new LinkedHashSet<>();
@@ -105,12 +115,12 @@
         clients.forEach(ClientPresence::check);
     }
 
-    /** How long its answer will be awaited, in ms; at least 1. */
+    /** Returns how long the answer is still awaited, in milliseconds; at least 1. */
     public long remainingMillis() {
         return Math.max(1, (deadlineNanos - System.nanoTime()) / NANOS_PER_MILLI);
     }
 
-    /** What stands before its payload in a frame. */
+    /** Returns the header of the attempt in a frame, which precedes its payload. */
     public byte[] frameHeader() {
         String header =
                 id
--- a/src/main/java/postbeam/errors/OperatorError.java
+++ b/src/main/java/postbeam/errors/OperatorError.java
@@ -1,29 +1,29 @@
 package postbeam.errors;
 
 /**
- * An error that can happen in service, in words for operators. Each package has its kinds as
- * records under one sealed interface that extends this one; log lines, commands and HTTP answers
- * all carry {@link #message}.
+ * An error that can occur in operation, described for operators. Each package declares its kinds of
+ * errors as records under one sealed interface that extends this one. Log lines, commands and HTTP
+ * responses all contain {@link #message}.
  */
 public interface OperatorError {
     /**
-     * What happened, and to what: a clause without a full stop, such as "migration 7 is not
+     * Returns what happened and to what: a clause without a full stop, such as "migration 7 is not
      * paused".
      */
     String problem();
 
     /**
-     * What an operator can do about it: a clause without a full stop, such as "wait until the node
-     * is ready".
+     * Returns what an operator can do about it: a clause without a full stop, such as "wait until
+     * the node is ready".
      */
     String remedy();
 
-    /** Problem and remedy in one line, for log, command and answer. */
+    /** Returns the problem and the remedy in one line, for logs, commands and HTTP responses. */
     default String message() {
         return problem() + "; " + remedy();
     }
 
-    /** The error as an exception without a cause. */
+    /** Returns an exception that carries this error and has no cause. */
     default OperatorErrorException toException() {
         return new OperatorErrorException(this);
     }
--- a/src/main/java/postbeam/errors/OperatorErrorException.java
+++ b/src/main/java/postbeam/errors/OperatorErrorException.java
@@ -1,27 +1,30 @@
 package postbeam.errors;
 
-/** Carries an {@link OperatorError} to where it is reported; its message is the error's. */
+/**
+ * Carries an {@link OperatorError} to the place where it is reported. The message of the exception
+ * is that of the error.
+ */
 public class OperatorErrorException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final transient OperatorError error;
 
-    /** An error without an underlying exception. */
+    /** Creates an exception without a cause. */
     public OperatorErrorException(OperatorError error) {
         this(error, null);
     }
 
     /**
-     * An error that another exception caused.
+     * Creates an exception with a cause.
      *
-     * @param cause null where there is none
+     * @param cause the exception that caused the error; null if there is none
      */
     public OperatorErrorException(OperatorError error, Throwable cause) {
         super(error.message(), cause);
         this.error = error;
     }
 
-    /** What went wrong. */
+    /** Returns the error that this exception carries. */
     public OperatorError error() {
         return error;
     }
--- a/src/main/java/postbeam/model/Attempt.java
+++ b/src/main/java/postbeam/model/Attempt.java
@@ -4,19 +4,22 @@
 
 /** One attempt to execute a shard request at a data node. */
 public final class Attempt {
-    /** The shard request that was sent. */
+    /** The shard request that this attempt executes. */
     public final ShardRequest shardRequest;
 
-    /** The node that it was sent to. */
+    /** The data node that the attempt was sent to. */
     public final DataNode node;
 
-    /** When it was sent. */
+    /** Time at which the attempt was sent. */
     public final Duration sentAt;
 
-    /** How long its outcome is awaited; null for the client's deadline. */
+    /**
+     * Time after the sending for which the outcome is awaited; null if it is awaited until the
+     * client's deadline.
+     */
     public final Duration timeout;
 
-    /** Its index among the attempts of the shard request. */
+    /** Index of this attempt among the attempts of the shard request, from 0. */
     public final int index;
 
     private Duration sendDeadline;
@@ -24,7 +27,10 @@
     private boolean cancellationRequested;
     private boolean ended;
 
-    /** Creates an attempt and registers it as in flight with its shard request and its node. */
+    /**
+     * Creates an attempt and registers it as in flight with its shard request and its node. A null
+     * timeout means until the client's deadline.
+     */
     public Attempt(ShardRequest shardRequest, DataNode node, Duration sentAt, Duration timeout) {
         this.shardRequest = shardRequest;
         this.node = node;
@@ -35,45 +41,48 @@
         node.add(this);
     }
 
-    /** Time after which it must not be sent; null for no limit. */
+    /** Returns the time after which the attempt must not be sent; null if there is no limit. */
     public Duration sendDeadline() {
         return sendDeadline;
     }
 
-    /** Sets the time after which it must not be sent; null for no limit. */
+    /** Sets the time after which the attempt must not be sent; null if there is no limit. */
     public void setSendDeadline(Duration sendDeadline) {
         this.sendDeadline = sendDeadline;
     }
 
     /**
-     * Whether it is a canary: sent before its query's other requests, to find out whether the query
-     * crashes nodes.
+     * Returns whether the attempt is a canary: sent before the other requests of its query, to find
+     * out whether the query crashes data nodes.
      */
     public boolean isCanary() {
         return canary;
     }
 
-    /** Marks it as a canary. */
+    /** Marks the attempt as a canary. */
     public void markCanary() {
         canary = true;
     }
 
-    /** Whether its cancellation was requested. */
+    /** Returns whether cancellation of the attempt was requested. */
     public boolean isCancellationRequested() {
         return cancellationRequested;
     }
 
-    /** Records that its cancellation was requested. */
+    /** Records that cancellation of the attempt was requested. */
     public void requestCancellation() {
         cancellationRequested = true;
     }
 
-    /** Whether its outcome is known. */
+    /** Returns whether the outcome of the attempt is known. */
     public boolean hasEnded() {
         return ended;
     }
 
-    /** Records that its outcome is known, and removes it from what is in flight. */
+    /**
+     * Records that the outcome is known, and removes the attempt from those in flight at its shard
+     * request and its node.
+     */
     public void end() {
         ended = true;
         shardRequest.remove(this);
--- a/src/main/java/postbeam/model/AttemptOutcome.java
+++ b/src/main/java/postbeam/model/AttemptOutcome.java
@@ -1,34 +1,34 @@
 package postbeam.model;
 
-/** The outcome of an attempt. */
+/** Outcome of an attempt. */
 public enum AttemptOutcome {
-    /** The node answered. */
+    /** The data node answered. */
     SUCCESS(false),
-    /** The node failed, or its answer could not be read. */
+    /** The data node reported a failure, or its answer could not be read. */
     ERROR(false),
-    /** The node rejected it for lack of capacity. */
+    /** The data node rejected the attempt for lack of capacity. */
     OVERLOADED(true),
-    /** No answer came in time. */
+    /** No answer arrived in time. */
     TIMEOUT(false),
-    /** No connection to the node could be opened. */
+    /** No connection to the data node could be opened. */
     UNREACHABLE(true),
-    /** The connection failed after the attempt was sent. */
+    /** The connection failed after the attempt had been sent. */
     RESET(false),
-    /** The router cancelled it. */
+    /** The router cancelled the attempt. */
     CANCELLED(false),
-    /** It was never sent. */
+    /** The attempt was never sent. */
     NEVER_SENT(true),
-    /** The node does not hold the slice. */
+    /** The data node does not hold the requested slice. */
     MOVED(true);
 
-    /** Whether this outcome proves that the request was not executed. */
+    /** Whether this outcome proves that the data node did not execute the request. */
     public final boolean provesNotExecuted;
 
     AttemptOutcome(boolean provesNotExecuted) {
         this.provesNotExecuted = provesNotExecuted;
     }
 
-    /** Whether the router stopped waiting without any response. */
+    /** Returns whether the router stopped waiting before it received any response. */
     public boolean isAbandoned() {
         return this == TIMEOUT || this == CANCELLED;
     }
--- a/src/main/java/postbeam/model/CellPlacement.java
+++ b/src/main/java/postbeam/model/CellPlacement.java
@@ -5,19 +5,25 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Fixed placement: a shard is held by the nodes of its cell and of the cells after it. */
+/**
+ * Fixed placement of shards on cells of data nodes: a shard is held by the nodes of its own cell
+ * and of the cells that follow it.
+ */
 public final class CellPlacement implements ReplicaPlacement {
     private final List<List<DataNode>> nodesByCell = new ArrayList<>();
 
-    /** The ordered replicas of each cell's shards; null where they must be recomputed. */
+    /**
+     * Ordered replicas of the shards of each cell; null for a cell whose replicas must be
+     * recomputed.
+     */
     private final List<List<DataNode>> replicasByCell = new ArrayList<>();
 
     private final int replicationFactor;
     private Comparator<DataNode> order;
 
     /**
-     * Creates a placement with this number of cells, of which {@code replicationFactor} consecutive
-     * ones hold a shard.
+     * Creates a placement on this number of cells, in which {@code replicationFactor} consecutive
+     * cells hold each shard.
      */
     public CellPlacement(int cellCount, int replicationFactor) {
         for (int i = 0; i < cellCount; i++) {
@@ -77,7 +83,7 @@
         return replicationFactor;
     }
 
-    /** Always null: shards do not move. */
+    /** Returns null, as shards never move in this placement. */
     @Override
     public Duration acquiredAt(int shard, DataNode node) {
         return null;
--- a/src/main/java/postbeam/model/Cluster.java
+++ b/src/main/java/postbeam/model/Cluster.java
@@ -6,62 +6,67 @@
 import java.util.List;
 import java.util.Set;
 
-/** The data nodes of the endpoint list and the placement of shards on them. */
+/** The data nodes in the endpoint list and the placement of shards on them. */
 public final class Cluster {
     private final ReplicaPlacement placement;
     private final Set<DataNode> nodes = new LinkedHashSet<>();
 
-    /** Creates a cluster without nodes whose shards are placed by cell. */
+    /** Creates a cluster without nodes, in which shards are placed by cell. */
     public Cluster(int cellCount, int replicationFactor) {
         this(new CellPlacement(cellCount, replicationFactor));
     }
 
-    /** Creates a cluster without nodes with this placement. */
+    /** Creates a cluster without nodes, in which shards are placed by {@code placement}. */
     public Cluster(ReplicaPlacement placement) {
         this.placement = placement;
     }
 
-    /** Sets the order of replica lists; equal nodes keep the order of the placement. */
+    /**
+     * Sets the order of replica lists. Nodes that compare as equal keep the order of the placement.
+     */
     public void setReplicaOrder(Comparator<DataNode> order) {
         placement.setReplicaOrder(order);
     }
 
-    /** Adds a node that has been listed. */
+    /** Adds a node that has appeared in the endpoint list. */
     public void add(DataNode node) {
         nodes.add(node);
         placement.add(node);
     }
 
-    /** Removes a node that is no longer listed. */
+    /** Removes a node that has disappeared from the endpoint list. */
     public void remove(DataNode node) {
         nodes.remove(node);
         placement.remove(node);
     }
 
-    /** Whether the node is listed. */
+    /** Returns whether the node is in the endpoint list. */
     public boolean contains(DataNode node) {
         return nodes.contains(node);
     }
 
-    /** Number of listed nodes. */
+    /** Returns the number of nodes in the endpoint list. */
     public int size() {
         return nodes.size();
     }
 
     /**
-     * The listed nodes that hold the shard, in order; a list not to be modified, empty if there are
-     * none.
+     * Returns the nodes in the endpoint list that hold the shard, in replica order. The list is
+     * empty if there are none; it must not be modified.
      */
     public List<DataNode> replicas(int shard) {
         return placement.replicas(shard);
     }
 
-    /** Number of nodes that hold a shard, on average and rounded up; at least 1. */
+    /** Returns the number of nodes that hold a shard, on average and rounded up; at least 1. */
     public int replicationFactor() {
         return placement.replicationFactor();
     }
 
-    /** When the node acquired the shard from another; null if not known or long ago. */
+    /**
+     * Returns the time at which the node acquired the shard from another node; null if that is not
+     * known or long ago.
+     */
     public Duration acquiredAt(int shard, DataNode node) {
         return placement.acquiredAt(shard, node);
     }
--- a/src/main/java/postbeam/model/CompletenessRule.java
+++ b/src/main/java/postbeam/model/CompletenessRule.java
@@ -3,19 +3,22 @@
 import java.util.function.Predicate;
 
 /**
- * Rule for the weight of a query's requests after slices were split or merged since the client
- * named them.
+ * Computes the weight of a query's requests when slices have been split or merged since the client
+ * named them, so that requests and the client's slices no longer correspond.
  */
 public interface CompletenessRule {
     /**
-     * The weight, from 0 to {@link #totalWeight}, of the requests that match, in terms of one
-     * layout.
+     * Returns the weight of the requests that match the condition, from 0 to {@link #totalWeight}.
+     * All of it is counted in the slices of one layout.
      */
     double weight(Query query, Predicate<ShardRequest> condition);
 
-    /** The sum of the weights that the client named. */
+    /** Returns the sum of the weights that the client stated. */
     double totalWeight();
 
-    /** How many weights the client named: each adds a floating-point error to sums. */
+    /**
+     * Returns the number of weights that the client stated. Each of them adds a floating-point
+     * error to sums.
+     */
     int weightCount();
 }
--- a/src/main/java/postbeam/model/DataNode.java
+++ b/src/main/java/postbeam/model/DataNode.java
@@ -6,19 +6,19 @@
 import java.util.Set;
 
 /**
- * A data node as one router knows it: its location, its state in the endpoint list, and the
+ * A data node as one router knows it: its location, its state in the endpoint list, and its
  * attempts in flight.
  */
 public final class DataNode {
-    /** Number of its cell, where shards are placed by cell. */
+    /** Number of the node's cell, used if shards are placed by cell. */
     public final int cell;
 
-    /** Its zone. */
+    /** Zone that the node is in. */
     public final Zone zone;
 
     private final Set<Attempt> inFlight = new LinkedHashSet<>();
 
-    /** The attempts without an outcome, oldest first; an unmodifiable view. */
+    /** Attempts whose outcome is not known yet, oldest first; an unmodifiable view. */
     public final Set<Attempt> attemptsInFlight = Collections.unmodifiableSet(inFlight);
 
     private Readiness readiness = Readiness.READY;
@@ -31,36 +31,42 @@
         this.zone = zone;
     }
 
-    /** Its state in the endpoint list. */
+    /** Returns the state of the node in the endpoint list. */
     public Readiness readiness() {
         return readiness;
     }
 
-    /** When it last started according to the endpoint list; null if not known or long ago. */
+    /**
+     * Returns the time of the node's last start according to the endpoint list; null if it is not
+     * known or long ago.
+     */
     public Duration startedAt() {
         return startedAt;
     }
 
-    /** Sets its state in the endpoint list. */
+    /** Sets the state and the start time of the node in the endpoint list. */
     public void update(Readiness readiness, Duration startedAt) {
         this.readiness = readiness;
         this.startedAt = startedAt;
     }
 
     /**
-     * The routing policy's state of this node, opaque to all others; null before the node was
-     * listed.
+     * Returns the state that the routing policy keeps for this node; null until the node has been
+     * in the endpoint list. Only the policy interprets it.
      */
     public Object policyState() {
         return policyState;
     }
 
-    /** Sets the routing policy's state; called once, by the policy. */
+    /** Sets the state that the routing policy keeps for this node. The policy calls this once. */
     public void attachPolicyState(Object state) {
         policyState = state;
     }
 
-    /** Number of batches in flight: attempts sent at the same time share a batch. */
+    /**
+     * Returns the number of batches in flight. Attempts that were sent at the same time form one
+     * batch.
+     */
     public int batchesInFlight() {
         int batches = 0;
         Duration lastSentAt = null;
@@ -73,7 +79,7 @@
         return batches;
     }
 
-    /** The oldest attempt in flight; null if there is none. */
+    /** Returns the oldest attempt in flight; null if there is none. */
     public Attempt oldestAttemptInFlight() {
         return inFlight.isEmpty() ? null : inFlight.iterator().next();
     }
--- a/src/main/java/postbeam/model/Durations.java
+++ b/src/main/java/postbeam/model/Durations.java
@@ -8,22 +8,22 @@
 
     private Durations() {}
 
-    /** The shorter of two durations. */
+    /** Returns the shorter of two durations. */
     public static Duration min(Duration a, Duration b) {
         return a.compareTo(b) < 0 ? a : b;
     }
 
-    /** The longer of two durations. */
+    /** Returns the longer of two durations. */
     public static Duration max(Duration a, Duration b) {
         return a.compareTo(b) > 0 ? a : b;
     }
 
-    /** The duration multiplied by the factor, rounded to nanoseconds. */
+    /** Returns the duration multiplied by the factor, rounded to nanoseconds. */
     public static Duration scale(Duration duration, double factor) {
         return Duration.ofNanos(Math.round(duration.toNanos() * factor));
     }
 
-    /** The duration in seconds. */
+    /** Returns the duration in seconds. */
     public static double seconds(Duration duration) {
         return duration.toNanos() / NANOS_PER_SECOND;
     }
--- a/src/main/java/postbeam/model/Query.java
+++ b/src/main/java/postbeam/model/Query.java
@@ -9,22 +9,25 @@
 
 /** A query that this router has accepted, with its shard requests and its progress. */
 public final class Query {
-    /** Its tenant; null if the deployment has no tenants. */
+    /** Tenant of the query; null if the deployment has no tenants. */
     public final Tenant tenant;
 
-    /** When it arrived at this router. */
+    /** Time at which the query arrived at this router. */
     public final Duration arrivedAt;
 
-    /** When its client stops waiting. */
+    /** Time at which the client stops waiting. */
     public final Duration deadline;
 
     private final List<ShardRequest> requests = new ArrayList<>();
     private final List<ShardRequest> completedFirstStep = new ArrayList<>();
 
-    /** The requests of its current step; an unmodifiable view. */
+    /** Shard requests of the current step; an unmodifiable view. */
     public final List<ShardRequest> shardRequests = Collections.unmodifiableList(requests);
 
-    /** The requests of its first step once that is answered, else empty; an unmodifiable view. */
+    /**
+     * Shard requests of the first step once the second step has begun, otherwise empty; an
+     * unmodifiable view.
+     */
     public final List<ShardRequest> firstStepRequests =
             Collections.unmodifiableList(completedFirstStep);
 
@@ -38,7 +41,7 @@
     private boolean poisoned;
     private boolean overQuota;
 
-    /** Creates a query without shard requests; the tenant may be null. */
+    /** Creates a query without shard requests. The tenant may be null. */
     public Query(QueryClass queryClass, Tenant tenant, Duration arrivedAt, Duration deadline) {
         this.queryClass = queryClass;
         this.tenant = tenant;
@@ -47,110 +50,120 @@
         this.deadline = deadline;
     }
 
-    /** The class of its current step. */
+    /** Returns the class of the current step. */
     public QueryClass queryClass() {
         return queryClass;
     }
 
-    /** When its client first sent it, as far as known: before its arrival if this is a retry. */
+    /**
+     * Returns the time at which the client first sent the query, as far as it is known. It is
+     * before the arrival if the query is a client retry.
+     */
     public Duration firstRequestedAt() {
         return firstRequestedAt;
     }
 
-    /** Sets when its client first sent it. */
+    /** Sets the time at which the client first sent the query. */
     public void setFirstRequestedAt(Duration firstRequestedAt) {
         this.firstRequestedAt = firstRequestedAt;
     }
 
-    /** When its latency objective passes. */
+    /** Returns the time at which the latency objective passes. */
     public Duration sloDeadline() {
         return firstRequestedAt.plus(queryClass.latencyObjective);
     }
 
-    /** Whether its client marks it as a retry. */
+    /** Returns whether the client marked the query as a retry. */
     public boolean isClientRetry() {
         return clientRetry;
     }
 
-    /** Records that its client marks it as a retry. */
+    /** Records that the client marked the query as a retry. */
     public void markClientRetry() {
         clientRetry = true;
     }
 
-    /** Whether it has a final answer or its client has disconnected. */
+    /**
+     * Returns whether the query has ended: it has a final answer or its client has disconnected.
+     */
     public boolean hasEnded() {
         return ended;
     }
 
-    /** Records that it has a final answer or that its client has disconnected. */
+    /** Records that the query has a final answer or that its client has disconnected. */
     public void end() {
         ended = true;
     }
 
-    /** Whether the replica offset of its current step is chosen. */
+    /** Returns whether a replica offset has been chosen for the current step. */
     public boolean hasReplicaOffset() {
         return replicaOffset >= 0;
     }
 
-    /** Index in its shards' replica lists at which its requests start. */
+    /**
+     * Returns the index in the replica lists of the shards from which replicas are tried; negative
+     * if none has been chosen.
+     */
     public int replicaOffset() {
         return replicaOffset;
     }
 
-    /** Sets the replica offset of its current step. */
+    /** Sets the replica offset of the current step. */
     public void setReplicaOffset(int offset) {
         replicaOffset = offset;
     }
 
     /**
-     * The rule for its weights after slices were split or merged; null if each request counts by
-     * itself.
+     * Returns the rule that computes the weights of requests after slices were split or merged;
+     * null if the weight of each request counts as it is.
      */
     public CompletenessRule completenessRule() {
         return completenessRule;
     }
 
-    /** Sets the rule for its weights. */
+    /** Sets the rule that computes the weights of requests. */
     public void setCompletenessRule(CompletenessRule rule) {
         completenessRule = rule;
     }
 
-    /** Number of its attempts whose connection was reset. */
+    /** Returns the number of attempts of this query whose connection was reset. */
     public int resetCount() {
         return resetCount;
     }
 
-    /** Records that the connection of one of its attempts was reset. */
+    /** Records that the connection of an attempt of this query was reset. */
     public void recordReset() {
         resetCount++;
     }
 
-    /** Whether it is suspected of crashing nodes. */
+    /** Returns whether the query is suspected of crashing data nodes. */
     public boolean isPoisoned() {
         return poisoned;
     }
 
-    /** Records that it is suspected of crashing nodes. */
+    /** Records that the query is suspected of crashing data nodes. */
     public void markPoisoned() {
         poisoned = true;
     }
 
-    /** Whether it exceeds its tenant's quota. */
+    /** Returns whether the query exceeded its tenant's quota when it arrived. */
     public boolean isOverQuota() {
         return overQuota;
     }
 
-    /** Records that it exceeds its tenant's quota. */
+    /** Records that the query exceeds its tenant's quota. */
     public void markOverQuota() {
         overQuota = true;
     }
 
-    /** The weight of the answered requests, from 0 to {@link #totalWeight}. */
+    /** Returns the weight of the answered requests, from 0 to {@link #totalWeight}. */
     public double answeredWeight() {
         return weightOf(ShardRequest::isAnswered);
     }
 
-    /** The weight of the requests that match, from 0 to {@link #totalWeight}. */
+    /**
+     * Returns the weight of the requests that match the condition, from 0 to {@link #totalWeight}.
+     */
     public double weightOf(Predicate<ShardRequest> condition) {
         return completenessRule == null
                 ? sumOfWeights(condition)
@@ -158,8 +171,8 @@
     }
 
     /**
-     * The weight of all requests of its current step. Clients may write weights with few digits, so
-     * that this is only about 1.
+     * Returns the weight of all requests of the current step. This is only approximately 1, as
+     * clients may write weights with few digits.
      */
     public double totalWeight() {
         return completenessRule == null
@@ -178,8 +191,9 @@
     }
 
     /**
-     * Whether the requests that match make up this share of its weight. A share of 1 takes all
-     * requests, whatever they weigh; a lower one may be missed by floating-point error only.
+     * Returns whether the requests that match the condition make up this share of the total weight.
+     * A share of 1 requires all requests, whatever their weights. The weight for a smaller share
+     * may fall short only by a floating-point error.
      */
     public boolean isCoveredBy(Predicate<ShardRequest> condition, double share) {
         return requiresAllRequests(share)
@@ -191,7 +205,10 @@
         return share >= 1 || totalWeight() <= 0;
     }
 
-    /** The weight that the requests that match lack to this share, less floating-point error. */
+    /**
+     * Returns the weight by which the requests that match the condition fall short of this share,
+     * less the floating-point error.
+     */
     private double missingWeight(Predicate<ShardRequest> condition, double share) {
         double total = totalWeight();
         int summands =
@@ -200,14 +217,14 @@
     }
 
     /**
-     * Bound of the floating-point error of a comparison of two sums, one of them multiplied: half
-     * an ulp for each decimal weight, addition and product.
+     * Returns a bound of the floating-point error in the comparison of two sums of which one is
+     * multiplied: half an ulp for each decimal weight, addition and product.
      */
     private static double roundingError(int summands, double total) {
         return (summands + 1) * Math.ulp(1.0) * total;
     }
 
-    /** Number of requests of its current step that match. */
+    /** Returns the number of requests of the current step that match the condition. */
     public int countRequests(Predicate<ShardRequest> condition) {
         int count = 0;
         for (ShardRequest request : requests) {
@@ -217,8 +234,9 @@
     }
 
     /**
-     * Number of answers still needed (alpha in the SEDPT-R paper), assuming the mean weight of the
-     * unanswered requests. It is 0 only if the required weight is answered.
+     * Returns the number of answers that are still needed (alpha in the SEDPT-R paper), assuming
+     * that each unanswered request has their mean weight. It is 0 only if the required weight is
+     * answered.
      */
     public int requestsNeeded() {
         int unanswered = countRequests(request -> !request.isAnswered());
@@ -234,19 +252,19 @@
         return (int) Math.max(1, Math.min(unanswered, needed));
     }
 
-    /** Number of unanswered requests with an attempt in flight. */
+    /** Returns the number of unanswered requests with an attempt in flight. */
     public int requestsInFlight() {
         return countRequests(
                 request -> !request.isAnswered() && !request.attemptsInFlight.isEmpty());
     }
 
-    /** Whether nothing has been sent for it. */
+    /** Returns whether no attempt has been sent for the query. */
     public boolean hasNotStarted() {
         return completedFirstStep.isEmpty()
                 && countRequests(request -> !request.attempts.isEmpty()) == 0;
     }
 
-    /** Starts the second step, whose requests are still to be added. */
+    /** Begins the second step. Its requests are added later. */
     public void beginSecondStep() {
         completedFirstStep.addAll(requests);
         requests.clear();
@@ -254,7 +272,7 @@
         replicaOffset = -1;
     }
 
-    /** Removes requests that have been replaced by others. */
+    /** Removes shard requests that have been replaced by others. */
     public void removeShardRequests(Collection<? extends ShardRequest> replaced) {
         requests.removeAll(replaced);
     }
--- a/src/main/java/postbeam/model/QueryClass.java
+++ b/src/main/java/postbeam/model/QueryClass.java
@@ -3,40 +3,42 @@
 import java.time.Duration;
 
 /**
- * A class of queries with its service level objective and utilities. Classes are compared by
- * identity.
+ * A class of queries with a common service level objective and common utilities. Classes are
+ * compared by identity.
  */
 public final class QueryClass {
-    /** Time from the client's first request within which an answer is on time. */
+    /** Time after the client's first request within which an answer is on time. */
     public final Duration latencyObjective;
 
-    /** Effect of executing its shard requests more than once. */
+    /** Effect of executing a shard request of the class more than once. */
     public final SideEffects sideEffects;
 
-    /** How long nodes drop duplicates of a deduplicated request; null if not configured. */
+    /**
+     * Time for which data nodes drop duplicates of a deduplicated request; null if not configured.
+     */
     public final Duration deduplicationWindow;
 
-    /** Utility of a complete answer on time. */
+    /** Utility of a complete answer that is on time. */
     public final double utility;
 
-    /** Share of the utility of an answer after the latency objective. */
+    /** Share of the utility that an answer after the latency objective earns. */
     public final double lateUtility;
 
-    /** Share of the weight required for a complete answer, from 0 to 1. */
+    /** Share of the total weight that a complete answer requires, from 0 to 1. */
     public final double requiredWeight;
 
-    /** Minimum share of the weight for a partial answer, from 0 to 1. */
+    /** Minimum share of the total weight for a partial answer, from 0 to 1. */
     public final double minimumWeight;
 
     /**
-     * Share of the utility of a partial answer, multiplied by its weight relative to the required
-     * one.
+     * Share of the utility that a partial answer earns; it is multiplied by the ratio of the
+     * answered to the required weight.
      */
     public final double partialUtility;
 
     /**
-     * The class of the second step, whose requests follow a first answer; null if there is one
-     * step.
+     * Class of the second step, whose requests the client sends after the first answer; null if
+     * queries have one step.
      */
     public final QueryClass secondStep;
 
@@ -56,12 +58,12 @@
         totalClientTimeout = builder.totalClientTimeout;
     }
 
-    /** Returns a builder of a class with this latency objective. */
+    /** Returns a builder of a class with this latency objective and these side effects. */
     public static Builder builder(Duration latencyObjective, SideEffects sideEffects) {
         return new Builder(latencyObjective, sideEffects);
     }
 
-    /** Returns a builder initialised with this class. */
+    /** Returns a builder that is initialised with this class. */
     public Builder toBuilder() {
         Builder builder = new Builder(latencyObjective, sideEffects);
         builder.deduplicationWindow = deduplicationWindow;
@@ -75,13 +77,13 @@
         return builder;
     }
 
-    /** Whether a subset of its requests makes a complete answer. */
+    /** Returns whether a subset of the requests can make a complete answer. */
     public boolean acceptsSubset() {
         return requiredWeight < 1;
     }
 
     /**
-     * Builder of query classes. By default all requests are required and late or partial answers
+     * Builder of query classes. By default, all requests are required, and late or partial answers
      * earn nothing.
      */
     public static final class Builder {
@@ -101,33 +103,36 @@
             this.sideEffects = sideEffects;
         }
 
-        /** Sets how long nodes drop duplicates; null if not configured. */
+        /** Sets the time for which data nodes drop duplicates; null if not configured. */
         public Builder deduplicationWindow(Duration window) {
             deduplicationWindow = window;
             return this;
         }
 
-        /** Sets the utility of a complete answer on time, and the share of it of a late one. */
+        /**
+         * Sets the utility of a complete answer on time, and the share of it that a late answer
+         * earns.
+         */
         public Builder utility(double onTime, double lateShare) {
             utility = onTime;
             lateUtility = lateShare;
             return this;
         }
 
-        /** Sets the shares of the weight for a complete and for a partial answer. */
+        /** Sets the shares of the total weight that a complete and a partial answer need. */
         public Builder weights(double required, double minimum) {
             requiredWeight = required;
             minimumWeight = minimum;
             return this;
         }
 
-        /** Sets the share of the utility of a partial answer. */
+        /** Sets the share of the utility that a partial answer earns. */
         public Builder partialUtility(double share) {
             partialUtility = share;
             return this;
         }
 
-        /** Sets the class of the second step; null for none. */
+        /** Sets the class of the second step; null if there is none. */
         public Builder secondStep(QueryClass second) {
             secondStep = second;
             return this;
--- a/src/main/java/postbeam/model/Readiness.java
+++ b/src/main/java/postbeam/model/Readiness.java
@@ -2,10 +2,10 @@
 
 /** State of a data node in the endpoint list. */
 public enum Readiness {
-    /** It accepts requests. */
+    /** The node accepts requests. */
     READY,
-    /** It finishes its requests and accepts no new ones. */
+    /** The node completes the requests that it has and accepts no new ones. */
     DRAINING,
-    /** It is no longer listed. */
+    /** The node is no longer in the endpoint list. */
     REMOVED
 }
--- a/src/main/java/postbeam/model/ShardRequest.java
+++ b/src/main/java/postbeam/model/ShardRequest.java
@@ -5,21 +5,23 @@
 import java.util.Collections;
 import java.util.List;
 
-/** The part of a query that is answered by one shard. */
+/** The part of a query that one shard answers. */
 public class ShardRequest {
-    /** Its query. */
+    /** Query that the request belongs to. */
     public final Query query;
 
-    /** The class of the query's step that it belongs to. */
+    /** Class of the step of the query that the request belongs to. */
     public final QueryClass queryClass;
 
-    /** The shard that answers it. */
+    /** Number of the shard that answers the request. */
     public final int shard;
 
-    /** Its weight in the query's answer, from 0 to 1. */
+    /** Weight of the request in the answer of the query, from 0 to 1. */
     public final double weight;
 
-    /** Estimated work of a node; null without a hint. */
+    /**
+     * Estimated time that a data node works on the request; null if the client gave no estimate.
+     */
     public final Duration estimatedWork;
 
     private final List<Attempt> allAttempts = new ArrayList<>();
@@ -28,7 +30,7 @@
     /** All attempts so far, oldest first; an unmodifiable view. */
     public final List<Attempt> attempts = Collections.unmodifiableList(allAttempts);
 
-    /** The attempts without an outcome, oldest first; an unmodifiable view. */
+    /** Attempts whose outcome is not known yet, oldest first; an unmodifiable view. */
     public final List<Attempt> attemptsInFlight = Collections.unmodifiableList(inFlight);
 
     private boolean answered;
@@ -45,17 +47,17 @@
         query.add(this);
     }
 
-    /** Whether it is answered. */
+    /** Returns whether the request is answered. */
     public boolean isAnswered() {
         return answered;
     }
 
-    /** Records that it is answered. */
+    /** Records that the request is answered. */
     public void markAnswered() {
         answered = true;
     }
 
-    /** Whether no further attempts are allowed. */
+    /** Returns whether no further attempts are allowed. */
     public boolean isClosed() {
         return closed;
     }
@@ -65,12 +67,15 @@
         closed = true;
     }
 
-    /** When the first attempt that may have been executed was sent; null if there is none. */
+    /**
+     * Returns the time at which the first attempt that may have been executed was sent; null if
+     * there is none.
+     */
     public Duration mayHaveExecutedSince() {
         return mayHaveExecutedSince;
     }
 
-    /** Records that an attempt sent at this time may have been executed. */
+    /** Records that an attempt that was sent at this time may have been executed. */
     public void recordPossibleExecution(Duration sentAt) {
         if (mayHaveExecutedSince == null || mayHaveExecutedSince.compareTo(sentAt) > 0) {
             mayHaveExecutedSince = sentAt;
@@ -78,8 +83,9 @@
     }
 
     /**
-     * Inherits the history of a request that this one replaces: what may have been executed for the
-     * other may have been executed for this one.
+     * Copies the history of a request that this one replaces, as a node that may have executed the
+     * other request may have executed this one. The attempts of the other request count as attempts
+     * of this one.
      */
     public void inherit(ShardRequest other) {
         inheritAttempts(other);
@@ -90,8 +96,8 @@
     }
 
     /**
-     * Counts the attempts of a request that this one replaces as its own, without the rest of its
-     * history.
+     * Counts the attempts of a request that this one replaces as attempts of this one, without the
+     * rest of its history.
      */
     public void inheritAttempts(ShardRequest other) {
         allAttempts.addAll(other.allAttempts);
--- a/src/main/java/postbeam/model/SideEffects.java
+++ b/src/main/java/postbeam/model/SideEffects.java
@@ -2,10 +2,13 @@
 
 /** Effect of executing a shard request more than once. */
 public enum SideEffects {
-    /** None: it may be sent any number of times. */
+    /** No effect: the request may be sent any number of times. */
     IDEMPOTENT,
-    /** Nodes drop duplicates within the class's deduplication window. */
+    /** Data nodes drop duplicates within the deduplication window of the query class. */
     DEDUPLICATED,
-    /** It takes effect each time: it must not be sent again if it may have been executed. */
+    /**
+     * Each execution takes effect, so that a request that may have been executed must not be sent
+     * again.
+     */
     NON_IDEMPOTENT
 }
--- a/src/main/java/postbeam/model/SlidingWindowCounter.java
+++ b/src/main/java/postbeam/model/SlidingWindowCounter.java
@@ -4,23 +4,26 @@
 import java.util.Arrays;
 
 /**
- * A sum over a sliding window, kept in a ring buffer of time buckets. As buckets expire as a whole,
- * only an upper and a lower bound of the sum over a span are known.
+ * Sum of amounts over a sliding window, kept in a ring buffer of time buckets. Buckets expire as a
+ * whole, so that only an upper and a lower bound of the sum over a span of time are known.
  */
 public final class SlidingWindowCounter {
-    /** Number of buckets per span; the bounds differ by the content of one bucket. */
+    /** Default number of buckets per span. The two bounds differ by the content of one bucket. */
     private static final int DEFAULT_BUCKETS = 50;
 
     private final long bucketNanos;
     private final double[] sums;
     private final long[] bucketNumbers;
 
-    /** Creates a counter for spans up to this one. */
+    /** Creates a counter for sums over spans up to this length. */
     public SlidingWindowCounter(Duration span) {
         this(span, DEFAULT_BUCKETS);
     }
 
-    /** Creates a counter for spans up to this one, with this number of buckets. */
+    /**
+     * Creates a counter for sums over spans up to this length, with this number of buckets per
+     * span.
+     */
     public SlidingWindowCounter(Duration span, int buckets) {
         bucketNanos = Math.max(1, span.toNanos() / buckets);
         sums = new double[buckets + 2];
@@ -28,7 +31,7 @@
         Arrays.fill(bucketNumbers, Long.MIN_VALUE);
     }
 
-    /** Adds an amount at this time; times must not decrease. */
+    /** Adds an amount at this time. Times must not decrease from call to call. */
     public void add(Duration now, double amount) {
         long bucket = Math.floorDiv(now.toNanos(), bucketNanos);
         int i = (int) Math.floorMod(bucket, (long) sums.length);
@@ -40,13 +43,17 @@
     }
 
     /**
-     * Upper bound of the sum over the span: includes all of the bucket in which the span begins.
+     * Returns an upper bound of the sum over the span that ends now; it includes all of the bucket
+     * in which the span begins.
      */
     public double upperBoundSum(Duration now, Duration span) {
         return sum(now, Math.floorDiv(now.minus(span).toNanos(), bucketNanos));
     }
 
-    /** Lower bound of the sum over the span: excludes the bucket in which the span begins. */
+    /**
+     * Returns a lower bound of the sum over the span that ends now; it excludes the bucket in which
+     * the span begins.
+     */
     public double lowerBoundSum(Duration now, Duration span) {
         return sum(now, Math.floorDiv(now.minus(span).toNanos(), bucketNanos) + 1);
     }
