--- a/src/main/java/postbeam/router/PagedAttempt.java
+++ b/src/main/java/postbeam/router/PagedAttempt.java
@@ -16,13 +16,19 @@
     private PartialPage rows;
 
     PagedAttempt(
-            ClientPresence client,
-            Attempt attempt,
+            ClientPresence clientPresence,
+            Attempt policyAttempt,
             String id,
             String headerFields,
             long deadlineNanos,
             PagedQuery pagedQuery) {
-        super(client, attempt, id, headerFields, pagedQuery.payload(), deadlineNanos);
+        super(
+                clientPresence,
+                policyAttempt,
+                id,
+                headerFields,
+                pagedQuery.payload(),
+                deadlineNanos);
         this.pagedQuery = pagedQuery;
     }
 
