--- a/src/test/java/postbeam/model/CellPlacementTest.java
+++ b/src/test/java/postbeam/model/CellPlacementTest.java
@@ -15,7 +15,7 @@
     private final DataNode third = new DataNode(2, local);
 
     @Test
-    void shardIsHeldByItsCellAndTheNextOnes() {
+    void shardIsHeldByItsOwnCellAndTheFollowingCells() {
         List.of(first, second, third).forEach(placement::add);
         assertEquals(List.of(first, second), placement.replicas(0));
         assertEquals(List.of(third, first), placement.replicas(2));
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void replicasStandInTheOrderThatWasSet() {
+    void replicasAreSortedByTheConfiguredOrder() {
         placement.setReplicaOrder(Comparator.comparing(node -> !node.zone.local));
         List.of(first, second, third).forEach(placement::add);
         assertEquals(List.of(second, first), placement.replicas(0));
--- a/src/test/java/postbeam/model/DurationsTest.java
+++ b/src/test/java/postbeam/model/DurationsTest.java
@@ -10,7 +10,7 @@
     private static final Duration LONG = Duration.ofMillis(1500);
 
     @Test
-    void shorterAndLongerOfTwo() {
+    void minAndMaxReturnTheShorterAndTheLongerDuration() {
         assertEquals(SHORT, Durations.min(LONG, SHORT));
         assertEquals(LONG, Durations.max(SHORT, LONG));
     }
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void secondsKeepFractions() {
+    void secondsIncludeFractions() {
         assertEquals(1.5, Durations.seconds(LONG));
     }
 }
--- a/src/test/java/postbeam/model/QueryTest.java
+++ b/src/test/java/postbeam/model/QueryTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void requestsNeededTakesUnansweredRequestsAtTheirMeanWeight() {
+    void requestsNeededAssumesTheMeanWeightOfUnansweredRequests() {
         Query query = query(0.5, 0.4, 0.2, 0.2, 0.2);
         assertEquals(2, query.requestsNeeded());
         query.shardRequests.get(0).markAnswered();
@@ -48,22 +48,22 @@
     }
 
     @Test
-    void inheritedAttemptsCountAsPossibleExecutions() {
+    void replacingRequestInheritsAttemptsClosingAndFirstPossibleExecution() {
         Query query = query(1, 0.5, 0.5);
-        ShardRequest old = query.shardRequests.get(0);
-        ShardRequest young = query.shardRequests.get(1);
-        new Attempt(old, new DataNode(0, new Zone(true)), START, null).end();
-        old.recordPossibleExecution(START);
-        old.close();
-        young.recordPossibleExecution(START.plusMillis(1));
-        young.inherit(old);
-        assertEquals(START, young.mayHaveExecutedSince());
-        assertTrue(young.isClosed());
-        assertEquals(old.attempts, young.attempts);
+        ShardRequest replaced = query.shardRequests.get(0);
+        ShardRequest replacement = query.shardRequests.get(1);
+        new Attempt(replaced, new DataNode(0, new Zone(true)), START, null).end();
+        replaced.recordPossibleExecution(START);
+        replaced.close();
+        replacement.recordPossibleExecution(START.plusMillis(1));
+        replacement.inherit(replaced);
+        assertEquals(START, replacement.mayHaveExecutedSince());
+        assertTrue(replacement.isClosed());
+        assertEquals(replaced.attempts, replacement.attempts);
     }
 
     @Test
-    void attemptsSentTogetherCountAsOneBatch() {
+    void attemptsSentAtTheSameTimeFormOneBatch() {
         Query query = query(1, 0.3, 0.3, 0.4);
         DataNode node = new DataNode(0, new Zone(true));
         new Attempt(query.shardRequests.get(0), node, START, null);
--- a/src/test/java/postbeam/model/QueryWeightsPropertyTest.java
+++ b/src/test/java/postbeam/model/QueryWeightsPropertyTest.java
@@ -14,7 +14,7 @@
 class QueryWeightsPropertyTest {
     private static final int CASES = 2000;
     private static final int MANY_REQUESTS = 100_000;
-    private static final double LIGHTEST_EXPONENT = -15;
+    private static final double MIN_WEIGHT_EXPONENT = -15;
 
     private final Random random = new Random(11);
 
@@ -34,11 +34,11 @@
     private double[] weights(int count) {
         double[] weights = new double[count];
         for (int i = 0; i < count; i++) {
-            weights[i] = Math.pow(10, LIGHTEST_EXPONENT * random.nextDouble());
+            weights[i] = Math.pow(10, MIN_WEIGHT_EXPONENT * random.nextDouble());
         }
-        double wantedSum = 0.995 + 0.01 * random.nextDouble();
+        double targetSum = 0.995 + 0.01 * random.nextDouble();
         double sum = Arrays.stream(weights).sum();
-        return Arrays.stream(weights).map(weight -> weight * wantedSum / sum).toArray();
+        return Arrays.stream(weights).map(weight -> weight * targetSum / sum).toArray();
     }
 
     private void answerSome(Query query) {
@@ -52,15 +52,15 @@
         return query.isCoveredBy(ShardRequest::isAnswered, query.queryClass().requiredWeight);
     }
 
-    private static BigDecimal exactWeight(Query query, boolean all) {
+    private static BigDecimal exactWeightSum(Query query, boolean includeUnanswered) {
         return query.shardRequests.stream()
-                .filter(request -> all || request.isAnswered())
+                .filter(request -> includeUnanswered || request.isAnswered())
                 .map(request -> new BigDecimal(request.weight))
                 .reduce(BigDecimal.ZERO, BigDecimal::add);
     }
 
     @Test
-    void allRequestsAreNeededWhateverTheyWeigh() {
+    void shareOfOneRequiresAllRequestsWhateverTheirWeights() {
         for (int i = 0; i < CASES; i++) {
             Query query = query(1, weights(1 + random.nextInt(20)));
             answerSome(query);
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void oneOfManyRequestsIsMissed() {
+    void shareOfOneIsIncompleteWithoutOneOfManyRequests() {
         Query query = query(1, weights(MANY_REQUESTS));
         query.shardRequests.subList(1, MANY_REQUESTS).forEach(ShardRequest::markAnswered);
         assertFalse(isComplete(query));
@@ -85,8 +85,8 @@
             int count = 1 + random.nextInt(20);
             Query query = query(share, weights(count));
             answerSome(query);
-            BigDecimal required = new BigDecimal(share).multiply(exactWeight(query, true));
-            BigDecimal missing = required.subtract(exactWeight(query, false));
+            BigDecimal required = new BigDecimal(share).multiply(exactWeightSum(query, true));
+            BigDecimal missing = required.subtract(exactWeightSum(query, false));
             // Twice the error that is allowed for: it is made before the allowance and after it.
             double roundingError = 2 * (count + 2) * Math.ulp(1.0);
             if (missing.signum() <= 0) {
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void equalRequestsCountByTheirNumber() {
+    void shareOfRequestsWithEqualWeightsIsReachedByTheirNumber() {
         for (int count : new int[] {1, 2, 3, 7, 9, 12, 100, 1000, MANY_REQUESTS}) {
             // As written with few digits, as many as the codec accepts.
             double weight = Math.round(1e8 / count) / 1e8;
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void nothingIsOutOfReachWhileAllMayCome() {
+    void allRequestsTogetherCoverEveryShare() {
         for (int i = 0; i < CASES; i++) {
             double share = i % 10 == 0 ? 1 : random.nextDouble();
             Query query = query(share, weights(1 + random.nextInt(200)));
@@ -131,7 +131,7 @@
     }
 
     @Test
-    void requestsWithoutWeightAreAllNeeded() {
+    void requestsWithZeroWeightAreAllNeeded() {
         Query query = query(0.5, 0, 0);
         assertFalse(isComplete(query));
         assertEquals(2, query.requestsNeeded());
--- a/src/test/java/postbeam/model/SlidingWindowCounterTest.java
+++ b/src/test/java/postbeam/model/SlidingWindowCounterTest.java
@@ -15,7 +15,7 @@
     }
 
     @Test
-    void boundsDifferByTheBucketInWhichTheSpanBegins() {
+    void upperAndLowerBoundDifferByTheBucketInWhichTheSpanBegins() {
         counter.add(ms(150), 1);
         counter.add(ms(900), 2);
         assertEquals(3, counter.upperBoundSum(ms(1120), SPAN));
--- a/src/test/java/postbeam/policy/AdmissionControlTest.java
+++ b/src/test/java/postbeam/policy/AdmissionControlTest.java
@@ -14,25 +14,25 @@
 
 class AdmissionControlTest {
     @Test
-    void tenantIsOverQuotaOnlyAheadOfTheOthers() {
+    void tenantIsOverQuotaOnlyIfFurtherAheadOfItsQuotaThanTheAverage() {
         AdmissionControl admission = new AdmissionControl(100, 1, 0.1, null);
-        Tenant loud = new Tenant(1.0);
-        Tenant quiet = new Tenant(9.0);
+        Tenant smallQuota = new Tenant(1.0);
+        Tenant largeQuota = new Tenant(9.0);
         for (int i = 0; i < 12; i++) {
-            admission.recordAndCheckQuota(ms(i), quiet);
+            admission.recordAndCheckQuota(ms(i), largeQuota);
         }
-        assertFalse(admission.recordAndCheckQuota(ms(20), loud));
+        assertFalse(admission.recordAndCheckQuota(ms(20), smallQuota));
         for (int i = 0; i < 10; i++) {
-            admission.recordAndCheckQuota(ms(21), loud);
+            admission.recordAndCheckQuota(ms(21), smallQuota);
         }
-        assertTrue(admission.recordAndCheckQuota(ms(30), loud));
-        assertFalse(admission.recordAndCheckQuota(ms(30), quiet));
-        AdmissionControl oneOfTen = new AdmissionControl(100, 10, 0.1, null);
-        assertFalse(oneOfTen.recordAndCheckQuota(ms(0), new Tenant(1.0)));
+        assertTrue(admission.recordAndCheckQuota(ms(30), smallQuota));
+        assertFalse(admission.recordAndCheckQuota(ms(30), largeQuota));
+        AdmissionControl oneOfTenRouters = new AdmissionControl(100, 10, 0.1, null);
+        assertFalse(oneOfTenRouters.recordAndCheckQuota(ms(0), new Tenant(1.0)));
     }
 
     @Test
-    void crowdedRouterTellsRejectedClientsToWait() {
+    void retryAfterIsSetOnceTheRouterIsNearCapacity() {
         AdmissionControl admission = new AdmissionControl(4, 1, 0.1, ms(200));
         Query query = new Query(PolicyFixture.idempotent(), null, ms(0), ms(6000));
         admission.updateLoad(List.of(query));
--- a/src/test/java/postbeam/policy/AnswerCompletenessTest.java
+++ b/src/test/java/postbeam/policy/AnswerCompletenessTest.java
@@ -56,8 +56,8 @@
     /** Guards against a complete mark without a request that weighs less than a tolerance. */
     @ParameterizedTest
     @ValueSource(doubles = {4e-5, 1e-5, 1e-9, 1e-12, 1e-15})
-    void answerWithoutItsLightRequestIsNotComplete(double light) {
-        start(PolicyFixture.idempotent(), 1 - light, light);
+    void answerWithoutARequestOfSmallWeightIsNotComplete(double smallWeight) {
+        start(PolicyFixture.idempotent(), 1 - smallWeight, smallWeight);
         answer(0);
         assertEquals(List.of(), fixture.endings);
         answer(1);
@@ -66,7 +66,7 @@
 
     /** Guards against the same where a lower share is enough for a partial answer. */
     @Test
-    void answerAboveItsFloorWithoutItsLightRequestIsNotComplete() {
+    void answerAboveMinimumWeightWithoutARequestOfSmallWeightIsNotComplete() {
         start(PolicyFixture.queryClass(SideEffects.IDEMPOTENT, 1, 0.5), 1 - 1e-6, 1e-6);
         answer(0);
         assertEquals(List.of(), fixture.endings);
@@ -84,7 +84,7 @@
 
     /** Guards against a partial answer that reaches its minimum weight by rounding only. */
     @Test
-    void partialAnswerBelowItsMinimumWeightIsNotGiven() {
+    void queryJustBelowItsMinimumWeightGetsNoPartialAnswer() {
         start(PolicyFixture.queryClass(SideEffects.IDEMPOTENT, 1, 0.5), 0.49999, 0.50001);
         answer(0);
         fixture.policy.onBatchEnd(PolicyFixture.DEADLINE.minus(ms(10)));
@@ -94,7 +94,7 @@
     /** Guards against queries rejected for weights that the codec lets in. */
     @ParameterizedTest
     @ValueSource(doubles = {0.3333, 0.333, 0.3349, 0.332})
-    void queryWhoseWeightsDoNotAddUpToOneIsCompleteWithAllRequests(double weight) {
+    void queryWhoseWeightsDoNotSumToOneIsCompleteWithAllRequests(double weight) {
         start(PolicyFixture.idempotent(), equalWeights(3, weight));
         assertEquals(List.of(), fixture.endings);
         answer(0);
@@ -107,7 +107,7 @@
     /** Guards against subsets that are never complete for weights that the codec lets in. */
     @ParameterizedTest
     @ValueSource(doubles = {0.3333, 0.333, 0.3349, 0.332})
-    void subsetOfWeightsThatDoNotAddUpToOneIsComplete(double weight) {
+    void subsetIsCompleteIfTheWeightsDoNotSumToOne(double weight) {
         start(PolicyFixture.queryClass(SideEffects.IDEMPOTENT, 2.0 / 3), equalWeights(3, weight));
         answer(0);
         assertEquals(List.of(), fixture.endings);
@@ -117,7 +117,7 @@
 
     /** Guards against a needed request that is never sent as it is counted as answered. */
     @Test
-    void requestThatIsNeededForLittleWeightIsSent() {
+    void requestIsSentIfOnlyASmallWeightIsMissing() {
         Query query =
                 arrive(PolicyFixture.queryClass(SideEffects.IDEMPOTENT, 0.5), 0.49999, 0.50001);
         query.shardRequests.get(0).markAnswered();
--- a/src/test/java/postbeam/policy/AttemptCancellerTest.java
+++ b/src/test/java/postbeam/policy/AttemptCancellerTest.java
@@ -17,7 +17,7 @@
     private final Attempt attempt = new Attempt(request, fixture.nodes.get(0), ms(0), null);
 
     @Test
-    void attemptIsCancelledOnce() {
+    void attemptIsCancelledOnceByRepeatedCalls() {
         AttemptCanceller canceller =
                 new AttemptCanceller(fixture, new AttemptLimits(3, true, true, true, 1));
         canceller.cancelAttempts(request);
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void nothingIsCancelledWhereThatIsNotAllowed() {
+    void noAttemptIsCancelledIfCancellationIsNotAllowed() {
         AttemptCanceller canceller =
                 new AttemptCanceller(fixture, new AttemptLimits(3, true, false, true, 1));
         canceller.cancelAttempts(request);
--- a/src/test/java/postbeam/policy/CanaryPolicyTest.java
+++ b/src/test/java/postbeam/policy/CanaryPolicyTest.java
@@ -16,45 +16,45 @@
     private final QueryClass idempotent = PolicyFixture.idempotent();
 
     /** The endpoint list tells that the last two of so many nodes have died. */
-    private static PolicyFixture withCrashes(int nodes) {
-        PolicyFixture fixture = new PolicyFixture(nodes, true);
-        for (int i = nodes - 2; i < nodes; i++) {
+    private static PolicyFixture withCrashes(int nodeCount) {
+        PolicyFixture fixture = new PolicyFixture(nodeCount, true);
+        for (int i = nodeCount - 2; i < nodeCount; i++) {
             fixture.policy.onNodeUpdate(ms(0), fixture.nodes.get(i), Readiness.REMOVED, null);
         }
         return fixture;
     }
 
     @Test
-    void whileNodesCrashOneRequestGoesAheadUntilItIsAnswered() {
-        PolicyFixture crashing = withCrashes(6);
-        crashing.start(idempotent, 4);
-        assertEquals(1, crashing.sent.size());
-        crashing.end(ms(100), crashing.sent.get(0), AttemptOutcome.SUCCESS);
-        crashing.policy.onBatchEnd(ms(100));
-        assertEquals(4, crashing.sent.size());
-        Query later = crashing.start(ms(11_000), idempotent, 4);
+    void whileNodesCrashOneRequestIsSentAsCanaryUntilItIsAnswered() {
+        PolicyFixture crashingNodes = withCrashes(6);
+        crashingNodes.start(idempotent, 4);
+        assertEquals(1, crashingNodes.sent.size());
+        crashingNodes.end(ms(100), crashingNodes.sent.get(0), AttemptOutcome.SUCCESS);
+        crashingNodes.policy.onBatchEnd(ms(100));
+        assertEquals(4, crashingNodes.sent.size());
+        Query later = crashingNodes.start(ms(11_000), idempotent, 4);
         assertEquals(4, later.requestsInFlight(), "crashes are forgotten");
     }
 
     @Test
-    void queryThatLostItsCanaryIsGivenUpAndOneThatMetACrashIsNot() {
-        PolicyFixture crashing = withCrashes(8);
-        Query query = crashing.start(idempotent, 4);
-        crashing.end(ms(50), crashing.sent.get(0), AttemptOutcome.RESET);
-        crashing.policy.onBatchEnd(ms(50));
+    void queryIsRejectedAfterAResetOfItsCanaryButNotAfterAResetOfAnOrdinaryAttempt() {
+        PolicyFixture crashingNodes = withCrashes(8);
+        Query query = crashingNodes.start(idempotent, 4);
+        crashingNodes.end(ms(50), crashingNodes.sent.get(0), AttemptOutcome.RESET);
+        crashingNodes.policy.onBatchEnd(ms(50));
         assertTrue(query.hasEnded());
-        assertEquals(List.of("rejected"), crashing.endings);
-        Query one = fixture.start(idempotent, 1);
+        assertEquals(List.of("rejected"), crashingNodes.endings);
+        Query single = fixture.start(idempotent, 1);
         fixture.end(ms(50), fixture.sent.get(0), AttemptOutcome.RESET);
         fixture.policy.onBatchEnd(ms(50));
         assertEquals(2, fixture.sent.size());
         fixture.end(ms(100), fixture.sent.get(1), AttemptOutcome.RESET);
         fixture.policy.onBatchEnd(ms(100));
-        assertTrue(one.hasEnded());
+        assertTrue(single.hasEnded());
     }
 
     @Test
-    void removalOfADrainedNodeIsNoCrash() {
+    void removalOfADrainingNodeIsNotCountedAsACrash() {
         for (int i = 1; i < 3; i++) {
             fixture.policy.onNodeUpdate(ms(0), fixture.nodes.get(i), Readiness.DRAINING, null);
             fixture.policy.onNodeUpdate(ms(0), fixture.nodes.get(i), Readiness.REMOVED, null);
--- a/src/test/java/postbeam/policy/ClientRetryEstimatorTest.java
+++ b/src/test/java/postbeam/policy/ClientRetryEstimatorTest.java
@@ -17,19 +17,19 @@
             PolicyFixture.idempotent().toBuilder().totalClientTimeout(DEADLINE).build();
 
     @Test
-    void objectiveOfAClientRetryCountsFromItsFirstRequestWhereItHasTheRestOfTheClientsTime() {
+    void objectiveOfAClientRetryWithAShorterTimeoutCountsFromItsFirstRequest() {
         Query first = fixture.start(queryClass, 1);
         assertEquals(OBJECTIVE, first.sloDeadline());
         fixture.end(ms(10), fixture.sent.get(0), AttemptOutcome.SUCCESS);
-        Query withTheRest = retry(ms(100), ms(3000));
+        Query withShorterTimeout = retry(ms(100), ms(3000));
         assertEquals(
                 ms(3100).minus(DEADLINE).plus(OBJECTIVE),
-                withTheRest.sloDeadline(),
+                withShorterTimeout.sloDeadline(),
                 "it has been 3 s since the first");
-        Query withFullTime = retry(ms(100), DEADLINE);
+        Query withFullTimeout = retry(ms(100), DEADLINE);
         assertEquals(
                 ms(100).plus(OBJECTIVE),
-                withFullTime.sloDeadline(),
+                withFullTimeout.sloDeadline(),
                 "how long ago it first came is not told");
     }
 
--- a/src/test/java/postbeam/policy/CompletionForecastTest.java
+++ b/src/test/java/postbeam/policy/CompletionForecastTest.java
@@ -17,35 +17,35 @@
     private final QueryClass idempotent = PolicyFixture.idempotent();
 
     @Test
-    void queryIsNotHopelessWhereHalfOfTheNodesAreSlow() {
-        PolicyFixture four = new PolicyFixture(4, true);
-        four.policy.modules().latencies.setBaseline(idempotent, ms(100));
+    void queryIsStartedWhileHalfOfTheNodesAreSlow() {
+        PolicyFixture fourNodes = new PolicyFixture(4, true);
+        fourNodes.policy.modules().latencies.setBaseline(idempotent, ms(100));
         for (int i = 0; i < 4; i++) {
-            four.start(idempotent, 1);
+            fourNodes.start(idempotent, 1);
         }
         for (int i = 0; i < 4; i++) {
-            four.end(ms(i < 2 ? 100 : 1500), four.sent.get(i), AttemptOutcome.SUCCESS);
+            fourNodes.end(ms(i < 2 ? 100 : 1500), fourNodes.sent.get(i), AttemptOutcome.SUCCESS);
         }
-        four.start(ms(1500), idempotent, 1);
-        Query query = four.start(ms(1510), idempotent, 2);
+        fourNodes.start(ms(1500), idempotent, 1);
+        Query query = fourNodes.start(ms(1510), idempotent, 2);
         assertEquals(2, query.requestsInFlight());
-        assertFalse(four.endings.contains("rejected"));
+        assertFalse(fourNodes.endings.contains("rejected"));
     }
 
     @Test
-    void queryThatItsClientWillNotWaitForIsRejectedBeforeItStarts() {
+    void queryThatCannotMeetItsDeadlineIsRejectedBeforeItStarts() {
         fixture.start(idempotent, 2);
         fixture.policy.modules().latencies.setBaseline(idempotent, ms(300));
-        Query brief = new Query(idempotent, null, ms(0), ms(500));
-        fixture.policy.onQuery(ms(0), brief);
-        new ShardRequest(brief, 0, 0.5, null);
-        new ShardRequest(brief, 1, 0.5, null);
+        Query shortDeadline = new Query(idempotent, null, ms(0), ms(500));
+        fixture.policy.onQuery(ms(0), shortDeadline);
+        new ShardRequest(shortDeadline, 0, 0.5, null);
+        new ShardRequest(shortDeadline, 1, 0.5, null);
         fixture.policy.onBatchEnd(ms(0));
         assertEquals(List.of("rejected"), fixture.endings);
     }
 
     @Test
-    void queryThatItsClientMayNotWaitForIsTriedWhileNothingIsInFlight() {
+    void queryThatCannotMeetItsDeadlineIsStartedWhileNothingIsInFlight() {
         fixture.policy.modules().latencies.setBaseline(idempotent, ms(1900));
         fixture.start(idempotent, 2);
         assertEquals(2, fixture.sent.size());
@@ -57,7 +57,7 @@
         fixture.start(idempotent, 1);
         Query large = fixture.start(idempotent, 1000);
         assertTrue(large.hasEnded(), "some thirty rounds of 100 ms are more than 2 s");
-        Query fair = fixture.start(idempotent, 100);
-        assertFalse(fair.hasEnded());
+        Query medium = fixture.start(idempotent, 100);
+        assertFalse(medium.hasEnded());
     }
 }
--- a/src/test/java/postbeam/policy/ConcurrencyWindowTest.java
+++ b/src/test/java/postbeam/policy/ConcurrencyWindowTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void windowIsNeverNarrowerThanThisRoutersShareOfAFewAttemptsANode() {
+    void windowIsNeverNarrowerThanTheRoutersShareOfAttemptsPerNode() {
         ConcurrencyWindow window = window(20, 5);
         for (int i = 0; i < 10; i++) {
             window.onOverloaded(ms(2 * i + 1), ms(2 * i + 1));
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void lateAnswersNarrowTheWindowOnlyWhereTheUsualNodeIsSlowToo() {
+    void lateAnswerDoesNotNarrowTheWindowIfTheTypicalNodeIsFast() {
         ConcurrencyWindow window = window(3, 1);
         window.onAnswer(ms(600), PolicyFixture.idempotent(), ms(600));
         assertEquals(32, window.size(), "twice the usual latency is 400 ms");
--- a/src/test/java/postbeam/policy/HedgingPolicyTest.java
+++ b/src/test/java/postbeam/policy/HedgingPolicyTest.java
@@ -12,7 +12,7 @@
     private final PolicyFixture fixture = new PolicyFixture(3, true);
 
     @Test
-    void requestLostBesideAnsweredOnesOfItsBatchIsHedged() {
+    void requestIsHedgedIfOnlyTheOtherRequestOfItsBatchIsAnswered() {
         fixture.start(PolicyFixture.idempotent(), 2);
         fixture.end(ms(100), fixture.sent.get(0), AttemptOutcome.SUCCESS);
         fixture.policy.onBatchEnd(ms(1100));
@@ -24,16 +24,16 @@
     void lostRequestWithSideEffectsIsNotHedged() {
         for (SideEffects sideEffects :
                 new SideEffects[] {SideEffects.DEDUPLICATED, SideEffects.NON_IDEMPOTENT}) {
-            PolicyFixture at = new PolicyFixture(3, true);
-            at.start(PolicyFixture.queryClass(sideEffects, 1), 2);
-            at.end(ms(100), at.sent.get(0), AttemptOutcome.SUCCESS);
-            at.policy.onBatchEnd(ms(1100));
-            assertEquals(2, at.sent.size(), sideEffects.toString());
+            PolicyFixture sideEffectFixture = new PolicyFixture(3, true);
+            sideEffectFixture.start(PolicyFixture.queryClass(sideEffects, 1), 2);
+            sideEffectFixture.end(ms(100), sideEffectFixture.sent.get(0), AttemptOutcome.SUCCESS);
+            sideEffectFixture.policy.onBatchEnd(ms(1100));
+            assertEquals(2, sideEffectFixture.sent.size(), sideEffects.toString());
         }
     }
 
     @Test
-    void subsetQueryGetsASpareOnlyWhileSparesAreFewBesideWhatIsInFlight() {
+    void subsetQueryGetsASpareRequestOnlyIfSparesAreASmallShareOfAttemptsInFlight() {
         fixture.start(PolicyFixture.queryClass(SideEffects.IDEMPOTENT, 0.5), 4);
         assertEquals(2, fixture.sent.size());
         PolicyFixture busy = new PolicyFixture(3, true);
--- a/src/test/java/postbeam/policy/LatencyEstimatorTest.java
+++ b/src/test/java/postbeam/policy/LatencyEstimatorTest.java
@@ -17,7 +17,7 @@
     private final QueryClass idempotent = PolicyFixture.idempotent();
 
     @Test
-    void jamOfOneSecondBarelyRaisesBaselineHoweverManyAnswersItBrings() {
+    void overloadOfOneSecondRaisesTheBaselineLittleDespiteManyAnswers() {
         latencies.setBaseline(idempotent, ms(10));
         for (int i = 0; i < 100; i++) {
             fixture.start(ms(10L * i), idempotent, 1);
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void firstAnswerOfRareClassIsCorrectedByWhatItsNodeIsLikeToOthers() {
+    void firstBaselineOfAClassIsDividedByTheTypicalSlowdown() {
         latencies.setBaseline(idempotent, ms(100));
         fixture.start(idempotent, 3);
         fixture.sent.forEach(attempt -> fixture.end(ms(500), attempt, AttemptOutcome.SUCCESS));
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void slowdownOfANodeIsForgottenWithoutNewAnswers() {
+    void slowdownOfANodeExpiresWithoutNewAnswers() {
         latencies.setBaseline(idempotent, ms(100));
         fixture.start(idempotent, 1);
         DataNode node = fixture.sent.get(0).node;
--- a/src/test/java/postbeam/policy/NodeMembershipTest.java
+++ b/src/test/java/postbeam/policy/NodeMembershipTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void nodeThatComesBackOntoTheListGetsRequestsAgain() {
+    void removedNodeGetsRequestsAgainOnceItIsListedAgain() {
         fixture.policy.onNodeUpdate(ms(0), fixture.nodes.get(1), Readiness.REMOVED, null);
         fixture.policy.onNodeUpdate(ms(0), node, Readiness.REMOVED, null);
         fixture.start(ms(0), PolicyFixture.idempotent(), 1);
--- a/src/test/java/postbeam/policy/OutlierDetectorTest.java
+++ b/src/test/java/postbeam/policy/OutlierDetectorTest.java
@@ -22,26 +22,26 @@
     private final QueryClass idempotent = PolicyFixture.idempotent();
 
     @Test
-    void nonIdempotentRequestIsNoTrialOfANodeThatFailed() {
-        PolicyFixture two = new PolicyFixture(2, true);
-        two.start(idempotent, 1);
-        DataNode failed = two.sent.get(0).node;
-        two.end(ms(10), two.sent.get(0), AttemptOutcome.RESET);
-        two.policy.onProbeResult(ms(600), failed, true);
+    void nonIdempotentRequestIsNotSentToANodeThatHasNotRecovered() {
+        PolicyFixture twoNodes = new PolicyFixture(2, true);
+        twoNodes.start(idempotent, 1);
+        DataNode failed = twoNodes.sent.get(0).node;
+        twoNodes.end(ms(10), twoNodes.sent.get(0), AttemptOutcome.RESET);
+        twoNodes.policy.onProbeResult(ms(600), failed, true);
         for (int i = 0; i < 8; i++) {
-            two.sent.clear();
-            two.start(ms(700 + i), PolicyFixture.queryClass(SideEffects.NON_IDEMPOTENT, 1), 1);
-            Attempt attempt = two.lastSent();
+            twoNodes.sent.clear();
+            twoNodes.start(ms(700 + i), PolicyFixture.queryClass(SideEffects.NON_IDEMPOTENT, 1), 1);
+            Attempt attempt = twoNodes.lastSent();
             assertEquals(
                     SideEffects.NON_IDEMPOTENT,
                     attempt.shardRequest.query.queryClass().sideEffects);
             assertNotSame(failed, attempt.node);
-            two.end(ms(700 + i), attempt, AttemptOutcome.SUCCESS);
+            twoNodes.end(ms(700 + i), attempt, AttemptOutcome.SUCCESS);
         }
     }
 
     @Test
-    void unresponsiveNodeIsEjected() {
+    void nodeWithAnOverdueAttemptIsEjectedWhenTheAttemptIsCancelled() {
         fixture.start(idempotent, 1);
         Attempt attempt = fixture.sent.get(0);
         fixture.end(ms(1200), attempt, AttemptOutcome.CANCELLED);
@@ -81,14 +81,14 @@
     }
 
     @Test
-    void zoneWhoseAttemptsMostlyFailIsAvoidedWithItsUntriedNodes() {
+    void zoneWithMostAttemptsFailedIsAvoidedIncludingItsUntriedNodes() {
         DataNode untried = attemptsInOtherZone(4, 4);
         assertTrue(fixture.nodes.contains(fixture.sent.get(0).node));
         assertNotSame(untried, fixture.sent.get(0).node);
     }
 
     @Test
-    void fewFailuresEjectNoZone() {
+    void zoneWithFewFailuresIsNotEjected() {
         attemptsInOtherZone(4, 1);
         assertFalse(fixture.nodes.contains(fixture.sent.get(0).node));
     }
--- a/src/test/java/postbeam/policy/OutlierEjectionTest.java
+++ b/src/test/java/postbeam/policy/OutlierEjectionTest.java
@@ -17,7 +17,7 @@
     private final QueryClass idempotent = PolicyFixture.idempotent();
 
     @Test
-    void ejectedNodeIsProbedAndReinstatedOnceItAnswers() {
+    void ejectedNodeIsProbedAndReinstatedWhenTheProbeSucceeds() {
         fixture.start(idempotent, 1);
         Attempt attempt = fixture.sent.get(0);
         fixture.end(ms(1200), attempt, AttemptOutcome.CANCELLED);
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void nodeThatFailsItsProbeIsEjectedForTwiceAsLong() {
+    void nodeIsEjectedForTwiceAsLongWhenItsProbeFails() {
         DataNode node = fixture.nodes.get(0);
         fixture.policy.modules().ejection.eject(ms(0), node);
         fixture.policy.onBatchEnd(ms(500));
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void ejectingAllReplicasExcludesNone() {
+    void requestIsSentToAnEjectedReplicaIfAllReplicasAreEjected() {
         fixture.nodes.forEach(node -> fixture.policy.modules().ejection.eject(ms(0), node));
         fixture.start(idempotent, 1);
         assertEquals(1, fixture.sent.size());
--- a/src/test/java/postbeam/policy/QueryCompletionTest.java
+++ b/src/test/java/postbeam/policy/QueryCompletionTest.java
@@ -20,7 +20,7 @@
     private final QueryClass idempotent = PolicyFixture.idempotent();
 
     @Test
-    void subsetQueryCompletesOnItsFirstAnswersAndCancelsTheRest() {
+    void subsetQueryIsCompleteWithEnoughAnswersAndCancelsItsOtherAttempts() {
         fixture.start(idempotent, 12);
         fixture.start(PolicyFixture.queryClass(SideEffects.IDEMPOTENT, 0.5), 4);
         List<Attempt> attempts =
@@ -36,14 +36,14 @@
     }
 
     @Test
-    void finalAnswerComesBeforeClientDeadline() {
+    void queryIsRejectedShortlyBeforeTheClientDeadline() {
         fixture.start(idempotent, 1);
         fixture.policy.onBatchEnd(PolicyFixture.DEADLINE.minus(ms(30)));
         assertEquals(List.of("rejected"), fixture.endings);
     }
 
     @Test
-    void queryNotStartedInTimeIsRejectedEarly() {
+    void queryThatHasNotStartedInTimeIsRejectedBeforeItsObjective() {
         for (int i = 0; i < 4; i++) {
             fixture.arrive(ms(0), idempotent, 8);
         }
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void queryWithoutUsableNodeIsRejectedSoonest() {
+    void queryWithoutAUsableNodeIsRejectedAtTheLowPriorityLimit() {
         fixture.nodes.forEach(
                 node -> fixture.policy.onNodeUpdate(ms(0), node, Readiness.DRAINING, null));
         fixture.arrive(ms(0), idempotent, 1);
@@ -68,14 +68,14 @@
     }
 
     @Test
-    void lateQueryWithAllRequestsInFlightIsKept() {
+    void lateQueryWithAllRequestsInFlightIsNotEnded() {
         Query query = fixture.start(idempotent, 2);
         fixture.policy.onBatchEnd(PolicyFixture.OBJECTIVE.plus(ms(100)));
         assertFalse(query.hasEnded());
     }
 
     @Test
-    void partialAnswerComesBeforeLatencyObjectivePasses() {
+    void partialAnswerIsSentShortlyBeforeTheLatencyObjective() {
         QueryClass partial =
                 QueryClass.builder(PolicyFixture.OBJECTIVE, SideEffects.IDEMPOTENT)
                         .utility(1, 0.1)
@@ -91,35 +91,39 @@
     }
 
     @Test
-    void secondStepNeedsAllRequestsAndIsRejectedOnlyWhereNothingMayHaveExecuted() {
+    void secondStepNeedsAllRequestsAndIsRejectedOnlyIfARetryIsHarmless() {
         for (SideEffects sideEffects :
                 List.of(SideEffects.IDEMPOTENT, SideEffects.NON_IDEMPOTENT)) {
-            PolicyFixture two = new PolicyFixture(3, true);
+            PolicyFixture fixtureOfClass = new PolicyFixture(3, true);
             QueryClass twoSteps =
                     PolicyFixture.queryClass(sideEffects, 0.5).toBuilder()
                             .secondStep(PolicyFixture.queryClass(sideEffects, 1))
                             .build();
-            Query query = two.start(twoSteps, 4);
+            Query query = fixtureOfClass.start(twoSteps, 4);
             for (int i = 0; i < 2; i++) {
-                two.end(ms(50), two.sent.get(i), AttemptOutcome.SUCCESS);
+                fixtureOfClass.end(ms(50), fixtureOfClass.sent.get(i), AttemptOutcome.SUCCESS);
             }
-            two.policy.onBatchEnd(ms(50));
-            assertEquals(List.of("complete"), two.endings, "any two of four complete the first");
+            fixtureOfClass.policy.onBatchEnd(ms(50));
+            assertEquals(
+                    List.of("complete"),
+                    fixtureOfClass.endings,
+                    "any two of four complete the first");
             assertFalse(query.hasEnded());
-            two.policy.onBatchEnd(ms(70));
-            int before = two.sent.size();
+            fixtureOfClass.policy.onBatchEnd(ms(70));
+            int sentInFirstStep = fixtureOfClass.sent.size();
             for (int i = 0; i < 2; i++) {
-                two.policy.onShardRequest(ms(70), new ShardRequest(query, i, 0.5, null));
+                fixtureOfClass.policy.onShardRequest(ms(70), new ShardRequest(query, i, 0.5, null));
             }
-            two.policy.onBatchEnd(ms(70));
-            assertEquals(2, two.sent.size() - before);
-            two.end(ms(90), two.sent.get(before), AttemptOutcome.SUCCESS);
-            two.policy.onBatchEnd(ms(90));
-            assertEquals(1, two.endings.size(), "half of the second is not enough");
-            two.policy.onBatchEnd(PolicyFixture.DEADLINE.minus(ms(30)));
+            fixtureOfClass.policy.onBatchEnd(ms(70));
+            assertEquals(2, fixtureOfClass.sent.size() - sentInFirstStep);
+            fixtureOfClass.end(
+                    ms(90), fixtureOfClass.sent.get(sentInFirstStep), AttemptOutcome.SUCCESS);
+            fixtureOfClass.policy.onBatchEnd(ms(90));
+            assertEquals(1, fixtureOfClass.endings.size(), "half of the second is not enough");
+            fixtureOfClass.policy.onBatchEnd(PolicyFixture.DEADLINE.minus(ms(30)));
             assertEquals(
                     sideEffects == SideEffects.IDEMPOTENT ? "rejected" : "aborted",
-                    two.endings.get(1));
+                    fixtureOfClass.endings.get(1));
         }
     }
 }
--- a/src/test/java/postbeam/policy/QueryPriorityTest.java
+++ b/src/test/java/postbeam/policy/QueryPriorityTest.java
@@ -13,7 +13,7 @@
     private final QueryClass idempotent = PolicyFixture.idempotent();
 
     @Test
-    void queryOverQuotaStartsOnlyInTheLowerPartOfTheWindow() {
+    void queryOverQuotaStartsOnlyIfTheWindowHasSpareCapacity() {
         fixture.start(idempotent, 20);
         Query overQuota = new Query(idempotent, null, ms(0), PolicyFixture.DEADLINE);
         overQuota.markOverQuota();
--- a/src/test/java/postbeam/policy/ReplicaSelectorTest.java
+++ b/src/test/java/postbeam/policy/ReplicaSelectorTest.java
@@ -16,13 +16,13 @@
     private final QueryClass idempotent = PolicyFixture.idempotent();
 
     @Test
-    void requestsOfOneQueryShareOneOffset() {
+    void requestsOfOneQueryAreSentToTheSameNode() {
         fixture.start(idempotent, 3);
         assertEquals(1, fixture.sent.stream().map(attempt -> attempt.node).distinct().count());
     }
 
     @Test
-    void drainingAndRemovedNodesGetNothing() {
+    void drainingAndRemovedNodesGetNoRequests() {
         fixture.policy.onNodeUpdate(ms(0), fixture.nodes.get(0), Readiness.DRAINING, null);
         fixture.policy.onNodeUpdate(ms(0), fixture.nodes.get(1), Readiness.REMOVED, null);
         fixture.start(ms(10), idempotent, 6);
@@ -31,30 +31,30 @@
     }
 
     @Test
-    void requestIsNotRetriedAtReplicasThatHaveJustFailedIt() {
+    void requestIsNotRetriedAtAnEjectedReplicaThatFailedIt() {
         fixture.start(idempotent, 1);
         for (int i = 0; i < 3; i++) {
             fixture.end(ms(1 + i), fixture.sent.get(i), AttemptOutcome.UNREACHABLE);
             fixture.policy.onBatchEnd(ms(1 + i));
         }
         assertEquals(3, fixture.sent.size(), "each replica once");
-        PolicyFixture two = new PolicyFixture(2, false);
-        Query waiting = two.start(idempotent, 1);
+        PolicyFixture twoNodes = new PolicyFixture(2, false);
+        Query waiting = twoNodes.start(idempotent, 1);
         for (int i = 0; i < 2; i++) {
-            two.end(ms(1 + i), two.sent.get(i), AttemptOutcome.UNREACHABLE);
-            two.policy.onBatchEnd(ms(1 + i));
+            twoNodes.end(ms(1 + i), twoNodes.sent.get(i), AttemptOutcome.UNREACHABLE);
+            twoNodes.policy.onBatchEnd(ms(1 + i));
         }
-        two.policy.onBatchEnd(ms(20));
-        assertEquals(2, two.sent.size());
+        twoNodes.policy.onBatchEnd(ms(20));
+        assertEquals(2, twoNodes.sent.size());
         assertFalse(waiting.hasEnded());
-        two.policy.onBatchEnd(ms(600));
-        two.policy.onProbeResult(ms(610), two.probed.get(0), true);
-        two.policy.onBatchEnd(ms(610));
-        assertEquals(3, two.sent.size(), "one that answers its probe gets the request");
+        twoNodes.policy.onBatchEnd(ms(600));
+        twoNodes.policy.onProbeResult(ms(610), twoNodes.probed.get(0), true);
+        twoNodes.policy.onBatchEnd(ms(610));
+        assertEquals(3, twoNodes.sent.size(), "one that answers its probe gets the request");
     }
 
     @Test
-    void requestsThatShareNoCallsGoToTheReplicaWithFewestInFlight() {
+    void unbatchedRequestsGoToTheReplicaWithTheFewestAttemptsInFlight() {
         PolicyFixture unbatched = new PolicyFixture(4, true, 1);
         unbatched.start(idempotent, 4);
         assertEquals(4, unbatched.sent.stream().map(attempt -> attempt.node).distinct().count());
--- a/src/test/java/postbeam/policy/RetryBudgetTest.java
+++ b/src/test/java/postbeam/policy/RetryBudgetTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void withoutAWindowRetriesAreNotLimited() {
+    void retriesAreNotLimitedWithoutAWindow() {
         RetryBudget budget = new RetryBudget(null, null, null);
         budget.recordRetry(ms(0));
         assertTrue(budget.allowsRetry(ms(0)));
--- a/src/test/java/postbeam/policy/RetryPolicyTest.java
+++ b/src/test/java/postbeam/policy/RetryPolicyTest.java
@@ -16,7 +16,7 @@
     private final PolicyFixture fixture = new PolicyFixture(3, true);
 
     @Test
-    void nonIdempotentRequestThatMayHaveExecutedIsNeitherRetriedNorRejected() {
+    void queryIsAbortedIfANonIdempotentRequestMayHaveBeenExecuted() {
         fixture.start(PolicyFixture.queryClass(SideEffects.NON_IDEMPOTENT, 1), 1);
         fixture.end(ms(500), fixture.sent.get(0), AttemptOutcome.RESET);
         fixture.policy.onBatchEnd(ms(500));
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void nonIdempotentRequestThatNeverExecutedIsRetriedElsewhere() {
+    void nonIdempotentRequestThatWasNotExecutedIsRetriedAtAnotherNode() {
         fixture.start(PolicyFixture.queryClass(SideEffects.NON_IDEMPOTENT, 1), 1);
         fixture.end(ms(5), fixture.sent.get(0), AttemptOutcome.OVERLOADED);
         fixture.policy.onBatchEnd(ms(5));
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void deduplicatedRequestIsNotRetriedPastItsWindow() {
+    void deduplicatedRequestIsNotRetriedAfterItsDeduplicationWindow() {
         Query query = fixture.start(PolicyFixture.queryClass(SideEffects.DEDUPLICATED, 1), 1);
         fixture.end(ms(2990), fixture.sent.get(0), AttemptOutcome.RESET);
         fixture.policy.onBatchEnd(ms(2990));
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void retryOfDeduplicatedRequestMayNotBeSentPastItsWindow() {
+    void retryOfADeduplicatedRequestHasASendDeadlineWithinItsDeduplicationWindow() {
         fixture.start(PolicyFixture.queryClass(SideEffects.DEDUPLICATED, 1), 1);
         assertNull(fixture.sent.get(0).sendDeadline());
         fixture.end(ms(500), fixture.sent.get(0), AttemptOutcome.RESET);
--- a/src/test/java/postbeam/policy/SlotSchedulerTest.java
+++ b/src/test/java/postbeam/policy/SlotSchedulerTest.java
@@ -15,7 +15,7 @@
     private final QueryClass idempotent = PolicyFixture.idempotent();
 
     @Test
-    void freeSlotGoesToQueryNearestCompletion() {
+    void freeSlotsGoToTheQueryWithTheFewestMissingAnswers() {
         fixture.arrive(ms(0), idempotent, 5);
         Query small = fixture.start(idempotent, 2);
         assertEquals(
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void lostAttemptsHoldNoSlot() {
+    void lostAttemptsDoNotOccupySlots() {
         for (int i = 0; i < 4; i++) {
             fixture.arrive(ms(0), idempotent, 8);
         }
@@ -38,21 +38,21 @@
     }
 
     @Test
-    void queryThatMayBePartialStartsAtItsQuickestNodes() {
-        PolicyFixture cells = new PolicyFixture(6, true, 1, 6);
+    void queryThatMayBePartialIsSentToTheFastestNodesFirst() {
+        PolicyFixture sixCells = new PolicyFixture(6, true, 1, 6);
         QueryClass partial =
                 QueryClass.builder(PolicyFixture.OBJECTIVE, SideEffects.IDEMPOTENT)
                         .weights(1, 0.5)
                         .partialUtility(0.8)
                         .build();
-        cells.policy.modules().latencies.setBaseline(partial, ms(100));
-        cells.start(partial, 6);
+        sixCells.policy.modules().latencies.setBaseline(partial, ms(100));
+        sixCells.start(partial, 6);
         for (int i = 0; i < 6; i++) {
-            cells.end(ms(i < 3 ? 900 : 100), cells.sent.get(i), AttemptOutcome.SUCCESS);
+            sixCells.end(ms(i < 3 ? 900 : 100), sixCells.sent.get(i), AttemptOutcome.SUCCESS);
         }
-        cells.start(ms(900), partial, 6);
+        sixCells.start(ms(900), partial, 6);
         assertEquals(
-                cells.nodes.subList(3, 6),
-                cells.sent.subList(6, 9).stream().map(attempt -> attempt.node).toList());
+                sixCells.nodes.subList(3, 6),
+                sixCells.sent.subList(6, 9).stream().map(attempt -> attempt.node).toList());
     }
 }
--- a/src/test/java/postbeam/policy/SlowStartTest.java
+++ b/src/test/java/postbeam/policy/SlowStartTest.java
@@ -20,12 +20,12 @@
 
 class SlowStartTest {
     /** A rule with a load factor of 2 and a window of 1 s, counted for 250 ms longer. */
-    private static SlowStart rule(int routers, double loadFactor, Duration callOverhead) {
+    private static SlowStart slowStart(int routers, double loadFactor, Duration callOverhead) {
         return new SlowStart(0.2, ms(10_000), loadFactor, ms(1000), routers, callOverhead, ms(250));
     }
 
-    private static SlowStart rule(int routers) {
-        return rule(routers, 2, ms(20));
+    private static SlowStart slowStart(int routers) {
+        return slowStart(routers, 2, ms(20));
     }
 
     private static DataNode startedNode(
@@ -39,8 +39,8 @@
     }
 
     @Test
-    void coldNodeGetsNoMoreThanThisRoutersShareOfEveryWindow() {
-        SlowStart slowStart = rule(2);
+    void startingNodeGetsNoMoreThanThisRoutersShareInEveryWindow() {
+        SlowStart slowStart = slowStart(2);
         DataNode node = startedNode(slowStart, ms(0), 0);
         assertTrue(slowStart.allows(ms(10), node, null, ms(150)));
         slowStart.recordSent(ms(10), node, null, ms(300));
@@ -53,16 +53,16 @@
 
     /** It has forgotten what it sent before it ended, which may have been its whole share. */
     @Test
-    void routerThatHasJustStartedSendsNothingToColdNodes() {
-        SlowStart slowStart = rule(2);
+    void routerThatHasJustStartedSendsNothingToStartingNodes() {
+        SlowStart slowStart = slowStart(2);
         DataNode node = startedNode(slowStart, ms(-300), 0);
         assertFalse(slowStart.allows(ms(1200), node, null, ms(150)));
         assertTrue(slowStart.allows(ms(1250), node, null, ms(150)));
     }
 
     @Test
-    void shardThatANodeHasJustAcquiredCountsAsColdThere() {
-        SlowStart slowStart = rule(2);
+    void recentlyAcquiredShardHasABudgetOfItsOwn() {
+        SlowStart slowStart = slowStart(2);
         DataNode node = startedNode(slowStart, null, 0);
         assertTrue(slowStart.allows(ms(10), node, ms(0), ms(150)));
         slowStart.recordSent(ms(10), node, ms(0), ms(300));
@@ -71,20 +71,20 @@
     }
 
     /** All that so many routers can send a cold node, with requests of differing work. */
-    private static double mostInAWindow(Random random, int routers, double loadFactor) {
-        List<SlowStart> rules = new ArrayList<>();
-        List<DataNode> views = new ArrayList<>();
+    private static double maxWorkInAWindow(Random random, int routers, double loadFactor) {
+        List<SlowStart> slowStarts = new ArrayList<>();
+        List<DataNode> nodes = new ArrayList<>();
         for (int i = 0; i < routers; i++) {
-            rules.add(rule(routers, loadFactor, ms(0)));
-            views.add(startedNode(rules.get(i), ms(5000), random.nextDouble()));
+            slowStarts.add(slowStart(routers, loadFactor, ms(0)));
+            nodes.add(startedNode(slowStarts.get(i), ms(5000), random.nextDouble()));
         }
         double sum = 0;
         for (int at = 5000; at < 6000; at += 50) {
             for (int i = 0; i < routers; i++) {
                 Duration work = ms(60 + random.nextInt(80));
-                Duration asked = work.compareTo(ms(100)) < 0 ? ms(100) : work;
-                if (rules.get(i).allows(ms(at), views.get(i), null, asked)) {
-                    rules.get(i).recordSent(ms(at), views.get(i), null, work);
+                Duration checkedWork = work.compareTo(ms(100)) < 0 ? ms(100) : work;
+                if (slowStarts.get(i).allows(ms(at), nodes.get(i), null, checkedWork)) {
+                    slowStarts.get(i).recordSent(ms(at), nodes.get(i), null, work);
                     sum += work.toNanos() / 1e9;
                 }
             }
@@ -97,29 +97,35 @@
      * + 2 requests, N being the budget, is chance.
      */
     @Test
-    void allRoutersTogetherKeepTheBudgetOfAColdNodeButForChance() {
+    void allRoutersTogetherStayWithinTheBudgetExceptForRandomVariation() {
         Random random = new Random(5);
         for (int routers : new int[] {3, 20, 30, 100}) {
             for (double loadFactor : new double[] {2, 3, 4}) {
-                double n = loadFactor * 0.2 * 2 / 0.1;
-                int beyond = 0;
-                double all = 0;
+                double budgetRequests = loadFactor * 0.2 * 2 / 0.1;
+                int windowsAboveBound = 0;
+                double sumOfRequests = 0;
                 for (int i = 0; i < 1000; i++) {
-                    double sent = mostInAWindow(random, routers, loadFactor) / 0.1;
-                    all += sent;
-                    beyond += sent > n + 2 * Math.sqrt(n) + 2 ? 1 : 0;
+                    double sent = maxWorkInAWindow(random, routers, loadFactor) / 0.1;
+                    sumOfRequests += sent;
+                    windowsAboveBound +=
+                            sent > budgetRequests + 2 * Math.sqrt(budgetRequests) + 2 ? 1 : 0;
                 }
-                String what = routers + " routers, N " + n + ": ";
-                System.out.println(what + "mean " + all / 1000 + ", beyond " + beyond);
-                assertTrue(all / 1000 <= n, what + all / 1000 + " on the mean");
-                assertTrue(beyond <= 2, what + beyond + " of 1000 windows beyond");
+                String label = routers + " routers, N " + budgetRequests + ": ";
+                System.out.println(
+                        label + "mean " + sumOfRequests / 1000 + ", beyond " + windowsAboveBound);
+                assertTrue(
+                        sumOfRequests / 1000 <= budgetRequests,
+                        label + sumOfRequests / 1000 + " on the mean");
+                assertTrue(
+                        windowsAboveBound <= 2,
+                        label + windowsAboveBound + " of 1000 windows beyond");
             }
         }
     }
 
     @Test
-    void manyRoutersRoundTheirShareBySampling() {
-        SlowStart slowStart = rule(100);
+    void manyRoutersRoundTheirShareByTheSamplingThreshold() {
+        SlowStart slowStart = slowStart(100);
         DataNode low = startedNode(slowStart, ms(0), 0.01);
         assertTrue(slowStart.allows(ms(10), low, null, ms(80)));
         slowStart.recordSent(ms(10), low, null, ms(80));
@@ -130,7 +136,7 @@
     }
 
     @Test
-    void unreachableNodeCountsAsColdUntilALaterStartIsListed() {
+    void unreachableNodeCountsAsWarmingUpUntilALaterStartIsListed() {
         PolicyFixture fixture = new PolicyFixture(3, true);
         DataNode node = fixture.nodes.get(0);
         node.update(Readiness.READY, ms(0));
--- a/src/test/java/postbeam/policy/StragglerCancellerTest.java
+++ b/src/test/java/postbeam/policy/StragglerCancellerTest.java
@@ -11,7 +11,7 @@
 
 class StragglerCancellerTest {
     @Test
-    void stragglerIsCancelledAndRetriedElsewhereWhereHedgingIsNotAllowed() {
+    void stragglerIsCancelledAndRetriedAtAnotherNodeIfHedgingIsNotAllowed() {
         PolicyFixture fixture = new PolicyFixture(3, false);
         fixture.start(PolicyFixture.idempotent(), 1);
         fixture.policy.onBatchEnd(ms(1500));
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void stragglerIsNotCancelledWithoutTimeForASecondExecution() {
+    void stragglerIsNotCancelledIfASecondExecutionWouldBeLate() {
         for (boolean hedgingAllowed : List.of(true, false)) {
             PolicyFixture fixture = new PolicyFixture(3, hedgingAllowed);
             QueryClass idempotent = PolicyFixture.idempotent();
--- a/src/test/java/postbeam/policy/StragglerDetectorTest.java
+++ b/src/test/java/postbeam/policy/StragglerDetectorTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void attemptIsOverdueBetweenTwoSharesOfTheObjective() {
+    void timeUntilAnAttemptIsOverdueIsBoundedByTheObjective() {
         latencies.setBaseline(idempotent, ms(10));
         assertEquals(ms(900), detector(true).overdueAfter(ms(0), idempotent));
         latencies.setBaseline(idempotent, ms(440));
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void overdueAttemptIsLostOnlyWhereItsNodeIsSilentOrHasAnsweredALaterOne() {
+    void overdueAttemptIsLostIfItsNodeIsUnresponsiveOrHasAnsweredALaterAttempt() {
         latencies.setBaseline(idempotent, ms(10));
         StragglerDetector detector = detector(true);
         fixture.start(idempotent, 1);
