--- a/src/test/java/postbeam/model/QueryWeightsPropertyTest.java
+++ b/src/test/java/postbeam/model/QueryWeightsPropertyTest.java
@@ -10,7 +10,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** What a share of a query takes, for any weights that a client may send. */
+/** Checks when a share of a query's weight is reached, for all weights that a client may send. */
 class QueryWeightsPropertyTest {
     private static final int CASES = 2000;
     private static final int MANY_REQUESTS = 100_000;
@@ -30,7 +30,10 @@
         return query;
     }
 
-    /** Weights from 1e-15 to 1 whose sum is off by up to what the codec accepts. */
+    /**
+     * Returns weights from 1e-15 to 1 whose sum differs from 1 by up to as much as the codec
+     * accepts.
+     */
     private double[] weights(int count) {
         double[] weights = new double[count];
         for (int i = 0; i < count; i++) {
@@ -87,12 +90,13 @@
             answerSome(query);
             BigDecimal required = new BigDecimal(share).multiply(exactWeightSum(query, true));
             BigDecimal missing = required.subtract(exactWeightSum(query, false));
-            // Twice the error that is allowed for: it is made before the allowance and after it.
+            // Twice the error that the query allows for, as the error occurs once before and once
+            // after the allowance is subtracted.
             double roundingError = 2 * (count + 2) * Math.ulp(1.0);
             if (missing.signum() <= 0) {
-                assertTrue(isComplete(query), () -> "complete, lacks " + missing);
+                assertTrue(isComplete(query), () -> "expected complete, missing weight " + missing);
             } else if (missing.doubleValue() > roundingError) {
-                assertFalse(isComplete(query), () -> "not complete, lacks " + missing);
+                assertFalse(isComplete(query), () -> "expected incomplete, missing weight " + missing);
             }
             assertEquals(isComplete(query), query.requestsNeeded() == 0);
         }
@@ -101,16 +105,16 @@
     @Test
     void shareOfRequestsWithEqualWeightsIsReachedByTheirNumber() {
         for (int count : new int[] {1, 2, 3, 7, 9, 12, 100, 1000, MANY_REQUESTS}) {
-            // As written with few digits, as many as the codec accepts.
+            // The weight written with as few digits as the codec accepts.
             double weight = Math.round(1e8 / count) / 1e8;
             for (int needed = 1; needed <= count; needed += 1 + count / 50) {
                 Query query = query((double) needed / count, equalWeights(count, weight));
                 query.shardRequests.subList(0, needed - 1).forEach(ShardRequest::markAnswered);
-                assertEquals(1, query.requestsNeeded(), needed + " of " + count);
-                assertFalse(isComplete(query), needed + " of " + count);
+                assertEquals(1, query.requestsNeeded(), needed + " of " + count + " requests are required");
+                assertFalse(isComplete(query), needed + " of " + count + " requests are required");
                 query.shardRequests.get(needed - 1).markAnswered();
-                assertEquals(0, query.requestsNeeded(), needed + " of " + count);
-                assertTrue(isComplete(query), needed + " of " + count);
+                assertEquals(0, query.requestsNeeded(), needed + " of " + count + " requests are required");
+                assertTrue(isComplete(query), needed + " of " + count + " requests are required");
             }
         }
     }
--- a/src/test/java/postbeam/policy/AnswerCompletenessTest.java
+++ b/src/test/java/postbeam/policy/AnswerCompletenessTest.java
@@ -16,7 +16,7 @@
 import postbeam.model.ShardRequest;
 import postbeam.model.SideEffects;
 
-/** When an answer is marked complete, whatever its requests weigh and their weights add up to. */
+/** Checks when an answer is marked complete, for weights of any size and with any sum. */
 class AnswerCompletenessTest {
     private final PolicyFixture fixture = new PolicyFixture(3, true);
 
@@ -53,7 +53,10 @@
         return weights;
     }
 
-    /** Guards against a complete mark without a request that weighs less than a tolerance. */
+    /**
+     * Guards against an answer that is marked complete without a request whose weight is below a
+     * tolerance.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {4e-5, 1e-5, 1e-9, 1e-12, 1e-15})
     void answerWithoutARequestOfSmallWeightIsNotComplete(double smallWeight) {
@@ -64,7 +67,10 @@
         assertEquals(List.of("complete"), fixture.endings);
     }
 
-    /** Guards against the same where a lower share is enough for a partial answer. */
+    /**
+     * Guards against an answer that is marked complete without a request of small weight if a lower
+     * share is enough for a partial answer.
+     */
     @Test
     void answerAboveMinimumWeightWithoutARequestOfSmallWeightIsNotComplete() {
         start(PolicyFixture.queryClass(SideEffects.IDEMPOTENT, 1, 0.5), 1 - 1e-6, 1e-6);
@@ -72,7 +78,10 @@
         assertEquals(List.of(), fixture.endings);
     }
 
-    /** Guards against a complete mark without one of so many requests that each weighs little. */
+    /**
+     * Guards against an answer that is marked complete without one of so many requests that each of
+     * them has a small weight.
+     */
     @Test
     void answerWithoutOneOfManyRequestsIsNotComplete() {
         int count = 25_000;
@@ -82,7 +91,7 @@
         assertFalse(query.hasEnded());
     }
 
-    /** Guards against a partial answer that reaches its minimum weight by rounding only. */
+    /** Guards against a partial answer that reaches its minimum weight only by rounding. */
     @Test
     void queryJustBelowItsMinimumWeightGetsNoPartialAnswer() {
         start(PolicyFixture.queryClass(SideEffects.IDEMPOTENT, 1, 0.5), 0.49999, 0.50001);
@@ -91,7 +100,7 @@
         assertEquals(List.of("rejected"), fixture.endings);
     }
 
-    /** Guards against queries rejected for weights that the codec lets in. */
+    /** Guards against the rejection of queries with weights that the codec accepts. */
     @ParameterizedTest
     @ValueSource(doubles = {0.3333, 0.333, 0.3349, 0.332})
     void queryWhoseWeightsDoNotSumToOneIsCompleteWithAllRequests(double weight) {
@@ -104,7 +113,7 @@
         assertEquals(List.of("complete"), fixture.endings);
     }
 
-    /** Guards against subsets that are never complete for weights that the codec lets in. */
+    /** Guards against subsets that are never complete with weights that the codec accepts. */
     @ParameterizedTest
     @ValueSource(doubles = {0.3333, 0.333, 0.3349, 0.332})
     void subsetIsCompleteIfTheWeightsDoNotSumToOne(double weight) {
@@ -115,7 +124,7 @@
         assertEquals(List.of("complete"), fixture.endings);
     }
 
-    /** Guards against a needed request that is never sent as it is counted as answered. */
+    /** Guards against a needed request that is never sent because the query counts as answered. */
     @Test
     void requestIsSentIfOnlyASmallWeightIsMissing() {
         Query query =
--- a/src/test/java/postbeam/policy/CanaryPolicyTest.java
+++ b/src/test/java/postbeam/policy/CanaryPolicyTest.java
@@ -15,7 +15,10 @@
     private final PolicyFixture fixture = new PolicyFixture(3, true);
     private final QueryClass idempotent = PolicyFixture.idempotent();
 
-    /** The endpoint list tells that the last two of so many nodes have died. */
+    /**
+     * Returns a policy whose endpoint list has just reported the removal of the last two of its
+     * ready nodes.
+     */
     private static PolicyFixture withCrashes(int nodeCount) {
         PolicyFixture fixture = new PolicyFixture(nodeCount, true);
         for (int i = nodeCount - 2; i < nodeCount; i++) {
@@ -33,7 +36,7 @@
         crashingNodes.policy.onBatchEnd(ms(100));
         assertEquals(4, crashingNodes.sent.size());
         Query later = crashingNodes.start(ms(11_000), idempotent, 4);
-        assertEquals(4, later.requestsInFlight(), "crashes are forgotten");
+        assertEquals(4, later.requestsInFlight(), "crashes expire after their window");
     }
 
     @Test
--- a/src/test/java/postbeam/policy/ClientRetryEstimatorTest.java
+++ b/src/test/java/postbeam/policy/ClientRetryEstimatorTest.java
@@ -25,12 +25,12 @@
         assertEquals(
                 ms(3100).minus(DEADLINE).plus(OBJECTIVE),
                 withShorterTimeout.sloDeadline(),
-                "it has been 3 s since the first");
+                "the first request was sent 3 s before the retry");
         Query withFullTimeout = retry(ms(100), DEADLINE);
         assertEquals(
                 ms(100).plus(OBJECTIVE),
                 withFullTimeout.sloDeadline(),
-                "how long ago it first came is not told");
+                "a full timeout does not show when the first request was sent");
     }
 
     private Query retry(Duration now, Duration timeout) {
--- a/src/test/java/postbeam/policy/CompletionForecastTest.java
+++ b/src/test/java/postbeam/policy/CompletionForecastTest.java
@@ -56,7 +56,7 @@
         fixture.policy.modules().latencies.setBaseline(idempotent, ms(100));
         fixture.start(idempotent, 1);
         Query large = fixture.start(idempotent, 1000);
-        assertTrue(large.hasEnded(), "some thirty rounds of 100 ms are more than 2 s");
+        assertTrue(large.hasEnded(), "about thirty rounds of 100 ms exceed the objective of 2 s");
         Query medium = fixture.start(idempotent, 100);
         assertFalse(medium.hasEnded());
     }
--- a/src/test/java/postbeam/policy/NodeMembershipTest.java
+++ b/src/test/java/postbeam/policy/NodeMembershipTest.java
@@ -17,7 +17,7 @@
     void restartedNodeIsNoLongerEjected() {
         fixture.policy.modules().ejection.eject(ms(0), node);
         fixture.policy.onNodeUpdate(ms(10), node, Readiness.READY, null);
-        assertTrue(fixture.policy.isEjected(node), "no start is known");
+        assertTrue(fixture.policy.isEjected(node), "an update without a start time is no restart");
         fixture.policy.onNodeUpdate(ms(20), node, Readiness.READY, ms(15));
         assertFalse(fixture.policy.isEjected(node));
     }
--- a/src/test/java/postbeam/policy/OutlierDetectorTest.java
+++ b/src/test/java/postbeam/policy/OutlierDetectorTest.java
@@ -58,7 +58,11 @@
         assertTrue(fixture.sent.stream().skip(2).noneMatch(attempt -> attempt.node == overloaded));
     }
 
-    /** Attempts at nodes of another zone, of which the first ones fail; returns an untried node. */
+    /**
+     * Ends attempts at nodes of another zone, the first {@code failed} of which fail, and starts a
+     * query while the nodes of the local zone are busy. Returns a node of the other zone that has
+     * had no attempt.
+     */
     private DataNode attemptsInOtherZone(int attempts, int failed) {
         Zone zone = new Zone(false);
         Query query = new Query(idempotent, null, ms(0), PolicyFixture.DEADLINE);
--- a/src/test/java/postbeam/policy/PolicyFixture.java
+++ b/src/test/java/postbeam/policy/PolicyFixture.java
@@ -15,7 +15,7 @@
 import postbeam.model.SideEffects;
 import postbeam.model.Zone;
 
-/** A policy over a few sound nodes, and a record of the actions that it took. */
+/** A policy with a few ready nodes, and a record of the actions that it has taken. */
 final class PolicyFixture implements PolicyActions {
     static final Duration OBJECTIVE = Duration.ofSeconds(2);
     static final Duration DEADLINE = Duration.ofSeconds(6);
@@ -30,17 +30,17 @@
 
     final RoutingPolicy policy;
 
-    /** Each node holds every shard, and a call carries several requests. */
+    /** Creates a policy whose nodes hold every shard and whose calls carry several requests. */
     PolicyFixture(int nodeCount, boolean hedgingAllowed) {
         this(nodeCount, hedgingAllowed, 16);
     }
 
-    /** Each node holds every shard. */
+    /** Creates a policy whose nodes hold every shard. */
     PolicyFixture(int nodeCount, boolean hedgingAllowed, int requestsPerCall) {
         this(nodeCount, hedgingAllowed, requestsPerCall, 1);
     }
 
-    /** Each shard is held by the nodes of its cell. */
+    /** Creates a policy in which each shard is held by the nodes of one cell. */
     PolicyFixture(int nodeCount, boolean hedgingAllowed, int requestsPerCall, int cells) {
         policy =
                 new RoutingPolicy(
@@ -61,7 +61,10 @@
         return Duration.ofMillis(millis);
     }
 
-    /** A class whose queries need this share of the weight for any answer. */
+    /**
+     * Returns a class whose queries need this share of the weight both for a complete and for a
+     * partial answer.
+     */
     static QueryClass queryClass(SideEffects sideEffects, double requiredWeight) {
         return queryClass(sideEffects, requiredWeight, requiredWeight);
     }
@@ -80,7 +83,10 @@
         return queryClass(SideEffects.IDEMPOTENT, 1);
     }
 
-    /** A query that arrives with so many shard requests of equal weight. */
+    /**
+     * Reports a query with this number of shard requests of equal weight, without ending the batch
+     * of events.
+     */
     Query arrive(Duration now, QueryClass queryClass, int requests) {
         Query query = new Query(queryClass, null, now, now.plus(DEADLINE));
         policy.onQuery(now, query);
@@ -90,19 +96,19 @@
         return query;
     }
 
-    /** The same, decided on at once. */
+    /** Reports a query as {@link #arrive} does and ends the batch of events. */
     Query start(Duration now, QueryClass queryClass, int requests) {
         Query query = arrive(now, queryClass, requests);
         policy.onBatchEnd(now);
         return query;
     }
 
-    /** The same at time 0. */
+    /** Reports a query at time 0 and ends the batch of events. */
     Query start(QueryClass queryClass, int requests) {
         return start(ms(0), queryClass, requests);
     }
 
-    /** An attempt ends; its latency is the time since it was sent. */
+    /** Reports the outcome of an attempt, with the time since its sending as the latency. */
     void end(Duration now, Attempt attempt, AttemptOutcome outcome) {
         policy.onAttemptEnded(now, attempt, outcome, now.minus(attempt.sentAt), false);
     }
--- a/src/test/java/postbeam/policy/QueryCompletionTest.java
+++ b/src/test/java/postbeam/policy/QueryCompletionTest.java
@@ -107,7 +107,7 @@
             assertEquals(
                     List.of("complete"),
                     fixtureOfClass.endings,
-                    "any two of four complete the first");
+                    "two of four answers complete the first step");
             assertFalse(query.hasEnded());
             fixtureOfClass.policy.onBatchEnd(ms(70));
             int sentInFirstStep = fixtureOfClass.sent.size();
@@ -119,7 +119,7 @@
             fixtureOfClass.end(
                     ms(90), fixtureOfClass.sent.get(sentInFirstStep), AttemptOutcome.SUCCESS);
             fixtureOfClass.policy.onBatchEnd(ms(90));
-            assertEquals(1, fixtureOfClass.endings.size(), "half of the second is not enough");
+            assertEquals(1, fixtureOfClass.endings.size(), "half of the second step is not a complete answer");
             fixtureOfClass.policy.onBatchEnd(PolicyFixture.DEADLINE.minus(ms(30)));
             assertEquals(
                     sideEffects == SideEffects.IDEMPOTENT ? "rejected" : "aborted",
--- a/src/test/java/postbeam/policy/ReplicaSelectorTest.java
+++ b/src/test/java/postbeam/policy/ReplicaSelectorTest.java
@@ -37,7 +37,7 @@
             fixture.end(ms(1 + i), fixture.sent.get(i), AttemptOutcome.UNREACHABLE);
             fixture.policy.onBatchEnd(ms(1 + i));
         }
-        assertEquals(3, fixture.sent.size(), "each replica once");
+        assertEquals(3, fixture.sent.size(), "each replica is tried once");
         PolicyFixture twoNodes = new PolicyFixture(2, false);
         Query waiting = twoNodes.start(idempotent, 1);
         for (int i = 0; i < 2; i++) {
@@ -50,7 +50,7 @@
         twoNodes.policy.onBatchEnd(ms(600));
         twoNodes.policy.onProbeResult(ms(610), twoNodes.probed.get(0), true);
         twoNodes.policy.onBatchEnd(ms(610));
-        assertEquals(3, twoNodes.sent.size(), "one that answers its probe gets the request");
+        assertEquals(3, twoNodes.sent.size(), "the request is retried at the replica that answered its probe");
     }
 
     @Test
--- a/src/test/java/postbeam/policy/SlowStartTest.java
+++ b/src/test/java/postbeam/policy/SlowStartTest.java
@@ -19,7 +19,10 @@
 import postbeam.model.Zone;
 
 class SlowStartTest {
-    /** A rule with a load factor of 2 and a window of 1 s, counted for 250 ms longer. */
+    /**
+     * Returns a slow start limit with a window of 1 s, which is counted for 250 ms longer because
+     * of the connect timeout.
+     */
     private static SlowStart slowStart(int routers, double loadFactor, Duration callOverhead) {
         return new SlowStart(0.2, ms(10_000), loadFactor, ms(1000), routers, callOverhead, ms(250));
     }
@@ -45,13 +48,17 @@
         assertTrue(slowStart.allows(ms(10), node, null, ms(150)));
         slowStart.recordSent(ms(10), node, null, ms(300));
         assertFalse(slowStart.allows(ms(900), node, null, ms(150)));
-        // What was decided then may have been sent 250 ms later, once its connection was up.
+        // Work for which the decision was made at 10 ms may have been sent 250 ms later, once a
+        // connection was open.
         assertFalse(slowStart.allows(ms(1200), node, null, ms(150)));
         assertTrue(slowStart.allows(ms(1400), node, null, ms(150)));
         assertTrue(slowStart.allows(ms(11_000), node, null, ms(5000)));
     }
 
-    /** It has forgotten what it sent before it ended, which may have been its whole share. */
+    /**
+     * Guards against a router that, after its own restart, sends a starting node its whole share
+     * again: it has lost the record of the work that it sent before.
+     */
     @Test
     void routerThatHasJustStartedSendsNothingToStartingNodes() {
         SlowStart slowStart = slowStart(2);
@@ -67,10 +74,13 @@
         assertTrue(slowStart.allows(ms(10), node, ms(0), ms(150)));
         slowStart.recordSent(ms(10), node, ms(0), ms(300));
         assertFalse(slowStart.allows(ms(900), node, ms(0), ms(150)));
-        assertTrue(slowStart.allows(ms(900), node, null, ms(150)), "its other shards are warm");
+        assertTrue(slowStart.allows(ms(900), node, null, ms(150)), "shards that it acquired long ago are not limited");
     }
 
-    /** All that so many routers can send a cold node, with requests of differing work. */
+    /**
+     * Returns the work in seconds that this number of routers can send to a starting node within a
+     * window, with requests of different work.
+     */
     private static double maxWorkInAWindow(Random random, int routers, double loadFactor) {
         List<SlowStart> slowStarts = new ArrayList<>();
         List<DataNode> nodes = new ArrayList<>();
@@ -93,8 +103,9 @@
     }
 
     /**
-     * The worst that can come: all routers want the node all the time. More than N + 2 x root of N
-     * + 2 requests, N being the budget, is chance.
+     * Checks the worst case: all routers have requests for the node all the time. With a budget of
+     * N requests, a window with more than N + 2 * sqrt(N) + 2 requests is a random exception, of
+     * which 2 in 1000 windows are allowed.
      */
     @Test
     void allRoutersTogetherStayWithinTheBudgetExceptForRandomVariation() {
@@ -110,15 +121,15 @@
                     windowsAboveBound +=
                             sent > budgetRequests + 2 * Math.sqrt(budgetRequests) + 2 ? 1 : 0;
                 }
-                String label = routers + " routers, N " + budgetRequests + ": ";
+                String label = routers + " routers, budget of " + budgetRequests + " requests: ";
                 System.out.println(
-                        label + "mean " + sumOfRequests / 1000 + ", beyond " + windowsAboveBound);
+                        label + "mean " + sumOfRequests / 1000 + ", windows above the bound: " + windowsAboveBound);
                 assertTrue(
                         sumOfRequests / 1000 <= budgetRequests,
-                        label + sumOfRequests / 1000 + " on the mean");
+                        label + "the mean of " + sumOfRequests / 1000 + " exceeds the budget");
                 assertTrue(
                         windowsAboveBound <= 2,
-                        label + windowsAboveBound + " of 1000 windows beyond");
+                        label + windowsAboveBound + " of 1000 windows are above the bound");
             }
         }
     }
--- a/src/test/java/postbeam/policy/StragglerDetectorTest.java
+++ b/src/test/java/postbeam/policy/StragglerDetectorTest.java
@@ -31,7 +31,7 @@
         assertEquals(
                 PolicyFixture.OBJECTIVE,
                 detector(false).overdueAfter(ms(0), idempotent),
-                "cancelled, it would have waited for nothing");
+                "cancelling earlier would waste the time spent in the queue of the node");
     }
 
     @Test
