--- a/src/main/java/postbeam/policy/HealthRecord.java
+++ b/src/main/java/postbeam/policy/HealthRecord.java
@@ -88,7 +88,7 @@
         return ejectedUntil != null && now.compareTo(ejectedUntil) < 0;
     }
 
-    /** Returns whether there were ejections from which it has not yet fully recovered. */
+    /** Returns whether the number of ejections is above zero, so that recovery is not complete. */
     boolean hasEjections() {
         return ejectionCount > 0;
     }
--- a/src/main/java/postbeam/policy/SlowStart.java
+++ b/src/main/java/postbeam/policy/SlowStart.java
@@ -19,7 +19,7 @@
     /** Fraction of the budget that is used; the rest is reserved for requests in transit. */
     private static final double BUDGET_UTILIZATION = 0.9;
 
-    /** Number of routers from which shares are rounded at random. */
+    /** Minimum number of routers for which shares are rounded at random. */
     private static final int SAMPLING_MIN_ROUTERS = 9;
 
     /** Window of the counters if work is not limited; the counters are not read then. */
@@ -151,8 +151,8 @@
     }
 
     /**
-     * Returns whether this router started after the node and may have sent it work, before that
-     * start, that still counts in the window.
+     * Returns whether an earlier run of this router may have sent the node work that still counts:
+     * the node started before this router did, and the router has not run for a whole window yet.
      */
     private boolean mayHaveSentBeforeRouterStart(Duration now, Duration warmingUpSince) {
         return warmingUpSince.isNegative() && now.compareTo(countedWindow()) < 0;
--- a/src/test/java/postbeam/policy/OutlierDetectorTest.java
+++ b/src/test/java/postbeam/policy/OutlierDetectorTest.java
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Ends attempts at nodes of another zone, the first {@code failed} of which fail, and starts a
+     * Ends attempts at nodes of another zone, the first {@code failedCount} of which fail, and starts a
      * query while the nodes of the local zone are busy. Returns a node of the other zone that has
      * had no attempt.
      */
