--- a/src/test/java/postbeam/policy/OutlierDetectorTest.java
+++ b/src/test/java/postbeam/policy/OutlierDetectorTest.java
@@ -63,17 +63,17 @@
      * query while the nodes of the local zone are busy. Returns a node of the other zone that has
      * had no attempt.
      */
-    private DataNode attemptsInOtherZone(int attempts, int failed) {
+    private DataNode startQueryAfterAttemptsInOtherZone(int attemptCount, int failedCount) {
         Zone zone = new Zone(false);
         Query query = new Query(idempotent, null, ms(0), PolicyFixture.DEADLINE);
-        for (int i = 0; i < attempts; i++) {
+        for (int i = 0; i < attemptCount; i++) {
             DataNode node = new DataNode(0, zone);
             fixture.policy.onNodeUpdate(ms(0), node, Readiness.READY, null);
             ShardRequest request = new ShardRequest(query, i, 0.1, null);
             fixture.end(
                     ms(100),
                     new Attempt(request, node, ms(0), null),
-                    i < failed ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
+                    i < failedCount ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SUCCESS);
         }
         DataNode untried = new DataNode(0, zone);
         fixture.policy.onNodeUpdate(ms(0), untried, Readiness.READY, null);
@@ -86,14 +86,14 @@
 
     @Test
     void zoneWithMostAttemptsFailedIsAvoidedIncludingItsUntriedNodes() {
-        DataNode untried = attemptsInOtherZone(4, 4);
+        DataNode untried = startQueryAfterAttemptsInOtherZone(4, 4);
         assertTrue(fixture.nodes.contains(fixture.sent.get(0).node));
         assertNotSame(untried, fixture.sent.get(0).node);
     }
 
     @Test
     void zoneWithFewFailuresIsNotEjected() {
-        attemptsInOtherZone(4, 1);
+        startQueryAfterAttemptsInOtherZone(4, 1);
         assertFalse(fixture.nodes.contains(fixture.sent.get(0).node));
     }
 }
