--- a/src/main/java/postbeam/policy/ConcurrencyWindow.java
+++ b/src/main/java/postbeam/policy/ConcurrencyWindow.java
@@ -110,7 +110,8 @@
         boolean late =
                 latency.compareTo(limit) > 0
                         && latencies
-                                        .typicalLatency(now, queryClass, LATE_TYPICAL_LATENCY_FACTOR)
+                                        .typicalLatency(
+                                                now, queryClass, LATE_TYPICAL_LATENCY_FACTOR)
                                         .compareTo(limit)
                                 > 0;
         double newSize = size;
--- a/src/main/java/postbeam/policy/NodeLatency.java
+++ b/src/main/java/postbeam/policy/NodeLatency.java
@@ -30,7 +30,8 @@
     /** Records an answer, received now, to an attempt sent at {@code sentAt}. */
     void recordAnswer(Duration now, Duration sentAt) {
         lastAnsweredAt = now;
-        if (latestAnsweredAttemptSentAt == null || latestAnsweredAttemptSentAt.compareTo(sentAt) < 0) {
+        if (latestAnsweredAttemptSentAt == null
+                || latestAnsweredAttemptSentAt.compareTo(sentAt) < 0) {
             latestAnsweredAttemptSentAt = sentAt;
         }
     }
@@ -46,6 +47,7 @@
 
     /** Returns whether an attempt that was sent after {@code sentAt} has been answered. */
     boolean hasAnsweredAttemptSentAfter(Duration sentAt) {
-        return latestAnsweredAttemptSentAt != null && latestAnsweredAttemptSentAt.compareTo(sentAt) > 0;
+        return latestAnsweredAttemptSentAt != null
+                && latestAnsweredAttemptSentAt.compareTo(sentAt) > 0;
     }
 }
--- a/src/main/java/postbeam/policy/OutlierDetector.java
+++ b/src/main/java/postbeam/policy/OutlierDetector.java
@@ -99,7 +99,9 @@
                 || outcome == AttemptOutcome.RESET
                 || (outcome.isAbandoned()
                         && overdue
-                        && !NodeState.of(attempt.node).latency.hasAnsweredAtOrAfter(attempt.sentAt));
+                        && !NodeState.of(attempt.node)
+                                .latency
+                                .hasAnsweredAtOrAfter(attempt.sentAt));
     }
 
     /**
--- a/src/main/java/postbeam/policy/SlotScheduler.java
+++ b/src/main/java/postbeam/policy/SlotScheduler.java
@@ -84,11 +84,16 @@
             Candidate best = candidates.poll();
             Query query = best.query;
             boolean mayStart =
-                    !query.hasNotStarted() || !best.lowPriority || window.hasSpareCapacity(lostRequests);
+                    !query.hasNotStarted()
+                            || !best.lowPriority
+                            || window.hasSpareCapacity(lostRequests);
             if (mayStart && sendNext(now, query, best.answersMissing)) {
                 candidates.add(
                         new Candidate(
-                                query, answersMissing(now, query), best.lowPriority, best.arrivalOrder));
+                                query,
+                                answersMissing(now, query),
+                                best.lowPriority,
+                                best.arrivalOrder));
             }
         }
     }
--- a/src/main/java/postbeam/policy/SlowStart.java
+++ b/src/main/java/postbeam/policy/SlowStart.java
@@ -119,12 +119,17 @@
         NodeWarmUp warmUp = NodeState.of(node).warmUp;
         Duration warmingUpSince = warmingUpSince(node);
         if (isWarmingUp(now, warmingUpSince)
-                && !isWithinBudget(now, warmingUpSince, warmUp.recentWorkSeconds(now), warmUp, work)) {
+                && !isWithinBudget(
+                        now, warmingUpSince, warmUp.recentWorkSeconds(now), warmUp, work)) {
             return false;
         }
         return !isWarmingUp(now, acquiredAt)
                 || isWithinBudget(
-                        now, acquiredAt, warmUp.recentWorkSecondsOnAcquiredShards(now), warmUp, work);
+                        now,
+                        acquiredAt,
+                        warmUp.recentWorkSecondsOnAcquiredShards(now),
+                        warmUp,
+                        work);
     }
 
     private boolean isWarmingUp(Duration now, Duration since) {
--- a/src/main/java/postbeam/router/PagedAttempt.java
+++ b/src/main/java/postbeam/router/PagedAttempt.java
@@ -22,13 +22,7 @@
             String headerFields,
             long deadlineNanos,
             PagedQuery pagedQuery) {
-        super(
-                clientPresence,
-                policyAttempt,
-                id,
-                headerFields,
-                pagedQuery.payload(),
-                deadlineNanos);
+        super(clientPresence, policyAttempt, id, headerFields, pagedQuery.payload(), deadlineNanos);
         this.pagedQuery = pagedQuery;
     }
 
--- a/src/test/java/postbeam/model/CellPlacementTest.java
+++ b/src/test/java/postbeam/model/CellPlacementTest.java
@@ -19,7 +19,10 @@
         List.of(first, second, third).forEach(placement::add);
         assertEquals(List.of(first, second), placement.replicas(0));
         assertEquals(List.of(third, first), placement.replicas(2));
-        assertEquals(List.of(first, second), placement.replicas(3), "shard numbers wrap around the cells");
+        assertEquals(
+                List.of(first, second),
+                placement.replicas(3),
+                "shard numbers wrap around the cells");
         placement.remove(first);
         assertEquals(List.of(second), placement.replicas(0));
     }
--- a/src/test/java/postbeam/model/QueryWeightsPropertyTest.java
+++ b/src/test/java/postbeam/model/QueryWeightsPropertyTest.java
@@ -96,7 +96,8 @@
             if (missing.signum() <= 0) {
                 assertTrue(isComplete(query), () -> "expected complete, missing weight " + missing);
             } else if (missing.doubleValue() > roundingError) {
-                assertFalse(isComplete(query), () -> "expected incomplete, missing weight " + missing);
+                assertFalse(
+                        isComplete(query), () -> "expected incomplete, missing weight " + missing);
             }
             assertEquals(isComplete(query), query.requestsNeeded() == 0);
         }
@@ -110,10 +111,16 @@
             for (int needed = 1; needed <= count; needed += 1 + count / 50) {
                 Query query = query((double) needed / count, equalWeights(count, weight));
                 query.shardRequests.subList(0, needed - 1).forEach(ShardRequest::markAnswered);
-                assertEquals(1, query.requestsNeeded(), needed + " of " + count + " requests are required");
+                assertEquals(
+                        1,
+                        query.requestsNeeded(),
+                        needed + " of " + count + " requests are required");
                 assertFalse(isComplete(query), needed + " of " + count + " requests are required");
                 query.shardRequests.get(needed - 1).markAnswered();
-                assertEquals(0, query.requestsNeeded(), needed + " of " + count + " requests are required");
+                assertEquals(
+                        0,
+                        query.requestsNeeded(),
+                        needed + " of " + count + " requests are required");
                 assertTrue(isComplete(query), needed + " of " + count + " requests are required");
             }
         }
--- a/src/test/java/postbeam/policy/ConcurrencyWindowTest.java
+++ b/src/test/java/postbeam/policy/ConcurrencyWindowTest.java
@@ -57,6 +57,10 @@
     void lateAnswerDoesNotNarrowTheWindowIfTheTypicalNodeIsFast() {
         ConcurrencyWindow window = window(3, 1);
         window.onAnswer(ms(600), PolicyFixture.idempotent(), ms(600));
-        assertEquals(32, window.size(), "twice the typical latency is 400 ms, below the 500 ms from which answers are late");
+        assertEquals(
+                32,
+                window.size(),
+                "twice the typical latency is 400 ms, below the 500 ms from which answers are"
+                        + " late");
     }
 }
--- a/src/test/java/postbeam/policy/OutlierDetectorTest.java
+++ b/src/test/java/postbeam/policy/OutlierDetectorTest.java
@@ -59,9 +59,9 @@
     }
 
     /**
-     * Ends attempts at nodes of another zone, the first {@code failedCount} of which fail, and starts a
-     * query while the nodes of the local zone are busy. Returns a node of the other zone that has
-     * had no attempt.
+     * Ends attempts at nodes of another zone, the first {@code failedCount} of which fail, and
+     * starts a query while the nodes of the local zone are busy. Returns a node of the other zone
+     * that has had no attempt.
      */
     private DataNode startQueryAfterAttemptsInOtherZone(int attemptCount, int failedCount) {
         Zone zone = new Zone(false);
--- a/src/test/java/postbeam/policy/QueryCompletionTest.java
+++ b/src/test/java/postbeam/policy/QueryCompletionTest.java
@@ -119,7 +119,10 @@
             fixtureOfClass.end(
                     ms(90), fixtureOfClass.sent.get(sentInFirstStep), AttemptOutcome.SUCCESS);
             fixtureOfClass.policy.onBatchEnd(ms(90));
-            assertEquals(1, fixtureOfClass.endings.size(), "half of the second step is not a complete answer");
+            assertEquals(
+                    1,
+                    fixtureOfClass.endings.size(),
+                    "half of the second step is not a complete answer");
             fixtureOfClass.policy.onBatchEnd(PolicyFixture.DEADLINE.minus(ms(30)));
             assertEquals(
                     sideEffects == SideEffects.IDEMPOTENT ? "rejected" : "aborted",
--- a/src/test/java/postbeam/policy/ReplicaSelectorTest.java
+++ b/src/test/java/postbeam/policy/ReplicaSelectorTest.java
@@ -50,7 +50,10 @@
         twoNodes.policy.onBatchEnd(ms(600));
         twoNodes.policy.onProbeResult(ms(610), twoNodes.probed.get(0), true);
         twoNodes.policy.onBatchEnd(ms(610));
-        assertEquals(3, twoNodes.sent.size(), "the request is retried at the replica that answered its probe");
+        assertEquals(
+                3,
+                twoNodes.sent.size(),
+                "the request is retried at the replica that answered its probe");
     }
 
     @Test
--- a/src/test/java/postbeam/policy/SlowStartTest.java
+++ b/src/test/java/postbeam/policy/SlowStartTest.java
@@ -74,7 +74,9 @@
         assertTrue(slowStart.allows(ms(10), node, ms(0), ms(150)));
         slowStart.recordSent(ms(10), node, ms(0), ms(300));
         assertFalse(slowStart.allows(ms(900), node, ms(0), ms(150)));
-        assertTrue(slowStart.allows(ms(900), node, null, ms(150)), "shards that it acquired long ago are not limited");
+        assertTrue(
+                slowStart.allows(ms(900), node, null, ms(150)),
+                "shards that it acquired long ago are not limited");
     }
 
     /**
@@ -123,7 +125,11 @@
                 }
                 String label = routers + " routers, budget of " + budgetRequests + " requests: ";
                 System.out.println(
-                        label + "mean " + sumOfRequests / 1000 + ", windows above the bound: " + windowsAboveBound);
+                        label
+                                + "mean "
+                                + sumOfRequests / 1000
+                                + ", windows above the bound: "
+                                + windowsAboveBound);
                 assertTrue(
                         sumOfRequests / 1000 <= budgetRequests,
                         label + "the mean of " + sumOfRequests / 1000 + " exceeds the budget");
