--- a/src/main/java/postbeam/coordination/CoordinationError.java
+++ b/src/main/java/postbeam/coordination/CoordinationError.java
@@ -5,7 +5,7 @@
 /** What can go wrong among routers; peers are answered with these texts. */
 public sealed interface CoordinationError extends OperatorError {
     /** Another router disagrees on the fleet's routers or parameters. */
-    record MismatchedTerms(String router) implements CoordinationError {
+    record MismatchedFleetConfig(String router) implements CoordinationError {
         @Override
         public String problem() {
             return "router " + router + " has other names or terms of the fleet in its settings";
@@ -66,11 +66,11 @@
     }
 
     /** A router that has failed to respond to so many requests in a row. */
-    record UnresponsiveRouter(String router, String cause, int requests)
+    record UnresponsiveRouter(String router, String cause, int consecutiveFailures)
             implements CoordinationError {
         @Override
         public String problem() {
-            return "router " + router + " has not answered " + requests + " asks (" + cause + ")";
+            return "router " + router + " has not answered " + consecutiveFailures + " asks (" + cause + ")";
         }
 
         @Override
--- a/src/main/java/postbeam/coordination/CoordinationStripe.java
+++ b/src/main/java/postbeam/coordination/CoordinationStripe.java
@@ -67,12 +67,12 @@
         this.members = members;
         this.leaseParameters = leaseParameters;
         this.maySendFrom = now.plus(leaseParameters.window()).plus(leaseParameters.maxClockDrift());
-        this.election = election(stripe, self, members, electionTimeouts, now, random);
-        this.leaseIssuer = leaseIssuer(election, leaseParameters);
+        this.election = createElection(stripe, self, members, electionTimeouts, now, random);
+        this.leaseIssuer = createLeaseIssuer(election, leaseParameters);
     }
 
     /** Creates the election; called once, by the constructor. */
-    protected LeaderElection election(
+    protected LeaderElection createElection(
             int stripe,
             ProcessIdentity process,
             List<String> routers,
@@ -83,12 +83,13 @@
     }
 
     /** Creates the issuer of leases; called once, by the constructor. */
-    protected LeaseIssuer leaseIssuer(LeaderElection of, LeaseParameters parameters) {
-        return new LeaseIssuer(of, parameters);
+    protected LeaseIssuer createLeaseIssuer(
+            LeaderElection stripeElection, LeaseParameters parameters) {
+        return new LeaseIssuer(stripeElection, parameters);
     }
 
     /** Creates the quota of one node. */
-    protected SlowStartQuota nodeQuota(
+    protected SlowStartQuota createQuota(
             LeaseParameters parameters, int participants, boolean participating) {
         return new SlowStartQuota(parameters, participants, participating);
     }
@@ -148,7 +149,7 @@
         int participants = leaseParameters.participants(budget.initial());
         boolean participating =
                 leaseParameters.participates(node, self.name(), members, participants);
-        return nodeQuota(leaseParameters, participants, participating);
+        return createQuota(leaseParameters, participants, participating);
     }
 
     /** By node, the largest lease that this router holds. */
@@ -214,7 +215,7 @@
     public void onGrant(Duration now, LeaseGrant grant) {
         TrackedNode tracked = nodes.get(grant.node());
         if (tracked != null && grant.requester().equals(self)) {
-            tracked.quota.onGrant(now, grant.number(), grant.amount());
+            tracked.quota.onGrant(now, grant.requestNumber(), grant.amount());
         }
     }
 
--- a/src/main/java/postbeam/coordination/ElectionTimeouts.java
+++ b/src/main/java/postbeam/coordination/ElectionTimeouts.java
@@ -29,7 +29,7 @@
     }
 
     /** How long a vote binds the voter. */
-    Duration voteHold() {
+    Duration voteDuration() {
         return leaderLease.plus(maxClockDrift);
     }
 
--- a/src/main/java/postbeam/coordination/HealthGossip.java
+++ b/src/main/java/postbeam/coordination/HealthGossip.java
@@ -58,7 +58,7 @@
         }
 
         /** Whether it rests on enough attempts and is not older than this. */
-        boolean counts(Duration now, Duration maxAge) {
+        boolean isUsable(Duration now, Duration maxAge) {
             return age(now).compareTo(maxAge) < 0 && report.attempts() >= MIN_ATTEMPTS;
         }
     }
@@ -68,7 +68,7 @@
     private final int zones;
 
     /** By node and reporting router. */
-    private final Map<NodeIncarnation, Map<String, ReceivedReport>> received =
+    private final Map<NodeIncarnation, Map<String, ReceivedReport>> remoteReports =
             new LinkedHashMap<>();
 
     private final Map<NodeIncarnation, ReceivedReport> localReports = new LinkedHashMap<>();
@@ -100,12 +100,12 @@
     }
 
     /** Takes another router's report; its own that comes back is ignored, as is an older one. */
-    public void received(Duration now, HealthReport report) {
+    public void recordRemote(Duration now, HealthReport report) {
         if (report.router().equals(self) || !admitIncarnation(report.node())) {
             return;
         }
         Map<String, ReceivedReport> byRouter =
-                received.computeIfAbsent(report.node(), node -> new TreeMap<>());
+                remoteReports.computeIfAbsent(report.node(), node -> new TreeMap<>());
         ReceivedReport previous = byRouter.get(report.router());
         ReceivedReport next = new ReceivedReport(report, now);
         boolean accepted =
@@ -119,7 +119,7 @@
 
     /** False for an earlier incarnation than known; a later one makes the earlier forgotten. */
     private boolean admitIncarnation(NodeIncarnation node) {
-        Long known = incarnations.get(node.node());
+        Long known = incarnations.get(node.name());
         if (known == null && incarnations.size() >= MAX_NODES) {
             return false;
         }
@@ -127,14 +127,14 @@
             return false;
         }
         if (known != null && known < node.incarnation()) {
-            forget(new NodeIncarnation(node.node(), known));
+            forget(new NodeIncarnation(node.name(), known));
         }
-        incarnations.put(node.node(), node.incarnation());
+        incarnations.put(node.name(), node.incarnation());
         return true;
     }
 
     /** The node is no longer listed. */
-    public void nodeRemoved(String node) {
+    public void removeNode(String node) {
         Long incarnation = incarnations.remove(node);
         if (incarnation != null) {
             forget(new NodeIncarnation(node, incarnation));
@@ -142,7 +142,7 @@
     }
 
     private void forget(NodeIncarnation node) {
-        received.remove(node);
+        remoteReports.remove(node);
         localReports.remove(node);
         markedAt.remove(node);
     }
@@ -152,12 +152,12 @@
     /** Whether the own evidence says so or, without any, enough recent reports do. */
     public boolean isUnhealthy(Duration now, NodeIncarnation node) {
         ReceivedReport own = localReports.get(node);
-        if (own != null && own.counts(now, LOCAL_MAX_AGE)) {
+        if (own != null && own.isUsable(now, LOCAL_MAX_AGE)) {
             return !own.isHealthy();
         }
         List<ReceivedReport> counted =
-                received.getOrDefault(node, Map.of()).values().stream()
-                        .filter(report -> report.counts(now, REPORT_MAX_AGE))
+                remoteReports.getOrDefault(node, Map.of()).values().stream()
+                        .filter(report -> report.isUsable(now, REPORT_MAX_AGE))
                         .toList();
         List<ReceivedReport> unhealthy =
                 counted.stream().filter(report -> !report.isHealthy()).toList();
@@ -187,7 +187,7 @@
                 new ArrayList<>(replicas.stream().filter(node -> isUnhealthy(now, node)).toList());
         unhealthy.sort(
                 Comparator.comparingDouble((NodeIncarnation node) -> -severity(now, node))
-                        .thenComparing(NodeIncarnation::node));
+                        .thenComparing(NodeIncarnation::name));
         int maxMarked =
                 Math.min(
                         replicas.size() - 1,
@@ -219,7 +219,7 @@
     }
 
     private double severity(Duration now, NodeIncarnation node) {
-        return received.getOrDefault(node, Map.of()).values().stream()
+        return remoteReports.getOrDefault(node, Map.of()).values().stream()
                 .filter(one -> one.age(now).compareTo(REPORT_MAX_AGE) < 0 && !one.isHealthy())
                 .mapToDouble(one -> Math.max(1, one.report().slowness()))
                 .sum();
@@ -227,6 +227,6 @@
 
     /** How many reports are kept. */
     public int size() {
-        return localReports.size() + received.values().stream().mapToInt(Map::size).sum();
+        return localReports.size() + remoteReports.values().stream().mapToInt(Map::size).sum();
     }
 }
--- a/src/main/java/postbeam/coordination/LeaderElection.java
+++ b/src/main/java/postbeam/coordination/LeaderElection.java
@@ -87,10 +87,10 @@
         return votedFor == null || votedFor.equals(process) || now.compareTo(voteBindsUntil) >= 0;
     }
 
-    private void castVote(Duration now, ProcessIdentity process, long inTerm) {
+    private void castVote(Duration now, ProcessIdentity process, long voteTerm) {
         votedFor = process;
-        voteBindsUntil = now.plus(timeouts.voteHold());
-        highestTerm = inTerm;
+        voteBindsUntil = now.plus(timeouts.voteDuration());
+        highestTerm = voteTerm;
         nextCandidacyAt = voteBindsUntil.plus(candidacyDelay());
     }
 
--- a/src/main/java/postbeam/coordination/LeaseIssuer.java
+++ b/src/main/java/postbeam/coordination/LeaseIssuer.java
@@ -30,7 +30,7 @@
     /** Answers a request; the time must be read after the request came. */
     public LeaseGrant grant(Duration now, LeaseRequest request) {
         double amount = canGrant(now) ? grantedAmount(now, request) : 0;
-        return new LeaseGrant(request.node(), request.requester(), request.number(), amount);
+        return new LeaseGrant(request.node(), request.requester(), request.requestNumber(), amount);
     }
 
     private double grantedAmount(Duration now, LeaseRequest request) {
@@ -49,8 +49,8 @@
                 .grant(
                         now,
                         request.requester(),
-                        request.number(),
-                        request.requested(),
+                        request.requestNumber(),
+                        request.requestedAmount(),
                         parameters.leasable(request.nodeBudget()),
                         parameters.leaseRetention());
     }
@@ -78,13 +78,13 @@
         StringBuilder text = new StringBuilder("k");
         leaseTables.values().stream()
                 .flatMap(table -> table.leases().stream())
-                .filter(lease -> lease.countsUntil().compareTo(now) > 0)
+                .filter(lease -> lease.retainedUntil().compareTo(now) > 0)
                 .forEach(
                         lease ->
                                 text.append(lease.holder())
-                                        .append(lease.number())
+                                        .append(lease.requestNumber())
                                         .append(lease.amount())
-                                        .append(lease.countsUntil().minus(now)));
+                                        .append(lease.retainedUntil().minus(now)));
         return text.toString();
     }
 }
--- a/src/main/java/postbeam/coordination/LeaseParameters.java
+++ b/src/main/java/postbeam/coordination/LeaseParameters.java
@@ -17,7 +17,7 @@
  * @param maxClockDrift d: what two clocks may differ by over the longest span here
  * @param reservedFraction s: fraction of each budget that is never leased; a router that hears
  *     nothing has its part of it
- * @param inFlight k: fraction of each budget for work that is acquired and not yet sent, as when a
+ * @param inFlightFraction k: fraction of each budget for work that is acquired and not yet sent, as when a
  *     process is stopped there
  * @param maxRouters what the reserve is divided by: all routers that are, and that may be before
  *     all know of new parameters
@@ -28,19 +28,19 @@
         Duration window,
         Duration maxClockDrift,
         double reservedFraction,
-        double inFlight,
+        double inFlightFraction,
         int maxRouters,
         double maxAttemptWork) {
     private static final int MIN_PARTICIPANTS = 2;
 
     /** Keeps a quotient that is a whole number from being rounded down. */
-    private static final double ROUNDING = 1e-9;
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
     /** Checks the parameters; an IllegalArgumentException states them where they can't be used. */
     public LeaseParameters {
         if (reservedFraction <= 0
-                || inFlight <= 0
-                || reservedFraction + inFlight >= 1
+                || inFlightFraction <= 0
+                || reservedFraction + inFlightFraction >= 1
                 || maxRouters < 1
                 || maxAttemptWork < 0
                 || leaseDuration.isNegative()
@@ -51,7 +51,7 @@
                     "lease parameters can't be used: reserved "
                             + reservedFraction
                             + ", in flight "
-                            + inFlight
+                            + inFlightFraction
                             + ", most routers "
                             + maxRouters
                             + ", largest attempt "
@@ -77,7 +77,7 @@
 
     /** What a leader may lease out of a budget. */
     public double leasable(double budget) {
-        return budget * (1 - reservedFraction - inFlight);
+        return budget * (1 - reservedFraction - inFlightFraction);
     }
 
     /** What each of so many participants may use of a budget without a lease. */
@@ -86,8 +86,8 @@
     }
 
     /** What each of so many participants may have acquired of a budget and not yet sent. */
-    public double inFlight(double budget, int participants) {
-        return budget * inFlight / participants;
+    public double inFlightLimit(double budget, int participants) {
+        return budget * inFlightFraction / participants;
     }
 
     /**
@@ -98,7 +98,7 @@
         if (maxAttemptWork <= 0) {
             return maxRouters;
         }
-        double parts = Math.floor(initialBudget * inFlight / maxAttemptWork + ROUNDING);
+        double parts = Math.floor(initialBudget * inFlightFraction / maxAttemptWork + ROUNDING_TOLERANCE);
         return (int) Math.min(maxRouters, Math.max(MIN_PARTICIPANTS, parts));
     }
 
@@ -121,7 +121,7 @@
     }
 
     private static long rank(NodeIncarnation node, String router) {
-        String text = node.node() + "\n" + node.incarnation() + "\n" + router;
+        String text = node.name() + "\n" + node.incarnation() + "\n" + router;
         try {
             byte[] digest =
                     MessageDigest.getInstance("SHA-256")
--- a/src/main/java/postbeam/coordination/LeaseTable.java
+++ b/src/main/java/postbeam/coordination/LeaseTable.java
@@ -17,12 +17,12 @@
      * A lease.
      *
      * @param amount of work in any window
-     * @param countsUntil when the leader forgets it, which is after the holder does
+     * @param retainedUntil when the leader forgets it, which is after the holder does
      */
     public record IssuedLease(
-            ProcessIdentity holder, long number, double amount, Duration countsUntil) {}
+            ProcessIdentity holder, long requestNumber, double amount, Duration retainedUntil) {}
 
-    private record Demand(double amount, Duration countsUntil) {}
+    private record Demand(double amount, Duration retainedUntil) {}
 
     /** A router requests again after a third of a lease at the earliest. */
     private static final int MAX_LEASES = 4096;
@@ -36,36 +36,36 @@
      * Grants a lease.
      *
      * @param leasable what of the node's budget may be leased in all
-     * @param countedFor how long the lease counts
-     * @return the amount, at most that requested; 0 where nothing is left
+     * @param retention how long the lease counts
+     * @return the amount, at most that requested; 0 where nothing is remaining
      */
     public double grant(
             Duration now,
             ProcessIdentity requester,
-            long number,
-            double requested,
+            long requestNumber,
+            double requestedAmount,
             double leasable,
-            Duration countedFor) {
+            Duration retention) {
         expire(now);
-        String key = requester.name() + ":" + requester.incarnation() + ":" + number;
+        String key = requester.name() + ":" + requester.incarnation() + ":" + requestNumber;
         IssuedLease earlier = leases.get(key);
         if (earlier != null) {
             return earlier.amount();
         }
-        Duration countsUntil = now.plus(countedFor);
-        demands.put(requester.name(), new Demand(requested, countsUntil));
-        double fair = Math.min(requested, fairShare(requester.name(), leasable));
-        double amount = Math.min(fair, leasable - grantedToOthers(requester));
+        Duration retainedUntil = now.plus(retention);
+        demands.put(requester.name(), new Demand(requestedAmount, retainedUntil));
+        double fairAmount = Math.min(requestedAmount, fairShare(requester.name(), leasable));
+        double amount = Math.min(fairAmount, leasable - grantedToOthers(requester));
         if (amount <= 0 || leases.size() >= MAX_LEASES) {
             return 0;
         }
-        leases.put(key, new IssuedLease(requester, number, amount, countsUntil));
+        leases.put(key, new IssuedLease(requester, requestNumber, amount, retainedUntil));
         return amount;
     }
 
     private void expire(Duration now) {
-        leases.values().removeIf(lease -> lease.countsUntil().compareTo(now) <= 0);
-        demands.values().removeIf(demand -> demand.countsUntil().compareTo(now) <= 0);
+        leases.values().removeIf(lease -> lease.retainedUntil().compareTo(now) <= 0);
+        demands.values().removeIf(demand -> demand.retainedUntil().compareTo(now) <= 0);
     }
 
     /** The largest lease of each other process; an earlier run of the same router is another. */
@@ -83,15 +83,15 @@
     private double fairShare(String router, double leasable) {
         List<Map.Entry<String, Demand>> ascending = new ArrayList<>(demands.entrySet());
         ascending.sort(Comparator.comparingDouble(entry -> entry.getValue().amount()));
-        double left = leasable;
-        int sharers = ascending.size();
+        double remaining = leasable;
+        int remainingRouters = ascending.size();
         for (Map.Entry<String, Demand> entry : ascending) {
-            double share = Math.min(entry.getValue().amount(), left / sharers);
+            double share = Math.min(entry.getValue().amount(), remaining / remainingRouters);
             if (entry.getKey().equals(router)) {
                 return share;
             }
-            left -= share;
-            sharers--;
+            remaining -= share;
+            remainingRouters--;
         }
         return 0;
     }
--- a/src/main/java/postbeam/coordination/QuotaCounters.java
+++ b/src/main/java/postbeam/coordination/QuotaCounters.java
@@ -46,7 +46,7 @@
     private final long firstBucket;
 
     /** By counter and router: the newest entry of that router's newest run. */
-    private final Map<CounterKey, Map<String, QuotaCounterEntry>> received = new LinkedHashMap<>();
+    private final Map<CounterKey, Map<String, QuotaCounterEntry>> remoteEntries = new LinkedHashMap<>();
 
     private final Map<CounterKey, LocalCounter> local = new LinkedHashMap<>();
     private long newestBucket;
@@ -79,7 +79,7 @@
             return false;
         }
         LocalCounter counter = localCounter(counterKey, limit);
-        if (counter.count + amount > counter.cap + receivedQuota(counterKey, limit)) {
+        if (counter.count + amount > counter.cap + quotaYieldedByOthers(counterKey, limit)) {
             return false;
         }
         counter.count += amount;
@@ -118,8 +118,8 @@
     }
 
     /** What others yielded and this router may use: of each router an even part. */
-    private double receivedQuota(CounterKey key, double limit) {
-        Map<String, QuotaCounterEntry> entries = received.getOrDefault(key, Map.of());
+    private double quotaYieldedByOthers(CounterKey key, double limit) {
+        Map<String, QuotaCounterEntry> entries = remoteEntries.getOrDefault(key, Map.of());
         double sum = 0;
         for (String member : members) {
             if (!member.equals(self.name())) {
@@ -143,7 +143,7 @@
         CounterKey counterKey = new CounterKey(key, bucket);
         LocalCounter counter = local.get(counterKey);
         double own = counter == null ? limit / maxRouters : counter.cap;
-        return own + receivedQuota(counterKey, limit);
+        return own + quotaYieldedByOthers(counterKey, limit);
     }
 
     // ---- the fleet's counts
@@ -154,7 +154,7 @@
         LocalCounter counter = local.get(counterKey);
         double own = counter == null ? 0 : counter.count;
         return own
-                + received.getOrDefault(counterKey, Map.of()).values().stream()
+                + remoteEntries.getOrDefault(counterKey, Map.of()).values().stream()
                         .mapToDouble(QuotaCounterEntry::count)
                         .sum();
     }
@@ -162,10 +162,10 @@
     // ---- gossip
 
     /** Takes over newer entries; those known, old, of strangers or of earlier runs are ignored. */
-    public void received(List<QuotaCounterEntry> entries) {
+    public void merge(List<QuotaCounterEntry> entries) {
         for (QuotaCounterEntry entry : entries) {
             if (isAccepted(entry)) {
-                received.computeIfAbsent(
+                remoteEntries.computeIfAbsent(
                                 new CounterKey(entry.key(), entry.bucket()), key -> new TreeMap<>())
                         .merge(entry.process().name(), entry, this::newer);
             }
@@ -174,16 +174,16 @@
 
     private boolean isAccepted(QuotaCounterEntry entry) {
         String router = entry.process().name();
-        boolean ofOther = members.contains(router) && !router.equals(self.name());
+        boolean fromOther = members.contains(router) && !router.equals(self.name());
         boolean recent = !isOld(entry.bucket()) && entry.bucket() <= newestBucket + 1;
         CounterKey key = new CounterKey(entry.key(), entry.bucket());
-        return ofOther && recent && (received.containsKey(key) || received.size() < MAX_COUNTERS);
+        return fromOther && recent && (remoteEntries.containsKey(key) || remoteEntries.size() < MAX_COUNTERS);
     }
 
     /** The one of two entries that counts. */
     protected QuotaCounterEntry newer(QuotaCounterEntry known, QuotaCounterEntry next) {
-        int byRun = Long.compare(next.process().incarnation(), known.process().incarnation());
-        boolean isNewer = byRun == 0 ? next.version() > known.version() : byRun > 0;
+        int byIncarnation = Long.compare(next.process().incarnation(), known.process().incarnation());
+        boolean isNewer = byIncarnation == 0 ? next.version() > known.version() : byIncarnation > 0;
         return isNewer ? next : known;
     }
 
@@ -192,7 +192,7 @@
         if (bucket > newestBucket) {
             newestBucket = bucket;
             local.keySet().removeIf(key -> isOld(key.bucket()));
-            received.keySet().removeIf(key -> isOld(key.bucket()));
+            remoteEntries.keySet().removeIf(key -> isOld(key.bucket()));
         }
     }
 
@@ -201,7 +201,7 @@
         List<QuotaCounterEntry> entries = new ArrayList<>();
         local.forEach((key, counter) -> entries.add(entry(key, counter)));
         List<QuotaCounterEntry> others =
-                received.values().stream().flatMap(byRouter -> byRouter.values().stream()).toList();
+                remoteEntries.values().stream().flatMap(byRouter -> byRouter.values().stream()).toList();
         while (entries.size() > MAX_ENTRIES_PER_MESSAGE) {
             entries.remove(0);
         }
@@ -219,6 +219,6 @@
 
     /** How many entries are kept; at most {@code MAX_COUNTERS} for each router. */
     public int size() {
-        return local.size() + received.values().stream().mapToInt(Map::size).sum();
+        return local.size() + remoteEntries.values().stream().mapToInt(Map::size).sum();
     }
 }
--- a/src/main/java/postbeam/coordination/SlowStartQuota.java
+++ b/src/main/java/postbeam/coordination/SlowStartQuota.java
@@ -16,7 +16,7 @@
 public class SlowStartQuota {
     /** A lease that was requested and, once its amount is above 0, granted. */
     private static final class Lease {
-        final long number;
+        final long requestNumber;
         final Duration requestedAt;
 
         /** Not used from here on. */
@@ -24,8 +24,8 @@
 
         double amount;
 
-        Lease(long number, Duration requestedAt, Duration expiresAt) {
-            this.number = number;
+        Lease(long requestNumber, Duration requestedAt, Duration expiresAt) {
+            this.requestNumber = requestNumber;
             this.requestedAt = requestedAt;
             this.expiresAt = expiresAt;
         }
@@ -64,8 +64,8 @@
 
     // ---- leases
 
-    /** How much to request from the leader now under this number; 0 for no request. */
-    public double requestAmount(Duration now, double budget, long number) {
+    /** How much to request from the leader now under this request number; 0 for no request. */
+    public double requestAmount(Duration now, double budget, long requestNumber) {
         expire(now);
         double requested =
                 Math.min(
@@ -78,7 +78,7 @@
                 || requested <= 0) {
             return 0;
         }
-        leases.add(new Lease(number, now, now.plus(parameters.leaseDuration())));
+        leases.add(new Lease(requestNumber, now, now.plus(parameters.leaseDuration())));
         return requested;
     }
 
@@ -91,7 +91,7 @@
     public void onGrant(Duration now, long requestNumber, double amount) {
         expire(now);
         leases.stream()
-                .filter(lease -> lease.number == requestNumber)
+                .filter(lease -> lease.requestNumber == requestNumber)
                 .forEach(lease -> lease.amount = amount);
     }
 
@@ -125,7 +125,7 @@
                 parameters.reservedQuota(budget, participants)
                         + largestLease(now)
                         - admitted.upperBoundSum(now, parameters.window());
-        double unsent = parameters.inFlight(budget, participants) - inFlight;
+        double unsent = parameters.inFlightLimit(budget, participants) - inFlight;
         return Math.max(0, Math.min(inWindow, unsent));
     }
 
@@ -165,7 +165,7 @@
                 .forEach(
                         lease ->
                                 text.append(' ')
-                                        .append(lease.number)
+                                        .append(lease.requestNumber)
                                         .append('=')
                                         .append(lease.amount)
                                         .append('/')
--- a/src/main/java/postbeam/coordination/StripedCoordinator.java
+++ b/src/main/java/postbeam/coordination/StripedCoordinator.java
@@ -19,17 +19,17 @@
 
     /** Creates so many stripes. */
     public StripedCoordinator(
-            int count, IntFunction<CoordinationStripe> stripe, Supplier<Duration> clock) {
-        this.stripes = new CoordinationStripe[count];
-        for (int i = 0; i < count; i++) {
-            stripes[i] = stripe.apply(i);
+            int stripeCount, IntFunction<CoordinationStripe> stripeFactory, Supplier<Duration> clock) {
+        this.stripes = new CoordinationStripe[stripeCount];
+        for (int i = 0; i < stripeCount; i++) {
+            stripes[i] = stripeFactory.apply(i);
         }
         this.clock = clock;
     }
 
     /** Creates so many stripes by the fleet's parameters. */
     public static StripedCoordinator of(
-            int count,
+            int stripeCount,
             ProcessIdentity self,
             List<String> members,
             LeaseParameters leaseParameters,
@@ -37,7 +37,7 @@
             Supplier<Duration> clock,
             Random random) {
         return new StripedCoordinator(
-                count,
+                stripeCount,
                 stripe ->
                         new CoordinationStripe(
                                 stripe,
@@ -57,20 +57,20 @@
     }
 
     /** How many stripes there are. */
-    public int count() {
+    public int stripeCount() {
         return stripes.length;
     }
 
     /** The stripe of a node, the same on all routers. */
     private int stripeOf(NodeIncarnation node) {
-        int hash = node.node().hashCode();
+        int hash = node.name().hashCode();
         return Math.floorMod(hash ^ (hash >>> 16), stripes.length);
     }
 
     /**
      * Does something with a stripe under its lock.
      *
-     * @param stripe from 0 to {@link #count} - 1
+     * @param stripe from 0 to {@link #stripeCount} - 1
      */
     public <T> T withStripe(int stripe, StripeOperation<T> operation) {
         synchronized (stripes[stripe]) {
--- a/src/main/java/postbeam/peers/FleetConfig.java
+++ b/src/main/java/postbeam/peers/FleetConfig.java
@@ -16,12 +16,12 @@
  *
  * @param name this router's
  * @param routers host and port of each router by name, this one among them
- * @param stripes of the data nodes, each with a leader
+ * @param stripeCount of the data nodes, each with a leader
  */
 public record FleetConfig(
         String name,
         Map<String, String> routers,
-        int stripes,
+        int stripeCount,
         LeaseParameters leaseParameters,
         ElectionTimeouts electionTimeouts,
         SlowStartRamp slowStartRamp) {
@@ -51,7 +51,7 @@
         SlowStartRamp ramp = slowStartRamp;
         return members()
                 + " "
-                + stripes
+                + stripeCount
                 + " LeaseTerms[use="
                 + leases.leaseDuration()
                 + ", window="
@@ -61,7 +61,7 @@
                 + ", reserved="
                 + leases.reservedFraction()
                 + ", underWay="
-                + leases.inFlight()
+                + leases.inFlightFraction()
                 + ", shares="
                 + leases.maxRouters()
                 + ", callMost="
--- a/src/main/java/postbeam/peers/PeerClient.java
+++ b/src/main/java/postbeam/peers/PeerClient.java
@@ -52,13 +52,13 @@
     private final String digest;
     private final PeerStripes stripes;
     private final PeerErrorLog errorLog;
-    private final ExecutorService responseThreads =
+    private final ExecutorService responseExecutor =
             Executors.newFixedThreadPool(RESPONSE_THREADS, PeerClient::responseThread);
     private final HttpClient http =
             HttpClient.newBuilder()
                     .version(HttpClient.Version.HTTP_1_1)
                     .connectTimeout(RESPONSE_TIMEOUT)
-                    .executor(responseThreads)
+                    .executor(responseExecutor)
                     .build();
     private final Map<String, AtomicInteger> requestsInFlight = new TreeMap<>();
     private final Map<String, AtomicInteger> consecutiveFailures = new TreeMap<>();
@@ -92,7 +92,7 @@
     void stop() {
         stopped = true;
         pollThread.interrupt();
-        responseThreads.shutdownNow();
+        responseExecutor.shutdownNow();
     }
 
     // ---- requests
@@ -113,7 +113,7 @@
     private void poll() {
         List<VoteRequest> voteRequests = new ArrayList<>();
         Map<String, Map<Integer, List<LeaseRequest>>> leaseRequestsByLeader = new TreeMap<>();
-        for (int i = 0; i < stripes.count(); i++) {
+        for (int i = 0; i < stripes.stripeCount(); i++) {
             CoordinationStripe.OutgoingMessages messages = stripes.pollMessages(i);
             if (messages.voteRequest() != null) {
                 voteRequests.add(messages.voteRequest());
--- a/src/main/java/postbeam/peers/PeerCoordinator.java
+++ b/src/main/java/postbeam/peers/PeerCoordinator.java
@@ -52,7 +52,7 @@
         this.self = new ProcessIdentity(config.name(), System.currentTimeMillis());
         this.stripes =
                 StripedCoordinator.of(
-                        config.stripes(),
+                        config.stripeCount(),
                         self,
                         config.members(),
                         config.leaseParameters(),
@@ -135,7 +135,7 @@
 
     private byte[] describeState() {
         List<Object> states = new ArrayList<>();
-        for (int i = 0; i < stripes.count(); i++) {
+        for (int i = 0; i < stripes.stripeCount(); i++) {
             states.add(stripes.withStripe(i, this::describeStripe));
         }
         return PeerMessageCodec.toJson(
@@ -153,7 +153,7 @@
         stripe.leasedAmounts(now)
                 .forEach(
                         (node, amount) ->
-                                leased.put(node.node() + "#" + node.incarnation(), amount));
+                                leased.put(node.name() + "#" + node.incarnation(), amount));
         Map<String, Object> state = new LinkedHashMap<>();
         state.put("keeper", leader == null ? null : leader.name());
         state.put("inOffice", leads);
--- a/src/main/java/postbeam/peers/PeerErrorLog.java
+++ b/src/main/java/postbeam/peers/PeerErrorLog.java
@@ -8,11 +8,11 @@
 /** Logs errors among peers, each kind about each router once in a while. Thread-safe. */
 final class PeerErrorLog {
     private static final System.Logger LOG = System.getLogger(PeerErrorLog.class.getName());
-    private static final Duration INTERVAL = Duration.ofSeconds(30);
+    private static final Duration MIN_LOG_INTERVAL = Duration.ofSeconds(30);
 
-    private record Subject(String router, Class<? extends OperatorError> kind) {}
+    private record LogKey(String router, Class<? extends OperatorError> errorType) {}
 
-    private final Map<Subject, Long> lastLoggedNanos = new ConcurrentHashMap<>();
+    private final Map<LogKey, Long> lastLoggedNanos = new ConcurrentHashMap<>();
 
     /**
      * Logs the error, unless one of its kind was logged lately.
@@ -20,11 +20,11 @@
      * @param router that it is about
      */
     void log(String router, OperatorError error) {
-        Subject subject = new Subject(router, error.getClass());
+        LogKey key = new LogKey(router, error.getClass());
         long now = System.nanoTime();
-        Long last = lastLoggedNanos.get(subject);
-        if (last == null || now - last > INTERVAL.toNanos()) {
-            lastLoggedNanos.put(subject, now);
+        Long last = lastLoggedNanos.get(key);
+        if (last == null || now - last > MIN_LOG_INTERVAL.toNanos()) {
+            lastLoggedNanos.put(key, now);
             LOG.log(System.Logger.Level.WARNING, error.message());
         }
     }
--- a/src/main/java/postbeam/peers/PeerMessageCodec.java
+++ b/src/main/java/postbeam/peers/PeerMessageCodec.java
@@ -84,10 +84,10 @@
     private static List<Object> encode(int stripe, LeaseRequest lease) {
         return List.of(
                 stripe,
-                lease.node().node(),
+                lease.node().name(),
                 lease.node().incarnation(),
-                lease.number(),
-                lease.requested(),
+                lease.requestNumber(),
+                lease.requestedAmount(),
                 lease.nodeBudget());
     }
 
@@ -146,9 +146,9 @@
     private static List<Object> encode(int stripe, LeaseGrant grant) {
         return List.of(
                 stripe,
-                grant.node().node(),
+                grant.node().name(),
                 grant.node().incarnation(),
-                grant.number(),
+                grant.requestNumber(),
                 grant.amount());
     }
 
--- a/src/main/java/postbeam/peers/PeerRequestHandler.java
+++ b/src/main/java/postbeam/peers/PeerRequestHandler.java
@@ -60,7 +60,7 @@
         try {
             return PeerMessageCodec.decodeRequest(body);
         } catch (IOException e) {
-            throw logged(
+            throw logAndWrap(
                     UNNAMED,
                     new CoordinationError.MalformedMessage(
                             "a router", String.valueOf(e.getMessage())));
@@ -70,20 +70,20 @@
     private void checkSender(PeerMessageCodec.PeerRequest request) throws OperatorErrorException {
         String name = request.sender().name();
         if (!config.routers().containsKey(name)) {
-            throw logged(UNNAMED, new CoordinationError.UnknownRouter(name));
+            throw logAndWrap(UNNAMED, new CoordinationError.UnknownRouter(name));
         }
         if (name.equals(self.name())) {
-            throw logged(
+            throw logAndWrap(
                     name,
                     new CoordinationError.DuplicateName(
                             name, self.incarnation(), request.sender().incarnation()));
         }
         if (!request.digest().equals(digest)) {
-            throw logged(name, new CoordinationError.MismatchedTerms(name));
+            throw logAndWrap(name, new CoordinationError.MismatchedFleetConfig(name));
         }
     }
 
-    private OperatorErrorException logged(String router, OperatorError error) {
+    private OperatorErrorException logAndWrap(String router, OperatorError error) {
         errorLog.log(router, error);
         return new OperatorErrorException(error);
     }
--- a/src/main/java/postbeam/peers/PeerStripes.java
+++ b/src/main/java/postbeam/peers/PeerStripes.java
@@ -17,8 +17,8 @@
         this.stripes = stripes;
     }
 
-    int count() {
-        return stripes.count();
+    int stripeCount() {
+        return stripes.stripeCount();
     }
 
     /** What the stripe has to send now. */
@@ -57,7 +57,7 @@
 
     private <T> T withStripe(int stripe, StripedCoordinator.StripeOperation<T> operation)
             throws IOException {
-        if (stripe < 0 || stripe >= stripes.count()) {
+        if (stripe < 0 || stripe >= stripes.stripeCount()) {
             throw new IOException("there is no stripe " + stripe);
         }
         return stripes.withStripe(stripe, operation);
--- a/src/main/java/postbeam/testbed/simulation/CoordinationSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/CoordinationSimulation.java
@@ -132,9 +132,9 @@
         }
 
         void hears(NodeIncarnation key) {
-            NodeIncarnation known = knows.get(key.node());
+            NodeIncarnation known = knows.get(key.name());
             if (known == null || known.incarnation() < key.incarnation()) {
-                knows.put(key.node(), key);
+                knows.put(key.name(), key);
                 heardAt.put(key, clock());
             }
         }
@@ -277,7 +277,7 @@
         }
 
         private void send(NodeIncarnation key) {
-            CoordinationStripe stripe = stripes.get(stripeOf(key.node()));
+            CoordinationStripe stripe = stripes.get(stripeOf(key.name()));
             double amount = plan.leases().maxAttemptWork() * (0.2 + 0.8 * chance.nextDouble());
             // Its age as heard, by its own clock, is never above the true one.
             Duration age =
--- a/src/main/java/postbeam/testbed/simulation/DefectiveCoordination.java
+++ b/src/main/java/postbeam/testbed/simulation/DefectiveCoordination.java
@@ -87,7 +87,7 @@
     }
 
     @Override
-    protected LeaderElection election(
+    protected LeaderElection createElection(
             int stripe,
             ProcessIdentity process,
             List<String> routers,
@@ -111,7 +111,7 @@
     }
 
     @Override
-    protected LeaseIssuer leaseIssuer(LeaderElection of, LeaseParameters leaseTerms) {
+    protected LeaseIssuer createLeaseIssuer(LeaderElection of, LeaseParameters leaseTerms) {
         Defect planted = MAKING.get();
         return new LeaseIssuer(of, leaseTerms) {
             @Override
@@ -128,9 +128,9 @@
     }
 
     @Override
-    protected SlowStartQuota nodeQuota(LeaseParameters leaseTerms, int sharers, boolean drawn) {
+    protected SlowStartQuota createQuota(LeaseParameters leaseTerms, int sharers, boolean drawn) {
         return defect != Defect.LEASE_USED_AFTER_STOP
-                ? super.nodeQuota(leaseTerms, sharers, drawn)
+                ? super.createQuota(leaseTerms, sharers, drawn)
                 : new SlowStartQuota(leaseTerms, sharers, drawn) {
                     private Duration lookedAt = Duration.ZERO;
 
--- a/src/main/java/postbeam/testbed/simulation/GossipSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/GossipSimulation.java
@@ -113,7 +113,7 @@
     /** Any message that waits, in any order, and it may come again. */
     private void hear(QuotaCounters one) {
         if (!waiting.isEmpty()) {
-            one.received(waiting.get(chance.nextInt(waiting.size())));
+            one.merge(waiting.get(chance.nextInt(waiting.size())));
         }
     }
 
@@ -167,7 +167,7 @@
         for (int step = 0; step < 40; step++) {
             Duration now = Duration.ofMillis(100L * step);
             NodeIncarnation node = holders.get(chance.nextInt(holders.size()));
-            mine.received(
+            mine.recordRemote(
                     now,
                     new HealthReport(
                             "liar",
@@ -177,7 +177,7 @@
                             9,
                             99,
                             Duration.ZERO));
-            mine.received(
+            mine.recordRemote(
                     now,
                     new HealthReport(
                             "r" + (1 + chance.nextInt(2)),
--- a/src/test/java/postbeam/coordination/CoordinationErrorTextTest.java
+++ b/src/test/java/postbeam/coordination/CoordinationErrorTextTest.java
@@ -11,7 +11,7 @@
 class CoordinationErrorTextTest {
     private static final List<CoordinationError> ALL =
             List.of(
-                    new CoordinationError.MismatchedTerms("r2"),
+                    new CoordinationError.MismatchedFleetConfig("r2"),
                     new CoordinationError.DuplicateName("r2", 1000, 2000),
                     new CoordinationError.UnknownRouter("r9"),
                     new CoordinationError.MalformedMessage("r2", "it is from r3"),
--- a/src/test/java/postbeam/coordination/HealthGossipTest.java
+++ b/src/test/java/postbeam/coordination/HealthGossipTest.java
@@ -28,7 +28,7 @@
             double age,
             String... routersAndZones) {
         for (int i = 0; i < routersAndZones.length; i += 2) {
-            judgements.received(
+            judgements.recordRemote(
                     s(at),
                     new HealthReport(
                             routersAndZones[i], routersAndZones[i + 1], node, kind, 1, 5, s(age)));
@@ -119,7 +119,7 @@
         assertEquals(
                 HealthGossip.MAX_REPORTS_PER_NODE * (HealthGossip.MAX_NODES - 1) + 1,
                 judgements.size());
-        judgements.nodeRemoved("m0");
+        judgements.removeNode("m0");
         assertEquals(
                 HealthGossip.MAX_REPORTS_PER_NODE * (HealthGossip.MAX_NODES - 2) + 1,
                 judgements.size());
--- a/src/test/java/postbeam/coordination/QuotaCountersTest.java
+++ b/src/test/java/postbeam/coordination/QuotaCountersTest.java
@@ -31,8 +31,8 @@
         b.startBucket(9);
         b.capOwnShare("m", 10, 0, 6);
         a.startBucket(10);
-        a.received(b.entriesToSend());
-        a.received(b.entriesToSend());
+        a.merge(b.entriesToSend());
+        a.merge(b.entriesToSend());
         assertEquals(3, a.quota("m", 10, 6));
         assertTrue(a.tryCount("m", 10, 3, 6));
         assertFalse(a.tryCount("m", 10, 0.1, 6));
@@ -48,17 +48,17 @@
         List<QuotaCounterEntry> old = b.entriesToSend();
         b.tryCount("m", 10, 1, 6);
         a.startBucket(10);
-        a.received(b.entriesToSend());
-        a.received(old);
-        a.received(b.entriesToSend());
+        a.merge(b.entriesToSend());
+        a.merge(old);
+        a.merge(b.entriesToSend());
         assertEquals(2, a.knownTotal("m", 10));
-        a.received(List.of(new QuotaCounterEntry(new ProcessIdentity("b", 0), "m", 10, 99, 7, 0)));
-        a.received(
+        a.merge(List.of(new QuotaCounterEntry(new ProcessIdentity("b", 0), "m", 10, 99, 7, 0)));
+        a.merge(
                 List.of(
                         new QuotaCounterEntry(
                                 new ProcessIdentity("stranger", 9), "m", 10, 99, 7, 0)));
         assertEquals(2, a.knownTotal("m", 10));
-        a.received(List.of(new QuotaCounterEntry(new ProcessIdentity("b", 2), "m", 10, 1, 0, 2)));
+        a.merge(List.of(new QuotaCounterEntry(new ProcessIdentity("b", 2), "m", 10, 1, 0, 2)));
         assertEquals(0, a.knownTotal("m", 10), "the later run's own word");
     }
 
@@ -77,7 +77,7 @@
         for (int i = 0; i < 1000; i++) {
             for (int key = 0; key < 2000; key += i < 3 ? 1 : 40) {
                 for (long bucket = -1; bucket <= 6; bucket++) {
-                    one.received(
+                    one.merge(
                             List.of(
                                     new QuotaCounterEntry(
                                             new ProcessIdentity("r" + i, 1),
--- a/src/test/java/postbeam/coordination/SlowStartQuotaTest.java
+++ b/src/test/java/postbeam/coordination/SlowStartQuotaTest.java
@@ -97,7 +97,7 @@
         NodeIncarnation node = new NodeIncarnation("n", 7);
         int sharers = many.participants(2);
         assertEquals(5, sharers);
-        assertTrue(many.inFlight(2, sharers) >= 0.1 - 1e-9);
+        assertTrue(many.inFlightLimit(2, sharers) >= 0.1 - 1e-9);
         assertEquals(
                 4,
                 names.stream()
--- a/src/test/java/postbeam/peers/PeerMessageCodecTest.java
+++ b/src/test/java/postbeam/peers/PeerMessageCodecTest.java
@@ -121,7 +121,7 @@
     void eachErrorNamesItsSubjectAndARemedy() {
         List<CoordinationError> all =
                 List.of(
-                        new CoordinationError.MismatchedTerms("r7"),
+                        new CoordinationError.MismatchedFleetConfig("r7"),
                         new CoordinationError.DuplicateName("r7", 1, 2),
                         new CoordinationError.UnknownRouter("r7"),
                         new CoordinationError.MalformedMessage("r7", "not JSON"),
