--- a/src/main/java/postbeam/coordination/CoordinationError.java
+++ b/src/main/java/postbeam/coordination/CoordinationError.java
@@ -2,42 +2,49 @@
 
 import postbeam.errors.OperatorError;
 
-/** What can go wrong among routers; peers are answered with these texts. */
+/**
+ * Errors in the coordination of routers. They are logged, and a peer whose message is rejected gets
+ * the text in the response body.
+ */
 public sealed interface CoordinationError extends OperatorError {
-    /** Another router disagrees on the fleet's routers or parameters. */
+    /** Another router has a different list of routers or different parameters. */
     record MismatchedFleetConfig(String router) implements CoordinationError {
         @Override
         public String problem() {
-            return "router " + router + " has other names or terms of the fleet in its settings";
+            return "router "
+                    + router
+                    + " has a different list of routers or different parameters in its"
+                    + " section 'together'";
         }
 
         @Override
         public String remedy() {
-            return "give all routers the same section 'together', but for their own names, and"
-                    + " restart the one that is behind";
+            return "give all routers the same section 'together' except for together.name, and"
+                    + " restart the routers whose settings were out of date";
         }
     }
 
-    /** A second process uses this router's name. */
+    /** A second process uses the name of this router. */
     record DuplicateName(String router, long ownIncarnation, long otherIncarnation)
             implements CoordinationError {
         @Override
         public String problem() {
             return "a second process speaks as router "
                     + router
-                    + ": this one began at "
+                    + ": this process has incarnation "
                     + ownIncarnation
-                    + ", the other at "
-                    + otherIncarnation;
+                    + ", the other "
+                    + otherIncarnation
+                    + " (start times in Unix milliseconds)";
         }
 
         @Override
         public String remedy() {
-            return "end one of the two, and give each router a name of its own";
+            return "stop one of the two, and give each router a unique together.name";
         }
     }
 
-    /** A message of a router that is not in the settings. */
+    /** A message came from a router that is not in the settings. */
     record UnknownRouter(String router) implements CoordinationError {
         @Override
         public String problem() {
@@ -46,12 +53,12 @@
 
         @Override
         public String remedy() {
-            return "add it to together.routers on every router, as the page on growing a fleet"
-                    + " says, or stop it";
+            return "add it to together.routers on every router (see the page on growing a fleet),"
+                    + " or stop it";
         }
     }
 
-    /** A message that can't be decoded. */
+    /** A message of a peer can't be decoded. */
     record MalformedMessage(String sender, String cause) implements CoordinationError {
         @Override
         public String problem() {
@@ -60,27 +67,33 @@
 
         @Override
         public String remedy() {
-            return "see whether another program answers at that address, and whether both run the"
-                    + " same version";
+            return "check whether another program uses that address, and whether both routers run"
+                    + " the same version";
         }
     }
 
-    /** A router that has failed to respond to so many requests in a row. */
+    /** Requests to another router have failed this many times in a row. */
     record UnresponsiveRouter(String router, String cause, int consecutiveFailures)
             implements CoordinationError {
         @Override
         public String problem() {
-            return "router " + router + " has not answered " + consecutiveFailures + " asks (" + cause + ")";
+            return "router "
+                    + router
+                    + " has not answered "
+                    + consecutiveFailures
+                    + " asks ("
+                    + cause
+                    + ")";
         }
 
         @Override
         public String remedy() {
-            return "see whether it runs and whether this machine reaches its address; until then"
-                    + " this router does with less";
+            return "check that it is running and that this machine can reach its address; until"
+                    + " then this router may have smaller quotas for nodes that warm up";
         }
     }
 
-    /** The fleet's routers in the settings don't include this one. */
+    /** The list of routers in the settings does not include this one. */
     record NotAMember(String router) implements CoordinationError {
         @Override
         public String problem() {
@@ -89,7 +102,8 @@
 
         @Override
         public String remedy() {
-            return "set together.name to one of the names there, or add it on every router";
+            return "set together.name to one of the names listed there, or add this router to the"
+                    + " list on every router";
         }
     }
 }
--- a/src/main/java/postbeam/coordination/CoordinationStripe.java
+++ b/src/main/java/postbeam/coordination/CoordinationStripe.java
@@ -8,30 +8,34 @@
 import java.util.Random;
 
 /**
- * What one router holds of one stripe of the data nodes: its part in the election of the stripe's
- * leader, the leases that it issues as leader, and its own quota of each node that warms up.
+ * One router's state for one stripe, a subset of the data nodes: its part in the election of the
+ * stripe's leader, the leases that it issues while it is the leader, and its own quota for each
+ * node that warms up.
  *
- * <p>Not thread-safe; {@link StripedCoordinator} guards it by the stripe's lock. Times are spans of
- * the router's own monotonic clock; amounts are work in the unit of a node's budget.
+ * <p>Not thread-safe; {@link StripedCoordinator} guards it with the stripe's lock. Times are
+ * readings of the router's own monotonic clock; amounts are work in the unit of a node's budget.
  */
 public class CoordinationStripe {
-    /** More than any fleet has warming up at once. */
+    /** Bounds the memory; more nodes than any fleet warms up at the same time. */
     private static final int MAX_NODES = 10_000;
 
-    /** In one message to a leader; others follow in the next. */
+    /** Lease requests in one message to a leader; further ones follow in later messages. */
     private static final int MAX_REQUESTS_PER_MESSAGE = 64;
 
     /**
-     * What to send now.
+     * The messages that are due now.
      *
-     * @param voteRequest for all others; null where there is none
-     * @param leader to send the lease requests to; null where none is known
+     * @param voteRequest to send to all other routers; null if none is due
+     * @param leader to send the lease requests to; null if no leader is known
+     * @param leaseRequests empty if none is due or no leader is known
      */
     public record OutgoingMessages(
             VoteRequest voteRequest, ProcessIdentity leader, List<LeaseRequest> leaseRequests) {}
 
     private static final class TrackedNode {
         final SlowStartQuota quota;
+
+        /** The highest current budget that a caller has passed. */
         double budget;
 
         TrackedNode(SlowStartQuota quota) {
@@ -47,13 +51,16 @@
     private final Duration maySendFrom;
     private final Map<NodeIncarnation, TrackedNode> nodes = new LinkedHashMap<>();
 
-    /** Over all nodes, so that none is used twice when a node is forgotten and comes again. */
+    /**
+     * The last request number, counted over all nodes, so that no number is used twice for a node
+     * that is removed from {@link #nodes} and added again.
+     */
     private long lastRequestNumber;
 
     /**
-     * Starts with no memory of earlier leases.
+     * Creates a stripe that has no record of leases or sends of an earlier process.
      *
-     * @param members all configured routers by name, this one among them
+     * @param members names of all configured routers, including this one
      */
     public CoordinationStripe(
             int stripe,
@@ -71,7 +78,7 @@
         this.leaseIssuer = createLeaseIssuer(election, leaseParameters);
     }
 
-    /** Creates the election; called once, by the constructor. */
+    /** Creates the election. Called once, by the constructor. */
     protected LeaderElection createElection(
             int stripe,
             ProcessIdentity process,
@@ -82,13 +89,13 @@
         return new LeaderElection(process, stripe, routers, electionTimeouts, now, random);
     }
 
-    /** Creates the issuer of leases; called once, by the constructor. */
+    /** Creates the lease issuer. Called once, by the constructor. */
     protected LeaseIssuer createLeaseIssuer(
             LeaderElection stripeElection, LeaseParameters parameters) {
         return new LeaseIssuer(stripeElection, parameters);
     }
 
-    /** Creates the quota of one node. */
+    /** Creates the quota for one node. */
     protected SlowStartQuota createQuota(
             LeaseParameters parameters, int participants, boolean participating) {
         return new SlowStartQuota(parameters, participants, participating);
@@ -96,28 +103,32 @@
 
     // ---- sends
 
-    /** Acquires so much work for a send to the node, if there is as much, until it is released. */
+    /**
+     * Acquires work for a send to the node, if that much is available. The work is in flight until
+     * {@link #release} is called.
+     */
     public boolean tryAcquire(
             Duration now, NodeIncarnation node, double amount, SlowStartBudget budget) {
         TrackedNode tracked = trackedNode(now, node, budget);
         return tracked != null && tracked.quota.tryAcquire(now, amount, budget.current());
     }
 
-    /** How much may be acquired now. */
+    /** The amount of work that may be acquired for the node now. */
     public double available(Duration now, NodeIncarnation node, SlowStartBudget budget) {
         TrackedNode tracked = trackedNode(now, node, budget);
         return tracked == null ? 0 : tracked.quota.available(now, budget.current());
     }
 
     /**
-     * A restarted process does not know what it sent just before: its reserved quota is for each
-     * window, not for each start. For a window after a start it sends nothing to such nodes.
+     * Whether this process may send to nodes that warm up. A restarted process does not know what
+     * its predecessor sent, and the reserved quota is for each window, not for each process. It
+     * therefore sends nothing for one window and the clock drift after its start.
      */
     protected boolean maySend(Duration now) {
         return now.compareTo(maySendFrom) >= 0;
     }
 
-    /** What was acquired is sent, or never will be. */
+    /** Releases acquired work that has been sent or will not be sent. */
     public void release(NodeIncarnation node, double amount) {
         TrackedNode tracked = nodes.get(node);
         if (tracked != null) {
@@ -125,7 +136,10 @@
         }
     }
 
-    /** Null where it may not send yet, or too many nodes are tracked. */
+    /**
+     * Returns the node's state, which is created on first use. Returns null if this process may not
+     * send yet, or if too many other nodes are in use.
+     */
     private TrackedNode trackedNode(Duration now, NodeIncarnation node, SlowStartBudget budget) {
         if (!maySend(now)) {
             return null;
@@ -152,7 +166,7 @@
         return createQuota(leaseParameters, participants, participating);
     }
 
-    /** By node, the largest lease that this router holds. */
+    /** The largest lease that this router holds, for each node. */
     public Map<NodeIncarnation, Double> leasedAmounts(Duration now) {
         Map<NodeIncarnation, Double> amounts = new LinkedHashMap<>();
         nodes.forEach((node, tracked) -> amounts.put(node, tracked.quota.largestLease(now)));
@@ -162,7 +176,8 @@
     // ---- messages
 
     /**
-     * Advances the election and collects what to send; a leader grants its own requests at once.
+     * Advances the election and collects the messages to send. A leader grants its own lease
+     * requests immediately, without a message.
      */
     public OutgoingMessages pollMessages(Duration now) {
         VoteRequest voteRequest = election.tick(now);
@@ -196,22 +211,22 @@
         }
     }
 
-    /** Answers a candidate. */
+    /** Answers a candidate's vote request. */
     public VoteResponse handle(Duration now, VoteRequest request) {
         return election.handleVoteRequest(now, request);
     }
 
-    /** Takes a voter's response. */
+    /** Handles a voter's response. */
     public void onVote(Duration now, VoteResponse vote) {
         election.onVote(now, vote);
     }
 
-    /** Answers a router's request for a lease; the time must be read after the request came. */
+    /** Answers a router's lease request; {@code now} must be read after the request arrived. */
     public LeaseGrant handle(Duration now, LeaseRequest request) {
         return leaseIssuer.grant(now, request);
     }
 
-    /** Takes a leader's grant; one for another process is ignored. */
+    /** Handles a leader's grant; a grant for another process is ignored. */
     public void onGrant(Duration now, LeaseGrant grant) {
         TrackedNode tracked = nodes.get(grant.node());
         if (tracked != null && grant.requester().equals(self)) {
@@ -219,19 +234,22 @@
         }
     }
 
-    // ---- what is seen of it
+    // ---- state for monitoring and tests
 
     /** This router's part in the election. */
     public LeaderElection election() {
         return election;
     }
 
-    /** The leases that this router issues as leader. */
+    /** The leases that this router issues while it is the leader. */
     public LeaseIssuer leaseIssuer() {
         return leaseIssuer;
     }
 
-    /** All that its next steps depend on, with spans from now: equal ones go on alike. */
+    /**
+     * Encodes the state that determines the later behaviour, with times relative to {@code now}:
+     * two stripes with equal summaries behave alike from here on.
+     */
     public String stateSummary(Duration now) {
         StringBuilder text =
                 new StringBuilder(election.stateSummary(now)).append(leaseIssuer.stateSummary(now));
--- a/src/main/java/postbeam/coordination/ElectionTimeouts.java
+++ b/src/main/java/postbeam/coordination/ElectionTimeouts.java
@@ -3,37 +3,46 @@
 import java.time.Duration;
 
 /**
- * What all routers must agree on for elections; the letters are those of docs/together.md.
+ * The timeouts of elections, which must be the same on all routers. The letters are those of
+ * docs/together.md.
  *
- * @param leaderLease o: how long a leader leads, from when it requested votes
- * @param maxLeaderLease O: the longest lease that any router of the fleet was ever set to; a voter
- *     without memory waits so long
- * @param maxClockDrift d: what two clocks may differ by over the longest span here
+ * @param leaderLease o: how long a leader leads, counted from when it requested the votes
+ * @param maxLeaderLease O: the longest leader lease ever configured for any router of the fleet; a
+ *     restarted voter, which has no record of its votes, waits this long before it votes
+ * @param maxClockDrift d: the most that two clocks may diverge over the longest of these times
  */
 public record ElectionTimeouts(
         Duration leaderLease, Duration maxLeaderLease, Duration maxClockDrift) {
-    /** Checks the spans; an IllegalArgumentException states them where they can't be used. */
+    /**
+     * Checks the timeouts.
+     *
+     * @throws IllegalArgumentException if they can't be used; the message has all of them
+     */
     public ElectionTimeouts {
         if (leaderLease.isNegative()
                 || leaderLease.isZero()
                 || maxLeaderLease.compareTo(leaderLease) < 0
                 || maxClockDrift.isNegative()) {
             throw new IllegalArgumentException(
-                    "election timeouts can't be used: leader lease "
+                    "election timeouts must satisfy 0 < leader lease <= longest leader lease and"
+                            + " clock drift >= 0, but the leader lease is "
                             + leaderLease
-                            + ", longest lease "
+                            + ", the longest leader lease "
                             + maxLeaderLease
-                            + ", clock drift "
+                            + " and the clock drift "
                             + maxClockDrift);
         }
     }
 
-    /** How long a vote binds the voter. */
+    /** How long a vote prevents the voter from voting for another candidate. */
     Duration voteDuration() {
         return leaderLease.plus(maxClockDrift);
     }
 
-    /** When a leader renews its lease: two rounds may be lost. */
+    /**
+     * The time between the vote requests of a leader. It is a third of the lease, so that two
+     * rounds in a row may be lost before the lease ends.
+     */
     Duration renewalInterval() {
         return leaderLease.dividedBy(3);
     }
--- a/src/main/java/postbeam/coordination/HealthGossip.java
+++ b/src/main/java/postbeam/coordination/HealthGossip.java
@@ -10,39 +10,45 @@
 import java.util.TreeMap;
 
 /**
- * What a router concludes from other routers' reports on data nodes. Its own evidence goes first.
- * Reports age, and several reporters of several zones must agree; then a node is sent less. Gossip
- * never marks all replicas of a shard, and only a fraction of them at once.
+ * Judges the health of data nodes by the reports of other routers, which a router's own recent
+ * evidence overrides. A node is marked, that is, gets less traffic, when several routers in several
+ * zones have recently reported it as unhealthy. Gossip never marks all replicas of a shard, and
+ * only a fraction of them at the same time.
  *
- * <p>Not thread-safe. Times are spans of the router's own monotonic clock.
+ * <p>Not thread-safe. Times are readings of the router's own monotonic clock.
  */
 public class HealthGossip {
-    /** Counted from when a report was received, with the age that it had then. */
+    /**
+     * The age up to which another router's report is used: the time since its receipt plus the age
+     * that it had then.
+     */
     private static final Duration REPORT_MAX_AGE = Duration.ofSeconds(5);
 
-    /** Own evidence up to this age goes before gossip. */
+    /** The age up to which this router's own evidence overrides gossip. */
     private static final Duration LOCAL_MAX_AGE = Duration.ofSeconds(5);
 
-    /** Attempts that a report must rest on: a single failure says little. */
+    /** Attempts that a report must be based on, as a single failure is weak evidence. */
     private static final int MIN_ATTEMPTS = 3;
 
-    /** Where the fleet has as many. */
+    /** Routers that must report a node as unhealthy, in a fleet with that many other routers. */
     private static final int MIN_REPORTERS = 3;
 
+    /** Routers that must report a node as unhealthy, in any smaller fleet. */
     private static final int MIN_REPORTERS_IN_SMALL_FLEET = 2;
 
-    /** Where the fleet has as many. */
+    /** Zones that the reporting routers must be in, in a fleet with that many zones. */
     private static final int MIN_ZONES = 2;
 
-    /** Of a shard's replicas. */
+    /** The largest fraction of a shard's replicas that is marked at the same time. */
     private static final double MAX_MARKED_FRACTION = 0.34;
 
-    /** In which traffic to a node rises again after its mark ends. */
+    /** The time in which traffic to a node returns to normal after the node is no longer marked. */
     private static final Duration RECOVERY_RAMP = Duration.ofSeconds(4);
 
+    /** The fraction of the usual traffic with which the recovery begins. */
     private static final double RECOVERY_RAMP_START = 0.1;
 
-    /** Of the usual traffic, to a marked node, so that its recovery is seen. */
+    /** The fraction of the usual traffic that a marked node gets, so that its recovery shows. */
     private static final double MARKED_FRACTION = 0.1;
 
     static final int MAX_NODES = 10_000;
@@ -57,7 +63,7 @@
             return report.kind() == HealthReport.Kind.HEALTHY;
         }
 
-        /** Whether it rests on enough attempts and is not older than this. */
+        /** Whether it is based on enough attempts and younger than this. */
         boolean isUsable(Duration now, Duration maxAge) {
             return age(now).compareTo(maxAge) < 0 && report.attempts() >= MIN_ATTEMPTS;
         }
@@ -67,22 +73,24 @@
     private final int routers;
     private final int zones;
 
-    /** By node and reporting router. */
+    /** The latest report of each other router, by node and router name. */
     private final Map<NodeIncarnation, Map<String, ReceivedReport>> remoteReports =
             new LinkedHashMap<>();
 
     private final Map<NodeIncarnation, ReceivedReport> localReports = new LinkedHashMap<>();
+
+    /** The latest known incarnation of each node, by node name. */
     private final Map<String, Long> incarnations = new LinkedHashMap<>();
 
-    /** When a node was last seen to be marked. */
+    /** When {@link #trafficFractions} last marked a node. */
     private final Map<NodeIncarnation, Duration> markedAt = new LinkedHashMap<>();
 
     /**
      * Starts without reports.
      *
      * @param self this router's name
-     * @param routers how many the fleet has
-     * @param zones how many the fleet's routers are in
+     * @param routers number of routers in the fleet, including this one
+     * @param zones number of zones that the routers of the fleet are in
      */
     public HealthGossip(String self, int routers, int zones) {
         this.self = self;
@@ -92,14 +100,17 @@
 
     // ---- evidence
 
-    /** Takes this router's own evidence. */
+    /** Records this router's own evidence on a node. */
     public void recordLocal(Duration now, HealthReport report) {
         if (admitIncarnation(report.node())) {
             localReports.put(report.node(), new ReceivedReport(report, now));
         }
     }
 
-    /** Takes another router's report; its own that comes back is ignored, as is an older one. */
+    /**
+     * Records another router's report. A report by this router that is relayed back is ignored, and
+     * so is one older than the latest report of its router.
+     */
     public void recordRemote(Duration now, HealthReport report) {
         if (report.router().equals(self) || !admitIncarnation(report.node())) {
             return;
@@ -117,7 +128,10 @@
         }
     }
 
-    /** False for an earlier incarnation than known; a later one makes the earlier forgotten. */
+    /**
+     * Returns false for an incarnation earlier than the known one, and for a new node if too many
+     * nodes are known. A later incarnation removes all reports on the earlier one.
+     */
     private boolean admitIncarnation(NodeIncarnation node) {
         Long known = incarnations.get(node.name());
         if (known == null && incarnations.size() >= MAX_NODES) {
@@ -133,7 +147,7 @@
         return true;
     }
 
-    /** The node is no longer listed. */
+    /** Removes a node that is no longer in the endpoint list. */
     public void removeNode(String node) {
         Long incarnation = incarnations.remove(node);
         if (incarnation != null) {
@@ -149,7 +163,10 @@
 
     // ---- conclusions
 
-    /** Whether the own evidence says so or, without any, enough recent reports do. */
+    /**
+     * Whether this router's own recent evidence says that the node is unhealthy or, if there is
+     * none, whether enough recent reports say so and fewer say that it is healthy.
+     */
     public boolean isUnhealthy(Duration now, NodeIncarnation node) {
         ReceivedReport own = localReports.get(node);
         if (own != null && own.isUsable(now, LOCAL_MAX_AGE)) {
@@ -168,8 +185,8 @@
     }
 
     /**
-     * Whether so many reporters of so many zones are enough: routers that are cut off from a node
-     * which others reach tend to be few, or of one zone.
+     * Whether reports of this many routers in this many zones suffice to mark a node. Routers that
+     * are cut off from a node which other routers can reach are usually few, or all in one zone.
      */
     protected boolean isCorroborated(int reporters, int reportingZones) {
         int minReporters =
@@ -178,8 +195,8 @@
     }
 
     /**
-     * The fraction of its usual traffic that each of a shard's replicas is to be sent; 1 where
-     * nothing is known against it. Those with the worst reports are marked first.
+     * The fraction of its usual traffic that each of a shard's replicas is to get; 1 for a replica
+     * that is neither marked nor recovering. Replicas with the worst reports are marked first.
      */
     public Map<NodeIncarnation, Double> trafficFractions(
             Duration now, Collection<NodeIncarnation> replicas) {
@@ -204,7 +221,10 @@
         return fractions;
     }
 
-    /** Rises by and by: all routers learn at once that a node is well, and would crowd it. */
+    /**
+     * The traffic of a node that is no longer marked rises gradually: all routers learn of its
+     * recovery at about the same time and would overload it together.
+     */
     private double recoveryFraction(Duration now, NodeIncarnation node) {
         Duration lastMarkedAt = markedAt.get(node);
         if (lastMarkedAt == null) {
@@ -218,6 +238,7 @@
         return RECOVERY_RAMP_START + (1 - RECOVERY_RAMP_START) * risen;
     }
 
+    /** The sum of the slowness in recent unhealthy reports, each of which counts at least 1. */
     private double severity(Duration now, NodeIncarnation node) {
         return remoteReports.getOrDefault(node, Map.of()).values().stream()
                 .filter(one -> one.age(now).compareTo(REPORT_MAX_AGE) < 0 && !one.isHealthy())
@@ -225,7 +246,7 @@
                 .sum();
     }
 
-    /** How many reports are kept. */
+    /** Number of reports held, this router's own included. */
     public int size() {
         return localReports.size() + remoteReports.values().stream().mapToInt(Map::size).sum();
     }
--- a/src/main/java/postbeam/coordination/HealthReport.java
+++ b/src/main/java/postbeam/coordination/HealthReport.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 
 /**
- * What one router's own attempts say of a data node.
+ * The health of a data node as one router's own attempts show it.
  *
- * @param router that reports, by name
- * @param zone of the router
- * @param slowness latency relative to the usual
- * @param attempts that the report rests on
- * @param age how old it was when it was sent
+ * @param router name of the reporting router
+ * @param zone of the reporting router
+ * @param slowness latency as a multiple of the usual latency
+ * @param attempts number of attempts that the report is based on
+ * @param age of the report when it was sent
  */
 public record HealthReport(
         String router,
@@ -19,7 +19,7 @@
         double slowness,
         int attempts,
         Duration age) {
-    /** The state of a node. */
+    /** The state of a node, as reported. */
     public enum Kind {
         HEALTHY,
         WARMING_UP,
--- a/src/main/java/postbeam/coordination/LeaderElection.java
+++ b/src/main/java/postbeam/coordination/LeaderElection.java
@@ -7,12 +7,12 @@
 import java.util.TreeSet;
 
 /**
- * The election of one stripe's leader as one router sees it: a voter, and a candidate that may
- * become leader. At most one router at any moment is leader by its own clock, whatever happens to
- * messages and processes (docs/together.md, invariant 1).
+ * One router's part in the election of one stripe's leader: it votes, and it may become a candidate
+ * and the leader. At any moment at most one router is the leader by its own clock, even if messages
+ * are lost or late and processes stop or restart (docs/together.md, invariant 1).
  *
- * <p>Not thread-safe; {@link StripedCoordinator} guards it by the stripe's lock. Times are spans of
- * the router's own monotonic clock.
+ * <p>Not thread-safe; {@link StripedCoordinator} guards it with the stripe's lock. Times are
+ * readings of the router's own monotonic clock.
  */
 public class LeaderElection {
     private final ProcessIdentity self;
@@ -21,13 +21,13 @@
     private final ElectionTimeouts timeouts;
     private final Random random;
 
-    // As a voter.
+    // State as a voter.
     private final Duration mayVoteFrom;
     private long highestTerm;
     private ProcessIdentity votedFor;
     private Duration voteBindsUntil = Duration.ZERO;
 
-    // As a candidate and leader.
+    // State as a candidate and as the leader.
     private boolean candidate;
     private long term;
     private long round;
@@ -38,9 +38,9 @@
     private Duration leaseEnd;
 
     /**
-     * Starts with no memory of earlier votes.
+     * Creates an election in which this process has no record of votes of an earlier process.
      *
-     * @param members all configured routers by name, this one among them
+     * @param members names of all configured routers, including this one
      */
     public LeaderElection(
             ProcessIdentity self,
@@ -60,7 +60,7 @@
 
     // ---- as a voter
 
-    /** Grants the vote or refuses it. */
+    /** Grants or refuses the candidate this router's vote. */
     public VoteResponse handleVoteRequest(Duration now, VoteRequest request) {
         boolean granted =
                 members.contains(request.candidate().name())
@@ -75,9 +75,9 @@
     }
 
     /**
-     * A restarted process does not know whom it voted for: it votes only once no earlier vote binds
-     * it, so that it never votes twice in a term. Where the whole fleet starts at once there is no
-     * leader for as long.
+     * Whether this process may vote. A restarted process does not know its earlier votes, so it
+     * waits until they have expired, so that it never votes twice in a term. If the whole fleet
+     * starts at the same time, there is no leader during that wait.
      */
     protected boolean mayVote(Duration now) {
         return now.compareTo(mayVoteFrom) >= 0;
@@ -94,14 +94,20 @@
         nextCandidacyAt = voteBindsUntil.plus(candidacyDelay());
     }
 
-    /** Whom this router's vote binds it to, who may be the leader; null where it binds no more. */
+    /**
+     * The candidate that this router's vote is bound to, which may be the leader; null if the vote
+     * has expired.
+     */
     public ProcessIdentity knownLeader(Duration now) {
         return votedFor != null && now.compareTo(voteBindsUntil) < 0 ? votedFor : null;
     }
 
     // ---- as a candidate
 
-    /** The vote request to send to all others now; null where there is none. */
+    /**
+     * Ends a round of votes whose time is over, and starts the next one if it is due. Returns the
+     * vote request to send to all other routers now, or null if there is none.
+     */
     public VoteRequest tick(Duration now) {
         if (candidate && isRenewalDue(now)) {
             endRound(now);
@@ -144,7 +150,7 @@
         votes.clear();
     }
 
-    /** Counts a vote of the current round; responses to earlier rounds are ignored. */
+    /** Handles a response to the current round; responses to earlier rounds are ignored. */
     public void onVote(Duration now, VoteResponse vote) {
         if (!candidate
                 || vote.term() != term
@@ -161,13 +167,17 @@
         }
     }
 
-    /** Frees its own vote: nobody can count it, as responses to an ended round are ignored. */
+    /**
+     * Ends the candidacy and releases this router's vote for itself. The vote can no longer count
+     * for that candidacy, as responses to an ended round are ignored.
+     */
     private void abandonCandidacy(Duration now) {
         setCandidate(false);
         votedFor = self.equals(votedFor) ? null : votedFor;
         nextCandidacyAt = now.plus(candidacyDelay());
     }
 
+    /** The lease counts from the vote request; a majority after the end of the lease is ignored. */
     private void becomeLeaderIfElected(Duration now) {
         Duration end = requestedAt.plus(timeouts.leaderLease());
         if (votes.size() < quorum() || now.compareTo(end) >= 0) {
@@ -178,12 +188,15 @@
         setCandidate(false);
     }
 
-    /** A majority of all configured members, whether they run or not. */
+    /** The majority of all configured routers, whether they are running or not. */
     protected int quorum() {
         return members.size() / 2 + 1;
     }
 
-    /** Differs among routers, so that few are candidates at once; each stripe prefers another. */
+    /**
+     * The delay before the next candidacy. It differs among routers, so that few are candidates at
+     * the same time, and each stripe has another router with the shortest delay.
+     */
     private Duration candidacyDelay() {
         int rank = Math.floorMod(members.indexOf(self.name()) - stripe, members.size());
         double fraction = (rank + random.nextDouble()) / members.size();
@@ -192,22 +205,31 @@
 
     // ---- as the leader
 
-    /** Whether this router holds the leader's lease. */
+    /** Whether this router is the leader, that is, holds an unexpired leader lease. */
     public boolean isLeader(Duration now) {
         return leaseEnd != null && now.compareTo(leaseEnd) < 0;
     }
 
-    /** Since when it has been leader without a gap; null before its first election. */
+    /**
+     * When the current leadership, or the last one, began; renewals without a gap continue it. Null
+     * before this router first became the leader.
+     */
     public Duration leaderSince() {
         return leaderSince;
     }
 
-    /** The term of its latest candidacy. */
+    /**
+     * The term of the latest candidacy, or the higher term that a voter reported when it refused
+     * its vote.
+     */
     public long term() {
         return term;
     }
 
-    /** All that its next steps depend on, with spans from now: equal ones go on alike. */
+    /**
+     * Encodes the state that determines the later behaviour, with times relative to {@code now}:
+     * two elections with equal summaries behave alike from here on.
+     */
     String stateSummary(Duration now) {
         String vote = mayVoteFor(now, null) ? "-" : votedFor + " " + remaining(now, voteBindsUntil);
         String candidacy =
--- a/src/main/java/postbeam/coordination/LeaseIssuer.java
+++ b/src/main/java/postbeam/coordination/LeaseIssuer.java
@@ -5,29 +5,35 @@
 import java.util.Map;
 
 /**
- * Grants leases of the budgets of one stripe's nodes: only as leader, and only once all leases that
- * its predecessors can have granted are past (docs/together.md, invariant 3).
+ * Grants leases of the budgets of one stripe's nodes. It grants only while this router is the
+ * leader, and only once all leases that earlier leaders can have granted are over
+ * (docs/together.md, invariant 3).
  *
- * <p>Not thread-safe; {@link StripedCoordinator} guards it by the stripe's lock.
+ * <p>Not thread-safe; {@link StripedCoordinator} guards it with the stripe's lock.
  */
 public class LeaseIssuer {
-    /** More than any fleet has warming up at once. */
+    /** Bounds the memory; more nodes than any fleet warms up at the same time. */
     private static final int MAX_NODES = 10_000;
 
     private final LeaderElection election;
     private final LeaseParameters parameters;
     private final Map<NodeIncarnation, LeaseTable> leaseTables = new LinkedHashMap<>();
 
-    /** The leadership that the tables are of. */
+    /** The start of the leadership in which the leases of the tables were granted. */
     private Duration leaderSince;
 
-    /** An issuer that has granted nothing yet. */
+    /** Creates an issuer without leases. */
     public LeaseIssuer(LeaderElection election, LeaseParameters parameters) {
         this.election = election;
         this.parameters = parameters;
     }
 
-    /** Answers a request; the time must be read after the request came. */
+    /**
+     * Grants or refuses a lease.
+     *
+     * @param now must be read after the request arrived, so that the lease counts here until after
+     *     it has expired at the requester
+     */
     public LeaseGrant grant(Duration now, LeaseRequest request) {
         double amount = canGrant(now) ? grantedAmount(now, request) : 0;
         return new LeaseGrant(request.node(), request.requester(), request.requestNumber(), amount);
@@ -55,22 +61,25 @@
                         parameters.leaseRetention());
     }
 
-    /** Whether it is leader, and has been for long enough. */
+    /** Whether this router is the leader and the leases of earlier leaders are over. */
     public boolean canGrant(Duration now) {
         return election.isLeader(now) && waitedOutPredecessors(now, election.leaderSince());
     }
 
-    /** Whether the leases of earlier leaders are past. */
+    /** Whether the leases of earlier leaders are over for a leader elected at this time. */
     protected boolean waitedOutPredecessors(Duration now, Duration electedAt) {
         return now.compareTo(electedAt.plus(parameters.leaseRetention())) >= 0;
     }
 
-    /** The leases by node. */
+    /** The leases granted in the latest leadership, by node. */
     public Map<NodeIncarnation, LeaseTable> leaseTables() {
         return leaseTables;
     }
 
-    /** All that its next steps depend on, with spans from now: equal ones go on alike. */
+    /**
+     * Encodes the state that determines the later behaviour, with times relative to {@code now}:
+     * two issuers with equal summaries behave alike from here on.
+     */
     String stateSummary(Duration now) {
         if (!election.isLeader(now) || !election.leaderSince().equals(leaderSince)) {
             return "";
--- a/src/main/java/postbeam/coordination/LeaseParameters.java
+++ b/src/main/java/postbeam/coordination/LeaseParameters.java
@@ -9,19 +9,19 @@
 import java.util.List;
 
 /**
- * What all routers must agree on for leases of the budget of a node that warms up; the letters are
- * those of docs/together.md.
+ * The parameters for leases of the budget of a node that warms up, which must be the same on all
+ * routers. The letters are those of docs/together.md.
  *
- * @param leaseDuration u: how long a router may use a lease, from when it requested it
- * @param window w: the span in which the rule counts what such a node is sent
- * @param maxClockDrift d: what two clocks may differ by over the longest span here
- * @param reservedFraction s: fraction of each budget that is never leased; a router that hears
- *     nothing has its part of it
- * @param inFlightFraction k: fraction of each budget for work that is acquired and not yet sent, as when a
- *     process is stopped there
- * @param maxRouters what the reserve is divided by: all routers that are, and that may be before
- *     all know of new parameters
- * @param maxAttemptWork the largest attempt's work, in the budget's unit
+ * @param leaseDuration u: how long a router may use a lease, counted from its request
+ * @param window w: the sliding time window in which the work sent to such a node is limited
+ * @param maxClockDrift d: the most that two clocks may diverge over the longest of these times
+ * @param reservedFraction s: the fraction of each budget that is never leased; a router that can't
+ *     reach a leader may still use its part of it
+ * @param inFlightFraction k: the fraction of each budget for work that is acquired and not yet
+ *     sent, as a process may be stopped in between
+ * @param maxRouters the number that the reserve is divided by: all routers, including those that
+ *     may be added before every router has new parameters
+ * @param maxAttemptWork the work of the largest attempt, in the unit of the budget
  */
 public record LeaseParameters(
         Duration leaseDuration,
@@ -31,12 +31,17 @@
         double inFlightFraction,
         int maxRouters,
         double maxAttemptWork) {
+    /** {@link #participates} selects one router fewer, which leaves at least one. */
     private static final int MIN_PARTICIPANTS = 2;
 
-    /** Keeps a quotient that is a whole number from being rounded down. */
+    /** Prevents a quotient that is an integer but for rounding errors from being rounded down. */
     private static final double ROUNDING_TOLERANCE = 1e-9;
 
-    /** Checks the parameters; an IllegalArgumentException states them where they can't be used. */
+    /**
+     * Checks the parameters.
+     *
+     * @throws IllegalArgumentException if they can't be used; the message has all of them
+     */
     public LeaseParameters {
         if (reservedFraction <= 0
                 || inFlightFraction <= 0
@@ -48,11 +53,13 @@
                 || window.isNegative()
                 || maxClockDrift.isNegative()) {
             throw new IllegalArgumentException(
-                    "lease parameters can't be used: reserved "
+                    "lease parameters must satisfy reserved > 0, in flight > 0, reserved + in"
+                            + " flight < 1, maximum of routers >= 1, largest attempt >= 0,"
+                            + " duration > 0, window >= 0 and clock drift >= 0, but reserved is "
                             + reservedFraction
                             + ", in flight "
                             + inFlightFraction
-                            + ", most routers "
+                            + ", maximum of routers "
                             + maxRouters
                             + ", largest attempt "
                             + maxAttemptWork
@@ -60,52 +67,55 @@
                             + leaseDuration
                             + ", window "
                             + window
-                            + ", clock drift "
+                            + " and clock drift "
                             + maxClockDrift);
         }
     }
 
     /**
-     * How long a leader counts a lease, from when it granted it: what is used at the last moment
-     * counts in windows that reach so much further, and the grant came after the request. A new
-     * leader grants nothing for as long: by then all is past that its predecessors can have
-     * granted.
+     * How long a leader counts a lease against the budget, from when it granted the lease. Work
+     * that is sent at the end of the lease is counted in windows that end up to one window later,
+     * and the requester's lease began before the grant, with its request. A new leader grants
+     * nothing for the same time; by then all leases of earlier leaders are over.
      */
     public Duration leaseRetention() {
         return leaseDuration.plus(window).plus(maxClockDrift);
     }
 
-    /** What a leader may lease out of a budget. */
+    /** The part of a budget that a leader may lease. */
     public double leasable(double budget) {
         return budget * (1 - reservedFraction - inFlightFraction);
     }
 
-    /** What each of so many participants may use of a budget without a lease. */
+    /** The work in a window that each participant may send without a lease. */
     public double reservedQuota(double budget, int participants) {
         return budget * reservedFraction / participants;
     }
 
-    /** What each of so many participants may have acquired of a budget and not yet sent. */
+    /** The work that each participant may have acquired and not yet sent. */
     public double inFlightLimit(double budget, int participants) {
         return budget * inFlightFraction / participants;
     }
 
     /**
-     * How many routers share a node whose budget begins with this: no more than get a part that an
-     * attempt fits into.
+     * The number of routers that share a node whose budget starts at this amount: at most so many
+     * that the largest attempt fits into each one's in-flight limit, but at least two.
      */
     public int participants(double initialBudget) {
         if (maxAttemptWork <= 0) {
             return maxRouters;
         }
-        double parts = Math.floor(initialBudget * inFlightFraction / maxAttemptWork + ROUNDING_TOLERANCE);
+        double parts =
+                Math.floor(
+                        initialBudget * inFlightFraction / maxAttemptWork + ROUNDING_TOLERANCE);
         return (int) Math.min(maxRouters, Math.max(MIN_PARTICIPANTS, parts));
     }
 
     /**
-     * Whether this router is one of those that share the node, the same for all who know the same
-     * names. One fewer than the participants take part, so that two lists which differ in one name
-     * together never have more than that.
+     * Whether this router is one of those that share the node. The result is the same on all
+     * routers that know the same list of routers. If not all routers can share the node, one fewer
+     * than {@code participants} are selected, so that two lists that differ in one name together
+     * select at most {@code participants}.
      */
     public boolean participates(
             NodeIncarnation node, String router, List<String> routers, int participants) {
--- a/src/main/java/postbeam/coordination/LeaseRequest.java
+++ b/src/main/java/postbeam/coordination/LeaseRequest.java
@@ -1,11 +1,11 @@
 package postbeam.coordination;
 
 /**
- * Requests a lease from a stripe's leader.
+ * A request to a stripe's leader for a lease of a node's budget.
  *
- * @param requestNumber the requester's own, higher for each request
- * @param requestedAmount work in a window
- * @param nodeBudget of the node for a window that ends now
+ * @param requestNumber assigned by the requester, higher for each request
+ * @param requestedAmount work in any window
+ * @param nodeBudget the node's budget for a window that ends now, as computed by the requester
  */
 public record LeaseRequest(
         NodeIncarnation node,
--- a/src/main/java/postbeam/coordination/LeaseTable.java
+++ b/src/main/java/postbeam/coordination/LeaseTable.java
@@ -9,35 +9,39 @@
 import java.util.Map;
 
 /**
- * The leases of one node's budget as the leader holds them, by the leader's own clock. Of each
- * process its largest lease counts; a repeated request gets the answer of the first.
+ * The leases of one node's budget that the leader has granted, timed by the leader's own clock.
+ * Only the largest lease of each process counts against the budget. A repeated request gets the
+ * amount that was granted to the first one.
  */
 public final class LeaseTable {
     /**
-     * A lease.
+     * A granted lease.
      *
-     * @param amount of work in any window
-     * @param retainedUntil when the leader forgets it, which is after the holder does
+     * @param amount work in any window
+     * @param retainedUntil when the leader stops counting the lease, which is after it has expired
+     *     at its holder
      */
     public record IssuedLease(
             ProcessIdentity holder, long requestNumber, double amount, Duration retainedUntil) {}
 
+    /** The latest request of a router. */
     private record Demand(double amount, Duration retainedUntil) {}
 
-    /** A router requests again after a third of a lease at the earliest. */
+    /** Bounds the memory; a router requests a lease at most every third of a lease's duration. */
     private static final int MAX_LEASES = 4096;
 
+    /** By process and request number. */
     private final Map<String, IssuedLease> leases = new LinkedHashMap<>();
 
-    /** By router, its latest request: for fair shares where there is not enough. */
+    /** The latest request of each router, for fair shares of a budget that does not suffice. */
     private final Map<String, Demand> demands = new LinkedHashMap<>();
 
     /**
      * Grants a lease.
      *
-     * @param leasable what of the node's budget may be leased in all
-     * @param retention how long the lease counts
-     * @return the amount, at most that requested; 0 where nothing is remaining
+     * @param leasable the part of the node's budget that may be leased in total
+     * @param retention how long the lease counts against the budget
+     * @return the granted amount, at most the requested one; 0 if nothing is left to grant
      */
     public double grant(
             Duration now,
@@ -68,7 +72,10 @@
         demands.values().removeIf(demand -> demand.retainedUntil().compareTo(now) <= 0);
     }
 
-    /** The largest lease of each other process; an earlier run of the same router is another. */
+    /**
+     * The sum of the largest leases of all other processes, including earlier processes of the same
+     * router.
+     */
     private double grantedToOthers(ProcessIdentity requester) {
         Map<ProcessIdentity, Double> largest = new LinkedHashMap<>();
         leases.values().stream()
@@ -78,7 +85,8 @@
     }
 
     /**
-     * Max-min fair: a router that demands less than an even share leaves the rest to the others.
+     * The router's max-min fair share: routers that request less than an even share leave the rest
+     * to the others.
      */
     private double fairShare(String router, double leasable) {
         List<Map.Entry<String, Demand>> ascending = new ArrayList<>(demands.entrySet());
@@ -96,13 +104,13 @@
         return 0;
     }
 
-    /** Whether nothing of it counts any more. */
+    /** Whether no lease or request counts any more. */
     public boolean isEmpty(Duration now) {
         expire(now);
         return leases.isEmpty() && demands.isEmpty();
     }
 
-    /** The leases that counted at the last call with a time. */
+    /** The leases that had not expired at the last call of a method that takes a time. */
     public Collection<IssuedLease> leases() {
         return leases.values();
     }
--- a/src/main/java/postbeam/coordination/NodeIncarnation.java
+++ b/src/main/java/postbeam/coordination/NodeIncarnation.java
@@ -1,9 +1,10 @@
 package postbeam.coordination;
 
 /**
- * One run of a data node: what is known of an earlier run says nothing of it.
+ * One process of a data node, from its start to its end. Knowledge of an earlier process of the
+ * same node does not apply to it.
  *
- * @param name its name
+ * @param name of the node
  * @param incarnation higher for each later start
  */
 public record NodeIncarnation(String name, long incarnation) {}
--- a/src/main/java/postbeam/coordination/ProcessIdentity.java
+++ b/src/main/java/postbeam/coordination/ProcessIdentity.java
@@ -1,9 +1,9 @@
 package postbeam.coordination;
 
 /**
- * One run of a router's process.
+ * One process of a router, from its start to its end; sorted by name, then by incarnation.
  *
- * @param name as configured
+ * @param name the configured name of the router
  * @param incarnation higher for each later start
  */
 public record ProcessIdentity(String name, long incarnation)
--- a/src/main/java/postbeam/coordination/QuotaCounterEntry.java
+++ b/src/main/java/postbeam/coordination/QuotaCounterEntry.java
@@ -1,11 +1,11 @@
 package postbeam.coordination;
 
 /**
- * What one run of a router counted in one bucket of time.
+ * The count of one router process for one key and time bucket.
  *
- * @param key what is counted: a tenant's queries, or a kind of attempts
- * @param version of two entries of one process, key and bucket the higher is newer
- * @param cap the most that the router will count there; never raised
+ * @param key what is counted, such as a tenant's queries or a kind of attempt
+ * @param version higher for each later entry of the same process, key and bucket
+ * @param cap the part of its even share that the router keeps for itself; never raised
  */
 public record QuotaCounterEntry(
         ProcessIdentity process, String key, long bucket, long version, double count, double cap) {}
--- a/src/main/java/postbeam/coordination/QuotaCounters.java
+++ b/src/main/java/postbeam/coordination/QuotaCounters.java
@@ -7,30 +7,36 @@
 import java.util.TreeMap;
 
 /**
- * Counts of the whole fleet by key (a tenant's queries, retries), merged by taking each router's
- * newest entry, and a limit for each key and bucket that holds whoever hears whom: every router has
- * an even share of the limit, and may yield some of it, for good, to the others, each of whom may
- * use an even part of what it received. A router that is not heard of counts with its full share
- * (docs/together.md, Counts).
+ * Counts by key (such as a tenant's queries, or retries) for the whole fleet, and a limit on the
+ * count of each key in each time bucket. The counts of all routers are merged by taking each
+ * router's newest entry.
  *
- * <p>A bucket is a number which all routers give to a span of time; two that number one time
- * differently still keep the limit of each number. Not thread-safe.
+ * <p>The limit holds whichever messages are lost. Every router has an even share of the limit. It
+ * may yield part of its share to the others, permanently; each of them may use an even part of the
+ * yielded amount once it has received the entry. A router without a received entry is taken to use
+ * its full share (docs/together.md, Counts).
+ *
+ * <p>A bucket is a number that all routers assign to a span of time. If two routers assign
+ * different numbers to the same time, the limit still holds for each number. Not thread-safe.
  */
 public class QuotaCounters {
-    /** The newest bucket and those before; late entries of older ones are ignored. */
+    /** Buckets that are kept: the newest and those before it. Entries of older ones are ignored. */
     static final int BUCKETS_KEPT = 4;
 
-    /** A router's own keys beyond these keep to its even share and are not sent. */
+    /** Keys in each kept bucket for which there is room; nothing is counted for further keys. */
     static final int MAX_KEYS = 256;
 
-    /** Some 100 bytes each. */
+    /** An entry takes about 100 bytes. */
     static final int MAX_ENTRIES_PER_MESSAGE = 256;
 
     private static final int MAX_COUNTERS = MAX_KEYS * BUCKETS_KEPT;
 
     private static final class LocalCounter {
         double count;
+
+        /** The part of the even share that this router has not yielded. */
         double cap;
+
         long version;
 
         LocalCounter(double cap) {
@@ -43,23 +49,28 @@
     private final ProcessIdentity self;
     private final List<String> members;
     private final int maxRouters;
+
+    /** The first bucket in which this process counts. */
     private final long firstBucket;
 
-    /** By counter and router: the newest entry of that router's newest run. */
-    private final Map<CounterKey, Map<String, QuotaCounterEntry>> remoteEntries = new LinkedHashMap<>();
+    /** By key and bucket, then by router: the newest entry of the router's newest process. */
+    private final Map<CounterKey, Map<String, QuotaCounterEntry>> remoteEntries =
+            new LinkedHashMap<>();
 
     private final Map<CounterKey, LocalCounter> local = new LinkedHashMap<>();
     private long newestBucket;
 
-    /** Of the others' entries, the last one sent: all are sent in turn. */
+    /** The index of the last sent entry of another router; these entries are sent in rotation. */
     private int gossipCursor;
 
     /**
-     * Starts without counts. It counts nothing in this bucket and the next: an earlier run of this
-     * router may have counted in the one and yielded its share of the other.
+     * Creates counters without counts. They count nothing in the current bucket and the next one:
+     * an earlier process of this router may have counted in the current bucket and yielded its
+     * share of the next.
      *
-     * @param members all configured routers by name, this one among them
-     * @param maxRouters what a limit is divided by, at least as many as there are members
+     * @param members names of all configured routers, including this one
+     * @param maxRouters the number that a limit is divided by; raised to the number of members
+     * @param bucket the current bucket
      */
     public QuotaCounters(ProcessIdentity self, List<String> members, int maxRouters, long bucket) {
         this.self = self;
@@ -71,7 +82,13 @@
 
     // ---- this router's counts
 
-    /** Counts so much if this router may in this bucket, under a limit for the whole fleet. */
+    /**
+     * Counts the amount if this router's quota allows it.
+     *
+     * @param bucket the current bucket
+     * @param limit of the whole fleet for the key in one bucket
+     * @return whether the amount was counted
+     */
     public boolean tryCount(String key, long bucket, double amount, double limit) {
         startBucket(bucket);
         CounterKey counterKey = new CounterKey(key, bucket);
@@ -87,7 +104,10 @@
         return true;
     }
 
-    /** Yields, for good, this router's share of a bucket beyond the cap or what it has counted. */
+    /**
+     * Permanently yields this router's share of a bucket beyond the cap, or beyond its count if
+     * that is higher.
+     */
     public void capOwnShare(String key, long bucket, double cap, double limit) {
         CounterKey counterKey = new CounterKey(key, bucket);
         if (bucket > newestBucket + 1 || isOld(bucket) || !hasRoomFor(counterKey)) {
@@ -103,7 +123,8 @@
     }
 
     /**
-     * Whether no earlier run of this router can have counted in the bucket or yielded its share.
+     * Whether no earlier process of this router can have counted in the bucket or yielded its
+     * share.
      */
     protected boolean mayCount(long bucket) {
         return bucket >= firstBucket;
@@ -117,7 +138,7 @@
         return local.computeIfAbsent(key, absent -> new LocalCounter(limit / maxRouters));
     }
 
-    /** What others yielded and this router may use: of each router an even part. */
+    /** The sum of this router's even parts of what each other router has yielded. */
     private double quotaYieldedByOthers(CounterKey key, double limit) {
         Map<String, QuotaCounterEntry> entries = remoteEntries.getOrDefault(key, Map.of());
         double sum = 0;
@@ -130,12 +151,16 @@
         return sum;
     }
 
-    /** What a router yielded of its even share; nothing where it is not heard of. */
+    /**
+     * The amount that a router has yielded of its even share.
+     *
+     * @param entry null if none was received from the router, which then yields nothing
+     */
     protected double yielded(QuotaCounterEntry entry, double evenShare) {
         return entry == null ? 0 : Math.max(0, evenShare - entry.cap());
     }
 
-    /** How much this router may count in a bucket in all, as far as it has heard. */
+    /** The total that this router may count in a bucket, by the entries received so far. */
     public double quota(String key, long bucket, double limit) {
         if (bucket < firstBucket) {
             return 0;
@@ -148,7 +173,7 @@
 
     // ---- the fleet's counts
 
-    /** What all routers are known to have counted, at least. */
+    /** A lower bound of the fleet's count: this router's count and those in received entries. */
     public double knownTotal(String key, long bucket) {
         CounterKey counterKey = new CounterKey(key, bucket);
         LocalCounter counter = local.get(counterKey);
@@ -161,7 +186,10 @@
 
     // ---- gossip
 
-    /** Takes over newer entries; those known, old, of strangers or of earlier runs are ignored. */
+    /**
+     * Merges newer entries of other routers. Entries that are known already, of old buckets, of
+     * unknown routers or of earlier processes are ignored.
+     */
     public void merge(List<QuotaCounterEntry> entries) {
         for (QuotaCounterEntry entry : entries) {
             if (isAccepted(entry)) {
@@ -177,17 +205,20 @@
         boolean fromOther = members.contains(router) && !router.equals(self.name());
         boolean recent = !isOld(entry.bucket()) && entry.bucket() <= newestBucket + 1;
         CounterKey key = new CounterKey(entry.key(), entry.bucket());
-        return fromOther && recent && (remoteEntries.containsKey(key) || remoteEntries.size() < MAX_COUNTERS);
+        return fromOther
+                && recent
+                && (remoteEntries.containsKey(key) || remoteEntries.size() < MAX_COUNTERS);
     }
 
-    /** The one of two entries that counts. */
+    /** The newer of two entries of the same router, key and bucket. */
     protected QuotaCounterEntry newer(QuotaCounterEntry known, QuotaCounterEntry next) {
-        int byIncarnation = Long.compare(next.process().incarnation(), known.process().incarnation());
+        int byIncarnation =
+                Long.compare(next.process().incarnation(), known.process().incarnation());
         boolean isNewer = byIncarnation == 0 ? next.version() > known.version() : byIncarnation > 0;
         return isNewer ? next : known;
     }
 
-    /** A bucket has begun: those long past are forgotten. */
+    /** Starts a bucket and removes the counts of buckets that are no longer kept. */
     public void startBucket(long bucket) {
         if (bucket > newestBucket) {
             newestBucket = bucket;
@@ -196,12 +227,17 @@
         }
     }
 
-    /** The entries of the next message: the own ones, then others' in turn. */
+    /**
+     * The entries of the next message: this router's own, of which the oldest are left out if there
+     * are too many, then those of other routers in rotation.
+     */
     public List<QuotaCounterEntry> entriesToSend() {
         List<QuotaCounterEntry> entries = new ArrayList<>();
         local.forEach((key, counter) -> entries.add(entry(key, counter)));
         List<QuotaCounterEntry> others =
-                remoteEntries.values().stream().flatMap(byRouter -> byRouter.values().stream()).toList();
+                remoteEntries.values().stream()
+                        .flatMap(byRouter -> byRouter.values().stream())
+                        .toList();
         while (entries.size() > MAX_ENTRIES_PER_MESSAGE) {
             entries.remove(0);
         }
@@ -217,7 +253,7 @@
                 self, key.key(), key.bucket(), counter.version, counter.count, counter.cap);
     }
 
-    /** How many entries are kept; at most {@code MAX_COUNTERS} for each router. */
+    /** Number of entries kept; at most {@code MAX_COUNTERS} for each router. */
     public int size() {
         return local.size() + remoteEntries.values().stream().mapToInt(Map::size).sum();
     }
--- a/src/main/java/postbeam/coordination/SlowStartBudget.java
+++ b/src/main/java/postbeam/coordination/SlowStartBudget.java
@@ -1,10 +1,10 @@
 package postbeam.coordination;
 
 /**
- * What a node may be sent in a window while it warms up, in work. It never falls within an
- * incarnation.
+ * The work that all routers together may send a node in a window while it warms up. It never
+ * decreases within an incarnation.
  *
- * @param initial when its ramp begins
- * @param current for a window that ends now, that is, as of the window's start
+ * @param initial the budget at the start of the ramp
+ * @param current the budget for a window that ends now: the value at the start of the window
  */
 public record SlowStartBudget(double initial, double current) {}
--- a/src/main/java/postbeam/coordination/SlowStartQuota.java
+++ b/src/main/java/postbeam/coordination/SlowStartQuota.java
@@ -6,20 +6,20 @@
 import postbeam.model.SlidingWindowCounter;
 
 /**
- * What one router may send one node that warms up: its part of the reserve, and the largest lease
- * that it holds, until that lease expires, counted from its request. Work that is acquired and not
- * yet released is in flight and limited too: a process that is stopped there sends it when it
- * wakes.
+ * The work that one router may send one node that warms up, in any window: its part of the reserve
+ * and the largest unexpired lease that it holds. Work that is acquired and not yet released is in
+ * flight, and is limited as well: a process that is stopped in between sends it when it resumes,
+ * possibly after its lease has expired.
  *
- * <p>Not thread-safe; {@link StripedCoordinator} guards it by the stripe's lock.
+ * <p>Not thread-safe; {@link StripedCoordinator} guards it with the stripe's lock.
  */
 public class SlowStartQuota {
-    /** A lease that was requested and, once its amount is above 0, granted. */
+    /** A requested lease; it is granted once its amount is above 0. */
     private static final class Lease {
         final long requestNumber;
         final Duration requestedAt;
 
-        /** Not used from here on. */
+        /** The lease may not be used from this time on. */
         final Duration expiresAt;
 
         double amount;
@@ -31,27 +31,33 @@
         }
     }
 
-    /** At once: one is requested each third of a lease. */
+    /** Leases at the same time; one is requested every third of a lease's duration. */
     private static final int MAX_LEASES = 4;
 
-    /** Of a window; what shares a bucket with the window's start counts. */
+    /** Buckets in a window; the bucket in which the window starts is counted as a whole. */
     private static final int WINDOW_BUCKETS = 32;
 
-    /** Times the last window's demand: room to grow while a request is on its way. */
+    /** The request as a multiple of the last window's demand, so that demand can grow meanwhile. */
     private static final double REQUEST_HEADROOM = 1.5;
 
     private final LeaseParameters parameters;
     private final int participants;
     private final boolean participating;
     private final List<Lease> leases = new ArrayList<>();
+
+    /** Work that was acquired. */
     private final SlidingWindowCounter admitted;
+
+    /** Work that callers tried to acquire, whether it was available or not. */
     private final SlidingWindowCounter demanded;
+
+    /** Work that was acquired and not yet released. */
     private double inFlight;
 
     /**
-     * A quota of which nothing is used.
+     * Creates an unused quota.
      *
-     * @param participants how many routers share the node
+     * @param participants number of routers that share the node
      * @param participating whether this router is one of them
      */
     public SlowStartQuota(LeaseParameters parameters, int participants, boolean participating) {
@@ -64,7 +70,10 @@
 
     // ---- leases
 
-    /** How much to request from the leader now under this request number; 0 for no request. */
+    /**
+     * The amount to request from the leader now under this request number, recorded as requested; 0
+     * if no request is due.
+     */
     public double requestAmount(Duration now, double budget, long requestNumber) {
         expire(now);
         double requested =
@@ -87,7 +96,7 @@
         return leases.stream().anyMatch(lease -> now.minus(lease.requestedAt).compareTo(third) < 0);
     }
 
-    /** Takes the answer to the request with this number, if that has not expired. */
+    /** Handles the response to a request; it is ignored if the requested lease has expired. */
     public void onGrant(Duration now, long requestNumber, double amount) {
         expire(now);
         leases.stream()
@@ -99,12 +108,12 @@
         leases.removeIf(lease -> isExpired(now, lease.expiresAt));
     }
 
-    /** Past its end a lease is not used, whatever the leader thinks of it. */
+    /** Whether a lease has expired by this router's clock, however long the leader counts it. */
     protected boolean isExpired(Duration now, Duration expiresAt) {
         return now.compareTo(expiresAt) >= 0;
     }
 
-    /** Work in a window by the largest lease held; 0 without one. */
+    /** The amount of the largest unexpired lease; 0 if there is none. */
     public double largestLease(Duration now) {
         expire(now);
         return leases.stream().mapToDouble(lease -> lease.amount).max().orElse(0);
@@ -113,9 +122,9 @@
     // ---- sends
 
     /**
-     * How much may be acquired now.
+     * The work that may be acquired now.
      *
-     * @param budget of the node for a window that ends now
+     * @param budget the node's budget for a window that ends now
      */
     public double available(Duration now, double budget) {
         if (!participating) {
@@ -129,7 +138,7 @@
         return Math.max(0, Math.min(inWindow, unsent));
     }
 
-    /** Acquires so much if it is available; it is in flight until it is released. */
+    /** Acquires the amount if it is available; it is in flight until {@link #release}. */
     public boolean tryAcquire(Duration now, double amount, double budget) {
         demanded.add(now, amount);
         if (available(now, budget) < amount) {
@@ -140,12 +149,12 @@
         return true;
     }
 
-    /** So much of what was acquired is sent, or never will be. */
+    /** Releases acquired work that has been sent or will not be sent. */
     public void release(double amount) {
         inFlight = Math.max(0, inFlight - amount);
     }
 
-    /** Whether it can be forgotten: nothing in flight, no lease, nothing in the window. */
+    /** Whether it can be discarded: no work in flight, no lease and no demand in the window. */
     public boolean isIdle(Duration now) {
         expire(now);
         return inFlight == 0
@@ -153,7 +162,10 @@
                 && demanded.upperBoundSum(now, parameters.window()) == 0;
     }
 
-    /** All that its next steps depend on, with spans from now: equal ones go on alike. */
+    /**
+     * Encodes the state that determines the later behaviour, with times relative to {@code now}:
+     * two quotas with equal summaries behave alike from here on.
+     */
     String stateSummary(Duration now) {
         StringBuilder text =
                 new StringBuilder()
--- a/src/main/java/postbeam/coordination/SlowStartRamp.java
+++ b/src/main/java/postbeam/coordination/SlowStartRamp.java
@@ -3,18 +3,18 @@
 import java.time.Duration;
 
 /**
- * How the budget of a node rises while it warms up: linearly.
+ * The linear increase of a node's budget while the node warms up.
  *
- * @param initial the budget at its start, in work for a window
- * @param peakFactor times the initial budget that it rises to
- * @param duration how long it rises
- * @param window the span that a budget is for
+ * @param initial the budget at the start of the ramp, as work in a window
+ * @param peakFactor the budget at the end of the ramp as a multiple of the initial one
+ * @param duration of the ramp
+ * @param window the span of time that a budget is for
  */
 public record SlowStartRamp(double initial, double peakFactor, Duration duration, Duration window) {
     /**
      * The budget for a window that ends at this age of the node.
      *
-     * @param age may be too low, which gives too low a budget
+     * @param age may be less than the real age, which gives a budget below the allowed one
      */
     public SlowStartBudget budgetAt(Duration age) {
         double risenNanos = age.minus(window).toNanos();
--- a/src/main/java/postbeam/coordination/StripedCoordinator.java
+++ b/src/main/java/postbeam/coordination/StripedCoordinator.java
@@ -8,18 +8,24 @@
 import java.util.function.Supplier;
 
 /**
- * The stripes of one router, each guarded by its own lock (the {@link CoordinationStripe} itself):
- * the one class of this package that several threads may call. No thread holds two of the locks at
- * once, or one while it waits. The clock is read under the lock, so that a stripe's time never goes
- * back.
+ * The stripes of one router, each guarded by its own lock (the {@link CoordinationStripe} object).
+ * This is the only class of the package that several threads may call. No thread holds two of the
+ * locks at the same time, or waits while it holds one. The clock is read under the lock, so that
+ * the time of a stripe never goes back.
  */
 public final class StripedCoordinator {
     private final CoordinationStripe[] stripes;
     private final Supplier<Duration> clock;
 
-    /** Creates so many stripes. */
+    /**
+     * Creates the stripes.
+     *
+     * @param stripeFactory creates the stripe of a number from 0 to stripeCount - 1
+     */
     public StripedCoordinator(
-            int stripeCount, IntFunction<CoordinationStripe> stripeFactory, Supplier<Duration> clock) {
+            int stripeCount,
+            IntFunction<CoordinationStripe> stripeFactory,
+            Supplier<Duration> clock) {
         this.stripes = new CoordinationStripe[stripeCount];
         for (int i = 0; i < stripeCount; i++) {
             stripes[i] = stripeFactory.apply(i);
@@ -27,7 +33,7 @@
         this.clock = clock;
     }
 
-    /** Creates so many stripes by the fleet's parameters. */
+    /** Creates the stripes with the parameters of the fleet. */
     public static StripedCoordinator of(
             int stripeCount,
             ProcessIdentity self,
@@ -50,25 +56,25 @@
                 clock);
     }
 
-    /** What is done with a stripe under its lock. */
+    /** An operation on a stripe that runs under the stripe's lock. */
     public interface StripeOperation<T> {
-        /** Does it, at a time that was read under the lock. */
+        /** Runs the operation; {@code now} was read under the lock. */
         T apply(Duration now, CoordinationStripe stripe);
     }
 
-    /** How many stripes there are. */
+    /** Number of stripes. */
     public int stripeCount() {
         return stripes.length;
     }
 
-    /** The stripe of a node, the same on all routers. */
+    /** The stripe that a node belongs to, the same on all routers. */
     private int stripeOf(NodeIncarnation node) {
         int hash = node.name().hashCode();
         return Math.floorMod(hash ^ (hash >>> 16), stripes.length);
     }
 
     /**
-     * Does something with a stripe under its lock.
+     * Runs an operation on a stripe under its lock.
      *
      * @param stripe from 0 to {@link #stripeCount} - 1
      */
@@ -78,7 +84,11 @@
         }
     }
 
-    /** See {@link CoordinationStripe#tryAcquire}; the budget is that at the stripe's time. */
+    /**
+     * See {@link CoordinationStripe#tryAcquire}.
+     *
+     * @param budget computes the node's budget at the time that was read under the lock
+     */
     public boolean tryAcquire(
             NodeIncarnation node, double amount, Function<Duration, SlowStartBudget> budget) {
         return withStripe(
@@ -86,7 +96,11 @@
                 (now, stripe) -> stripe.tryAcquire(now, node, amount, budget.apply(now)));
     }
 
-    /** See {@link CoordinationStripe#available}; the budget is that at the stripe's time. */
+    /**
+     * See {@link CoordinationStripe#available}.
+     *
+     * @param budget computes the node's budget at the time that was read under the lock
+     */
     public double available(NodeIncarnation node, Function<Duration, SlowStartBudget> budget) {
         return withStripe(
                 stripeOf(node), (now, stripe) -> stripe.available(now, node, budget.apply(now)));
--- a/src/main/java/postbeam/coordination/VoteRequest.java
+++ b/src/main/java/postbeam/coordination/VoteRequest.java
@@ -3,6 +3,6 @@
 /**
  * A candidate's request for votes.
  *
- * @param round tells a candidate's requests of one term from each other
+ * @param round distinguishes the candidate's requests within one term
  */
 public record VoteRequest(int stripe, long term, long round, ProcessIdentity candidate) {}
--- a/src/main/java/postbeam/coordination/VoteResponse.java
+++ b/src/main/java/postbeam/coordination/VoteResponse.java
@@ -1,10 +1,10 @@
 package postbeam.coordination;
 
 /**
- * Answers a {@link VoteRequest}, whose stripe, term and round it repeats.
+ * The response to a {@link VoteRequest}, with the stripe, term and round of the request.
  *
- * @param voter the router's name
- * @param highestTerm the highest that the voter has voted in
+ * @param voter name of the responding router
+ * @param highestTerm the highest term that the voter has voted in
  */
 public record VoteResponse(
         int stripe, long term, long round, String voter, boolean granted, long highestTerm) {}
--- a/src/main/java/postbeam/peers/PeerClient.java
+++ b/src/main/java/postbeam/peers/PeerClient.java
@@ -177,7 +177,8 @@
             PeerMessageCodec.PeerResponse message =
                     PeerMessageCodec.decodeResponse(response.body(), self);
             if (!message.sender().name().equals(router)) {
-                throw new IOException("it is from " + message.sender().name());
+                throw new IOException(
+                        "its sender must be router " + router + ", not " + message.sender().name());
             }
             for (VoteResponse vote : message.votes()) {
                 stripes.onVote(vote);
