--- a/src/test/java/postbeam/coordination/CoordinationErrorTextTest.java
+++ b/src/test/java/postbeam/coordination/CoordinationErrorTextTest.java
@@ -9,7 +9,7 @@
 
 /** Operators see these texts in the log: a change of wording is to be made in the sample too. */
 class CoordinationErrorTextTest {
-    private static final List<CoordinationError> ALL =
+    private static final List<CoordinationError> ERRORS =
             List.of(
                     new CoordinationError.MismatchedFleetConfig("r2"),
                     new CoordinationError.DuplicateName("r2", 1000, 2000),
@@ -19,10 +19,10 @@
                     new CoordinationError.NotAMember("r1"));
 
     @Test
-    void eachErrorReadsAsInTheSample() throws IOException {
-        assertEquals(CoordinationError.class.getPermittedSubclasses().length, ALL.size());
+    void messageOfEachErrorMatchesTheSampleFile() throws IOException {
+        assertEquals(CoordinationError.class.getPermittedSubclasses().length, ERRORS.size());
         assertEquals(
                 SampleFile.lines("errors/coordination.txt"),
-                ALL.stream().map(CoordinationError::message).toList());
+                ERRORS.stream().map(CoordinationError::message).toList());
     }
 }
--- a/src/test/java/postbeam/coordination/CoordinationIT.java
+++ b/src/test/java/postbeam/coordination/CoordinationIT.java
@@ -20,32 +20,32 @@
  */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class CoordinationIT {
-    private static final ProcessCluster.FileRewriter AS_IT_IS = (all, file, text) -> text;
+    private static final ProcessCluster.FileRewriter UNCHANGED = (all, file, text) -> text;
 
     /** Queries a second. */
-    private static final double RATE = 100;
+    private static final double QUERIES_PER_SECOND = 100;
 
     private static final int SHARDS = 8;
 
     /** After which the machine is held to be too busy for the plant to show. */
-    private static final int COLD_STARTS = 10;
+    private static final int MAX_COLD_STARTS = 10;
 
     private ProcessCluster cluster;
     private ProcessCluster.Clients clients;
 
-    private void stage(int nodes, int routers, ProcessCluster.FileRewriter altered)
+    private void startCluster(int nodes, int routers, ProcessCluster.FileRewriter rewriter)
             throws Exception {
         cluster =
                 new ProcessCluster(
                         new ProcessCluster.Size(
-                                nodes, routers, SHARDS, false, ProcessCluster.PATIENT, altered),
+                                nodes, routers, SHARDS, false, ProcessCluster.PATIENT, rewriter),
                         1);
-        clients = cluster.clients(RATE, 2);
+        clients = cluster.clients(QUERIES_PER_SECOND, 2);
         clients.allServe();
     }
 
     @AfterEach
-    void giveBack() throws Exception {
+    void closeCluster() throws Exception {
         if (cluster != null) {
             cluster.close();
         }
@@ -56,14 +56,14 @@
      * cold node's budget, cut off or not, and the sum holds.
      */
     @Test
-    void twoOfFiveAreCutOffWhileColdNodesReturn() throws Exception {
-        stage(6, 5, AS_IT_IS);
+    void nodesRestartWhileTwoOfFiveRoutersAreCutOffAndNoRuleIsViolated() throws Exception {
+        startCluster(6, 5, UNCHANGED);
         cluster.kill("n0");
         cluster.kill("n1");
         for (String router : List.of("r0", "r1")) {
-            for (String far : List.of("n2", "n3", "r2", "r3", "r4")) {
-                cluster.proxy(router, far).setBoth(FaultProxy.Fault.CUT, Duration.ZERO);
-                cluster.proxy(far, router).setBoth(FaultProxy.Fault.CUT, Duration.ZERO);
+            for (String other : List.of("n2", "n3", "r2", "r3", "r4")) {
+                cluster.proxy(router, other).setBoth(FaultProxy.Fault.CUT, Duration.ZERO);
+                cluster.proxy(other, router).setBoth(FaultProxy.Fault.CUT, Duration.ZERO);
             }
         }
         cluster.start("n0", "n1");
@@ -76,8 +76,8 @@
     }
 
     @Test
-    void waysCutInOneDirectionOnlyCostNoPromise() throws Exception {
-        stage(5, 3, AS_IT_IS);
+    void linkFaultsInOneDirectionViolateNoRule() throws Exception {
+        startCluster(5, 3, UNCHANGED);
         cluster.proxy("r0", "n0")
                 .set(FaultProxy.Direction.TO_TARGET, FaultProxy.Fault.CUT, Duration.ZERO);
         cluster.proxy("r1", "n0")
@@ -96,13 +96,13 @@
     }
 
     @Test
-    void allAreKilledAtOnceAndServeAgainFromNothing() throws Exception {
-        stage(4, 3, AS_IT_IS);
-        String[] all = {"r0", "r1", "r2", "n0", "n1", "n2", "n3"};
-        for (String name : all) {
+    void allRoutersAndNodesAreKilledAtOnceAndServeAgainAfterTheirRestart() throws Exception {
+        startCluster(4, 3, UNCHANGED);
+        String[] processes = {"r0", "r1", "r2", "n0", "n1", "n2", "n3"};
+        for (String name : processes) {
             cluster.kill(name);
         }
-        cluster.start(all);
+        cluster.start(processes);
         clients.allServe();
         assertEquals(List.of(), clients.broken());
     }
@@ -112,8 +112,8 @@
      * sends.
      */
     @Test
-    void aRouterThatIsStoppedAndWokenKeepsToWhatHasChanged() throws Exception {
-        stage(4, 3, AS_IT_IS);
+    void resumedRouterFollowsTheNodeChangesMadeWhileItWasStopped() throws Exception {
+        startCluster(4, 3, UNCHANGED);
         cluster.stop("r0");
         cluster.kill("n0");
         cluster.start("n0");
@@ -129,25 +129,25 @@
      * more than it may be sent when that second ends. Twice what it does when so warm, two cores'
      * work when warm; one call is left for chance.
      */
-    private boolean sentTooMuch(String node) throws IOException {
-        List<Double> calls = new ArrayList<>();
+    private boolean budgetExceeded(String node) throws IOException {
+        List<Double> callTimes = new ArrayList<>();
         double started = 0;
         for (String line : Files.readAllLines(cluster.file(node + ".seen"))) {
             if (line.startsWith("started ")) {
                 started = Long.parseLong(line.split(" ", -1)[1]) / 1e9;
-                calls.clear();
+                callTimes.clear();
             } else if (line.startsWith("called ")) {
-                calls.add(Long.parseLong(line.split(" ", -1)[1]) / 1e9 - started);
+                callTimes.add(Long.parseLong(line.split(" ", -1)[1]) / 1e9 - started);
             }
         }
         double ramp = ProcessCluster.RAMP.toMillis() / 1e3;
         double work = ProcessCluster.WORK.toMillis() / 1e3;
-        return calls.stream()
+        return callTimes.stream()
                 .filter(end -> end < ramp)
                 .anyMatch(
                         end ->
                                 work
-                                                * (calls.stream()
+                                                * (callTimes.stream()
                                                                 .filter(
                                                                         at ->
                                                                                 end - 1 < at
@@ -164,21 +164,22 @@
      * that, the node starts cold once more.
      */
     @Test
-    void routersThatEachTakeTheWholeBudgetAreCaught() throws Exception {
-        stage(3, 5, (all, file, text) -> text.replace("\"nInstances\":5", "\"nInstances\":1"));
-        int starts = 0;
+    void routersThatEachUseTheWholeBudgetAreReportedAsViolatingRule4() throws Exception {
+        startCluster(
+                3, 5, (all, file, text) -> text.replace("\"nInstances\":5", "\"nInstances\":1"));
+        int coldStarts = 0;
         do {
-            assertTrue(starts++ < COLD_STARTS, "in no cold start was n0 sent too much");
+            assertTrue(coldStarts++ < MAX_COLD_STARTS, "in no cold start was n0 sent too much");
             cluster.kill("n0");
             cluster.start("n0");
             cluster.awaitCondition("n0 carries work", () -> cluster.calls("n0") > 100);
-        } while (!sentTooMuch("n0"));
-        System.out.println("sent too much in cold start " + starts);
-        List<String> broken = clients.broken();
+        } while (!budgetExceeded("n0"));
+        System.out.println("sent too much in cold start " + coldStarts);
+        List<String> violations = clients.broken();
         assertTrue(
-                broken.stream()
+                violations.stream()
                         .anyMatch(
                                 line -> line.startsWith("rule 4") && line.contains("cold node n0")),
-                broken.toString());
+                violations.toString());
     }
 }
--- a/src/test/java/postbeam/coordination/CoordinationWithSlicesIT.java
+++ b/src/test/java/postbeam/coordination/CoordinationWithSlicesIT.java
@@ -33,7 +33,7 @@
     private ProcessCluster.Clients clients;
 
     @BeforeEach
-    void stage() throws Exception {
+    void startCluster() throws Exception {
         cluster =
                 new ProcessCluster(
                         new ProcessCluster.Size(
@@ -49,27 +49,27 @@
     }
 
     @AfterEach
-    void giveBack() throws Exception {
+    void closeCluster() throws Exception {
         cluster.close();
     }
 
     /** The first slice moves on by one holder; done once the layout has it. */
-    private String change() {
+    private String moveOfFirstSlice() {
         Slice slice = cluster.layout().slices().get(0);
-        String onto = "n0";
-        for (int i = 0; slice.nodes().contains(onto); i++) {
-            onto = "n" + i;
+        String target = "n0";
+        for (int i = 0; slice.nodes().contains(target); i++) {
+            target = "n" + i;
         }
         return "{\"move\":"
                 + slice.number()
                 + ",\"off\":\""
                 + slice.nodes().get(0)
                 + "\",\"onto\":\""
-                + onto
+                + target
                 + "\"}";
     }
 
-    private void atRest() throws Exception {
+    private void awaitEndOfMoves() throws Exception {
         cluster.awaitCondition(
                 "no move is under way",
                 () -> cluster.get(ProcessCluster.LAYOUTS, "/v1/status").contains("\"moves\":[]"));
@@ -80,7 +80,7 @@
                                 .contains("\"version\":" + cluster.layout().version + ","));
     }
 
-    private void sound() throws Exception {
+    private void assertSoundLayoutAndNoViolation() throws Exception {
         cluster.awaitCondition(
                 "the layout is sound",
                 () -> cluster.get(ProcessCluster.LAYOUTS, "/v1/verify").startsWith("sound"));
@@ -89,20 +89,20 @@
     }
 
     @Test
-    void theLayoutServiceIsKilledInTheMiddleOfMovesAndNoHoldRunsTwice() throws Exception {
-        UniformRandomProvider chance = RandomSource.XO_RO_SHI_RO_128_PP.create(5);
+    void layoutServiceKilledDuringMovesCompletesThemAfterItsRestart() throws Exception {
+        UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(5);
         for (int i = 0; i < 5; i++) {
             assertTrue(
-                    cluster.post(ProcessCluster.LAYOUTS, "/v1/start", change()).startsWith("move"));
+                    cluster.post(ProcessCluster.LAYOUTS, "/v1/start", moveOfFirstSlice()).startsWith("move"));
             // Somewhere in the move: which record was the last one written differs from time to
             // time.
-            Thread.sleep(chance.nextInt(250));
+            Thread.sleep(random.nextInt(250));
             cluster.kill(ProcessCluster.LAYOUTS);
             cluster.start(ProcessCluster.LAYOUTS);
-            atRest();
+            awaitEndOfMoves();
         }
         assertTrue(cluster.layout().version > 1, "no move was done: " + cluster.layout().version);
-        sound();
+        assertSoundLayoutAndNoViolation();
     }
 
     /**
@@ -110,18 +110,18 @@
      * are cut.
      */
     @Test
-    void movesComeToAnEndThoughNodesAndWaysFail() throws Exception {
+    void movesEndDespiteFailedNodesAndLinks() throws Exception {
         cluster.proxy(ProcessCluster.LAYOUTS, "n3")
                 .set(FaultProxy.Direction.FROM_TARGET, FaultProxy.Fault.CUT, Duration.ZERO);
         cluster.proxy("r0", ProcessCluster.LAYOUTS).setBoth(FaultProxy.Fault.CUT, Duration.ZERO);
-        cluster.post(ProcessCluster.LAYOUTS, "/v1/start", change());
-        atRest();
-        cluster.post(ProcessCluster.LAYOUTS, "/v1/start", change());
+        cluster.post(ProcessCluster.LAYOUTS, "/v1/start", moveOfFirstSlice());
+        awaitEndOfMoves();
+        cluster.post(ProcessCluster.LAYOUTS, "/v1/start", moveOfFirstSlice());
         cluster.kill("n4");
         cluster.start("n4");
-        atRest();
+        awaitEndOfMoves();
         cluster.healAll();
-        sound();
+        assertSoundLayoutAndNoViolation();
     }
 
     /**
@@ -129,9 +129,9 @@
      * goes on.
      */
     @Test
-    void aSecondLayoutServiceIsRefusedThoughTheFirstIsStopped() throws Exception {
+    void secondLayoutServiceOnTheSameLogExitsWhileTheFirstIsStopped() throws Exception {
         cluster.stop(ProcessCluster.LAYOUTS);
-        Path other =
+        Path secondSettings =
                 cluster.writeFile(
                         "other.json5",
                         Files.readString(cluster.file("layouts.json5"))
@@ -141,22 +141,22 @@
         Process second =
                 new ProcessBuilder(
                                 ProcessCluster.postbeamCommand(
-                                        "layouts", "serve", "--settings", other.toString()))
+                                        "layouts", "serve", "--settings", secondSettings.toString()))
                         .redirectErrorStream(true)
                         .start();
         try {
-            String said =
+            String output =
                     new String(second.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertTrue(said.contains("moves.log is in use by another process"), said);
+            assertTrue(output.contains("moves.log is in use by another process"), output);
             assertTrue(second.waitFor(60, TimeUnit.SECONDS));
             assertEquals(1, second.exitValue());
         } finally {
             second.destroyForcibly().waitFor();
         }
         cluster.resume(ProcessCluster.LAYOUTS);
-        long before = cluster.layout().version;
-        assertTrue(cluster.post(ProcessCluster.LAYOUTS, "/v1/start", change()).startsWith("move"));
-        cluster.awaitCondition("the move is done", () -> cluster.layout().version > before);
-        sound();
+        long versionBefore = cluster.layout().version;
+        assertTrue(cluster.post(ProcessCluster.LAYOUTS, "/v1/start", moveOfFirstSlice()).startsWith("move"));
+        cluster.awaitCondition("the move is done", () -> cluster.layout().version > versionBefore);
+        assertSoundLayoutAndNoViolation();
     }
 }
--- a/src/test/java/postbeam/coordination/LeaderElectionIT.java
+++ b/src/test/java/postbeam/coordination/LeaderElectionIT.java
@@ -27,13 +27,13 @@
     private static final double WORK = 0.005;
     private static final Duration WINDOW = Duration.ofSeconds(1);
 
-    private final SlowStartUsage takes = new SlowStartUsage();
-    private final AtomicIntegerArray byRouter = new AtomicIntegerArray(ROUTERS);
-    private final List<Thread> askers = new ArrayList<>();
-    private volatile boolean over;
+    private final SlowStartUsage usage = new SlowStartUsage();
+    private final AtomicIntegerArray acquisitionsByRouter = new AtomicIntegerArray(ROUTERS);
+    private final List<Thread> clients = new ArrayList<>();
+    private volatile boolean stopped;
     private ProcessCluster cluster;
 
-    private void stage(boolean alone) throws Exception {
+    private void startCluster(boolean unaware) throws Exception {
         cluster =
                 new ProcessCluster(
                         new ProcessCluster.Size(
@@ -44,30 +44,30 @@
                                 ProcessCluster.PATIENT,
                                 (all, file, text) ->
                                         file.endsWith(".json5")
-                                                ? own(all, file.replace(".json5", ""), alone)
+                                                ? settings(all, file.replace(".json5", ""), unaware)
                                                 : text),
                         1);
         for (int i = 0; i < ROUTERS; i++) {
             int router = i;
-            Thread asker = new Thread(() -> take(router), "takes");
-            asker.setDaemon(true);
-            asker.start();
-            askers.add(asker);
+            Thread client = new Thread(() -> acquireUntilStopped(router), "takes");
+            client.setDaemon(true);
+            client.start();
+            clients.add(client);
         }
     }
 
-    private static String own(ProcessCluster all, String name, boolean alone) throws IOException {
+    private static String settings(ProcessCluster processes, String name, boolean unaware) throws IOException {
         StringBuilder routers = new StringBuilder();
         for (int i = 0; i < ROUTERS; i++) {
             String other = "r" + i;
-            if (!alone || other.equals(name)) {
+            if (!unaware || other.equals(name)) {
                 routers.append("{name: \"")
                         .append(other)
                         .append("\", address: \"")
                         .append(
                                 other.equals(name)
-                                        ? all.address(name)
-                                        : all.proxy(name, other).address())
+                                        ? processes.address(name)
+                                        : processes.proxy(name, other).address())
                         .append("\"},");
             }
         }
@@ -76,7 +76,7 @@
                 + "\", routers: ["
                 + routers
                 + "], shares: "
-                + (alone ? 1 : ROUTERS)
+                + (unaware ? 1 : ROUTERS)
                 + ", stripes: 1, leaseMs: 600, windowMs: "
                 + WINDOW.toMillis()
                 + ", driftMs: 30, officeMs: 900, longestMs: 1200, reserved: 0.25, underWay: 0.1,"
@@ -86,17 +86,17 @@
     }
 
     /** As much as it gets. */
-    private void take(int router) {
-        while (!over) {
+    private void acquireUntilStopped(int router) {
+        while (!stopped) {
             try {
-                Duration begun = cluster.now();
+                Duration startedAt = cluster.now();
                 if (cluster.post(
                                 "r" + router,
                                 "/together/v1/take",
                                 "{\"node\":\"n0\",\"incarnation\":7,\"work\":" + WORK + "}")
                         .contains("\"taken\":true")) {
-                    takes.record(begun, cluster.now(), WORK);
-                    byRouter.incrementAndGet(router);
+                    usage.record(startedAt, cluster.now(), WORK);
+                    acquisitionsByRouter.incrementAndGet(router);
                 }
                 Thread.sleep(5);
             } catch (IOException e) {
@@ -108,11 +108,11 @@
     }
 
     @AfterEach
-    void giveBack() throws Exception {
-        over = true;
-        for (Thread asker : askers) {
-            asker.interrupt();
-            asker.join();
+    void stopClientsAndCloseCluster() throws Exception {
+        stopped = true;
+        for (Thread client : clients) {
+            client.interrupt();
+            client.join();
         }
         if (cluster != null) {
             cluster.close();
@@ -120,14 +120,14 @@
     }
 
     /** Waits for one that grants, other than this; null where it can be any. */
-    private String keeper(String notThis) throws Exception {
+    private String awaitLeader(String excluded) throws Exception {
         String[] found = new String[1];
         cluster.awaitCondition(
                 "a keeper grants",
                 () -> {
                     for (int i = 0; i < ROUTERS; i++) {
                         String name = "r" + i;
-                        if (!name.equals(notThis)
+                        if (!name.equals(excluded)
                                 && cluster.post(name, "/together/v1/state", "{}")
                                         .contains("\"grants\":true")) {
                             found[0] = name;
@@ -140,47 +140,47 @@
     }
 
     /** Waits until a router has taken some more. */
-    private void takes(int... routers) throws Exception {
+    private void awaitAcquisitions(int... routers) throws Exception {
         for (int router : routers) {
-            AtomicInteger before = new AtomicInteger(byRouter.get(router));
+            AtomicInteger before = new AtomicInteger(acquisitionsByRouter.get(router));
             cluster.awaitCondition(
-                    "r" + router + " takes", () -> byRouter.get(router) > before.get() + 3);
+                    "r" + router + " takes", () -> acquisitionsByRouter.get(router) > before.get() + 3);
         }
     }
 
-    private void within() {
-        double most = takes.maxWorkIn(WINDOW);
+    private void assertWithinBudget() {
+        double maxWork = usage.maxWorkIn(WINDOW);
         System.out.println(
-                takes.count() + " takes, at most " + most + " of " + BUDGET + " in a window");
-        assertTrue(most <= BUDGET + 1e-9, "taken in a window: " + most);
+                usage.count() + " takes, at most " + maxWork + " of " + BUDGET + " in a window");
+        assertTrue(maxWork <= BUDGET + 1e-9, "taken in a window: " + maxWork);
     }
 
     @Test
-    void aKeeperIsKilledAfterAGrantAndIsBackUnderItsName() throws Exception {
-        stage(false);
-        String first = keeper(null);
-        takes(0, 1, 2, 3, 4);
+    void budgetHoldsWhenALeaderIsKilledAfterAGrantAndRestarted() throws Exception {
+        startCluster(false);
+        String first = awaitLeader(null);
+        awaitAcquisitions(0, 1, 2, 3, 4);
         cluster.kill(first);
-        String second = keeper(first);
-        takes(Integer.parseInt(second.substring(1)));
+        String second = awaitLeader(first);
+        awaitAcquisitions(Integer.parseInt(second.substring(1)));
         cluster.start(first);
-        takes(Integer.parseInt(first.substring(1)));
+        awaitAcquisitions(Integer.parseInt(first.substring(1)));
         cluster.kill(second);
-        keeper(second);
-        takes(Integer.parseInt(first.substring(1)));
-        within();
+        awaitLeader(second);
+        awaitAcquisitions(Integer.parseInt(first.substring(1)));
+        assertWithinBudget();
     }
 
     @Test
-    void aKeeperStoppedPastItsOfficeWakesWhileASuccessorGrantsAndTwoAreCutOff() throws Exception {
-        stage(false);
-        String first = keeper(null);
-        takes(0, 1, 2, 3, 4);
+    void budgetHoldsWhenALeaderResumesAfterItsLeaseAndWhenTwoRoutersAreCutOff() throws Exception {
+        startCluster(false);
+        String first = awaitLeader(null);
+        awaitAcquisitions(0, 1, 2, 3, 4);
         cluster.stop(first);
-        String second = keeper(first);
-        takes(Integer.parseInt(second.substring(1)));
+        String second = awaitLeader(first);
+        awaitAcquisitions(Integer.parseInt(second.substring(1)));
         cluster.resume(first);
-        takes(0, 1, 2, 3, 4);
+        awaitAcquisitions(0, 1, 2, 3, 4);
         for (String one : List.of("r0", "r1")) {
             for (String other : List.of("r2", "r3", "r4")) {
                 cluster.proxy(one, other).setBoth(FaultProxy.Fault.CUT, Duration.ZERO);
@@ -189,18 +189,18 @@
             }
         }
         // The cut ones have their reserve, the others go on.
-        takes(0, 1, 2, 3, 4);
+        awaitAcquisitions(0, 1, 2, 3, 4);
         cluster.healAll();
-        takes(0, 1, 2, 3, 4);
-        within();
+        awaitAcquisitions(0, 1, 2, 3, 4);
+        assertWithinBudget();
     }
 
     @Test
-    void routersThatEachThinkTheyAreAloneAreCaught() throws Exception {
-        stage(true);
-        takes(0, 1, 2, 3, 4, 0, 1, 2, 3, 4);
+    void routersUnawareOfEachOtherExceedTheBudget() throws Exception {
+        startCluster(true);
+        awaitAcquisitions(0, 1, 2, 3, 4, 0, 1, 2, 3, 4);
         cluster.awaitCondition(
-                "the budget is passed", () -> takes.maxWorkIn(WINDOW) > BUDGET + WORK);
-        assertEquals(5, askers.size());
+                "the budget is passed", () -> usage.maxWorkIn(WINDOW) > BUDGET + WORK);
+        assertEquals(5, clients.size());
     }
 }
--- a/src/test/java/postbeam/coordination/LeaderElectionTest.java
+++ b/src/test/java/postbeam/coordination/LeaderElectionTest.java
@@ -36,7 +36,7 @@
                 new Random(1));
     }
 
-    private long win(LeaderElection candidate, long from, LeaderElection... voters) {
+    private long runCandidacy(LeaderElection candidate, long from, LeaderElection... voters) {
         VoteRequest request = null;
         long at = from;
         while (request == null) {
@@ -49,21 +49,21 @@
     }
 
     @Test
-    void majorityOfAllMembersElectsALeaderWhoseLeaseCountsFromItsRequest() {
-        long at = win(a, 910);
+    void majorityOfAllMembersElectsALeaderWhoseLeaseStartsAtItsVoteRequest() {
+        long at = runCandidacy(a, 910);
         assertFalse(a.isLeader(ms(at)), "one of three");
-        at = win(a, at + 100, b);
+        at = runCandidacy(a, at + 100, b);
         assertTrue(a.isLeader(ms(at)));
         assertTrue(a.isLeader(ms(at - 1 + 299)));
         assertFalse(a.isLeader(ms(at - 1 + 300)));
     }
 
     @Test
-    void voteBindsTheVoterUntilTheLeaseIsPast() {
-        long at = win(a, 910, b);
-        VoteRequest other = new VoteRequest(0, 9, 1, new ProcessIdentity("c", 0));
-        assertFalse(b.handleVoteRequest(ms(at + 309), other).granted());
-        assertTrue(b.handleVoteRequest(ms(at + 310), other).granted());
+    void voterRefusesOtherCandidatesUntilItsVoteExpires() {
+        long at = runCandidacy(a, 910, b);
+        VoteRequest otherCandidate = new VoteRequest(0, 9, 1, new ProcessIdentity("c", 0));
+        assertFalse(b.handleVoteRequest(ms(at + 309), otherCandidate).granted());
+        assertTrue(b.handleVoteRequest(ms(at + 310), otherCandidate).granted());
         assertFalse(
                 b.handleVoteRequest(
                                 ms(at + 311), new VoteRequest(0, 9, 1, new ProcessIdentity("a", 0)))
@@ -82,41 +82,41 @@
     }
 
     @Test
-    void restartedVoterWaitsForTheLongestLease() {
+    void restartedVoterNeitherVotesNorRunsBeforeTheLongestLeaseIsOver() {
         VoteRequest request = new VoteRequest(0, 1, 1, new ProcessIdentity("a", 0));
-        LeaderElection again = election("b", 1000);
-        assertFalse(again.handleVoteRequest(ms(1909), request).granted());
-        assertNull(again.tick(ms(1909)));
-        assertTrue(again.handleVoteRequest(ms(1910), request).granted());
+        LeaderElection restarted = election("b", 1000);
+        assertFalse(restarted.handleVoteRequest(ms(1909), request).granted());
+        assertNull(restarted.tick(ms(1909)));
+        assertTrue(restarted.handleVoteRequest(ms(1910), request).granted());
     }
 
     @Test
-    void leaseIsRenewedWithoutAGapAndOtherRoundsVotesAreIgnored() {
-        long at = win(a, 910, b);
-        Duration since = a.leaderSince();
-        VoteRequest anew = a.tick(ms(at + 100));
-        assertNotNull(anew);
-        assertEquals(a.term(), anew.term());
+    void renewalExtendsTheLeaseWithoutAGapAndVotesOfOtherRoundsAreIgnored() {
+        long at = runCandidacy(a, 910, b);
+        Duration leaderSince = a.leaderSince();
+        VoteRequest renewal = a.tick(ms(at + 100));
+        assertNotNull(renewal);
+        assertEquals(a.term(), renewal.term());
         a.onVote(
                 ms(at + 110),
-                new VoteResponse(0, anew.term(), anew.round() - 1, "b", true, anew.term()));
+                new VoteResponse(0, renewal.term(), renewal.round() - 1, "b", true, renewal.term()));
         assertFalse(a.isLeader(ms(at + 320)));
-        a.onVote(ms(at + 110), c.handleVoteRequest(ms(at + 110), anew));
+        a.onVote(ms(at + 110), c.handleVoteRequest(ms(at + 110), renewal));
         assertTrue(a.isLeader(ms(at + 320)));
-        assertEquals(since, a.leaderSince());
+        assertEquals(leaderSince, a.leaderSince());
         assertEquals(new ProcessIdentity("a", 0), c.knownLeader(ms(at + 120)));
     }
 
     @Test
-    void newLeaderGrantsNothingUntilItsPredecessorsLeasesArePast() {
+    void newLeaderGrantsNoLeaseUntilThoseOfEarlierLeadersAreOver() {
         LeaseIssuer issuer = new LeaseIssuer(a, leaseParameters);
         LeaseRequest leaseRequest = new LeaseRequest(NODE, new ProcessIdentity("b", 0), 1, 1, 8);
         assertEquals(0, issuer.grant(ms(910), leaseRequest).amount());
-        long at = win(a, 910, b);
-        long won = at;
-        for (; at < won + 310; at += 90) {
+        long at = runCandidacy(a, 910, b);
+        long electedAt = at;
+        for (; at < electedAt + 310; at += 90) {
             assertEquals(0, issuer.grant(ms(at), leaseRequest).amount());
-            win(a, at + 20, b, c);
+            runCandidacy(a, at + 20, b, c);
         }
         assertEquals(1, issuer.grant(ms(at), leaseRequest).amount());
         assertEquals(
--- a/src/test/java/postbeam/coordination/QuotaCountersTest.java
+++ b/src/test/java/postbeam/coordination/QuotaCountersTest.java
@@ -9,18 +9,18 @@
 import org.junit.jupiter.api.Test;
 
 class QuotaCountersTest {
-    private static final List<String> FLEET = List.of("a", "b", "c");
+    private static final List<String> MEMBERS = List.of("a", "b", "c");
 
-    private final QuotaCounters a = counts("a", 1);
-    private final QuotaCounters b = counts("b", 1);
-    private final QuotaCounters c = counts("c", 1);
+    private final QuotaCounters a = counters("a", 1);
+    private final QuotaCounters b = counters("b", 1);
+    private final QuotaCounters c = counters("c", 1);
 
-    private static QuotaCounters counts(String name, long run) {
-        return new QuotaCounters(new ProcessIdentity(name, run), FLEET, 3, 8);
+    private static QuotaCounters counters(String name, long incarnation) {
+        return new QuotaCounters(new ProcessIdentity(name, incarnation), MEMBERS, 3, 8);
     }
 
     @Test
-    void withoutGossipARouterHasItsEvenShare() {
+    void routerWithoutReceivedEntriesMayCountItsEvenShare() {
         assertTrue(a.tryCount("m", 10, 2, 6));
         assertFalse(a.tryCount("m", 10, 0.1, 6));
         assertTrue(a.tryCount("m", 11, 2, 6));
@@ -43,13 +43,13 @@
     }
 
     @Test
-    void entriesAreMergedOnceAndOlderOnesIgnored() {
+    void repeatedAndOlderEntriesAreIgnored() {
         b.tryCount("m", 10, 1, 6);
-        List<QuotaCounterEntry> old = b.entriesToSend();
+        List<QuotaCounterEntry> earlier = b.entriesToSend();
         b.tryCount("m", 10, 1, 6);
         a.startBucket(10);
         a.merge(b.entriesToSend());
-        a.merge(old);
+        a.merge(earlier);
         a.merge(b.entriesToSend());
         assertEquals(2, a.knownTotal("m", 10));
         a.merge(List.of(new QuotaCounterEntry(new ProcessIdentity("b", 0), "m", 10, 99, 7, 0)));
@@ -63,21 +63,21 @@
     }
 
     @Test
-    void restartedRouterCountsNothingWhereItsEarlierRunMayHave() {
-        QuotaCounters again = counts("a", 2);
-        assertFalse(again.tryCount("m", 9, 1, 6));
-        assertTrue(again.tryCount("m", 10, 1, 6));
+    void restartedRouterCountsNothingInBucketsOfItsEarlierProcess() {
+        QuotaCounters restarted = counters("a", 2);
+        assertFalse(restarted.tryCount("m", 9, 1, 6));
+        assertTrue(restarted.tryCount("m", 10, 1, 6));
     }
 
     @Test
     void memoryAndMessagesAreBoundedForAThousandRouters() {
         List<String> names = IntStream.range(0, 1000).mapToObj(i -> "r" + i).toList();
-        QuotaCounters one = new QuotaCounters(new ProcessIdentity("r0", 1), names, 1000, 0);
-        one.startBucket(2);
+        QuotaCounters counters = new QuotaCounters(new ProcessIdentity("r0", 1), names, 1000, 0);
+        counters.startBucket(2);
         for (int i = 0; i < 1000; i++) {
             for (int key = 0; key < 2000; key += i < 3 ? 1 : 40) {
                 for (long bucket = -1; bucket <= 6; bucket++) {
-                    one.merge(
+                    counters.merge(
                             List.of(
                                     new QuotaCounterEntry(
                                             new ProcessIdentity("r" + i, 1),
@@ -89,10 +89,10 @@
                 }
             }
         }
-        assertTrue(one.size() <= QuotaCounters.MAX_KEYS * QuotaCounters.BUCKETS_KEPT * 1000);
-        assertTrue(one.size() > 1000);
-        assertEquals(QuotaCounters.MAX_ENTRIES_PER_MESSAGE, one.entriesToSend().size());
-        one.startBucket(20);
-        assertEquals(0, one.size());
+        assertTrue(counters.size() <= QuotaCounters.MAX_KEYS * QuotaCounters.BUCKETS_KEPT * 1000);
+        assertTrue(counters.size() > 1000);
+        assertEquals(QuotaCounters.MAX_ENTRIES_PER_MESSAGE, counters.entriesToSend().size());
+        counters.startBucket(20);
+        assertEquals(0, counters.size());
     }
 }
