--- a/src/test/java/postbeam/coordination/CoordinationErrorTextTest.java
+++ b/src/test/java/postbeam/coordination/CoordinationErrorTextTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import postbeam.samples.SampleFile;
 
-/** Operators see these texts in the log: a change of wording is to be made in the sample too. */
+/** Operators search the log for these texts, so each change of a text must be made here as well. */
 class CoordinationErrorTextTest {
     private static final List<CoordinationError> ERRORS =
             List.of(
--- a/src/test/java/postbeam/coordination/CoordinationIT.java
+++ b/src/test/java/postbeam/coordination/CoordinationIT.java
@@ -15,19 +15,22 @@
 import postbeam.testbed.cluster.ProcessCluster;
 
 /**
- * Processes of the built program under faults between them: the six rules hold, and service is back
- * in bounded time.
+ * Runs router, discovery and data node processes with faults in the links between them. The six
+ * rules of {@link postbeam.testbed.verification.InvariantChecker} must hold, and all routers must
+ * serve again in bounded time.
  */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class CoordinationIT {
     private static final ProcessCluster.FileRewriter UNCHANGED = (all, file, text) -> text;
 
-    /** Queries a second. */
     private static final double QUERIES_PER_SECOND = 100;
 
     private static final int SHARDS = 8;
 
-    /** After which the machine is held to be too busy for the plant to show. */
+    /**
+     * Cold starts of a node after which the test fails, as the machine is then too busy to exceed
+     * the node's budget.
+     */
     private static final int MAX_COLD_STARTS = 10;
 
     private ProcessCluster cluster;
@@ -52,8 +55,9 @@
     }
 
     /**
-     * Two nodes are back under their names. Nobody shares anything: each has its even part of a
-     * cold node's budget, cut off or not, and the sum holds.
+     * Two nodes restart under their names while two routers are cut off. The routers exchange no
+     * messages: each uses its even share of a cold node's budget, whether it is cut off or not, so
+     * the sum stays within the budget.
      */
     @Test
     void nodesRestartWhileTwoOfFiveRoutersAreCutOffAndNoRuleIsViolated() throws Exception {
@@ -68,7 +72,7 @@
         }
         cluster.start("n0", "n1");
         for (String node : List.of("n0", "n1")) {
-            cluster.awaitCondition(node + " carries work", () -> cluster.calls(node) > 80);
+            cluster.awaitCondition(node + " gets requests", () -> cluster.calls(node) > 80);
         }
         cluster.healAll();
         clients.allServe();
@@ -108,8 +112,8 @@
     }
 
     /**
-     * While it is stopped a node is replaced and another drains: it must learn of both before it
-     * sends.
+     * While the router is stopped, one node restarts and another drains; the router must learn of
+     * both before it sends.
      */
     @Test
     void resumedRouterFollowsTheNodeChangesMadeWhileItWasStopped() throws Exception {
@@ -118,16 +122,17 @@
         cluster.kill("n0");
         cluster.start("n0");
         cluster.tell("n3", "draining");
-        cluster.awaitCondition("the others serve", () -> cluster.calls("n0") > 30);
+        cluster.awaitCondition("the other routers send to n0", () -> cluster.calls("n0") > 30);
         cluster.resume("r0");
         clients.allServe();
         assertEquals(List.of(), clients.broken());
     }
 
     /**
-     * By the node's own lines and nothing else: whether some second of its present life brought
-     * more than it may be sent when that second ends. Twice what it does when so warm, two cores'
-     * work when warm; one call is left for chance.
+     * Whether the node was sent more than its budget in any second since its last start, by the
+     * node's own record alone. The budget at the end of a second is twice the work that the node
+     * does in a second when this warm; a warm node does the work of two cores. One request is
+     * subtracted as a tolerance.
      */
     private boolean budgetExceeded(String node) throws IOException {
         List<Double> callTimes = new ArrayList<>();
@@ -159,9 +164,10 @@
     }
 
     /**
-     * Rule 4's sum is one that no router sees: each keeps to what it takes for its own. It is
-     * passed only where enough is asked while the node is cold; where the machine was too busy for
-     * that, the node starts cold once more.
+     * Checks that a violation of rule 4 is detected: each router is configured as the only one, so
+     * each stays within the whole budget and the sum, which no router sees, exceeds it. The sum
+     * exceeds the budget only if enough is requested while the node is cold; if the machine was too
+     * busy for that, the node starts cold once more.
      */
     @Test
     void routersThatEachUseTheWholeBudgetAreReportedAsViolatingRule4() throws Exception {
@@ -169,12 +175,12 @@
                 3, 5, (all, file, text) -> text.replace("\"nInstances\":5", "\"nInstances\":1"));
         int coldStarts = 0;
         do {
-            assertTrue(coldStarts++ < MAX_COLD_STARTS, "in no cold start was n0 sent too much");
+            assertTrue(coldStarts++ < MAX_COLD_STARTS, "n0 was not sent more than its budget in any of its cold starts");
             cluster.kill("n0");
             cluster.start("n0");
-            cluster.awaitCondition("n0 carries work", () -> cluster.calls("n0") > 100);
+            cluster.awaitCondition("n0 gets requests", () -> cluster.calls("n0") > 100);
         } while (!budgetExceeded("n0"));
-        System.out.println("sent too much in cold start " + coldStarts);
+        System.out.println("budget of n0 exceeded in cold start " + coldStarts);
         List<String> violations = clients.broken();
         assertTrue(
                 violations.stream()
--- a/src/test/java/postbeam/coordination/CoordinationWithSlicesIT.java
+++ b/src/test/java/postbeam/coordination/CoordinationWithSlicesIT.java
@@ -21,8 +21,8 @@
 import postbeam.testbed.cluster.ProcessCluster;
 
 /**
- * Slices move between nodes under load while the layout service, a node and ways to them fail, all
- * as processes.
+ * Moves slices between node processes under load while the layout service, a node or the links to
+ * them fail.
  */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class CoordinationWithSlicesIT {
@@ -53,7 +53,7 @@
         cluster.close();
     }
 
-    /** The first slice moves on by one holder; done once the layout has it. */
+    /** The request body for a move of the first slice from its first node to one without it. */
     private String moveOfFirstSlice() {
         Slice slice = cluster.layout().slices().get(0);
         String target = "n0";
@@ -71,10 +71,10 @@
 
     private void awaitEndOfMoves() throws Exception {
         cluster.awaitCondition(
-                "no move is under way",
+                "no move is in progress",
                 () -> cluster.get(ProcessCluster.LAYOUTS, "/v1/status").contains("\"moves\":[]"));
         cluster.awaitCondition(
-                "the layout is known",
+                "the clients have the layout of the service",
                 () ->
                         cluster.get(ProcessCluster.LAYOUTS, "/v1/status")
                                 .contains("\"version\":" + cluster.layout().version + ","));
@@ -93,21 +93,21 @@
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(5);
         for (int i = 0; i < 5; i++) {
             assertTrue(
-                    cluster.post(ProcessCluster.LAYOUTS, "/v1/start", moveOfFirstSlice()).startsWith("move"));
-            // Somewhere in the move: which record was the last one written differs from time to
-            // time.
+                    cluster.post(ProcessCluster.LAYOUTS, "/v1/start", moveOfFirstSlice())
+                            .startsWith("move"));
+            // A random time in the move, so that the last record written differs between rounds.
             Thread.sleep(random.nextInt(250));
             cluster.kill(ProcessCluster.LAYOUTS);
             cluster.start(ProcessCluster.LAYOUTS);
             awaitEndOfMoves();
         }
-        assertTrue(cluster.layout().version > 1, "no move was done: " + cluster.layout().version);
+        assertTrue(cluster.layout().version > 1, "no move was completed: layout version " + cluster.layout().version);
         assertSoundLayoutAndNoViolation();
     }
 
     /**
-     * A node that is to take a slice can't be told, one dies with its disk, and the ways to routers
-     * are cut.
+     * The layout service gets no response from n3, r0 is cut off from the layout service, and n4
+     * restarts without its data.
      */
     @Test
     void movesEndDespiteFailedNodesAndLinks() throws Exception {
@@ -125,8 +125,8 @@
     }
 
     /**
-     * One log, two services: the second is refused, also while the first is stopped, which then
-     * goes on.
+     * Two services may not use one log: the second one exits even while the first is stopped, and
+     * the first continues after it is resumed.
      */
     @Test
     void secondLayoutServiceOnTheSameLogExitsWhileTheFirstIsStopped() throws Exception {
@@ -155,8 +155,10 @@
         }
         cluster.resume(ProcessCluster.LAYOUTS);
         long versionBefore = cluster.layout().version;
-        assertTrue(cluster.post(ProcessCluster.LAYOUTS, "/v1/start", moveOfFirstSlice()).startsWith("move"));
-        cluster.awaitCondition("the move is done", () -> cluster.layout().version > versionBefore);
+        assertTrue(
+                cluster.post(ProcessCluster.LAYOUTS, "/v1/start", moveOfFirstSlice())
+                        .startsWith("move"));
+        cluster.awaitCondition("the move is completed", () -> cluster.layout().version > versionBefore);
         assertSoundLayoutAndNoViolation();
     }
 }
--- a/src/test/java/postbeam/coordination/HealthGossipTest.java
+++ b/src/test/java/postbeam/coordination/HealthGossipTest.java
@@ -72,7 +72,7 @@
         assertTrue(gossip.isUnhealthy(seconds(1.9), N1));
         assertFalse(gossip.isUnhealthy(seconds(2), N1));
         report(2, N1, HealthReport.Kind.SLOW, 6, "r1", "a", "r2", "b", "r3", "c");
-        assertFalse(gossip.isUnhealthy(seconds(2), N1), "older news");
+        assertFalse(gossip.isUnhealthy(seconds(2), N1), "a report older than the known one is ignored");
     }
 
     @Test
@@ -104,7 +104,7 @@
         report(0, new NodeIncarnation("n1", 2), HealthReport.Kind.UNRESPONSIVE, 0, "r1", "a");
         assertFalse(gossip.isUnhealthy(seconds(0), new NodeIncarnation("n1", 2)));
         report(0, N1, HealthReport.Kind.UNRESPONSIVE, 0, "r4", "b");
-        assertEquals(1, gossip.size(), "of the earlier one nothing is believed");
+        assertEquals(1, gossip.size(), "reports on the earlier incarnation are ignored");
         for (int i = 0; i < 10_100; i++) {
             for (int j = 0; j < 20; j++) {
                 report(
--- a/src/test/java/postbeam/coordination/LeaderElectionIT.java
+++ b/src/test/java/postbeam/coordination/LeaderElectionIT.java
@@ -17,8 +17,8 @@
 import postbeam.testbed.verification.SlowStartUsage;
 
 /**
- * Routers as processes that lease a cold node's budget of a keeper: the sum of what all take stays
- * within it.
+ * Router processes lease a cold node's budget from an elected leader. The work that they acquire
+ * together must stay within the budget in every window.
  */
 @Timeout(value = 150, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class LeaderElectionIT {
@@ -49,7 +49,7 @@
                         1);
         for (int i = 0; i < ROUTERS; i++) {
             int router = i;
-            Thread client = new Thread(() -> acquireUntilStopped(router), "takes");
+            Thread client = new Thread(() -> acquireUntilStopped(router), "acquire");
             client.setDaemon(true);
             client.start();
             clients.add(client);
@@ -85,7 +85,7 @@
                 + ", risesTo: 1, rampMs: 60000}}";
     }
 
-    /** As much as it gets. */
+    /** Acquires as much work from the router as it admits. */
     private void acquireUntilStopped(int router) {
         while (!stopped) {
             try {
@@ -100,7 +100,7 @@
                 }
                 Thread.sleep(5);
             } catch (IOException e) {
-                // It is down or stopped.
+                // The router is killed or stopped.
             } catch (InterruptedException e) {
                 return;
             }
@@ -119,11 +119,15 @@
         }
     }
 
-    /** Waits for one that grants, other than this; null where it can be any. */
+    /**
+     * Waits for a leader that grants leases, and returns its name.
+     *
+     * @param excluded name of a router that does not count; null if any may be the leader
+     */
     private String awaitLeader(String excluded) throws Exception {
         String[] found = new String[1];
         cluster.awaitCondition(
-                "a keeper grants",
+                "a leader grants leases",
                 () -> {
                     for (int i = 0; i < ROUTERS; i++) {
                         String name = "r" + i;
@@ -139,20 +143,28 @@
         return found[0];
     }
 
-    /** Waits until a router has taken some more. */
+    /** Waits until each of the routers has admitted some more work. */
     private void awaitAcquisitions(int... routers) throws Exception {
         for (int router : routers) {
             AtomicInteger before = new AtomicInteger(acquisitionsByRouter.get(router));
             cluster.awaitCondition(
-                    "r" + router + " takes", () -> acquisitionsByRouter.get(router) > before.get() + 3);
+                    "r" + router + " admits work",
+                    () -> acquisitionsByRouter.get(router) > before.get() + 3);
         }
     }
 
     private void assertWithinBudget() {
         double maxWork = usage.maxWorkIn(WINDOW);
         System.out.println(
-                usage.count() + " takes, at most " + maxWork + " of " + BUDGET + " in a window");
-        assertTrue(maxWork <= BUDGET + 1e-9, "taken in a window: " + maxWork);
+                usage.count()
+                        + " acquisitions, at most "
+                        + maxWork
+                        + " of "
+                        + BUDGET
+                        + " in a window");
+        assertTrue(
+                maxWork <= BUDGET + 1e-9,
+                "acquired in a window: " + maxWork + ", budget " + BUDGET);
     }
 
     @Test
@@ -188,7 +200,7 @@
                         .set(FaultProxy.Direction.FROM_TARGET, FaultProxy.Fault.CUT, Duration.ZERO);
             }
         }
-        // The cut ones have their reserve, the others go on.
+        // The routers that are cut off use their reserve; the others have a leader and its leases.
         awaitAcquisitions(0, 1, 2, 3, 4);
         cluster.healAll();
         awaitAcquisitions(0, 1, 2, 3, 4);
@@ -200,7 +212,7 @@
         startCluster(true);
         awaitAcquisitions(0, 1, 2, 3, 4, 0, 1, 2, 3, 4);
         cluster.awaitCondition(
-                "the budget is passed", () -> usage.maxWorkIn(WINDOW) > BUDGET + WORK);
+                "the budget is exceeded", () -> usage.maxWorkIn(WINDOW) > BUDGET + WORK);
         assertEquals(5, clients.size());
     }
 }
--- a/src/test/java/postbeam/coordination/LeaderElectionTest.java
+++ b/src/test/java/postbeam/coordination/LeaderElectionTest.java
@@ -36,6 +36,11 @@
                 new Random(1));
     }
 
+    /**
+     * Polls the candidate until it requests votes, and hands it the responses of the voters.
+     *
+     * @return the time in milliseconds at which it got them, 1 ms after its request
+     */
     private long runCandidacy(LeaderElection candidate, long from, LeaderElection... voters) {
         VoteRequest request = null;
         long at = from;
@@ -51,7 +56,7 @@
     @Test
     void majorityOfAllMembersElectsALeaderWhoseLeaseStartsAtItsVoteRequest() {
         long at = runCandidacy(a, 910);
-        assertFalse(a.isLeader(ms(at)), "one of three");
+        assertFalse(a.isLeader(ms(at)), "one vote of three is no majority");
         at = runCandidacy(a, at + 100, b);
         assertTrue(a.isLeader(ms(at)));
         assertTrue(a.isLeader(ms(at - 1 + 299)));
@@ -68,12 +73,12 @@
                 b.handleVoteRequest(
                                 ms(at + 311), new VoteRequest(0, 9, 1, new ProcessIdentity("a", 0)))
                         .granted(),
-                "once in a term");
+                "a second vote in the same term");
         assertFalse(
                 b.handleVoteRequest(
                                 ms(at + 700), new VoteRequest(0, 8, 1, new ProcessIdentity("a", 0)))
                         .granted(),
-                "no older term");
+                "a vote in an older term");
         assertFalse(
                 b.handleVoteRequest(
                                 ms(at + 700),
--- a/src/test/java/postbeam/coordination/SlowStartQuotaTest.java
+++ b/src/test/java/postbeam/coordination/SlowStartQuotaTest.java
@@ -14,7 +14,8 @@
     private static final double BUDGET = 8;
 
     /**
-     * Of the budget of 8: reserve 2, of which 1 is this router's; under way 4, 2 of it; to lease 2.
+     * For the budget of 8: the reserve is 2, of which this router has 1; the in-flight limit is 4,
+     * of which this router has 2; 2 may be leased.
      */
     private final LeaseParameters parameters =
             new LeaseParameters(ms(600), ms(1000), ms(10), 0.25, 0.5, 2, 0);
@@ -50,11 +51,11 @@
         assertFalse(quota.tryAcquire(ms(10), 2, BUDGET));
         quota.onGrant(ms(300), 1, 2);
         acquireAndRelease(300, 2);
-        assertEquals(0, quota.available(ms(599), BUDGET), "what was checked in the window counts");
+        assertEquals(0, quota.available(ms(599), BUDGET), "work acquired in the window counts");
         assertEquals(2, quota.largestLease(ms(599)));
         assertEquals(0, quota.largestLease(ms(600)));
         acquireAndRelease(1400, 1);
-        assertFalse(quota.tryAcquire(ms(1401), 0.1, BUDGET), "the reserve alone is left");
+        assertFalse(quota.tryAcquire(ms(1401), 0.1, BUDGET), "only the reserve is left");
     }
 
     @Test
@@ -62,7 +63,7 @@
         quota.tryAcquire(ms(0), 5, BUDGET);
         assertTrue(quota.requestAmount(ms(0), BUDGET, 1) > 0);
         assertEquals(
-                0, quota.requestAmount(ms(100), BUDGET, 2), "asked again each third of a lease");
+                0, quota.requestAmount(ms(100), BUDGET, 2), "one request in a third of a lease");
         assertTrue(quota.requestAmount(ms(200), BUDGET, 2) > 0);
         quota.onGrant(ms(210), 2, 2);
         quota.onGrant(ms(220), 1, 1);
@@ -85,7 +86,7 @@
         assertTrue(quota.tryAcquire(ms(2), 2, BUDGET));
         assertFalse(
                 quota.tryAcquire(ms(3), 0.5, BUDGET),
-                "there is room in the window, but not for a process that stops here");
+                "the window has room, but the in-flight limit does not");
         quota.release(2);
         assertTrue(quota.tryAcquire(ms(4), 0.5, BUDGET));
     }
@@ -103,7 +104,7 @@
                 names.stream()
                         .filter(name -> forManyRouters.participates(node, name, names, participants))
                         .count());
-        // Two that know lists that differ in one name: together no more than there are parts.
+        // Routers with lists that differ in one name select no more than the participants together.
         List<String> namesWithOneMore = IntStream.range(0, 101).mapToObj(i -> "r" + i).toList();
         assertTrue(
                 namesWithOneMore.stream()
@@ -126,11 +127,11 @@
         assertEquals(
                 0,
                 leaseTable.grant(ms(4), new ProcessIdentity("a", 2), 1, 4, 6, parameters.leaseRetention()),
-                "an earlier run's leases count");
+                "leases of an earlier process of the router count");
         assertEquals(
                 2,
                 leaseTable.grant(ms(5), process("a"), 2, 6, 6, parameters.leaseRetention()),
-                "even parts once others ask, too");
+                "an even share once other routers request leases");
         assertEquals(
                 4,
                 leaseTable.grant(
