--- a/src/main/java/postbeam/peers/PeerCoordinator.java
+++ b/src/main/java/postbeam/peers/PeerCoordinator.java
@@ -147,19 +147,19 @@
     }
 
     private Map<String, Object> describeStripe(Duration now, CoordinationStripe stripe) {
-        boolean leads = stripe.election().isLeader(now);
-        ProcessIdentity leader = leads ? self : stripe.election().knownLeader(now);
-        Map<String, Object> leased = new LinkedHashMap<>();
+        boolean isLeader = stripe.election().isLeader(now);
+        ProcessIdentity leader = isLeader ? self : stripe.election().knownLeader(now);
+        Map<String, Object> leasedAmounts = new LinkedHashMap<>();
         stripe.leasedAmounts(now)
                 .forEach(
                         (node, amount) ->
-                                leased.put(node.name() + "#" + node.incarnation(), amount));
+                                leasedAmounts.put(node.name() + "#" + node.incarnation(), amount));
         Map<String, Object> state = new LinkedHashMap<>();
         state.put("keeper", leader == null ? null : leader.name());
-        state.put("inOffice", leads);
+        state.put("inOffice", isLeader);
         state.put("grants", stripe.leaseIssuer().canGrant(now));
         state.put("term", stripe.election().term());
-        state.put("leased", leased);
+        state.put("leased", leasedAmounts);
         return state;
     }
 }
--- a/src/test/java/postbeam/peers/PeerMessageCodecTest.java
+++ b/src/test/java/postbeam/peers/PeerMessageCodecTest.java
@@ -32,49 +32,49 @@
     @TempDir private Path folder;
 
     @Test
-    void encodedMessagesAreDecodedToEqualOnes() throws IOException {
-        PeerMessageCodec.PeerRequest asks =
+    void decodedMessagesEqualTheEncodedOnes() throws IOException {
+        PeerMessageCodec.PeerRequest request =
                 new PeerMessageCodec.PeerRequest(
                         "d",
                         A,
                         List.of(new VoteRequest(3, 9, 4, A)),
                         Map.of(3, List.of(new LeaseRequest(NODE, A, 5, 0.25, 8))));
-        assertEquals(asks, PeerMessageCodec.decodeRequest(PeerMessageCodec.encode(asks)));
-        PeerMessageCodec.PeerResponse answers =
+        assertEquals(request, PeerMessageCodec.decodeRequest(PeerMessageCodec.encode(request)));
+        PeerMessageCodec.PeerResponse response =
                 new PeerMessageCodec.PeerResponse(
                         new ProcessIdentity("b", 2),
                         List.of(
                                 new VoteResponse(3, 9, 4, "b", true, 9),
                                 new VoteResponse(4, 1, 1, "b", false, 2)),
                         Map.of(3, List.of(new LeaseGrant(NODE, A, 5, 0.125))));
-        assertEquals(answers, PeerMessageCodec.decodeResponse(PeerMessageCodec.encode(answers), A));
+        assertEquals(response, PeerMessageCodec.decodeResponse(PeerMessageCodec.encode(response), A));
     }
 
     @Test
     void malformedRequestsAreRejected() {
-        String sound =
+        String valid =
                 "{\"digest\":\"d\",\"from\":\"a\",\"run\":1,\"ballots\":[[1,2,3]],\"leases\":[]}";
-        for (String bad :
+        for (String malformed :
                 List.of(
                         "",
                         "[]",
-                        sound.replace("[1,2,3]", "[1,2]"),
-                        sound.replace("[1,2,3]", "7"),
-                        sound.replace("[1,2,3]", "[1,\"2\",3]"),
-                        sound.replace("\"a\"", "null"),
-                        sound.replace(":1,", ":1.5,"),
-                        sound.replace("\"leases\":[]", "\"leases\":[[1,\"n\",1,1,-1,1]]"),
-                        sound.replace("[[1,2,3]]", "[" + "[1,2,3],".repeat(1024) + "[1,2,3]]"))) {
+                        valid.replace("[1,2,3]", "[1,2]"),
+                        valid.replace("[1,2,3]", "7"),
+                        valid.replace("[1,2,3]", "[1,\"2\",3]"),
+                        valid.replace("\"a\"", "null"),
+                        valid.replace(":1,", ":1.5,"),
+                        valid.replace("\"leases\":[]", "\"leases\":[[1,\"n\",1,1,-1,1]]"),
+                        valid.replace("[[1,2,3]]", "[" + "[1,2,3],".repeat(1024) + "[1,2,3]]"))) {
             assertThrows(
                     IOException.class,
-                    () -> PeerMessageCodec.decodeRequest(bad.getBytes(StandardCharsets.UTF_8)),
-                    bad);
+                    () -> PeerMessageCodec.decodeRequest(malformed.getBytes(StandardCharsets.UTF_8)),
+                    malformed);
         }
     }
 
     /** Guards against a stripe that is cut to the bits of another one. */
     @Test
-    void stripesBeyondTheRangeOfNumbersAreRejected() {
+    void stripeNumbersOutsideTheRangeOfIntAreRejected() {
         for (String stripe : List.of("4294967297", "-4294967295", "-1")) {
             String vote =
                     "{\"digest\":\"d\",\"from\":\"a\",\"run\":1,\"ballots\":[[S,2,3]],\"leases\":[]}";
@@ -90,25 +90,25 @@
     }
 
     @Test
-    void deployedSectionIsReadAndInvalidOnesAreNamed() throws IOException, OperatorErrorException {
+    void deployedSettingsAreReadAndInvalidOnesAreReported() throws IOException, OperatorErrorException {
         String text = Files.readString(Path.of("deploy/postbeam.json5"));
-        FleetConfig place = FleetConfigReader.read(read(text));
-        new PeerCoordinator(place).stop();
-        assertEquals(Map.of("r1", "127.0.0.1:7070"), place.routers());
-        FleetConfig strange =
+        FleetConfig config = FleetConfigReader.read(read(text));
+        new PeerCoordinator(config).stop();
+        assertEquals(Map.of("r1", "127.0.0.1:7070"), config.routers());
+        FleetConfig notListed =
                 FleetConfigReader.read(
                         read(
                                 text.replace(
                                         "name: \"r1\",\n    routers",
                                         "name: \"r9\",\n    routers")));
         OperatorError error =
-                assertThrows(OperatorErrorException.class, () -> new PeerCoordinator(strange))
+                assertThrows(OperatorErrorException.class, () -> new PeerCoordinator(notListed))
                         .error();
         assertEquals(new CoordinationError.NotAMember("r9"), error);
-        InstanceSettings few =
+        InstanceSettings tooFewShares =
                 read(text.replace("routers: [", "routers: [{name: \"r2\", address: \"h:1\"}, "));
         assertTrue(
-                assertThrows(IllegalArgumentException.class, () -> FleetConfigReader.read(few))
+                assertThrows(IllegalArgumentException.class, () -> FleetConfigReader.read(tooFewShares))
                         .getMessage()
                         .contains("together.shares"));
     }
@@ -119,7 +119,7 @@
 
     @Test
     void eachErrorNamesItsSubjectAndARemedy() {
-        List<CoordinationError> all =
+        List<CoordinationError> errors =
                 List.of(
                         new CoordinationError.MismatchedFleetConfig("r7"),
                         new CoordinationError.DuplicateName("r7", 1, 2),
@@ -132,8 +132,8 @@
                         .map(Class::getName)
                         .sorted()
                         .toList(),
-                all.stream().map(one -> one.getClass().getName()).sorted().toList());
-        for (CoordinationError error : all) {
+                errors.stream().map(one -> one.getClass().getName()).sorted().toList());
+        for (CoordinationError error : errors) {
             assertTrue(error.problem().contains("r7"), error.message());
             assertTrue(
                     error.remedy().length() > 30 && !error.message().endsWith("."),
--- a/src/test/java/postbeam/peers/PeerSamplesTest.java
+++ b/src/test/java/postbeam/peers/PeerSamplesTest.java
@@ -90,18 +90,18 @@
         return Files.readAllBytes(SAMPLES.resolve(name));
     }
 
-    private static void assertSample(String name, byte[] written) throws IOException {
-        assertEquals(Json.parseObject(sample(name)), Json.parseObject(written), name);
+    private static void assertSample(String name, byte[] encoded) throws IOException {
+        assertEquals(Json.parseObject(sample(name)), Json.parseObject(encoded), name);
     }
 
     @Test
-    void requestIsReadAndWrittenAsBefore() throws IOException {
+    void requestSampleIsDecodedAndEncodedWithoutChange() throws IOException {
         assertEquals(REQUEST, PeerMessageCodec.decodeRequest(sample("request.json")));
         assertSample("request.json", PeerMessageCodec.encode(REQUEST));
     }
 
     @Test
-    void responseIsReadAndWrittenAsBefore() throws IOException {
+    void responseSampleIsDecodedAndEncodedWithoutChange() throws IOException {
         assertEquals(RESPONSE, PeerMessageCodec.decodeResponse(sample("response.json"), R2));
         assertSample("response.json", PeerMessageCodec.encode(RESPONSE));
     }
@@ -111,7 +111,7 @@
      * terms is fixed.
      */
     @Test
-    void livePeerAnswersEachRequestAsBefore() throws Exception {
+    void responsesOfARunningPeerMatchTheSamples() throws Exception {
         XnioWorker worker =
                 Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         QueryServer server =
@@ -128,17 +128,17 @@
             peer.registerHandlers(server);
             server.start();
             String request = new String(sample("request.json"), StandardCharsets.UTF_8);
-            assertSample("fresh-response.json", answer(server, "ask", request));
-            assertSample("state.json", answer(server, "state", ""));
+            assertSample("fresh-response.json", responseTo(server, "ask", request));
+            assertSample("state.json", responseTo(server, "state", ""));
             assertSample(
                     "take-response.json",
-                    answer(server, "take", "{\"node\":\"n:1\",\"incarnation\":7,\"work\":0.01}"));
-            Map<String, Object> refusals = new TreeMap<>();
-            refusals.put("malformed", refusal(server, "[]"));
-            refusals.put("unknown stripe", refusal(server, request.replace("[5,1,1]", "[8,1,1]")));
-            refusals.put("unknown router", refusal(server, request.replace("\"r2\"", "\"r9\"")));
-            refusals.put("other terms", refusal(server, request.replace("5e2e", "0000")));
-            assertSample("refusals.json", PeerMessageCodec.toJson(refusals));
+                    responseTo(server, "take", "{\"node\":\"n:1\",\"incarnation\":7,\"work\":0.01}"));
+            Map<String, Object> rejections = new TreeMap<>();
+            rejections.put("malformed", rejectionOf(server, "[]"));
+            rejections.put("unknown stripe", rejectionOf(server, request.replace("[5,1,1]", "[8,1,1]")));
+            rejections.put("unknown router", rejectionOf(server, request.replace("\"r2\"", "\"r9\"")));
+            rejections.put("other terms", rejectionOf(server, request.replace("5e2e", "0000")));
+            assertSample("refusals.json", PeerMessageCodec.toJson(rejections));
         } finally {
             peer.stop();
             server.stop();
@@ -161,7 +161,7 @@
                         HttpResponse.BodyHandlers.ofString());
     }
 
-    private static byte[] answer(QueryServer server, String path, String body) throws Exception {
+    private static byte[] responseTo(QueryServer server, String path, String body) throws Exception {
         HttpResponse<String> response = post(server, path, body);
         assertEquals(200, response.statusCode(), response.body());
         return response.body()
@@ -169,7 +169,7 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    private static List<Object> refusal(QueryServer server, String body) throws Exception {
+    private static List<Object> rejectionOf(QueryServer server, String body) throws Exception {
         HttpResponse<String> response = post(server, "ask", body);
         return List.of(response.statusCode(), response.body());
     }
