--- a/src/main/java/postbeam/peers/BoundedBodySubscriber.java
+++ b/src/main/java/postbeam/peers/BoundedBodySubscriber.java
@@ -9,7 +9,10 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Flow;
 
-/** Reads a response body of limited size; a longer one is cancelled and fails the request. */
+/**
+ * Collects a response body of limited size. A longer body is not read further, and the request
+ * fails.
+ */
 final class BoundedBodySubscriber implements HttpResponse.BodySubscriber<byte[]> {
     private final int maxBytes;
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -37,7 +40,7 @@
             if (body.isDone() || bytes.size() + buffer.remaining() > maxBytes) {
                 upstream.cancel();
                 body.completeExceptionally(
-                        new IOException("it is longer than " + maxBytes + " bytes"));
+                        new IOException("the response body is longer than " + maxBytes + " bytes"));
                 return;
             }
             byte[] read = new byte[buffer.remaining()];
--- a/src/main/java/postbeam/peers/FleetConfig.java
+++ b/src/main/java/postbeam/peers/FleetConfig.java
@@ -12,11 +12,11 @@
 import postbeam.coordination.SlowStartRamp;
 
 /**
- * The routers of a fleet and what all of them agree on.
+ * The routers of a fleet and the parameters that must be the same on all of them.
  *
- * @param name this router's
- * @param routers host and port of each router by name, this one among them
- * @param stripeCount of the data nodes, each with a leader
+ * @param name the name of this router
+ * @param routers host and port of each router by name, including this one
+ * @param stripeCount number of stripes that the data nodes are divided into, each with a leader
  */
 public record FleetConfig(
         String name,
@@ -27,12 +27,15 @@
         SlowStartRamp slowStartRamp) {
     private static final int DIGEST_BYTES = 8;
 
-    /** The names of all routers in the order that elections use. */
+    /** The names of all routers in the order that elections use, which is alphabetical. */
     List<String> members() {
         return List.copyOf(new TreeMap<>(routers).keySet());
     }
 
-    /** Tells whether two routers agree: in each message, in hexadecimal digits. */
+    /**
+     * Hexadecimal digest of all that must be the same on all routers. Each request has it, and a
+     * router rejects requests with another digest.
+     */
     String digest() {
         try {
             byte[] digest =
@@ -44,7 +47,10 @@
         }
     }
 
-    /** All versions must write the same text, whatever the types are called. */
+    /**
+     * The text that the digest is computed from. Routers of different versions compare their
+     * digests, so the text stays the same when types or components are renamed.
+     */
     private String digestedText() {
         LeaseParameters leases = leaseParameters;
         ElectionTimeouts election = electionTimeouts;
--- a/src/main/java/postbeam/peers/FleetConfigReader.java
+++ b/src/main/java/postbeam/peers/FleetConfigReader.java
@@ -8,13 +8,17 @@
 import postbeam.coordination.LeaseParameters;
 import postbeam.coordination.SlowStartRamp;
 
-/** Reads the section {@code together} of the settings, whose keys are those of its schema. */
+/** Reads the section {@code together} of the settings; its schema describes the keys. */
 public final class FleetConfigReader {
     private static final String SECTION = "together.";
 
     private FleetConfigReader() {}
 
-    /** Reads it; an IllegalArgumentException names what can't be used. */
+    /**
+     * Reads the section.
+     *
+     * @throws IllegalArgumentException if a setting is missing or invalid; the message names it
+     */
     public static FleetConfig read(InstanceSettings settings) {
         Map<String, String> routers = routers(settings);
         Duration window = millis(settings, "windowMs");
@@ -23,7 +27,10 @@
         if (maxRouters < routers.size()) {
             throw settings.invalid(
                     SECTION + "shares",
-                    "must be at least as many as there are routers, " + routers.size());
+                    "must be at least the number of together.routers, "
+                            + routers.size()
+                            + ", not "
+                            + maxRouters);
         }
         LeaseParameters leases =
                 new LeaseParameters(
--- a/src/main/java/postbeam/peers/PeerClient.java
+++ b/src/main/java/postbeam/peers/PeerClient.java
@@ -23,25 +23,28 @@
 import postbeam.coordination.VoteResponse;
 
 /**
- * Sends the other routers what the stripes request, over HTTP, and hands their responses to the
- * stripes. It owns the thread that polls the stripes and those on which responses come; no lock is
- * held while one of them waits.
+ * Sends the requests of the stripes to the other routers over HTTP, and passes the responses to the
+ * stripes. It owns the thread that polls the stripes and the threads that handle responses; none of
+ * them waits while it holds a lock.
  */
 final class PeerClient {
     private static final System.Logger LOG = System.getLogger(PeerClient.class.getName());
 
-    /** Short against a third of a leader's or a node's lease. */
+    /** Short compared to a third of a leader's lease or a node lease, when it is renewed. */
     private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
 
-    /** A later response is of little use. */
+    /**
+     * How long a response may take. A later one is of little use, as leases count from their
+     * request.
+     */
     private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(500);
 
-    /** To one router; further requests are dropped, as if they were lost. */
+    /** Requests in flight to one router; further requests are dropped, as if they were lost. */
     private static final int MAX_REQUESTS_IN_FLIGHT = 4;
 
     private static final int MAX_RESPONSE_BYTES = 64 << 10;
 
-    /** Consecutive failures after which a router is logged as unresponsive. */
+    /** A router is logged as unresponsive after each such number of consecutive failures. */
     private static final int UNRESPONSIVE_AFTER = 50;
 
     private static final int RESPONSE_THREADS = 2;
@@ -105,7 +108,10 @@
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException e) {
-                LOG.log(System.Logger.Level.ERROR, "sending to the other routers failed", e);
+                LOG.log(
+                        System.Logger.Level.ERROR,
+                        "polling the stripes or sending to the other routers failed",
+                        e);
             }
         }
     }
@@ -138,7 +144,7 @@
         }
     }
 
-    @SuppressWarnings("FutureReturnValueIgnored") // Its outcome is handled by whenComplete.
+    @SuppressWarnings("FutureReturnValueIgnored") // whenComplete handles the outcome.
     private void send(String router, byte[] body) {
         AtomicInteger inFlight = requestsInFlight.get(router);
         if (inFlight.incrementAndGet() > MAX_REQUESTS_IN_FLIGHT) {
@@ -169,7 +175,7 @@
             return;
         }
         if (response.statusCode() != HTTP_OK) {
-            onFailure(router, "status " + response.statusCode());
+            onFailure(router, "HTTP status " + response.statusCode());
             return;
         }
         consecutiveFailures.get(router).set(0);
--- a/src/main/java/postbeam/peers/PeerCoordinator.java
+++ b/src/main/java/postbeam/peers/PeerCoordinator.java
@@ -20,15 +20,16 @@
 import postbeam.json.Json;
 
 /**
- * A router's part in its fleet: wires the stripes, the client that sends to other routers and the
- * handlers that answer them at the router's own server. No query's thread waits for another router.
+ * Coordinates this router with the others of its fleet. It connects the stripes, the client that
+ * sends to other routers and the handlers for their requests at this router's own server. No thread
+ * that handles a query waits for another router.
  */
 public final class PeerCoordinator implements RouterExtension {
     private static final System.Logger LOG = System.getLogger(PeerCoordinator.class.getName());
     private static final String STATE_PATH = "/together/v1/state";
     private static final String ACQUIRE_PATH = "/together/v1/take";
 
-    /** Nodes whose first use is remembered; further ones count as just started. */
+    /** Bounds {@link #firstUsedAt}; the age of further nodes is taken to be 0. */
     private static final int MAX_NODES = 10_000;
 
     private final FleetConfig config;
@@ -40,9 +41,9 @@
     private final Map<NodeIncarnation, Duration> firstUsedAt = new ConcurrentHashMap<>();
 
     /**
-     * Creates a coordinator that does not send yet.
+     * Creates a coordinator that does not send until {@link #start}.
      *
-     * @throws OperatorErrorException if the fleet's routers don't name this one
+     * @throws OperatorErrorException if the list of routers does not include this one
      */
     public PeerCoordinator(FleetConfig config) throws OperatorErrorException {
         if (!config.routers().containsKey(config.name())) {
@@ -81,7 +82,7 @@
         client.start();
         LOG.log(
                 System.Logger.Level.INFO,
-                "router {0} coordinates with {1} others; digest of the terms {2}",
+                "router {0} coordinates with {1} other routers; digest of the parameters {2}",
                 self.name(),
                 config.routers().size() - 1,
                 config.digest());
@@ -94,17 +95,23 @@
 
     // ---- work for nodes that warm up
 
-    /** Acquires so much work for a send to the node, if it is available; then release it. */
+    /**
+     * Acquires work for a send to a node that warms up, if that much is available. The caller must
+     * {@link #release} it once it is sent.
+     */
     boolean tryAcquire(NodeIncarnation node, double work) {
         return stripes.tryAcquire(node, work, now -> budget(now, node));
     }
 
-    /** What was acquired is sent, or never will be. */
+    /** Releases acquired work that has been sent or will not be sent. */
     void release(NodeIncarnation node, double work) {
         stripes.release(node, work);
     }
 
-    /** By the node's age since it was first used here, which is never too high. */
+    /**
+     * The budget by the time since this router first used the node. That is never more than the
+     * node's real age, so the budget is never too high.
+     */
     private SlowStartBudget budget(Duration now, NodeIncarnation node) {
         return config.slowStartRamp().budgetAt(age(now, node));
     }
@@ -116,9 +123,12 @@
         return now.minus(firstUsedAt.computeIfAbsent(node, absent -> now));
     }
 
-    // ---- handlers for others than peers
+    // ---- handlers for clients that are not peers
 
-    /** For programs that send on this router's account: whether they may send so much work now. */
+    /**
+     * Handles a request of a program that sends to nodes itself and uses this router's quota:
+     * whether it may send that much work now.
+     */
     private byte[] handleAcquire(byte[] body) throws IOException {
         Map<String, Object> request = Json.parseObject(body);
         NodeIncarnation node =
--- a/src/main/java/postbeam/peers/PeerErrorLog.java
+++ b/src/main/java/postbeam/peers/PeerErrorLog.java
@@ -5,7 +5,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import postbeam.errors.OperatorError;
 
-/** Logs errors among peers, each kind about each router once in a while. Thread-safe. */
+/**
+ * Logs errors of the coordination with peers, at most one of each type for each router in {@link
+ * #MIN_LOG_INTERVAL}. Thread-safe.
+ */
 final class PeerErrorLog {
     private static final System.Logger LOG = System.getLogger(PeerErrorLog.class.getName());
     private static final Duration MIN_LOG_INTERVAL = Duration.ofSeconds(30);
@@ -15,9 +18,9 @@
     private final Map<LogKey, Long> lastLoggedNanos = new ConcurrentHashMap<>();
 
     /**
-     * Logs the error, unless one of its kind was logged lately.
+     * Logs the error, unless one of its type was logged for the router within the interval.
      *
-     * @param router that it is about
+     * @param router the router that the error is about
      */
     void log(String router, OperatorError error) {
         LogKey key = new LogKey(router, error.getClass());
--- a/src/main/java/postbeam/peers/PeerMessageCodec.java
+++ b/src/main/java/postbeam/peers/PeerMessageCodec.java
@@ -14,12 +14,16 @@
 import postbeam.json.Json;
 
 /**
- * Messages between routers in JSON. Its members have the names of the protocol, docs/together.md;
- * votes, leases and grants are arrays in place of objects. Decoding throws an IOException that says
- * what can't be read.
+ * Encodes and decodes the messages between routers, which are JSON objects. The names of their
+ * members are those of the protocol in docs/together.md; vote requests, votes, lease requests and
+ * grants are arrays with elements in a fixed order. Decoding throws an IOException that states the
+ * expected form of what can't be decoded.
  */
 final class PeerMessageCodec {
-    /** Of each kind in a message: more than vote requests of all stripes, or requests of leases. */
+    /**
+     * Elements in each array of a message. They suffice for 16 stripes, each of which sends at most
+     * one vote request and 64 lease requests at a time.
+     */
     private static final int MAX_ITEMS = 1024;
 
     private static final int MAX_NAME_LENGTH = 256;
@@ -38,9 +42,9 @@
     private static final int GRANT_SIZE = 5;
 
     /**
-     * What one router requests of another.
+     * The vote and lease requests of one router to another.
      *
-     * @param digest of what the fleet agrees on, by {@link FleetConfig#digest}
+     * @param digest the sender's {@link FleetConfig#digest}
      * @param leaseRequests by stripe
      */
     record PeerRequest(
@@ -50,7 +54,7 @@
             Map<Integer, List<LeaseRequest>> leaseRequests) {}
 
     /**
-     * The answer to a {@link PeerRequest}.
+     * The response to a {@link PeerRequest}.
      *
      * @param grants by stripe
      */
@@ -152,7 +156,11 @@
                 grant.amount());
     }
 
-    /** Grants are for the process that sent the request. */
+    /**
+     * Decodes a response.
+     *
+     * @param requester the process that sent the request, for which the grants are
+     */
     static PeerResponse decodeResponse(byte[] body, ProcessIdentity requester) throws IOException {
         Map<String, Object> message = Json.parseObject(body);
         ProcessIdentity sender = readSender(message);
@@ -180,7 +188,7 @@
         return new PeerResponse(sender, votes, grants);
     }
 
-    /** A lease request and a grant name the node in their second and third place. */
+    /** Reads the node from the second and third element of a lease request or a grant. */
     private static NodeIncarnation readNode(List<?> tuple) throws IOException {
         return new NodeIncarnation(readName(tuple.get(1)), readLong(tuple.get(2)));
     }
@@ -201,7 +209,12 @@
             if (!(item instanceof List<?> tuple)
                     || tuple.size() != size
                     || tuples.size() >= MAX_ITEMS) {
-                throw new IOException(name + " are not so many lists of " + size);
+                throw new IOException(
+                        name
+                                + " must have at most "
+                                + MAX_ITEMS
+                                + " elements, each an array of "
+                                + size);
             }
             tuples.add(tuple);
         }
@@ -212,21 +225,23 @@
         if (value instanceof String text && text.length() <= MAX_NAME_LENGTH) {
             return text;
         }
-        throw new IOException("a name is missing or too long");
+        throw new IOException(
+                "a name must be a string of at most " + MAX_NAME_LENGTH + " characters");
     }
 
     static long readLong(Object value) throws IOException {
         if (value instanceof Integer || value instanceof Long) {
             return ((Number) value).longValue();
         }
-        throw new IOException("a whole number is missing");
+        throw new IOException("a number must be an integer of at most 64 bits");
     }
 
-    /** The range of stripes that there are is checked where they are looked up. */
+    /** Reads a stripe number; {@link PeerStripes} checks that the stripe exists. */
     private static int readStripe(Object value) throws IOException {
         long stripe = readLong(value);
         if (stripe < 0 || stripe > Integer.MAX_VALUE) {
-            throw new IOException("a stripe is out of range: " + stripe);
+            throw new IOException(
+                    "a stripe number must be from 0 to " + Integer.MAX_VALUE + ", not " + stripe);
         }
         return (int) stripe;
     }
@@ -237,6 +252,6 @@
                 && number.doubleValue() < MAX_NUMBER) {
             return number.doubleValue();
         }
-        throw new IOException("a number is missing or out of range");
+        throw new IOException("a number must be 0 or more and less than " + MAX_NUMBER);
     }
 }
--- a/src/main/java/postbeam/peers/PeerRequestHandler.java
+++ b/src/main/java/postbeam/peers/PeerRequestHandler.java
@@ -14,11 +14,11 @@
 import postbeam.errors.OperatorError;
 import postbeam.errors.OperatorErrorException;
 
-/** Answers the requests of other routers. Called on several threads of the client server. */
+/** Handles the requests of other routers. Called on several threads of the client server. */
 final class PeerRequestHandler {
     static final String REQUEST_PATH = "/together/v1/ask";
 
-    /** Stands for a router that can't be named. */
+    /** The router in the log key of an error whose router is unknown. */
     private static final String UNNAMED = "-";
 
     private final FleetConfig config;
@@ -37,10 +37,11 @@
     }
 
     /**
-     * Answers one request.
+     * Handles one request and returns the encoded response.
      *
-     * @throws OperatorErrorException if the sender is not of this fleet; this is logged too
-     * @throws IOException if a stripe in it does not exist
+     * @throws OperatorErrorException if the request is malformed, or its sender is not another
+     *     router of this fleet with the same parameters; the error is logged as well
+     * @throws IOException if the request names a stripe that does not exist
      */
     byte[] handle(byte[] body) throws IOException, OperatorErrorException {
         PeerMessageCodec.PeerRequest request = decode(body);
--- a/src/main/java/postbeam/peers/PeerStripes.java
+++ b/src/main/java/postbeam/peers/PeerStripes.java
@@ -9,7 +9,7 @@
 import postbeam.coordination.VoteRequest;
 import postbeam.coordination.VoteResponse;
 
-/** The stripes as messages of peers reach them: a stripe's number in a message may be wrong. */
+/** Passes messages of peers to the stripes; checks the stripe numbers, which come from peers. */
 final class PeerStripes {
     private final StripedCoordinator stripes;
 
@@ -21,7 +21,7 @@
         return stripes.stripeCount();
     }
 
-    /** What the stripe has to send now. */
+    /** The messages that the stripe has to send now. */
     CoordinationStripe.OutgoingMessages pollMessages(int stripe) {
         return stripes.withStripe(stripe, (now, state) -> state.pollMessages(now));
     }
@@ -58,7 +58,11 @@
     private <T> T withStripe(int stripe, StripedCoordinator.StripeOperation<T> operation)
             throws IOException {
         if (stripe < 0 || stripe >= stripes.stripeCount()) {
-            throw new IOException("there is no stripe " + stripe);
+            throw new IOException(
+                    "there is no stripe "
+                            + stripe
+                            + "; the stripes of this router are 0 to "
+                            + (stripes.stripeCount() - 1));
         }
         return stripes.withStripe(stripe, operation);
     }
--- a/src/main/java/postbeam/peers/package-info.java
+++ b/src/main/java/postbeam/peers/package-info.java
@@ -1,6 +1,6 @@
 /**
- * How the routers of a fleet talk to each other, where the settings switch it on: requests over
- * HTTP to the others' client servers, handlers for theirs, and the section {@code together} of the
- * settings. All decisions are made by {@link postbeam.coordination}.
+ * The communication between the routers of a fleet, which the settings enable: requests over HTTP
+ * to the client servers of the other routers, handlers for their requests, and the section {@code
+ * together} of the settings. {@link postbeam.coordination} makes all decisions.
  */
 package postbeam.peers;
--- a/src/test/java/postbeam/peers/PeerMessageCodecTest.java
+++ b/src/test/java/postbeam/peers/PeerMessageCodecTest.java
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Guards against a stripe that is cut to the bits of another one. */
+    /** Guards against a stripe number that becomes another one when it is narrowed to an int. */
     @Test
     void stripeNumbersOutsideTheRangeOfIntAreRejected() {
         for (String stripe : List.of("4294967297", "-4294967295", "-1")) {
--- a/src/test/java/postbeam/peers/PeerSamplesTest.java
+++ b/src/test/java/postbeam/peers/PeerSamplesTest.java
@@ -36,9 +36,9 @@
 import postbeam.json.Json;
 
 /**
- * Peer messages as an earlier build wrote them, read and written again. JSON members have no fixed
- * order, so that objects are compared, not bytes. The incarnation ("run") is a start time and is
- * left out where a live peer answers.
+ * Checks that messages between peers have not changed since the build that wrote the samples. JSON
+ * members have no fixed order, so objects are compared, not bytes. The incarnation ("run") in the
+ * responses of a running peer is a start time, and is replaced by 0.
  */
 @Timeout(30)
 class PeerSamplesTest {
@@ -69,8 +69,8 @@
                                     new LeaseGrant(NODE, R2, 6, 0))));
 
     /**
-     * One of two routers, with spans so long that it neither votes nor sends before the test is
-     * over.
+     * One of two routers. Its timeouts are so long that it neither votes nor sends before the test
+     * is over.
      */
     private static PeerCoordinator peer() throws Exception {
         Duration window = Duration.ofSeconds(60);
@@ -107,8 +107,8 @@
     }
 
     /**
-     * A peer of an earlier build refuses messages whose digest differs, so the digest of given
-     * terms is fixed.
+     * A peer of another build rejects messages with another digest, so the digest of given
+     * parameters must not change.
      */
     @Test
     void responsesOfARunningPeerMatchTheSamples() throws Exception {
@@ -137,7 +137,7 @@
             rejections.put("malformed", rejectionOf(server, "[]"));
             rejections.put("unknown stripe", rejectionOf(server, request.replace("[5,1,1]", "[8,1,1]")));
             rejections.put("unknown router", rejectionOf(server, request.replace("\"r2\"", "\"r9\"")));
-            rejections.put("other terms", rejectionOf(server, request.replace("5e2e", "0000")));
+            rejections.put("other parameters", rejectionOf(server, request.replace("5e2e", "0000")));
             assertSample("refusals.json", PeerMessageCodec.toJson(rejections));
         } finally {
             peer.stop();
