--- a/src/main/java/postbeam/coordination/HealthGossip.java
+++ b/src/main/java/postbeam/coordination/HealthGossip.java
@@ -39,7 +39,10 @@
     /** Zones that the reporting routers must be in, in a fleet with that many zones. */
     private static final int MIN_ZONES = 2;
 
-    /** The largest fraction of a shard's replicas that is marked at the same time. */
+    /**
+     * The largest fraction of a shard's replicas that is marked at the same time. One of several
+     * replicas may be marked even if it is a larger fraction.
+     */
     private static final double MAX_MARKED_FRACTION = 0.34;
 
     /** The time in which traffic to a node returns to normal after the node is no longer marked. */
@@ -86,7 +89,7 @@
     private final Map<NodeIncarnation, Duration> markedAt = new LinkedHashMap<>();
 
     /**
-     * Starts without reports.
+     * Creates an instance without reports.
      *
      * @param self this router's name
      * @param routers number of routers in the fleet, including this one
@@ -108,8 +111,9 @@
     }
 
     /**
-     * Records another router's report. A report by this router that is relayed back is ignored, and
-     * so is one older than the latest report of its router.
+     * Records another router's report. Ignored are a report by this router that is relayed back, a
+     * report older than the latest one of its router, and a report of a further router if there are
+     * {@link #MAX_REPORTS_PER_NODE} on the node.
      */
     public void recordRemote(Duration now, HealthReport report) {
         if (report.router().equals(self) || !admitIncarnation(report.node())) {
--- a/src/main/java/postbeam/coordination/QuotaCounters.java
+++ b/src/main/java/postbeam/coordination/QuotaCounters.java
@@ -64,8 +64,8 @@
     private int gossipCursor;
 
     /**
-     * Creates counters without counts. They count nothing in the current bucket and the next one:
-     * an earlier process of this router may have counted in the current bucket and yielded its
+     * Creates counters that are empty. They count nothing in the current bucket and the next one: an
+     * earlier process of this router may have counted in the current bucket and yielded its
      * share of the next.
      *
      * @param members names of all configured routers, including this one
--- a/src/main/java/postbeam/peers/PeerClient.java
+++ b/src/main/java/postbeam/peers/PeerClient.java
@@ -30,7 +30,7 @@
 final class PeerClient {
     private static final System.Logger LOG = System.getLogger(PeerClient.class.getName());
 
-    /** Short compared to a third of a leader's lease or a node lease, when it is renewed. */
+    /** Short compared to the time between renewals of a lease, which is a third of the lease. */
     private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
 
     /**
--- a/src/main/java/postbeam/peers/PeerCoordinator.java
+++ b/src/main/java/postbeam/peers/PeerCoordinator.java
@@ -127,7 +127,8 @@
 
     /**
      * Handles a request of a program that sends to nodes itself and uses this router's quota:
-     * whether it may send that much work now.
+     * whether it may send that much work now. The work is released at once, as the program does not
+     * report its sends.
      */
     private byte[] handleAcquire(byte[] body) throws IOException {
         Map<String, Object> request = Json.parseObject(body);
