--- a/src/main/java/postbeam/coordination/HealthGossip.java
+++ b/src/main/java/postbeam/coordination/HealthGossip.java
@@ -145,7 +145,7 @@
             return false;
         }
         if (known != null && known < node.incarnation()) {
-            forget(new NodeIncarnation(node.name(), known));
+            removeReports(new NodeIncarnation(node.name(), known));
         }
         incarnations.put(node.name(), node.incarnation());
         return true;
@@ -155,11 +155,11 @@
     public void removeNode(String node) {
         Long incarnation = incarnations.remove(node);
         if (incarnation != null) {
-            forget(new NodeIncarnation(node, incarnation));
+            removeReports(new NodeIncarnation(node, incarnation));
         }
     }
 
-    private void forget(NodeIncarnation node) {
+    private void removeReports(NodeIncarnation node) {
         remoteReports.remove(node);
         localReports.remove(node);
         markedAt.remove(node);
@@ -176,16 +176,16 @@
         if (own != null && own.isUsable(now, LOCAL_MAX_AGE)) {
             return !own.isHealthy();
         }
-        List<ReceivedReport> counted =
+        List<ReceivedReport> usableReports =
                 remoteReports.getOrDefault(node, Map.of()).values().stream()
                         .filter(report -> report.isUsable(now, REPORT_MAX_AGE))
                         .toList();
         List<ReceivedReport> unhealthy =
-                counted.stream().filter(report -> !report.isHealthy()).toList();
-        int healthy = counted.size() - unhealthy.size();
+                usableReports.stream().filter(report -> !report.isHealthy()).toList();
+        int healthyCount = usableReports.size() - unhealthy.size();
         int reportingZones =
-                (int) unhealthy.stream().map(one -> one.report().zone()).distinct().count();
-        return isCorroborated(unhealthy.size(), reportingZones) && unhealthy.size() > healthy;
+                (int) unhealthy.stream().map(received -> received.report().zone()).distinct().count();
+        return isCorroborated(unhealthy.size(), reportingZones) && unhealthy.size() > healthyCount;
     }
 
     /**
@@ -234,19 +234,22 @@
         if (lastMarkedAt == null) {
             return 1;
         }
-        double risen = (double) now.minus(lastMarkedAt).toNanos() / RECOVERY_RAMP.toNanos();
-        if (risen >= 1) {
+        double progress = (double) now.minus(lastMarkedAt).toNanos() / RECOVERY_RAMP.toNanos();
+        if (progress >= 1) {
             markedAt.remove(node);
             return 1;
         }
-        return RECOVERY_RAMP_START + (1 - RECOVERY_RAMP_START) * risen;
+        return RECOVERY_RAMP_START + (1 - RECOVERY_RAMP_START) * progress;
     }
 
     /** The sum of the slowness in recent unhealthy reports, each of which counts at least 1. */
     private double severity(Duration now, NodeIncarnation node) {
         return remoteReports.getOrDefault(node, Map.of()).values().stream()
-                .filter(one -> one.age(now).compareTo(REPORT_MAX_AGE) < 0 && !one.isHealthy())
-                .mapToDouble(one -> Math.max(1, one.report().slowness()))
+                .filter(
+                        received ->
+                                received.age(now).compareTo(REPORT_MAX_AGE) < 0
+                                        && !received.isHealthy())
+                .mapToDouble(received -> Math.max(1, received.report().slowness()))
                 .sum();
     }
 
--- a/src/main/java/postbeam/coordination/LeaseParameters.java
+++ b/src/main/java/postbeam/coordination/LeaseParameters.java
@@ -105,10 +105,10 @@
         if (maxAttemptWork <= 0) {
             return maxRouters;
         }
-        double parts =
+        double maxParticipants =
                 Math.floor(
                         initialBudget * inFlightFraction / maxAttemptWork + ROUNDING_TOLERANCE);
-        return (int) Math.min(maxRouters, Math.max(MIN_PARTICIPANTS, parts));
+        return (int) Math.min(maxRouters, Math.max(MIN_PARTICIPANTS, maxParticipants));
     }
 
     /**
--- a/src/main/java/postbeam/coordination/SlowStartQuota.java
+++ b/src/main/java/postbeam/coordination/SlowStartQuota.java
@@ -92,8 +92,8 @@
     }
 
     private boolean hasRecentRequest(Duration now) {
-        Duration third = parameters.leaseDuration().dividedBy(3);
-        return leases.stream().anyMatch(lease -> now.minus(lease.requestedAt).compareTo(third) < 0);
+        Duration minInterval = parameters.leaseDuration().dividedBy(3);
+        return leases.stream().anyMatch(lease -> now.minus(lease.requestedAt).compareTo(minInterval) < 0);
     }
 
     /** Handles the response to a request; it is ignored if the requested lease has expired. */
@@ -130,12 +130,12 @@
         if (!participating) {
             return 0;
         }
-        double inWindow =
+        double remainingInWindow =
                 parameters.reservedQuota(budget, participants)
                         + largestLease(now)
                         - admitted.upperBoundSum(now, parameters.window());
-        double unsent = parameters.inFlightLimit(budget, participants) - inFlight;
-        return Math.max(0, Math.min(inWindow, unsent));
+        double remainingInFlight = parameters.inFlightLimit(budget, participants) - inFlight;
+        return Math.max(0, Math.min(remainingInWindow, remainingInFlight));
     }
 
     /** Acquires the amount if it is available; it is in flight until {@link #release}. */
--- a/src/main/java/postbeam/coordination/SlowStartRamp.java
+++ b/src/main/java/postbeam/coordination/SlowStartRamp.java
@@ -17,8 +17,8 @@
      * @param age may be less than the real age, which gives a budget below the allowed one
      */
     public SlowStartBudget budgetAt(Duration age) {
-        double risenNanos = age.minus(window).toNanos();
-        double risen = Math.max(0, Math.min(1, risenNanos / Math.max(1, duration.toNanos())));
-        return new SlowStartBudget(initial, initial * (1 + (peakFactor - 1) * risen));
+        double elapsedNanos = age.minus(window).toNanos();
+        double progress = Math.max(0, Math.min(1, elapsedNanos / Math.max(1, duration.toNanos())));
+        return new SlowStartBudget(initial, initial * (1 + (peakFactor - 1) * progress));
     }
 }
--- a/src/main/java/postbeam/peers/PeerClient.java
+++ b/src/main/java/postbeam/peers/PeerClient.java
@@ -133,8 +133,8 @@
         for (String router : config.routers().keySet()) {
             Map<Integer, List<LeaseRequest>> leaseRequests =
                     leaseRequestsByLeader.getOrDefault(router, Map.of());
-            boolean nothing = voteRequests.isEmpty() && leaseRequests.isEmpty();
-            if (!router.equals(self.name()) && !nothing) {
+            boolean noRequests = voteRequests.isEmpty() && leaseRequests.isEmpty();
+            if (!router.equals(self.name()) && !noRequests) {
                 send(
                         router,
                         PeerMessageCodec.encode(
--- a/src/main/java/postbeam/peers/PeerMessageCodec.java
+++ b/src/main/java/postbeam/peers/PeerMessageCodec.java
@@ -73,8 +73,8 @@
         List<Object> leaseRequests = new ArrayList<>();
         request.leaseRequests()
                 .forEach(
-                        (stripe, ofStripe) ->
-                                ofStripe.forEach(
+                        (stripe, leases) ->
+                                leases.forEach(
                                         lease -> leaseRequests.add(encode(stripe, lease))));
         return toJson(
                 Map.of(
@@ -133,8 +133,8 @@
         List<Object> grants = new ArrayList<>();
         response.grants()
                 .forEach(
-                        (stripe, ofStripe) ->
-                                ofStripe.forEach(grant -> grants.add(encode(stripe, grant))));
+                        (stripe, stripeGrants) ->
+                                stripeGrants.forEach(grant -> grants.add(encode(stripe, grant))));
         return toJson(
                 Map.of(
                         SENDER_NAME,
--- a/src/test/java/postbeam/coordination/CoordinationIT.java
+++ b/src/test/java/postbeam/coordination/CoordinationIT.java
@@ -136,22 +136,22 @@
      */
     private boolean budgetExceeded(String node) throws IOException {
         List<Double> callTimes = new ArrayList<>();
-        double started = 0;
+        double startSeconds = 0;
         for (String line : Files.readAllLines(cluster.file(node + ".seen"))) {
             if (line.startsWith("started ")) {
-                started = Long.parseLong(line.split(" ", -1)[1]) / 1e9;
+                startSeconds = Long.parseLong(line.split(" ", -1)[1]) / 1e9;
                 callTimes.clear();
             } else if (line.startsWith("called ")) {
-                callTimes.add(Long.parseLong(line.split(" ", -1)[1]) / 1e9 - started);
+                callTimes.add(Long.parseLong(line.split(" ", -1)[1]) / 1e9 - startSeconds);
             }
         }
-        double ramp = ProcessCluster.RAMP.toMillis() / 1e3;
-        double work = ProcessCluster.WORK.toMillis() / 1e3;
+        double rampSeconds = ProcessCluster.RAMP.toMillis() / 1e3;
+        double workSeconds = ProcessCluster.WORK.toMillis() / 1e3;
         return callTimes.stream()
-                .filter(end -> end < ramp)
+                .filter(end -> end < rampSeconds)
                 .anyMatch(
                         end ->
-                                work
+                                workSeconds
                                                 * (callTimes.stream()
                                                                 .filter(
                                                                         at ->
@@ -160,7 +160,7 @@
                                                                                                 <= end)
                                                                 .count()
                                                         - 1)
-                                        > 4 * (0.2 + 0.8 * end / ramp));
+                                        > 4 * (0.2 + 0.8 * end / rampSeconds));
     }
 
     /**
--- a/src/test/java/postbeam/peers/PeerMessageCodecTest.java
+++ b/src/test/java/postbeam/peers/PeerMessageCodecTest.java
@@ -132,7 +132,7 @@
                         .map(Class::getName)
                         .sorted()
                         .toList(),
-                errors.stream().map(one -> one.getClass().getName()).sorted().toList());
+                errors.stream().map(error -> error.getClass().getName()).sorted().toList());
         for (CoordinationError error : errors) {
             assertTrue(error.problem().contains("r7"), error.message());
             assertTrue(
