--- a/src/main/java/postbeam/coordination/HealthGossip.java
+++ b/src/main/java/postbeam/coordination/HealthGossip.java
@@ -184,7 +184,11 @@
                 usableReports.stream().filter(report -> !report.isHealthy()).toList();
         int healthyCount = usableReports.size() - unhealthy.size();
         int reportingZones =
-                (int) unhealthy.stream().map(received -> received.report().zone()).distinct().count();
+                (int)
+                        unhealthy.stream()
+                                .map(received -> received.report().zone())
+                                .distinct()
+                                .count();
         return isCorroborated(unhealthy.size(), reportingZones) && unhealthy.size() > healthyCount;
     }
 
--- a/src/main/java/postbeam/coordination/LeaseParameters.java
+++ b/src/main/java/postbeam/coordination/LeaseParameters.java
@@ -106,8 +106,7 @@
             return maxRouters;
         }
         double maxParticipants =
-                Math.floor(
-                        initialBudget * inFlightFraction / maxAttemptWork + ROUNDING_TOLERANCE);
+                Math.floor(initialBudget * inFlightFraction / maxAttemptWork + ROUNDING_TOLERANCE);
         return (int) Math.min(maxRouters, Math.max(MIN_PARTICIPANTS, maxParticipants));
     }
 
--- a/src/main/java/postbeam/coordination/QuotaCounters.java
+++ b/src/main/java/postbeam/coordination/QuotaCounters.java
@@ -64,8 +64,8 @@
     private int gossipCursor;
 
     /**
-     * Creates counters that are empty. They count nothing in the current bucket and the next one: an
-     * earlier process of this router may have counted in the current bucket and yielded its
+     * Creates counters that are empty. They count nothing in the current bucket and the next one:
+     * an earlier process of this router may have counted in the current bucket and yielded its
      * share of the next.
      *
      * @param members names of all configured routers, including this one
@@ -193,7 +193,8 @@
     public void merge(List<QuotaCounterEntry> entries) {
         for (QuotaCounterEntry entry : entries) {
             if (isAccepted(entry)) {
-                remoteEntries.computeIfAbsent(
+                remoteEntries
+                        .computeIfAbsent(
                                 new CounterKey(entry.key(), entry.bucket()), key -> new TreeMap<>())
                         .merge(entry.process().name(), entry, this::newer);
             }
--- a/src/main/java/postbeam/coordination/SlowStartQuota.java
+++ b/src/main/java/postbeam/coordination/SlowStartQuota.java
@@ -93,7 +93,8 @@
 
     private boolean hasRecentRequest(Duration now) {
         Duration minInterval = parameters.leaseDuration().dividedBy(3);
-        return leases.stream().anyMatch(lease -> now.minus(lease.requestedAt).compareTo(minInterval) < 0);
+        return leases.stream()
+                .anyMatch(lease -> now.minus(lease.requestedAt).compareTo(minInterval) < 0);
     }
 
     /** Handles the response to a request; it is ignored if the requested lease has expired. */
--- a/src/main/java/postbeam/peers/PeerMessageCodec.java
+++ b/src/main/java/postbeam/peers/PeerMessageCodec.java
@@ -74,8 +74,7 @@
         request.leaseRequests()
                 .forEach(
                         (stripe, leases) ->
-                                leases.forEach(
-                                        lease -> leaseRequests.add(encode(stripe, lease))));
+                                leases.forEach(lease -> leaseRequests.add(encode(stripe, lease))));
         return toJson(
                 Map.of(
                         DIGEST, request.digest(),
--- a/src/test/java/postbeam/coordination/CoordinationErrorTextTest.java
+++ b/src/test/java/postbeam/coordination/CoordinationErrorTextTest.java
@@ -14,7 +14,8 @@
                     new CoordinationError.MismatchedFleetConfig("r2"),
                     new CoordinationError.DuplicateName("r2", 1000, 2000),
                     new CoordinationError.UnknownRouter("r9"),
-                    new CoordinationError.MalformedMessage("r2", "its sender must be router r2, not r3"),
+                    new CoordinationError.MalformedMessage(
+                            "r2", "its sender must be router r2, not r3"),
                     new CoordinationError.UnresponsiveRouter("r2", "Connection refused", 30),
                     new CoordinationError.NotAMember("r1"));
 
--- a/src/test/java/postbeam/coordination/CoordinationIT.java
+++ b/src/test/java/postbeam/coordination/CoordinationIT.java
@@ -175,7 +175,9 @@
                 3, 5, (all, file, text) -> text.replace("\"nInstances\":5", "\"nInstances\":1"));
         int coldStarts = 0;
         do {
-            assertTrue(coldStarts++ < MAX_COLD_STARTS, "n0 was not sent more than its budget in any of its cold starts");
+            assertTrue(
+                    coldStarts++ < MAX_COLD_STARTS,
+                    "n0 was not sent more than its budget in any of its cold starts");
             cluster.kill("n0");
             cluster.start("n0");
             cluster.awaitCondition("n0 gets requests", () -> cluster.calls("n0") > 100);
--- a/src/test/java/postbeam/coordination/CoordinationWithSlicesIT.java
+++ b/src/test/java/postbeam/coordination/CoordinationWithSlicesIT.java
@@ -101,7 +101,9 @@
             cluster.start(ProcessCluster.LAYOUTS);
             awaitEndOfMoves();
         }
-        assertTrue(cluster.layout().version > 1, "no move was completed: layout version " + cluster.layout().version);
+        assertTrue(
+                cluster.layout().version > 1,
+                "no move was completed: layout version " + cluster.layout().version);
         assertSoundLayoutAndNoViolation();
     }
 
@@ -141,7 +143,10 @@
         Process second =
                 new ProcessBuilder(
                                 ProcessCluster.postbeamCommand(
-                                        "layouts", "serve", "--settings", secondSettings.toString()))
+                                        "layouts",
+                                        "serve",
+                                        "--settings",
+                                        secondSettings.toString()))
                         .redirectErrorStream(true)
                         .start();
         try {
@@ -158,7 +163,8 @@
         assertTrue(
                 cluster.post(ProcessCluster.LAYOUTS, "/v1/start", moveOfFirstSlice())
                         .startsWith("move"));
-        cluster.awaitCondition("the move is completed", () -> cluster.layout().version > versionBefore);
+        cluster.awaitCondition(
+                "the move is completed", () -> cluster.layout().version > versionBefore);
         assertSoundLayoutAndNoViolation();
     }
 }
--- a/src/test/java/postbeam/coordination/HealthGossipTest.java
+++ b/src/test/java/postbeam/coordination/HealthGossipTest.java
@@ -31,7 +31,13 @@
             gossip.recordRemote(
                     seconds(at),
                     new HealthReport(
-                            routersAndZones[i], routersAndZones[i + 1], node, kind, 1, 5, seconds(age)));
+                            routersAndZones[i],
+                            routersAndZones[i + 1],
+                            node,
+                            kind,
+                            1,
+                            5,
+                            seconds(age)));
         }
     }
 
@@ -43,7 +49,8 @@
         assertFalse(gossip.isUnhealthy(seconds(0), N1));
         report(0, N1, HealthReport.Kind.UNRESPONSIVE, 0, "r4", "a");
         assertTrue(gossip.isUnhealthy(seconds(0), N1));
-        assertEquals(Map.of(N1, 0.1, N2, 1.0, N3, 1.0), gossip.trafficFractions(seconds(0), REPLICAS));
+        assertEquals(
+                Map.of(N1, 0.1, N2, 1.0, N3, 1.0), gossip.trafficFractions(seconds(0), REPLICAS));
     }
 
     @Test
@@ -58,10 +65,12 @@
     void recentLocalReportOverridesGossip() {
         report(0, N1, HealthReport.Kind.FAILING, 0, "r1", "a", "r2", "b", "r3", "c");
         gossip.recordLocal(
-                seconds(0), new HealthReport("r0", "a", N1, HealthReport.Kind.HEALTHY, 1, 3, seconds(0)));
+                seconds(0),
+                new HealthReport("r0", "a", N1, HealthReport.Kind.HEALTHY, 1, 3, seconds(0)));
         assertFalse(gossip.isUnhealthy(seconds(0), N1));
         gossip.recordLocal(
-                seconds(0), new HealthReport("r0", "a", N2, HealthReport.Kind.FAILING, 1, 3, seconds(0)));
+                seconds(0),
+                new HealthReport("r0", "a", N2, HealthReport.Kind.FAILING, 1, 3, seconds(0)));
         assertTrue(gossip.isUnhealthy(seconds(0), N2));
         assertFalse(gossip.isUnhealthy(seconds(5), N2));
     }
@@ -72,7 +81,8 @@
         assertTrue(gossip.isUnhealthy(seconds(1.9), N1));
         assertFalse(gossip.isUnhealthy(seconds(2), N1));
         report(2, N1, HealthReport.Kind.SLOW, 6, "r1", "a", "r2", "b", "r3", "c");
-        assertFalse(gossip.isUnhealthy(seconds(2), N1), "a report older than the known one is ignored");
+        assertFalse(
+                gossip.isUnhealthy(seconds(2), N1), "a report older than the known one is ignored");
     }
 
     @Test
--- a/src/test/java/postbeam/coordination/LeaderElectionIT.java
+++ b/src/test/java/postbeam/coordination/LeaderElectionIT.java
@@ -56,7 +56,8 @@
         }
     }
 
-    private static String settings(ProcessCluster processes, String name, boolean unaware) throws IOException {
+    private static String settings(ProcessCluster processes, String name, boolean unaware)
+            throws IOException {
         StringBuilder routers = new StringBuilder();
         for (int i = 0; i < ROUTERS; i++) {
             String other = "r" + i;
--- a/src/test/java/postbeam/coordination/LeaderElectionTest.java
+++ b/src/test/java/postbeam/coordination/LeaderElectionTest.java
@@ -104,7 +104,8 @@
         assertEquals(a.term(), renewal.term());
         a.onVote(
                 ms(at + 110),
-                new VoteResponse(0, renewal.term(), renewal.round() - 1, "b", true, renewal.term()));
+                new VoteResponse(
+                        0, renewal.term(), renewal.round() - 1, "b", true, renewal.term()));
         assertFalse(a.isLeader(ms(at + 320)));
         a.onVote(ms(at + 110), c.handleVoteRequest(ms(at + 110), renewal));
         assertTrue(a.isLeader(ms(at + 320)));
--- a/src/test/java/postbeam/coordination/QuotaCountersTest.java
+++ b/src/test/java/postbeam/coordination/QuotaCountersTest.java
@@ -39,7 +39,9 @@
         assertFalse(b.tryCount("m", 10, 0.1, 6), "a yielded share is not taken back");
         b.capOwnShare("m", 10, 2, 6);
         assertFalse(b.tryCount("m", 10, 0.1, 6));
-        assertFalse(c.tryCount("m", 10, 2.1, 6), "a router without the entry may not use the yielded share");
+        assertFalse(
+                c.tryCount("m", 10, 2.1, 6),
+                "a router without the entry may not use the yielded share");
     }
 
     @Test
@@ -59,7 +61,10 @@
                                 new ProcessIdentity("stranger", 9), "m", 10, 99, 7, 0)));
         assertEquals(2, a.knownTotal("m", 10));
         a.merge(List.of(new QuotaCounterEntry(new ProcessIdentity("b", 2), "m", 10, 1, 0, 2)));
-        assertEquals(0, a.knownTotal("m", 10), "the entry of the later process replaces that of the earlier");
+        assertEquals(
+                0,
+                a.knownTotal("m", 10),
+                "the entry of the later process replaces that of the earlier");
     }
 
     @Test
--- a/src/test/java/postbeam/coordination/SlowStartQuotaTest.java
+++ b/src/test/java/postbeam/coordination/SlowStartQuotaTest.java
@@ -93,7 +93,8 @@
 
     @Test
     void nodeWithASmallBudgetIsSharedByFewRoutersAndAllRoutersAgreeWhich() {
-        LeaseParameters forManyRouters = new LeaseParameters(ms(600), ms(1000), ms(10), 0.25, 0.25, 100, 0.1);
+        LeaseParameters forManyRouters =
+                new LeaseParameters(ms(600), ms(1000), ms(10), 0.25, 0.25, 100, 0.1);
         List<String> names = IntStream.range(0, 100).mapToObj(i -> "r" + i).toList();
         NodeIncarnation node = new NodeIncarnation("n", 7);
         int participants = forManyRouters.participants(2);
@@ -102,7 +103,10 @@
         assertEquals(
                 4,
                 names.stream()
-                        .filter(name -> forManyRouters.participates(node, name, names, participants))
+                        .filter(
+                                name ->
+                                        forManyRouters.participates(
+                                                node, name, names, participants))
                         .count());
         // Routers with lists that differ in one name select no more than the participants together.
         List<String> namesWithOneMore = IntStream.range(0, 101).mapToObj(i -> "r" + i).toList();
@@ -110,23 +114,35 @@
                 namesWithOneMore.stream()
                                 .filter(
                                         name ->
-                                                (forManyRouters.participates(node, name, names, participants)
+                                                (forManyRouters.participates(
+                                                                        node,
+                                                                        name,
+                                                                        names,
+                                                                        participants)
                                                                 && names.contains(name))
                                                         || forManyRouters.participates(
-                                                                node, name, namesWithOneMore, participants))
+                                                                node,
+                                                                name,
+                                                                namesWithOneMore,
+                                                                participants))
                                 .count()
                         <= participants);
     }
 
     @Test
     void leaseTableGrantsWhatIsLeftAndRepeatsTheGrantForARepeatedRequest() {
-        assertEquals(4, leaseTable.grant(ms(0), process("a"), 1, 4, 6, parameters.leaseRetention()));
-        assertEquals(4, leaseTable.grant(ms(1), process("a"), 1, 4, 6, parameters.leaseRetention()));
-        assertEquals(2, leaseTable.grant(ms(2), process("b"), 1, 4, 6, parameters.leaseRetention()));
-        assertEquals(0, leaseTable.grant(ms(3), process("c"), 1, 4, 6, parameters.leaseRetention()));
+        assertEquals(
+                4, leaseTable.grant(ms(0), process("a"), 1, 4, 6, parameters.leaseRetention()));
+        assertEquals(
+                4, leaseTable.grant(ms(1), process("a"), 1, 4, 6, parameters.leaseRetention()));
+        assertEquals(
+                2, leaseTable.grant(ms(2), process("b"), 1, 4, 6, parameters.leaseRetention()));
+        assertEquals(
+                0, leaseTable.grant(ms(3), process("c"), 1, 4, 6, parameters.leaseRetention()));
         assertEquals(
                 0,
-                leaseTable.grant(ms(4), new ProcessIdentity("a", 2), 1, 4, 6, parameters.leaseRetention()),
+                leaseTable.grant(
+                        ms(4), new ProcessIdentity("a", 2), 1, 4, 6, parameters.leaseRetention()),
                 "leases of an earlier process of the router count");
         assertEquals(
                 2,
@@ -148,7 +164,9 @@
         for (double[] fractions : new double[][] {{0, 0.5}, {0.5, 0}, {0.5, 0.5}, {1, 0.1}}) {
             assertThrows(
                     IllegalArgumentException.class,
-                    () -> new LeaseParameters(ms(1), ms(1), ms(0), fractions[0], fractions[1], 2, 0));
+                    () ->
+                            new LeaseParameters(
+                                    ms(1), ms(1), ms(0), fractions[0], fractions[1], 2, 0));
         }
         assertThrows(
                 IllegalArgumentException.class,
--- a/src/test/java/postbeam/peers/PeerMessageCodecTest.java
+++ b/src/test/java/postbeam/peers/PeerMessageCodecTest.java
@@ -47,7 +47,8 @@
                                 new VoteResponse(3, 9, 4, "b", true, 9),
                                 new VoteResponse(4, 1, 1, "b", false, 2)),
                         Map.of(3, List.of(new LeaseGrant(NODE, A, 5, 0.125))));
-        assertEquals(response, PeerMessageCodec.decodeResponse(PeerMessageCodec.encode(response), A));
+        assertEquals(
+                response, PeerMessageCodec.decodeResponse(PeerMessageCodec.encode(response), A));
     }
 
     @Test
@@ -67,7 +68,9 @@
                         valid.replace("[[1,2,3]]", "[" + "[1,2,3],".repeat(1024) + "[1,2,3]]"))) {
             assertThrows(
                     IOException.class,
-                    () -> PeerMessageCodec.decodeRequest(malformed.getBytes(StandardCharsets.UTF_8)),
+                    () ->
+                            PeerMessageCodec.decodeRequest(
+                                    malformed.getBytes(StandardCharsets.UTF_8)),
                     malformed);
         }
     }
@@ -90,7 +93,8 @@
     }
 
     @Test
-    void deployedSettingsAreReadAndInvalidOnesAreReported() throws IOException, OperatorErrorException {
+    void deployedSettingsAreReadAndInvalidOnesAreReported()
+            throws IOException, OperatorErrorException {
         String text = Files.readString(Path.of("deploy/postbeam.json5"));
         FleetConfig config = FleetConfigReader.read(read(text));
         new PeerCoordinator(config).stop();
@@ -108,7 +112,9 @@
         InstanceSettings tooFewShares =
                 read(text.replace("routers: [", "routers: [{name: \"r2\", address: \"h:1\"}, "));
         assertTrue(
-                assertThrows(IllegalArgumentException.class, () -> FleetConfigReader.read(tooFewShares))
+                assertThrows(
+                                IllegalArgumentException.class,
+                                () -> FleetConfigReader.read(tooFewShares))
                         .getMessage()
                         .contains("together.shares"));
     }
--- a/src/test/java/postbeam/peers/PeerSamplesTest.java
+++ b/src/test/java/postbeam/peers/PeerSamplesTest.java
@@ -132,12 +132,16 @@
             assertSample("state.json", responseTo(server, "state", ""));
             assertSample(
                     "take-response.json",
-                    responseTo(server, "take", "{\"node\":\"n:1\",\"incarnation\":7,\"work\":0.01}"));
+                    responseTo(
+                            server, "take", "{\"node\":\"n:1\",\"incarnation\":7,\"work\":0.01}"));
             Map<String, Object> rejections = new TreeMap<>();
             rejections.put("malformed", rejectionOf(server, "[]"));
-            rejections.put("unknown stripe", rejectionOf(server, request.replace("[5,1,1]", "[8,1,1]")));
-            rejections.put("unknown router", rejectionOf(server, request.replace("\"r2\"", "\"r9\"")));
-            rejections.put("other parameters", rejectionOf(server, request.replace("5e2e", "0000")));
+            rejections.put(
+                    "unknown stripe", rejectionOf(server, request.replace("[5,1,1]", "[8,1,1]")));
+            rejections.put(
+                    "unknown router", rejectionOf(server, request.replace("\"r2\"", "\"r9\"")));
+            rejections.put(
+                    "other parameters", rejectionOf(server, request.replace("5e2e", "0000")));
             assertSample("refusals.json", PeerMessageCodec.toJson(rejections));
         } finally {
             peer.stop();
@@ -161,7 +165,8 @@
                         HttpResponse.BodyHandlers.ofString());
     }
 
-    private static byte[] responseTo(QueryServer server, String path, String body) throws Exception {
+    private static byte[] responseTo(QueryServer server, String path, String body)
+            throws Exception {
         HttpResponse<String> response = post(server, path, body);
         assertEquals(200, response.statusCode(), response.body());
         return response.body()
