--- a/src/main/java/postbeam/router/ActionOutbox.java
+++ b/src/main/java/postbeam/router/ActionOutbox.java
@@ -17,16 +17,20 @@
 final class ActionOutbox {
     private final QueryTable queries;
     private final NodeDirectory nodes;
-    private final Condition changed;
+    private final Condition backgroundWork;
     private final int maxBatchSize;
     private final List<QueryAction> backgroundActions = new ArrayList<>();
     private final Map<DataNode, List<DispatchedAttempt>> unsentByNode = new LinkedHashMap<>();
 
     /** The condition is signalled when there is something for the background thread. */
-    ActionOutbox(QueryTable queries, NodeDirectory nodes, Condition changed, int maxBatchSize) {
+    ActionOutbox(
+            QueryTable queries,
+            NodeDirectory nodes,
+            Condition backgroundWork,
+            int maxBatchSize) {
         this.queries = queries;
         this.nodes = nodes;
-        this.changed = changed;
+        this.backgroundWork = backgroundWork;
         this.maxBatchSize = maxBatchSize;
     }
 
@@ -41,10 +45,10 @@
 
     void deliverInBackground(QueryAction action) {
         backgroundActions.add(action);
-        changed.signal();
+        backgroundWork.signal();
     }
 
-    void add(DispatchedAttempt attempt) {
+    void addAttempt(DispatchedAttempt attempt) {
         unsentByNode
                 .computeIfAbsent(attempt.policyAttempt.node, node -> new ArrayList<>())
                 .add(attempt);
--- a/src/main/java/postbeam/router/AttemptTable.java
+++ b/src/main/java/postbeam/router/AttemptTable.java
@@ -57,11 +57,11 @@
     }
 
     /** Attempts to nodes that are not ready, if not written by this time, never will be. */
-    void requireSentBeforeIfNotReady(long nanoTime) {
+    void requireSentByIfNodeNotReady(long deadlineNanos) {
         inFlight.forEach(
                 (attempt, entry) -> {
                     if (attempt.node.readiness() != Readiness.READY) {
-                        entry.dispatched().requireSentBy(nanoTime, AttemptOutcome.UNREACHABLE);
+                        entry.dispatched().requireSentBy(deadlineNanos, AttemptOutcome.UNREACHABLE);
                     }
                 });
     }
--- a/src/main/java/postbeam/router/DecisionLoop.java
+++ b/src/main/java/postbeam/router/DecisionLoop.java
@@ -55,8 +55,8 @@
     }
 
     /** Records an event, of this query or of none, and decides if the pacer allows it. */
-    void runTurn(InFlightQuery query, Duration now, Runnable event) {
-        runGuarded(query, event);
+    void processEvent(InFlightQuery query, Duration now, Runnable eventHandler) {
+        runGuarded(query, eventHandler);
         if (query != null) {
             recentQueries.push(query);
         }
@@ -104,17 +104,17 @@
         } catch (RuntimeException | StackOverflowError e) {
             LOG.log(System.Logger.Level.ERROR, "deciding failed; a query is aborted for it", e);
         }
-        InFlightQuery victim =
+        InFlightQuery abortedQuery =
                 query != null && queries.contains(query.query()) ? query : queries.oldest();
-        if (victim == null) {
+        if (abortedQuery == null) {
             return true;
         }
         try {
-            policy.onClientDisconnected(clock.now(), victim.query());
+            policy.onClientDisconnected(clock.now(), abortedQuery.query());
         } catch (RuntimeException e) {
             LOG.log(System.Logger.Level.ERROR, "a query could not be ended", e);
         }
-        queries.finish(victim, new QueryAction.Abort());
+        queries.finish(abortedQuery, new QueryAction.Abort());
         return false;
     }
 
--- a/src/main/java/postbeam/router/DecisionPacer.java
+++ b/src/main/java/postbeam/router/DecisionPacer.java
@@ -18,20 +18,20 @@
     private static final Duration MAX_PAUSE = Duration.ofMillis(10);
 
     private final MonotonicClock clock;
-    private final DiscoveryFreshness discovery;
+    private final DiscoveryFreshness discoveryFreshness;
     private Duration nextDecisionAt = Duration.ZERO;
     private boolean wakeUpScheduled;
-    private long begunNanos;
-    private long decisions;
+    private long decisionStartNanos;
+    private long decisionCount;
 
-    DecisionPacer(MonotonicClock clock, DiscoveryFreshness discovery) {
+    DecisionPacer(MonotonicClock clock, DiscoveryFreshness discoveryFreshness) {
         this.clock = clock;
-        this.discovery = discovery;
+        this.discoveryFreshness = discoveryFreshness;
     }
 
     /** Whether the policy may decide now. */
     boolean mayDecide(Duration now) {
-        if (isDue(now) && discovery.mustWait(now)) {
+        if (isDue(now) && discoveryFreshness.mustWait(now)) {
             nextDecisionAt = now.plus(MAX_PAUSE);
         }
         return isDue(now);
@@ -54,17 +54,20 @@
 
     void beginDecision() {
         wakeUpScheduled = false;
-        decisions++;
-        begunNanos = System.nanoTime();
+        decisionCount++;
+        decisionStartNanos = System.nanoTime();
     }
 
     void endDecision() {
-        long pause = Math.min(MAX_PAUSE.toNanos(), PAUSE_FACTOR * (System.nanoTime() - begunNanos));
+        long pause =
+                Math.min(
+                        MAX_PAUSE.toNanos(),
+                        PAUSE_FACTOR * (System.nanoTime() - decisionStartNanos));
         nextDecisionAt = clock.now().plusNanos(pause);
     }
 
     /** Decisions so far. */
     long decisionCount() {
-        return decisions;
+        return decisionCount;
     }
 }
--- a/src/main/java/postbeam/router/DiscoveryFreshness.java
+++ b/src/main/java/postbeam/router/DiscoveryFreshness.java
@@ -27,8 +27,8 @@
 
     /** Whether decisions wait for discovery; only under the lock of {@link PolicyExecutor}. */
     boolean mustWait(Duration now) {
-        Long polledAt = lastPollNanos;
-        if (polledAt == null || System.nanoTime() - polledAt < STALE_AFTER.toNanos()) {
+        Long pollNanos = lastPollNanos;
+        if (pollNanos == null || System.nanoTime() - pollNanos < STALE_AFTER.toNanos()) {
             waitingSince = null;
             return false;
         }
--- a/src/main/java/postbeam/router/GracefulShutdown.java
+++ b/src/main/java/postbeam/router/GracefulShutdown.java
@@ -14,38 +14,38 @@
 final class GracefulShutdown {
     private static final long POLL_INTERVAL_MILLIS = 10;
 
-    private final QueryServer clients;
+    private final QueryServer queryServer;
     private final XnioIoThread ioThread;
     private final ShutdownDeadlines deadlines;
     private final long requestedNanos = System.nanoTime();
 
-    GracefulShutdown(QueryServer clients, XnioIoThread ioThread, ShutdownDeadlines deadlines) {
-        this.clients = clients;
+    GracefulShutdown(QueryServer queryServer, XnioIoThread ioThread, ShutdownDeadlines deadlines) {
+        this.queryServer = queryServer;
         this.ioThread = ioThread;
         this.deadlines = deadlines;
     }
 
     /** Serves until the deadline, or until no client is connected and none can be on its way. */
-    void serveOn() throws InterruptedException {
-        clients.beginDraining(deadlines.finalAnswersBy());
+    void keepServing() throws InterruptedException {
+        queryServer.beginDraining(deadlines.finalAnswersBy());
         Thread.sleep(ShutdownDeadlines.LATE_CONNECT_WINDOW.toMillis());
         while (elapsedNanos() < deadlines.servingEnds().toNanos()
-                && !onIoThread(clients::hasNoConnections)) {
+                && !onIoThread(queryServer::hasNoConnections)) {
             Thread.sleep(POLL_INTERVAL_MILLIS);
         }
     }
 
     /** Stops accepting queries and answers those that were accepted. */
-    void answerAccepted() throws InterruptedException {
-        clients.close();
+    void finishAcceptedQueries() throws InterruptedException {
+        queryServer.close();
         // Looked at on the thread that reads requests: none can begin after the last look.
-        while (!onIoThread(clients::isDrained)) {
+        while (!onIoThread(queryServer::isDrained)) {
             Thread.sleep(POLL_INTERVAL_MILLIS);
         }
         // The process' end closes what is left: over unread bytes that is a reset, which would take
         // the last answer along.
         while (elapsedNanos() < deadlines.readsDrainedBy().toNanos()
-                && !onIoThread(clients::hasNoConnections)) {
+                && !onIoThread(queryServer::hasNoConnections)) {
             Thread.sleep(POLL_INTERVAL_MILLIS);
         }
     }
@@ -54,11 +54,11 @@
         return System.nanoTime() - requestedNanos;
     }
 
-    private boolean onIoThread(BooleanSupplier question) throws InterruptedException {
-        FutureTask<Boolean> answer = new FutureTask<>(question::getAsBoolean);
-        ioThread.execute(answer);
+    private boolean onIoThread(BooleanSupplier condition) throws InterruptedException {
+        FutureTask<Boolean> result = new FutureTask<>(condition::getAsBoolean);
+        ioThread.execute(result);
         try {
-            return answer.get();
+            return result.get();
         } catch (ExecutionException e) {
             throw new IllegalStateException("looking at the clients' connections failed", e);
         }
--- a/src/main/java/postbeam/router/JitWarmUp.java
+++ b/src/main/java/postbeam/router/JitWarmUp.java
@@ -87,21 +87,21 @@
 
     /** Serves queries against the policy alone; returns how many were answered. */
     int run() {
-        long end = System.nanoTime() + MAX_DURATION.toNanos();
+        long deadlineNanos = System.nanoTime() + MAX_DURATION.toNanos();
         int answered = 0;
-        for (int i = 0; i < QUERIES && System.nanoTime() < end; i++) {
-            accept(request(i), Duration.ZERO).ifPresent(inFlight::add);
+        for (int i = 0; i < QUERIES && System.nanoTime() < deadlineNanos; i++) {
+            accept(createRequest(i), Duration.ZERO).ifPresent(inFlight::add);
             while (inFlight.size() > MAX_IN_FLIGHT) {
                 answered += advanceOldest();
             }
         }
-        while (!inFlight.isEmpty() && System.nanoTime() < end) {
+        while (!inFlight.isEmpty() && System.nanoTime() < deadlineNanos) {
             answered += advanceOldest();
         }
         return answered;
     }
 
-    private ClientRequest request(int number) {
+    private ClientRequest createRequest(int number) {
         int count = Math.min(shards, 1 + number % MAX_SHARDS_PER_QUERY);
         List<ClientRequest.RequestedShard> requested = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -162,7 +162,7 @@
     // ---- behind a client server that reads requests from a pipe
 
     /** A request with this id as a client writes it. */
-    byte[] request(String id) {
+    byte[] encodeHttpRequest(String id) {
         return ("POST /"
                         + queryClasses.get(0)
                         + "?obj=7f HTTP/1.1\r\nHost: rehearsal\r\nReq-Id: "
--- a/src/main/java/postbeam/router/PagedQuery.java
+++ b/src/main/java/postbeam/router/PagedQuery.java
@@ -46,7 +46,7 @@
 
     private final int fetchBytes;
     private final IdentityHashMap<ShardRequest, PartialPage> partialPages = new IdentityHashMap<>();
-    private final List<PartialPage> countedPages = new ArrayList<>();
+    private final List<PartialPage> includedPages = new ArrayList<>();
 
     /**
      * Creates the page side of a query.
@@ -96,7 +96,7 @@
     }
 
     /** An attempt whose answer is rows of this page. */
-    DispatchedAttempt attempt(
+    DispatchedAttempt createAttempt(
             InFlightQuery query,
             Attempt attempt,
             String id,
@@ -138,15 +138,15 @@
     }
 
     /** The rows for this request count in the answer. */
-    void countRows(ShardRequest request) {
-        countedPages.add(partialPages.get(request));
+    void includeRows(ShardRequest request) {
+        includedPages.add(partialPages.get(request));
     }
 
     /**
      * Adds the rows of a query that has ended, this or a follow-up; returns what the page lacks.
      */
     List<RowFetch> addRowsOf(PagedQuery ended) {
-        ended.countedPages.forEach(assembler::add);
+        ended.includedPages.forEach(assembler::add);
         return assembler.followUpFetches();
     }
 
--- a/src/main/java/postbeam/router/PagingService.java
+++ b/src/main/java/postbeam/router/PagingService.java
@@ -94,12 +94,12 @@
         return earlier(earlier(deadline, first.sloDeadline()), first.deadline);
     }
 
-    private static Duration earlier(Duration one, Duration other) {
-        return one.compareTo(other) < 0 ? one : other;
+    private static Duration earlier(Duration first, Duration second) {
+        return first.compareTo(second) < 0 ? first : second;
     }
 
     /** Takes so many shard requests from the follow-up budget; false where it lacks them. */
-    boolean mayStartFollowUp(Duration now, int shardRequests) {
+    boolean tryAcquireFollowUpBudget(Duration now, int shardRequests) {
         return followUpBudget.tryAcquire(now, shardRequests);
     }
 
@@ -109,7 +109,7 @@
      * @param slices as the client named them; with a cursor the cursor's ranges count instead
      * @throws UnroutableQueryException if the page can't be served; nothing has been sent then
      */
-    PagedQuery start(
+    PagedQuery startPage(
             ClientRequest request,
             QueryClass queryClass,
             Layout layout,
@@ -120,14 +120,14 @@
                 throw new PageError.NotIdempotent(request.queryClass()).toException();
             }
             return request.pageRequest().cursor() == null
-                    ? startFirst(request, layout, slices)
-                    : startNext(request, layout);
+                    ? startFirstPage(request, layout, slices)
+                    : startNextPage(request, layout);
         } catch (OperatorErrorException e) {
-            throw new UnroutableQueryException(reason(e.error()), e.getMessage());
+            throw new UnroutableQueryException(rejectionReason(e.error()), e.getMessage());
         }
     }
 
-    private PagedQuery startFirst(
+    private PagedQuery startFirstPage(
             ClientRequest request, Layout layout, List<LayoutCompleteness.RequestedSlice> slices)
             throws OperatorErrorException {
         if (slices.size() > PageAssembler.MAX_RANGES) {
@@ -139,11 +139,11 @@
                         .sorted(Comparator.comparing(LayoutCompleteness.RequestedSlice::keys))
                         .map(slice -> new RangeProgress(slice.keys(), slice.weight(), null))
                         .toList();
-        long namedBy = request.layoutVersion() > 0 ? request.layoutVersion() : layout.version;
-        return pagedQuery(request, layout, ranges, namedBy, slices);
+        long layoutVersion = request.layoutVersion() > 0 ? request.layoutVersion() : layout.version;
+        return pagedQuery(request, layout, ranges, layoutVersion, slices);
     }
 
-    private PagedQuery startNext(ClientRequest request, Layout layout)
+    private PagedQuery startNextPage(ClientRequest request, Layout layout)
             throws OperatorErrorException {
         List<RangeProgress> ranges =
                 cursorCodec
@@ -179,7 +179,7 @@
                 request.payload());
     }
 
-    private static UnroutableQueryException.Reason reason(OperatorError error) {
+    private static UnroutableQueryException.Reason rejectionReason(OperatorError error) {
         if (error instanceof PageError.LayoutNoLongerKept) {
             return UnroutableQueryException.Reason.LAYOUT_EXPIRED;
         }
@@ -225,22 +225,23 @@
     }
 
     /** Serves a follow-up query. */
-    interface FollowUpFetch {
+    interface FollowUpFetcher {
         /** The query, served to its end; empty where none is allowed. */
         Optional<PagedQuery> fetch(List<RowFetch> fetches) throws InterruptedException;
     }
 
     /** Completes the page of a query that was answered, by follow-up queries where rows lack. */
-    QueryAction completePage(InFlightQuery query, QueryAction.Answer answer, FollowUpFetch followUp)
+    QueryAction completePage(
+            InFlightQuery query, QueryAction.Answer answer, FollowUpFetcher followUp)
             throws InterruptedException {
         PagedQuery first = query.pagedQuery();
         List<RowFetch> missing = first.addRowsOf(first);
         for (int round = 0; round < MAX_FOLLOW_UP_ROUNDS && !missing.isEmpty(); round++) {
-            Optional<PagedQuery> ended = followUp.fetch(missing);
-            if (ended.isEmpty()) {
+            Optional<PagedQuery> fetched = followUp.fetch(missing);
+            if (fetched.isEmpty()) {
                 break;
             }
-            missing = first.addRowsOf(ended.get());
+            missing = first.addRowsOf(fetched.get());
         }
         try {
             PageResult page = first.finish(cursorCodec, queryDigest(query.request()));
--- a/src/main/java/postbeam/router/PolicyActionHandler.java
+++ b/src/main/java/postbeam/router/PolicyActionHandler.java
@@ -77,7 +77,7 @@
                     clock.toNanoTime(attempt.sendDeadline()), AttemptOutcome.NEVER_SENT);
         }
         query.addAttempt(dispatched);
-        outbox.add(dispatched);
+        outbox.addAttempt(dispatched);
         attempts.add(
                 dispatched, timers.schedule(deadline, () -> expirations.onAttemptTimeout(attempt)));
     }
@@ -101,7 +101,7 @@
             headerFields = ",v=" + slicing.currentLayout().version + ",k=" + keys;
         }
         return query.isPaged()
-                ? query.pagedQuery().attempt(query, attempt, id, headerFields, deadlineNanos)
+                ? query.pagedQuery().createAttempt(query, attempt, id, headerFields, deadlineNanos)
                 : new DispatchedAttempt(
                         query, attempt, id, headerFields, query.request().payload(), deadlineNanos);
     }
@@ -142,11 +142,12 @@
     /** Values that overlap, as after slices moved, are left out but for one layout's. */
     private QueryAction answerBySlices(InFlightQuery inFlight, boolean complete) {
         LayoutCompleteness completeness = slicing.completenessOf(inFlight.query());
-        LayoutCompleteness.CompleteParts counted = completeness.completeParts(inFlight.query());
+        LayoutCompleteness.CompleteParts completeParts =
+                completeness.completeParts(inFlight.query());
         List<QueryAction.ShardValue> values = new ArrayList<>();
-        for (KeyRangeRequest request : counted.requests()) {
+        for (KeyRangeRequest request : completeParts.requests()) {
             if (inFlight.isPaged()) {
-                inFlight.pagedQuery().countRows(request);
+                inFlight.pagedQuery().includeRows(request);
             }
             QueryAction.KeyCoverage coverage =
                     new QueryAction.KeyCoverage(
@@ -156,7 +157,7 @@
             values.add(
                     new QueryAction.ShardValue(request.shard, inFlight.value(request), coverage));
         }
-        return new QueryAction.Answer(complete, values, counted.version());
+        return new QueryAction.Answer(complete, values, completeParts.version());
     }
 
     @Override
--- a/src/main/java/postbeam/router/PolicyExecutor.java
+++ b/src/main/java/postbeam/router/PolicyExecutor.java
@@ -46,13 +46,13 @@
     private final TimerQueue timers = new TimerQueue(backgroundWork);
     private final QueryTable queries = new QueryTable();
     private final AttemptTable attempts = new AttemptTable(timers);
-    private final DiscoveryFreshness discovery = new DiscoveryFreshness();
-    private final DecisionPacer pacer = new DecisionPacer(clock, discovery);
+    private final DiscoveryFreshness discoveryFreshness = new DiscoveryFreshness();
+    private final DecisionPacer pacer = new DecisionPacer(clock, discoveryFreshness);
     private final NodeDirectory nodes;
     private final ActionOutbox outbox;
     private final QueryFactory queryFactory;
     private final RoutingPolicy policy;
-    private final DecisionLoop decisions;
+    private final DecisionLoop decisionLoop;
 
     /** Null where shards have fixed replicas. */
     private final SliceTranslator slicing;
@@ -116,7 +116,7 @@
                                 ? PolicyFactory.cluster(settings)
                                 : new Cluster(slicing.placement()),
                         paging == null ? settings : paging.withReducedRetryBudget(settings));
-        this.decisions =
+        this.decisionLoop =
                 new DecisionLoop(policy, slicing, clock, pacer, timers, queries, attempts, outbox);
     }
 
@@ -139,7 +139,7 @@
             }
             Duration now = clock.now();
             InFlightQuery inFlight = queryFactory.create(request, now, age, page);
-            begin(inFlight, now);
+            startQuery(inFlight, now);
             return Optional.of(inFlight);
         } finally {
             lock.unlock();
@@ -168,17 +168,17 @@
             }
             Optional<InFlightQuery> followUp =
                     queryFactory.createFollowUp(first, request, now, fetches);
-            followUp.ifPresent(inFlight -> begin(inFlight, now));
+            followUp.ifPresent(inFlight -> startQuery(inFlight, now));
             return followUp;
         } finally {
             lock.unlock();
         }
     }
 
-    private void begin(InFlightQuery inFlight, Duration now) {
+    private void startQuery(InFlightQuery inFlight, Duration now) {
         Query query = inFlight.query();
         queries.add(inFlight);
-        decisions.runTurn(
+        decisionLoop.processEvent(
                 inFlight,
                 now,
                 () -> {
@@ -223,7 +223,8 @@
     private void disconnect(InFlightQuery query) {
         if (queries.contains(query.query())) {
             Duration now = clock.now();
-            decisions.runTurn(query, now, () -> policy.onClientDisconnected(now, query.query()));
+            decisionLoop.processEvent(
+                    query, now, () -> policy.onClientDisconnected(now, query.query()));
             queries.finish(query, new QueryAction.ClientDisconnected());
         }
     }
@@ -234,13 +235,15 @@
     @Override
     public void onAttemptResults(List<AttemptResult> results) {
         // Reading rows takes long: it is done without the lock.
-        List<AttemptResult> read =
+        List<AttemptResult> parsedResults =
                 servesPages ? results.stream().map(PagedAttempt::readRows).toList() : results;
         lock.lock();
         try {
             Duration now = clock.now();
-            decisions.runTurn(
-                    null, now, () -> read.forEach(result -> decisions.endAttempt(now, result)));
+            decisionLoop.processEvent(
+                    null,
+                    now,
+                    () -> parsedResults.forEach(result -> decisionLoop.endAttempt(now, result)));
         } finally {
             lock.unlock();
         }
@@ -253,7 +256,8 @@
             DataNode node = nodes.endHealthCheck(nodeName);
             if (node != null) {
                 Duration now = clock.now();
-                decisions.runTurn(null, now, () -> policy.onProbeResult(now, node, healthy));
+                decisionLoop.processEvent(
+                        null, now, () -> policy.onProbeResult(now, node, healthy));
             }
         } finally {
             lock.unlock();
@@ -265,7 +269,7 @@
         lock.lock();
         try {
             Duration now = clock.now();
-            decisions.runTurn(
+            decisionLoop.processEvent(
                     null,
                     now,
                     () -> {
@@ -273,7 +277,7 @@
                         nodes.update(now, update, clock, policy);
                         // An attempt that waits for a connection would arrive after the node's
                         // grace period.
-                        attempts.requireSentBeforeIfNotReady(clock.toNanoTime(now));
+                        attempts.requireSentByIfNodeNotReady(clock.toNanoTime(now));
                     });
         } finally {
             lock.unlock();
@@ -281,8 +285,8 @@
     }
 
     /** Discovery was polled, with or without an answer. */
-    public void onDiscoveryAnswer() {
-        discovery.onPollEnd();
+    public void onDiscoveryPollEnd() {
+        discoveryFreshness.onPollEnd();
     }
 
     /** The version of the layout in force; 0 for none. */
@@ -310,7 +314,7 @@
         try {
             slicing.renewLease(clock.fromNanoTime(requestedNanos));
             long rejectedBefore = slicing.rejectedLayouts();
-            decisions.runTurn(
+            decisionLoop.processEvent(
                     null,
                     clock.now(),
                     () -> {
@@ -356,8 +360,8 @@
             Duration now = clock.now();
             List<Runnable> due = timers.removeDue(now);
             if (!due.isEmpty()) {
-                decisions.runTurn(
-                        null, now, () -> due.forEach(task -> decisions.runGuarded(null, task)));
+                decisionLoop.processEvent(
+                        null, now, () -> due.forEach(task -> decisionLoop.runGuarded(null, task)));
             }
         } finally {
             lock.unlock();
@@ -405,10 +409,10 @@
     private final class ExpirationHandler implements PolicyActionHandler.Expirations {
         @Override
         public void onAttemptTimeout(Attempt attempt) {
-            DispatchedAttempt late = attempts.get(attempt);
-            if (late != null) {
-                outbox.deliverInBackground(new QueryAction.CancelAttempt(late));
-                decisions.endAttempt(clock.now(), attempt, AttemptOutcome.TIMEOUT);
+            DispatchedAttempt timedOut = attempts.get(attempt);
+            if (timedOut != null) {
+                outbox.deliverInBackground(new QueryAction.CancelAttempt(timedOut));
+                decisionLoop.endAttempt(clock.now(), attempt, AttemptOutcome.TIMEOUT);
             }
         }
 
--- a/src/main/java/postbeam/router/QueryFactory.java
+++ b/src/main/java/postbeam/router/QueryFactory.java
@@ -33,19 +33,19 @@
     /** Null where no pages are served. */
     private final PagingService paging;
 
-    private final Supplier<Condition> conditions;
+    private final Supplier<Condition> conditionFactory;
 
     QueryFactory(
             Map<String, QueryClass> queryClasses,
             Map<String, Tenant> tenants,
             SliceTranslator slicing,
             PagingService paging,
-            Supplier<Condition> conditions) {
+            Supplier<Condition> conditionFactory) {
         this.queryClasses = queryClasses;
         this.tenants = tenants;
         this.slicing = slicing;
         this.paging = paging;
-        this.conditions = conditions;
+        this.conditionFactory = conditionFactory;
     }
 
     /** The layout in force and the slices that a request names, resolved by it. */
@@ -62,7 +62,7 @@
     /** Decodes the cursor and works out what to fetch; to be called without the lock. */
     PagedQuery startPage(ClientRequest request, ResolvedSlices resolved)
             throws UnroutableQueryException {
-        return paging.start(
+        return paging.startPage(
                 request,
                 queryClasses.get(request.queryClass()),
                 resolved.layout(),
@@ -92,7 +92,7 @@
         } else if (slicing != null) {
             slicing.assignParts(query, request.layoutVersion(), sliceRequests(request));
         }
-        return new InFlightQuery(request, query, conditions.get(), page);
+        return new InFlightQuery(request, query, conditionFactory.get(), page);
     }
 
     /** Adds the requested shards to a query where shards have fixed replicas. */
@@ -132,23 +132,26 @@
         } catch (UnroutableQueryException e) {
             return Optional.empty();
         }
-        if (!paging.mayStartFollowUp(now, query.shardRequests.size())) {
+        if (!paging.tryAcquireFollowUpBudget(now, query.shardRequests.size())) {
             return Optional.empty();
         }
         for (ShardRequest shardRequest : query.shardRequests) {
-            inherit((KeyRangeRequest) shardRequest, firstQuery);
+            inheritAttempts((KeyRangeRequest) shardRequest, firstQuery);
             first.followUps()
-                    .forEach(earlier -> inherit((KeyRangeRequest) shardRequest, earlier.query()));
+                    .forEach(
+                            earlier ->
+                                    inheritAttempts(
+                                            (KeyRangeRequest) shardRequest, earlier.query()));
         }
-        InFlightQuery followUp = new InFlightQuery(request, query, conditions.get(), page);
+        InFlightQuery followUp = new InFlightQuery(request, query, conditionFactory.get(), page);
         first.addFollowUp(followUp);
         return Optional.of(followUp);
     }
 
-    private static void inherit(KeyRangeRequest heir, Query earlier) {
-        for (ShardRequest shardRequest : earlier.shardRequests) {
-            if (((KeyRangeRequest) shardRequest).keys.overlaps(heir.keys)) {
-                heir.inherit(shardRequest);
+    private static void inheritAttempts(KeyRangeRequest followUpRequest, Query earlierQuery) {
+        for (ShardRequest shardRequest : earlierQuery.shardRequests) {
+            if (((KeyRangeRequest) shardRequest).keys.overlaps(followUpRequest.keys)) {
+                followUpRequest.inherit(shardRequest);
             }
         }
     }
--- a/src/main/java/postbeam/router/Router.java
+++ b/src/main/java/postbeam/router/Router.java
@@ -48,8 +48,8 @@
     private final PolicyExecutor executor;
     private final XnioWorker worker;
     private final DataNodeClient dataNodes;
-    private final QueryServer clients;
-    private final ActionRunner actions;
+    private final QueryServer queryServer;
+    private final ActionRunner actionRunner;
     private final JitWarmUp warmUp;
     private final QueryServer warmUpServer;
     private final RouterReadiness readiness;
@@ -120,10 +120,10 @@
         }
         worker = createWorker();
         dataNodes = dataNodeClient(settings, limits, connectTimeout);
-        actions = new ActionRunner(executor, dataNodes, paging);
+        actionRunner = new ActionRunner(executor, dataNodes, paging);
         // Where slices move, the layout says which shards there are.
         int shards = slicing == null ? fixedShards : Integer.MAX_VALUE;
-        clients =
+        queryServer =
                 new QueryServer(
                         worker,
                         RouterConfig.socketAddress(config.address("listen")),
@@ -133,7 +133,7 @@
                         shards,
                         limits.maxClientConnections());
         if (paging != null) {
-            clients.enablePages(paging.maxRows());
+            queryServer.enablePages(paging.maxRows());
         }
         warmUp =
                 new JitWarmUp(
@@ -192,9 +192,9 @@
 
     /** So early that nothing written to a connection crosses the node's closing; never at once. */
     private static Duration idleTimeout(Duration nodeKeepAlive, Duration connectTimeout) {
-        Duration early = nodeKeepAlive.minus(connectTimeout.multipliedBy(2));
-        Duration least = nodeKeepAlive.dividedBy(2);
-        return early.compareTo(least) > 0 ? early : least;
+        Duration beforeNodeCloses = nodeKeepAlive.minus(connectTimeout.multipliedBy(2));
+        Duration minimum = nodeKeepAlive.dividedBy(2);
+        return beforeNodeCloses.compareTo(minimum) > 0 ? beforeNodeCloses : minimum;
     }
 
     private static PollTimings discoveryTimings(RouterConfig config) {
@@ -211,7 +211,7 @@
                 cells,
                 this::onEndpointUpdate,
                 discoveryTimings,
-                executor::onDiscoveryAnswer);
+                executor::onDiscoveryPollEnd);
     }
 
     private LongPollWatcher<Layout> layoutWatch(String layoutService) {
@@ -239,9 +239,9 @@
     }
 
     /** Adds an extension, which is started and stopped with this router; to be called before. */
-    public Router withExtension(RouterExtension added) {
-        extension = added;
-        added.registerHandlers(clients);
+    public Router withExtension(RouterExtension extension) {
+        this.extension = extension;
+        extension.registerHandlers(queryServer);
         return this;
     }
 
@@ -251,7 +251,7 @@
      * @throws IOException if it can't listen; it says why
      */
     public void start() throws IOException {
-        startDaemon("ticks", actions::runBackgroundActions);
+        startDaemon("ticks", actionRunner::runBackgroundActions);
         synchronized (this) {
             startDaemon("discovery", endpointWatch);
         }
@@ -259,13 +259,13 @@
             startDaemon("layouts", layoutWatch);
         }
         LOG.log(System.Logger.Level.DEBUG, "warmed up with {0} queries", warmUp.run());
-        warmUpServer.warmUp(warmUp::request, WARM_UP_REQUESTS, MAX_SERVER_WARM_UP);
+        warmUpServer.warmUp(warmUp::encodeHttpRequest, WARM_UP_REQUESTS, MAX_SERVER_WARM_UP);
         warmUpServer.stop();
         synchronized (this) {
             if (stopping) {
                 return;
             }
-            clients.start();
+            queryServer.start();
             listening = true;
         }
         if (extension != null) {
@@ -288,29 +288,29 @@
      * @throws IOException if the configuration can't be used; nothing changes then
      * @throws IllegalArgumentException if a setting can't be used; nothing changes then
      */
-    public synchronized void reload(RouterConfig changed) throws IOException {
-        ConfigurationCheck.check(changed);
-        logChangesThatNeedRestart(changed);
-        String discovery = changed.address("discovery");
-        boolean moved = !discovery.equals(config.address("discovery"));
-        if (moved && stopped.getCount() > 0) {
+    public synchronized void reload(RouterConfig newConfig) throws IOException {
+        ConfigurationCheck.check(newConfig);
+        logChangesThatNeedRestart(newConfig);
+        String discoveryAddress = newConfig.address("discovery");
+        boolean addressChanged = !discoveryAddress.equals(config.address("discovery"));
+        if (addressChanged && stopped.getCount() > 0) {
             endpointWatch.stop();
-            endpointWatch = endpointWatch(discovery);
+            endpointWatch = endpointWatch(discoveryAddress);
             startDaemon("discovery", endpointWatch);
         }
-        config = changed;
+        config = newConfig;
         LOG.log(
                 System.Logger.Level.INFO,
                 "configuration read again; discovery {0} {1}",
-                moved ? "is now at" : "stays at",
-                discovery);
+                addressChanged ? "is now at" : "stays at",
+                discoveryAddress);
         worker.getIoThread().execute(this::logState);
     }
 
-    private void logChangesThatNeedRestart(RouterConfig changed) {
-        List<String> paths = new ArrayList<>(config.instance.changedPaths(changed.instance));
-        paths.removeIf(Router::isNoChangeOfItsOwn);
-        paths.addAll(config.settings.changedPaths(changed.settings));
+    private void logChangesThatNeedRestart(RouterConfig newConfig) {
+        List<String> paths = new ArrayList<>(config.instance.changedPaths(newConfig.instance));
+        paths.removeIf(Router::isExcludedFromRestartWarning);
+        paths.addAll(config.settings.changedPaths(newConfig.settings));
         if (!paths.isEmpty()) {
             LOG.log(
                     System.Logger.Level.WARNING,
@@ -320,7 +320,7 @@
     }
 
     /** Taken over, of use at a start only, or compared as settings. */
-    private static boolean isNoChangeOfItsOwn(String path) {
+    private static boolean isExcludedFromRestartWarning(String path) {
         return path.equals("discovery")
                 || path.equals("seed")
                 || path.startsWith("known")
@@ -338,7 +338,7 @@
 
     /** The host and port at which it listens. */
     public String address() {
-        return clients.address();
+        return queryServer.address();
     }
 
     /** Waits until it is stopped. */
@@ -350,7 +350,7 @@
     public PendingQuery submit(ClientRequest request, Duration age)
             throws UnroutableQueryException {
         return executor.accept(request, age)
-                .map(query -> new ServedQuery(executor, query, actions))
+                .map(query -> new ServedQuery(executor, query, actionRunner))
                 .orElse(null);
     }
 
@@ -366,7 +366,7 @@
     public void stop() throws InterruptedException {
         LOG.log(System.Logger.Level.INFO, "stopping");
         GracefulShutdown shutdown =
-                new GracefulShutdown(clients, worker.getIoThread(), shutdownDeadlines);
+                new GracefulShutdown(queryServer, worker.getIoThread(), shutdownDeadlines);
         synchronized (this) {
             stopping = true;
             if (!listening) {
@@ -374,11 +374,11 @@
                 return;
             }
         }
-        shutdown.serveOn();
+        shutdown.keepServing();
         if (extension != null) {
             extension.stop();
         }
-        shutdown.answerAccepted();
+        shutdown.finishAcceptedQueries();
         stopped.countDown();
         synchronized (this) {
             endpointWatch.stop();
@@ -386,7 +386,7 @@
         if (layoutWatch != null) {
             layoutWatch.stop();
         }
-        clients.stop();
+        queryServer.stop();
         worker.shutdownNow();
     }
 }
--- a/src/main/java/postbeam/router/ShutdownDeadlines.java
+++ b/src/main/java/postbeam/router/ShutdownDeadlines.java
@@ -26,7 +26,7 @@
     private static final Duration KILL_GRACE = Duration.ofMillis(700);
 
     /** Spare time before the process is killed. */
-    private static final Duration END_MARGIN = Duration.ofMillis(100);
+    private static final Duration KILL_MARGIN = Duration.ofMillis(100);
 
     /** By the deadlines of the query classes; null where one states none. */
     static ShutdownDeadlines of(Collection<Duration> deadlines) {
@@ -39,6 +39,6 @@
         return new ShutdownDeadlines(
                 servingEnds,
                 servingEnds.plus(LATE_CONNECT_WINDOW).minus(FINAL_ANSWER_MARGIN),
-                servingEnds.plus(KILL_GRACE).minus(END_MARGIN));
+                servingEnds.plus(KILL_GRACE).minus(KILL_MARGIN));
     }
 }
--- a/src/main/java/postbeam/router/TimerQueue.java
+++ b/src/main/java/postbeam/router/TimerQueue.java
@@ -12,22 +12,22 @@
     /**
      * One scheduled task; timers of the same time run in the order in which they were scheduled.
      */
-    record Timer(Duration at, long number, Runnable task) {}
+    record Timer(Duration at, long sequenceNumber, Runnable task) {}
 
-    private final Condition changed;
+    private final Condition backgroundWork;
     private final TreeSet<Timer> timers =
-            new TreeSet<>(Comparator.comparing(Timer::at).thenComparingLong(Timer::number));
-    private long nextNumber;
+            new TreeSet<>(Comparator.comparing(Timer::at).thenComparingLong(Timer::sequenceNumber));
+    private long nextSequenceNumber;
 
     /** The condition is signalled when a timer is added. */
-    TimerQueue(Condition changed) {
-        this.changed = changed;
+    TimerQueue(Condition backgroundWork) {
+        this.backgroundWork = backgroundWork;
     }
 
     Timer schedule(Duration at, Runnable task) {
-        Timer timer = new Timer(at, nextNumber++, task);
+        Timer timer = new Timer(at, nextSequenceNumber++, task);
         timers.add(timer);
-        changed.signal();
+        backgroundWork.signal();
         return timer;
     }
 
@@ -48,9 +48,9 @@
     @SuppressWarnings("WaitNotInLoop") // The caller waits in a loop.
     void awaitNext(MonotonicClock clock) throws InterruptedException {
         if (timers.isEmpty()) {
-            changed.await();
+            backgroundWork.await();
         } else {
-            changed.awaitNanos(timers.first().at().minus(clock.now()).toNanos());
+            backgroundWork.awaitNanos(timers.first().at().minus(clock.now()).toNanos());
         }
     }
 
--- a/src/test/java/postbeam/router/PolicyExecutorTest.java
+++ b/src/test/java/postbeam/router/PolicyExecutorTest.java
@@ -306,7 +306,7 @@
                         Set.of(),
                         4,
                         1);
-        server.warmUp(warmUp::request, 20, TIMEOUT);
+        server.warmUp(warmUp::encodeHttpRequest, 20, TIMEOUT);
         server.stop();
         worker.shutdownNow();
         assertEquals(20, accepted.get());
--- a/src/test/java/postbeam/router/TimerQueueTest.java
+++ b/src/test/java/postbeam/router/TimerQueueTest.java
@@ -13,8 +13,8 @@
 
 class TimerQueueTest {
     private final ReentrantLock lock = new ReentrantLock();
-    private final Condition changed = lock.newCondition();
-    private final TimerQueue timers = new TimerQueue(changed);
+    private final Condition backgroundWork = lock.newCondition();
+    private final TimerQueue timers = new TimerQueue(backgroundWork);
     private final List<String> run = new ArrayList<>();
 
     @BeforeEach
