--- a/src/main/java/postbeam/router/ActionOutbox.java
+++ b/src/main/java/postbeam/router/ActionOutbox.java
@@ -10,9 +10,10 @@
 import postbeam.model.DataNode;
 
 /**
- * What is decided and not carried out yet. Attempts to one node in one decision travel in one
- * batch; an action belongs to its query's thread or, where the query has ended, to the background
- * thread. Guarded by the lock of {@link PolicyExecutor}.
+ * Holds the actions that the policy has decided on and that no thread has carried out yet. Attempts
+ * that one decision sends to the same node are grouped into batches. An action belongs to the
+ * thread of its query or, if the query has ended, to the background thread. Guarded by the lock of
+ * {@link PolicyExecutor}.
  */
 final class ActionOutbox {
     private final QueryTable queries;
@@ -22,7 +23,12 @@
     private final List<QueryAction> backgroundActions = new ArrayList<>();
     private final Map<DataNode, List<DispatchedAttempt>> unsentByNode = new LinkedHashMap<>();
 
-    /** The condition is signalled when there is something for the background thread. */
+    /**
+     * Creates an empty outbox.
+     *
+     * @param backgroundWork signalled when an action for the background thread is added
+     * @param maxBatchSize maximum number of attempts in one batch
+     */
     ActionOutbox(
             QueryTable queries,
             NodeDirectory nodes,
@@ -34,7 +40,10 @@
         this.maxBatchSize = maxBatchSize;
     }
 
-    /** Leaves the action to the thread of the query; null or an ended one: to the background. */
+    /**
+     * Queues the action for the thread of the query, or for the background thread if {@code query}
+     * is null, which means that the query has ended.
+     */
     void deliver(InFlightQuery query, QueryAction action) {
         if (query == null) {
             deliverInBackground(action);
@@ -54,7 +63,7 @@
                 .add(attempt);
     }
 
-    /** Delivers the attempts that were added, in batches. */
+    /** Queues the attempts that were added, grouped by node into batches. */
     void flush() {
         unsentByNode.forEach(this::deliverBatches);
         unsentByNode.clear();
@@ -70,7 +79,7 @@
         }
     }
 
-    /** Removes the actions for the background thread. */
+    /** Removes and returns the actions for the background thread. */
     List<QueryAction> removeBackgroundActions() {
         List<QueryAction> removed = List.copyOf(backgroundActions);
         backgroundActions.clear();
--- a/src/main/java/postbeam/router/ActionRunner.java
+++ b/src/main/java/postbeam/router/ActionRunner.java
@@ -8,7 +8,7 @@
 
 /**
  * Carries out the policy's actions: those of a query on the query's thread, all others on the
- * thread that {@link #runBackgroundActions} takes. Holds no lock.
+ * thread that calls {@link #runBackgroundActions}. Takes no lock of its own.
  */
 final class ActionRunner implements ServedQuery.QueryRunner {
     private static final System.Logger LOG = System.getLogger(ActionRunner.class.getName());
@@ -16,7 +16,7 @@
     private final PolicyExecutor executor;
     private final DataNodeClient dataNodes;
 
-    /** Null where no pages are served. */
+    /** Null if pages are disabled. */
     private final PagingService paging;
 
     ActionRunner(PolicyExecutor executor, DataNodeClient dataNodes, PagingService paging) {
@@ -38,7 +38,10 @@
         }
     }
 
-    /** Carries out the action if it concerns a data node; returns whether it does. */
+    /**
+     * Carries out the action if it concerns a data node; returns false for an action that ends a
+     * query.
+     */
     private boolean execute(QueryAction action) {
         if (action instanceof QueryAction.Send send) {
             dataNodes.send(send.address(), send.attempts());
--- a/src/main/java/postbeam/router/AttemptTable.java
+++ b/src/main/java/postbeam/router/AttemptTable.java
@@ -9,8 +9,8 @@
 import postbeam.model.Readiness;
 
 /**
- * The attempts whose outcome is not reported yet, each with the timer that ends it. Guarded by the
- * lock of {@link PolicyExecutor}.
+ * The attempts whose outcome has not been reported yet, each with its timeout. Guarded by the lock
+ * of {@link PolicyExecutor}.
  */
 final class AttemptTable {
     private record Entry(DispatchedAttempt dispatched, TimerQueue.Timer timeout) {}
@@ -27,36 +27,41 @@
         inFlight.put(dispatched.policyAttempt, new Entry(dispatched, timeout));
     }
 
-    /** Null where the attempt has ended. */
+    /** Returns the dispatched attempt; null if the attempt has ended. */
     DispatchedAttempt get(Attempt attempt) {
         Entry entry = inFlight.get(attempt);
         return entry == null ? null : entry.dispatched();
     }
 
-    /** Ends the attempt; false where it had ended before. */
+    /** Ends the attempt; returns false if it had already ended. */
     boolean end(Attempt attempt) {
         Entry entry = inFlight.remove(attempt);
         if (entry == null) {
             return false;
         }
-        // The timeout may be hours away, as clients set deadlines: it must not hold the attempt.
+        // Clients may set deadlines of several hours: a pending timer would keep the ended attempt
+        // in memory for that long.
         timers.cancel(entry.timeout());
         entry.dispatched().abandon();
         return true;
     }
 
-    /** The attempt ends as cancelled once the policy has finished deciding. */
+    /** Marks the attempt to be ended as cancelled once the current decision is complete. */
     void markCancelled(Attempt attempt) {
         cancelled.add(attempt);
     }
 
+    /** Removes and returns the attempts that were marked as cancelled. */
     List<Attempt> removeCancelled() {
         List<Attempt> removed = List.copyOf(cancelled);
         cancelled.clear();
         return removed;
     }
 
-    /** Attempts to nodes that are not ready, if not written by this time, never will be. */
+    /**
+     * Sets a send deadline, by {@link System#nanoTime}, for all attempts to nodes that are not
+     * ready. Attempts that are not written by then end as unreachable.
+     */
     void requireSentByIfNodeNotReady(long deadlineNanos) {
         inFlight.forEach(
                 (attempt, entry) -> {
--- a/src/main/java/postbeam/router/ConfigurationCheck.java
+++ b/src/main/java/postbeam/router/ConfigurationCheck.java
@@ -8,15 +8,15 @@
 import postbeam.config.SettingsValidator;
 import postbeam.discovery.EndpointListCodec;
 
-/** Whether a router could start with a configuration. */
+/** Checks whether a router could start with a configuration. */
 final class ConfigurationCheck {
     private ConfigurationCheck() {}
 
     /**
-     * Reads all that a start reads.
+     * Reads every setting that a start reads.
      *
-     * @throws IOException if the list of known data nodes can't be read
-     * @throws IllegalArgumentException if a setting can't be used; it names which
+     * @throws IOException if the endpoint list in the configuration can't be read
+     * @throws IllegalArgumentException if a setting is invalid; the message names it
      */
     static void check(RouterConfig config) throws IOException {
         InstanceSettings settings = config.settings;
@@ -29,7 +29,10 @@
             Double followUp = settings.listEntry("domain.followUp", i);
             if (followUp != null && followUp > 0) {
                 throw settings.invalid(
-                        "domain.followUp", "asks for a second step, which has no form on sockets");
+                        "domain.followUp",
+                        "must be 0 or absent for each query class, not "
+                                + followUp
+                                + ": a second step exists in the simulator only");
             }
         }
         PolicyFactory.queryClasses(settings);
--- a/src/main/java/postbeam/router/DecisionLoop.java
+++ b/src/main/java/postbeam/router/DecisionLoop.java
@@ -12,17 +12,16 @@
 import postbeam.slices.SliceTranslator;
 
 /**
- * Hands events to the policy and has it decide: each event is recorded in a turn, at the end of
- * which the policy decides on all events so far, unless the last decision is too recent ({@link
- * DecisionPacer}). A failure of the policy costs one query. Guarded by the lock of {@link
- * PolicyExecutor}.
+ * Passes events to the policy and triggers its decisions. After each event, the policy decides on
+ * all events so far, unless the last decision is too recent ({@link DecisionPacer}). If the policy
+ * fails, one query is aborted and the others go on. Guarded by the lock of {@link PolicyExecutor}.
  */
 final class DecisionLoop {
     private static final System.Logger LOG = System.getLogger(DecisionLoop.class.getName());
 
     private final RoutingPolicy policy;
 
-    /** Null where shards have fixed replicas. */
+    /** Null if shards have fixed replicas. */
     private final SliceTranslator slicing;
 
     private final MonotonicClock clock;
@@ -32,7 +31,10 @@
     private final AttemptTable attempts;
     private final ActionOutbox outbox;
 
-    /** Queries with events since the last decision, the latest first: suspects if that fails. */
+    /**
+     * Queries with events since the last decision, the latest first. If that decision fails, they
+     * are aborted in this order.
+     */
     private final Deque<InFlightQuery> recentQueries = new ArrayDeque<>();
 
     DecisionLoop(
@@ -54,7 +56,12 @@
         this.outbox = outbox;
     }
 
-    /** Records an event, of this query or of none, and decides if the pacer allows it. */
+    /**
+     * Passes an event to the policy and lets it decide if the pacer allows it; otherwise schedules
+     * a timer for the next decision.
+     *
+     * @param query the query that the event concerns, or null
+     */
     void processEvent(InFlightQuery query, Duration now, Runnable eventHandler) {
         runGuarded(query, eventHandler);
         if (query != null) {
@@ -63,21 +70,22 @@
         if (pacer.mayDecide(now)) {
             decide(now);
         } else if (pacer.claimWakeUp()) {
-            // The timer's own turn decides.
+            // The task is empty: running any timer is an event of its own, after which the policy
+            // decides.
             timers.schedule(pacer.nextDecisionAt(), () -> {});
         }
     }
 
     /**
-     * Has the policy decide on all events since the last decision, and again once the attempts that
-     * it cancelled have ended.
+     * Lets the policy decide on all events since the last decision, and again as long as decisions
+     * cancel attempts, whose end is an event too.
      */
     private void decide(Duration now) {
         pacer.beginDecision();
         List<Attempt> cancelled;
         do {
             while (!runGuarded(recentQueries.poll(), () -> policy.onBatchEnd(now))) {
-                // Again, without the query that was aborted.
+                // Retries without the query that was aborted.
             }
             outbox.flush();
             cancelled = attempts.removeCancelled();
@@ -92,10 +100,11 @@
     }
 
     /**
-     * Runs a step of the policy. If that fails, the query that it is about is aborted, else the
-     * oldest: a failure that repeats costs the queries in flight one by one, but never the router.
+     * Runs a step of the policy. If it fails, the query that it concerns is aborted or, if that is
+     * unknown or has ended, the oldest one. A failure that repeats aborts the queries in flight one
+     * by one but never stops the router.
      *
-     * @return whether the step need not be repeated
+     * @return false if a query was aborted, in which case the caller may repeat the step
      */
     boolean runGuarded(InFlightQuery query, Runnable step) {
         try {
@@ -112,13 +121,21 @@
         try {
             policy.onClientDisconnected(clock.now(), abortedQuery.query());
         } catch (RuntimeException e) {
-            LOG.log(System.Logger.Level.ERROR, "a query could not be ended", e);
+            LOG.log(
+                    System.Logger.Level.ERROR,
+                    "query "
+                            + abortedQuery.request().id()
+                            + ": the policy failed again while it ended the query",
+                    e);
         }
         queries.finish(abortedQuery, new QueryAction.Abort());
         return false;
     }
 
-    /** Keeps what a data node gave and ends the attempt; one that had ended is ignored. */
+    /**
+     * Records the value of a successful attempt and ends the attempt; ignores one that had already
+     * ended.
+     */
     void endAttempt(Duration now, AttemptResult result) {
         Attempt attempt = result.attempt().policyAttempt;
         InFlightQuery query = queries.get(attempt.shardRequest.query);
@@ -128,7 +145,7 @@
         runGuarded(query, () -> endAttempt(now, attempt, result.outcome()));
     }
 
-    /** Ends an attempt; one that had ended is ignored. */
+    /** Ends an attempt; ignores one that had already ended. */
     void endAttempt(Duration now, Attempt attempt, AttemptOutcome outcome) {
         if (attempts.end(attempt)) {
             policy.onAttemptEnded(
--- a/src/main/java/postbeam/router/DecisionPacer.java
+++ b/src/main/java/postbeam/router/DecisionPacer.java
@@ -3,18 +3,19 @@
 import java.time.Duration;
 
 /**
- * When the policy decides next. Under load, deciding on each event by itself would take the whole
- * core, so that decisions come late and queries pile up: events that arrive within a few times the
- * time that the last decision took are decided on together. Guarded by the lock of {@link
- * PolicyExecutor}.
+ * Limits how often the policy decides. Under load, a decision after each event would use the whole
+ * core: decisions would be late and queries would pile up. So the policy pauses after a decision
+ * for a multiple of the time that the decision took, and then decides on all events of the pause
+ * together. Guarded by the lock of {@link PolicyExecutor}.
  */
 final class DecisionPacer {
     /**
-     * Pause after a decision as a multiple of its duration: at most a quarter of a core is used.
+     * Length of the pause as a multiple of the decision's duration: at most a quarter of a core is
+     * used for decisions.
      */
     private static final int PAUSE_FACTOR = 3;
 
-    /** Two ticks of the simulator: a longer pause would delay queries. */
+    /** Two ticks of the simulator; a longer pause would delay queries. */
     private static final Duration MAX_PAUSE = Duration.ofMillis(10);
 
     private final MonotonicClock clock;
@@ -29,7 +30,10 @@
         this.discoveryFreshness = discoveryFreshness;
     }
 
-    /** Whether the policy may decide now. */
+    /**
+     * Returns whether the policy may decide now. Postpones the next decision if discovery has to be
+     * polled first.
+     */
     boolean mayDecide(Duration now) {
         if (isDue(now) && discoveryFreshness.mustWait(now)) {
             nextDecisionAt = now.plus(MAX_PAUSE);
@@ -41,7 +45,7 @@
         return now.compareTo(nextDecisionAt) >= 0;
     }
 
-    /** True the first time that it is called between two decisions. */
+    /** Returns true for the first call between two decisions: that caller schedules the wake-up. */
     boolean claimWakeUp() {
         boolean first = !wakeUpScheduled;
         wakeUpScheduled = true;
@@ -66,7 +70,7 @@
         nextDecisionAt = clock.now().plusNanos(pause);
     }
 
-    /** Decisions so far. */
+    /** Number of decisions so far. */
     long decisionCount() {
         return decisionCount;
     }
--- a/src/main/java/postbeam/router/DiscoveryFreshness.java
+++ b/src/main/java/postbeam/router/DiscoveryFreshness.java
@@ -3,29 +3,39 @@
 import java.time.Duration;
 
 /**
- * Whether the endpoint list is recent enough to decide by. It is not after the whole process stood
- * still (stopped, or its machine paused): changes that it missed count as known to it for long.
- * Queries then wait until discovery is polled again, {@link #MAX_WAIT} at most.
+ * Tracks whether the endpoint list is recent enough to decide by. It is not after the whole process
+ * was suspended (stopped, or its machine paused): by the protocol, changes that the router missed
+ * meanwhile count as known to it. Queries then wait for the next poll of discovery, but no longer
+ * than {@link #MAX_WAIT}.
  */
 final class DiscoveryFreshness {
-    /** Longer than a poll and the pause after it can take while the process runs. */
+    /** Longer than a poll and the pause after it can take while the process is running. */
     private static final Duration STALE_AFTER = Duration.ofSeconds(5);
 
-    /** Long enough for a poll that is answered and the pause before it. */
+    /** Long enough for the pause before a poll and the poll itself. */
     private static final Duration MAX_WAIT = Duration.ofSeconds(1);
 
-    /** The last poll's end by {@link System#nanoTime}; null where discovery is not polled. */
+    /** When the last poll ended, by {@link System#nanoTime}; null if discovery is not polled. */
     private volatile Long lastPollNanos;
 
-    /** Since when queries wait; null while they don't. Guarded by the executor's lock. */
+    /**
+     * Since when queries have been waiting; null if they are not. Guarded by the lock of {@link
+     * PolicyExecutor}.
+     */
     private Duration waitingSince;
 
-    /** Discovery was polled, with or without an answer. May be called on any thread. */
+    /**
+     * Records that a poll of discovery ended, with or without a response. Safe to call on any
+     * thread.
+     */
     void onPollEnd() {
         lastPollNanos = System.nanoTime();
     }
 
-    /** Whether decisions wait for discovery; only under the lock of {@link PolicyExecutor}. */
+    /**
+     * Returns whether decisions must wait for a poll. The caller holds the lock of {@link
+     * PolicyExecutor}.
+     */
     boolean mustWait(Duration now) {
         Long pollNanos = lastPollNanos;
         if (pollNanos == null || System.nanoTime() - pollNanos < STALE_AFTER.toNanos()) {
--- a/src/main/java/postbeam/router/GracefulShutdown.java
+++ b/src/main/java/postbeam/router/GracefulShutdown.java
@@ -7,9 +7,9 @@
 import postbeam.clients.QueryServer;
 
 /**
- * Drains the connections of clients: serves on for as long as {@link ShutdownDeadlines} allows, so
- * that clients with connections are served while a successor starts, then answers all accepted
- * queries and closes. Holds no lock.
+ * Drains the client connections. First it continues to serve for as long as {@link
+ * ShutdownDeadlines} allows, so that connected clients are served while a successor starts; then it
+ * answers all accepted queries and closes. Takes no lock.
  */
 final class GracefulShutdown {
     private static final long POLL_INTERVAL_MILLIS = 10;
@@ -25,7 +25,9 @@
         this.deadlines = deadlines;
     }
 
-    /** Serves until the deadline, or until no client is connected and none can be on its way. */
+    /**
+     * Serves until the deadline, or until no client is connected and none can still be connecting.
+     */
     void keepServing() throws InterruptedException {
         queryServer.beginDraining(deadlines.finalAnswersBy());
         Thread.sleep(ShutdownDeadlines.LATE_CONNECT_WINDOW.toMillis());
@@ -35,15 +37,15 @@
         }
     }
 
-    /** Stops accepting queries and answers those that were accepted. */
+    /** Stops accepting queries and waits until the accepted ones are answered. */
     void finishAcceptedQueries() throws InterruptedException {
         queryServer.close();
-        // Looked at on the thread that reads requests: none can begin after the last look.
+        // Evaluated on the thread that reads requests: no request can begin after the last check.
         while (!onIoThread(queryServer::isDrained)) {
             Thread.sleep(POLL_INTERVAL_MILLIS);
         }
-        // The process' end closes what is left: over unread bytes that is a reset, which would take
-        // the last answer along.
+        // Connections that are still open are closed when the process ends. If they hold unread
+        // bytes, the close becomes a reset, which could discard the last answer.
         while (elapsedNanos() < deadlines.readsDrainedBy().toNanos()
                 && !onIoThread(queryServer::hasNoConnections)) {
             Thread.sleep(POLL_INTERVAL_MILLIS);
@@ -60,7 +62,8 @@
         try {
             return result.get();
         } catch (ExecutionException e) {
-            throw new IllegalStateException("looking at the clients' connections failed", e);
+            throw new IllegalStateException(
+                    "reading the state of the client connections failed", e);
         }
     }
 }
--- a/src/main/java/postbeam/router/InFlightQuery.java
+++ b/src/main/java/postbeam/router/InFlightQuery.java
@@ -16,8 +16,8 @@
 import postbeam.model.ShardRequest;
 
 /**
- * A query that is being served: the actions that wait for its thread, and the values that data
- * nodes gave. Guarded by the lock of {@link PolicyExecutor}, but for the check of its client.
+ * A query in flight: the actions that wait for its thread and the values that data nodes returned.
+ * Guarded by the lock of {@link PolicyExecutor}, except for the client check.
  */
 public final class InFlightQuery implements ClientPresence {
     private final ClientRequest request;
@@ -30,10 +30,16 @@
     private final List<InFlightQuery> followUps = new ArrayList<>(0);
     private boolean clientGone;
 
-    /** Reports a client that has disconnected; run on the I/O thread of its connection. */
+    /** Reports the client if it has disconnected; run on the I/O thread of its connection. */
     private volatile Runnable clientCheck = () -> {};
 
-    /** Creates a query without attempts; the page side is null where no page is requested. */
+    /**
+     * Creates a query without attempts.
+     *
+     * @param actionAvailable a condition of the lock of {@link PolicyExecutor}, signalled for each
+     *     new action
+     * @param pagedQuery null if no page is requested
+     */
     InFlightQuery(
             ClientRequest request, Query query, Condition actionAvailable, PagedQuery pagedQuery) {
         this.request = request;
@@ -46,7 +52,7 @@
         return request;
     }
 
-    /** The policy's view of it. */
+    /** The policy's object for this query. */
     Query query() {
         return query;
     }
@@ -55,7 +61,7 @@
         return pagedQuery != null;
     }
 
-    /** Null where no page is requested. */
+    /** Null if no page is requested. */
     PagedQuery pagedQuery() {
         return pagedQuery;
     }
@@ -67,12 +73,15 @@
         actionAvailable.signal();
     }
 
-    /** The next action; null where there is none yet. */
+    /** Removes and returns the next action; null if there is none yet. */
     QueryAction pollAction() {
         return actions.poll();
     }
 
-    /** The next action; waits for it and gives up the lock meanwhile. */
+    /**
+     * Removes and returns the next action. Waits until there is one and releases the lock
+     * meanwhile.
+     */
     QueryAction awaitAction() throws InterruptedException {
         while (actions.isEmpty()) {
             actionAvailable.await();
@@ -90,7 +99,9 @@
         attempts.forEach(DispatchedAttempt::abandon);
     }
 
-    /** Keeps what a node gave for a shard request; the first success counts. */
+    /**
+     * Records the value that a node returned for a shard request. Only the first success counts.
+     */
     void recordSuccess(AttemptResult result) {
         if (pagedQuery == null) {
             values.putIfAbsent(result.attempt().policyAttempt.shardRequest, result.value());
@@ -99,12 +110,15 @@
         }
     }
 
-    /** What a node gave; null where none did, or where it gave rows of a page. */
+    /**
+     * The value of a shard request; null if no node returned one, or if rows of a page were
+     * returned.
+     */
     byte[] value(ShardRequest shardRequest) {
         return values.get(shardRequest);
     }
 
-    // ---- follow-up queries of its page, in order
+    // ---- follow-up queries of the page, in order
 
     void addFollowUp(InFlightQuery followUp) {
         followUps.add(followUp);
@@ -125,7 +139,10 @@
         return clientGone;
     }
 
-    /** Sets what reports a disconnected client; it is run on the I/O thread of the connection. */
+    /**
+     * Sets the check that reports a disconnected client; it is run on the I/O thread of the
+     * connection.
+     */
     public void setClientCheck(Runnable check) {
         clientCheck = check;
     }
--- a/src/main/java/postbeam/router/JitWarmUp.java
+++ b/src/main/java/postbeam/router/JitWarmUp.java
@@ -22,24 +22,25 @@
 import postbeam.slices.UnroutableQueryException;
 
 /**
- * Serves queries of no client before the first client comes, so that the virtual machine has loaded
- * and compiled what queries pass through: first against the policy alone, then through a client
- * server that reads them from a pipe. On part of a core the first seconds' queries would pile up
- * otherwise. Nothing reaches a socket, and the executor's state is thrown away.
+ * Serves synthetic queries before the first client connects, so that the JVM has loaded and
+ * compiled the code that serves queries. Without this, the queries of the first seconds would pile
+ * up on a router that has only part of a core. First the queries run against the policy alone, then
+ * through a client server that reads them from a pipe. Nothing is written to a socket, and the
+ * executor is discarded afterwards.
  */
 final class JitWarmUp implements QueryServer.QueryHandler {
-    /** A restarted router is away for as long. */
+    /** Maximum duration; it adds to the time for which a restarted router is unavailable. */
     private static final Duration MAX_DURATION = Duration.ofMillis(1500);
 
-    /** Queries after which all that queries pass through is compiled. */
+    /** After this many queries all code on the path of a query is compiled. */
     private static final int QUERIES = 600;
 
-    /** Queries at once, so that they compete for slots. */
+    /** Number of queries in flight, high enough that they compete for slots. */
     private static final int MAX_IN_FLIGHT = 24;
 
     private static final int MAX_SHARDS_PER_QUERY = 8;
 
-    /** Every so many attempts fail, so that the ways of failures are compiled too. */
+    /** One in this many attempts fails, so that the code that handles failures is compiled too. */
     private static final int RESET_EVERY = 41;
 
     private static final int OVERLOADED_EVERY = 37;
@@ -47,7 +48,7 @@
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
     private static final byte[] PAYLOAD = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
 
-    /** A query for two shards in the clients' form. */
+    /** The body of a client's request for two shards. */
     private static final String BODY =
             "{\"ranges\":[{\"range\":0,\"portion\":0.5},{\"range\":1,\"portion\":0.5}],"
                     + "\"predicate\":\"c41e77d0\"}";
@@ -62,8 +63,8 @@
     /**
      * Creates a warm-up with one data node in each cell.
      *
-     * @param executor used by nothing else; slices don't move in it
-     * @param tenant null where the settings have none
+     * @param executor used by nothing else, with shards that have fixed replicas
+     * @param tenant null if the settings define none
      */
     JitWarmUp(
             PolicyExecutor executor,
@@ -85,7 +86,9 @@
         executor.onEndpointUpdate(new EndpointUpdate(1, true, nodes, addresses));
     }
 
-    /** Serves queries against the policy alone; returns how many were answered. */
+    /**
+     * Serves queries against the policy alone; returns how many were answered or ended otherwise.
+     */
     int run() {
         long deadlineNanos = System.nanoTime() + MAX_DURATION.toNanos();
         int answered = 0;
@@ -112,7 +115,7 @@
         return new ClientRequest("r" + number, queryClass, tenant, TIMEOUT, requested, PAYLOAD);
     }
 
-    /** Advances the query that waited longest; returns 1 if that has ended it. */
+    /** Advances the query that has waited longest; returns 1 if it has ended, otherwise 0. */
     private int advanceOldest() {
         InFlightQuery query = inFlight.remove();
         if (advance(query) != null) {
@@ -122,9 +125,7 @@
         return 0;
     }
 
-    /**
-     * Carries out the query's actions; returns the final one, or null where it is still to come.
-     */
+    /** Carries out the query's actions; returns the final one, or null if it is not decided yet. */
     private QueryAction advance(InFlightQuery query) {
         executor.runDueTimers();
         QueryAction action = executor.pollAction(query);
@@ -155,13 +156,14 @@
         try {
             return executor.accept(request, age);
         } catch (UnroutableQueryException e) {
-            throw new IllegalStateException("no slices move in a warm-up", e);
+            throw new IllegalStateException(
+                    "a warm-up query was rejected although its shards are fixed", e);
         }
     }
 
-    // ---- behind a client server that reads requests from a pipe
+    // ---- through a client server that reads requests from a pipe
 
-    /** A request with this id as a client writes it. */
+    /** Encodes an HTTP request with this query id as a client sends it. */
     byte[] encodeHttpRequest(String id) {
         return ("POST /"
                         + queryClasses.get(0)
--- a/src/main/java/postbeam/router/LayoutLineage.java
+++ b/src/main/java/postbeam/router/LayoutLineage.java
@@ -5,7 +5,7 @@
 import postbeam.slices.KeyRange;
 import postbeam.slices.Layout;
 
-/** A layout as the version history that cursors are checked against. */
+/** The version history of a layout, against which cursors are checked. */
 public record LayoutLineage(Layout layout) implements LayoutHistory {
     @Override
     public long currentVersion() {
--- a/src/main/java/postbeam/router/MonotonicClock.java
+++ b/src/main/java/postbeam/router/MonotonicClock.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 
 /**
- * The policy's time: the span since this clock was created, by {@link System#nanoTime}. The system
- * time is read once, to translate time stamps that others state.
+ * The policy's time: the time since this clock was created, by {@link System#nanoTime}. The system
+ * time is read once, to convert time stamps that other processes state.
  */
 final class MonotonicClock {
     private static final int NANOS_PER_MICRO = 1000;
@@ -17,22 +17,22 @@
         return fromNanoTime(System.nanoTime());
     }
 
-    /** The policy's time at a value of {@link System#nanoTime}. */
+    /** Converts a value of {@link System#nanoTime} to the policy's time. */
     Duration fromNanoTime(long nanoTime) {
         return Duration.ofNanos(nanoTime - startNanos);
     }
 
-    /** The value of {@link System#nanoTime} at a time of the policy. */
+    /** Converts the policy's time to a value of {@link System#nanoTime}. */
     long toNanoTime(Duration time) {
         return startNanos + time.toNanos();
     }
 
-    /** The policy's time at a number of microseconds since 1970. */
+    /** Converts microseconds since 1970 to the policy's time. */
     Duration fromUnixMicros(long unixMicros) {
         return Duration.ofNanos((unixMicros - startUnixMicros) * NANOS_PER_MICRO);
     }
 
-    /** The policy's time at a span since 1970. */
+    /** Converts a duration since 1970 to the policy's time. */
     Duration fromUnixTime(Duration sinceEpoch) {
         return sinceEpoch.minus(Duration.ofNanos(startUnixMicros * NANOS_PER_MICRO));
     }
--- a/src/main/java/postbeam/router/NodeDirectory.java
+++ b/src/main/java/postbeam/router/NodeDirectory.java
@@ -9,21 +9,21 @@
 import postbeam.policy.RoutingPolicy;
 
 /**
- * The listed data nodes, their addresses and the health checks that are not answered yet. Guarded
- * by the lock of {@link PolicyExecutor}.
+ * The listed data nodes, their addresses and the health checks that are still pending. Guarded by
+ * the lock of {@link PolicyExecutor}.
  */
 final class NodeDirectory {
     private final EndpointRegistry endpoints;
     private final IdentityHashMap<DataNode, String> addresses = new IdentityHashMap<>();
 
-    /** By node, the token of its latest health check. */
+    /** Maps a node to the token of its pending health check. */
     private final IdentityHashMap<DataNode, Object> healthChecks = new IdentityHashMap<>();
 
     NodeDirectory(String zone) {
         this.endpoints = new EndpointRegistry(zone);
     }
 
-    /** Takes over the listed nodes and their addresses. */
+    /** Applies an endpoint update: nodes and their addresses. */
     void update(Duration now, EndpointUpdate update, MonotonicClock clock, RoutingPolicy policy) {
         endpoints.update(now, update.endpoints(), update.complete(), clock::fromUnixMicros, policy);
         update.addresses().forEach(this::putAddress);
@@ -37,44 +37,50 @@
         }
     }
 
-    /** The node's host and port. */
+    /** The node's host and port; null if it is no longer known. */
     String address(DataNode node) {
         return addresses.get(node);
     }
 
-    /** Null for a node that is no longer known. */
+    /** The node's name; null if it is no longer known. */
     String name(DataNode node) {
         return endpoints.nameOf(node);
     }
 
-    /** Begins a health check and returns its token; an earlier one of the node no longer counts. */
+    /**
+     * Begins a health check and returns its token; replaces an earlier pending check of the node.
+     */
     Object beginHealthCheck(DataNode node) {
         Object token = new Object();
         healthChecks.put(node, token);
         return token;
     }
 
-    /** The node whose health check this answers; null where none is awaited. */
+    /**
+     * Ends the pending health check of the node with this name and returns the node; null if none
+     * is pending.
+     */
     DataNode endHealthCheck(String name) {
         DataNode node = endpoints.node(name);
         return node != null && healthChecks.remove(node) != null ? node : null;
     }
 
-    /** Whether the health check with this token was still awaited, which ends with this. */
+    /** Ends the health check with this token; returns false if it was not pending any more. */
     boolean expireHealthCheck(DataNode node, Object token) {
         return healthChecks.remove(node, token);
     }
 
-    /** Attempts in flight by the policy's count. */
+    /** Attempts in flight as the policy counts them for each node. */
     int attemptsInFlight() {
         return endpoints.nodes().stream().mapToInt(node -> node.attemptsInFlight.size()).sum();
     }
 
+    /** Number of nodes on the endpoint list. */
     long listedCount() {
         return endpoints.nodes().stream().filter(NodeDirectory::isListed).count();
     }
 
-    /** Listed nodes that the policy sends nothing to. */
+    /** Number of listed nodes that the policy has ejected, that is, sends nothing to. */
     long ejectedCount(RoutingPolicy policy) {
         return endpoints.nodes().stream()
                 .filter(node -> isListed(node) && policy.isEjected(node))
--- a/src/main/java/postbeam/router/PagedAttempt.java
+++ b/src/main/java/postbeam/router/PagedAttempt.java
@@ -8,11 +8,11 @@
 import postbeam.pages.PartialPage;
 import postbeam.slices.KeyRangeRequest;
 
-/** An attempt whose answer is rows of a page. */
+/** An attempt that a data node answers with rows of a page. */
 final class PagedAttempt extends DispatchedAttempt {
     private final PagedQuery pagedQuery;
 
-    /** Null until rows are read, and where they are malformed. */
+    /** Null until rows are decoded, and if they are malformed. */
     private PartialPage rows;
 
     PagedAttempt(
@@ -26,7 +26,10 @@
         this.pagedQuery = pagedQuery;
     }
 
-    /** Reads the rows of an attempt that succeeded; malformed ones make it an error of the node. */
+    /**
+     * Decodes the rows of a successful attempt; if they are malformed, the outcome becomes an error
+     * of the node.
+     */
     static AttemptResult readRows(AttemptResult result) {
         if (!(result.attempt() instanceof PagedAttempt attempt)
                 || result.outcome() != AttemptOutcome.SUCCESS) {
@@ -39,7 +42,7 @@
                 attempt, attempt.rows == null ? AttemptOutcome.ERROR : AttemptOutcome.SUCCESS);
     }
 
-    /** The rows that {@link #readRows} read. */
+    /** The rows that {@link #readRows} decoded. */
     PartialPage rows() {
         return rows;
     }
--- a/src/main/java/postbeam/router/PagedQuery.java
+++ b/src/main/java/postbeam/router/PagedQuery.java
@@ -26,11 +26,11 @@
 import postbeam.slices.LayoutCompleteness;
 
 /**
- * The page side of a query: what its attempts fetch, and the rows that came. A follow-up query has
- * one of its own over the same assembler.
+ * The paging state of a query: the fetches that its attempts carry and the rows that were returned.
+ * A follow-up query has its own instance, which shares the assembler.
  *
- * <p>Rows are recorded under the lock of {@link PolicyExecutor}; the query's thread reads them once
- * the query has ended.
+ * <p>Rows are recorded under the lock of {@link PolicyExecutor}; the query's thread reads them
+ * after the query has ended.
  */
 final class PagedQuery {
     private static final System.Logger LOG = System.getLogger(PagedQuery.class.getName());
@@ -41,7 +41,7 @@
     private final long layoutVersion;
     private final List<LayoutCompleteness.RequestedSlice> requestedSlices;
 
-    /** The query's payload and, in its last bytes, the fetches. */
+    /** The query's payload, followed by the encoded fetches. */
     private final byte[] payload;
 
     private final int fetchBytes;
@@ -49,10 +49,11 @@
     private final List<PartialPage> includedPages = new ArrayList<>();
 
     /**
-     * Creates the page side of a query.
+     * Creates the paging state of a query.
      *
-     * @param currentLayoutVersion the layout in force
-     * @param layoutVersion the layout by which the slices are named: the client's or that in force
+     * @param currentLayoutVersion version of the layout in force
+     * @param layoutVersion version of the layout by which the slices are named: the one that the
+     *     client states or else the one in force
      */
     PagedQuery(
             PageAssembler assembler,
@@ -72,7 +73,7 @@
         System.arraycopy(fetchRequest, 0, payload, queryPayload.length, fetchBytes);
     }
 
-    /** The same page's for a follow-up query. */
+    /** Creates the paging state of a follow-up query for the same page. */
     PagedQuery followUp(
             List<RowFetch> followUpFetches,
             Layout layout,
@@ -90,12 +91,12 @@
         return requestedSlices;
     }
 
-    /** What its attempts carry. */
+    /** The payload of each attempt. */
     byte[] payload() {
         return payload;
     }
 
-    /** An attempt whose answer is rows of this page. */
+    /** Creates an attempt that is answered with rows of this page. */
     DispatchedAttempt createAttempt(
             InFlightQuery query,
             Attempt attempt,
@@ -106,7 +107,10 @@
                 query, attempt, id, headerFields + ",p=" + fetchBytes, deadlineNanos, this);
     }
 
-    /** The rows that a node gave for these keys; empty and logged where they are malformed. */
+    /**
+     * Decodes the rows that a node returned for these keys; returns empty and logs a warning if
+     * they are malformed.
+     */
     Optional<PartialPage> readRows(String attemptId, KeyRange keys, byte[] value) {
         String problem;
         try {
@@ -125,32 +129,37 @@
         return Optional.empty();
     }
 
-    /** The message may quote a node's bytes: a lone surrogate must not reach the log. */
+    /**
+     * Returns the first line of the message. The message may quote bytes of a node: encoding it
+     * replaces lone surrogates, which must not reach the log.
+     */
     private static String firstEncodableLine(IOException e) {
         byte[] encoded = e.getMessage().getBytes(StandardCharsets.UTF_8);
         return new String(encoded, StandardCharsets.UTF_8).lines().findFirst().orElse("");
     }
 
-    /** Keeps the rows for a shard request; the first success counts. */
+    /** Records the rows of a shard request. Only the first success counts. */
     void recordRows(AttemptResult result) {
         PagedAttempt attempt = (PagedAttempt) result.attempt();
         partialPages.putIfAbsent(attempt.policyAttempt.shardRequest, attempt.rows());
     }
 
-    /** The rows for this request count in the answer. */
+    /** Marks the rows of this request as part of the answer. */
     void includeRows(ShardRequest request) {
         includedPages.add(partialPages.get(request));
     }
 
     /**
-     * Adds the rows of a query that has ended, this or a follow-up; returns what the page lacks.
+     * Adds the rows of a query that has ended, this one or a follow-up, to the page.
+     *
+     * @return the fetches that the page still needs
      */
     List<RowFetch> addRowsOf(PagedQuery ended) {
         ended.includedPages.forEach(assembler::add);
         return assembler.followUpFetches();
     }
 
-    /** The page of all rows that were added, and the cursor for the next where there is one. */
+    /** Completes the page from all rows that were added, with a cursor if more rows follow. */
     PageResult finish(CursorCodec cursorCodec, long queryDigest) throws OperatorErrorException {
         Page page = assembler.finish();
         String cursor =
--- a/src/main/java/postbeam/router/PagingService.java
+++ b/src/main/java/postbeam/router/PagingService.java
@@ -32,14 +32,14 @@
 import postbeam.slices.UnroutableQueryException;
 
 /**
- * Serves pages: decodes cursors before anything is sent, fetches what a page lacks by follow-up
- * queries, and completes the page. May be used by several threads.
+ * Serves pages: decodes cursors before anything is sent, fetches missing rows by follow-up queries
+ * and completes the page. Thread-safe.
  */
 public final class PagingService {
-    /** A page that is short after these rounds is given short. */
+    /** If rows are still missing after this many rounds, the page is returned short. */
     private static final int MAX_FOLLOW_UP_ROUNDS = 2;
 
-    /** A few round trips and a node's usual work. */
+    /** Enough for a few round trips and the usual processing time of a node. */
     private static final Duration MIN_ROUND_TIME = Duration.ofMillis(200);
 
     private final CursorCodec cursorCodec;
@@ -50,10 +50,10 @@
     /**
      * Creates the service.
      *
-     * @param key signs cursors, in hexadecimal digits
-     * @param previousKey whose cursors are still accepted, or null
-     * @param maxRows that a page may be requested with
-     * @throws OperatorErrorException if a key can't be used
+     * @param key signs cursors; in hexadecimal digits
+     * @param previousKey cursors signed with this key are still accepted; null for none
+     * @param maxRows maximum page size that a client may request
+     * @throws OperatorErrorException if a key is invalid
      */
     public PagingService(String key, String previousKey, int maxRows)
             throws OperatorErrorException {
@@ -66,8 +66,8 @@
     }
 
     /**
-     * The settings with the policy's retry budget reduced by what follow-up queries take of it; to
-     * be called once, before any query.
+     * Returns the settings with the policy's retry budget reduced by the part that follow-up
+     * queries may use. Must be called once, before any query.
      */
     InstanceSettings withReducedRetryBudget(InstanceSettings settings) {
         double spareAttempts = orZero(settings.number("obligations.spareAttempts"));
@@ -85,8 +85,9 @@
     }
 
     /**
-     * When a follow-up query ends: within the latency objective and after about as long as the page
-     * took so far, so that a page does not wait for the retry budget where it could be given short.
+     * The deadline of a follow-up query: within the latency objective, and after about as long as
+     * the page has taken so far, so that a page which could be returned short does not wait for the
+     * retry budget.
      */
     Duration followUpDeadline(Duration now, Query first) {
         Duration elapsed = now.minus(first.arrivedAt);
@@ -98,15 +99,19 @@
         return first.compareTo(second) < 0 ? first : second;
     }
 
-    /** Takes so many shard requests from the follow-up budget; false where it lacks them. */
+    /**
+     * Takes this many shard requests from the budget for follow-up queries; returns false if not
+     * enough is left.
+     */
     boolean tryAcquireFollowUpBudget(Duration now, int shardRequests) {
         return followUpBudget.tryAcquire(now, shardRequests);
     }
 
     /**
-     * Works out what to fetch for a page.
+     * Determines what to fetch for a page.
      *
-     * @param slices as the client named them; with a cursor the cursor's ranges count instead
+     * @param slices as the client named them; ignored if the request has a cursor, which states the
+     *     ranges
      * @throws UnroutableQueryException if the page can't be served; nothing has been sent then
      */
     PagedQuery startPage(
@@ -196,7 +201,7 @@
                 request.pageRequest().order());
     }
 
-    /** The ranges cut by the slices in force, with weights that add up to 1. */
+    /** Splits the ranges along the slices in force, with weights that add up to 1. */
     private static List<LayoutCompleteness.RequestedSlice> requestedSlices(
             Layout layout, List<RangeProgress> ranges) {
         double totalWeight = ranges.stream().mapToDouble(RangeProgress::weight).sum();
@@ -214,7 +219,9 @@
         return requested;
     }
 
-    /** The ranges of follow-up fetches, weighted by the rows that they fetch. */
+    /**
+     * Returns the ranges of follow-up fetches, weighted by the number of rows that they request.
+     */
     static List<LayoutCompleteness.RequestedSlice> followUpRanges(
             Layout layout, List<RowFetch> fetches) {
         return requestedSlices(
@@ -224,13 +231,13 @@
                         .toList());
     }
 
-    /** Serves a follow-up query. */
+    /** Runs a follow-up query. */
     interface FollowUpFetcher {
-        /** The query, served to its end; empty where none is allowed. */
+        /** Runs the query to its end; returns empty if a follow-up is not allowed. */
         Optional<PagedQuery> fetch(List<RowFetch> fetches) throws InterruptedException;
     }
 
-    /** Completes the page of a query that was answered, by follow-up queries where rows lack. */
+    /** Completes the page of an answered query, with follow-up queries if rows are missing. */
     QueryAction completePage(
             InFlightQuery query, QueryAction.Answer answer, FollowUpFetcher followUp)
             throws InterruptedException {
--- a/src/main/java/postbeam/router/PolicyActionHandler.java
+++ b/src/main/java/postbeam/router/PolicyActionHandler.java
@@ -17,19 +17,19 @@
 import postbeam.slices.SliceTranslator;
 
 /**
- * Turns what the policy decides into actions for the threads that speak to clients and data nodes.
- * Called by the policy, under the lock of {@link PolicyExecutor}; nothing of it does I/O.
+ * Converts the policy's decisions into actions for the threads that communicate with clients and
+ * data nodes. Called by the policy under the lock of {@link PolicyExecutor}; does no I/O.
  */
 final class PolicyActionHandler implements PolicyActions {
     private static final System.Logger LOG = System.getLogger(PolicyActionHandler.class.getName());
 
-    /** What happens when time that the policy set is over; called by a timer. */
+    /** Called when a timer that the policy requested expires. */
     interface Expirations {
         void onAttemptTimeout(Attempt attempt);
 
         void onWakeUp();
 
-        /** A health check had no answer. */
+        /** The health check of this node was not answered in time. */
         void onHealthCheckTimeout(DataNode node);
     }
 
@@ -40,7 +40,7 @@
     private final NodeDirectory nodes;
     private final ActionOutbox outbox;
 
-    /** Null where shards have fixed replicas. */
+    /** Null if shards have fixed replicas. */
     private final SliceTranslator slicing;
 
     private final Duration healthCheckTimeout;
@@ -82,7 +82,7 @@
                 dispatched, timers.schedule(deadline, () -> expirations.onAttemptTimeout(attempt)));
     }
 
-    /** The query's, or the attempt's own where that is earlier. */
+    /** The deadline of the query, or of the attempt if that is earlier. */
     private static Duration deadline(Attempt attempt) {
         Duration queryDeadline = attempt.shardRequest.query.deadline;
         if (attempt.timeout == null) {
@@ -139,7 +139,9 @@
         return new QueryAction.Answer(complete, values, 0);
     }
 
-    /** Values that overlap, as after slices moved, are left out but for one layout's. */
+    /**
+     * Values whose keys overlap, as after slices moved, are included for one layout version only.
+     */
     private QueryAction answerBySlices(InFlightQuery inFlight, boolean complete) {
         LayoutCompleteness completeness = slicing.completenessOf(inFlight.query());
         LayoutCompleteness.CompleteParts completeParts =
--- a/src/main/java/postbeam/router/PolicyExecutor.java
+++ b/src/main/java/postbeam/router/PolicyExecutor.java
@@ -26,10 +26,11 @@
 import postbeam.slices.UnroutableQueryException;
 
 /**
- * Runs the routing policy for threads that speak to clients, data nodes and discovery. Each event
- * is recorded in a turn; the policy decides at a turn's end, unless the last decision is too recent
- * ({@link DecisionPacer}). Decisions come back as actions: {@link #awaitAction} gives those of a
- * query to its thread, {@link #awaitBackgroundActions} all others.
+ * Runs the routing policy for the threads that communicate with clients, data nodes, discovery and
+ * the layout service. Each event is passed to the policy, which decides right after it unless the
+ * last decision is too recent ({@link DecisionPacer}). The decisions are returned as actions:
+ * {@link #awaitAction} returns those of a query to its thread, {@link #awaitBackgroundActions} all
+ * others.
  *
  * <p>This class owns the one lock that guards the policy, the slices and all tables of this
  * package; no thread waits for a peer while it holds the lock.
@@ -39,7 +40,7 @@
 
     private final ReentrantLock lock = new ReentrantLock();
 
-    /** Signalled when there is something to do for the background thread, or a timer is added. */
+    /** Signalled when an action for the background thread or a timer is added. */
     private final Condition backgroundWork = lock.newCondition();
 
     private final MonotonicClock clock = new MonotonicClock();
@@ -54,12 +55,12 @@
     private final RoutingPolicy policy;
     private final DecisionLoop decisionLoop;
 
-    /** Null where shards have fixed replicas. */
+    /** Null if shards have fixed replicas. */
     private final SliceTranslator slicing;
 
     private final boolean servesPages;
 
-    /** An executor without pages. */
+    /** Creates an executor that serves no pages and knows no data nodes yet. */
     public PolicyExecutor(
             InstanceSettings settings,
             long seed,
@@ -72,9 +73,9 @@
     /**
      * Creates an executor that knows no data nodes yet.
      *
-     * @param maxBatchSize attempts that may travel to a node together
-     * @param slicing null where shards have fixed replicas
-     * @param paging null where no pages are served; it needs slicing
+     * @param maxBatchSize maximum number of attempts that are sent to a node together
+     * @param slicing null if shards have fixed replicas
+     * @param paging null if pages are disabled; requires {@code slicing}
      */
     public PolicyExecutor(
             InstanceSettings settings,
@@ -120,17 +121,18 @@
                 new DecisionLoop(policy, slicing, clock, pacer, timers, queries, attempts, outbox);
     }
 
-    // ---- for the threads that serve queries
+    // ---- called by the threads that serve queries
 
     /**
-     * Accepts a query whose first byte arrived so long ago; empty where one of that id is in
-     * flight.
+     * Accepts a query.
      *
-     * @throws UnroutableQueryException if its slices can't be resolved; the query is not kept then
+     * @param age time since the query's first byte arrived
+     * @return the accepted query; empty if one with the same id is in flight
+     * @throws UnroutableQueryException if its slices can't be resolved; the query is not added then
      */
     public Optional<InFlightQuery> accept(ClientRequest request, Duration age)
             throws UnroutableQueryException {
-        // Decoding a cursor takes long: it is done without the lock.
+        // Decoding a cursor is slow, so it is done without the lock.
         PagedQuery page = request.pageRequest() == null ? null : startPage(request);
         lock.lock();
         try {
@@ -157,7 +159,9 @@
         return queryFactory.startPage(request, resolved);
     }
 
-    /** Accepts a query for the rows that a page lacks; empty where that is not allowed. */
+    /**
+     * Accepts a follow-up query for rows that a page still needs; returns empty if none is allowed.
+     */
     Optional<InFlightQuery> acceptFollowUp(InFlightQuery first, List<RowFetch> fetches) {
         lock.lock();
         try {
@@ -188,7 +192,7 @@
                 });
     }
 
-    /** The next action for the query; waits until there is one. */
+    /** Returns the next action for the query; waits until there is one. */
     public QueryAction awaitAction(InFlightQuery query) throws InterruptedException {
         lock.lockInterruptibly();
         try {
@@ -198,7 +202,7 @@
         }
     }
 
-    /** The next action for the query; null where there is none yet. */
+    /** Returns the next action for the query; null if there is none yet. */
     QueryAction pollAction(InFlightQuery query) {
         lock.lock();
         try {
@@ -208,7 +212,7 @@
         }
     }
 
-    /** The query's client no longer waits: the query ends, and so do its follow-ups. */
+    /** Ends the query and its follow-ups, since the client no longer waits for an answer. */
     public void clientDisconnected(InFlightQuery query) {
         lock.lock();
         try {
@@ -229,12 +233,12 @@
         }
     }
 
-    // ---- for the threads that hear from data nodes, discovery and the layout service
+    // ---- called by the threads that receive from data nodes, discovery and the layout service
 
     /** {@inheritDoc} Malformed rows of a page count as an error of the node. */
     @Override
     public void onAttemptResults(List<AttemptResult> results) {
-        // Reading rows takes long: it is done without the lock.
+        // Decoding rows is slow, so it is done without the lock.
         List<AttemptResult> parsedResults =
                 servesPages ? results.stream().map(PagedAttempt::readRows).toList() : results;
         lock.lock();
@@ -264,7 +268,7 @@
         }
     }
 
-    /** Takes over a change of the endpoint list. */
+    /** Applies an endpoint list or changes of one. */
     public void onEndpointUpdate(EndpointUpdate update) {
         lock.lock();
         try {
@@ -273,10 +277,11 @@
                     null,
                     now,
                     () -> {
-                        // Addresses too: the policy may send to a new node when the turn ends.
+                        // Addresses are updated first: the policy may send to a new node as soon as
+                        // this event is processed.
                         nodes.update(now, update, clock, policy);
-                        // An attempt that waits for a connection would arrive after the node's
-                        // grace period.
+                        // An attempt that still waits for a connection would arrive after the
+                        // node's grace period.
                         attempts.requireSentByIfNodeNotReady(clock.toNanoTime(now));
                     });
         } finally {
@@ -284,12 +289,12 @@
         }
     }
 
-    /** Discovery was polled, with or without an answer. */
+    /** Records that a poll of discovery ended, with or without a response. */
     public void onDiscoveryPollEnd() {
         discoveryFreshness.onPollEnd();
     }
 
-    /** The version of the layout in force; 0 for none. */
+    /** Returns the version of the layout in force; 0 if there is none yet. */
     public long layoutVersion() {
         lock.lock();
         try {
@@ -299,15 +304,15 @@
         }
     }
 
-    /** Takes over a layout that was requested just now. */
+    /** Applies a layout that was requested just now. */
     public void onLayout(Layout layout) {
         onLayout(layout, System.nanoTime());
     }
 
     /**
-     * Takes over a layout; a version that goes back is ignored.
+     * Applies a layout; logs and ignores one that is older than the layout in force.
      *
-     * @param requestedNanos when it was requested, by {@link System#nanoTime}
+     * @param requestedNanos when the layout was requested, by {@link System#nanoTime}
      */
     public void onLayout(Layout layout, long requestedNanos) {
         lock.lock();
@@ -334,9 +339,12 @@
         }
     }
 
-    // ---- for the background thread
+    // ---- called by the background thread
 
-    /** Actions that belong to no query's thread; runs timers and waits until there are some. */
+    /**
+     * Returns the actions that belong to no query's thread; runs due timers and waits until there
+     * are some actions.
+     */
     public List<QueryAction> awaitBackgroundActions() throws InterruptedException {
         lock.lockInterruptibly();
         try {
@@ -353,7 +361,7 @@
         }
     }
 
-    /** Runs the timers whose time has come. */
+    /** Runs the timers that are due. */
     void runDueTimers() {
         lock.lock();
         try {
@@ -370,13 +378,16 @@
 
     // ---- for operators and tests
 
-    /** Queries, attempts and nodes by the policy's count, in one line of the log. */
+    /**
+     * Returns the number of queries, attempts and nodes as the policy counts them, in one line for
+     * the log.
+     */
     public String summary() {
         lock.lock();
         try {
             return String.format(
-                    "%d queries open, %d calls out, %d by their nodes; of %d nodes listed %d left"
-                            + " alone",
+                    "%d queries and %d attempts in flight (%d by node counters); of %d listed nodes %d"
+                            + " are ejected",
                     queries.size(),
                     attempts.size(),
                     nodes.attemptsInFlight(),
@@ -387,6 +398,7 @@
         }
     }
 
+    /** Number of timers that have neither run nor been cancelled. */
     int pendingTimers() {
         lock.lock();
         try {
@@ -396,6 +408,7 @@
         }
     }
 
+    /** Number of decisions of the policy so far. */
     long decisionCount() {
         lock.lock();
         try {
@@ -405,7 +418,9 @@
         }
     }
 
-    /** Runs as a timer's task, that is, in a turn. */
+    /**
+     * Handles expired timers. Each method is called as a timer's task, that is, within an event.
+     */
     private final class ExpirationHandler implements PolicyActionHandler.Expirations {
         @Override
         public void onAttemptTimeout(Attempt attempt) {
--- a/src/main/java/postbeam/router/QueryFactory.java
+++ b/src/main/java/postbeam/router/QueryFactory.java
@@ -20,17 +20,17 @@
 import postbeam.slices.UnroutableQueryException;
 
 /**
- * Makes the policy's queries of clients' requests. Guarded by the lock of {@link PolicyExecutor},
- * but for {@link #startPage}.
+ * Creates the policy's queries from client requests. Guarded by the lock of {@link PolicyExecutor},
+ * except for {@link #startPage}.
  */
 final class QueryFactory {
     private final Map<String, QueryClass> queryClasses;
     private final Map<String, Tenant> tenants;
 
-    /** Null where shards have fixed replicas. */
+    /** Null if shards have fixed replicas. */
     private final SliceTranslator slicing;
 
-    /** Null where no pages are served. */
+    /** Null if pages are disabled. */
     private final PagingService paging;
 
     private final Supplier<Condition> conditionFactory;
@@ -48,10 +48,13 @@
         this.conditionFactory = conditionFactory;
     }
 
-    /** The layout in force and the slices that a request names, resolved by it. */
+    /** The layout in force and the slices of a request, resolved by it. */
     record ResolvedSlices(Layout layout, List<LayoutCompleteness.RequestedSlice> slices) {}
 
-    /** Resolves the slices of a request for a page; with a cursor it names none. */
+    /**
+     * Resolves the slices that a page request names; the result is empty if it has a cursor
+     * instead.
+     */
     ResolvedSlices resolveSlices(ClientRequest request) throws UnroutableQueryException {
         long version = request.requestedShards().isEmpty() ? 0 : request.layoutVersion();
         List<LayoutCompleteness.RequestedSlice> slices =
@@ -59,7 +62,7 @@
         return new ResolvedSlices(slicing.currentLayout(), slices);
     }
 
-    /** Decodes the cursor and works out what to fetch; to be called without the lock. */
+    /** Decodes the cursor and determines what to fetch. Must be called without the lock. */
     PagedQuery startPage(ClientRequest request, ResolvedSlices resolved)
             throws UnroutableQueryException {
         return paging.startPage(
@@ -70,10 +73,11 @@
     }
 
     /**
-     * A query that arrived so long ago. Where slices move, its shard requests are assigned; else
-     * {@link #addShardRequests} does so.
+     * Creates a query. If slices move, its shard requests are added here; otherwise by {@link
+     * #addShardRequests}.
      *
-     * @param page null where no page is requested
+     * @param age time since the query's first byte arrived
+     * @param page null if no page is requested
      * @throws UnroutableQueryException if its slices can't be resolved
      */
     InFlightQuery create(ClientRequest request, Duration now, Duration age, PagedQuery page)
@@ -95,11 +99,13 @@
         return new InFlightQuery(request, query, conditionFactory.get(), page);
     }
 
-    /** Adds the requested shards to a query where shards have fixed replicas. */
+    /**
+     * Adds the requested shards to the query if shards have fixed replicas; otherwise does nothing.
+     */
     void addShardRequests(InFlightQuery inFlight) {
         if (slicing == null) {
             for (ClientRequest.RequestedShard shard : inFlight.request().requestedShards()) {
-                // Registers itself with the query.
+                // The constructor adds the shard request to the query.
                 new ShardRequest(
                         inFlight.query(), shard.shard(), shard.weight(), shard.estimatedWork());
             }
@@ -107,10 +113,11 @@
     }
 
     /**
-     * A query for the rows that the page of an answered query lacks; empty where the retry budget
-     * or the deadline does not allow it. It arrived when the first did, ends within the latency
-     * objective, and its shard requests inherit the attempts of the earlier queries for the same
-     * keys, so that limits on attempts and on retries count across all of them.
+     * Creates a follow-up query for rows that the page of an answered query still needs; returns
+     * empty if the retry budget or the deadline does not allow it. The follow-up has the arrival
+     * time of the first query and ends within its latency objective. Its shard requests inherit the
+     * attempts of the earlier queries for the same keys, so that limits on attempts and retries
+     * apply to all of them together.
      */
     Optional<InFlightQuery> createFollowUp(
             InFlightQuery first, ClientRequest request, Duration now, List<RowFetch> fetches) {
@@ -148,6 +155,7 @@
         return Optional.of(followUp);
     }
 
+    /** Adds the attempts of an earlier query for overlapping keys to those of a shard request. */
     private static void inheritAttempts(KeyRangeRequest followUpRequest, Query earlierQuery) {
         for (ShardRequest shardRequest : earlierQuery.shardRequests) {
             if (((KeyRangeRequest) shardRequest).keys.overlaps(followUpRequest.keys)) {
--- a/src/main/java/postbeam/router/QueryTable.java
+++ b/src/main/java/postbeam/router/QueryTable.java
@@ -7,7 +7,7 @@
 import postbeam.dispatch.QueryAction;
 import postbeam.model.Query;
 
-/** The queries that are not ended yet. Guarded by the lock of {@link PolicyExecutor}. */
+/** The queries in flight. Guarded by the lock of {@link PolicyExecutor}. */
 final class QueryTable {
     /** In order of arrival. */
     private final Map<String, InFlightQuery> byId = new LinkedHashMap<>();
@@ -19,6 +19,7 @@
         byQuery.put(query.query(), query);
     }
 
+    /** Whether a query with this client-assigned id is in flight. */
     boolean containsId(String id) {
         return byId.containsKey(id);
     }
@@ -27,17 +28,17 @@
         return byQuery.containsKey(query);
     }
 
-    /** Null where the query has ended. */
+    /** Returns the query in flight; null if it has ended. */
     InFlightQuery get(Query query) {
         return byQuery.get(query);
     }
 
-    /** The longest in flight; null where there is none. */
+    /** Returns the query that has been in flight for longest; null if there is none. */
     InFlightQuery oldest() {
         return byId.isEmpty() ? null : byId.values().iterator().next();
     }
 
-    /** The policy's view of all. */
+    /** The policy's objects of all queries in flight. */
     Set<Query> queries() {
         return byQuery.keySet();
     }
@@ -46,7 +47,10 @@
         return byId.size();
     }
 
-    /** Ends the query with this action; its attempts that are not written yet never will be. */
+    /**
+     * Ends the query with this action; its attempts that are not written yet never will be. Does
+     * nothing if the query has already ended.
+     */
     void finish(InFlightQuery query, QueryAction finalAction) {
         if (byQuery.remove(query.query()) != null) {
             byId.remove(query.request().id());
--- a/src/main/java/postbeam/router/Router.java
+++ b/src/main/java/postbeam/router/Router.java
@@ -32,14 +32,15 @@
 import postbeam.slices.UnroutableQueryException;
 
 /**
- * One query router: wires its parts, starts and stops them. It owns the threads that run background
- * actions and follow discovery and the layout service, and the I/O worker. Its own lock guards the
- * life cycle and what a reload changes; nothing waits for a peer under it.
+ * A query router: creates its components, starts and stops them. It owns the I/O worker and the
+ * threads that run background actions, poll discovery and poll the layout service. Its own lock
+ * guards the life cycle and the fields that a reload changes; no thread waits for a peer while it
+ * holds the lock.
  */
 public final class Router implements QueryServer.QueryHandler {
     private static final System.Logger LOG = System.getLogger(Router.class.getName());
 
-    /** After these requests what a client's request passes through is compiled. */
+    /** Number of requests after which the code that serves clients is compiled. */
     private static final int WARM_UP_REQUESTS = 300;
 
     private static final Duration MAX_SERVER_WARM_UP = Duration.ofMillis(1500);
@@ -59,13 +60,16 @@
     private final String startedMessage;
     private final CountDownLatch stopped = new CountDownLatch(1);
 
-    /** Null where slices don't move. */
+    /** Null if slices don't move. */
     private final LongPollWatcher<Layout> layoutWatch;
 
-    /** When the pending request for a layout was made; used by the layout watch's thread alone. */
+    /**
+     * When the pending request for a layout was sent, by {@link System#nanoTime}. Only used on the
+     * thread of the layout watch.
+     */
     private long layoutRequestedNanos;
 
-    /** Null where nothing extends this router. */
+    /** Null if this router has no extension. */
     private RouterExtension extension;
 
     private RouterConfig config;
@@ -73,12 +77,12 @@
     private boolean listening;
     private boolean stopping;
 
-    /** A router whose shards have fixed replicas. */
+    /** Creates a router whose shards have fixed replicas. */
     public Router(RouterConfig config) throws IOException {
         this(config, null, null);
     }
 
-    /** A router whose slices move, by the layout service at this address. */
+    /** Creates a router whose slices move, without pages. */
     public Router(RouterConfig config, SliceTranslator slicing, String layoutService)
             throws IOException {
         this(config, slicing, layoutService, null);
@@ -87,11 +91,11 @@
     /**
      * Creates a router that does not listen yet.
      *
-     * @param slicing null where shards have fixed replicas
+     * @param slicing null if shards have fixed replicas
      * @param layoutService host and port of the layout service; null without slicing
-     * @param paging null where no pages are served; it needs slicing
-     * @throws IOException if the configuration can't be used; it says why
-     * @throws IllegalArgumentException if a setting can't be used; it names which
+     * @param paging null if pages are disabled; requires {@code slicing}
+     * @throws IOException if the configuration is invalid; the message says why
+     * @throws IllegalArgumentException if a setting is invalid; the message names it
      */
     public Router(
             RouterConfig config,
@@ -121,7 +125,7 @@
         worker = createWorker();
         dataNodes = dataNodeClient(settings, limits, connectTimeout);
         actionRunner = new ActionRunner(executor, dataNodes, paging);
-        // Where slices move, the layout says which shards there are.
+        // If slices move, the shards that requests may name depend on the layout.
         int shards = slicing == null ? fixedShards : Integer.MAX_VALUE;
         queryServer =
                 new QueryServer(
@@ -157,7 +161,7 @@
                         limits.maxNodeConnections());
     }
 
-    /** By query class, its deadline in the settings; null where it has none. */
+    /** Maps each query class to its deadline in the settings; null if it has none. */
     private static Map<String, Duration> defaultTimeouts(InstanceSettings settings) {
         Map<String, Duration> timeouts = new LinkedHashMap<>();
         for (int i = 0; i < settings.objectCount("classes"); i++) {
@@ -190,7 +194,11 @@
                 !"none".equals(String.valueOf(settings.text("report.how"))));
     }
 
-    /** So early that nothing written to a connection crosses the node's closing; never at once. */
+    /**
+     * Returns how long a connection may stay idle before the router closes it: short enough that
+     * nothing is written to a connection that the node closes at the same time, but at least half
+     * of the node's own timeout.
+     */
     private static Duration idleTimeout(Duration nodeKeepAlive, Duration connectTimeout) {
         Duration beforeNodeCloses = nodeKeepAlive.minus(connectTimeout.multipliedBy(2));
         Duration minimum = nodeKeepAlive.dividedBy(2);
@@ -238,7 +246,10 @@
         readiness.onLayoutKnown();
     }
 
-    /** Adds an extension, which is started and stopped with this router; to be called before. */
+    /**
+     * Sets the extension, which is started and stopped with this router. Must be called before
+     * {@link #start}.
+     */
     public Router withExtension(RouterExtension extension) {
         this.extension = extension;
         extension.registerHandlers(queryServer);
@@ -248,7 +259,7 @@
     /**
      * Warms up, then listens.
      *
-     * @throws IOException if it can't listen; it says why
+     * @throws IOException if it can't listen; the message says why
      */
     public void start() throws IOException {
         startDaemon("ticks", actionRunner::runBackgroundActions);
@@ -281,12 +292,12 @@
     }
 
     /**
-     * Takes over what can change while the router runs: the address of discovery. A new one is
-     * polled at once; the endpoint list stays until it answers. Other changes are logged as waiting
-     * for a restart.
+     * Applies a changed configuration. Only the address of discovery takes effect while the router
+     * runs: the new address is polled at once, and the endpoint list stays in use until it
+     * responds. Other changes are logged as waiting for a restart.
      *
-     * @throws IOException if the configuration can't be used; nothing changes then
-     * @throws IllegalArgumentException if a setting can't be used; nothing changes then
+     * @throws IOException if the configuration is invalid; nothing changes then
+     * @throws IllegalArgumentException if a setting is invalid; nothing changes then
      */
     public synchronized void reload(RouterConfig newConfig) throws IOException {
         ConfigurationCheck.check(newConfig);
@@ -319,7 +330,10 @@
         }
     }
 
-    /** Taken over, of use at a start only, or compared as settings. */
+    /**
+     * Whether a changed path needs no warning: it takes effect at once, is only used at the start,
+     * or is compared with the settings.
+     */
     private static boolean isExcludedFromRestartWarning(String path) {
         return path.equals("discovery")
                 || path.equals("seed")
@@ -327,21 +341,24 @@
                 || path.startsWith("settings.");
     }
 
-    /** On the I/O thread, which owns the connections to data nodes. */
+    /**
+     * Logs the router's state. Must run on the I/O thread, which owns the connections to data
+     * nodes.
+     */
     private void logState() {
         LOG.log(
                 System.Logger.Level.INFO,
-                "{0}; on the sockets {1}",
+                "{0}; on sockets: {1}",
                 executor.summary(),
                 dataNodes.describe());
     }
 
-    /** The host and port at which it listens. */
+    /** The host and port that clients connect to. */
     public String address() {
         return queryServer.address();
     }
 
-    /** Waits until it is stopped. */
+    /** Waits until the router has stopped. */
     public void await() throws InterruptedException {
         stopped.await();
     }
@@ -360,8 +377,8 @@
     }
 
     /**
-     * Shuts down gracefully ({@link GracefulShutdown}) and lets {@link #await} return. A router
-     * that does not listen yet stops at once, and never will listen.
+     * Shuts down gracefully ({@link GracefulShutdown}) and makes {@link #await} return. A router
+     * that does not listen yet stops at once and never starts to listen.
      */
     public void stop() throws InterruptedException {
         LOG.log(System.Logger.Level.INFO, "stopping");
--- a/src/main/java/postbeam/router/RouterLimits.java
+++ b/src/main/java/postbeam/router/RouterLimits.java
@@ -4,28 +4,30 @@
 import postbeam.config.RouterConfig;
 
 /**
- * How many connections a router may have, by the file descriptors and the memory that its
- * configuration grants.
+ * Maximum numbers of connections, derived from the file descriptors and the memory that the
+ * configuration grants to a router.
  */
 record RouterLimits(int maxClientConnections, int maxNodeConnections) {
-    /** Descriptors for the program itself: jars, standard streams, selectors, discovery. */
+    /**
+     * Descriptors reserved for the program itself: jars, standard streams, selectors, discovery.
+     */
     private static final int RESERVED_DESCRIPTORS = 64;
 
     private static final int MIN_DESCRIPTORS = 2 * RESERVED_DESCRIPTORS;
     private static final int MIN_MEMORY_MB = 64;
 
-    /** What the program takes without clients, with its heap at its usual size. */
+    /** Memory that the program needs without clients, with the heap at its usual size. */
     private static final int BASE_MEMORY_MB = 72;
 
-    /** A connection may have a thread, which takes about 0.1 MB with its query. */
+    /** Connections per MB: each may have a thread, which takes about 0.1 MB with its query. */
     private static final int CLIENTS_PER_MB = 8;
 
     private static final int MIN_CLIENT_CONNECTIONS = 16;
 
     /**
-     * Reads the limits.
+     * Derives the limits from the configuration.
      *
-     * @throws IOException if one is missing or too low; it names which
+     * @throws IOException if a configured limit is missing or too low; the message names it
      */
     static RouterLimits of(RouterConfig config) throws IOException {
         int connectionDescriptors = config.limit("sockets", MIN_DESCRIPTORS) - RESERVED_DESCRIPTORS;
--- a/src/main/java/postbeam/router/RouterReadiness.java
+++ b/src/main/java/postbeam/router/RouterReadiness.java
@@ -1,8 +1,9 @@
 package postbeam.router;
 
 /**
- * Whether the router knows enough to serve: some data nodes and, where slices move, a layout. Set
- * by the threads that follow discovery and the layout service, read by those that serve clients.
+ * Tracks whether the router knows enough to serve: at least one data node and, if slices move, a
+ * layout. Updated by the threads that watch discovery and the layout service, read by those that
+ * serve clients.
  */
 final class RouterReadiness {
     private final boolean needsLayout;
--- a/src/main/java/postbeam/router/ServedQuery.java
+++ b/src/main/java/postbeam/router/ServedQuery.java
@@ -3,7 +3,7 @@
 import postbeam.dispatch.PendingQuery;
 import postbeam.dispatch.QueryAction;
 
-/** A query in flight as its client's connection sees it. */
+/** A query in flight as the connection of its client uses it. */
 final class ServedQuery implements PendingQuery {
     /** Carries out a query's actions. */
     interface QueryRunner {
--- a/src/main/java/postbeam/router/ShutdownDeadlines.java
+++ b/src/main/java/postbeam/router/ShutdownDeadlines.java
@@ -5,30 +5,40 @@
 import java.util.Objects;
 
 /**
- * When the phases of a graceful shutdown end, all as spans from its request. The protocol lets a
- * router live on for the longest deadline of its query classes, 3 s at most, and 0.7 s more.
+ * When the phases of a graceful shutdown end, each as the time since the shutdown was requested. By
+ * the protocol, a router may run on for the longest deadline of its query classes, 3 s at most,
+ * plus 0.7 s.
  *
  * @param servingEnds until when queries are accepted
  * @param finalAnswersBy when the last query must have ended
- * @param readsDrainedBy until when what answered clients still send is read
+ * @param readsDrainedBy until when bytes that clients still send after their answer are read
  */
 record ShutdownDeadlines(Duration servingEnds, Duration finalAnswersBy, Duration readsDrainedBy) {
-    /** Clients connect for up to 0.4 s after a shutdown is requested; 0.2 s are spare. */
+    /**
+     * Clients may connect for up to 0.4 s after a shutdown is requested; the other 0.2 s are spare.
+     */
     static final Duration LATE_CONNECT_WINDOW = Duration.ofMillis(600);
 
-    /** By the protocol; also where a query class states no deadline. */
+    /**
+     * The longest deadline that counts, by the protocol; also used if no query class states a
+     * deadline.
+     */
     private static final Duration MAX_DEADLINE = Duration.ofSeconds(3);
 
-    /** The last queries end so long before clients stop waiting. */
+    /** Margin between the end of the last query and the time at which clients stop waiting. */
     private static final Duration FINAL_ANSWER_MARGIN = Duration.ofMillis(150);
 
-    /** When the process is killed, counted from the longest deadline. */
+    /** Time from the longest deadline until the process is killed. */
     private static final Duration KILL_GRACE = Duration.ofMillis(700);
 
-    /** Spare time before the process is killed. */
+    /** Margin between the end of the shutdown and the time at which the process is killed. */
     private static final Duration KILL_MARGIN = Duration.ofMillis(100);
 
-    /** By the deadlines of the query classes; null where one states none. */
+    /**
+     * Derives the shutdown deadlines.
+     *
+     * @param deadlines those of the query classes; null for a class without one
+     */
     static ShutdownDeadlines of(Collection<Duration> deadlines) {
         Duration longest =
                 deadlines.stream()
--- a/src/main/java/postbeam/router/TimerQueue.java
+++ b/src/main/java/postbeam/router/TimerQueue.java
@@ -7,10 +7,12 @@
 import java.util.TreeSet;
 import java.util.concurrent.locks.Condition;
 
-/** Tasks to run at a time. Guarded by the lock of {@link PolicyExecutor}. */
+/** A queue of tasks to run at given times. Guarded by the lock of {@link PolicyExecutor}. */
 final class TimerQueue {
     /**
-     * One scheduled task; timers of the same time run in the order in which they were scheduled.
+     * A scheduled task. Timers with the same time run in the order in which they were scheduled.
+     *
+     * @param at when to run the task, by the policy's time
      */
     record Timer(Duration at, long sequenceNumber, Runnable task) {}
 
@@ -19,7 +21,11 @@
             new TreeSet<>(Comparator.comparing(Timer::at).thenComparingLong(Timer::sequenceNumber));
     private long nextSequenceNumber;
 
-    /** The condition is signalled when a timer is added. */
+    /**
+     * Creates an empty queue.
+     *
+     * @param backgroundWork signalled when a timer is added
+     */
     TimerQueue(Condition backgroundWork) {
         this.backgroundWork = backgroundWork;
     }
@@ -35,7 +41,7 @@
         timers.remove(timer);
     }
 
-    /** Removes the tasks whose time has come, the earliest first. */
+    /** Removes and returns the tasks that are due, the earliest first. */
     List<Runnable> removeDue(Duration now) {
         List<Runnable> due = new ArrayList<>();
         while (!timers.isEmpty() && timers.first().at().compareTo(now) <= 0) {
@@ -44,7 +50,10 @@
         return due;
     }
 
-    /** Waits until the earliest timer is due or the condition is signalled, or for no reason. */
+    /**
+     * Waits until the earliest timer is due or the condition is signalled. Spurious wake-ups are
+     * possible.
+     */
     @SuppressWarnings("WaitNotInLoop") // The caller waits in a loop.
     void awaitNext(MonotonicClock clock) throws InterruptedException {
         if (timers.isEmpty()) {
--- a/src/main/java/postbeam/router/package-info.java
+++ b/src/main/java/postbeam/router/package-info.java
@@ -1,8 +1,9 @@
 /**
- * The serving router: {@link postbeam.router.Router} wires client connections, data node
- * connections, discovery and the routing policy, and starts and stops them. {@link
- * postbeam.router.PolicyExecutor} owns the policy and the one lock under which it and its tables
- * are used: queries, attempts in flight, timers and outbound batches. Pages are served by {@link
- * postbeam.router.PagingService}, of which nothing is loaded where pages are off.
+ * The query router: {@link postbeam.router.Router} connects the client server, the data node
+ * client, discovery and the routing policy, and starts and stops them. {@link
+ * postbeam.router.PolicyExecutor} owns the policy and the one lock that guards it and its tables:
+ * queries, attempts in flight, timers and outbound batches. Pages are served by {@link
+ * postbeam.router.PagingService}, none of whose code is loaded if pages are
+ * disabled.
  */
 package postbeam.router;
--- a/src/test/java/postbeam/router/RouterIT.java
+++ b/src/test/java/postbeam/router/RouterIT.java
@@ -552,8 +552,8 @@
             reload(config.replace("\"nInstances\":1", "\"nInstances\":2"));
             logged("wait for a restart: [settings.nInstances]");
             logged(
-                    "1 queries open, 1 calls out, 1 by their nodes; of 1 nodes listed 0 left alone;"
-                            + " on the sockets 1 calls on 1 connections");
+                    "1 queries and 1 attempts in flight (1 by node counters); of 1 listed nodes 0"
+                            + " are ejected; on sockets: 1 calls on 1 connections");
             long start = System.nanoTime();
             reload(moved);
             until(
