--- a/src/main/java/postbeam/endpoints/EndpointRegistry.java
+++ b/src/main/java/postbeam/endpoints/EndpointRegistry.java
@@ -21,7 +21,7 @@
  */
 public final class EndpointRegistry {
     /** A removed node that comes back soon finds what it was sent during its slow start. */
-    private static final int MAX_REMOVED_KEPT = 64;
+    private static final int MAX_REMOVED_NODES = 64;
 
     private final String localZone;
     private final Map<String, DataNode> nodes = new LinkedHashMap<>();
@@ -29,7 +29,7 @@
     private final IdentityHashMap<DataNode, String> namesByNode = new IdentityHashMap<>();
 
     /** The longest removed first. */
-    private final Set<DataNode> removed = new LinkedHashSet<>();
+    private final Set<DataNode> removedNodes = new LinkedHashSet<>();
 
     /** An empty registry of a router in the zone of this name. */
     public EndpointRegistry(String localZone) {
@@ -78,7 +78,7 @@
                 }
             }
         }
-        forgetLongestRemoved();
+        evictLongestRemoved();
     }
 
     private void update(
@@ -116,17 +116,17 @@
             RoutingPolicy policy) {
         policy.onNodeUpdate(now, node, readiness, startedAt);
         if (readiness == Readiness.REMOVED) {
-            removed.add(node);
+            removedNodes.add(node);
         } else {
-            removed.remove(node);
+            removedNodes.remove(node);
         }
     }
 
-    private void forgetLongestRemoved() {
-        while (removed.size() > MAX_REMOVED_KEPT) {
-            DataNode longest = removed.iterator().next();
-            removed.remove(longest);
-            nodes.remove(namesByNode.remove(longest));
+    private void evictLongestRemoved() {
+        while (removedNodes.size() > MAX_REMOVED_NODES) {
+            DataNode longestRemoved = removedNodes.iterator().next();
+            removedNodes.remove(longestRemoved);
+            nodes.remove(namesByNode.remove(longestRemoved));
         }
     }
 }
--- a/src/main/java/postbeam/endpoints/PollTimings.java
+++ b/src/main/java/postbeam/endpoints/PollTimings.java
@@ -55,7 +55,7 @@
      * Every so many-th fetch is waited for as long as its response may take, as a busy machine may
      * keep the agent from responding. The others and their pauses are 6.7 s.
      */
-    private static final int PATIENT_POLL_INTERVAL = 20;
+    private static final int FULL_TIMEOUT_INTERVAL = 20;
 
     private static final Duration AGENT_RESPONSE_TIMEOUT = Duration.ofSeconds(1);
 
@@ -75,7 +75,7 @@
     /** The mean of the first pause; doubled with each further failure. */
     private static final Duration INITIAL_BACKOFF = Duration.ofMillis(500);
 
-    private static final int MAX_DOUBLINGS = 10;
+    private static final int MAX_BACKOFF_EXPONENT = 10;
 
     /** Longer pauses would be at the expense of how long a poll may be silent. */
     private static final Duration MAX_BACKOFF = Duration.ofMillis(1_200);
@@ -142,8 +142,8 @@
     }
 
     private static Duration agentFirstByteTimeout(int failures) {
-        boolean patient = failures % PATIENT_POLL_INTERVAL == PATIENT_POLL_INTERVAL - 1;
-        return patient ? AGENT_RESPONSE_TIMEOUT : AGENT_FIRST_BYTE_TIMEOUT;
+        boolean fullTimeout = failures % FULL_TIMEOUT_INTERVAL == FULL_TIMEOUT_INTERVAL - 1;
+        return fullTimeout ? AGENT_RESPONSE_TIMEOUT : AGENT_FIRST_BYTE_TIMEOUT;
     }
 
     /**
@@ -155,8 +155,8 @@
         if (pollInterval != null && pollInterval.compareTo(MAX_BACKOFF) < 0) {
             maxMean = Math.min(maxMean, pollInterval.toMillis());
         }
-        int doublings = Math.min(Math.max(failures - 1, 0), MAX_DOUBLINGS);
-        long doubled = INITIAL_BACKOFF.toMillis() << doublings;
+        int exponent = Math.min(Math.max(failures - 1, 0), MAX_BACKOFF_EXPONENT);
+        long doubled = INITIAL_BACKOFF.toMillis() << exponent;
         long mean = Math.max(MIN_MEAN_BACKOFF.toMillis(), Math.min(doubled, maxMean));
         return Duration.ofMillis(Math.round(mean * (MAX_JITTER_FACTOR - 1 + random.nextDouble())));
     }
--- a/src/main/java/postbeam/json/JsonTreeReader.java
+++ b/src/main/java/postbeam/json/JsonTreeReader.java
@@ -49,10 +49,10 @@
         Map<String, Object> members = new LinkedHashMap<>();
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String name = parser.currentName();
-            String member = child(pointer, name);
-            report(member);
+            String memberPointer = child(pointer, name);
+            reportPosition(memberPointer);
             parser.nextToken();
-            members.put(name, readValue(member));
+            members.put(name, readValue(memberPointer));
         }
         return members;
     }
@@ -60,9 +60,9 @@
     private List<Object> readElements(String pointer) throws IOException {
         List<Object> elements = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            String element = child(pointer, elements.size());
-            report(element);
-            elements.add(readValue(element));
+            String elementPointer = child(pointer, elements.size());
+            reportPosition(elementPointer);
+            elements.add(readValue(elementPointer));
         }
         return elements;
     }
@@ -79,11 +79,11 @@
         };
     }
 
-    private String child(String pointer, Object step) {
-        return listener == null ? pointer : pointer + "/" + step;
+    private String child(String pointer, Object nameOrIndex) {
+        return listener == null ? pointer : pointer + "/" + nameOrIndex;
     }
 
-    private void report(String pointer) {
+    private void reportPosition(String pointer) {
         if (listener != null) {
             listener.valueAt(pointer, parser.currentLocation().getLineNr());
         }
