--- a/src/main/java/postbeam/endpoints/Endpoint.java
+++ b/src/main/java/postbeam/endpoints/Endpoint.java
@@ -5,11 +5,12 @@
 /**
  * One data node of an endpoint list.
  *
- * @param name the same at all routers
- * @param zone name of its zone
- * @param cell from 0
- * @param startedMicros when it last started, on discovery's clock in microseconds; 0 for long ago
- * @param readiness whether it takes new attempts
+ * @param name identifies the node at all routers
+ * @param zone name of the node's zone
+ * @param cell number of the node's cell, from 0
+ * @param startedMicros when the node last started, in microseconds on discovery's clock; 0 if that
+ *     is long ago
+ * @param readiness whether the node accepts new attempts
  */
 public record Endpoint(
         String name, String zone, int cell, long startedMicros, Readiness readiness) {}
--- a/src/main/java/postbeam/endpoints/EndpointRegistry.java
+++ b/src/main/java/postbeam/endpoints/EndpointRegistry.java
@@ -16,11 +16,15 @@
 import postbeam.policy.RoutingPolicy;
 
 /**
- * The data nodes that one router knows of, by name: applies endpoint updates and reports each to
- * the router's policy. Not safe for use by several threads; its owner guards it with the policy.
+ * The data nodes that a router knows, by name. Applies endpoint updates and reports each node's
+ * state to the routing policy. Not thread-safe: the owner guards it with the same lock as the
+ * policy.
  */
 public final class EndpointRegistry {
-    /** A removed node that comes back soon finds what it was sent during its slow start. */
+    /**
+     * Maximum number of removed nodes that are kept. A node that is listed again soon keeps the
+     * record of what it was sent during its slow start.
+     */
     private static final int MAX_REMOVED_NODES = 64;
 
     private final String localZone;
@@ -28,36 +32,40 @@
     private final Map<String, Zone> zonesByName = new LinkedHashMap<>();
     private final IdentityHashMap<DataNode, String> namesByNode = new IdentityHashMap<>();
 
-    /** The longest removed first. */
+    /** Removed nodes that are kept, the longest removed first. */
     private final Set<DataNode> removedNodes = new LinkedHashSet<>();
 
-    /** An empty registry of a router in the zone of this name. */
+    /**
+     * Creates an empty registry.
+     *
+     * @param localZone name of the router's own zone
+     */
     public EndpointRegistry(String localZone) {
         this.localZone = localZone;
     }
 
-    /** The node of this name, which may be removed; null if none is known. */
+    /** Returns the node with this name, which may be removed; null if it is unknown. */
     public DataNode node(String name) {
         return nodes.get(name);
     }
 
-    /** All nodes, the last removed ones among them. */
+    /** Returns all nodes, including the last removed ones. */
     public Collection<DataNode> nodes() {
         return nodes.values();
     }
 
-    /** The node's name; null if it is not known any more. */
+    /** Returns the node's name; null if the node is no longer known. */
     public String nameOf(DataNode node) {
         return namesByNode.get(node);
     }
 
     /**
-     * Applies a complete list or changes of one.
+     * Applies a complete endpoint list or changes of one.
      *
      * @param now the policy's time
-     * @param complete whether nodes that are missing in the list are removed
-     * @param startTime turns microseconds on discovery's clock into the policy's time
-     * @param policy is told of each node's state
+     * @param complete whether nodes that are missing from the list are removed
+     * @param startTime converts microseconds on discovery's clock to the policy's time
+     * @param policy receives the state of each node
      */
     public void update(
             Duration now,
--- a/src/main/java/postbeam/endpoints/EndpointUpdate.java
+++ b/src/main/java/postbeam/endpoints/EndpointUpdate.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * An endpoint list, or changes of one.
+ * An endpoint list or changes of one.
  *
- * @param version of the list, growing
- * @param complete whether endpoints that are missing here are gone
- * @param endpoints all of them, or those that have changed
- * @param addresses HOST:PORT by the endpoint's name
+ * @param version version of the list, which increases with each change
+ * @param complete whether endpoints that are missing here are removed
+ * @param endpoints all endpoints, or those that have changed
+ * @param addresses host and port (HOST:PORT) by endpoint name
  */
 public record EndpointUpdate(
         long version, boolean complete, List<Endpoint> endpoints, Map<String, String> addresses) {}
--- a/src/main/java/postbeam/endpoints/PollSchedule.java
+++ b/src/main/java/postbeam/endpoints/PollSchedule.java
@@ -4,28 +4,29 @@
 import java.util.Random;
 
 /**
- * When discovery is polled for a watch where it sends nothing by itself: at once, and again after a
- * failure or a poll without a response. Pauses are jittered, so that routers that failed together
- * don't poll together after an outage. No I/O, clock or thread: times are passed in, since the
- * router's start.
+ * Decides when discovery is polled: at once, and again after a failure or a poll without a
+ * response. While updates arrive by themselves, no poll is due. Pauses are jittered, so that
+ * routers that failed together don't poll together after an outage. Uses no I/O, clock or thread:
+ * times are passed in as durations since the router's start.
  */
 public final class PollSchedule {
     private final boolean pollRequired;
 
-    /** Null where the settings state none. */
+    /** Null if the settings define none. */
     private final Duration pollInterval;
 
     private final Random random;
     private int consecutiveFailures;
 
-    /** Null while the watch holds. */
+    /** Null while no poll is due. */
     private Duration nextPollAt;
 
     /**
-     * A schedule whose first poll is due at once.
+     * Creates a schedule whose first poll is due at once.
      *
-     * @param pollRequired false where discovery sends its updates by itself: no poll is ever due
-     * @param pollInterval at most between polls, or null where that is not stated
+     * @param pollRequired false if discovery sends updates without being polled: no poll is ever
+     *     due then
+     * @param pollInterval longest mean pause between polls, or null if the settings define none
      */
     public PollSchedule(boolean pollRequired, Duration pollInterval, Random random) {
         this.pollRequired = pollRequired;
@@ -34,7 +35,10 @@
         this.nextPollAt = pollRequired ? Duration.ZERO : null;
     }
 
-    /** True if a poll is due now, which is then taken as sent. */
+    /**
+     * Returns whether a poll is due. If so, it counts as sent, and the next one is due if no result
+     * is reported within {@link PollTimings#MAX_SILENCE}.
+     */
     public boolean startPollIfDue(Duration now) {
         if (nextPollAt == null || now.compareTo(nextPollAt) < 0) {
             return false;
@@ -43,12 +47,19 @@
         return true;
     }
 
-    /** When the next poll is due, as far as is known; null while the watch holds. */
+    /**
+     * When the next poll is due, unless a result is reported earlier; null while no poll is due.
+     */
     public Duration nextPollAt() {
         return nextPollAt;
     }
 
-    /** A poll was answered or an update came; or else the poll failed, or the watch broke. */
+    /**
+     * Records the result of a poll.
+     *
+     * @param failed true if the poll failed or discovery stopped sending updates; false if the poll
+     *     was answered or an update arrived
+     */
     public void onPollResult(Duration now, boolean failed) {
         consecutiveFailures = failed ? consecutiveFailures + 1 : 0;
         nextPollAt =
--- a/src/main/java/postbeam/endpoints/PollTimings.java
+++ b/src/main/java/postbeam/endpoints/PollTimings.java
@@ -5,26 +5,27 @@
 import java.util.function.IntFunction;
 
 /**
- * How long the polls of one watched document may take, and the pauses between them.
+ * Timeouts of the polls of one watched document and the pauses between them.
  *
- * <p>Discovery bounds them: what it had and could be reached for counts as known to the router
- * after {@link #MAX_PROPAGATION_DELAY}, whatever polls were then under way, had failed or had been
- * refused. Polls that begin once discovery is back are answered, so the longest cycle is a poll
- * that began just before: a long poll that stays silent, or a fetch that takes its whole timeout;
- * then the longest pause; then a fetch. However many polls failed before:
+ * <p>Discovery limits them: changes that it had, while it could be reached, count as known to the
+ * router after {@link #MAX_PROPAGATION_DELAY}, even if polls were pending, failed or were rejected.
+ * Polls that begin once discovery is back are answered. The longest cycle therefore starts with a
+ * poll that began just before that: a long poll that gets no response, or a fetch that takes its
+ * whole timeout. The longest pause and another fetch follow. For any number of earlier failures:
  *
  * <pre>max(longPollWait + longPollGrace, responseTimeout) + maxBackoff + responseTimeout
  *     &lt;= MAX_POLL_CYCLE</pre>
  *
- * <p>For a local agent, pause and fetch fit in twice: one more poll may fail after it is back.
+ * <p>For a local agent, the pause and the fetch fit in twice: one more poll may fail after the
+ * agent is back.
  *
  * @param longPollWait how long the server is asked to wait for a change
- * @param longPollGrace how long its response may take beyond that
- * @param responseTimeout for any other response, from connecting to its last byte, and for the rest
- *     of a long poll's response that has begun
- * @param firstByteTimeout by when connecting is done and a fetch's response has begun, by the
- *     number of failures in a row
- * @param backoff pause before the next poll, by the number of failures in a row
+ * @param longPollGrace how much longer the server's response may take
+ * @param responseTimeout for any other response, from connecting to its last byte, and for the
+ *     remainder of a long poll's response once it has begun
+ * @param firstByteTimeout limit for connecting and for the first byte of a fetch's response, by the
+ *     number of consecutive failures
+ * @param backoff pause before the next poll, by the number of consecutive failures
  * @param maxBackoff the longest of these pauses
  */
 public record PollTimings(
@@ -35,10 +36,10 @@
         IntFunction<Duration> backoff,
         Duration maxBackoff) {
 
-    /** By the protocol. */
+    /** Defined by the protocol. */
     private static final Duration MAX_PROPAGATION_DELAY = Duration.ofSeconds(6);
 
-    /** Left of that for a router that is scheduled late, and for decoding the list. */
+    /** Part of that time left for a router that is scheduled late and for decoding the list. */
     private static final Duration SCHEDULING_MARGIN = Duration.ofMillis(500);
 
     private static final Duration MAX_POLL_CYCLE = MAX_PROPAGATION_DELAY.minus(SCHEDULING_MARGIN);
@@ -46,66 +47,73 @@
     // ---- polling a local agent
 
     /**
-     * An agent on the router's own machine responds at once. A fetch that has not begun by then is
-     * given up and sent again, so that an outage ends for the router some 350 ms after it did.
+     * An agent on the router's own machine responds at once. A fetch whose response has not begun
+     * within this time is abandoned and repeated, so that the router recovers about 350 ms after an
+     * outage ends.
      */
     private static final Duration AGENT_FIRST_BYTE_TIMEOUT = Duration.ofMillis(250);
 
     /**
-     * Every so many-th fetch is waited for as long as its response may take, as a busy machine may
-     * keep the agent from responding. The others and their pauses are 6.7 s.
+     * After each such number of failures, one fetch may take the full response timeout, since a
+     * busy machine may delay the agent. The polls between two of these, with their pauses, take 6.7
+     * s.
      */
     private static final int FULL_TIMEOUT_INTERVAL = 20;
 
     private static final Duration AGENT_RESPONSE_TIMEOUT = Duration.ofSeconds(1);
 
-    /** Soon enough for a watch to go on, and no loop that takes the core. */
+    /** Short enough to resume a watch quickly, long enough not to use up the core in a loop. */
     private static final Duration AGENT_BACKOFF = Duration.ofMillis(100);
 
-    /** A small request each second, so that a silent watch is found 1.5 s after it began. */
+    /**
+     * One small request per second, so that a connection without responses is detected within 1.5
+     * s.
+     */
     private static final Duration AGENT_WAIT = Duration.ofSeconds(1);
 
     private static final Duration AGENT_GRACE = Duration.ofMillis(500);
 
-    // ---- polling the discovery server, where each request of each router costs it work
+    // ---- polling the discovery server, for which the requests of every router are work
 
-    /** The server rejects what it could not answer within that. */
+    /** The server rejects requests that it could not answer within this time. */
     private static final Duration SERVER_RESPONSE_TIMEOUT = Duration.ofSeconds(2);
 
-    /** The mean of the first pause; doubled with each further failure. */
+    /** Mean of the first pause; it doubles with each further failure. */
     private static final Duration INITIAL_BACKOFF = Duration.ofMillis(500);
 
     private static final int MAX_BACKOFF_EXPONENT = 10;
 
-    /** Longer pauses would be at the expense of how long a poll may be silent. */
+    /** Longer pauses would leave less time for a poll without a response. */
     private static final Duration MAX_BACKOFF = Duration.ofMillis(1_200);
 
-    /**
-     * The longest that a jittered pause gets, as a multiple of its mean; the shortest is the rest
-     * of 2.
-     */
+    /** Longest jittered pause as a multiple of the mean; the shortest is 2 minus this factor. */
     private static final double MAX_JITTER_FACTOR = 1.5;
 
-    /** No mean below this, whatever the settings say: no loop, and routers stay spread. */
+    /**
+     * Shortest mean pause, whatever the settings say: it prevents a tight loop and keeps routers
+     * apart.
+     */
     private static final Duration MIN_MEAN_BACKOFF = AGENT_BACKOFF.multipliedBy(2);
 
     /**
-     * What the cycle leaves for a poll that stays silent, more than the server takes to respond.
+     * Time that the poll cycle leaves for a poll without a response, longer than the server takes
+     * to respond.
      */
     static final Duration MAX_SILENCE =
             MAX_POLL_CYCLE.minus(MAX_BACKOFF).minus(SERVER_RESPONSE_TIMEOUT);
 
     private static final Duration SERVER_GRACE = Duration.ofMillis(800);
 
-    // ---- polling what is not bound by a propagation delay
+    // ---- polling documents without a limit on their propagation delay
 
-    /** As in the protocol's example. */
+    /** As in the example of the protocol. */
     private static final Duration RELAXED_WAIT = Duration.ofSeconds(20);
 
     private static final Duration RELAXED_GRACE = Duration.ofSeconds(1);
 
     /**
-     * For documents without a bound on their propagation, from a server that polls cost nothing.
+     * For documents without a limit on their propagation delay, from a server for which polls are
+     * cheap.
      */
     public static final PollTimings RELAXED =
             new PollTimings(
@@ -116,7 +124,7 @@
                     failures -> AGENT_BACKOFF,
                     AGENT_BACKOFF);
 
-    /** For discovery's agent on the router's own machine, which polls cost nothing. */
+    /** For discovery's agent on the router's own machine, for which polls are cheap. */
     public static final PollTimings LOCAL_AGENT =
             new PollTimings(
                     AGENT_WAIT,
@@ -127,9 +135,9 @@
                     AGENT_BACKOFF);
 
     /**
-     * For discovery itself, which all routers may poll at once: pauses are jittered and grow.
+     * For the discovery server, which all routers may poll at once: pauses are jittered and grow.
      *
-     * @param pollInterval that the settings allow at most between polls, or null
+     * @param pollInterval longest mean pause between polls by the settings, or null
      */
     public static PollTimings discoveryServer(Duration pollInterval, Random random) {
         return new PollTimings(
@@ -147,8 +155,8 @@
     }
 
     /**
-     * After so many failures in a row: from half to one and a half times the mean pause after that
-     * many.
+     * Returns a random pause between half and one and a half times the mean pause after this number
+     * of consecutive failures.
      */
     static Duration jitteredBackoff(int failures, Duration pollInterval, Random random) {
         long maxMean = Math.round(MAX_BACKOFF.toMillis() / MAX_JITTER_FACTOR);
--- a/src/main/java/postbeam/endpoints/package-info.java
+++ b/src/main/java/postbeam/endpoints/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What a router knows of its data nodes from discovery: endpoint lists and their changes, the
- * registry that turns them into facts for the routing policy, and when discovery is polled. No I/O,
- * clocks or threads: the simulated router uses the same types as the one on sockets.
+ * What a router knows about its data nodes from discovery: endpoint lists and their changes, the
+ * registry that reports them to the routing policy, and the schedule of polls. Uses no I/O, clocks
+ * or threads, so that the simulated router shares these types with the one that uses sockets.
  */
 package postbeam.endpoints;
--- a/src/main/java/postbeam/json/Json.java
+++ b/src/main/java/postbeam/json/Json.java
@@ -11,30 +11,30 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON as maps, lists, strings, numbers and booleans. */
+/** Reads and writes JSON as maps, lists, strings, numbers, booleans and nulls. */
 public final class Json {
-    /** Levels of nesting: the deepest form here, the settings, has five. */
+    /** Maximum nesting depth; the deepest document here, the settings, has five levels. */
     private static final int MAX_DEPTH = 32;
 
-    /** Bounded in depth, so that a message can't exhaust the stack. */
+    /** Limits the nesting depth, so that a document from a peer can't exhaust the stack. */
     public static final JsonFactory FACTORY =
             JsonFactory.builder()
                     .streamReadConstraints(
                             StreamReadConstraints.builder().maxNestingDepth(MAX_DEPTH).build())
                     .build();
 
-    /** Writes one value. */
+    /** Writes one JSON value. */
     public interface Writer {
-        /** Writes to the generator, which the caller closes. */
+        /** Writes the value to the generator, which the caller closes. */
         void write(JsonGenerator json) throws IOException;
     }
 
     private Json() {}
 
     /**
-     * Reads the one object that the bytes hold.
+     * Parses a document that consists of one object.
      *
-     * @throws IOException if they hold something else; the message says what
+     * @throws IOException if it is malformed or not an object; the message says why
      */
     public static Map<String, Object> parseObject(byte[] bytes) throws IOException {
         try (JsonParser parser = FACTORY.createParser(bytes)) {
@@ -49,18 +49,18 @@
         }
     }
 
-    /** What the writer writes, in UTF-8. */
+    /** Returns what the writer writes, in UTF-8. */
     public static byte[] encode(Writer writer) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator json = FACTORY.createGenerator(bytes)) {
             writer.write(json);
         } catch (IOException e) {
-            throw new UncheckedIOException("memory can't be written to", e);
+            throw new UncheckedIOException("encoding JSON in memory failed", e);
         }
         return bytes.toByteArray();
     }
 
-    /** Writes a tree as {@link #parseObject} reads it. */
+    /** Writes a tree as {@link #parseObject} returns it. */
     public static void write(JsonGenerator json, Object value) throws IOException {
         if (value instanceof Map<?, ?> map) {
             json.writeStartObject();
@@ -87,9 +87,10 @@
     }
 
     /**
-     * A member that must be there and of this type.
+     * Returns a required member.
      *
-     * @throws MalformedJsonException if it is missing or of another type; the message names it
+     * @throws MalformedJsonException if it is missing or not of this type; the message names the
+     *     member
      */
     public static <T> T member(Map<?, ?> object, String name, Class<T> type)
             throws MalformedJsonException {
--- a/src/main/java/postbeam/json/JsonTreeReader.java
+++ b/src/main/java/postbeam/json/JsonTreeReader.java
@@ -10,37 +10,37 @@
 
 /**
  * Reads one object from a parser into maps, lists, strings, numbers, booleans and nulls. Members
- * keep their order.
+ * keep the order of the document.
  */
 public final class JsonTreeReader {
-    /** Told where each member and list element begins. */
+    /** Receives the position of each member and list element. */
     public interface PositionListener {
         /**
          * Called before the value is read.
          *
-         * @param pointer JSON pointer of the value, {@code /a/0/b}
-         * @param line line of the document, from 1
+         * @param pointer path of the value in the form {@code /a/0/b}; names are not escaped
+         * @param line line in the document, from 1
          */
         void valueAt(String pointer, int line);
     }
 
     private final JsonParser parser;
 
-    /** Null where nobody asks for positions: pointers are then not built. */
+    /** Null if positions are not needed; pointers are not built then. */
     private final PositionListener listener;
 
-    /** A reader that reports no positions. */
+    /** Creates a reader that reports no positions. */
     public JsonTreeReader(JsonParser parser) {
         this(parser, null);
     }
 
-    /** A reader that reports the position of each value to the listener. */
+    /** Creates a reader that reports the position of each value to the listener. */
     public JsonTreeReader(JsonParser parser, PositionListener listener) {
         this.parser = parser;
         this.listener = listener;
     }
 
-    /** Reads the object whose start is the parser's current token, up to its end. */
+    /** Reads the rest of the object whose start is the parser's current token. */
     public Map<String, Object> readObject() throws IOException {
         return readMembers("");
     }
--- a/src/main/java/postbeam/json/MalformedJsonException.java
+++ b/src/main/java/postbeam/json/MalformedJsonException.java
@@ -2,12 +2,17 @@
 
 import java.io.IOException;
 
-/** A document that is JSON but not of the expected form; the message says which member and why. */
+/**
+ * A JSON document that does not have the expected structure; the message says which member is wrong
+ * and why.
+ */
 public final class MalformedJsonException extends IOException {
     private static final long serialVersionUID = 1L;
 
     /**
-     * The message is a clause without a full stop, as it is sent to clients and written to logs.
+     * Creates an exception.
+     *
+     * @param message a clause without a full stop, since it is sent to clients and written to logs
      */
     public MalformedJsonException(String message) {
         super(message);
--- a/src/main/java/postbeam/json/package-info.java
+++ b/src/main/java/postbeam/json/package-info.java
@@ -1,6 +1,6 @@
 /**
- * JSON as untyped trees: reading with bounds on depth, checked access to members, writing. The
- * codecs of the other packages turn these trees into their own types. Imports no other package of
- * this project.
+ * JSON as untyped trees: parsing with a limited nesting depth, checked access to members, and
+ * writing. The codecs of other packages convert these trees to their own types. Imports no other
+ * package of this project.
  */
 package postbeam.json;
--- a/src/main/java/postbeam/router/PolicyExecutor.java
+++ b/src/main/java/postbeam/router/PolicyExecutor.java
@@ -386,8 +386,8 @@
         lock.lock();
         try {
             return String.format(
-                    "%d queries and %d attempts in flight (%d by node counters); of %d listed nodes %d"
-                            + " are ejected",
+                    "%d queries and %d attempts in flight (%d by node counters); of %d listed"
+                            + " nodes %d are ejected",
                     queries.size(),
                     attempts.size(),
                     nodes.attemptsInFlight(),
