--- a/src/test/java/postbeam/endpoints/EndpointRegistryTest.java
+++ b/src/test/java/postbeam/endpoints/EndpointRegistryTest.java
@@ -31,23 +31,23 @@
                     actions, new Random(1), new Cluster(1, 1), new InstanceSettings());
     private final EndpointRegistry registry = new EndpointRegistry("a");
 
-    private void update(String name, Readiness readiness, boolean whole) {
+    private void update(String name, Readiness readiness, boolean complete) {
         registry.update(
                 Duration.ZERO,
                 List.of(new Endpoint(name, "a", 0, 0, readiness)),
-                whole,
+                complete,
                 micros -> Duration.ZERO,
                 policy);
     }
 
     @Test
-    void longRemovedNodesAreForgottenAndOneThatIsBackSoonIsNot() {
+    void nodesRemovedLongAgoAreEvictedAndReaddedNodeIsKept() {
         update("first", Readiness.READY, true);
         update("back", Readiness.READY, false);
-        DataNode back = registry.node("back");
+        DataNode readded = registry.node("back");
         update("back", Readiness.REMOVED, false);
         update("back", Readiness.READY, false);
-        assertSame(back, registry.node("back"));
+        assertSame(readded, registry.node("back"));
         for (int i = 0; i < 200; i++) {
             update("n" + i, Readiness.READY, i % 2 == 0);
             update("n" + i, Readiness.REMOVED, false);
--- a/src/test/java/postbeam/endpoints/PollScheduleTest.java
+++ b/src/test/java/postbeam/endpoints/PollScheduleTest.java
@@ -19,7 +19,7 @@
     private final PollSchedule schedule = new PollSchedule(true, ms(10_000), new Random(1));
 
     @Test
-    void pollIsDueAtOnceAndAfterEachFailureLaterUntilTheWatchHolds() {
+    void pollIsDueAtStartAndAfterEachFailureUntilOneSucceeds() {
         assertTrue(schedule.startPollIfDue(ms(0)));
         long now = 0;
         for (int failure = 1; failure <= 12; failure++) {
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void unansweredPollIsRepeatedAndNoneIsDueWhereNoneIsRequired() {
+    void unansweredPollIsRepeatedAndNoPollIsDueIfNoneIsRequired() {
         assertTrue(schedule.startPollIfDue(ms(0)));
         assertFalse(schedule.startPollIfDue(ms(2_200)));
         assertTrue(schedule.startPollIfDue(ms(2_300)));
@@ -78,7 +78,7 @@
 
     /** Chances that draw the least, the most, and whatever else. */
     private static final Random[] RANDOMS = {
-        drawing(0), drawing(Math.nextDown(1.0)), new Random(3)
+        constantRandom(0), constantRandom(Math.nextDown(1.0)), new Random(3)
     };
 
     /**
@@ -87,11 +87,11 @@
      */
     private static final long MAX_CYCLE_MILLIS = 5_500;
 
-    private static Random drawing(double always) {
+    private static Random constantRandom(double value) {
         return new Random() {
             @Override
             public double nextDouble() {
-                return always;
+                return value;
             }
         };
     }
@@ -100,45 +100,47 @@
      * The longest that a call may be out which began before discovery was back, the longest pause,
      * and a whole list; and so many times a pause and a list that fails all the same.
      */
-    private static long worstCycle(PollTimings pace, int failAfter) {
-        long out =
+    private static long worstCycleMillis(PollTimings timings, int failuresAfterRecovery) {
+        long pendingPoll =
                 Math.max(
-                        pace.longPollWait().plus(pace.longPollGrace()).toMillis(),
-                        pace.responseTimeout().toMillis());
-        return out
-                + (1 + failAfter)
-                        * (pace.maxBackoff().toMillis() + pace.responseTimeout().toMillis());
+                        timings.longPollWait().plus(timings.longPollGrace()).toMillis(),
+                        timings.responseTimeout().toMillis());
+        return pendingPoll
+                + (1 + failuresAfterRecovery)
+                        * (timings.maxBackoff().toMillis() + timings.responseTimeout().toMillis());
     }
 
     @Test
     void pollCycleIsWithinThePropagationDelayForAllTimings() {
-        int paces = 0;
+        int checkedTimings = 0;
         for (Random random : RANDOMS) {
             for (Duration pollInterval : POLL_INTERVALS) {
-                PollTimings priced = PollTimings.discoveryServer(pollInterval, random);
+                PollTimings serverTimings = PollTimings.discoveryServer(pollInterval, random);
                 assertTrue(
-                        worstCycle(priced, 0) <= MAX_CYCLE_MILLIS,
-                        pollInterval + ": " + worstCycle(priced, 0));
+                        worstCycleMillis(serverTimings, 0) <= MAX_CYCLE_MILLIS,
+                        pollInterval + ": " + worstCycleMillis(serverTimings, 0));
                 for (int failures = 1; failures <= 200; failures++) {
-                    long pause = priced.backoff().apply(failures).toMillis();
+                    long pause = serverTimings.backoff().apply(failures).toMillis();
                     assertTrue(pause >= 100, pollInterval + ": in step, " + pause);
                     assertTrue(
-                            pause <= priced.maxBackoff().toMillis(), pollInterval + ": " + pause);
+                            pause <= serverTimings.maxBackoff().toMillis(),
+                            pollInterval + ": " + pause);
                     assertTrue(
-                            priced.firstByteTimeout()
+                            serverTimings
+                                            .firstByteTimeout()
                                             .apply(failures)
-                                            .compareTo(priced.responseTimeout())
+                                            .compareTo(serverTimings.responseTimeout())
                                     <= 0);
                 }
                 // Nor do the first pauses grow: a hundred routers' calls spread, and an outage of 1
                 // s isn't outlasted.
-                assertTrue(priced.backoff().apply(1).compareTo(ms(750)) <= 0);
-                paces++;
+                assertTrue(serverTimings.backoff().apply(1).compareTo(ms(750)) <= 0);
+                checkedTimings++;
             }
         }
         assertTrue(
-                worstCycle(PollTimings.LOCAL_AGENT, 1) <= MAX_CYCLE_MILLIS,
-                "free: " + worstCycle(PollTimings.LOCAL_AGENT, 1));
+                worstCycleMillis(PollTimings.LOCAL_AGENT, 1) <= MAX_CYCLE_MILLIS,
+                "free: " + worstCycleMillis(PollTimings.LOCAL_AGENT, 1));
         for (int failures = 0; failures <= 200; failures++) {
             assertEquals(
                     PollTimings.LOCAL_AGENT.maxBackoff(),
@@ -150,7 +152,7 @@
                                     .compareTo(PollTimings.LOCAL_AGENT.responseTimeout())
                             <= 0);
         }
-        assertEquals(45, paces);
+        assertEquals(45, checkedTimings);
     }
 
     /**
@@ -158,17 +160,17 @@
      * outages of 6 s.
      */
     @Test
-    void returnOfTheAgentIsNoticedWithinTheShortestGrace() {
-        long out = 0;
-        for (int failures = 0; out < 6_000; failures++) {
-            long call =
+    void returnOfAgentIsDetectedWithinShortestGracePeriod() {
+        long elapsed = 0;
+        for (int failures = 0; elapsed < 6_000; failures++) {
+            long pollAndPause =
                     PollTimings.LOCAL_AGENT
                             .firstByteTimeout()
                             .apply(failures)
                             .plus(PollTimings.LOCAL_AGENT.backoff().apply(failures))
                             .toMillis();
-            assertTrue(call <= 400, call + " after " + failures + " failures");
-            out += call;
+            assertTrue(pollAndPause <= 400, pollAndPause + " after " + failures + " failures");
+            elapsed += pollAndPause;
         }
         // An agent that takes longer to begin, but no longer than an answer may, is heard all the
         // same.
@@ -189,24 +191,24 @@
      * ask of 2 s.
      */
     @Test
-    void scheduleIsWithinTheSameBoundWhateverTheSettingsSay() {
+    void scheduleStaysWithinMaxPollCycleForAllSettings() {
         for (Random random : RANDOMS) {
             for (Duration pollInterval : POLL_INTERVALS) {
-                PollSchedule state = new PollSchedule(true, pollInterval, random);
+                PollSchedule simulatedSchedule = new PollSchedule(true, pollInterval, random);
                 Duration now = Duration.ZERO;
                 for (int failures = 1; failures <= 200; failures++) {
-                    assertTrue(state.startPollIfDue(now));
-                    Duration unanswered = state.nextPollAt().minus(now);
-                    now = state.nextPollAt();
-                    state.onPollResult(now, true);
-                    Duration pause = state.nextPollAt().minus(now);
-                    long sum = unanswered.plus(pause).toMillis() + 2_000;
+                    assertTrue(simulatedSchedule.startPollIfDue(now));
+                    Duration unanswered = simulatedSchedule.nextPollAt().minus(now);
+                    now = simulatedSchedule.nextPollAt();
+                    simulatedSchedule.onPollResult(now, true);
+                    Duration pause = simulatedSchedule.nextPollAt().minus(now);
+                    long cycleMillis = unanswered.plus(pause).toMillis() + 2_000;
                     assertTrue(
-                            sum <= MAX_CYCLE_MILLIS,
-                            pollInterval + ": " + sum + " after " + failures);
+                            cycleMillis <= MAX_CYCLE_MILLIS,
+                            pollInterval + ": " + cycleMillis + " after " + failures);
                     assertTrue(pause.toMillis() >= 100, pollInterval + ": in step, " + pause);
                     assertTrue(unanswered.toMillis() > 2_000, "discovery may take 2 s");
-                    now = state.nextPollAt();
+                    now = simulatedSchedule.nextPollAt();
                 }
             }
         }
--- a/src/test/java/postbeam/router/DecisionPacerTest.java
+++ b/src/test/java/postbeam/router/DecisionPacerTest.java
@@ -12,12 +12,12 @@
     private final DecisionPacer pacer = new DecisionPacer(clock, new DiscoveryFreshness());
 
     @Test
-    void firstDecisionNeedNotWait() {
+    void firstDecisionIsAllowedAtOnce() {
         assertTrue(pacer.mayDecide(Duration.ZERO));
     }
 
     @Test
-    void longDecisionIsFollowedByAPauseOfLimitedLength() throws InterruptedException {
+    void longDecisionIsFollowedByPauseOfLimitedLength() throws InterruptedException {
         pacer.beginDecision();
         Thread.sleep(20);
         Duration before = clock.now();
--- a/src/test/java/postbeam/router/MonotonicClockTest.java
+++ b/src/test/java/postbeam/router/MonotonicClockTest.java
@@ -10,21 +10,22 @@
     private final MonotonicClock clock = new MonotonicClock();
 
     @Test
-    void policyTimeAndNanoTimeAreTranslatedBothWays() {
+    void policyTimeConvertsToNanoTimeAndBack() {
         Duration time = Duration.ofSeconds(7).plusNanos(3);
         assertEquals(time, clock.fromNanoTime(clock.toNanoTime(time)));
     }
 
     @Test
-    void unixTimesAreTranslatedAlikeFromMicrosecondsAndSpans() {
+    void unixTimesInMicrosecondsAndDurationsConvertAlike() {
         long micros = 1_790_000_000_000_123L;
         assertEquals(
                 clock.fromUnixTime(Duration.ofNanos(micros * 1000)), clock.fromUnixMicros(micros));
     }
 
     @Test
-    void presentUnixTimeIsThePresentPolicyTime() {
-        Duration apart = clock.fromUnixMicros(System.currentTimeMillis() * 1000).minus(clock.now());
-        assertTrue(apart.abs().compareTo(Duration.ofSeconds(5)) < 0, apart + " apart");
+    void currentUnixTimeConvertsToCurrentPolicyTime() {
+        Duration difference =
+                clock.fromUnixMicros(System.currentTimeMillis() * 1000).minus(clock.now());
+        assertTrue(difference.abs().compareTo(Duration.ofSeconds(5)) < 0, difference + " apart");
     }
 }
--- a/src/test/java/postbeam/router/PagingServiceTest.java
+++ b/src/test/java/postbeam/router/PagingServiceTest.java
@@ -50,14 +50,15 @@
     /** Rows 0 to 19 by turns in two slices. */
     private final List<Row> rows = new ArrayList<>();
 
-    private final Map<String, Integer> callsByKeys = new TreeMap<>();
+    private final Map<String, Integer> attemptsByKeys = new TreeMap<>();
     private PagingService paging;
     private PolicyExecutor executor;
 
     /** Rows that a node gives at most, whatever it is requested. */
     private int maxRowsPerFetch = 2;
 
-    private void router(int attempts, double free) throws IOException, OperatorErrorException {
+    private void createRouter(int maxAttempts, double spareAttempts)
+            throws IOException, OperatorErrorException {
         for (int i = 0; i < 20; i++) {
             rows.add(new Row(new RowPosition(List.of((long) i), i % 2 * HALF + i, i), "row " + i));
         }
@@ -68,9 +69,9 @@
                                 Json.parseObject(
                                         ("{\"zone\":\"a\",\"nInstances\":1,\"domain\":{\"cells\":1,\"reach\":1},"
                                              + "\"caps\":{\"maxAttempts\":"
-                                                        + attempts
+                                                        + maxAttempts
                                                         + ",\"mayDuplicate\":false},\"obligations\":{\"spareAttempts\":"
-                                                        + free
+                                                        + spareAttempts
                                                         + ",\"budgetShare\":0.1,\"extraWindow\":600000000},\"classes\":["
                                                         + "{\"name\":\"search\",\"promise\":20000000,\"effect\":\"retryable\"},"
                                                         + "{\"name\":\"hold\",\"promise\":20000000,\"effect\":\"fragile\",\"lateWorth\":0.1}]}")
@@ -124,7 +125,7 @@
                                                 new AttemptResult(
                                                         attempt,
                                                         AttemptOutcome.SUCCESS,
-                                                        answer(attempt))));
+                                                        answerAsDataNode(attempt))));
                             }
                         } else if (!(action instanceof QueryAction.CancelAttempt)) {
                             return action;
@@ -133,11 +134,11 @@
                 });
     }
 
-    private byte[] answer(DispatchedAttempt attempt) throws IOException {
+    private byte[] answerAsDataNode(DispatchedAttempt attempt) throws IOException {
         String head = new String(attempt.frameHeader(), StandardCharsets.UTF_8);
         String[] keys = head.replaceAll("(?s).*,k=([0-9-]+),.*", "$1").split("-", -1);
         KeyRange range = new KeyRange(Long.parseLong(keys[0]), Long.parseLong(keys[1]));
-        callsByKeys.merge(range.toString(), 1, Integer::sum);
+        attemptsByKeys.merge(range.toString(), 1, Integer::sum);
         int fetchBytes = Integer.parseInt(head.replaceAll("(?s).*,p=([0-9]+) .*", "$1"));
         RowCodec.FetchRequest request =
                 RowCodec.decodeFetchRequest(
@@ -158,17 +159,17 @@
                                 row ->
                                         request.fetches().stream()
                                                 .anyMatch(
-                                                        one ->
-                                                                one.range().from()
+                                                        fetch ->
+                                                                fetch.range().from()
                                                                                 <= row.position()
                                                                                         .key()
                                                                         && row.position().key()
-                                                                                < one.range().to()
-                                                                        && (one.after() == null
+                                                                                < fetch.range().to()
+                                                                        && (fetch.after() == null
                                                                                 || ORDER.compare(
                                                                                                 row
                                                                                                         .position(),
-                                                                                                one
+                                                                                                fetch
                                                                                                         .after())
                                                                                         > 0)))
                         .filter(
@@ -176,12 +177,12 @@
                                         range.from() <= row.position().key()
                                                 && row.position().key() < range.to())
                         .toList();
-        int give = Math.min(found.size(), maxRowsPerFetch);
+        int rowCount = Math.min(found.size(), maxRowsPerFetch);
         return RowCodec.encodePartialPage(
                 new PartialPage(
                         range,
-                        found.subList(0, give),
-                        give < found.size() ? found.get(give).position() : null));
+                        found.subList(0, rowCount),
+                        rowCount < found.size() ? found.get(rowCount).position() : null));
     }
 
     private PageResult page(String cursor, int size)
@@ -210,13 +211,13 @@
     }
 
     @Test
-    void followUpsFillAPageAndItsCursorContinues() throws Exception {
-        router(3, 50);
+    void followUpsFillPageAndCursorContinuesAfterIt() throws Exception {
+        createRouter(3, 50);
         PageResult first = page(null, 8);
         assertEquals(List.of(0L, 1L, 2L, 3L, 4L, 5L, 6L, 7L), values(first));
         assertTrue(
-                callsByKeys.values().stream().allMatch(calls -> calls == 2),
-                callsByKeys.toString());
+                attemptsByKeys.values().stream().allMatch(attempts -> attempts == 2),
+                attemptsByKeys.toString());
         assertEquals(List.of(8L, 9L, 10L, 11L), values(page(first.cursor(), 4)));
     }
 
@@ -225,23 +226,23 @@
      * they ran out.
      */
     @Test
-    void attemptLimitCountsFirstQueryAndFollowUpsTogether() throws Exception {
-        router(2, 50);
+    void attemptLimitAppliesToFirstQueryAndFollowUpsTogether() throws Exception {
+        createRouter(2, 50);
         PageResult page = page(null, 12);
         assertEquals(
                 2,
-                callsByKeys.values().stream().mapToInt(calls -> calls).max().getAsInt(),
-                callsByKeys.toString());
+                attemptsByKeys.values().stream().mapToInt(attempts -> attempts).max().getAsInt(),
+                attemptsByKeys.toString());
         assertTrue(page.page().truncated());
         assertEquals(List.of(0L, 1L, 2L, 3L, 4L, 5L, 6L, 7L), values(page));
         assertNotNull(page.cursor());
     }
 
     @Test
-    void withoutABudgetThereIsNoFollowUp() throws Exception {
-        router(3, 0);
+    void noFollowUpIsSentWithoutRetryBudget() throws Exception {
+        createRouter(3, 0);
         PageResult page = page(null, 8);
-        assertEquals(2, callsByKeys.values().stream().mapToInt(calls -> calls).sum());
+        assertEquals(2, attemptsByKeys.values().stream().mapToInt(attempts -> attempts).sum());
         assertTrue(page.page().truncated());
         assertEquals(List.of(0L, 1L, 2L, 3L), values(page));
     }
@@ -251,27 +252,27 @@
      * retries and no third.
      */
     @Test
-    void followUpsTakeFromTheRetryBudget() throws Exception {
-        router(9, 4);
+    void followUpsAndRetriesShareTheRetryBudget() throws Exception {
+        createRouter(9, 4);
         maxRowsPerFetch = 1;
         String cursor = null;
         int pages = 0;
-        int given = 0;
+        int returnedRows = 0;
         do {
             PageResult page = page(cursor, 6);
-            given += page.page().rows().size();
+            returnedRows += page.page().rows().size();
             cursor = page.cursor();
             pages++;
         } while (pages < 3);
-        int calls = callsByKeys.values().stream().mapToInt(count -> count).sum();
+        int attempts = attemptsByKeys.values().stream().mapToInt(count -> count).sum();
         // 3 queries of 2 shards were accepted: 4 + 0.1 * 9 further attempts at most.
-        assertTrue(calls - 2 * pages <= 4, calls + " calls for " + pages + " pages");
-        assertTrue(given >= 2 * pages, given + " rows");
+        assertTrue(attempts - 2 * pages <= 4, attempts + " calls for " + pages + " pages");
+        assertTrue(returnedRows >= 2 * pages, returnedRows + " rows");
     }
 
     @Test
-    void onlyIdempotentQueryClassesServePages() throws Exception {
-        router(3, 50);
+    void pageRequestForNonIdempotentQueryClassIsRejected() throws Exception {
+        createRouter(3, 50);
         assertEquals(
                 UnroutableQueryException.Reason.UNKNOWN_SLICE,
                 assertThrows(
@@ -281,8 +282,8 @@
     }
 
     @Test
-    void disconnectedClientEndsFollowUpsToo() throws Exception {
-        router(3, 50);
+    void clientDisconnectEndsFollowUpQueriesToo() throws Exception {
+        createRouter(3, 50);
         InFlightQuery query =
                 executor.accept(request("search", null, 8), Duration.ZERO).orElseThrow();
         serve(query);
--- a/src/test/java/postbeam/router/PolicyExecutorTest.java
+++ b/src/test/java/postbeam/router/PolicyExecutorTest.java
@@ -105,38 +105,38 @@
     }
 
     private static ClientRequest request(
-            String id, String queryClass, Duration timeout, int parts) {
-        List<ClientRequest.RequestedShard> list = new ArrayList<>();
-        for (int i = 0; i < parts; i++) {
-            list.add(new ClientRequest.RequestedShard(i, 1.0 / parts, null));
+            String id, String queryClass, Duration timeout, int shardCount) {
+        List<ClientRequest.RequestedShard> shards = new ArrayList<>();
+        for (int i = 0; i < shardCount; i++) {
+            shards.add(new ClientRequest.RequestedShard(i, 1.0 / shardCount, null));
         }
-        return new ClientRequest(id, queryClass, null, timeout, list, VALUE);
+        return new ClientRequest(id, queryClass, null, timeout, shards, VALUE);
     }
 
     private QueryAction awaitAction(InFlightQuery query) {
         return assertTimeoutPreemptively(Duration.ofSeconds(20), () -> executor.awaitAction(query));
     }
 
-    private QueryAction.Send send(InFlightQuery query) {
+    private QueryAction.Send awaitSend(InFlightQuery query) {
         return assertInstanceOf(QueryAction.Send.class, awaitAction(query));
     }
 
     @Test
-    void attemptsOfOneDecisionTravelInBatchesOfLimitedSize() {
+    void attemptsOfOneDecisionAreSentInBatchesOfLimitedSize() {
         InFlightQuery query = accept(request("a", "lookup", TIMEOUT, 3), Duration.ZERO);
         assertEquals(
                 List.of("a.0", "a.1"),
-                send(query).attempts().stream().map(attempt -> attempt.id).toList());
+                awaitSend(query).attempts().stream().map(attempt -> attempt.id).toList());
         assertEquals(
                 List.of("a.2"),
-                send(query).attempts().stream().map(attempt -> attempt.id).toList());
+                awaitSend(query).attempts().stream().map(attempt -> attempt.id).toList());
     }
 
     @Test
-    void allShardsAnsweredMakeACompleteAnswer() {
+    void answerIsCompleteOnceAllShardsAreAnswered() {
         InFlightQuery query = accept(request("a", "lookup", TIMEOUT, 2), Duration.ZERO);
         executor.onAttemptResults(
-                send(query).attempts().stream()
+                awaitSend(query).attempts().stream()
                         .map(attempt -> new AttemptResult(attempt, AttemptOutcome.SUCCESS, VALUE))
                         .toList());
         QueryAction.Answer answer = assertInstanceOf(QueryAction.Answer.class, awaitAction(query));
@@ -148,9 +148,9 @@
     }
 
     @Test
-    void attemptReportedTwiceCountsOnce() {
+    void secondResultOfAnAttemptIsIgnored() {
         InFlightQuery query = accept(request("a", "lookup", TIMEOUT, 2), Duration.ZERO);
-        DispatchedAttempt attempt = send(query).attempts().get(0);
+        DispatchedAttempt attempt = awaitSend(query).attempts().get(0);
         executor.onAttemptResults(
                 List.of(
                         new AttemptResult(attempt, AttemptOutcome.SUCCESS, VALUE),
@@ -161,15 +161,15 @@
     }
 
     @Test
-    void attemptsOfAnEndedQueryAreAbandonedFirst() {
+    void attemptsOfEndedQueryAreAbandonedAtOnce() {
         InFlightQuery query = accept(request("a", "lookup", TIMEOUT, 1), Duration.ZERO);
-        DispatchedAttempt attempt = send(query).attempts().get(0);
+        DispatchedAttempt attempt = awaitSend(query).attempts().get(0);
         executor.clientDisconnected(query);
         assertTrue(attempt.isAbandoned());
     }
 
     @Test
-    void idInFlightIsNotAcceptedAgain() {
+    void queryWithIdInFlightIsNotAccepted() {
         InFlightQuery query = accept(request("a", "lookup", TIMEOUT, 1), Duration.ZERO);
         assertNull(accept(request("a", "lookup", TIMEOUT, 1), Duration.ZERO));
         executor.clientDisconnected(query);
@@ -177,29 +177,29 @@
     }
 
     @Test
-    void policyFailureAbortsItsQueryAndNoOther() {
+    void policyFailureAbortsOnlyTheQueryThatCausedIt() {
         InFlightQuery healthy = accept(request("a", "lookup", TIMEOUT, 1), Duration.ZERO);
         InFlightQuery failing = accept(request("b", "no such vertical", TIMEOUT, 1), Duration.ZERO);
         assertInstanceOf(QueryAction.Abort.class, awaitAction(failing));
         executor.onAttemptResults(
                 List.of(
                         new AttemptResult(
-                                send(healthy).attempts().get(0), AttemptOutcome.SUCCESS, VALUE)));
+                                awaitSend(healthy).attempts().get(0), AttemptOutcome.SUCCESS, VALUE)));
         assertInstanceOf(QueryAction.Answer.class, awaitAction(healthy));
     }
 
     @Test
-    void ageCountsAgainstTheTimeout() {
+    void queryAgeReducesTheRemainingTimeout() {
         InFlightQuery query = accept(request("a", "hold", TIMEOUT, 1), Duration.ofSeconds(3));
-        assertTrue(send(query).attempts().get(0).remainingMillis() <= 2000);
+        assertTrue(awaitSend(query).attempts().get(0).remainingMillis() <= 2000);
     }
 
     @Test
-    void deadlineEndsAQuery() {
+    void queryIsAbortedAtItsDeadline() {
         long start = System.nanoTime();
         InFlightQuery query =
                 accept(request("a", "hold", Duration.ofMillis(400), 1), Duration.ZERO);
-        send(query);
+        awaitSend(query);
         QueryAction action = awaitAction(query);
         while (action instanceof QueryAction.CancelAttempt) {
             action = awaitAction(query);
@@ -209,18 +209,18 @@
     }
 
     @Test
-    void failingNodeIsHealthCheckedAgainAfterATimeout() {
+    void failingNodeIsCheckedAgainAfterHealthCheckTimeout() {
         InFlightQuery query = accept(request("a", "lookup", TIMEOUT, 1), Duration.ZERO);
         executor.onAttemptResults(
-                List.of(new AttemptResult(send(query).attempts().get(0), AttemptOutcome.RESET)));
+                List.of(new AttemptResult(awaitSend(query).attempts().get(0), AttemptOutcome.RESET)));
         accept(request("b", "hold", TIMEOUT, 1), Duration.ZERO);
         QueryAction.HealthCheck first =
-                assertInstanceOf(QueryAction.HealthCheck.class, nextHealthCheck());
+                assertInstanceOf(QueryAction.HealthCheck.class, awaitHealthCheck());
         assertEquals("127.0.0.1:1", first.address());
-        assertInstanceOf(QueryAction.HealthCheck.class, nextHealthCheck());
+        assertInstanceOf(QueryAction.HealthCheck.class, awaitHealthCheck());
     }
 
-    private QueryAction nextHealthCheck() {
+    private QueryAction awaitHealthCheck() {
         return assertTimeoutPreemptively(
                 Duration.ofSeconds(20),
                 () -> {
@@ -233,7 +233,7 @@
     }
 
     @Test
-    void newNodeIsSentToFromItsUpdateOn() {
+    void newNodeReceivesAttemptsOnceItIsListed() {
         executor.onEndpointUpdate(new EndpointUpdate(2, true, List.of(), Map.of()));
         InFlightQuery query = accept(request("a", "lookup", TIMEOUT, 1), Duration.ZERO);
         executor.onEndpointUpdate(
@@ -242,7 +242,7 @@
                         true,
                         List.of(new Endpoint("n2", "a", 0, 0, Readiness.READY)),
                         Map.of("n2", "127.0.0.1:2")));
-        assertEquals("127.0.0.1:2", send(query).address());
+        assertEquals("127.0.0.1:2", awaitSend(query).address());
     }
 
     @Test
@@ -251,7 +251,7 @@
         executor.onAttemptResults(
                 List.of(
                         new AttemptResult(
-                                send(query).attempts().get(0), AttemptOutcome.SUCCESS, VALUE)));
+                                awaitSend(query).attempts().get(0), AttemptOutcome.SUCCESS, VALUE)));
         assertInstanceOf(QueryAction.Answer.class, awaitAction(query));
         long end = System.nanoTime() + TIMEOUT.toNanos();
         while (executor.pendingTimers() > 0 && System.nanoTime() < end) {
@@ -262,14 +262,14 @@
 
     @Test
     void eventsWithinAPauseAreDecidedOnTogether() {
-        List<InFlightQuery> all = new ArrayList<>();
+        List<InFlightQuery> queries = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            all.add(accept(request("q" + i, "lookup", TIMEOUT, 10), Duration.ZERO));
+            queries.add(accept(request("q" + i, "lookup", TIMEOUT, 10), Duration.ZERO));
         }
         assertTrue(
                 executor.decisionCount() < 200,
                 executor.decisionCount() + " times for 200 queries");
-        send(all.get(0));
+        awaitSend(queries.get(0));
     }
 
     @Test
@@ -281,7 +281,7 @@
     }
 
     @Test
-    void warmedUpServerAnswersEachRequest() throws Exception {
+    void warmUpThroughServerSubmitsEachRequest() throws Exception {
         XnioWorker worker =
                 Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         JitWarmUp warmUp = new JitWarmUp(executor, "a", 1, List.of("lookup"), null, 4);
--- a/src/test/java/postbeam/router/RouterReadinessTest.java
+++ b/src/test/java/postbeam/router/RouterReadinessTest.java
@@ -15,7 +15,7 @@
     }
 
     @Test
-    void routerWhoseSlicesMoveNeedsALayoutToo() {
+    void routerWithMovingSlicesIsReadyOnceItAlsoKnowsALayout() {
         RouterReadiness readiness = new RouterReadiness(true);
         readiness.onEndpointsKnown();
         assertFalse(readiness.isReady());
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void layoutAloneIsNotEnough() {
+    void routerWithLayoutButNoDataNodesIsNotReady() {
         RouterReadiness readiness = new RouterReadiness(true);
         readiness.onLayoutKnown();
         assertFalse(readiness.isReady());
--- a/src/test/java/postbeam/router/ShutdownDeadlinesTest.java
+++ b/src/test/java/postbeam/router/ShutdownDeadlinesTest.java
@@ -9,21 +9,25 @@
 import org.junit.jupiter.api.Test;
 
 class ShutdownDeadlinesTest {
-    private static void endsBefore(Duration killed, Duration... deadlines) {
-        ShutdownDeadlines times = ShutdownDeadlines.of(Arrays.asList(deadlines));
-        assertTrue(times.finalAnswersBy().compareTo(killed) < 0, times + " beside " + killed);
-        assertTrue(times.servingEnds().compareTo(times.finalAnswersBy()) < 0, times.toString());
+    private static void assertEndsBefore(Duration killTime, Duration... deadlines) {
+        ShutdownDeadlines shutdown = ShutdownDeadlines.of(Arrays.asList(deadlines));
+        assertTrue(
+                shutdown.finalAnswersBy().compareTo(killTime) < 0, shutdown + " beside " + killTime);
+        assertTrue(
+                shutdown.servingEnds().compareTo(shutdown.finalAnswersBy()) < 0,
+                shutdown.toString());
     }
 
     @Test
-    void finalAnswersComeBeforeTheProcessIsKilled() {
-        endsBefore(Duration.ofMillis(2500 + 700), Duration.ofMillis(2500), Duration.ofMillis(2000));
-        endsBefore(Duration.ofMillis(3000 + 700), Duration.ofMillis(7500), null);
-        endsBefore(Duration.ofMillis(300 + 700), Duration.ofMillis(300));
+    void finalAnswersAreSentBeforeTheProcessIsKilled() {
+        assertEndsBefore(
+                Duration.ofMillis(2500 + 700), Duration.ofMillis(2500), Duration.ofMillis(2000));
+        assertEndsBefore(Duration.ofMillis(3000 + 700), Duration.ofMillis(7500), null);
+        assertEndsBefore(Duration.ofMillis(300 + 700), Duration.ofMillis(300));
     }
 
     @Test
-    void withoutDeadlinesTheMaximumApplies() {
+    void maximumAppliesIfNoQueryClassHasADeadline() {
         assertEquals(Duration.ofSeconds(3), ShutdownDeadlines.of(List.of()).servingEnds());
     }
 }
--- a/src/test/java/postbeam/router/TimerQueueTest.java
+++ b/src/test/java/postbeam/router/TimerQueueTest.java
@@ -15,46 +15,46 @@
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition backgroundWork = lock.newCondition();
     private final TimerQueue timers = new TimerQueue(backgroundWork);
-    private final List<String> run = new ArrayList<>();
+    private final List<String> executed = new ArrayList<>();
 
     @BeforeEach
-    void acquire() {
+    void acquireLock() {
         lock.lock();
     }
 
     @AfterEach
-    void release() {
+    void releaseLock() {
         lock.unlock();
     }
 
     private TimerQueue.Timer schedule(long atMillis, String name) {
-        return timers.schedule(Duration.ofMillis(atMillis), () -> run.add(name));
+        return timers.schedule(Duration.ofMillis(atMillis), () -> executed.add(name));
     }
 
-    private List<String> runDue(long nowMillis) {
-        run.clear();
+    private List<String> executeDue(long nowMillis) {
+        executed.clear();
         timers.removeDue(Duration.ofMillis(nowMillis)).forEach(Runnable::run);
-        return run;
+        return executed;
     }
 
     @Test
-    void dueTasksRunByTimeAndThenInTheOrderOfTheirScheduling() {
+    void dueTasksRunInOrderOfTimeThenOfScheduling() {
         schedule(20, "third");
         schedule(10, "first");
         schedule(10, "second");
         schedule(30, "later");
-        assertEquals(List.of("first", "second", "third"), runDue(20));
-        assertEquals(List.of(), runDue(29));
-        assertEquals(List.of("later"), runDue(30));
+        assertEquals(List.of("first", "second", "third"), executeDue(20));
+        assertEquals(List.of(), executeDue(29));
+        assertEquals(List.of("later"), executeDue(30));
     }
 
     @Test
-    void cancelledTaskNeverRunsAndIsNotKept() {
+    void cancelledTimerIsRemovedAndNeverRuns() {
         TimerQueue.Timer cancelled = schedule(10, "cancelled");
         schedule(10, "kept");
         timers.cancel(cancelled);
         assertEquals(1, timers.size());
-        assertEquals(List.of("kept"), runDue(10));
+        assertEquals(List.of("kept"), executeDue(10));
         assertEquals(0, timers.size());
     }
 }
