--- a/src/test/java/postbeam/router/RouterIT.java
+++ b/src/test/java/postbeam/router/RouterIT.java
@@ -43,9 +43,9 @@
  */
 class RouterIT {
     /** Seconds after which a condition that has not come will not come. */
-    private static final int LONG = 20;
+    private static final int TIMEOUT_SECONDS = 20;
 
-    private static final InetAddress HERE = InetAddress.getLoopbackAddress();
+    private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
     /** Which connection came when and what it carried is lost with the test otherwise. */
     @RegisterExtension
@@ -59,7 +59,7 @@
             };
 
     @TempDir private Path dir;
-    private final List<AutoCloseable> toClose = new CopyOnWriteArrayList<>();
+    private final List<AutoCloseable> closeables = new CopyOnWriteArrayList<>();
     private ScriptedDataNode node;
     private FakeDiscovery discovery;
     private String address;
@@ -84,36 +84,36 @@
     // ---- the program
 
     @BeforeEach
-    void standIns() throws IOException {
-        node = node();
-        discovery = discovery(node.hostEntry("n1", "up"));
+    void startFakes() throws IOException {
+        node = createNode();
+        discovery = createDiscovery(node.hostEntry("n1", "up"));
     }
 
-    private ScriptedDataNode node() throws IOException {
-        ScriptedDataNode made = new ScriptedDataNode();
-        toClose.add(made);
-        return made;
+    private ScriptedDataNode createNode() throws IOException {
+        ScriptedDataNode created = new ScriptedDataNode();
+        closeables.add(created);
+        return created;
     }
 
-    private FakeDiscovery discovery(String hosts) throws IOException {
-        FakeDiscovery made = new FakeDiscovery(hosts);
-        toClose.add(made);
-        return made;
+    private FakeDiscovery createDiscovery(String hosts) throws IOException {
+        FakeDiscovery created = new FakeDiscovery(hosts);
+        closeables.add(created);
+        return created;
     }
 
     @AfterEach
-    void giveBack() throws Exception {
+    void stopProgramAndCloseAll() throws Exception {
         if (program != null) {
             program.destroyForcibly().waitFor();
         }
-        for (AutoCloseable one : toClose) {
-            one.close();
+        for (AutoCloseable closeable : closeables) {
+            closeable.close();
         }
     }
 
-    private String config(String known) throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, HERE)) {
-            address = "127.0.0.1:" + free.getLocalPort();
+    private String config(String endpointList) throws IOException {
+        try (ServerSocket freePort = new ServerSocket(0, 1, LOOPBACK)) {
+            address = "127.0.0.1:" + freePort.getLocalPort();
         }
         return "{\"name\":\"n0\",\"listen\":\""
                 + address
@@ -121,7 +121,7 @@
                 + discovery.server.getLocalPort()
                 + "\",\"seed\":\"8c1f30d27a5be964\","
                 + "\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},\"known\":"
-                + known
+                + endpointList
                 + ",\"settings\":{"
                 + "\"zone\":\"a\",\"nInstances\":1,\"report\":{\"how\":\"none\"},\"domain\":{\"cells\":1,\"reach\":1,"
                 + "\"shards\":4,\"partsACall\":16,\"classNeed\":[1.0,1.0,0.5],\"leastShare\":[1.0,1.0,0.25],"
@@ -134,15 +134,18 @@
                 + "\"tenants\":[{\"name\":\"acme\",\"quotaPerS\":50}]}}";
     }
 
-    private Process run(String config, String... more) throws IOException {
+    private Process startProgram(String config, String... arguments) throws IOException {
         Path file = Files.writeString(dir.resolve("config.json"), config);
-        String run =
+        String runCommand =
                 Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                         .filter(line -> line.startsWith("run = "))
                         .findFirst()
                         .orElseThrow()
                         .split("\"", -1)[1];
-        String command = more.length > 0 ? run.replaceAll("serve$", String.join(" ", more)) : run;
+        String command =
+                arguments.length > 0
+                        ? runCommand.replaceAll("serve$", String.join(" ", arguments))
+                        : runCommand;
         // SIGHUP at its default: where a parent ignores it, as nohup does, the program would not
         // hear it.
         ProcessBuilder start =
@@ -163,21 +166,21 @@
         return program;
     }
 
-    private void serving() throws Exception {
-        serving(config("null"));
+    private void startAndAwaitReady() throws Exception {
+        startAndAwaitReady(config("null"));
     }
 
-    private void serving(String config) throws Exception {
-        run(config);
-        until(
+    private void startAndAwaitReady(String config) throws Exception {
+        startProgram(config);
+        awaitCondition(
                 () ->
                         program.isAlive()
-                                && status("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n")
+                                && exchange("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n")
                                         .startsWith("200"));
     }
 
-    private static void until(Callable<Boolean> condition) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LONG);
+    private static void awaitCondition(Callable<Boolean> condition) throws Exception {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (System.nanoTime() < end) {
             try {
                 if (condition.call()) {
@@ -194,9 +197,10 @@
     private Socket connect() throws IOException {
         int colon = address.indexOf(':');
         Socket socket = new Socket();
-        socket.connect(new InetSocketAddress(HERE, Integer.parseInt(address.substring(colon + 1))));
-        socket.setSoTimeout(LONG * 1000);
-        toClose.add(socket);
+        socket.connect(
+                new InetSocketAddress(LOOPBACK, Integer.parseInt(address.substring(colon + 1))));
+        socket.setSoTimeout(TIMEOUT_SECONDS * 1000);
+        closeables.add(socket);
         return socket;
     }
 
@@ -205,7 +209,7 @@
     }
 
     /** Status, a space, the headers that matter, a space, the body. */
-    private static String answer(Socket socket) throws IOException {
+    private static String readResponse(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
@@ -231,18 +235,18 @@
     }
 
     /** The answer; a close while the request is still being sent is none of its own. */
-    private String status(String request) throws IOException {
+    private String exchange(String request) throws IOException {
         try (Socket socket = connect()) {
             try {
                 write(socket, request);
             } catch (IOException e) {
                 // What counts is what can be read.
             }
-            return answer(socket);
+            return readResponse(socket);
         }
     }
 
-    private static String query(String vertical, String id, int millis, int... shards) {
+    private static String query(String queryClass, String id, int millis, int... shards) {
         StringBuilder ranges = new StringBuilder();
         for (int shard : shards) {
             ranges.append(ranges.length() == 0 ? "" : ",")
@@ -253,7 +257,7 @@
                     .append('}');
         }
         return post(
-                "/" + vertical + "?obj=7f",
+                "/" + queryClass + "?obj=7f",
                 "Req-Id: " + id + "\r\nReq-Owner: acme\r\nReq-Deadline-Ms: " + millis + "\r\n",
                 "{\"ranges\":[" + ranges + "],\"predicate\":\"c41e77d0\"}");
     }
@@ -269,28 +273,28 @@
                 + body;
     }
 
-    private String frame(String start) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LONG);
+    private String awaitFrame(String prefix) throws InterruptedException {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (System.nanoTime() < end) {
             String next = node.frames.poll(1, TimeUnit.SECONDS);
-            if (next != null && next.startsWith(start)) {
+            if (next != null && next.startsWith(prefix)) {
                 return next;
             }
         }
-        return fail("no frame " + start + "; the program said " + log);
+        return fail("no frame " + prefix + "; the program said " + log);
     }
 
     // ---- queries
 
     @Test
-    void aQueryIsAnsweredWithTheValuesAsTheNodesGaveThemAndTheConnectionIsKept() throws Exception {
-        serving();
+    void queryIsAnsweredWithNodeValuesAndConnectionStaysOpen() throws Exception {
+        startAndAwaitReady();
         try (Socket client = connect()) {
             write(client, query("lookup", "q1", 3000, 0, 3));
             assertEquals(
                     "200 {\"total\":true,\"answers\":[{\"range\":0,\"blob\":\"vq1.0\"},{\"range\":3,\"blob\":\"vq1.3\"}]}",
-                    answer(client));
-            assertEquals("m q1.0 0 c41e77d0", frame("m q1.0"));
+                    readResponse(client));
+            assertEquals("m q1.0 0 c41e77d0", awaitFrame("m q1.0"));
             write(
                     client,
                     "POST /lookup HTTP/1.1\r\n"
@@ -306,19 +310,19 @@
                             + "0\r\n\r\n");
             assertEquals(
                     "200 {\"total\":true,\"answers\":[{\"range\":1,\"blob\":\"vq2.1\"}]}",
-                    answer(client));
+                    readResponse(client));
             node.mode = "twice";
             write(client, query("lookup", "q3", 3000, 2));
-            assertTrue(answer(client).contains("first"));
+            assertTrue(readResponse(client).contains("first"));
         }
         assertEquals(1, node.sockets.size());
     }
 
     /** Guards against a complete mark without a part that weighs less than a rounding. */
     @Test
-    void anAnswerIsCompleteOnlyWithItsLightestPart() throws Exception {
+    void answerIsCompleteOnlyOnceLightestShardIsAnswered() throws Exception {
         node.mode = "silent";
-        serving();
+        startAndAwaitReady();
         try (Socket client = connect()) {
             write(
                     client,
@@ -328,37 +332,37 @@
                             "{\"ranges\":[{\"range\":0,\"portion\":0.99999},"
                                     + "{\"range\":1,\"portion\":0.00001}],"
                                     + "\"predicate\":\"c41e77d0\"}"));
-            frame("m q1.0");
-            frame("m q1.1");
+            awaitFrame("m q1.0");
+            awaitFrame("m q1.1");
             node.send(node.sockets.get(0), "qq1.0 good 0 -\nheavy");
             client.setSoTimeout(300);
-            assertThrows(SocketTimeoutException.class, () -> answer(client));
-            client.setSoTimeout(LONG * 1000);
+            assertThrows(SocketTimeoutException.class, () -> readResponse(client));
+            client.setSoTimeout(TIMEOUT_SECONDS * 1000);
             node.send(node.sockets.get(0), "qq1.1 good 0 -\nlight");
             assertEquals(
                     "200 {\"total\":true,\"answers\":[{\"range\":0,\"blob\":\"heavy\"},"
                             + "{\"range\":1,\"blob\":\"light\"}]}",
-                    answer(client));
+                    readResponse(client));
         }
     }
 
     @Test
-    void anyPartsThatAreEnoughMakeTheAnswerAndTheRestAreCalledOff() throws Exception {
+    void partialAnswerIsSentOnceEnoughShardsAnswerAndOtherAttemptsAreCancelled() throws Exception {
         node.mode = "silent";
-        serving();
+        startAndAwaitReady();
         try (Socket client = connect()) {
             write(client, query("search", "q1", 2500, 0, 1, 2, 3));
-            String first = frame("m q1.").split(" ", -1)[1];
+            String first = awaitFrame("m q1.").split(" ", -1)[1];
             node.send(node.sockets.get(0), "q" + first + " good 0 -\nx");
-            String answer = answer(client);
+            String answer = readResponse(client);
             assertTrue(answer.startsWith("200 {\"total\":false,\"answers\":[{"), answer);
         }
-        frame("nq1.");
+        awaitFrame("nq1.");
     }
 
     @Test
-    void whatMayHaveRunAndCantRunAgainIsAborted() throws Exception {
-        serving();
+    void nonIdempotentQueryIsAbortedAfterFailedOrMalformedResponse() throws Exception {
+        startAndAwaitReady();
         for (String mode :
                 new String[] {
                     "bad", "reset", "garbage", "oversized", "unusable", "stray", "endless"
@@ -366,11 +370,12 @@
             node.mode = mode;
             long start = System.nanoTime();
             assertEquals(
-                    "504", status(query("hold", "q-" + mode, 20_000, 0)).substring(0, 3), mode);
+                    "504", exchange(query("hold", "q-" + mode, 20_000, 0)).substring(0, 3), mode);
             assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(5), mode);
         }
         node.mode = "good";
-        until(() -> status(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200"));
+        awaitCondition(
+                () -> exchange(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200"));
     }
 
     /**
@@ -378,110 +383,118 @@
      * on it.
      */
     @Test
-    void aSpoiltAnswerEndsAllThatSharesItsConnection() throws Exception {
-        serving();
+    void malformedResponseEndsAllAttemptsOnItsConnection() throws Exception {
+        startAndAwaitReady();
         node.mode = "silent";
         try (Socket other = connect();
                 Socket client = connect()) {
             write(other, query("hold", "q1", 20_000, 0));
-            frame("m q1.0");
+            awaitFrame("m q1.0");
             write(client, query("lookup", "q2", 20_000, 1));
-            frame("m q2.1");
+            awaitFrame("m q2.1");
             node.mode = "good";
             node.send(node.sockets.get(0), "qq2.1 fine 0 -\nx");
-            assertEquals("504", answer(other).substring(0, 3));
+            assertEquals("504", readResponse(other).substring(0, 3));
             assertEquals(
                     "200 {\"total\":true,\"answers\":[{\"range\":1,\"blob\":\"vq2.1\"}]}",
-                    answer(client));
+                    readResponse(client));
         }
         assertEquals(2, node.sockets.size());
     }
 
     @Test
-    void aGoodAnswerWithMoreThanBelongsToItIsGood() throws Exception {
-        serving();
+    void validResponseFollowedByExcessBytesIsAccepted() throws Exception {
+        startAndAwaitReady();
         node.mode = "noisy";
         for (int i = 0; i < 5; i++) {
-            assertTrue(status(query("hold", "q" + i, 3000, 0)).contains("vq" + i + ".0"));
+            assertTrue(exchange(query("hold", "q" + i, 3000, 0)).contains("vq" + i + ".0"));
             // The noise may come after the next call has gone out; nobody could tell then.
             Thread.sleep(50);
         }
     }
 
     @Test
-    void whatNeverRanIsRejected() throws Exception {
-        serving();
+    void queryThatNeverRanIsRejected() throws Exception {
+        startAndAwaitReady();
         node.mode = "later";
-        assertEquals("503", status(query("hold", "q1", 1000, 0)).substring(0, 3));
+        assertEquals("503", exchange(query("hold", "q1", 1000, 0)).substring(0, 3));
         node.server.close();
         node.sockets.get(0).close();
-        assertEquals("503", status(query("hold", "q2", 1000, 0)).substring(0, 3));
+        assertEquals("503", exchange(query("hold", "q2", 1000, 0)).substring(0, 3));
     }
 
     @Test
-    void aSilentNodeCostsItsQueriesNoMoreThanTheirTime() throws Exception {
-        serving();
+    void queryToSilentNodeIsAbortedAtItsDeadline() throws Exception {
+        startAndAwaitReady();
         node.mode = "silent";
         long start = System.nanoTime();
-        String answer = status(query("hold", "q1", 800, 0));
+        String answer = exchange(query("hold", "q1", 800, 0));
         assertEquals("504", answer.substring(0, 3));
-        assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(LONG));
-        assertTrue(frame("m q1.0").endsWith("c41e77d0"));
+        assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS));
+        assertTrue(awaitFrame("m q1.0").endsWith("c41e77d0"));
         // The connection that stayed silent is not used again, and giving its last call up closes
         // it.
         node.mode = "good";
-        until(() -> status(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200"));
+        awaitCondition(
+                () -> exchange(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200"));
         assertEquals(2, node.sockets.size());
         assertFalse(log.stream().anyMatch(line -> line.contains("Exception")), log.toString());
     }
 
     @Test
-    void aClientThatLeavesHasItsPartsGivenUp() throws Exception {
-        serving();
+    void clientDisconnectCancelsItsAttempts() throws Exception {
+        startAndAwaitReady();
         node.mode = "silent";
         try (Socket client = connect()) {
             write(client, query("hold", "q1", 30_000, 0));
-            frame("m q1.0");
+            awaitFrame("m q1.0");
         }
-        assertEquals("nq1.0", frame("n"));
+        assertEquals("nq1.0", awaitFrame("n"));
     }
 
     // ---- discovery
 
     @Test
-    void theListIsFollowedThroughDrainMoveAndHalfAnswers() throws Exception {
-        serving();
-        assertEquals("200", status(query("lookup", "q1", 3000, 0)).substring(0, 3));
-        ScriptedDataNode moved = node();
-        discovery.tell(moved.hostEntry("n1", "up"));
-        until(
+    void endpointListIsFollowedThroughAddressChangeTruncatedResponseAndDrain() throws Exception {
+        startAndAwaitReady();
+        assertEquals("200", exchange(query("lookup", "q1", 3000, 0)).substring(0, 3));
+        ScriptedDataNode newNode = createNode();
+        discovery.tell(newNode.hostEntry("n1", "up"));
+        awaitCondition(
                 () ->
-                        status(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200")
-                                && !moved.frames.isEmpty());
+                        exchange(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200")
+                                && !newNode.frames.isEmpty());
         discovery.tellHalf();
-        until(() -> log.stream().anyMatch(line -> line.contains("discovery answers again")));
-        assertEquals("200", status(query("lookup", "q3", 3000, 0)).substring(0, 3));
-        discovery.tell(moved.hostEntry("n1", "draining"));
-        until(() -> status(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("503"));
+        awaitCondition(
+                () -> log.stream().anyMatch(line -> line.contains("discovery answers again")));
+        assertEquals("200", exchange(query("lookup", "q3", 3000, 0)).substring(0, 3));
+        discovery.tell(newNode.hostEntry("n1", "draining"));
+        awaitCondition(
+                () -> exchange(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("503"));
         discovery.tell("");
-        until(() -> discovery.requestedPaths.stream().anyMatch(path -> path.contains("index=5")));
-        assertEquals("503", status(query("lookup", "q4", 3000, 0)).substring(0, 3));
+        awaitCondition(
+                () ->
+                        discovery.requestedPaths.stream()
+                                .anyMatch(path -> path.contains("index=5")));
+        assertEquals("503", exchange(query("lookup", "q4", 3000, 0)).substring(0, 3));
     }
 
     @Test
-    void whileDiscoveryIsSilentTheListHeldLastServes() throws Exception {
+    void configuredEndpointListIsUsedWhileDiscoveryIsDown() throws Exception {
         discovery.server.close();
-        run(config("{\"seq\":7,\"whole\":true,\"hosts\":[" + node.hostEntry("n1", "up") + "]}"));
-        until(() -> status(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200"));
+        startProgram(
+                config("{\"seq\":7,\"whole\":true,\"hosts\":[" + node.hostEntry("n1", "up") + "]}"));
+        awaitCondition(
+                () -> exchange(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200"));
     }
 
     @Test
-    void withoutAnyListItIsNotReady() throws Exception {
+    void routerWithoutEndpointListIsNotReady() throws Exception {
         discovery.server.close();
-        run(config("null"));
-        until(
+        startProgram(config("null"));
+        awaitCondition(
                 () ->
-                        status("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n")
+                        exchange("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n")
                                 .startsWith("503"));
     }
 
@@ -502,9 +515,9 @@
      * Takes the log's lines up to the first one with all of these texts, so that none is counted
      * twice.
      */
-    private void logged(String... texts) throws Exception {
-        List<String> passed = new ArrayList<>();
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LONG);
+    private void awaitLogLine(String... texts) throws Exception {
+        List<String> skippedLines = new ArrayList<>();
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (true) {
             String line = log.poll(Math.max(0, end - System.nanoTime()), TimeUnit.NANOSECONDS);
             if (line == null) {
@@ -512,77 +525,78 @@
                         "no line with "
                                 + List.of(texts)
                                 + "; after the last one the program said "
-                                + passed);
+                                + skippedLines);
             } else if (Stream.of(texts).allMatch(line::contains)) {
                 return;
             }
-            passed.add(line);
+            skippedLines.add(line);
         }
     }
 
     @Test
-    void sighupReadsTheConfigurationAgainAndDiscoveryMoves() throws Exception {
+    void sighupReloadsConfigurationAndSwitchesDiscovery() throws Exception {
         String config = config("null");
-        serving(config);
-        ScriptedDataNode second = node();
-        FakeDiscovery next = discovery(second.hostEntry("n2", "up"));
-        String moved =
+        startAndAwaitReady(config);
+        ScriptedDataNode second = createNode();
+        FakeDiscovery newDiscovery = createDiscovery(second.hostEntry("n2", "up"));
+        String newConfig =
                 config.replace(
                         "127.0.0.1:" + discovery.server.getLocalPort(),
-                        "127.0.0.1:" + next.server.getLocalPort());
+                        "127.0.0.1:" + newDiscovery.server.getLocalPort());
         // The connection stands before a node falls silent on it: that one comes up late is no part
         // of this.
-        until(() -> status(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200"));
+        awaitCondition(
+                () -> exchange(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200"));
         node.frames.clear();
         node.mode = "silent";
-        try (Socket open = connect()) {
+        try (Socket pendingClient = connect()) {
             // Longer than all waits here together.
-            write(open, query("hold", "q1", 10 * LONG * 1000, 0));
-            frame("m q1.0");
-            for (String broken :
+            write(pendingClient, query("hold", "q1", 10 * TIMEOUT_SECONDS * 1000, 0));
+            awaitFrame("m q1.0");
+            for (String invalidConfig :
                     new String[] {
                         config.replace("\"cells\":1", "\"cells\":0"),
                         "{",
                         "",
-                        moved.replace("\"keepalive\":15000000", "\"keepalive\":\"x\"")
+                        newConfig.replace("\"keepalive\":15000000", "\"keepalive\":\"x\"")
                     }) {
-                reload(broken);
-                logged("configuration " + dir.resolve("config.json"), "what is held stays");
+                reload(invalidConfig);
+                awaitLogLine("configuration " + dir.resolve("config.json"), "what is held stays");
             }
             reload(config.replace("\"nInstances\":1", "\"nInstances\":2"));
-            logged("wait for a restart: [settings.nInstances]");
-            logged(
+            awaitLogLine("wait for a restart: [settings.nInstances]");
+            awaitLogLine(
                     "1 queries and 1 attempts in flight (1 by node counters); of 1 listed nodes 0"
                             + " are ejected; on sockets: 1 calls on 1 connections");
             long start = System.nanoTime();
-            reload(moved);
-            until(
+            reload(newConfig);
+            awaitCondition(
                     () ->
-                            status(query("lookup", "q" + System.nanoTime(), 3000, 0))
+                            exchange(query("lookup", "q" + System.nanoTime(), 3000, 0))
                                             .startsWith("200")
                                     && !second.frames.isEmpty());
             assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(3));
-            logged("configuration read again; discovery is now at " + next.address());
+            awaitLogLine("configuration read again; discovery is now at " + newDiscovery.address());
             // What the old one tells from now on is not heard.
             discovery.tell("");
             for (int i = 0; i < 20; i++) {
-                reload(moved);
-                assertEquals("200", status(query("lookup", "r" + i, 3000, 0)).substring(0, 3));
+                reload(newConfig);
+                assertEquals("200", exchange(query("lookup", "r" + i, 3000, 0)).substring(0, 3));
             }
             node.send(node.sockets.get(0), "qq1.0 good 0 -\nx");
-            assertEquals("200", answer(open).substring(0, 3));
+            assertEquals("200", readResponse(pendingClient).substring(0, 3));
             reload(config);
             program.destroy();
         }
-        assertTrue(program.waitFor(LONG, TimeUnit.SECONDS));
+        assertTrue(program.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         assertEquals(0, program.exitValue());
     }
 
     // ---- bad input
 
     @Test
-    void badInputOfClientsIsToldSoAndReachesNoNode() throws Exception {
-        serving();
+    void invalidClientRequestIsRejectedAndReachesNoNode() throws Exception {
+        startAndAwaitReady();
         String headers = "Req-Id: q1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 900\r\n";
         String body = "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"x\"}";
         try (Socket client = connect()) {
@@ -618,20 +632,20 @@
                     "200",
                     post("/lookup", headers.replace("Req-Deadline-Ms: 900\r\n", ""), body));
         }
-        assertEquals("413", status(post("/lookup", headers, "x".repeat(70_000))).substring(0, 3));
+        assertEquals("413", exchange(post("/lookup", headers, "x".repeat(70_000))).substring(0, 3));
     }
 
     /** What can't be read is told so, and the telling survives what the client still sends. */
     @Test
-    void whatCantBeReadIsToldSoBeforeTheConnectionCloses() throws Exception {
-        serving();
+    void malformedRequestGetsErrorResponseBeforeConnectionCloses() throws Exception {
+        startAndAwaitReady();
         String head = "Req-Id: q1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 900\r\n";
         String body = "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"x\"}";
         String start = "POST /lookup HTTP/1.1\r\nHost: b\r\n" + head;
         String chunked = start + "Transfer-Encoding: chunked\r\n\r\n";
         assertEquals(
                 "4",
-                status(start + "Content-Length: 99999999999999999999999\r\n\r\n" + body)
+                exchange(start + "Content-Length: 99999999999999999999999\r\n\r\n" + body)
                         .substring(0, 1));
         for (String bad :
                 new String[] {
@@ -655,7 +669,7 @@
                 }) {
             assertEquals(
                     "400",
-                    status(bad).substring(0, 3),
+                    exchange(bad).substring(0, 3),
                     bad.substring(0, Math.min(300, bad.length())));
         }
         String large = "x".repeat(60_000_000);
@@ -668,21 +682,21 @@
                             + "3938700\r\n"
                             + large
                 }) {
-            assertEquals("413", status(bad).substring(0, 3), bad.substring(0, 170));
+            assertEquals("413", exchange(bad).substring(0, 3), bad.substring(0, 170));
         }
         assertTrue(node.frames.isEmpty(), node.frames.toString());
         assertFalse(log.stream().anyMatch(line -> line.contains("\tat ")), log.toString());
     }
 
     @Test
-    void connectionsWithoutARequestAreGivenBackInTimeAndTheUsualClientsFindRoom() throws Exception {
-        serving(config("null").replace("\"sockets\":1024", "\"sockets\":256"));
-        List<Socket> bad = new ArrayList<>();
+    void connectionsWithoutCompleteRequestAreClosedAndOtherClientsAreServed() throws Exception {
+        startAndAwaitReady(config("null").replace("\"sockets\":1024", "\"sockets\":256"));
+        List<Socket> incompleteClients = new ArrayList<>();
         long start = System.nanoTime();
         for (int i = 0; i < 300; i++) {
-            bad.add(connect());
+            incompleteClients.add(connect());
             write(
-                    bad.get(i),
+                    incompleteClients.get(i),
                     new String[] {
                                 "",
                                 "POST /look",
@@ -690,9 +704,9 @@
                             }
                             [i % 3]);
         }
-        assertEquals("200", status(query("lookup", "q1", 3000, 0)).substring(0, 3));
-        for (Socket socket : bad) {
-            assertEquals("closed", answer(socket));
+        assertEquals("200", exchange(query("lookup", "q1", 3000, 0)).substring(0, 3));
+        for (Socket socket : incompleteClients) {
+            assertEquals("closed", readResponse(socket));
         }
         assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(5));
         // And those that ask once and stay.
@@ -700,21 +714,21 @@
             Socket client = connect();
             assertAnswer(client, "200", query("lookup", "s" + i, 3000, 0));
         }
-        until(() -> descriptors() < 60);
+        awaitCondition(() -> openDescriptors() < 60);
     }
 
     @Test
-    void aClientThatSendsOnBeforeItsAnswerIsAnsweredAndThenCutOff() throws Exception {
-        serving();
+    void clientThatPipelinesARequestIsAnsweredOnceAndDisconnected() throws Exception {
+        startAndAwaitReady();
         node.mode = "silent";
         try (Socket client = connect()) {
             write(client, query("hold", "q1", 3000, 0));
-            frame("m q1.0");
+            awaitFrame("m q1.0");
             write(client, query("hold", "q2", 3000, 0));
             Thread.sleep(100);
             node.send(node.sockets.get(0), "qq1.0 good 0 -\nx");
-            assertEquals("200", answer(client).substring(0, 3));
-            assertEquals("closed", answer(client));
+            assertEquals("200", readResponse(client).substring(0, 3));
+            assertEquals("closed", readResponse(client));
         }
         assertTrue(node.frames.isEmpty(), node.frames.toString());
     }
@@ -722,87 +736,87 @@
     private static void assertAnswer(Socket client, String status, String request)
             throws IOException {
         write(client, request);
-        assertEquals(status, answer(client).substring(0, 3), request);
+        assertEquals(status, readResponse(client).substring(0, 3), request);
     }
 
     @Test
-    void aConfigurationThatIsWrongIsNamedInOneLine() throws Exception {
-        run(config("null").replace("\"cells\":1", "\"cells\":\"x\""));
-        assertTrue(program.waitFor(LONG, TimeUnit.SECONDS));
+    void invalidSettingIsNamedInOneLogLine() throws Exception {
+        startProgram(config("null").replace("\"cells\":1", "\"cells\":\"x\""));
+        assertTrue(program.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         assertEquals(1, program.exitValue());
-        assertTrue(log.poll(LONG, TimeUnit.SECONDS).contains("settings.domain.cells"));
+        assertTrue(log.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS).contains("settings.domain.cells"));
         assertFalse(log.stream().anyMatch(line -> line.startsWith("\tat")));
     }
 
     @Test
-    void anAddressInUseEndsTheStart() throws Exception {
+    void startFailsIfListenAddressIsInUse() throws Exception {
         String config = config("null");
-        String taken = config.replace(address, node.dialAddress());
-        run(taken);
-        assertTrue(program.waitFor(LONG, TimeUnit.SECONDS));
+        String addressInUseConfig = config.replace(address, node.dialAddress());
+        startProgram(addressInUseConfig);
+        assertTrue(program.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         assertEquals(1, program.exitValue());
-        assertTrue(log.poll(LONG, TimeUnit.SECONDS).contains("listen"));
+        assertTrue(log.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS).contains("listen"));
     }
 
     @Test
-    void theCommandLineExplainsItself() throws Exception {
-        assertEquals(0, run("", "--help").waitFor());
-        assertEquals(0, run("", "version").waitFor());
-        assertTrue(log.poll(LONG, TimeUnit.SECONDS).startsWith("postbeam "));
-        assertEquals(0, run("", "rehearse").waitFor());
-        assertEquals(2, run("", "dance").waitFor());
-        assertEquals(2, run("", "serve", "--fast").waitFor());
+    void commandLineReturnsExpectedExitCodes() throws Exception {
+        assertEquals(0, startProgram("", "--help").waitFor());
+        assertEquals(0, startProgram("", "version").waitFor());
+        assertTrue(log.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS).startsWith("postbeam "));
+        assertEquals(0, startProgram("", "rehearse").waitFor());
+        assertEquals(2, startProgram("", "dance").waitFor());
+        assertEquals(2, startProgram("", "serve", "--fast").waitFor());
     }
 
     // ---- the end
 
     @Test
-    void afterSigtermAllThatWasTakenIsAnsweredAndTheProgramExitsWithZero() throws Exception {
-        serving();
+    void sigtermAnswersAcceptedQueriesAndExitsWithZero() throws Exception {
+        startAndAwaitReady();
         node.mode = "silent";
-        try (Socket open = connect();
+        try (Socket pendingClient = connect();
                 Socket idle = connect()) {
-            write(open, query("hold", "q1", 30_000, 0));
-            frame("m q1.0");
+            write(pendingClient, query("hold", "q1", 30_000, 0));
+            awaitFrame("m q1.0");
             assertAnswer(idle, "404", "GET /x HTTP/1.1\r\nHost: backend.local\r\n\r\n");
             program.destroy();
-            until(
+            awaitCondition(
                     () ->
-                            status("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n")
+                            exchange("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n")
                                     .startsWith("503"));
             node.mode = "good";
-            assertEquals("200", status(query("lookup", "q2", 3000, 0)).substring(0, 3));
+            assertEquals("200", exchange(query("lookup", "q2", 3000, 0)).substring(0, 3));
             // What replaces it may not be there yet: a client with a connection is served on.
             Thread.sleep(1000);
             assertAnswer(idle, "200", query("lookup", "q3", 3000, 0));
-            assertEquals("closed", answer(idle));
+            assertEquals("closed", readResponse(idle));
             node.send(node.sockets.get(0), "qq1.0 good 0 -\nx");
-            assertEquals("200", answer(open).substring(0, 3));
+            assertEquals("200", readResponse(pendingClient).substring(0, 3));
         }
-        assertTrue(program.waitFor(LONG, TimeUnit.SECONDS));
+        assertTrue(program.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         assertEquals(0, program.exitValue());
     }
 
     @Test
-    void nodesThatNeverComeUpCostNoDescriptors() throws Exception {
-        serving();
-        try (ServerSocket full = new ServerSocket(0, 1, HERE)) {
+    void unreachableNodeLeaksNoDescriptors() throws Exception {
+        startAndAwaitReady();
+        try (ServerSocket fullServer = new ServerSocket(0, 1, LOOPBACK)) {
             List<Socket> fillers = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
-                fillers.add(new Socket(HERE, full.getLocalPort()));
+                fillers.add(new Socket(LOOPBACK, fullServer.getLocalPort()));
             }
             discovery.tell(
                     node.hostEntry("n1", "up")
-                            .replace(node.dialAddress(), "127.0.0.1:" + full.getLocalPort()));
-            until(
+                            .replace(node.dialAddress(), "127.0.0.1:" + fullServer.getLocalPort()));
+            awaitCondition(
                     () ->
-                            status(query("lookup", "q" + System.nanoTime(), 3000, 0))
+                            exchange(query("lookup", "q" + System.nanoTime(), 3000, 0))
                                     .startsWith("503"));
-            long before = descriptors();
+            long descriptorsBefore = openDescriptors();
             for (int i = 0; i < 5; i++) {
-                status(query("lookup", "r" + i, 1500, 0));
+                exchange(query("lookup", "r" + i, 1500, 0));
             }
-            until(() -> descriptors() <= before + 1);
+            awaitCondition(() -> openDescriptors() <= descriptorsBefore + 1);
             for (Socket filler : fillers) {
                 filler.close();
             }
@@ -810,18 +824,18 @@
     }
 
     @Test
-    void aStormOfClientsIsAnsweredWithinTheLimits() throws Exception {
-        storm(192, 1024, 300);
+    void manyClientsAreAnsweredWithinLimits() throws Exception {
+        assertManyClientsAreAnswered(192, 1024, 300);
     }
 
     @Test
-    void aStormOfClientsIsAnsweredWithinLimitsHalfAsLarge() throws Exception {
-        storm(96, 256, 90);
+    void manyClientsAreAnsweredWithinReducedLimits() throws Exception {
+        assertManyClientsAreAnswered(96, 256, 90);
     }
 
-    private void storm(int memoryMb, int sockets, int count) throws Exception {
+    private void assertManyClientsAreAnswered(int memoryMb, int sockets, int count) throws Exception {
         node.mode = "silent";
-        serving(
+        startAndAwaitReady(
                 config("null")
                         .replace("\"memory_mb\":192", "\"memory_mb\":" + memoryMb)
                         .replace("\"sockets\":1024", "\"sockets\":" + sockets));
@@ -831,9 +845,9 @@
             write(client, query(i % 2 == 0 ? "hold" : "lookup", "q" + i, 2000, 0, 1, 2, 3));
             clients.add(client);
         }
-        assertTrue(descriptors() < sockets);
+        assertTrue(openDescriptors() < sockets);
         for (Socket client : clients) {
-            String status = answer(client).substring(0, 3);
+            String status = readResponse(client).substring(0, 3);
             assertTrue(status.equals("503") || status.equals("504"), status);
         }
         String memory =
@@ -847,11 +861,11 @@
     }
 
     @Test
-    void aBodyNestedTooDeepIsNoQuery() throws Exception {
-        serving();
+    void deeplyNestedBodyIsRejected() throws Exception {
+        startAndAwaitReady();
         assertEquals(
                 "400",
-                status(
+                exchange(
                                 post(
                                         "/lookup",
                                         "Req-Id: q1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 900\r\n",
@@ -861,7 +875,7 @@
 
     // ---- crossings: one side is held until the other has arrived
 
-    private void signal(String name) throws Exception {
+    private void sendSignal(String name) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-" + name, String.valueOf(program.pid()))
@@ -872,9 +886,9 @@
     /**
      * The router takes nothing up until it goes on; what others do in that while has come by then.
      */
-    private void held() throws Exception {
-        signal("STOP");
-        until(
+    private void suspendProgram() throws Exception {
+        sendSignal("STOP");
+        awaitCondition(
                 () ->
                         Files.readString(Path.of("/proc/" + program.pid() + "/stat"))
                                 .replaceAll(".*\\) ", "")
@@ -885,19 +899,19 @@
      * A listener that lets nobody else in until it is emptied; the machine tries again by itself
      * after 1 s and more.
      */
-    private static final class Full implements AutoCloseable {
-        private final ServerSocket server = new ServerSocket(0, 1, HERE);
+    private static final class FullBacklogServer implements AutoCloseable {
+        private final ServerSocket server = new ServerSocket(0, 1, LOOPBACK);
         private final List<Socket> fillers = new ArrayList<>();
 
-        Full() throws IOException {
+        FullBacklogServer() throws IOException {
             for (int i = 0; i < 2; i++) {
-                fillers.add(new Socket(HERE, server.getLocalPort()));
+                fillers.add(new Socket(LOOPBACK, server.getLocalPort()));
             }
         }
 
         /** What connects after the fillers, in whose place it comes up. */
-        Socket next() throws IOException {
-            server.setSoTimeout(LONG * 1000);
+        Socket acceptAfterFillers() throws IOException {
+            server.setSoTimeout(TIMEOUT_SECONDS * 1000);
             for (Socket filler : fillers) {
                 server.accept().close();
                 filler.close();
@@ -912,33 +926,33 @@
     }
 
     /** What comes on it first, or "" where nothing comes for the time. */
-    private static String firstOn(Socket socket, int millis) throws IOException {
+    private static String readFirstBytes(Socket socket, int millis) throws IOException {
         socket.setSoTimeout(millis);
-        byte[] some = new byte[200];
+        byte[] buffer = new byte[200];
         try {
-            int got = socket.getInputStream().read(some);
-            return got < 0 ? "" : new String(some, 0, got, StandardCharsets.ISO_8859_1);
+            int count = socket.getInputStream().read(buffer);
+            return count < 0 ? "" : new String(buffer, 0, count, StandardCharsets.ISO_8859_1);
         } catch (java.net.SocketTimeoutException e) {
             return "";
         }
     }
 
     @Test
-    void aQueryWhoseClientHasGoneBeforeItIsReadReachesNoNode() throws Exception {
-        serving();
-        for (String more : new String[] {"", "x".repeat(100_000)}) {
-            held();
+    void queryIsNotSentIfClientDisconnectsBeforeItIsRead() throws Exception {
+        startAndAwaitReady();
+        for (String trailingBytes : new String[] {"", "x".repeat(100_000)}) {
+            suspendProgram();
             try (Socket client = connect()) {
-                write(client, query("lookup", "gone" + more.length(), 3000, 0, 1) + more);
+                write(client, query("lookup", "gone" + trailingBytes.length(), 3000, 0, 1) + trailingBytes);
             }
             try (Socket reset = connect()) {
-                write(reset, query("lookup", "reset" + more.length(), 3000, 0, 1) + more);
+                write(reset, query("lookup", "reset" + trailingBytes.length(), 3000, 0, 1) + trailingBytes);
                 reset.setSoLinger(true, 0);
             }
-            signal("CONT");
+            sendSignal("CONT");
             assertEquals(
                     "200",
-                    status(query("lookup", "after" + more.length(), 3000, 0)).substring(0, 3));
+                    exchange(query("lookup", "after" + trailingBytes.length(), 3000, 0)).substring(0, 3));
             assertFalse(
                     node.frames.stream()
                             .anyMatch(
@@ -954,41 +968,42 @@
      * closed its own.
      */
     @Test
-    void aCallThatWaitsForItsConnectionIsNotWrittenOnceItsClientHasGone() throws Exception {
-        gone(true);
+    void attemptIsNotSentIfClientDisconnectsBeforeNodeConnectionOpens() throws Exception {
+        assertNotSentAfterClientDisconnects(true);
     }
 
     @Test
-    void aCallWhoseConnectionIsUpIsNotWrittenIfItsClientHasGoneByThen() throws Exception {
-        gone(false);
+    void attemptIsNotSentIfClientDisconnectsAfterNodeConnectionOpens() throws Exception {
+        assertNotSentAfterClientDisconnects(false);
     }
 
-    private void gone(boolean clientFirst) throws Exception {
-        try (Full full = new Full()) {
+    private void assertNotSentAfterClientDisconnects(boolean disconnectBeforeConnectionOpens)
+            throws Exception {
+        try (FullBacklogServer fullServer = new FullBacklogServer()) {
             discovery.tell(
                     node.hostEntry("n1", "up")
                             .replace(
-                                    node.dialAddress(), "127.0.0.1:" + full.server.getLocalPort()));
-            serving(
+                                    node.dialAddress(), "127.0.0.1:" + fullServer.server.getLocalPort()));
+            startAndAwaitReady(
                     config("null")
                             .replace("\"connectTimeout\":250000", "\"connectTimeout\":8000000"));
             Socket client = connect();
             write(client, query("lookup", "q1", 9000, 0));
-            until(() -> connecting(full.server.getLocalPort()));
-            held();
-            if (clientFirst) {
+            awaitCondition(() -> isConnecting(fullServer.server.getLocalPort()));
+            suspendProgram();
+            if (disconnectBeforeConnectionOpens) {
                 client.close();
             }
-            try (Socket late = full.next()) {
+            try (Socket lateConnection = fullServer.acceptAfterFillers()) {
                 client.close();
-                signal("CONT");
-                assertEquals("", firstOn(late, 500));
+                sendSignal("CONT");
+                assertEquals("", readFirstBytes(lateConnection, 500));
             }
         }
     }
 
     /** Whether the program has begun to connect there, as the machine's table has it. */
-    private static boolean connecting(int port) throws IOException {
+    private static boolean isConnecting(int port) throws IOException {
         String to = String.format("0100007F:%04X 02", port);
         return Files.readAllLines(Path.of("/proc/net/tcp")).stream()
                         .anyMatch(line -> line.contains(to))
@@ -998,59 +1013,59 @@
     }
 
     @Test
-    void aCallThatWaitsForItsConnectionIsNotWrittenOnceItsNodeIsToldToDrain() throws Exception {
-        try (Full full = new Full()) {
+    void attemptIsNotSentIfNodeDrainsBeforeItsConnectionOpens() throws Exception {
+        try (FullBacklogServer fullServer = new FullBacklogServer()) {
             String entry =
                     node.hostEntry("n1", "up")
-                            .replace(node.dialAddress(), "127.0.0.1:" + full.server.getLocalPort());
+                            .replace(node.dialAddress(), "127.0.0.1:" + fullServer.server.getLocalPort());
             discovery.tell(entry);
-            serving(
+            startAndAwaitReady(
                     config("null")
                             .replace("\"connectTimeout\":250000", "\"connectTimeout\":8000000"));
             try (Socket client = connect()) {
                 write(client, query("hold", "q1", 9000, 0));
-                until(() -> connecting(full.server.getLocalPort()));
-                int asked = discovery.requestedPaths.size();
+                awaitCondition(() -> isConnecting(fullServer.server.getLocalPort()));
+                int requestCount = discovery.requestedPaths.size();
                 discovery.tell(entry.replace("\"up\"", "\"draining\""));
-                until(() -> discovery.requestedPaths.size() > asked);
-                try (Socket late = full.next()) {
-                    assertEquals("", firstOn(late, 500));
+                awaitCondition(() -> discovery.requestedPaths.size() > requestCount);
+                try (Socket lateConnection = fullServer.acceptAfterFillers()) {
+                    assertEquals("", readFirstBytes(lateConnection, 500));
                 }
                 // It never ran, and no other node holds the shard.
-                assertEquals("503", answer(client).substring(0, 3));
+                assertEquals("503", readResponse(client).substring(0, 3));
             }
         }
     }
 
     @Test
-    void aDeduplicatedPartIsNotWrittenAgainAfterItsWindowHoweverLateTheConnection()
+    void deduplicatedRetryIsNotSentIfConnectionOpensAfterRepeatWindow()
             throws Exception {
         node.mode = "silent";
-        serving(
+        startAndAwaitReady(
                 config("null")
                         .replace("\"connectTimeout\":250000", "\"connectTimeout\":8000000")
                         .replace(
                                 "\"name\":\"lookup\",\"promise\":1000000,\"deadline\":3000000,\"effect\":\"retryable\"",
                                 "\"name\":\"lookup\",\"promise\":9000000,\"deadline\":9000000,\"effect\":\"dedup\",\"repeatWindow\":600000"));
-        try (Full full = new Full();
+        try (FullBacklogServer fullServer = new FullBacklogServer();
                 Socket client = connect()) {
             write(client, query("lookup", "q1", 9000, 0));
-            frame("m q1.0");
-            int asked = discovery.requestedPaths.size();
+            awaitFrame("m q1.0");
+            int requestCount = discovery.requestedPaths.size();
             discovery.tell(
                     node.hostEntry("n1", "up")
                             + ","
                             + node.hostEntry("n2", "up")
                                     .replace(
                                             node.dialAddress(),
-                                            "127.0.0.1:" + full.server.getLocalPort()));
-            until(() -> discovery.requestedPaths.size() > asked);
+                                            "127.0.0.1:" + fullServer.server.getLocalPort()));
+            awaitCondition(() -> discovery.requestedPaths.size() > requestCount);
             node.sockets.get(0).setSoLinger(true, 0);
             node.sockets.get(0).close();
-            until(() -> connecting(full.server.getLocalPort()));
+            awaitCondition(() -> isConnecting(fullServer.server.getLocalPort()));
             // The machine's next try comes after the window.
-            try (Socket late = full.next()) {
-                assertEquals("", firstOn(late, 500));
+            try (Socket lateConnection = fullServer.acceptAfterFillers()) {
+                assertEquals("", readFirstBytes(lateConnection, 500));
             }
         }
     }
@@ -1060,17 +1075,17 @@
      * that could use it.
      */
     @Test
-    void whatANodeHasClosedWhileIdleIsNotUsedAgain() throws Exception {
-        serving();
+    void idleConnectionClosedByNodeIsNotReused() throws Exception {
+        startAndAwaitReady();
         for (int i = 0; i < 5; i++) {
-            assertEquals("200", status(query("hold", "a" + i, 3000, 0)).substring(0, 3));
+            assertEquals("200", exchange(query("hold", "a" + i, 3000, 0)).substring(0, 3));
             Socket idle = node.sockets.get(node.sockets.size() - 1);
-            held();
+            suspendProgram();
             try (Socket client = connect()) {
                 write(client, query("hold", "b" + i, 3000, 0));
                 idle.close();
-                signal("CONT");
-                assertEquals("200", answer(client).substring(0, 3));
+                sendSignal("CONT");
+                assertEquals("200", readResponse(client).substring(0, 3));
             }
         }
     }
@@ -1080,22 +1095,22 @@
      * query have come by then.
      */
     @Test
-    void aRouterThatStoodStillDoesNotSendByTheListItHeldBefore() throws Exception {
-        serving();
-        assertEquals("200", status(query("lookup", "q0", 3000, 0)).substring(0, 3));
+    void resumedRouterDoesNotRouteByStaleEndpointList() throws Exception {
+        startAndAwaitReady();
+        assertEquals("200", exchange(query("lookup", "q0", 3000, 0)).substring(0, 3));
         for (int i = 1; i <= 3; i++) {
             discovery.tell(node.hostEntry("n1", "up"));
-            until(
+            awaitCondition(
                     () ->
-                            status(query("lookup", "q" + System.nanoTime(), 3000, 0))
+                            exchange(query("lookup", "q" + System.nanoTime(), 3000, 0))
                                     .startsWith("200"));
-            held();
+            suspendProgram();
             Thread.sleep(6000);
             discovery.tell(node.hostEntry("n1", "draining"));
             try (Socket client = connect()) {
                 write(client, query("hold", "stood" + i, 3000, 0));
-                signal("CONT");
-                assertEquals("503", answer(client).substring(0, 3));
+                sendSignal("CONT");
+                assertEquals("503", readResponse(client).substring(0, 3));
             }
             assertFalse(
                     node.frames.stream().anyMatch(frame -> frame.startsWith("m stood")),
@@ -1105,33 +1120,33 @@
 
     /** Its client rests on its connection and sends on; the end must not come over unread bytes. */
     @Test
-    void theLastAnswerIsFollowedByAnOrderlyCloseThoughItsClientSendsOn() throws Exception {
-        serving();
+    void lastAnswerIsFollowedByOrderlyCloseWhileClientKeepsSending() throws Exception {
+        startAndAwaitReady();
         node.mode = "silent";
         try (Socket client = connect()) {
             write(client, query("hold", "q1", 30_000, 0));
-            frame("m q1.0");
+            awaitFrame("m q1.0");
             program.destroy();
-            until(
+            awaitCondition(
                     () ->
-                            status("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n")
+                            exchange("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n")
                                     .startsWith("503"));
-            until(() -> refused());
+            awaitCondition(() -> isConnectionRefused());
             node.send(node.sockets.get(0), "qq1.0 good 0 -\nx");
-            until(() -> client.getInputStream().available() > 0);
+            awaitCondition(() -> client.getInputStream().available() > 0);
             // A reset would end one of these.
             for (int i = 0; i < 4; i++) {
                 write(client, "x".repeat(1000));
                 Thread.sleep(25);
             }
-            assertEquals("200", answer(client).substring(0, 3));
-            assertEquals("closed", answer(client));
+            assertEquals("200", readResponse(client).substring(0, 3));
+            assertEquals("closed", readResponse(client));
         }
-        assertTrue(program.waitFor(LONG, TimeUnit.SECONDS));
+        assertTrue(program.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         assertEquals(0, program.exitValue());
     }
 
-    private boolean refused() throws IOException {
+    private boolean isConnectionRefused() throws IOException {
         try {
             connect().close();
             return false;
@@ -1145,33 +1160,33 @@
      * signal comes.
      */
     @Test
-    void aSighupBeforeThereIsARouterEndsNothingAndIsFollowedLater() throws Exception {
+    void sighupDuringStartReloadsConfigurationAfterStart() throws Exception {
         String config = config("null");
         Path pipe = dir.resolve("pipe");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
-        run(config, "serve", "--config", pipe.toString());
-        try (var first = Files.newOutputStream(pipe)) {
-            signal("HUP");
+        startProgram(config, "serve", "--config", pipe.toString());
+        try (var pipeOutput = Files.newOutputStream(pipe)) {
+            sendSignal("HUP");
             // Long enough for a signal to end a program that does not expect it.
             assertFalse(program.waitFor(500, TimeUnit.MILLISECONDS), "ended by SIGHUP");
             // What it reads next time; what it reads now it has opened.
             Files.move(dir.resolve("config.json"), pipe, StandardCopyOption.REPLACE_EXISTING);
-            first.write(config.getBytes(StandardCharsets.UTF_8));
+            pipeOutput.write(config.getBytes(StandardCharsets.UTF_8));
         }
-        logged("configuration read again");
-        until(
+        awaitLogLine("configuration read again");
+        awaitCondition(
                 () ->
-                        status("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n")
+                        exchange("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n")
                                 .startsWith("200"));
     }
 
     @Test
-    void idleClientsByTheHundredKeepNoRouterFromItsList() throws Exception {
-        serving(config("null").replace("\"sockets\":1024", "\"sockets\":256"));
+    void manyIdleClientsDoNotDelayDiscoveryUpdates() throws Exception {
+        startAndAwaitReady(config("null").replace("\"sockets\":1024", "\"sockets\":256"));
         String config = Files.readString(dir.resolve("config.json"));
         discovery.close();
         List<Socket> idle = new CopyOnWriteArrayList<>();
-        Thread crowd =
+        Thread clientThread =
                 daemon(
                         () -> {
                             while (!Thread.currentThread().isInterrupted()) {
@@ -1183,30 +1198,35 @@
                             }
                             return null;
                         });
-        until(() -> descriptors() > 110);
-        FakeDiscovery back = discovery(node.hostEntry("n1", "draining"));
+        awaitCondition(() -> openDescriptors() > 110);
+        FakeDiscovery restartedDiscovery = createDiscovery(node.hostEntry("n1", "draining"));
         long start = System.nanoTime();
-        reload(config.replace("127.0.0.1:" + discovery.server.getLocalPort(), back.address()));
-        until(() -> status(query("hold", "q" + System.nanoTime(), 900, 0)).startsWith("503"));
+        reload(
+                config.replace(
+                        "127.0.0.1:" + discovery.server.getLocalPort(),
+                        restartedDiscovery.address()));
+        awaitCondition(
+                () -> exchange(query("hold", "q" + System.nanoTime(), 900, 0)).startsWith("503"));
         assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(4));
-        assertTrue(descriptors() < 256);
-        crowd.interrupt();
-        crowd.join();
+        assertTrue(openDescriptors() < 256);
+        clientThread.interrupt();
+        clientThread.join();
     }
 
     @Test
-    void withoutDiscoveryItIsReadyByTheListHeldLastWithinTenSeconds() throws Exception {
+    void routerWithConfiguredEndpointListIsReadyWithinTenSeconds() throws Exception {
         discovery.server.close();
-        run(config("{\"seq\":7,\"whole\":true,\"hosts\":[" + node.hostEntry("n1", "up") + "]}"));
+        startProgram(
+                config("{\"seq\":7,\"whole\":true,\"hosts\":[" + node.hostEntry("n1", "up") + "]}"));
         long start = System.nanoTime();
-        until(
+        awaitCondition(
                 () ->
-                        status("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n")
+                        exchange("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n")
                                 .startsWith("200"));
         assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(10));
     }
 
-    private long descriptors() throws IOException {
+    private long openDescriptors() throws IOException {
         try (var files = Files.list(Path.of("/proc/" + program.pid() + "/fd"))) {
             return files.count();
         }
