--- a/src/test/java/postbeam/endpoints/EndpointRegistryTest.java
+++ b/src/test/java/postbeam/endpoints/EndpointRegistryTest.java
@@ -18,7 +18,7 @@
 import postbeam.policy.RoutingPolicy;
 
 class EndpointRegistryTest {
-    /** No query comes, so that none of what the decisions want done is looked at. */
+    /** Ignores all actions of the policy, since no test sends a query. */
     private final PolicyActions actions =
             (PolicyActions)
                     Proxy.newProxyInstance(
@@ -42,17 +42,17 @@
 
     @Test
     void nodesRemovedLongAgoAreEvictedAndReaddedNodeIsKept() {
-        update("first", Readiness.READY, true);
-        update("back", Readiness.READY, false);
-        DataNode readded = registry.node("back");
-        update("back", Readiness.REMOVED, false);
-        update("back", Readiness.READY, false);
-        assertSame(readded, registry.node("back"));
+        update("removed", Readiness.READY, true);
+        update("readded", Readiness.READY, false);
+        DataNode readded = registry.node("readded");
+        update("readded", Readiness.REMOVED, false);
+        update("readded", Readiness.READY, false);
+        assertSame(readded, registry.node("readded"));
         for (int i = 0; i < 200; i++) {
             update("n" + i, Readiness.READY, i % 2 == 0);
             update("n" + i, Readiness.REMOVED, false);
         }
-        assertNull(registry.node("first"));
+        assertNull(registry.node("removed"));
         assertNull(registry.node("n0"));
         assertNotNull(registry.node("n199"));
     }
--- a/src/test/java/postbeam/endpoints/PollScheduleTest.java
+++ b/src/test/java/postbeam/endpoints/PollScheduleTest.java
@@ -29,7 +29,7 @@
             long mean = Math.min(800, 500L << (failure - 1));
             assertTrue(
                     pause >= mean / 2 && pause <= mean * 3 / 2,
-                    pause + " after failure " + failure);
+                    "pause of " + pause + " ms after failure " + failure);
             now += pause;
             assertTrue(schedule.startPollIfDue(ms(now)));
         }
@@ -57,7 +57,7 @@
         assertNull(unneeded.nextPollAt());
     }
 
-    /** What settings may say, from nothing to what no setting should. */
+    /** Poll intervals that settings may state, from none to unreasonable ones. */
     private static final Duration[] POLL_INTERVALS = {
         null,
         ms(-1),
@@ -76,14 +76,14 @@
         Duration.ofSeconds(Long.MAX_VALUE)
     };
 
-    /** Chances that draw the least, the most, and whatever else. */
+    /** Random sources: the smallest value, the largest and arbitrary ones. */
     private static final Random[] RANDOMS = {
         constantRandom(0), constantRandom(Math.nextDown(1.0)), new Random(3)
     };
 
     /**
-     * What has to be told 6 s after discovery had it and could be reached, with 0.5 s for a late
-     * router.
+     * Longest poll cycle: a change counts as known 6 s after discovery had it and could be reached,
+     * of which 0.5 s are left for a router that is scheduled late.
      */
     private static final long MAX_CYCLE_MILLIS = 5_500;
 
@@ -97,8 +97,9 @@
     }
 
     /**
-     * The longest that a call may be out which began before discovery was back, the longest pause,
-     * and a whole list; and so many times a pause and a list that fails all the same.
+     * Returns the longest time for which a poll may still be pending that began before discovery
+     * was back, plus the longest pause and a fetch, plus one more pause and fetch for each poll
+     * that fails afterwards.
      */
     private static long worstCycleMillis(PollTimings timings, int failuresAfterRecovery) {
         long pendingPoll =
@@ -121,7 +122,7 @@
                         pollInterval + ": " + worstCycleMillis(serverTimings, 0));
                 for (int failures = 1; failures <= 200; failures++) {
                     long pause = serverTimings.backoff().apply(failures).toMillis();
-                    assertTrue(pause >= 100, pollInterval + ": in step, " + pause);
+                    assertTrue(pause >= 100, pollInterval + ": pause too short to spread routers: " + pause);
                     assertTrue(
                             pause <= serverTimings.maxBackoff().toMillis(),
                             pollInterval + ": " + pause);
@@ -132,15 +133,15 @@
                                             .compareTo(serverTimings.responseTimeout())
                                     <= 0);
                 }
-                // Nor do the first pauses grow: a hundred routers' calls spread, and an outage of 1
-                // s isn't outlasted.
+                // The first pauses stay short on average for an outage of 1 s, and long enough that
+                // the polls of a hundred routers are spread.
                 assertTrue(serverTimings.backoff().apply(1).compareTo(ms(750)) <= 0);
                 checkedTimings++;
             }
         }
         assertTrue(
                 worstCycleMillis(PollTimings.LOCAL_AGENT, 1) <= MAX_CYCLE_MILLIS,
-                "free: " + worstCycleMillis(PollTimings.LOCAL_AGENT, 1));
+                "local agent: " + worstCycleMillis(PollTimings.LOCAL_AGENT, 1));
         for (int failures = 0; failures <= 200; failures++) {
             assertEquals(
                     PollTimings.LOCAL_AGENT.maxBackoff(),
@@ -156,8 +157,8 @@
     }
 
     /**
-     * Two calls that find the agent still away or just back, within a grace of 500 ms, through
-     * outages of 6 s.
+     * A router detects that the agent is back within a grace period of 500 ms, for outages of up to
+     * 6 s, since a poll and the pause after it take at most 400 ms.
      */
     @Test
     void returnOfAgentIsDetectedWithinShortestGracePeriod() {
@@ -169,11 +170,11 @@
                             .apply(failures)
                             .plus(PollTimings.LOCAL_AGENT.backoff().apply(failures))
                             .toMillis();
-            assertTrue(pollAndPause <= 400, pollAndPause + " after " + failures + " failures");
+            assertTrue(pollAndPause <= 400, pollAndPause + " ms after " + failures + " failures");
             elapsed += pollAndPause;
         }
-        // An agent that takes longer to begin, but no longer than an answer may, is heard all the
-        // same.
+        // Some fetches wait for the full response timeout, so that an agent that is slow to respond
+        // is still reached.
         assertTrue(
                 IntStream.range(0, 30)
                         .anyMatch(
@@ -187,8 +188,7 @@
     }
 
     /**
-     * The simulator's wire: an ask that is never answered, one that fails late, the pause, and an
-     * ask of 2 s.
+     * Worst cycle in the simulator: a poll without a response, a pause, and a poll that takes 2 s.
      */
     @Test
     void scheduleStaysWithinMaxPollCycleForAllSettings() {
@@ -206,8 +206,8 @@
                     assertTrue(
                             cycleMillis <= MAX_CYCLE_MILLIS,
                             pollInterval + ": " + cycleMillis + " after " + failures);
-                    assertTrue(pause.toMillis() >= 100, pollInterval + ": in step, " + pause);
-                    assertTrue(unanswered.toMillis() > 2_000, "discovery may take 2 s");
+                    assertTrue(pause.toMillis() >= 100, pollInterval + ": pause too short to spread routers: " + pause);
+                    assertTrue(unanswered.toMillis() > 2_000, "discovery may take 2 s to respond");
                     now = simulatedSchedule.nextPollAt();
                 }
             }
--- a/src/test/java/postbeam/router/PagingServiceTest.java
+++ b/src/test/java/postbeam/router/PagingServiceTest.java
@@ -41,20 +41,23 @@
 import postbeam.slices.SliceTranslator;
 import postbeam.slices.UnroutableQueryException;
 
-/** Pages, with the test as the data nodes: what is sent, and as whose attempt it counts. */
+/**
+ * Serves pages with the test in the role of the data nodes; checks what is sent and how attempts
+ * are counted.
+ */
 class PagingServiceTest {
     private static final SortOrder ORDER = new SortOrder(List.of(new SortKey("k", false, false)));
     private static final long HALF = KeyRange.KEY_SPACE_SIZE / 2;
     private static final byte[] PAYLOAD = "x".getBytes(StandardCharsets.UTF_8);
 
-    /** Rows 0 to 19 by turns in two slices. */
+    /** Rows 0 to 19, alternating between two slices. */
     private final List<Row> rows = new ArrayList<>();
 
     private final Map<String, Integer> attemptsByKeys = new TreeMap<>();
     private PagingService paging;
     private PolicyExecutor executor;
 
-    /** Rows that a node gives at most, whatever it is requested. */
+    /** Maximum number of rows that a node returns per fetch, however many are requested. */
     private int maxRowsPerFetch = 2;
 
     private void createRouter(int maxAttempts, double spareAttempts)
@@ -108,7 +111,7 @@
                 new PageRequest(ORDER, size, cursor));
     }
 
-    /** Serves it as a router's thread does; each attempt is answered at once. */
+    /** Runs the query as the router's query thread does; each attempt is answered at once. */
     private QueryAction serve(InFlightQuery query) {
         return assertTimeoutPreemptively(
                 Duration.ofSeconds(10),
@@ -222,8 +225,8 @@
     }
 
     /**
-     * A shard request that has had its attempts gets no more by a follow-up: the page ends where
-     * they ran out.
+     * A shard request that has used up its attempts gets no more from a follow-up: the page ends at
+     * the last row that was returned.
      */
     @Test
     void attemptLimitAppliesToFirstQueryAndFollowUpsTogether() throws Exception {
@@ -248,8 +251,8 @@
     }
 
     /**
-     * Half of the 4 spare attempts is set aside for follow-ups, so that the retry budget leaves 2
-     * retries and no third.
+     * Half of the 4 spare attempts is reserved for follow-ups, so the retry budget leaves 2 retries
+     * and rejects a third.
      */
     @Test
     void followUpsAndRetriesShareTheRetryBudget() throws Exception {
@@ -265,9 +268,9 @@
             pages++;
         } while (pages < 3);
         int attempts = attemptsByKeys.values().stream().mapToInt(count -> count).sum();
-        // 3 queries of 2 shards were accepted: 4 + 0.1 * 9 further attempts at most.
-        assertTrue(attempts - 2 * pages <= 4, attempts + " calls for " + pages + " pages");
-        assertTrue(returnedRows >= 2 * pages, returnedRows + " rows");
+        // 3 queries with 2 shards each were accepted: at most 4 + 0.1 * 9 further attempts.
+        assertTrue(attempts - 2 * pages <= 4, attempts + " attempts for " + pages + " pages");
+        assertTrue(returnedRows >= 2 * pages, returnedRows + " rows on " + pages + " pages");
     }
 
     @Test
--- a/src/test/java/postbeam/router/PolicyExecutorTest.java
+++ b/src/test/java/postbeam/router/PolicyExecutorTest.java
@@ -54,7 +54,7 @@
                                 backgroundActions.addAll(executor().awaitBackgroundActions());
                             }
                         } catch (InterruptedException e) {
-                            // The test is over.
+                            // The test has ended.
                         }
                     });
 
@@ -85,7 +85,7 @@
         try {
             return executor.accept(clientRequest, age).orElse(null);
         } catch (UnroutableQueryException e) {
-            throw new AssertionError("no slices move here", e);
+            throw new AssertionError("queries with fixed shards are always routable", e);
         }
     }
 
@@ -179,7 +179,7 @@
     @Test
     void policyFailureAbortsOnlyTheQueryThatCausedIt() {
         InFlightQuery healthy = accept(request("a", "lookup", TIMEOUT, 1), Duration.ZERO);
-        InFlightQuery failing = accept(request("b", "no such vertical", TIMEOUT, 1), Duration.ZERO);
+        InFlightQuery failing = accept(request("b", "unknown class", TIMEOUT, 1), Duration.ZERO);
         assertInstanceOf(QueryAction.Abort.class, awaitAction(failing));
         executor.onAttemptResults(
                 List.of(
@@ -268,14 +268,14 @@
         }
         assertTrue(
                 executor.decisionCount() < 200,
-                executor.decisionCount() + " times for 200 queries");
+                executor.decisionCount() + " decisions for 200 queries");
         awaitSend(queries.get(0));
     }
 
     @Test
     void warmUpAnswersItsQueriesAndLeavesNothingToSend() {
         int answered = new JitWarmUp(executor, "a", 1, List.of("lookup", "hold"), null, 4).run();
-        assertTrue(answered > 100, answered + " answered");
+        assertTrue(answered > 100, answered + " queries answered");
         executor.runDueTimers();
         assertTrue(backgroundActions.stream().noneMatch(QueryAction.Send.class::isInstance));
     }
