--- a/src/test/java/postbeam/router/RouterIT.java
+++ b/src/test/java/postbeam/router/RouterIT.java
@@ -180,8 +180,8 @@
     }
 
     private static void awaitCondition(Callable<Boolean> condition) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
-        while (System.nanoTime() < end) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+        while (System.nanoTime() < deadlineNanos) {
             try {
                 if (condition.call()) {
                     return;
@@ -274,8 +274,8 @@
     }
 
     private String awaitFrame(String prefix) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
-        while (System.nanoTime() < end) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+        while (System.nanoTime() < deadlineNanos) {
             String next = node.frames.poll(1, TimeUnit.SECONDS);
             if (next != null && next.startsWith(prefix)) {
                 return next;
@@ -368,10 +368,10 @@
                     "bad", "reset", "garbage", "oversized", "unusable", "stray", "endless"
                 }) {
             node.mode = mode;
-            long start = System.nanoTime();
+            long startNanos = System.nanoTime();
             assertEquals(
                     "504", exchange(query("hold", "q-" + mode, 20_000, 0)).substring(0, 3), mode);
-            assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(5), mode);
+            assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(5), mode);
         }
         node.mode = "good";
         awaitCondition(
@@ -427,10 +427,10 @@
     void queryToSilentNodeIsAbortedAtItsDeadline() throws Exception {
         startAndAwaitReady();
         node.mode = "silent";
-        long start = System.nanoTime();
+        long startNanos = System.nanoTime();
         String answer = exchange(query("hold", "q1", 800, 0));
         assertEquals("504", answer.substring(0, 3));
-        assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS));
+        assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS));
         assertTrue(awaitFrame("m q1.0").endsWith("c41e77d0"));
         // The connection that stayed silent is not used again, and giving its last call up closes
         // it.
@@ -517,9 +517,9 @@
      */
     private void awaitLogLine(String... texts) throws Exception {
         List<String> skippedLines = new ArrayList<>();
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (true) {
-            String line = log.poll(Math.max(0, end - System.nanoTime()), TimeUnit.NANOSECONDS);
+            String line = log.poll(Math.max(0, deadlineNanos - System.nanoTime()), TimeUnit.NANOSECONDS);
             if (line == null) {
                 fail(
                         "no line with "
@@ -568,14 +568,14 @@
             awaitLogLine(
                     "1 queries and 1 attempts in flight (1 by node counters); of 1 listed nodes 0"
                             + " are ejected; on sockets: 1 calls on 1 connections");
-            long start = System.nanoTime();
+            long startNanos = System.nanoTime();
             reload(newConfig);
             awaitCondition(
                     () ->
                             exchange(query("lookup", "q" + System.nanoTime(), 3000, 0))
                                             .startsWith("200")
                                     && !second.frames.isEmpty());
-            assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(3));
+            assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(3));
             awaitLogLine("configuration read again; discovery is now at " + newDiscovery.address());
             // What the old one tells from now on is not heard.
             discovery.tell("");
@@ -603,7 +603,7 @@
             assertAnswer(client, "404", post("/nothing", headers, body));
             assertAnswer(client, "404", "GET / HTTP/1.1\r\nHost: backend.local\r\n\r\n");
             assertAnswer(client, "405", "GET /lookup HTTP/1.1\r\nHost: backend.local\r\n\r\n");
-            for (String bad :
+            for (String invalidBody :
                     new String[] {
                         "",
                         "7",
@@ -616,7 +616,7 @@
                         body.replace("\"x\"", "7"),
                         "{\"ranges\":[]}"
                     }) {
-                assertAnswer(client, "400", post("/lookup", headers, bad));
+                assertAnswer(client, "400", post("/lookup", headers, invalidBody));
             }
             assertAnswer(
                     client, "400", post("/lookup", headers.replace("Req-Id: q1", "A: b"), body));
@@ -641,20 +641,20 @@
         startAndAwaitReady();
         String head = "Req-Id: q1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 900\r\n";
         String body = "{\"ranges\":[{\"range\":0,\"portion\":1}],\"predicate\":\"x\"}";
-        String start = "POST /lookup HTTP/1.1\r\nHost: b\r\n" + head;
-        String chunked = start + "Transfer-Encoding: chunked\r\n\r\n";
+        String requestStart = "POST /lookup HTTP/1.1\r\nHost: b\r\n" + head;
+        String chunked = requestStart + "Transfer-Encoding: chunked\r\n\r\n";
         assertEquals(
                 "4",
-                exchange(start + "Content-Length: 99999999999999999999999\r\n\r\n" + body)
+                exchange(requestStart + "Content-Length: 99999999999999999999999\r\n\r\n" + body)
                         .substring(0, 1));
-        for (String bad :
+        for (String invalidRequest :
                 new String[] {
                     "A: b\r\n".repeat(200_000),
                     "POST /" + "a".repeat(3_000_000),
-                    start + "Content-Length: -5\r\n\r\n" + body,
-                    start + "Content-Length: soon\r\n\r\n" + body,
-                    start + "Content-Length: 5\r\nContent-Length: 6\r\n\r\n" + body,
-                    start
+                    requestStart + "Content-Length: -5\r\n\r\n" + body,
+                    requestStart + "Content-Length: soon\r\n\r\n" + body,
+                    requestStart + "Content-Length: 5\r\nContent-Length: 6\r\n\r\n" + body,
+                    requestStart
                             + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
                             + post("/lookup", head, body),
                     chunked + "zz\r\nabc\r\n0\r\n\r\n",
@@ -669,20 +669,20 @@
                 }) {
             assertEquals(
                     "400",
-                    exchange(bad).substring(0, 3),
-                    bad.substring(0, Math.min(300, bad.length())));
+                    exchange(invalidRequest).substring(0, 3),
+                    invalidRequest.substring(0, Math.min(300, invalidRequest.length())));
         }
         String large = "x".repeat(60_000_000);
-        for (String bad :
+        for (String invalidRequest :
                 new String[] {
-                    start + "Content-Length: 60000000\r\n\r\n" + large,
+                    requestStart + "Content-Length: 60000000\r\n\r\n" + large,
                     chunked + "3938700\r\n" + large,
                     chunked
                             + ("ffff\r\n" + "x".repeat(0xffff) + "\r\n").repeat(2)
                             + "3938700\r\n"
                             + large
                 }) {
-            assertEquals("413", exchange(bad).substring(0, 3), bad.substring(0, 170));
+            assertEquals("413", exchange(invalidRequest).substring(0, 3), invalidRequest.substring(0, 170));
         }
         assertTrue(node.frames.isEmpty(), node.frames.toString());
         assertFalse(log.stream().anyMatch(line -> line.contains("\tat ")), log.toString());
@@ -692,7 +692,7 @@
     void connectionsWithoutCompleteRequestAreClosedAndOtherClientsAreServed() throws Exception {
         startAndAwaitReady(config("null").replace("\"sockets\":1024", "\"sockets\":256"));
         List<Socket> incompleteClients = new ArrayList<>();
-        long start = System.nanoTime();
+        long startNanos = System.nanoTime();
         for (int i = 0; i < 300; i++) {
             incompleteClients.add(connect());
             write(
@@ -708,7 +708,7 @@
         for (Socket socket : incompleteClients) {
             assertEquals("closed", readResponse(socket));
         }
-        assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(5));
+        assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(5));
         // And those that ask once and stay.
         for (int i = 0; i < 300; i++) {
             Socket client = connect();
@@ -1200,14 +1200,14 @@
                         });
         awaitCondition(() -> openDescriptors() > 110);
         FakeDiscovery restartedDiscovery = createDiscovery(node.hostEntry("n1", "draining"));
-        long start = System.nanoTime();
+        long startNanos = System.nanoTime();
         reload(
                 config.replace(
                         "127.0.0.1:" + discovery.server.getLocalPort(),
                         restartedDiscovery.address()));
         awaitCondition(
                 () -> exchange(query("hold", "q" + System.nanoTime(), 900, 0)).startsWith("503"));
-        assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(4));
+        assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(4));
         assertTrue(openDescriptors() < 256);
         clientThread.interrupt();
         clientThread.join();
@@ -1218,12 +1218,12 @@
         discovery.server.close();
         startProgram(
                 config("{\"seq\":7,\"whole\":true,\"hosts\":[" + node.hostEntry("n1", "up") + "]}"));
-        long start = System.nanoTime();
+        long startNanos = System.nanoTime();
         awaitCondition(
                 () ->
                         exchange("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n")
                                 .startsWith("200"));
-        assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(10));
+        assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(10));
     }
 
     private long openDescriptors() throws IOException {
