--- a/src/test/java/postbeam/router/RouterIT.java
+++ b/src/test/java/postbeam/router/RouterIT.java
@@ -38,23 +38,29 @@
 import postbeam.testbed.fakes.ScriptedDataNode;
 
 /**
- * Starts the built program on loopback, with stand-ins for data nodes and discovery, and speaks to
- * it.
+ * Starts the packaged program on loopback, with fake data nodes and a fake discovery server, and
+ * tests it over its sockets.
  */
 class RouterIT {
-    /** Seconds after which a condition that has not come will not come. */
+    /** Seconds after which a condition that a test waits for counts as failed. */
     private static final int TIMEOUT_SECONDS = 20;
 
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
-    /** Which connection came when and what it carried is lost with the test otherwise. */
+    /**
+     * Prints the history of the node's connections and the program's output, which are lost
+     * otherwise when a test fails.
+     */
     @RegisterExtension
     final TestWatcher failureReport =
             new TestWatcher() {
                 @Override
                 public void testFailed(ExtensionContext test, Throwable cause) {
-                    System.out.println(test.getDisplayName() + ": the node saw " + node.history());
-                    System.out.println("the program said " + log);
+                    System.out.println(
+                            test.getDisplayName()
+                                    + ": history of the node's connections: "
+                                    + node.history());
+                    System.out.println("program output: " + log);
                 }
             };
 
@@ -73,7 +79,7 @@
                             try {
                                 work.call();
                             } catch (Exception e) {
-                                // A closed socket ends the stand-in's thread.
+                                // The test closed the socket or stream to end this thread.
                             }
                         });
         thread.setDaemon(true);
@@ -81,7 +87,7 @@
         return thread;
     }
 
-    // ---- the program
+    // ---- starting and stopping the program
 
     @BeforeEach
     void startFakes() throws IOException {
@@ -146,8 +152,8 @@
                 arguments.length > 0
                         ? runCommand.replaceAll("serve$", String.join(" ", arguments))
                         : runCommand;
-        // SIGHUP at its default: where a parent ignores it, as nohup does, the program would not
-        // hear it.
+        // Resets SIGHUP to its default action: if a parent process ignores it, as nohup does, the
+        // program would inherit that and never receive the signal.
         ProcessBuilder start =
                 new ProcessBuilder("env", "--default-signal=HUP", "/bin/sh", "-c", command)
                         .redirectErrorStream(true);
@@ -187,11 +193,11 @@
                     return;
                 }
             } catch (IOException e) {
-                // Not yet.
+                // Not reachable yet: try again.
             }
             Thread.sleep(10);
         }
-        fail("the condition did not come");
+        fail("the condition was not met within " + TIMEOUT_SECONDS + " s");
     }
 
     private Socket connect() throws IOException {
@@ -208,7 +214,11 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Status, a space, the headers that matter, a space, the body. */
+    /**
+     * Reads a response and returns its status, the value of Retry-After if present, and its body,
+     * separated by spaces. Returns "closed" if the connection closed before the first byte and
+     * "broken" with the bytes so far if it closed later.
+     */
     private static String readResponse(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         StringBuilder head = new StringBuilder();
@@ -234,13 +244,16 @@
                 + new String(in.readNBytes(length), StandardCharsets.UTF_8);
     }
 
-    /** The answer; a close while the request is still being sent is none of its own. */
+    /**
+     * Sends a request on a new connection and returns the response. A close by the router while the
+     * request is still being written is not an error.
+     */
     private String exchange(String request) throws IOException {
         try (Socket socket = connect()) {
             try {
                 write(socket, request);
             } catch (IOException e) {
-                // What counts is what can be read.
+                // The response may still be readable.
             }
             return readResponse(socket);
         }
@@ -281,7 +294,13 @@
                 return next;
             }
         }
-        return fail("no frame " + prefix + "; the program said " + log);
+        return fail(
+                "no frame "
+                        + prefix
+                        + " within "
+                        + TIMEOUT_SECONDS
+                        + " s; program output: "
+                        + log);
     }
 
     // ---- queries
@@ -318,7 +337,10 @@
         assertEquals(1, node.sockets.size());
     }
 
-    /** Guards against a complete mark without a part that weighs less than a rounding. */
+    /**
+     * Guards against an answer that is marked complete although a shard is missing whose weight is
+     * lost in rounding.
+     */
     @Test
     void answerIsCompleteOnlyOnceLightestShardIsAnswered() throws Exception {
         node.mode = "silent";
@@ -379,8 +401,8 @@
     }
 
     /**
-     * A spoilt answer ends the calls that share its connection, once each, and nothing more is sent
-     * on it.
+     * A malformed response ends all attempts in flight on its connection, each exactly once, and no
+     * further attempt is sent on that connection.
      */
     @Test
     void malformedResponseEndsAllAttemptsOnItsConnection() throws Exception {
@@ -408,7 +430,8 @@
         node.mode = "noisy";
         for (int i = 0; i < 5; i++) {
             assertTrue(exchange(query("hold", "q" + i, 3000, 0)).contains("vq" + i + ".0"));
-            // The noise may come after the next call has gone out; nobody could tell then.
+            // Waits for the excess bytes: if they arrive after the next attempt was sent, they
+            // can't be told apart from its response.
             Thread.sleep(50);
         }
     }
@@ -432,8 +455,8 @@
         assertEquals("504", answer.substring(0, 3));
         assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS));
         assertTrue(awaitFrame("m q1.0").endsWith("c41e77d0"));
-        // The connection that stayed silent is not used again, and giving its last call up closes
-        // it.
+        // The silent connection is not used again, and it is closed once its last attempt is
+        // abandoned.
         node.mode = "good";
         awaitCondition(
                 () -> exchange(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200"));
@@ -500,7 +523,10 @@
 
     // ---- reload
 
-    /** Whole at any time: the program may be reading it for an earlier signal. */
+    /**
+     * Replaces the configuration file atomically, since the program may be reading it for an
+     * earlier signal, and sends SIGHUP.
+     */
     private void reload(String config) throws Exception {
         Path next = Files.writeString(dir.resolve("next.json"), config);
         Files.move(next, dir.resolve("config.json"), StandardCopyOption.ATOMIC_MOVE);
@@ -512,8 +538,8 @@
     }
 
     /**
-     * Takes the log's lines up to the first one with all of these texts, so that none is counted
-     * twice.
+     * Waits for a log line that contains all of these texts and removes the lines up to it, so that
+     * no line is matched twice.
      */
     private void awaitLogLine(String... texts) throws Exception {
         List<String> skippedLines = new ArrayList<>();
@@ -522,9 +548,9 @@
             String line = log.poll(Math.max(0, deadlineNanos - System.nanoTime()), TimeUnit.NANOSECONDS);
             if (line == null) {
                 fail(
-                        "no line with "
+                        "no log line with "
                                 + List.of(texts)
-                                + "; after the last one the program said "
+                                + "; lines since the last match: "
                                 + skippedLines);
             } else if (Stream.of(texts).allMatch(line::contains)) {
                 return;
@@ -543,14 +569,14 @@
                 config.replace(
                         "127.0.0.1:" + discovery.server.getLocalPort(),
                         "127.0.0.1:" + newDiscovery.server.getLocalPort());
-        // The connection stands before a node falls silent on it: that one comes up late is no part
-        // of this.
+        // Opens the connection to the node before the node stops responding, so that a slow connect
+        // does not affect the test.
         awaitCondition(
                 () -> exchange(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200"));
         node.frames.clear();
         node.mode = "silent";
         try (Socket pendingClient = connect()) {
-            // Longer than all waits here together.
+            // A deadline longer than all waits of this test together.
             write(pendingClient, query("hold", "q1", 10 * TIMEOUT_SECONDS * 1000, 0));
             awaitFrame("m q1.0");
             for (String invalidConfig :
@@ -577,7 +603,7 @@
                                     && !second.frames.isEmpty());
             assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(3));
             awaitLogLine("configuration read again; discovery is now at " + newDiscovery.address());
-            // What the old one tells from now on is not heard.
+            // Updates from the old discovery address are ignored from now on.
             discovery.tell("");
             for (int i = 0; i < 20; i++) {
                 reload(newConfig);
@@ -592,7 +618,7 @@
         assertEquals(0, program.exitValue());
     }
 
-    // ---- bad input
+    // ---- invalid input
 
     @Test
     void invalidClientRequestIsRejectedAndReachesNoNode() throws Exception {
@@ -635,7 +661,10 @@
         assertEquals("413", exchange(post("/lookup", headers, "x".repeat(70_000))).substring(0, 3));
     }
 
-    /** What can't be read is told so, and the telling survives what the client still sends. */
+    /**
+     * A request that can't be parsed gets an error response, which the client can read even if it
+     * is still sending.
+     */
     @Test
     void malformedRequestGetsErrorResponseBeforeConnectionCloses() throws Exception {
         startAndAwaitReady();
@@ -709,7 +738,7 @@
             assertEquals("closed", readResponse(socket));
         }
         assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(5));
-        // And those that ask once and stay.
+        // Also connections that send one request and stay open.
         for (int i = 0; i < 300; i++) {
             Socket client = connect();
             assertAnswer(client, "200", query("lookup", "s" + i, 3000, 0));
@@ -768,7 +797,7 @@
         assertEquals(2, startProgram("", "serve", "--fast").waitFor());
     }
 
-    // ---- the end
+    // ---- shutdown and limits
 
     @Test
     void sigtermAnswersAcceptedQueriesAndExitsWithZero() throws Exception {
@@ -786,7 +815,7 @@
                                     .startsWith("503"));
             node.mode = "good";
             assertEquals("200", exchange(query("lookup", "q2", 3000, 0)).substring(0, 3));
-            // What replaces it may not be there yet: a client with a connection is served on.
+            // The successor may not be listening yet, so a connected client is still served.
             Thread.sleep(1000);
             assertAnswer(idle, "200", query("lookup", "q3", 3000, 0));
             assertEquals("closed", readResponse(idle));
@@ -856,7 +885,7 @@
                         .findFirst()
                         .orElseThrow()
                         .replaceAll("[^0-9]", "");
-        System.out.println("a storm of " + count + " clients: " + memory + " KB at most");
+        System.out.println("peak memory with " + count + " clients: " + memory + " KB");
         assertTrue(Integer.parseInt(memory) < memoryMb << 10, memory);
     }
 
@@ -873,7 +902,7 @@
                         .substring(0, 3));
     }
 
-    // ---- crossings: one side is held until the other has arrived
+    // ---- race conditions: the program is suspended until both events have happened
 
     private void sendSignal(String name) throws Exception {
         assertEquals(
@@ -884,7 +913,8 @@
     }
 
     /**
-     * The router takes nothing up until it goes on; what others do in that while has come by then.
+     * Stops the program with SIGSTOP until SIGCONT is sent. Events that happen meanwhile are all
+     * pending when it resumes.
      */
     private void suspendProgram() throws Exception {
         sendSignal("STOP");
@@ -896,8 +926,9 @@
     }
 
     /**
-     * A listener that lets nobody else in until it is emptied; the machine tries again by itself
-     * after 1 s and more.
+     * A listening socket whose backlog is full: a further connection is not established until
+     * {@link #acceptAfterFillers} empties the backlog. The kernel retries a pending connect after 1
+     * s or more.
      */
     private static final class FullBacklogServer implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 1, LOOPBACK);
@@ -909,7 +940,10 @@
             }
         }
 
-        /** What connects after the fillers, in whose place it comes up. */
+        /**
+         * Accepts and closes the connections that fill the backlog, then returns the next
+         * connection.
+         */
         Socket acceptAfterFillers() throws IOException {
             server.setSoTimeout(TIMEOUT_SECONDS * 1000);
             for (Socket filler : fillers) {
@@ -925,7 +959,7 @@
         }
     }
 
-    /** What comes on it first, or "" where nothing comes for the time. */
+    /** Returns the first bytes that arrive on the socket, or "" if none arrive within this time. */
     private static String readFirstBytes(Socket socket, int millis) throws IOException {
         socket.setSoTimeout(millis);
         byte[] buffer = new byte[200];
@@ -964,8 +998,8 @@
     }
 
     /**
-     * Both have come when the router goes on: the connection to the node is up, and the client has
-     * closed its own.
+     * When the program resumes, both events are pending: the connection to the node is established
+     * and the client has closed its connection.
      */
     @Test
     void attemptIsNotSentIfClientDisconnectsBeforeNodeConnectionOpens() throws Exception {
@@ -1002,7 +1036,7 @@
         }
     }
 
-    /** Whether the program has begun to connect there, as the machine's table has it. */
+    /** Whether a connect to this port is pending, by the kernel's table of TCP sockets. */
     private static boolean isConnecting(int port) throws IOException {
         String to = String.format("0100007F:%04X 02", port);
         return Files.readAllLines(Path.of("/proc/net/tcp")).stream()
@@ -1031,7 +1065,8 @@
                 try (Socket lateConnection = fullServer.acceptAfterFillers()) {
                     assertEquals("", readFirstBytes(lateConnection, 500));
                 }
-                // It never ran, and no other node holds the shard.
+                // The attempt never ran and no other node holds the shard, so the query is
+                // rejected.
                 assertEquals("503", readResponse(client).substring(0, 3));
             }
         }
@@ -1063,7 +1098,7 @@
             node.sockets.get(0).setSoLinger(true, 0);
             node.sockets.get(0).close();
             awaitCondition(() -> isConnecting(fullServer.server.getLocalPort()));
-            // The machine's next try comes after the window.
+            // The kernel's next connect attempt comes after the repeat window.
             try (Socket lateConnection = fullServer.acceptAfterFillers()) {
                 assertEquals("", readFirstBytes(lateConnection, 500));
             }
@@ -1071,8 +1106,8 @@
     }
 
     /**
-     * Both have come when the router goes on: its node has closed the idle connection, and a query
-     * that could use it.
+     * When the program resumes, both events are pending: the node has closed the idle connection,
+     * and a query has arrived that could use it.
      */
     @Test
     void idleConnectionClosedByNodeIsNotReused() throws Exception {
@@ -1091,8 +1126,8 @@
     }
 
     /**
-     * The process stands still for longer than it may go without its list; both the list and a
-     * query have come by then.
+     * The program is suspended for longer than an endpoint list may be used without a poll. When it
+     * resumes, a changed list and a query are both pending.
      */
     @Test
     void resumedRouterDoesNotRouteByStaleEndpointList() throws Exception {
@@ -1118,7 +1153,10 @@
         }
     }
 
-    /** Its client rests on its connection and sends on; the end must not come over unread bytes. */
+    /**
+     * The client keeps sending on its connection. A close over unread bytes would be a reset, which
+     * could discard the answer.
+     */
     @Test
     void lastAnswerIsFollowedByOrderlyCloseWhileClientKeepsSending() throws Exception {
         startAndAwaitReady();
@@ -1134,7 +1172,7 @@
             awaitCondition(() -> isConnectionRefused());
             node.send(node.sockets.get(0), "qq1.0 good 0 -\nx");
             awaitCondition(() -> client.getInputStream().available() > 0);
-            // A reset would end one of these.
+            // After a reset by the router, one of these writes would fail.
             for (int i = 0; i < 4; i++) {
                 write(client, "x".repeat(1000));
                 Thread.sleep(25);
@@ -1156,8 +1194,8 @@
     }
 
     /**
-     * The program stands in its first read of its configuration, which a pipe holds up, when the
-     * signal comes.
+     * The signal arrives while the program is reading its configuration at the start, which a named
+     * pipe delays.
      */
     @Test
     void sighupDuringStartReloadsConfigurationAfterStart() throws Exception {
@@ -1167,9 +1205,10 @@
         startProgram(config, "serve", "--config", pipe.toString());
         try (var pipeOutput = Files.newOutputStream(pipe)) {
             sendSignal("HUP");
-            // Long enough for a signal to end a program that does not expect it.
+            // Long enough for the signal to end a program that has no handler for it.
             assertFalse(program.waitFor(500, TimeUnit.MILLISECONDS), "ended by SIGHUP");
-            // What it reads next time; what it reads now it has opened.
+            // Replaces the pipe by a file for the next read; the program has already opened the
+            // pipe for this one.
             Files.move(dir.resolve("config.json"), pipe, StandardCopyOption.REPLACE_EXISTING);
             pipeOutput.write(config.getBytes(StandardCharsets.UTF_8));
         }
