--- a/src/main/java/postbeam/endpoints/PollSchedule.java
+++ b/src/main/java/postbeam/endpoints/PollSchedule.java
@@ -5,7 +5,7 @@
 
 /**
  * Decides when discovery is polled: at once, and again after a failure or a poll without a
- * response. While updates arrive by themselves, no poll is due. Pauses are jittered, so that
+ * response. While updates arrive by themselves, no poll is scheduled. Pauses are jittered, so that
  * routers that failed together don't poll together after an outage. Uses no I/O, clock or thread:
  * times are passed in as durations since the router's start.
  */
@@ -18,7 +18,7 @@
     private final Random random;
     private int consecutiveFailures;
 
-    /** Null while no poll is due. */
+    /** Null while no poll is scheduled. */
     private Duration nextPollAt;
 
     /**
@@ -48,7 +48,7 @@
     }
 
     /**
-     * When the next poll is due, unless a result is reported earlier; null while no poll is due.
+     * When the next poll is due, unless a result is reported earlier; null while none is scheduled.
      */
     public Duration nextPollAt() {
         return nextPollAt;
--- a/src/main/java/postbeam/endpoints/PollTimings.java
+++ b/src/main/java/postbeam/endpoints/PollTimings.java
@@ -39,7 +39,10 @@
     /** Defined by the protocol. */
     private static final Duration MAX_PROPAGATION_DELAY = Duration.ofSeconds(6);
 
-    /** Part of that time left for a router that is scheduled late and for decoding the list. */
+    /**
+     * Part of that time that is reserved for a router that is scheduled late and for decoding the
+     * list.
+     */
     private static final Duration SCHEDULING_MARGIN = Duration.ofMillis(500);
 
     private static final Duration MAX_POLL_CYCLE = MAX_PROPAGATION_DELAY.minus(SCHEDULING_MARGIN);
@@ -54,9 +57,8 @@
     private static final Duration AGENT_FIRST_BYTE_TIMEOUT = Duration.ofMillis(250);
 
     /**
-     * After each such number of failures, one fetch may take the full response timeout, since a
-     * busy machine may delay the agent. The polls between two of these, with their pauses, take 6.7
-     * s.
+     * One fetch in this many consecutive failures may take the full response timeout, since a busy
+     * machine may delay the agent. The polls between two of these, with their pauses, take 6.7 s.
      */
     private static final int FULL_TIMEOUT_INTERVAL = 20;
 
--- a/src/test/java/postbeam/endpoints/PollScheduleTest.java
+++ b/src/test/java/postbeam/endpoints/PollScheduleTest.java
@@ -122,10 +122,12 @@
                         pollInterval + ": " + worstCycleMillis(serverTimings, 0));
                 for (int failures = 1; failures <= 200; failures++) {
                     long pause = serverTimings.backoff().apply(failures).toMillis();
-                    assertTrue(pause >= 100, pollInterval + ": pause too short to spread routers: " + pause);
+                    assertTrue(
+                            pause >= 100,
+                            pollInterval + ": pause too short to spread routers: " + pause);
                     assertTrue(
                             pause <= serverTimings.maxBackoff().toMillis(),
-                            pollInterval + ": " + pause);
+                            pollInterval + ": pause of " + pause + " ms");
                     assertTrue(
                             serverTimings
                                             .firstByteTimeout()
@@ -133,8 +135,8 @@
                                             .compareTo(serverTimings.responseTimeout())
                                     <= 0);
                 }
-                // The first pauses stay short on average for an outage of 1 s, and long enough that
-                // the polls of a hundred routers are spread.
+                // The first pause is at most 750 ms, whatever the settings say: the polls of a
+                // hundred routers are spread, and polls resume soon after an outage of 1 s.
                 assertTrue(serverTimings.backoff().apply(1).compareTo(ms(750)) <= 0);
                 checkedTimings++;
             }
