--- a/src/main/java/postbeam/router/PagedAttempt.java
+++ b/src/main/java/postbeam/router/PagedAttempt.java
@@ -30,19 +30,19 @@
      * Decodes the rows of a successful attempt; if they are malformed, the outcome becomes an error
      * of the node.
      */
-    static AttemptResult readRows(AttemptResult result) {
+    static AttemptResult decodeRows(AttemptResult result) {
         if (!(result.attempt() instanceof PagedAttempt attempt)
                 || result.outcome() != AttemptOutcome.SUCCESS) {
             return result;
         }
         KeyRangeRequest request = (KeyRangeRequest) attempt.policyAttempt.shardRequest;
         attempt.rows =
-                attempt.pagedQuery.readRows(attempt.id, request.keys, result.value()).orElse(null);
+                attempt.pagedQuery.decodeRows(attempt.id, request.keys, result.value()).orElse(null);
         return new AttemptResult(
                 attempt, attempt.rows == null ? AttemptOutcome.ERROR : AttemptOutcome.SUCCESS);
     }
 
-    /** The rows that {@link #readRows} decoded. */
+    /** The rows that {@link #decodeRows} decoded. */
     PartialPage rows() {
         return rows;
     }
--- a/src/main/java/postbeam/router/PagedQuery.java
+++ b/src/main/java/postbeam/router/PagedQuery.java
@@ -111,7 +111,7 @@
      * Decodes the rows that a node returned for these keys; returns empty and logs a warning if
      * they are malformed.
      */
-    Optional<PartialPage> readRows(String attemptId, KeyRange keys, byte[] value) {
+    Optional<PartialPage> decodeRows(String attemptId, KeyRange keys, byte[] value) {
         String problem;
         try {
             PartialPage partialPage = RowCodec.decodePartialPage(keys, value);
--- a/src/main/java/postbeam/router/PagingService.java
+++ b/src/main/java/postbeam/router/PagingService.java
@@ -145,7 +145,7 @@
                         .map(slice -> new RangeProgress(slice.keys(), slice.weight(), null))
                         .toList();
         long layoutVersion = request.layoutVersion() > 0 ? request.layoutVersion() : layout.version;
-        return pagedQuery(request, layout, ranges, layoutVersion, slices);
+        return createPagedQuery(request, layout, ranges, layoutVersion, slices);
     }
 
     private PagedQuery startNextPage(ClientRequest request, Layout layout)
@@ -157,10 +157,10 @@
                                 queryDigest(request),
                                 new LayoutLineage(layout))
                         .ranges();
-        return pagedQuery(request, layout, ranges, layout.version, requestedSlices(layout, ranges));
+        return createPagedQuery(request, layout, ranges, layout.version, requestedSlices(layout, ranges));
     }
 
-    private PagedQuery pagedQuery(
+    private PagedQuery createPagedQuery(
             ClientRequest request,
             Layout layout,
             List<RangeProgress> ranges,
--- a/src/main/java/postbeam/router/PolicyExecutor.java
+++ b/src/main/java/postbeam/router/PolicyExecutor.java
@@ -239,15 +239,15 @@
     @Override
     public void onAttemptResults(List<AttemptResult> results) {
         // Decoding rows is slow, so it is done without the lock.
-        List<AttemptResult> parsedResults =
-                servesPages ? results.stream().map(PagedAttempt::readRows).toList() : results;
+        List<AttemptResult> decodedResults =
+                servesPages ? results.stream().map(PagedAttempt::decodeRows).toList() : results;
         lock.lock();
         try {
             Duration now = clock.now();
             decisionLoop.processEvent(
                     null,
                     now,
-                    () -> parsedResults.forEach(result -> decisionLoop.endAttempt(now, result)));
+                    () -> decodedResults.forEach(result -> decisionLoop.endAttempt(now, result)));
         } finally {
             lock.unlock();
         }
