--- a/src/test/java/postbeam/router/RouterIT.java
+++ b/src/test/java/postbeam/router/RouterIT.java
@@ -72,7 +72,7 @@
     private Process program;
     private BlockingQueue<String> log;
 
-    private static Thread daemon(Callable<Void> work) {
+    private static Thread startDaemon(Callable<Void> work) {
         Thread thread =
                 new Thread(
                         () -> {
@@ -161,7 +161,7 @@
         program = start.start();
         log = new LinkedBlockingQueue<>();
         BufferedReader out = program.inputReader();
-        daemon(
+        startDaemon(
                 () -> {
                     String line;
                     while ((line = out.readLine()) != null) {
@@ -1226,7 +1226,7 @@
         discovery.close();
         List<Socket> idle = new CopyOnWriteArrayList<>();
         Thread clientThread =
-                daemon(
+                startDaemon(
                         () -> {
                             while (!Thread.currentThread().isInterrupted()) {
                                 idle.add(connect());
