--- a/src/main/java/postbeam/router/ActionOutbox.java
+++ b/src/main/java/postbeam/router/ActionOutbox.java
@@ -30,10 +30,7 @@
      * @param maxBatchSize maximum number of attempts in one batch
      */
     ActionOutbox(
-            QueryTable queries,
-            NodeDirectory nodes,
-            Condition backgroundWork,
-            int maxBatchSize) {
+            QueryTable queries, NodeDirectory nodes, Condition backgroundWork, int maxBatchSize) {
         this.queries = queries;
         this.nodes = nodes;
         this.backgroundWork = backgroundWork;
--- a/src/main/java/postbeam/router/PagedAttempt.java
+++ b/src/main/java/postbeam/router/PagedAttempt.java
@@ -37,7 +37,9 @@
         }
         KeyRangeRequest request = (KeyRangeRequest) attempt.policyAttempt.shardRequest;
         attempt.rows =
-                attempt.pagedQuery.decodeRows(attempt.id, request.keys, result.value()).orElse(null);
+                attempt.pagedQuery
+                        .decodeRows(attempt.id, request.keys, result.value())
+                        .orElse(null);
         return new AttemptResult(
                 attempt, attempt.rows == null ? AttemptOutcome.ERROR : AttemptOutcome.SUCCESS);
     }
--- a/src/main/java/postbeam/router/PagingService.java
+++ b/src/main/java/postbeam/router/PagingService.java
@@ -157,7 +157,8 @@
                                 queryDigest(request),
                                 new LayoutLineage(layout))
                         .ranges();
-        return createPagedQuery(request, layout, ranges, layout.version, requestedSlices(layout, ranges));
+        return createPagedQuery(
+                request, layout, ranges, layout.version, requestedSlices(layout, ranges));
     }
 
     private PagedQuery createPagedQuery(
--- a/src/test/java/postbeam/endpoints/PollScheduleTest.java
+++ b/src/test/java/postbeam/endpoints/PollScheduleTest.java
@@ -208,7 +208,9 @@
                     assertTrue(
                             cycleMillis <= MAX_CYCLE_MILLIS,
                             pollInterval + ": " + cycleMillis + " after " + failures);
-                    assertTrue(pause.toMillis() >= 100, pollInterval + ": pause too short to spread routers: " + pause);
+                    assertTrue(
+                            pause.toMillis() >= 100,
+                            pollInterval + ": pause too short to spread routers: " + pause);
                     assertTrue(unanswered.toMillis() > 2_000, "discovery may take 2 s to respond");
                     now = simulatedSchedule.nextPollAt();
                 }
--- a/src/test/java/postbeam/router/MonotonicClockTest.java
+++ b/src/test/java/postbeam/router/MonotonicClockTest.java
@@ -26,6 +26,7 @@
     void currentUnixTimeConvertsToCurrentPolicyTime() {
         Duration difference =
                 clock.fromUnixMicros(System.currentTimeMillis() * 1000).minus(clock.now());
-        assertTrue(difference.abs().compareTo(Duration.ofSeconds(5)) < 0, "differs by " + difference);
+        assertTrue(
+                difference.abs().compareTo(Duration.ofSeconds(5)) < 0, "differs by " + difference);
     }
 }
--- a/src/test/java/postbeam/router/PolicyExecutorTest.java
+++ b/src/test/java/postbeam/router/PolicyExecutorTest.java
@@ -184,7 +184,9 @@
         executor.onAttemptResults(
                 List.of(
                         new AttemptResult(
-                                awaitSend(healthy).attempts().get(0), AttemptOutcome.SUCCESS, VALUE)));
+                                awaitSend(healthy).attempts().get(0),
+                                AttemptOutcome.SUCCESS,
+                                VALUE)));
         assertInstanceOf(QueryAction.Answer.class, awaitAction(healthy));
     }
 
@@ -212,7 +214,9 @@
     void failingNodeIsCheckedAgainAfterHealthCheckTimeout() {
         InFlightQuery query = accept(request("a", "lookup", TIMEOUT, 1), Duration.ZERO);
         executor.onAttemptResults(
-                List.of(new AttemptResult(awaitSend(query).attempts().get(0), AttemptOutcome.RESET)));
+                List.of(
+                        new AttemptResult(
+                                awaitSend(query).attempts().get(0), AttemptOutcome.RESET)));
         accept(request("b", "hold", TIMEOUT, 1), Duration.ZERO);
         QueryAction.HealthCheck first =
                 assertInstanceOf(QueryAction.HealthCheck.class, awaitHealthCheck());
@@ -251,7 +255,9 @@
         executor.onAttemptResults(
                 List.of(
                         new AttemptResult(
-                                awaitSend(query).attempts().get(0), AttemptOutcome.SUCCESS, VALUE)));
+                                awaitSend(query).attempts().get(0),
+                                AttemptOutcome.SUCCESS,
+                                VALUE)));
         assertInstanceOf(QueryAction.Answer.class, awaitAction(query));
         long end = System.nanoTime() + TIMEOUT.toNanos();
         while (executor.pendingTimers() > 0 && System.nanoTime() < end) {
--- a/src/test/java/postbeam/router/RouterIT.java
+++ b/src/test/java/postbeam/router/RouterIT.java
@@ -295,12 +295,7 @@
             }
         }
         return fail(
-                "no frame "
-                        + prefix
-                        + " within "
-                        + TIMEOUT_SECONDS
-                        + " s; program output: "
-                        + log);
+                "no frame " + prefix + " within " + TIMEOUT_SECONDS + " s; program output: " + log);
     }
 
     // ---- queries
@@ -397,7 +392,9 @@
         }
         node.mode = "good";
         awaitCondition(
-                () -> exchange(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200"));
+                () ->
+                        exchange(query("lookup", "q" + System.nanoTime(), 3000, 0))
+                                .startsWith("200"));
     }
 
     /**
@@ -459,7 +456,9 @@
         // abandoned.
         node.mode = "good";
         awaitCondition(
-                () -> exchange(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200"));
+                () ->
+                        exchange(query("lookup", "q" + System.nanoTime(), 3000, 0))
+                                .startsWith("200"));
         assertEquals(2, node.sockets.size());
         assertFalse(log.stream().anyMatch(line -> line.contains("Exception")), log.toString());
     }
@@ -485,7 +484,8 @@
         discovery.tell(newNode.hostEntry("n1", "up"));
         awaitCondition(
                 () ->
-                        exchange(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200")
+                        exchange(query("lookup", "q" + System.nanoTime(), 3000, 0))
+                                        .startsWith("200")
                                 && !newNode.frames.isEmpty());
         discovery.tellHalf();
         awaitCondition(
@@ -493,12 +493,12 @@
         assertEquals("200", exchange(query("lookup", "q3", 3000, 0)).substring(0, 3));
         discovery.tell(newNode.hostEntry("n1", "draining"));
         awaitCondition(
-                () -> exchange(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("503"));
+                () ->
+                        exchange(query("lookup", "q" + System.nanoTime(), 3000, 0))
+                                .startsWith("503"));
         discovery.tell("");
         awaitCondition(
-                () ->
-                        discovery.requestedPaths.stream()
-                                .anyMatch(path -> path.contains("index=5")));
+                () -> discovery.requestedPaths.stream().anyMatch(path -> path.contains("index=5")));
         assertEquals("503", exchange(query("lookup", "q4", 3000, 0)).substring(0, 3));
     }
 
@@ -506,9 +506,14 @@
     void configuredEndpointListIsUsedWhileDiscoveryIsDown() throws Exception {
         discovery.server.close();
         startProgram(
-                config("{\"seq\":7,\"whole\":true,\"hosts\":[" + node.hostEntry("n1", "up") + "]}"));
+                config(
+                        "{\"seq\":7,\"whole\":true,\"hosts\":["
+                                + node.hostEntry("n1", "up")
+                                + "]}"));
         awaitCondition(
-                () -> exchange(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200"));
+                () ->
+                        exchange(query("lookup", "q" + System.nanoTime(), 3000, 0))
+                                .startsWith("200"));
     }
 
     @Test
@@ -545,7 +550,8 @@
         List<String> skippedLines = new ArrayList<>();
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (true) {
-            String line = log.poll(Math.max(0, deadlineNanos - System.nanoTime()), TimeUnit.NANOSECONDS);
+            String line =
+                    log.poll(Math.max(0, deadlineNanos - System.nanoTime()), TimeUnit.NANOSECONDS);
             if (line == null) {
                 fail(
                         "no log line with "
@@ -572,7 +578,9 @@
         // Opens the connection to the node before the node stops responding, so that a slow connect
         // does not affect the test.
         awaitCondition(
-                () -> exchange(query("lookup", "q" + System.nanoTime(), 3000, 0)).startsWith("200"));
+                () ->
+                        exchange(query("lookup", "q" + System.nanoTime(), 3000, 0))
+                                .startsWith("200"));
         node.frames.clear();
         node.mode = "silent";
         try (Socket pendingClient = connect()) {
@@ -711,7 +719,10 @@
                             + "3938700\r\n"
                             + large
                 }) {
-            assertEquals("413", exchange(invalidRequest).substring(0, 3), invalidRequest.substring(0, 170));
+            assertEquals(
+                    "413",
+                    exchange(invalidRequest).substring(0, 3),
+                    invalidRequest.substring(0, 170));
         }
         assertTrue(node.frames.isEmpty(), node.frames.toString());
         assertFalse(log.stream().anyMatch(line -> line.contains("\tat ")), log.toString());
@@ -862,7 +873,8 @@
         assertManyClientsAreAnswered(96, 256, 90);
     }
 
-    private void assertManyClientsAreAnswered(int memoryMb, int sockets, int count) throws Exception {
+    private void assertManyClientsAreAnswered(int memoryMb, int sockets, int count)
+            throws Exception {
         node.mode = "silent";
         startAndAwaitReady(
                 config("null")
@@ -977,16 +989,23 @@
         for (String trailingBytes : new String[] {"", "x".repeat(100_000)}) {
             suspendProgram();
             try (Socket client = connect()) {
-                write(client, query("lookup", "gone" + trailingBytes.length(), 3000, 0, 1) + trailingBytes);
+                write(
+                        client,
+                        query("lookup", "gone" + trailingBytes.length(), 3000, 0, 1)
+                                + trailingBytes);
             }
             try (Socket reset = connect()) {
-                write(reset, query("lookup", "reset" + trailingBytes.length(), 3000, 0, 1) + trailingBytes);
+                write(
+                        reset,
+                        query("lookup", "reset" + trailingBytes.length(), 3000, 0, 1)
+                                + trailingBytes);
                 reset.setSoLinger(true, 0);
             }
             sendSignal("CONT");
             assertEquals(
                     "200",
-                    exchange(query("lookup", "after" + trailingBytes.length(), 3000, 0)).substring(0, 3));
+                    exchange(query("lookup", "after" + trailingBytes.length(), 3000, 0))
+                            .substring(0, 3));
             assertFalse(
                     node.frames.stream()
                             .anyMatch(
@@ -1017,7 +1036,8 @@
             discovery.tell(
                     node.hostEntry("n1", "up")
                             .replace(
-                                    node.dialAddress(), "127.0.0.1:" + fullServer.server.getLocalPort()));
+                                    node.dialAddress(),
+                                    "127.0.0.1:" + fullServer.server.getLocalPort()));
             startAndAwaitReady(
                     config("null")
                             .replace("\"connectTimeout\":250000", "\"connectTimeout\":8000000"));
@@ -1051,7 +1071,9 @@
         try (FullBacklogServer fullServer = new FullBacklogServer()) {
             String entry =
                     node.hostEntry("n1", "up")
-                            .replace(node.dialAddress(), "127.0.0.1:" + fullServer.server.getLocalPort());
+                            .replace(
+                                    node.dialAddress(),
+                                    "127.0.0.1:" + fullServer.server.getLocalPort());
             discovery.tell(entry);
             startAndAwaitReady(
                     config("null")
@@ -1073,8 +1095,7 @@
     }
 
     @Test
-    void deduplicatedRetryIsNotSentIfConnectionOpensAfterRepeatWindow()
-            throws Exception {
+    void deduplicatedRetryIsNotSentIfConnectionOpensAfterRepeatWindow() throws Exception {
         node.mode = "silent";
         startAndAwaitReady(
                 config("null")
@@ -1256,7 +1277,10 @@
     void routerWithConfiguredEndpointListIsReadyWithinTenSeconds() throws Exception {
         discovery.server.close();
         startProgram(
-                config("{\"seq\":7,\"whole\":true,\"hosts\":[" + node.hostEntry("n1", "up") + "]}"));
+                config(
+                        "{\"seq\":7,\"whole\":true,\"hosts\":["
+                                + node.hostEntry("n1", "up")
+                                + "]}"));
         long startNanos = System.nanoTime();
         awaitCondition(
                 () ->
--- a/src/test/java/postbeam/router/ShutdownDeadlinesTest.java
+++ b/src/test/java/postbeam/router/ShutdownDeadlinesTest.java
@@ -12,7 +12,8 @@
     private static void assertEndsBefore(Duration killTime, Duration... deadlines) {
         ShutdownDeadlines shutdown = ShutdownDeadlines.of(Arrays.asList(deadlines));
         assertTrue(
-                shutdown.finalAnswersBy().compareTo(killTime) < 0, shutdown + " must end before " + killTime);
+                shutdown.finalAnswersBy().compareTo(killTime) < 0,
+                shutdown + " must end before " + killTime);
         assertTrue(
                 shutdown.servingEnds().compareTo(shutdown.finalAnswersBy()) < 0,
                 shutdown.toString());
