--- a/src/main/java/postbeam/router/GracefulShutdown.java
+++ b/src/main/java/postbeam/router/GracefulShutdown.java
@@ -37,7 +37,10 @@
         }
     }
 
-    /** Stops accepting queries and waits until the accepted ones are answered. */
+    /**
+     * Stops accepting queries and waits until the accepted ones are answered; then continues to
+     * read from open connections until they are closed or the deadline has passed.
+     */
     void finishAcceptedQueries() throws InterruptedException {
         queryServer.close();
         // Evaluated on the thread that reads requests: no request can begin after the last check.
--- a/src/main/java/postbeam/router/PolicyExecutor.java
+++ b/src/main/java/postbeam/router/PolicyExecutor.java
@@ -73,7 +73,9 @@
     /**
      * Creates an executor that knows no data nodes yet.
      *
+     * @param seed of the policy's random decisions
      * @param maxBatchSize maximum number of attempts that are sent to a node together
+     * @param healthCheckTimeout time after which an unanswered health check counts as failed
      * @param slicing null if shards have fixed replicas
      * @param paging null if pages are disabled; requires {@code slicing}
      */
--- a/src/test/java/postbeam/router/RouterIT.java
+++ b/src/test/java/postbeam/router/RouterIT.java
@@ -286,6 +286,10 @@
                 + body;
     }
 
+    /**
+     * Waits for a frame at the node that starts with this prefix and returns it; m is an attempt, n
+     * a cancellation.
+     */
     private String awaitFrame(String prefix) throws InterruptedException {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (System.nanoTime() < deadlineNanos) {
@@ -433,6 +437,7 @@
         }
     }
 
+    /** First the node rejects the attempt as overloaded, then it can't be reached. */
     @Test
     void queryThatNeverRanIsRejected() throws Exception {
         startAndAwaitReady();
@@ -1056,11 +1061,15 @@
         }
     }
 
-    /** Whether a connect to this port is pending, by the kernel's table of TCP sockets. */
+    /**
+     * Whether a connect to this port of 127.0.0.1 is pending: the kernel's table of TCP sockets has
+     * an entry in state 02 (SYN_SENT) for it. Addresses are written there in hexadecimal digits,
+     * with the bytes of the address reversed.
+     */
     private static boolean isConnecting(int port) throws IOException {
-        String to = String.format("0100007F:%04X 02", port);
+        String synSentEntry = String.format("0100007F:%04X 02", port);
         return Files.readAllLines(Path.of("/proc/net/tcp")).stream()
-                        .anyMatch(line -> line.contains(to))
+                        .anyMatch(line -> line.contains(synSentEntry))
                 || (Files.exists(Path.of("/proc/net/tcp6"))
                         && Files.readAllLines(Path.of("/proc/net/tcp6")).stream()
                                 .anyMatch(line -> line.contains(String.format(":%04X 02", port))));
@@ -1164,12 +1173,12 @@
             Thread.sleep(6000);
             discovery.tell(node.hostEntry("n1", "draining"));
             try (Socket client = connect()) {
-                write(client, query("hold", "stood" + i, 3000, 0));
+                write(client, query("hold", "resumed" + i, 3000, 0));
                 sendSignal("CONT");
                 assertEquals("503", readResponse(client).substring(0, 3));
             }
             assertFalse(
-                    node.frames.stream().anyMatch(frame -> frame.startsWith("m stood")),
+                    node.frames.stream().anyMatch(frame -> frame.startsWith("m resumed")),
                     node.frames.toString());
         }
     }
