--- a/src/main/java/postbeam/migration/Migration.java
+++ b/src/main/java/postbeam/migration/Migration.java
@@ -120,7 +120,7 @@
 
     /** The transfer's change in the current direction, forward or back. */
     LayoutChange nextChange(SliceTransfer transfer) {
-        return isRollingBack() ? transfer.reverseMove() : transfer.forwardMove();
+        return isRollingBack() ? transfer.reverseChange() : transfer.forwardChange();
     }
 
     /**
--- a/src/main/java/postbeam/migration/MigrationManager.java
+++ b/src/main/java/postbeam/migration/MigrationManager.java
@@ -80,7 +80,7 @@
         if (problem.isPresent()) {
             throw new MigrationError.InvalidPlan(member, problem.get()).toException();
         }
-        return record(
+        return append(
                 new MigrationRecord.Created(
                         journalState.nextId(),
                         member,
@@ -103,7 +103,7 @@
                                 + transfer.slice()
                                 + " stands there twice: one holder is moved at a time");
             }
-            Optional<String> problem = coordinator.rejectionReason(transfer.forwardMove());
+            Optional<String> problem = coordinator.rejectionReason(transfer.forwardChange());
             if (problem.isPresent()) {
                 return problem;
             }
@@ -115,7 +115,7 @@
     public List<MigrationAction> pause(long id, String detail, Duration now)
             throws OperatorErrorException {
         requireNotPaused(requireActive(id));
-        return record(new MigrationRecord.Paused(id, PauseReason.OPERATOR, detail, now));
+        return append(new MigrationRecord.Paused(id, PauseReason.OPERATOR, detail, now));
     }
 
     /**
@@ -159,7 +159,7 @@
             throw checkpointError(migration, requested).toException();
         }
         requireNotPaused(migration);
-        return record(new MigrationRecord.CheckpointPassed(id, now));
+        return append(new MigrationRecord.CheckpointPassed(id, now));
     }
 
     private static MigrationError checkpointError(Migration migration, Checkpoint requested) {
@@ -179,10 +179,10 @@
         if (!migration.state().allowsRollback()) {
             throw new MigrationError.RollbackTooLate(id, migration.state()).toException();
         }
-        return record(new MigrationRecord.RollbackStarted(id, reason, now));
+        return append(new MigrationRecord.RollbackStarted(id, reason, now));
     }
 
-    private List<MigrationAction> record(MigrationRecord migrationRecord) {
+    private List<MigrationAction> append(MigrationRecord migrationRecord) {
         ActionBatch batch = new ActionBatch(coordinator);
         batch.append(migrationRecord);
         return batch.actions();
--- a/src/main/java/postbeam/migration/MigrationStateMachine.java
+++ b/src/main/java/postbeam/migration/MigrationStateMachine.java
@@ -70,7 +70,7 @@
                     enter(
                             batch,
                             migration,
-                            progress.isCopied(migration)
+                            progress.isCaughtUp(migration)
                                     ? MigrationState.VERIFYING
                                     : MigrationState.COPYING,
                             now);
@@ -98,7 +98,7 @@
 
     private void copy(ActionBatch batch, Migration migration, Duration now) {
         planner.planMissingMoves(batch, migration, now);
-        if (progress.isCopied(migration)) {
+        if (progress.isCaughtUp(migration)) {
             enter(batch, migration, MigrationState.CAUGHT_UP, now);
         }
     }
@@ -169,7 +169,7 @@
         boolean forward = transfer.isForward(move.change);
         if (forward && move.state() != MoveState.ABANDONING && !move.reverseWhenDone()) {
             batch.abandonMove(move, migration.rollbackReason(), now);
-        } else if (!forward && progress.isHolding(move)) {
+        } else if (!forward && progress.isCaughtUp(move)) {
             verifier.verify(batch, migration, move, now);
         }
     }
--- a/src/main/java/postbeam/migration/MoveVerifier.java
+++ b/src/main/java/postbeam/migration/MoveVerifier.java
@@ -53,7 +53,7 @@
     void onRangeDigests(long requestId, String node, List<RangeDigest> digests, Duration now) {
         comparisons
                 .values()
-                .forEach(comparison -> comparison.onDigests(requestId, node, digests, now));
+                .forEach(comparison -> comparison.onRangeDigests(requestId, node, digests, now));
     }
 
     Optional<ReplicaComparison> comparisonOf(Move move) {
@@ -67,6 +67,6 @@
 
     /** Forgets the comparisons of moves that are over. */
     void retainActive(TransferProgress progress) {
-        comparisons.keySet().removeIf(moveId -> !progress.exists(moveId));
+        comparisons.keySet().removeIf(moveId -> !progress.isMoveActive(moveId));
     }
 }
--- a/src/main/java/postbeam/migration/PauseDetector.java
+++ b/src/main/java/postbeam/migration/PauseDetector.java
@@ -67,7 +67,7 @@
 
     /** Forgets the lag of moves that are over. */
     void retainActive() {
-        laggingSince.keySet().removeIf(moveId -> !progress.exists(moveId));
+        laggingSince.keySet().removeIf(moveId -> !progress.isMoveActive(moveId));
     }
 
     // ---- reasons that last, whatever an operator orders
@@ -161,8 +161,8 @@
 
     private static Optional<MigrationRecord.Paused> moveFailed(
             Migration migration, SliceTransfer transfer, Move move, Duration now) {
-        boolean goesBack = move.state() == MoveState.ABANDONING || move.reverseWhenDone();
-        if (!goesBack || migration.isRollingBack() || ActionBatch.isRecopied(move)) {
+        boolean abandoned = move.state() == MoveState.ABANDONING || move.reverseWhenDone();
+        if (!abandoned || migration.isRollingBack() || ActionBatch.isRecopied(move)) {
             return Optional.empty();
         }
         return paused(
@@ -215,7 +215,7 @@
     }
 
     private void updateLag(Move move, Duration now) {
-        if (move.state() != MoveState.REPLICATING || progress.isHolding(move)) {
+        if (move.state() != MoveState.REPLICATING || progress.isCaughtUp(move)) {
             laggingSince.remove(move.id);
         } else {
             laggingSince.putIfAbsent(move.id, now);
--- a/src/main/java/postbeam/migration/ReplicaComparison.java
+++ b/src/main/java/postbeam/migration/ReplicaComparison.java
@@ -85,10 +85,10 @@
         this.slice = slice;
         this.limits = limits;
         this.lastProgressAt = now;
-        addSplit(keys);
+        addParts(keys);
     }
 
-    private void addSplit(KeyRange range) {
+    private void addParts(KeyRange range) {
         long size = Math.max(1, (range.size() + SPLIT_COUNT - 1) / SPLIT_COUNT);
         for (long from = range.from(); from < range.to(); from += size) {
             KeyRange part = new KeyRange(from, Math.min(range.to(), from + size));
@@ -120,8 +120,8 @@
     /**
      * Takes over a node's answer, if it is one to the open request; compares once both have come.
      */
-    void onDigests(long answeredId, String node, List<RangeDigest> digests, Duration now) {
-        if (answeredId != requestId || isFinished()) {
+    void onRangeDigests(long answeredRequestId, String node, List<RangeDigest> digests, Duration now) {
+        if (answeredRequestId != requestId || isFinished()) {
             return;
         }
         Map<KeyRange, RangeDigest> byRange = new LinkedHashMap<>();
@@ -138,13 +138,13 @@
 
     private void compareAll(Duration now) {
         requestId = 0;
-        int before = unmatchedRanges.size();
+        int unmatchedBefore = unmatchedRanges.size();
         for (KeyRange range : List.copyOf(unmatchedRanges.keySet())) {
             if (sourceDigests.containsKey(range) && targetDigests.containsKey(range)) {
                 compare(range, sourceDigests.get(range), targetDigests.get(range));
             }
         }
-        if (unmatchedRanges.size() != before) {
+        if (unmatchedRanges.size() != unmatchedBefore) {
             lastProgressAt = now;
         }
     }
@@ -161,22 +161,22 @@
             onConfirmedMismatch(range, sourceDigest, targetDigest);
         } else if (unmatched.rounds >= ROUNDS_BEFORE_SPLIT
                 && range.size() > limits.minRangeSize()
-                && hasRoomToSplit()) {
+                && canSplit()) {
             // Where writes are always under way, smaller ranges have their quiet moments.
             unmatchedRanges.remove(range);
-            addSplit(range);
+            addParts(range);
         }
     }
 
     private void onConfirmedMismatch(
             KeyRange range, RangeDigest sourceDigest, RangeDigest targetDigest) {
         unmatchedRanges.remove(range);
-        if (range.size() > Math.max(1, limits.minRangeSize()) && hasRoomToSplit()) {
-            addSplit(range);
+        if (range.size() > Math.max(1, limits.minRangeSize()) && canSplit()) {
+            addParts(range);
         } else {
             differences.put(
                     range,
-                    text(range)
+                    format(range)
                             + ": "
                             + sourceDigest.rows()
                             + " rows at "
@@ -188,7 +188,7 @@
         }
     }
 
-    private boolean hasRoomToSplit() {
+    private boolean canSplit() {
         return unmatchedRanges.size() + SPLIT_COUNT <= MAX_OPEN_RANGES;
     }
 
@@ -218,7 +218,7 @@
                 matchedRanges.entrySet().stream()
                         .map(
                                 entry ->
-                                        text(entry.getKey())
+                                        format(entry.getKey())
                                                 + " "
                                                 + entry.getValue().rows()
                                                 + " "
@@ -228,7 +228,7 @@
     }
 
     /** As written in digests on disk and in texts for operators. */
-    private static String text(KeyRange range) {
+    private static String format(KeyRange range) {
         return range.from() + "-" + range.to();
     }
 }
--- a/src/main/java/postbeam/migration/RouterAcknowledgements.java
+++ b/src/main/java/postbeam/migration/RouterAcknowledgements.java
@@ -35,12 +35,12 @@
     /**
      * Before the start other processes may have answered routers.
      *
-     * @param lease how long a router may use a layout after it asked for it
-     * @param drift by which two clocks may differ over a lease
+     * @param routerLease how long a router may use a layout after it asked for it
+     * @param clockDrift by which two clocks may differ over a lease
      */
-    public RouterAcknowledgements(Duration lease, Duration drift, Duration startedAt) {
-        this.leaseWithDrift = lease.plus(drift);
-        this.unknownRoutersUntil = startedAt.plus(leaseWithDrift);
+    public RouterAcknowledgements(Duration routerLease, Duration clockDrift, Duration createdAt) {
+        this.leaseWithDrift = routerLease.plus(clockDrift);
+        this.unknownRoutersUntil = createdAt.plus(leaseWithDrift);
     }
 
     /** A router asks for a layout and holds this version; 0 where it holds none. */
--- a/src/main/java/postbeam/migration/SliceTransfer.java
+++ b/src/main/java/postbeam/migration/SliceTransfer.java
@@ -11,21 +11,21 @@
  */
 public record SliceTransfer(int slice, String source, String target) {
     /** The change that hands the slice to the target. */
-    public LayoutChange.Transfer forwardMove() {
+    public LayoutChange.Transfer forwardChange() {
         return new LayoutChange.Transfer(slice, source, target);
     }
 
     /** The change that hands the slice back to the source. */
-    public LayoutChange.Transfer reverseMove() {
+    public LayoutChange.Transfer reverseChange() {
         return new LayoutChange.Transfer(slice, target, source);
     }
 
     boolean isForward(LayoutChange change) {
-        return change.equals(forwardMove());
+        return change.equals(forwardChange());
     }
 
     /** Whether the change is this transfer, in either direction. */
-    boolean isChange(LayoutChange change) {
-        return isForward(change) || change.equals(reverseMove());
+    boolean matches(LayoutChange change) {
+        return isForward(change) || change.equals(reverseChange());
     }
 }
--- a/src/main/java/postbeam/migration/TransferProgress.java
+++ b/src/main/java/postbeam/migration/TransferProgress.java
@@ -34,7 +34,7 @@
                 .findFirst();
     }
 
-    boolean exists(long moveId) {
+    boolean isMoveActive(long moveId) {
         return coordinator.state().move(moveId) != null;
     }
 
@@ -44,18 +44,18 @@
     }
 
     /** Whether the target has all of the slice and keeps it up to date. */
-    boolean isHolding(SliceTransfer transfer) {
-        return activeMove(transfer).filter(this::isHolding).isPresent();
+    boolean isCaughtUp(SliceTransfer transfer) {
+        return activeMove(transfer).filter(this::isCaughtUp).isPresent();
     }
 
-    boolean isHolding(Move move) {
+    boolean isCaughtUp(Move move) {
         return move.state() == MoveState.REPLICATING
                 && coordinator.destinationsAcknowledged(move, HandoffCommand.HOLD);
     }
 
-    boolean isCopied(Migration migration) {
+    boolean isCaughtUp(Migration migration) {
         return migration.transfers.stream()
-                .allMatch(transfer -> isCutOver(transfer) || isHolding(transfer));
+                .allMatch(transfer -> isCutOver(transfer) || isCaughtUp(transfer));
     }
 
     boolean isCutOver(Migration migration) {
@@ -86,12 +86,12 @@
                 .activeMigrationOf(slice)
                 .filter(
                         migration ->
-                                migration.transferOf(slice).orElseThrow().isChange(move.change));
+                                migration.transferOf(slice).orElseThrow().matches(move.change));
     }
 
     boolean isReady(String node) {
-        TargetLayout.NodeInfo known = coordinator.nodeInfo(node);
-        return known != null && known.readiness() == Readiness.READY;
+        TargetLayout.NodeInfo info = coordinator.nodeInfo(node);
+        return info != null && info.readiness() == Readiness.READY;
     }
 
     /** Whether the node was listed; a successor knows none before it receives the first list. */
--- a/src/main/java/postbeam/testbed/simulation/SimulatedMigrationCoordinator.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedMigrationCoordinator.java
@@ -266,7 +266,7 @@
         int slice = move.change.slices().get(0);
         return book.activeMigrationOf(slice)
                 .flatMap(migration -> migration.transferOf(slice))
-                .filter(transfer -> move.change.equals(transfer.reverseMove()))
+                .filter(transfer -> move.change.equals(transfer.reverseChange()))
                 .isPresent();
     }
 
--- a/src/test/java/postbeam/migration/MigrationErrorTextTest.java
+++ b/src/test/java/postbeam/migration/MigrationErrorTextTest.java
@@ -13,7 +13,7 @@
     private static final Checkpoint REQUESTED = new Checkpoint(4, "ab12");
     private static final Checkpoint OPEN = new Checkpoint(5, "cd34");
 
-    private static final List<MigrationError> ALL =
+    private static final List<MigrationError> ALL_ERRORS =
             List.of(
                     new MigrationError.NotFound(7),
                     new MigrationError.InvalidPlan("acme", "it has no hop"),
@@ -29,18 +29,18 @@
                     new MigrationError.MigrationsDisabled());
 
     @Test
-    void eachErrorReadsAsInTheSample() throws IOException {
+    void errorMessagesMatchSampleFile() throws IOException {
         assertEquals(
                 SampleFile.lines("errors/migration.txt"),
-                ALL.stream().map(MigrationError::message).toList());
+                ALL_ERRORS.stream().map(MigrationError::message).toList());
     }
 
     @Test
-    void eachErrorNamesProblemAndRemedy() {
+    void errorMessageJoinsProblemAndRemedy() {
         assertEquals(
                 MigrationError.class.getPermittedSubclasses().length,
-                ALL.stream().map(Object::getClass).distinct().count());
-        for (MigrationError error : ALL) {
+                ALL_ERRORS.stream().map(Object::getClass).distinct().count());
+        for (MigrationError error : ALL_ERRORS) {
             assertEquals(error.problem() + "; " + error.remedy(), error.message());
             assertTrue(
                     !error.message().endsWith(".") && error.remedy().length() > 10,
--- a/src/test/java/postbeam/migration/MigrationIT.java
+++ b/src/test/java/postbeam/migration/MigrationIT.java
@@ -39,26 +39,26 @@
  * holds under way.
  */
 class MigrationIT {
-    private static final Duration LONG = Duration.ofSeconds(60);
-    private static final Duration PATIENCE = Duration.ofSeconds(6);
+    private static final Duration CONDITION_TIMEOUT = Duration.ofSeconds(60);
+    private static final Duration QUERY_DEADLINE = Duration.ofSeconds(6);
 
     @TempDir private Path dir;
     private final List<FakeDataNode> nodes = new ArrayList<>();
     private final List<Process> processes = new ArrayList<>();
     private final long startNanos = System.nanoTime();
     private final InvariantChecker checker =
-            new InvariantChecker(LoopbackCluster.RULES, LONG, LONG);
+            new InvariantChecker(LoopbackCluster.RULES, CONDITION_TIMEOUT, CONDITION_TIMEOUT);
     private final HttpClient http = HttpClient.newHttpClient();
-    private final AtomicInteger held = new AtomicInteger();
-    private final AtomicInteger turnedAway = new AtomicInteger();
+    private final AtomicInteger completedHolds = new AtomicInteger();
+    private final AtomicInteger rejectedHolds = new AtomicInteger();
     private FakeDiscovery discovery;
-    private Path log;
-    private String settings;
+    private Path journal;
+    private String settingsFile;
     private String service;
-    private volatile boolean over;
+    private volatile boolean testEnded;
 
     @BeforeEach
-    void stage() throws IOException {
+    void setUp() throws IOException {
         discovery = new FakeDiscovery();
         // What has run is known to all of them, as if each write went to all who hold its slice.
         Map<String, Map<KeyRange, Boolean>> runs = new ConcurrentHashMap<>();
@@ -73,20 +73,20 @@
             nodes.add(node);
             discovery.tell(node, "up", 0);
         }
-        log = dir.resolve("moves.log");
-        service = free();
-        settings = settings("own.json5", service);
+        journal = dir.resolve("moves.log");
+        service = freeAddress();
+        settingsFile = writeSettings("own.json5", service);
     }
 
-    private String settings(String name, String listen) throws IOException {
-        String file =
+    private String writeSettings(String name, String listen) throws IOException {
+        String content =
                 Files.readString(Path.of("deploy/postbeam.json5"))
                         .replaceAll(
                                 "(follow: \\{|serve: \\{\\s*|migration: \\{\\s*)enabled: false",
                                 "$1enabled: true")
                         .replace("127.0.0.1:7080", listen)
                         .replace("127.0.0.1:8500", discovery.address())
-                        .replace("\"moves.log\"", "\"" + log + "\"")
+                        .replace("\"moves.log\"", "\"" + journal + "\"")
                         .replace("firstSlices: 64", "firstSlices: 4")
                         .replace("firstHolders: 3", "firstHolders: 2")
                         .replace("holders: 3", "holders: 2")
@@ -96,12 +96,12 @@
                         .replace("watchMs: 600000", "watchMs: 300")
                         .replace("movesASecond: 2", "movesASecond: 100")
                         .replace("leaseMs: 15000", "leaseMs: 1500");
-        return Files.writeString(dir.resolve(name), file).toString();
+        return Files.writeString(dir.resolve(name), content).toString();
     }
 
     @AfterEach
-    void giveBack() throws InterruptedException {
-        over = true;
+    void tearDown() throws InterruptedException {
+        testEnded = true;
         for (Process process : processes) {
             process.destroyForcibly().waitFor();
         }
@@ -113,15 +113,15 @@
         return Duration.ofNanos(System.nanoTime() - startNanos);
     }
 
-    private static String free() throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return "127.0.0.1:" + free.getLocalPort();
+    private static String freeAddress() throws IOException {
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return "127.0.0.1:" + socket.getLocalPort();
         }
     }
 
-    private Process java(String output, String... words) throws IOException {
+    private Process startProgram(String output, String... arguments) throws IOException {
         List<String> command = new ArrayList<>(List.of("java", "-jar", "target/postbeam.jar"));
-        command.addAll(List.of(words));
+        command.addAll(List.of(arguments));
         Process process =
                 new ProcessBuilder(command)
                         .redirectErrorStream(true)
@@ -132,12 +132,12 @@
         return process;
     }
 
-    private Process serve() throws IOException {
-        return java("service.txt", "layouts", "serve", "--settings", settings);
+    private Process startLayoutService() throws IOException {
+        return startProgram("service.txt", "layouts", "serve", "--settings", settingsFile);
     }
 
-    private String router() throws Exception {
-        String listen = free();
+    private String startRouter() throws Exception {
+        String listen = freeAddress();
         String config =
                 Files.writeString(
                                 dir.resolve("config.json"),
@@ -147,21 +147,21 @@
                                         .replace("\"quotaPerS\": 5.0", "\"quotaPerS\": 1000")
                                         .replaceAll("\"known\": [^]]*\\]},", ""))
                         .toString();
-        java("router.txt", "serve", "--config", config, "--settings", settings);
-        until(() -> get("http://" + listen + "/healthz").startsWith("200"));
+        startProgram("router.txt", "serve", "--config", config, "--settings", settingsFile);
+        await(() -> get("http://" + listen + "/healthz").startsWith("200"));
         return listen;
     }
 
     /** The status, a space, and what was said; where nobody answers, 0. */
     private String get(String uri) throws InterruptedException {
         try {
-            HttpResponse<String> answer =
+            HttpResponse<String> response =
                     http.send(
                             HttpRequest.newBuilder(URI.create(uri))
                                     .timeout(Duration.ofSeconds(5))
                                     .build(),
                             HttpResponse.BodyHandlers.ofString());
-            return answer.statusCode() + " " + answer.body();
+            return response.statusCode() + " " + response.body();
         } catch (IOException e) {
             return "0";
         }
@@ -171,19 +171,19 @@
         return get("http://" + service + "/v1/migrations");
     }
 
-    private String layouts(String... words) throws IOException, InterruptedException {
+    private String runLayoutsCommand(String... arguments) throws IOException, InterruptedException {
         List<String> command =
                 new ArrayList<>(List.of("java", "-jar", "target/postbeam.jar", "layouts"));
-        command.addAll(List.of(words));
-        command.addAll(List.of("--settings", settings, "--service", service));
-        Process asked = new ProcessBuilder(command).redirectErrorStream(true).start();
-        String said =
-                new String(asked.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
-        return asked.waitFor() + " " + said;
+        command.addAll(List.of(arguments));
+        command.addAll(List.of("--settings", settingsFile, "--service", service));
+        Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
+        String output =
+                new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
+        return process.waitFor() + " " + output;
     }
 
     /** What there is to see, for a test that fails. */
-    private String state() {
+    private String diagnostics() {
         try {
             return migrations() + " " + Files.readString(dir.resolve("service.txt"));
         } catch (IOException | InterruptedException e) {
@@ -191,21 +191,21 @@
         }
     }
 
-    private void until(Callable<Boolean> condition) throws Exception {
-        long end = System.nanoTime() + LONG.toNanos();
+    private void await(Callable<Boolean> condition) throws Exception {
+        long end = System.nanoTime() + CONDITION_TIMEOUT.toNanos();
         while (!condition.call()) {
-            assertTrue(System.nanoTime() < end, () -> "the condition did not come; " + state());
+            assertTrue(System.nanoTime() < end, () -> "the condition did not come; " + diagnostics());
             Thread.sleep(10);
         }
     }
 
     /** Sends holds for slices 0 to 3, one after the other, until the test is over. */
-    private Thread holds(String router) {
+    private Thread startHoldQueries(String routerAddress) {
         checker.onLayout(Layout.initial(4, List.of("n0", "n1"), 2));
         Thread thread =
                 new Thread(
                         () -> {
-                            for (int i = 0; !over; i++) {
+                            for (int i = 0; !testEnded; i++) {
                                 int slice = i % 4;
                                 String id = "hold" + i;
                                 KeyRange keys =
@@ -223,14 +223,14 @@
                                         List.of(
                                                 new InvariantChecker.RequestedSlice(
                                                         slice, keys, 1)),
-                                        now().plus(PATIENCE));
+                                        now().plus(QUERY_DEADLINE));
                                 try {
                                     int status =
                                             http.send(
                                                             HttpRequest.newBuilder(
                                                                             URI.create(
                                                                                     "http://"
-                                                                                            + router
+                                                                                            + routerAddress
                                                                                             + "/hold?obj=1"))
                                                                     .header("Req-Id", id)
                                                                     .header("Req-Owner", "acme")
@@ -238,7 +238,7 @@
                                                                             "Req-Deadline-Ms",
                                                                             "6000")
                                                                     .timeout(
-                                                                            PATIENCE.plusSeconds(5))
+                                                                            QUERY_DEADLINE.plusSeconds(5))
                                                                     .POST(
                                                                             HttpRequest
                                                                                     .BodyPublishers
@@ -252,9 +252,9 @@
                                                     .statusCode();
                                     if (status == 503 || status == 429) {
                                         checker.rejected(now(), id);
-                                        turnedAway.incrementAndGet();
+                                        rejectedHolds.incrementAndGet();
                                     } else if (status == 200) {
-                                        held.incrementAndGet();
+                                        completedHolds.incrementAndGet();
                                     }
                                     Thread.sleep(5);
                                 } catch (IOException | InterruptedException e) {
@@ -269,39 +269,39 @@
         return thread;
     }
 
-    private void nothingRanTwice() {
+    private void assertNoQueryRanTwice() {
         assertEquals(
                 List.of(),
                 checker.violations().stream().filter(line -> line.startsWith("rule 2")).toList());
     }
 
     /** The checkpoint that is open: version and digest. */
-    private String[] checkpoint() throws Exception {
-        Matcher[] found = new Matcher[1];
-        until(
+    private String[] awaitOpenCheckpoint() throws Exception {
+        Matcher[] matcher = new Matcher[1];
+        await(
                 () -> {
-                    found[0] =
+                    matcher[0] =
                             Pattern.compile(
                                             "\"checkpoint\":\\{\"version\":(\\d+),\"digest\":\"(\\w+)\"")
                                     .matcher(migrations());
-                    return found[0].find();
+                    return matcher[0].find();
                 });
-        return new String[] {found[0].group(1), found[0].group(2)};
+        return new String[] {matcher[0].group(1), matcher[0].group(2)};
     }
 
     private List<String> holders(int slice) throws Exception {
-        Matcher[] found = new Matcher[1];
-        until(
+        Matcher[] matcher = new Matcher[1];
+        await(
                 () -> {
-                    found[0] =
+                    matcher[0] =
                             Pattern.compile("\"slice\":" + slice + ",.*?\"holders\":\\[(.*?)\\]")
                                     .matcher(get("http://" + service + "/v1/layout"));
-                    return found[0].find();
+                    return matcher[0].find();
                 });
         return Pattern.compile("n\\d")
-                .matcher(found[0].group(1))
+                .matcher(matcher[0].group(1))
                 .results()
-                .map(one -> one.group())
+                .map(match -> match.group())
                 .sorted()
                 .toList();
     }
@@ -309,18 +309,18 @@
     /**
      * A plan that hands slices 0 and 1 each from one of their holders to another node of its zone.
      */
-    private String plan() throws Exception {
+    private String migrationPlan() throws Exception {
         StringBuilder hops = new StringBuilder();
         for (int slice = 0; slice < 2; slice++) {
-            String from = holders(slice).get(0);
-            int zone = Integer.parseInt(from.substring(1)) % 2;
-            List<String> held = holders(slice);
-            String to =
+            String source = holders(slice).get(0);
+            int zone = Integer.parseInt(source.substring(1)) % 2;
+            List<String> holders = holders(slice);
+            String target =
                     nodes.stream()
                             .map(node -> node.name)
                             .filter(
                                     name ->
-                                            !held.contains(name)
+                                            !holders.contains(name)
                                                     && Integer.parseInt(name.substring(1)) % 2
                                                             == zone)
                             .findFirst()
@@ -329,9 +329,9 @@
                     .append("{\"move\":")
                     .append(slice)
                     .append(",\"off\":\"")
-                    .append(from)
+                    .append(source)
                     .append("\",\"onto\":\"")
-                    .append(to)
+                    .append(target)
                     .append("\"}");
         }
         return "{\"member\":\"acme\",\"hops\":[" + hops + "]}";
@@ -341,25 +341,25 @@
      * Kills the service right after its log has grown so often, and starts it again, until told to
      * end.
      */
-    private Thread killer(int records, AtomicInteger kills, Process[] running) {
+    private Thread startServiceKiller(int appendsBeforeKill, AtomicInteger kills, Process[] running) {
         Thread thread =
                 new Thread(
                         () -> {
                             try {
-                                while (!over && kills.get() < 12) {
-                                    int grown = 0;
-                                    long size = Files.size(log);
-                                    while (!over && grown < records) {
-                                        long next = Files.size(log);
-                                        grown += next > size ? 1 : 0;
+                                while (!testEnded && kills.get() < 12) {
+                                    int appends = 0;
+                                    long size = Files.size(journal);
+                                    while (!testEnded && appends < appendsBeforeKill) {
+                                        long next = Files.size(journal);
+                                        appends += next > size ? 1 : 0;
                                         size = next;
                                         Thread.onSpinWait();
                                     }
-                                    if (!over) {
+                                    if (!testEnded) {
                                         running[0].destroyForcibly().waitFor();
                                         kills.incrementAndGet();
-                                        running[0] = serve();
-                                        until(() -> migrations().startsWith("200"));
+                                        running[0] = startLayoutService();
+                                        await(() -> migrations().startsWith("200"));
                                     }
                                 }
                             } catch (Exception e) {
@@ -373,24 +373,24 @@
     }
 
     @Test
-    void aMigrationComesToItsEndThoughTheServiceIsKilledAtItsRecords() throws Exception {
-        Process[] running = {serve()};
-        until(() -> get("http://" + service + "/v1/verify").startsWith("200 sound"));
-        holds(router());
-        until(() -> held.get() > 20);
-        List<String> before = holders(0);
-        String plan = plan();
+    void migrationRetiresWhenTheServiceIsKilledAfterJournalAppends() throws Exception {
+        Process[] running = {startLayoutService()};
+        await(() -> get("http://" + service + "/v1/verify").startsWith("200 sound"));
+        startHoldQueries(startRouter());
+        await(() -> completedHolds.get() > 20);
+        List<String> oldHolders = holders(0);
+        String plan = migrationPlan();
         AtomicInteger kills = new AtomicInteger();
-        killer(2, kills, running);
-        until(
+        startServiceKiller(2, kills, running);
+        await(
                 () ->
-                        layouts("migrate", "--change", plan).startsWith("0 migration 1")
+                        runLayoutsCommand("migrate", "--change", plan).startsWith("0 migration 1")
                                 || migrations().contains("acme"));
-        String[] open = checkpoint();
-        assertEquals(before, holders(0), "the old side serves");
-        until(
+        String[] open = awaitOpenCheckpoint();
+        assertEquals(oldHolders, holders(0), "the old side serves");
+        await(
                 () ->
-                        layouts(
+                        runLayoutsCommand(
                                         "checkpoint",
                                         "--migration",
                                         "1",
@@ -399,9 +399,9 @@
                                         "--digest",
                                         "00")
                                 .contains("was opened for version"));
-        until(
+        await(
                 () -> {
-                    layouts(
+                    runLayoutsCommand(
                             "checkpoint",
                             "--migration",
                             "1",
@@ -412,11 +412,11 @@
                     return !migrations().contains("\"checkpoint\"")
                             && !migrations().startsWith("0");
                 });
-        String[] last = checkpoint();
-        assertTrue(!holders(0).equals(before));
-        until(
+        String[] last = awaitOpenCheckpoint();
+        assertTrue(!holders(0).equals(oldHolders));
+        await(
                 () -> {
-                    layouts(
+                    runLayoutsCommand(
                             "checkpoint",
                             "--migration",
                             "1",
@@ -426,61 +426,61 @@
                             last[1]);
                     return migrations().contains("RETIRED");
                 });
-        int heldThen = held.get();
-        until(() -> held.get() > heldThen + 20);
+        int completedBefore = completedHolds.get();
+        await(() -> completedHolds.get() > completedBefore + 20);
         assertTrue(kills.get() >= 5, kills + " kills");
-        until(() -> get("http://" + service + "/v1/verify").startsWith("200 sound"));
-        nothingRanTwice();
+        await(() -> get("http://" + service + "/v1/verify").startsWith("200 sound"));
+        assertNoQueryRanTwice();
     }
 
     @Test
-    void aStoppedServiceThatWakesIsFencedAndARollbackGivesTheOldSideBack() throws Exception {
-        Process first = serve();
-        until(() -> get("http://" + service + "/v1/verify").startsWith("200 sound"));
-        holds(router());
-        until(() -> held.get() > 20);
-        List<String> before = holders(0);
-        nodes.get(Integer.parseInt(before.get(0).substring(1))).spoil(true);
+    void resumedServiceIsFencedBySuccessorAndRollbackRestoresOldHolders() throws Exception {
+        Process stoppedService = startLayoutService();
+        await(() -> get("http://" + service + "/v1/verify").startsWith("200 sound"));
+        startHoldQueries(startRouter());
+        await(() -> completedHolds.get() > 20);
+        List<String> oldHolders = holders(0);
+        nodes.get(Integer.parseInt(oldHolders.get(0).substring(1))).spoil(true);
         assertTrue(
-                layouts("migrate", "--change", plan()).startsWith("0 migration 1 of acme PLANNED"));
-        until(() -> migrations().contains("\"cause\":\"DIFFERS\""));
+                runLayoutsCommand("migrate", "--change", migrationPlan()).startsWith("0 migration 1 of acme PLANNED"));
+        await(() -> migrations().contains("\"cause\":\"DIFFERS\""));
         assertTrue(
-                layouts("checkpoint", "--migration", "1", "--version", "1", "--digest", "x")
+                runLayoutsCommand("checkpoint", "--migration", "1", "--version", "1", "--digest", "x")
                         .startsWith("1 no checkpoint of migration 1 is open"));
         nodes.forEach(node -> node.spoil(false));
-        assertTrue(layouts("resume", "--migration", "1").startsWith("0 migration 1"));
-        String[] open = checkpoint();
+        assertTrue(runLayoutsCommand("resume", "--migration", "1").startsWith("0 migration 1"));
+        String[] open = awaitOpenCheckpoint();
         // Its lock ends while it is stopped; a successor listens elsewhere, which this router never
         // hears of.
         assertEquals(
                 0,
-                new ProcessBuilder("kill", "-STOP", String.valueOf(first.pid())).start().waitFor());
-        Files.delete(log.resolveSibling("moves.log.lock"));
-        service = free();
-        settings = settings("second.json5", service);
-        serve();
-        until(() -> migrations().startsWith("200"));
+                new ProcessBuilder("kill", "-STOP", String.valueOf(stoppedService.pid())).start().waitFor());
+        Files.delete(journal.resolveSibling("moves.log.lock"));
+        service = freeAddress();
+        settingsFile = writeSettings("second.json5", service);
+        startLayoutService();
+        await(() -> migrations().startsWith("200"));
         assertTrue(
-                layouts("checkpoint", "--migration", "1", "--version", open[0], "--digest", open[1])
+                runLayoutsCommand("checkpoint", "--migration", "1", "--version", open[0], "--digest", open[1])
                         .startsWith("0 "));
-        until(() -> migrations().contains("LAST_CHECKPOINT"));
-        assertTrue(!holders(0).equals(before));
-        int turned = turnedAway.get();
-        until(() -> turnedAway.get() > turned + 5);
+        await(() -> migrations().contains("LAST_CHECKPOINT"));
+        assertTrue(!holders(0).equals(oldHolders));
+        int rejectedBefore = rejectedHolds.get();
+        await(() -> rejectedHolds.get() > rejectedBefore + 5);
         assertEquals(
                 0,
-                new ProcessBuilder("kill", "-CONT", String.valueOf(first.pid())).start().waitFor());
-        until(
+                new ProcessBuilder("kill", "-CONT", String.valueOf(stoppedService.pid())).start().waitFor());
+        await(
                 () ->
                         Files.readString(dir.resolve("service.txt"))
                                         .contains("another service has taken over")
                                 || Files.readString(dir.resolve("service.txt"))
                                         .contains("others have written to"));
         assertTrue(
-                layouts("rollback", "--migration", "1")
+                runLayoutsCommand("rollback", "--migration", "1")
                         .startsWith("0 migration 1 of acme ROLLING_BACK"));
-        until(() -> migrations().contains("ROLLED_BACK"));
-        assertEquals(before, holders(0));
-        nothingRanTwice();
+        await(() -> migrations().contains("ROLLED_BACK"));
+        assertEquals(oldHolders, holders(0));
+        assertNoQueryRanTwice();
     }
 }
--- a/src/test/java/postbeam/migration/MigrationRunSamplesTest.java
+++ b/src/test/java/postbeam/migration/MigrationRunSamplesTest.java
@@ -1,8 +1,8 @@
 package postbeam.migration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static postbeam.migration.MigrationScenario.FIRST;
-import static postbeam.migration.MigrationScenario.SECOND;
+import static postbeam.migration.MigrationScenario.SLICE_0_A_TO_E;
+import static postbeam.migration.MigrationScenario.SLICE_1_B_TO_E;
 
 import java.io.IOException;
 import java.time.Duration;
@@ -16,106 +16,106 @@
  * Decisions, records and texts of whole runs are those that an earlier build made, line by line.
  */
 class MigrationRunSamplesTest {
-    private static final long BYTES_SLOWER_THAN_A_MOVE = 600;
+    private static final long RANGE_BYTES = 600;
 
-    private final MigrationScenario run =
-            new MigrationScenario(MigrationScenario.limits(2, 2), BYTES_SLOWER_THAN_A_MOVE);
+    private final MigrationScenario scenario =
+            new MigrationScenario(MigrationScenario.limits(2, 2), RANGE_BYTES);
 
-    private void assertSameAs(String sample) throws IOException {
-        run.manager
+    private void assertTraceMatchesSample(String sample) throws IOException {
+        scenario.manager
                 .journalState()
                 .migrations()
-                .forEach(migration -> run.note("standing: " + migration.summary()));
+                .forEach(migration -> scenario.trace("standing: " + migration.summary()));
         assertEquals(
                 String.join("\n", SampleFile.lines("migration/" + sample)),
-                String.join("\n", run.lines));
+                String.join("\n", scenario.traceLines));
     }
 
     @Test
-    void goesThroughAllStates() throws Exception {
-        run.create("acme", FIRST, SECOND);
-        run.create("other", new SliceTransfer(2, "c", "b"));
-        run.run(Duration.ofSeconds(10));
-        run.manager.routerAcknowledgements().onRequest("r1", 1, run.now);
-        run.manager.routerAcknowledgements().onResponse("r1", 1, run.now);
-        run.pass(1);
-        run.pass(2);
-        run.run(Duration.ofSeconds(2));
-        List<String> behind = run.manager.routerAcknowledgements().routersBehind(2, run.now);
-        run.note("behind: " + behind);
-        run.run(Duration.ofSeconds(18));
-        run.pass(1);
-        run.pass(2);
-        run.run(Duration.ofSeconds(3));
-        assertEquals(MigrationState.RETIRED, run.migration(1).state());
-        assertEquals(MigrationState.RETIRED, run.migration(2).state());
-        assertSameAs("run-through-all-stages.txt");
+    void runThroughAllStatesMatchesSample() throws Exception {
+        scenario.createMigration("acme", SLICE_0_A_TO_E, SLICE_1_B_TO_E);
+        scenario.createMigration("other", new SliceTransfer(2, "c", "b"));
+        scenario.runFor(Duration.ofSeconds(10));
+        scenario.manager.routerAcknowledgements().onRequest("r1", 1, scenario.now);
+        scenario.manager.routerAcknowledgements().onResponse("r1", 1, scenario.now);
+        scenario.passCheckpoint(1);
+        scenario.passCheckpoint(2);
+        scenario.runFor(Duration.ofSeconds(2));
+        List<String> behind = scenario.manager.routerAcknowledgements().routersBehind(2, scenario.now);
+        scenario.trace("behind: " + behind);
+        scenario.runFor(Duration.ofSeconds(18));
+        scenario.passCheckpoint(1);
+        scenario.passCheckpoint(2);
+        scenario.runFor(Duration.ofSeconds(3));
+        assertEquals(MigrationState.RETIRED, scenario.migration(1).state());
+        assertEquals(MigrationState.RETIRED, scenario.migration(2).state());
+        assertTraceMatchesSample("run-through-all-states.txt");
     }
 
     @Test
-    void rollsBackFromTheNewSideOverARestart() throws Exception {
-        run.create("acme", FIRST, SECOND);
-        run.run(Duration.ofSeconds(8));
-        run.pass(1);
-        run.run(Duration.ofMillis(300));
-        run.restart();
-        run.run(Duration.ofSeconds(12));
-        run.rollBack(1, "by an operator");
-        run.run(Duration.ofMillis(700));
-        run.restart();
-        run.run(Duration.ofSeconds(12));
-        assertEquals(MigrationState.ROLLED_BACK, run.migration(1).state());
-        assertSameAs("run-back-over-a-restart.txt");
+    void rollbackAcrossRestartsMatchesSample() throws Exception {
+        scenario.createMigration("acme", SLICE_0_A_TO_E, SLICE_1_B_TO_E);
+        scenario.runFor(Duration.ofSeconds(8));
+        scenario.passCheckpoint(1);
+        scenario.runFor(Duration.ofMillis(300));
+        scenario.restart();
+        scenario.runFor(Duration.ofSeconds(12));
+        scenario.rollBack(1, "by an operator");
+        scenario.runFor(Duration.ofMillis(700));
+        scenario.restart();
+        scenario.runFor(Duration.ofSeconds(12));
+        assertEquals(MigrationState.ROLLED_BACK, scenario.migration(1).state());
+        assertTraceMatchesSample("run-rolled-back-across-restarts.txt");
     }
 
     @Test
-    void narrowsADifferenceAndCopiesAgain() throws Exception {
-        run.differing.add("e");
-        run.create("acme", FIRST);
-        run.run(Duration.ofSeconds(20));
-        assertEquals(PauseReason.DIGEST_MISMATCH, run.migration(1).pauseReason());
-        run.differing.clear();
-        run.resume(1);
-        run.run(Duration.ofSeconds(10));
-        assertEquals(MigrationState.SWITCH_CHECKPOINT, run.migration(1).state());
-        run.rollBack(1, "by an operator");
-        run.run(Duration.ofSeconds(3));
-        assertSameAs("run-with-a-difference.txt");
+    void digestMismatchAndSecondCopyMatchSample() throws Exception {
+        scenario.differingNodes.add("e");
+        scenario.createMigration("acme", SLICE_0_A_TO_E);
+        scenario.runFor(Duration.ofSeconds(20));
+        assertEquals(PauseReason.DIGEST_MISMATCH, scenario.migration(1).pauseReason());
+        scenario.differingNodes.clear();
+        scenario.resume(1);
+        scenario.runFor(Duration.ofSeconds(10));
+        assertEquals(MigrationState.SWITCH_CHECKPOINT, scenario.migration(1).state());
+        scenario.rollBack(1, "by an operator");
+        scenario.runFor(Duration.ofSeconds(3));
+        assertTraceMatchesSample("run-with-digest-mismatch.txt");
     }
 
     @Test
-    void pausesForEachReason() throws Exception {
-        run.manager.updateUtility("acme", 0.9);
-        run.create("acme", FIRST, SECOND);
-        run.run(Duration.ofMillis(500));
-        run.pause(1, "by an operator");
-        run.run(Duration.ofMillis(300));
-        run.resume(1);
-        run.manager.updateUtility("acme", 0.8);
-        run.run(Duration.ofMillis(300));
-        run.manager.updateUtility("acme", 0.9);
-        run.resume(1);
-        run.run(Duration.ofSeconds(1));
-        run.carryOut("e started", run.manager.onNodesStarted(List.of("e"), run.now));
-        run.run(Duration.ofMillis(300));
-        run.now = run.now.plusSeconds(4);
-        run.resume(1);
-        run.unanswered.add(HandoffCommand.COPY);
-        run.run(Duration.ofSeconds(22));
-        run.unanswered.clear();
-        run.resume(1);
-        run.setReadiness("b", Readiness.DRAINING);
-        run.setReadiness("c", Readiness.DRAINING);
-        run.run(Duration.ofMillis(300));
-        run.setReadiness("b", Readiness.READY);
-        run.setReadiness("c", Readiness.READY);
-        run.resume(1);
-        run.run(Duration.ofSeconds(2));
-        run.setReadiness("e", Readiness.REMOVED);
-        run.run(Duration.ofSeconds(15));
-        run.setReadiness("e", Readiness.READY);
-        run.resume(1);
-        run.run(Duration.ofSeconds(10));
-        assertSameAs("run-with-each-pause.txt");
+    void pauseForEachReasonMatchesSample() throws Exception {
+        scenario.manager.updateUtility("acme", 0.9);
+        scenario.createMigration("acme", SLICE_0_A_TO_E, SLICE_1_B_TO_E);
+        scenario.runFor(Duration.ofMillis(500));
+        scenario.pause(1, "by an operator");
+        scenario.runFor(Duration.ofMillis(300));
+        scenario.resume(1);
+        scenario.manager.updateUtility("acme", 0.8);
+        scenario.runFor(Duration.ofMillis(300));
+        scenario.manager.updateUtility("acme", 0.9);
+        scenario.resume(1);
+        scenario.runFor(Duration.ofSeconds(1));
+        scenario.carryOut("e started", scenario.manager.onNodesStarted(List.of("e"), scenario.now));
+        scenario.runFor(Duration.ofMillis(300));
+        scenario.now = scenario.now.plusSeconds(4);
+        scenario.resume(1);
+        scenario.unansweredCommands.add(HandoffCommand.COPY);
+        scenario.runFor(Duration.ofSeconds(22));
+        scenario.unansweredCommands.clear();
+        scenario.resume(1);
+        scenario.setReadiness("b", Readiness.DRAINING);
+        scenario.setReadiness("c", Readiness.DRAINING);
+        scenario.runFor(Duration.ofMillis(300));
+        scenario.setReadiness("b", Readiness.READY);
+        scenario.setReadiness("c", Readiness.READY);
+        scenario.resume(1);
+        scenario.runFor(Duration.ofSeconds(2));
+        scenario.setReadiness("e", Readiness.REMOVED);
+        scenario.runFor(Duration.ofSeconds(15));
+        scenario.setReadiness("e", Readiness.READY);
+        scenario.resume(1);
+        scenario.runFor(Duration.ofSeconds(10));
+        assertTraceMatchesSample("run-with-each-pause-reason.txt");
     }
 }
--- a/src/test/java/postbeam/migration/MigrationScenario.java
+++ b/src/test/java/postbeam/migration/MigrationScenario.java
@@ -29,14 +29,14 @@
  * text, which does not depend on the names of types.
  */
 final class MigrationScenario {
-    static final SliceTransfer FIRST = new SliceTransfer(0, "a", "e");
-    static final SliceTransfer SECOND = new SliceTransfer(1, "b", "e");
+    static final SliceTransfer SLICE_0_A_TO_E = new SliceTransfer(0, "a", "e");
+    static final SliceTransfer SLICE_1_B_TO_E = new SliceTransfer(1, "b", "e");
 
     /** One migration at a time, ten moves a second. */
     static final MigrationLimits LIMITS = limits(1, 10);
 
     /** Bytes of a range that cost less time than its move. */
-    static final long SMALL_RANGE = 10;
+    static final long SMALL_RANGE_BYTES = 10;
 
     private static final MoveLimits MOVE_LIMITS =
             new MoveLimits(
@@ -53,14 +53,14 @@
     private static final long DIFFERING_KEY = 5;
 
     /** Nodes whose replicas differ from the others in one key. */
-    final Set<String> differing = new HashSet<>();
+    final Set<String> differingNodes = new HashSet<>();
 
     /** Commands that no node answers. */
-    final Set<HandoffCommand> unanswered = new HashSet<>();
+    final Set<HandoffCommand> unansweredCommands = new HashSet<>();
 
-    final List<String> lines = new ArrayList<>();
+    final List<String> traceLines = new ArrayList<>();
     final List<JournalRecord> records = new ArrayList<>();
-    final List<CoordinatorAction.SendCommand> commands = new ArrayList<>();
+    final List<CoordinatorAction.SendCommand> sentCommands = new ArrayList<>();
     final List<MigrationAction.RequestDigests> digestRequests = new ArrayList<>();
     Coordinator coordinator;
     MigrationManager manager;
@@ -71,7 +71,7 @@
     private final List<CoordinatorAction.SendCommand> unacknowledged = new ArrayList<>();
 
     MigrationScenario() {
-        this(LIMITS, SMALL_RANGE);
+        this(LIMITS, SMALL_RANGE_BYTES);
     }
 
     MigrationScenario(MigrationLimits limits, long rangeBytes) {
@@ -126,7 +126,7 @@
         coordinator = new Coordinator(moveState, MOVE_LIMITS);
         coordinator.onNodesListed(nodes, List.of());
         manager = new MigrationManager(coordinator, migrationState, limits, now);
-        note("restart");
+        trace("restart");
     }
 
     /** A successor starts from these records alone. */
@@ -142,7 +142,7 @@
 
     // ---- operators
 
-    void create(String member, SliceTransfer... transfers) throws OperatorErrorException {
+    void createMigration(String member, SliceTransfer... transfers) throws OperatorErrorException {
         carryOut("migrate " + member, manager.createMigration(member, List.of(transfers), now));
     }
 
@@ -155,7 +155,7 @@
     }
 
     /** Passes the checkpoint that is open. */
-    void pass(long id) throws OperatorErrorException {
+    void passCheckpoint(long id) throws OperatorErrorException {
         carryOut("pass " + id, manager.passCheckpoint(id, migration(id).openCheckpoint(), now));
     }
 
@@ -174,7 +174,7 @@
 
     // ---- time
 
-    void run(Duration span) {
+    void runFor(Duration span) {
         Duration end = now.plus(span);
         while (now.compareTo(end) < 0) {
             carryOut(manager.tick(now));
@@ -191,7 +191,7 @@
         List<CoordinatorAction.SendCommand> sent = List.copyOf(unacknowledged);
         unacknowledged.clear();
         sent.stream()
-                .filter(command -> !unanswered.contains(command.command()))
+                .filter(command -> !unansweredCommands.contains(command.command()))
                 .forEach(
                         command ->
                                 coordinator.acknowledged(
@@ -203,12 +203,12 @@
 
     // ---- what is carried out, and written down
 
-    void note(String line) {
-        lines.add(now.toMillis() + " " + line);
+    void trace(String line) {
+        traceLines.add(now.toMillis() + " " + line);
     }
 
     void carryOut(String command, List<MigrationAction> actions) {
-        note("order: " + command);
+        trace("order: " + command);
         carryOut(actions);
     }
 
@@ -223,7 +223,7 @@
     }
 
     private void answer(MigrationAction.RequestDigests request) {
-        note(
+        trace(
                 "ask "
                         + request.requestId()
                         + " "
@@ -242,7 +242,7 @@
 
     private RangeDigest digest(String node, KeyRange range) {
         boolean differs =
-                differing.contains(node)
+                differingNodes.contains(node)
                         && range.from() <= DIFFERING_KEY
                         && DIFFERING_KEY < range.to();
         return new RangeDigest(range, 0, 7, differs ? 2 : 3, rangeBytes, differs ? "dd" : "ee");
@@ -251,19 +251,19 @@
     private void carryOut(CoordinatorAction action) {
         if (action instanceof CoordinatorAction.AppendRecord append) {
             records.add(append.record());
-            note(
+            trace(
                     "record "
-                            + (append.record() instanceof MigrationRecord own
-                                    ? text(own)
+                            + (append.record() instanceof MigrationRecord migrationRecord
+                                    ? format(migrationRecord)
                                     : "of moves"));
         } else if (action instanceof CoordinatorAction.SendCommand send) {
-            commands.add(send);
+            sentCommands.add(send);
             unacknowledged.add(send);
-            note(
+            trace(
                     "command to "
                             + send.node()
                             + ": "
-                            + text(send.command())
+                            + format(send.command())
                             + " slice "
                             + send.slice()
                             + " of move "
@@ -273,11 +273,11 @@
                             + " source "
                             + send.source());
         } else if (action instanceof CoordinatorAction.PublishLayout publish) {
-            note("publish version " + publish.layout().version);
+            trace("publish version " + publish.layout().version);
         }
     }
 
-    private static String text(HandoffCommand command) {
+    private static String format(HandoffCommand command) {
         return switch (command) {
             case COPY -> "COPY";
             case HOLD -> "HOLD";
@@ -287,14 +287,14 @@
         };
     }
 
-    private static String text(MigrationRecord migrationRecord) {
-        if (migrationRecord instanceof MigrationRecord.Created one) {
+    private static String format(MigrationRecord migrationRecord) {
+        if (migrationRecord instanceof MigrationRecord.Created created) {
             return "opened "
-                    + one.id()
+                    + created.id()
                     + " "
-                    + one.member()
+                    + created.member()
                     + " "
-                    + one.transfers().stream()
+                    + created.transfers().stream()
                             .map(
                                     transfer ->
                                             transfer.slice()
@@ -304,44 +304,44 @@
                                                     + transfer.target())
                             .toList()
                     + " version "
-                    + one.layoutVersion()
+                    + created.layoutVersion()
                     + " utility "
-                    + one.utility()
+                    + created.utility()
                     + " at "
-                    + one.at().toMillis();
-        } else if (migrationRecord instanceof MigrationRecord.StateEntered one) {
+                    + created.at().toMillis();
+        } else if (migrationRecord instanceof MigrationRecord.StateEntered entered) {
             return "entered "
-                    + one.id()
+                    + entered.id()
                     + " "
-                    + one.state().wireName()
+                    + entered.state().wireName()
                     + " at "
-                    + one.at().toMillis();
-        } else if (migrationRecord instanceof MigrationRecord.MoveVerified one) {
-            return "verified " + one.id() + " move " + one.moveId() + " digest " + one.digest();
-        } else if (migrationRecord instanceof MigrationRecord.CheckpointOpened one) {
+                    + entered.at().toMillis();
+        } else if (migrationRecord instanceof MigrationRecord.MoveVerified verified) {
+            return "verified " + verified.id() + " move " + verified.moveId() + " digest " + verified.digest();
+        } else if (migrationRecord instanceof MigrationRecord.CheckpointOpened opened) {
             return "opening "
-                    + one.id()
+                    + opened.id()
                     + " version "
-                    + one.layoutVersion()
+                    + opened.layoutVersion()
                     + " digest "
-                    + one.digest()
+                    + opened.digest()
                     + " at "
-                    + one.at().toMillis();
-        } else if (migrationRecord instanceof MigrationRecord.CheckpointPassed one) {
-            return "passed " + one.id() + " at " + one.at().toMillis();
-        } else if (migrationRecord instanceof MigrationRecord.Paused one) {
+                    + opened.at().toMillis();
+        } else if (migrationRecord instanceof MigrationRecord.CheckpointPassed passed) {
+            return "passed " + passed.id() + " at " + passed.at().toMillis();
+        } else if (migrationRecord instanceof MigrationRecord.Paused paused) {
             return "paused "
-                    + one.id()
+                    + paused.id()
                     + " "
-                    + one.reason().wireName()
+                    + paused.reason().wireName()
                     + " at "
-                    + one.at().toMillis()
+                    + paused.at().toMillis()
                     + ": "
-                    + one.detail();
-        } else if (migrationRecord instanceof MigrationRecord.Resumed one) {
-            return "resumed " + one.id() + " at " + one.at().toMillis();
-        } else if (migrationRecord instanceof MigrationRecord.RollbackStarted one) {
-            return "rollingBack " + one.id() + " at " + one.at().toMillis() + ": " + one.reason();
+                    + paused.detail();
+        } else if (migrationRecord instanceof MigrationRecord.Resumed resumed) {
+            return "resumed " + resumed.id() + " at " + resumed.at().toMillis();
+        } else if (migrationRecord instanceof MigrationRecord.RollbackStarted started) {
+            return "rollingBack " + started.id() + " at " + started.at().toMillis() + ": " + started.reason();
         }
         throw new AssertionError(
                 "a record that is not written while migrations go on: " + migrationRecord);
--- a/src/test/java/postbeam/migration/MigrationStateMachineTest.java
+++ b/src/test/java/postbeam/migration/MigrationStateMachineTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static postbeam.migration.MigrationScenario.FIRST;
-import static postbeam.migration.MigrationScenario.SECOND;
+import static postbeam.migration.MigrationScenario.SLICE_0_A_TO_E;
+import static postbeam.migration.MigrationScenario.SLICE_1_B_TO_E;
 
 import java.time.Duration;
 import java.util.List;
@@ -11,81 +11,81 @@
 import postbeam.slices.HandoffCommand;
 
 class MigrationStateMachineTest {
-    private final MigrationScenario run = new MigrationScenario();
+    private final MigrationScenario scenario = new MigrationScenario();
 
     private void assertState(MigrationState expected) {
-        assertEquals(expected, run.migration(1).state());
+        assertEquals(expected, scenario.migration(1).state());
     }
 
     @Test
-    void goesThroughAllStatesAndWaitsAtBothCheckpoints() throws Exception {
-        run.create("acme", FIRST, SECOND);
-        run.run(Duration.ofSeconds(8));
+    void migrationPassesAllStatesAndWaitsAtBothCheckpoints() throws Exception {
+        scenario.createMigration("acme", SLICE_0_A_TO_E, SLICE_1_B_TO_E);
+        scenario.runFor(Duration.ofSeconds(8));
         assertState(MigrationState.SWITCH_CHECKPOINT);
-        assertEquals(1, run.layout().version, "the old side serves");
-        run.pass(1);
-        run.run(Duration.ofSeconds(1));
-        assertEquals(3, run.layout().version);
-        run.run(Duration.ofSeconds(20));
+        assertEquals(1, scenario.layout().version, "the old side serves");
+        scenario.passCheckpoint(1);
+        scenario.runFor(Duration.ofSeconds(1));
+        assertEquals(3, scenario.layout().version);
+        scenario.runFor(Duration.ofSeconds(20));
         assertState(MigrationState.RETIREMENT_CHECKPOINT);
         assertEquals(
                 0,
-                run.commands.stream()
+                scenario.sentCommands.stream()
                         .filter(sent -> sent.command() == HandoffCommand.DROP)
                         .count());
-        run.pass(1);
-        run.run(Duration.ofSeconds(2));
+        scenario.passCheckpoint(1);
+        scenario.runFor(Duration.ofSeconds(2));
         assertState(MigrationState.RETIRED);
-        assertEquals(List.of("e", "b", "c"), run.layout().slice(0).nodes());
-        assertTrue(run.coordinator.state().activeMoves().isEmpty());
+        assertEquals(List.of("e", "b", "c"), scenario.layout().slice(0).nodes());
+        assertTrue(scenario.coordinator.state().activeMoves().isEmpty());
     }
 
     @Test
-    void switchEndsOnceEachRouterHasAcknowledgedOrItsLeaseHasExpired() throws Exception {
-        run.create("acme", FIRST);
-        run.run(Duration.ofSeconds(8));
-        RouterAcknowledgements routers = run.manager.routerAcknowledgements();
-        routers.onRequest("r1", 1, run.now);
-        routers.onResponse("r1", 1, run.now);
-        routers.onRequest("r2", 1, run.now);
-        routers.onResponse("r2", 1, run.now);
-        run.pass(1);
-        run.run(Duration.ofSeconds(1));
+    void switchingEndsOnceEachRouterAcknowledgesOrItsLeaseExpires() throws Exception {
+        scenario.createMigration("acme", SLICE_0_A_TO_E);
+        scenario.runFor(Duration.ofSeconds(8));
+        RouterAcknowledgements routers = scenario.manager.routerAcknowledgements();
+        routers.onRequest("r1", 1, scenario.now);
+        routers.onResponse("r1", 1, scenario.now);
+        routers.onRequest("r2", 1, scenario.now);
+        routers.onResponse("r2", 1, scenario.now);
+        scenario.passCheckpoint(1);
+        scenario.runFor(Duration.ofSeconds(1));
         assertState(MigrationState.SWITCHING);
-        routers.onRequest("r1", 2, run.now);
-        assertEquals(List.of("r2"), routers.routersBehind(2, run.now));
-        run.run(Duration.ofSeconds(3));
+        routers.onRequest("r1", 2, scenario.now);
+        assertEquals(List.of("r2"), routers.routersBehind(2, scenario.now));
+        scenario.runFor(Duration.ofSeconds(3));
         assertEquals(
                 MigrationState.SWITCHING,
-                run.migration(1).state(),
+                scenario.migration(1).state(),
                 "r2 may still use the old layout");
-        run.run(Duration.ofSeconds(2));
+        scenario.runFor(Duration.ofSeconds(2));
         assertState(MigrationState.OBSERVING);
     }
 
     @Test
-    void successorWaitsForRoutersThatItDoesNotKnow() throws Exception {
-        run.create("acme", FIRST);
-        run.run(Duration.ofSeconds(8));
-        run.pass(1);
-        run.restart();
-        run.run(Duration.ofMillis(4900));
+    void restartedManagerWaitsForLeasesOfUnknownRouters() throws Exception {
+        scenario.createMigration("acme", SLICE_0_A_TO_E);
+        scenario.runFor(Duration.ofSeconds(8));
+        scenario.passCheckpoint(1);
+        scenario.restart();
+        scenario.runFor(Duration.ofMillis(4900));
         assertState(MigrationState.SWITCHING);
-        run.run(Duration.ofMillis(500));
+        scenario.runFor(Duration.ofMillis(500));
         assertState(MigrationState.OBSERVING);
     }
 
     @Test
-    void oneMigrationAtATimeIsUnderWay() throws Exception {
-        run.create("acme", FIRST);
-        run.create("other", SECOND);
-        run.run(Duration.ofSeconds(8));
-        assertEquals(MigrationState.PLANNED, run.migration(2).state());
-        run.rollBack(1, "x");
-        run.run(Duration.ofSeconds(2));
+    void secondMigrationStaysPlannedWhileFirstIsActive() throws Exception {
+        scenario.createMigration("acme", SLICE_0_A_TO_E);
+        scenario.createMigration("other", SLICE_1_B_TO_E);
+        scenario.runFor(Duration.ofSeconds(8));
+        assertEquals(MigrationState.PLANNED, scenario.migration(2).state());
+        scenario.rollBack(1, "x");
+        scenario.runFor(Duration.ofSeconds(2));
         assertState(MigrationState.ROLLED_BACK);
-        assertEquals("a", run.layout().slice(0).nodes().get(0));
-        run.run(Duration.ofSeconds(8));
-        assertEquals(MigrationState.SWITCH_CHECKPOINT, run.migration(2).state());
+        assertEquals("a", scenario.layout().slice(0).nodes().get(0));
+        scenario.runFor(Duration.ofSeconds(8));
+        assertEquals(MigrationState.SWITCH_CHECKPOINT, scenario.migration(2).state());
     }
 }
--- a/src/test/java/postbeam/migration/MigrationThrottleTest.java
+++ b/src/test/java/postbeam/migration/MigrationThrottleTest.java
@@ -12,7 +12,7 @@
     private final MigrationThrottle throttle = new MigrationThrottle(10, 1000);
 
     @Test
-    void copiesStartAtTheConfiguredRatesAndMembersTakeTurns() {
+    void copiesStartAtConfiguredRatesAndBytesAreCountedByMember() {
         assertTrue(throttle.canStart(NOW));
         throttle.onCopyStarted("large", 5000, NOW);
         assertFalse(throttle.canStart(NOW.plusMillis(4999)));
--- a/src/test/java/postbeam/migration/MigrationWireNamesTest.java
+++ b/src/test/java/postbeam/migration/MigrationWireNamesTest.java
@@ -9,7 +9,7 @@
 /** Operators' pages and programs know these names. */
 class MigrationWireNamesTest {
     @Test
-    void statesKeepTheirNames() {
+    void stateWireNamesAreStable() {
         assertEquals(
                 List.of(
                         "PLANNED",
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void reasonsOfAPauseKeepTheirNames() {
+    void pauseReasonWireNamesAreStable() {
         assertEquals(
                 List.of(
                         "OPERATOR",
--- a/src/test/java/postbeam/migration/PauseDetectorTest.java
+++ b/src/test/java/postbeam/migration/PauseDetectorTest.java
@@ -1,7 +1,7 @@
 package postbeam.migration;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static postbeam.migration.MigrationScenario.FIRST;
+import static postbeam.migration.MigrationScenario.SLICE_0_A_TO_E;
 
 import java.time.Duration;
 import java.util.List;
@@ -10,40 +10,40 @@
 import postbeam.slices.HandoffCommand;
 
 class PauseDetectorTest {
-    private final MigrationScenario run = new MigrationScenario();
+    private final MigrationScenario scenario = new MigrationScenario();
 
     private void assertPausedFor(PauseReason reason) {
-        assertEquals(reason, run.migration(1).pauseReason());
+        assertEquals(reason, scenario.migration(1).pauseReason());
     }
 
     @Test
-    void pausesByItselfAndTheReasonSurvivesARestart() throws Exception {
-        run.manager.updateUtility("acme", 0.9);
-        run.create("acme", FIRST);
-        run.run(Duration.ofSeconds(1));
-        run.manager.updateUtility("acme", 0.8);
-        run.run(Duration.ofMillis(200));
+    void migrationPausesAutomaticallyAndPauseReasonSurvivesRestart() throws Exception {
+        scenario.manager.updateUtility("acme", 0.9);
+        scenario.createMigration("acme", SLICE_0_A_TO_E);
+        scenario.runFor(Duration.ofSeconds(1));
+        scenario.manager.updateUtility("acme", 0.8);
+        scenario.runFor(Duration.ofMillis(200));
         assertPausedFor(PauseReason.UTILITY_DROPPED);
-        run.restart();
+        scenario.restart();
         assertPausedFor(PauseReason.UTILITY_DROPPED);
-        run.manager.updateUtility("acme", 0.9);
-        run.resume(1);
-        run.carryOut("e started", run.manager.onNodesStarted(List.of("e"), run.now));
-        run.run(Duration.ofMillis(200));
+        scenario.manager.updateUtility("acme", 0.9);
+        scenario.resume(1);
+        scenario.carryOut("e started", scenario.manager.onNodesStarted(List.of("e"), scenario.now));
+        scenario.runFor(Duration.ofMillis(200));
         assertPausedFor(PauseReason.TARGET_WARMING_UP);
-        run.now = run.now.plusSeconds(4);
-        run.resume(1);
-        run.unanswered.add(HandoffCommand.COPY);
-        run.run(Duration.ofSeconds(21));
+        scenario.now = scenario.now.plusSeconds(4);
+        scenario.resume(1);
+        scenario.unansweredCommands.add(HandoffCommand.COPY);
+        scenario.runFor(Duration.ofSeconds(21));
         assertPausedFor(PauseReason.STALLED);
-        run.unanswered.clear();
-        run.resume(1);
-        run.setReadiness("b", Readiness.DRAINING);
-        run.setReadiness("c", Readiness.DRAINING);
-        run.run(Duration.ofMillis(300));
+        scenario.unansweredCommands.clear();
+        scenario.resume(1);
+        scenario.setReadiness("b", Readiness.DRAINING);
+        scenario.setReadiness("c", Readiness.DRAINING);
+        scenario.runFor(Duration.ofMillis(300));
         assertPausedFor(PauseReason.TOO_FEW_READY_REPLICAS);
-        long version = run.layout().version;
-        run.run(Duration.ofSeconds(30));
-        assertEquals(version, run.layout().version);
+        long version = scenario.layout().version;
+        scenario.runFor(Duration.ofSeconds(30));
+        assertEquals(version, scenario.layout().version);
     }
 }
