--- a/src/main/java/postbeam/migration/ActionBatch.java
+++ b/src/main/java/postbeam/migration/ActionBatch.java
@@ -10,15 +10,15 @@
 import postbeam.slices.Move;
 
 /**
- * The actions of one call, in the order in which they are to be carried out. A journal record takes
- * effect in memory as soon as it is added; the caller writes it to disk before it carries out what
- * follows.
+ * Collects the actions of one call in the order in which the caller carries them out. A journal
+ * record is applied to the state in memory as soon as it is added; the caller writes it to disk
+ * before it carries out the actions that follow.
  */
 final class ActionBatch {
     /**
-     * Why a copy is abandoned that differs, or that its target no longer keeps up to date, when an
-     * operator resumes its migration. The journal holds this text and {@link #isRecopied} compares
-     * it: it must not change.
+     * Reason for abandoning a copy that differs from its source, or that its target no longer keeps
+     * up to date, when an operator resumes the migration. The journal stores this text and {@link
+     * #isRecopied} compares it, so it must not change.
      */
     private static final String RECOPY_REASON = "its copy was no good: copied anew";
 
@@ -29,7 +29,7 @@
         this.coordinator = coordinator;
     }
 
-    /** Whether the move was abandoned so that its slice is copied once more. */
+    /** Whether the move was abandoned so that its slice is copied again. */
     static boolean isRecopied(Move move) {
         return RECOPY_REASON.equals(move.abandonReason());
     }
--- a/src/main/java/postbeam/migration/Checkpoint.java
+++ b/src/main/java/postbeam/migration/Checkpoint.java
@@ -1,9 +1,9 @@
 package postbeam.migration;
 
 /**
- * What an operator passes a checkpoint for.
+ * Identifies the verified state that an operator approves by passing a checkpoint.
  *
- * @param layoutVersion of the layout in force when it was opened
- * @param digest over what was verified, in hexadecimal digits
+ * @param layoutVersion version of the layout in force when the checkpoint was opened
+ * @param digest SHA-256 over the verified moves, in hexadecimal digits
  */
 public record Checkpoint(long layoutVersion, String digest) {}
--- a/src/main/java/postbeam/migration/Digests.java
+++ b/src/main/java/postbeam/migration/Digests.java
@@ -5,17 +5,17 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** SHA-256 over texts. */
+/** SHA-256 digests of texts. */
 final class Digests {
     private Digests() {}
 
-    /** The digest of the text's UTF-8 bytes, in hexadecimal digits. */
+    /** Returns the digest of the text's UTF-8 bytes in hexadecimal digits. */
     static String sha256(String text) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             return HexFormat.of().formatHex(digest.digest(text.getBytes(StandardCharsets.UTF_8)));
         } catch (NoSuchAlgorithmException e) {
-            throw new AssertionError("each Java platform has SHA-256", e);
+            throw new AssertionError("SHA-256 is missing, which every Java platform must provide", e);
         }
     }
 }
--- a/src/main/java/postbeam/migration/Migration.java
+++ b/src/main/java/postbeam/migration/Migration.java
@@ -8,16 +8,19 @@
 import java.util.stream.Collectors;
 import postbeam.slices.LayoutChange;
 
-/** One member's migration, as the journal has it: it changes by {@link #apply} alone. */
+/**
+ * One member's migration. Its state follows from the journal's records and changes only through
+ * {@link #apply}.
+ */
 public final class Migration {
     public final long id;
     public final String member;
     public final List<SliceTransfer> transfers;
 
-    /** Version of the layout in force when the migration was created. */
+    /** The version of the layout in force when the migration was created. */
     public final long initialLayoutVersion;
 
-    /** The member's utility when the migration was created, from 0 to 1; 0 where none was known. */
+    /** The member's utility when the migration was created, from 0 to 1; 0 if it was unknown. */
     public final double initialUtility;
 
     private MigrationState state = MigrationState.PLANNED;
@@ -25,7 +28,7 @@
     private PauseReason pauseReason;
     private String pauseDetail;
 
-    /** Digests of verified slices by the ids of their moves. */
+    /** Digests of the verified slices by move id. */
     private final Map<Long, String> verifiedDigests = new TreeMap<>();
 
     private int checkpointsOpened;
@@ -59,47 +62,47 @@
         this.rollbackReason = snapshot.rollbackReason();
     }
 
-    /** Its state, which stays while it is paused. */
+    /** The current state, which a pause does not change. */
     public MigrationState state() {
         return state;
     }
 
-    /** When it entered this state, or was last resumed; a span since 1970. */
+    /** When it entered its state or was last resumed, as a duration since the Unix epoch. */
     public Duration since() {
         return since;
     }
 
-    /** Whether it makes no progress until an operator resumes it or rolls it back. */
+    /** Whether it is paused: it makes no progress until an operator resumes it or rolls it back. */
     public boolean isPaused() {
         return pauseReason != null;
     }
 
-    /** Null where it is not paused. */
+    /** The reason of the pause; null if the migration is not paused. */
     public PauseReason pauseReason() {
         return pauseReason;
     }
 
-    /** What operators are shown of the pause; null where it is not paused. */
+    /** The description of the pause for operators; null if the migration is not paused. */
     public String pauseDetail() {
         return pauseDetail;
     }
 
-    /** The checkpoint that waits for an operator; null where none does. */
+    /** The checkpoint that waits for an operator's approval; null if none is open. */
     public Checkpoint openCheckpoint() {
         return openCheckpoint;
     }
 
-    /** The checkpoint that was passed last; null before the first. */
+    /** The checkpoint that was passed last; null if none has been passed. */
     Checkpoint passedCheckpoint() {
         return passedCheckpoint;
     }
 
-    /** How many checkpoints have been opened. */
+    /** The number of checkpoints that have been opened. */
     int checkpointsOpened() {
         return checkpointsOpened;
     }
 
-    /** Null where it was not rolled back. */
+    /** The reason of the rollback; null if none was started. */
     public String rollbackReason() {
         return rollbackReason;
     }
@@ -108,25 +111,25 @@
         return state == MigrationState.ROLLING_BACK;
     }
 
-    /** Whether both replicas of the move's slice were found equal. */
+    /** Whether the replicas of the move's slice at source and target were found equal. */
     boolean isVerified(long moveId) {
         return verifiedDigests.containsKey(moveId);
     }
 
-    /** The transfer of the slice; empty where the slice is not part of this migration. */
+    /** The transfer of the slice; empty if the slice is not part of this migration. */
     public Optional<SliceTransfer> transferOf(int slice) {
         return transfers.stream().filter(transfer -> transfer.slice() == slice).findFirst();
     }
 
-    /** The transfer's change in the current direction, forward or back. */
+    /** The layout change of the transfer in the migration's current direction. */
     LayoutChange nextChange(SliceTransfer transfer) {
         return isRollingBack() ? transfer.reverseChange() : transfer.forwardChange();
     }
 
     /**
-     * What an operator passes a checkpoint for: a digest over what was verified. It counts the
-     * checkpoints too, so that a command for an earlier one is stale. Checkpoints are on disk: the
-     * form stays.
+     * Returns a digest over the verified moves, which identifies a checkpoint. It includes the
+     * number of checkpoints opened so far, so that a command for an earlier checkpoint is stale.
+     * Checkpoints are stored in the journal, so the digested text must keep its format.
      */
     String checkpointDigest() {
         String verified =
@@ -136,10 +139,12 @@
         return Digests.sha256(id + " " + checkpointsOpened + " " + verified);
     }
 
-    // ---- changes
+    // ---- applying records
 
     /**
-     * Takes over a record of this migration; an IllegalArgumentException says why it can't follow.
+     * Applies a record of this migration.
+     *
+     * @throws IllegalArgumentException the record can't follow the records applied before
      */
     void apply(MigrationRecord migrationRecord) {
         if (migrationRecord instanceof MigrationRecord.StateEntered entered) {
@@ -155,7 +160,7 @@
             pauseDetail = paused.detail();
         } else if (migrationRecord instanceof MigrationRecord.Resumed resumed) {
             endPause();
-            // Copies that stood still during the pause get their time again.
+            // Restarts the stall timeout of copies, which made no progress during the pause.
             since = resumed.at();
         } else if (migrationRecord instanceof MigrationRecord.RollbackStarted started) {
             enter(MigrationState.ROLLING_BACK, started.at());
@@ -197,7 +202,7 @@
         pauseDetail = null;
     }
 
-    /** One record with all of its state. */
+    /** Returns a record that holds the complete state. */
     MigrationRecord.Snapshot snapshot() {
         return new MigrationRecord.Snapshot(
                 id,
@@ -216,7 +221,7 @@
                 rollbackReason);
     }
 
-    /** One line for operators, which the layout service answers to their commands. */
+    /** One line for operators: id, member, state, and reasons of a pause and a rollback. */
     public String summary() {
         return "migration "
                 + id
--- a/src/main/java/postbeam/migration/MigrationAction.java
+++ b/src/main/java/postbeam/migration/MigrationAction.java
@@ -5,20 +5,18 @@
 import postbeam.slices.KeyRange;
 
 /**
- * What the caller is to do, in the order given; what follows a journal record waits until that is
- * on disk.
+ * An action that the caller carries out. Actions are carried out in order, and those that follow a
+ * journal record only after the record is on disk.
  */
 public sealed interface MigrationAction {
-    /**
-     * An action of the coordinator, which is carried out like those that the coordinator itself
-     * returns.
-     */
+    /** Carries out an action of the coordinator, like those that the coordinator itself returns. */
     record Delegated(CoordinatorAction action) implements MigrationAction {}
 
     /**
-     * Asks a node for digests of its replica of a slice.
+     * Requests digests of a node's replica of a slice.
      *
-     * @param requestId comes back with the answer
+     * @param requestId identifies the request; the response carries the same id
+     * @param ranges key ranges of the slice, for which one digest each is requested
      */
     record RequestDigests(long requestId, String node, int slice, List<KeyRange> ranges)
             implements MigrationAction {
--- a/src/main/java/postbeam/migration/MigrationError.java
+++ b/src/main/java/postbeam/migration/MigrationError.java
@@ -3,11 +3,11 @@
 import postbeam.errors.OperatorError;
 
 /**
- * Why an operator's command about migrations is rejected, or can't be carried out here. Nothing has
- * changed then.
+ * A reason for which an operator's command about migrations is rejected or can't be carried out by
+ * this process. A command that fails with one of these has changed nothing.
  */
 public sealed interface MigrationError extends OperatorError {
-    /** No migration of this id, or it is over. */
+    /** No migration has this id, or it has ended. */
     record NotFound(long id) implements MigrationError {
         @Override
         public String problem() {
@@ -16,7 +16,7 @@
 
         @Override
         public String remedy() {
-            return "see 'layouts migrations' for those that there are";
+            return "run 'layouts migrations' to list the migrations";
         }
     }
 
@@ -29,27 +29,27 @@
 
         @Override
         public String remedy() {
-            return "change its hops, or wait until what they need is free";
+            return "change the hops, or wait until their slices and nodes are free";
         }
     }
 
-    /** A checkpoint is passed where none is open. */
+    /** The command passes a checkpoint while none is open. */
     record NoOpenCheckpoint(long id, MigrationState state) implements MigrationError {
         @Override
         public String problem() {
             return "no checkpoint of migration "
                     + id
-                    + " is open, it stands at "
+                    + " is open in state "
                     + state.wireName();
         }
 
         @Override
         public String remedy() {
-            return "wait until 'layouts migrations' shows one";
+            return "wait until 'layouts migrations' shows an open checkpoint";
         }
     }
 
-    /** Another checkpoint than the open one is passed. */
+    /** The command passes a checkpoint other than the open one. */
     record StaleCheckpoint(long id, Checkpoint requested, Checkpoint openCheckpoint)
             implements MigrationError {
         @Override
@@ -68,11 +68,11 @@
 
         @Override
         public String remedy() {
-            return "look at 'layouts migrations' again and decide anew";
+            return "run 'layouts migrations' and review the open checkpoint again";
         }
     }
 
-    /** The checkpoint that was passed last is passed again. */
+    /** The command passes the checkpoint that was passed last. */
     record CheckpointAlreadyPassed(long id, Checkpoint requested) implements MigrationError {
         @Override
         public String problem() {
@@ -87,11 +87,11 @@
 
         @Override
         public String remedy() {
-            return "do nothing: the first order stands";
+            return "do nothing: the first command has taken effect";
         }
     }
 
-    /** The command needs a migration that is not paused. */
+    /** The command needs a migration that is not paused, but this one is. */
     record MigrationPaused(long id, String reason) implements MigrationError {
         @Override
         public String problem() {
@@ -100,11 +100,11 @@
 
         @Override
         public String remedy() {
-            return "mend the cause and resume it, or roll it back";
+            return "remove the cause and resume it, or roll it back";
         }
     }
 
-    /** A migration is resumed that is not paused. */
+    /** The command resumes a migration that is not paused. */
     record NotPaused(long id) implements MigrationError {
         @Override
         public String problem() {
@@ -113,11 +113,11 @@
 
         @Override
         public String remedy() {
-            return "do nothing: it goes on";
+            return "do nothing: it is running";
         }
     }
 
-    /** A migration is resumed while the reason of its pause lasts. */
+    /** The command resumes a migration while the reason of its pause persists. */
     record PauseReasonPersists(long id, String reason) implements MigrationError {
         @Override
         public String problem() {
@@ -126,37 +126,40 @@
 
         @Override
         public String remedy() {
-            return "mend the cause first, or roll it back";
+            return "remove the cause first, or roll it back";
         }
     }
 
-    /** The old side is being dropped already, or the migration is being rolled back. */
+    /**
+     * The command rolls back a migration that is being retired, and may have dropped data at the
+     * sources, or that is being rolled back already.
+     */
     record RollbackTooLate(long id, MigrationState state) implements MigrationError {
         @Override
         public String problem() {
-            return "migration " + id + " can't be rolled back, it stands at " + state.wireName();
+            return "migration " + id + " can't be rolled back in state " + state.wireName();
         }
 
         @Override
         public String remedy() {
-            return "plan a migration the other way";
+            return "plan a migration in the opposite direction";
         }
     }
 
-    /** The command can't be read. */
+    /** The command has a missing or malformed field. */
     record MalformedCommand(String detail) implements MigrationError {
         @Override
         public String problem() {
-            return "the order can't be read: " + detail;
+            return "the command can't be read: " + detail;
         }
 
         @Override
         public String remedy() {
-            return "see docs/operators/migration-of-members.md for its form";
+            return "see docs/operators/migration-of-members.md for the format";
         }
     }
 
-    /** Another process writes the journal. */
+    /** Another process has taken over the journal, so this one must not write to it any more. */
     record LeadershipLost(long term, String evidence) implements MigrationError {
         @Override
         public String problem() {
@@ -169,7 +172,7 @@
 
         @Override
         public String remedy() {
-            return "leave this process ended and ask the other one";
+            return "leave this process stopped and use the other service";
         }
     }
 
@@ -182,7 +185,7 @@
 
         @Override
         public String remedy() {
-            return "set layouts.migration.enabled and start it again";
+            return "set layouts.migration.enabled to true and restart the service";
         }
     }
 }
--- a/src/main/java/postbeam/migration/MigrationJournalState.java
+++ b/src/main/java/postbeam/migration/MigrationJournalState.java
@@ -10,44 +10,44 @@
 import postbeam.slices.MoveJournalState;
 
 /**
- * All migrations, as the records of the journal add up to; any prefix of the records is a valid
- * state.
+ * All migrations, derived from the records of the journal. Every prefix of the records gives a
+ * valid state.
  */
 public final class MigrationJournalState implements MoveJournalState.WorkflowState {
-    /** Finished migrations that operators are still shown. */
+    /** Maximum number of finished migrations that are kept for operators. */
     private static final int MAX_FINISHED = 32;
 
     private final Map<Long, Migration> migrations = new TreeMap<>();
     private long lastId;
 
-    /** Those that are not over and the latest that are, by id. */
+    /** The active and the latest finished migrations, ordered by id. */
     public Collection<Migration> migrations() {
         return migrations.values();
     }
 
-    /** Those that are not over, by id. */
+    /** The migrations that have not ended, ordered by id. */
     public List<Migration> activeMigrations() {
         return migrations.values().stream()
                 .filter(migration -> !migration.state().isFinal())
                 .toList();
     }
 
-    /** Finished ones are found too, as long as operators are shown them. */
+    /** The active or recently finished migration with this id; empty if there is none. */
     public Optional<Migration> find(long id) {
         return Optional.ofNullable(migrations.get(id));
     }
 
-    /** Empty where the migration is over. */
+    /** The active migration with this id; empty if there is none or it has ended. */
     public Optional<Migration> findActive(long id) {
         return find(id).filter(migration -> !migration.state().isFinal());
     }
 
-    /** The id of the migration that is created next. */
+    /** The id that the next created migration gets. */
     public long nextId() {
         return lastId + 1;
     }
 
-    /** The migration that the slice belongs to and that is not over. */
+    /** The active migration that moves the slice; empty if there is none. */
     public Optional<Migration> activeMigrationOf(int slice) {
         return activeMigrations().stream()
                 .filter(migration -> migration.transferOf(slice).isPresent())
@@ -64,7 +64,8 @@
     @Override
     public void apply(JournalRecord.WorkflowRecord journalRecord) {
         if (!(journalRecord instanceof MigrationRecord migrationRecord)) {
-            throw new IllegalArgumentException("a record of an unknown workflow");
+            throw new IllegalArgumentException(
+                    "expected a migration record, got " + journalRecord.getClass().getSimpleName());
         }
         if (migrationRecord instanceof MigrationRecord.Created created) {
             create(created);
@@ -77,7 +78,8 @@
 
     private void create(MigrationRecord.Created created) {
         if (created.id() <= lastId) {
-            throw new IllegalArgumentException("migration " + created.id() + " is opened twice");
+            throw new IllegalArgumentException(
+                    "expected a migration id above " + lastId + ", got " + created.id());
         }
         lastId = created.id();
         migrations.put(lastId, new Migration(created));
@@ -94,9 +96,9 @@
                         .orElseThrow(
                                 () ->
                                         new IllegalArgumentException(
-                                                "no migration "
+                                                "record of migration "
                                                         + migrationRecord.id()
-                                                        + " is open"));
+                                                        + ", which does not exist or has ended"));
         migration.apply(migrationRecord);
         if (migration.state().isFinal()) {
             evictFinished();
--- a/src/main/java/postbeam/migration/MigrationManager.java
+++ b/src/main/java/postbeam/migration/MigrationManager.java
@@ -15,12 +15,12 @@
 import postbeam.slices.MoveState;
 
 /**
- * Decides how migrations go on: takes operators' commands, events of the cluster and the time, and
- * returns the actions to carry out, in their order. What must survive a restart is in the {@link
- * MigrationJournalState}; everything else here is rebuilt by a successor.
+ * Decides how migrations proceed: takes operators' commands, events of the cluster and the time,
+ * and returns the actions to carry out, in order. The state that must survive a restart is in the
+ * {@link MigrationJournalState}; everything else is rebuilt by the process that takes over.
  *
- * <p>It is called by one thread at a time, and {@link #tick} before the {@link Coordinator}'s,
- * whose move admission it provides. All times are spans since 1970.
+ * <p>Not thread-safe. {@link #tick} must be called before the tick of the {@link Coordinator},
+ * whose move admission this class provides. All times are durations since the Unix epoch.
  */
 public class MigrationManager implements SwitchConditions {
     private final Coordinator coordinator;
@@ -34,10 +34,10 @@
     private final MigrationStateMachine stateMachine;
 
     /**
-     * Provides the coordinator's move admission from now on.
+     * Creates a manager and installs it as the coordinator's move admission.
      *
-     * @param journalState which the coordinator's journal feeds
-     * @param createdAt now, as a span since 1970
+     * @param journalState the migrations, updated by the records of the coordinator's journal
+     * @param createdAt the current time, as a duration since the Unix epoch
      */
     public MigrationManager(
             Coordinator coordinator,
@@ -60,19 +60,22 @@
         coordinator.setAdmission(new MigrationMoveAdmission(progress, journalState, this));
     }
 
-    /** All migrations, as the journal has them. */
+    /** All migrations, as recorded in the journal. */
     public MigrationJournalState journalState() {
         return journalState;
     }
 
-    /** Which layout each router has; told of each router's request and response by the caller. */
+    /**
+     * The layout version that each router has acknowledged. The caller reports each router's
+     * requests and responses to it.
+     */
     public RouterAcknowledgements routerAcknowledgements() {
         return routerAcknowledgements;
     }
 
-    // ---- operators' commands; one that fails has changed nothing
+    // ---- operators' commands; a command that throws has changed nothing
 
-    /** Creates a member's migration; its id is the one that the journal state named as the next. */
+    /** Creates a member's migration, with the next id of the journal state. */
     public List<MigrationAction> createMigration(
             String member, List<SliceTransfer> transfers, Duration now)
             throws OperatorErrorException {
@@ -90,10 +93,10 @@
                         now));
     }
 
-    /** Why these transfers can't be planned, in one line; empty where they can. */
+    /** The reason for which the transfers can't be planned, in one line; empty if they can. */
     Optional<String> planProblem(List<SliceTransfer> transfers) {
         if (transfers.isEmpty()) {
-            return Optional.of("it has no hop");
+            return Optional.of("the list of hops is empty");
         }
         Set<Integer> slices = new HashSet<>();
         for (SliceTransfer transfer : transfers) {
@@ -101,7 +104,7 @@
                 return Optional.of(
                         "slice "
                                 + transfer.slice()
-                                + " stands there twice: one holder is moved at a time");
+                                + " is in more than one hop: a migration moves one replica of a slice");
             }
             Optional<String> problem = coordinator.rejectionReason(transfer.forwardChange());
             if (problem.isPresent()) {
@@ -119,8 +122,9 @@
     }
 
     /**
-     * Resumes a paused migration; copies that differ or lag are made anew. Fails as long as the
-     * reason lasts.
+     * Resumes a paused migration. Copies that differ from their source, and stalled copies that
+     * their target no longer keeps up to date, are abandoned and made again. Fails while the reason
+     * of the pause persists.
      */
     public List<MigrationAction> resume(long id, Duration now) throws OperatorErrorException {
         Migration migration = requireActive(id);
@@ -150,7 +154,7 @@
         }
     }
 
-    /** Passes the open checkpoint, which must be the requested one. */
+    /** Passes the open checkpoint, which must equal the requested one. */
     public List<MigrationAction> passCheckpoint(long id, Checkpoint requested, Duration now)
             throws OperatorErrorException {
         Migration migration = requireActive(id);
@@ -172,7 +176,7 @@
                 : new MigrationError.StaleCheckpoint(migration.id, requested, open);
     }
 
-    /** Rolls a migration back, which also ends its pause. */
+    /** Starts the rollback of a migration, which also ends its pause. */
     public List<MigrationAction> rollBack(long id, String reason, Duration now)
             throws OperatorErrorException {
         Migration migration = requireActive(id);
@@ -201,11 +205,11 @@
         }
     }
 
-    // ---- events
+    // ---- cluster events
 
     /**
-     * These nodes have started: they are warming up, and may have missed writes of slices that they
-     * do not serve yet.
+     * Handles the start of nodes: they are warming up, and may have missed writes to slices that
+     * they hold but do not serve yet. Moves that copy such slices to them are abandoned.
      */
     public List<MigrationAction> onNodesStarted(Collection<String> nodes, Duration now) {
         pauseDetector.onNodesStarted(nodes, now);
@@ -214,7 +218,7 @@
             for (SliceTransfer transfer : migration.transfers) {
                 progress.activeMove(transfer)
                         .filter(move -> hasUnservedTarget(move, nodes))
-                        .ifPresent(move -> batch.abandonMove(move, "its target started anew", now));
+                        .ifPresent(move -> batch.abandonMove(move, "its target node restarted", now));
             }
         }
         return batch.actions();
@@ -227,12 +231,12 @@
                 && move.state() != MoveState.PLANNED;
     }
 
-    /** How well a member is served, from 0 to 1. */
+    /** Updates a member's utility, which measures how well it is served, from 0 to 1. */
     public void updateUtility(String member, double utility) {
         pauseDetector.updateUtility(member, utility);
     }
 
-    /** A node's answer to the request of this id. */
+    /** Handles a node's response to the digest request with this id. */
     public void onRangeDigests(
             long requestId, String node, List<RangeDigest> digests, Duration now) {
         if (!sliceSizes.onRangeDigests(requestId, digests)) {
@@ -240,9 +244,12 @@
         }
     }
 
-    // ---- time
+    // ---- periodic work
 
-    /** What is to be done now; nothing before the coordinator has received a node list. */
+    /**
+     * Advances the active migrations and returns the actions to carry out; returns none before the
+     * coordinator has received a node list.
+     */
     public List<MigrationAction> tick(Duration now) {
         ActionBatch batch = new ActionBatch(coordinator);
         if (!coordinator.hasNodeList()) {
@@ -262,7 +269,8 @@
     }
 
     /**
-     * The member that has copied least goes first, so that a large one does not hold up the others.
+     * Sorts migrations by the bytes that their member has copied, fewest first, so that a large
+     * member does not delay the others.
      */
     private List<Migration> byCopiedBytes(List<Migration> migrations) {
         List<Migration> sorted = new ArrayList<>(migrations);
@@ -273,7 +281,7 @@
         return sorted;
     }
 
-    // ---- conditions of the switch
+    // ---- switch conditions
 
     @Override
     public boolean isVerified(Migration migration, Move move) {
--- a/src/main/java/postbeam/migration/MigrationMoveAdmission.java
+++ b/src/main/java/postbeam/migration/MigrationMoveAdmission.java
@@ -7,8 +7,8 @@
 import postbeam.slices.MoveState;
 
 /**
- * Holds the coordinator's moves to the states of the migrations that they belong to; all other
- * moves go on freely.
+ * Lets a move of a migration advance only while the migration is in the state for that step. Moves
+ * that belong to no migration are not restricted.
  */
 final class MigrationMoveAdmission implements MoveAdmission {
     private final TransferProgress progress;
@@ -44,14 +44,17 @@
         };
     }
 
-    /** Whether the migration is not paused, and in the state for a move of this direction. */
+    /**
+     * Whether the migration is not paused and in {@code forwardState}, or rolling back where the
+     * move is a reverse one.
+     */
     private static boolean isRunning(
             Migration migration, boolean forward, MigrationState forwardState) {
         return !migration.isPaused()
                 && migration.state() == (forward ? forwardState : MigrationState.ROLLING_BACK);
     }
 
-    /** A migration's copy is never abandoned because it takes long: the migration pauses. */
+    /** No timeout abandons a copy of a migration: one that takes too long pauses the migration. */
     @Override
     public boolean copyTimeoutApplies(Move move) {
         return progress.migrationOf(move).isEmpty();
--- a/src/main/java/postbeam/migration/MigrationRecord.java
+++ b/src/main/java/postbeam/migration/MigrationRecord.java
@@ -6,18 +6,18 @@
 import postbeam.slices.JournalRecord;
 
 /**
- * What migrations write into the journal of moves; each record is on disk before the step that it
- * is about. Times are spans since 1970.
+ * Records that migrations write to the journal of moves. Each record is on disk before the step
+ * that it describes is carried out. Times are durations since the Unix epoch.
  */
 public sealed interface MigrationRecord extends JournalRecord.WorkflowRecord {
-    /** The migration that it is about. */
+    /** The id of the migration that the record belongs to. */
     long id();
 
     /**
-     * A member's migration is planned.
+     * A member's migration was created.
      *
-     * @param layoutVersion of the layout in force
-     * @param utility the member's utility, from 0 to 1; 0 where none was known
+     * @param layoutVersion version of the layout in force
+     * @param utility the member's utility, from 0 to 1; 0 if it was unknown
      */
     record Created(
             long id,
@@ -33,14 +33,14 @@
         }
     }
 
-    /** The migration has entered this state. */
+    /** The migration entered this state. */
     record StateEntered(long id, MigrationState state, Duration at) implements MigrationRecord {}
 
-    /** Both replicas of a move's slice are equal. */
+    /** The replicas of a move's slice at source and target were found equal. */
     record MoveVerified(long id, long moveId, String digest) implements MigrationRecord {}
 
     /**
-     * A checkpoint is open, for this version of the layout and this digest over what was verified.
+     * A checkpoint was opened for this layout version and this digest over the verified moves.
      */
     record CheckpointOpened(long id, long layoutVersion, String digest, Duration at)
             implements MigrationRecord {}
@@ -48,17 +48,20 @@
     /** An operator passed the open checkpoint. */
     record CheckpointPassed(long id, Duration at) implements MigrationRecord {}
 
-    /** The migration is paused; operators are shown the detail. */
+    /** The migration was paused; the detail describes the pause for operators. */
     record Paused(long id, PauseReason reason, String detail, Duration at)
             implements MigrationRecord {}
 
     /** An operator resumed the migration. */
     record Resumed(long id, Duration at) implements MigrationRecord {}
 
-    /** The migration is being rolled back. */
+    /** The rollback of the migration was started. */
     record RollbackStarted(long id, String reason, Duration at) implements MigrationRecord {}
 
-    /** All of one migration; null where there is no pause, no checkpoint or no rollback. */
+    /**
+     * The complete state of a migration. The fields of the pause, the checkpoints and the rollback
+     * are null if there is none.
+     */
     record Snapshot(
             long id,
             String member,
--- a/src/main/java/postbeam/migration/MigrationState.java
+++ b/src/main/java/postbeam/migration/MigrationState.java
@@ -1,33 +1,33 @@
 package postbeam.migration;
 
 /**
- * The states of a migration. Up to SWITCH_CHECKPOINT the old side serves, from OBSERVING on the new
- * one.
+ * The states of a migration. Up to {@link #SWITCH_CHECKPOINT} the sources of its transfers serve
+ * the slices, from {@link #OBSERVING} on the targets do.
  */
 public enum MigrationState {
-    /** Waits until the limits allow it to start. */
+    /** Waits until the limit on active migrations allows it to start. */
     PLANNED("PLANNED"),
-    /** Targets copy their slices, in batches. */
+    /** The targets copy their slices, in batches. */
     COPYING("COPYING"),
-    /** All targets hold all of their slices and are kept up to date. */
+    /** All targets hold complete copies of their slices and keep them up to date. */
     CAUGHT_UP("CAUGHT_UP"),
-    /** The replicas of both sides are compared. */
+    /** The replicas at sources and targets are compared. */
     VERIFYING("VERIFYING"),
-    /** Waits for an operator before the switch. */
+    /** Waits for an operator's approval of the switch to the targets. */
     SWITCH_CHECKPOINT("CHECKPOINT"),
-    /** Each slice is fenced at its old holder and cut over to the new one. */
+    /** Each slice is fenced at its source and cut over to its target. */
     SWITCHING("SWITCHING"),
-    /** The new side serves; the old holders are fenced and keep their data. */
+    /** The targets serve; the sources are fenced and keep their data. */
     OBSERVING("WATCHED"),
-    /** Waits for an operator before the old side is dropped. */
+    /** Waits for an operator's approval to drop the data at the sources. */
     RETIREMENT_CHECKPOINT("LAST_CHECKPOINT"),
-    /** The old side is being dropped: no rollback any more. */
+    /** The sources drop their data; a rollback is no longer possible. */
     RETIRING("RETIRING"),
-    /** Over: the new side serves. */
+    /** Final: the targets serve. */
     RETIRED("RETIRED"),
-    /** On the way to what was served before. */
+    /** The slices are handed back to their sources. */
     ROLLING_BACK("ROLLING_BACK"),
-    /** Over: the old side serves. */
+    /** Final: the sources serve. */
     ROLLED_BACK("ROLLED_BACK");
 
     private final String wireName;
@@ -36,12 +36,12 @@
         this.wireName = wireName;
     }
 
-    /** Its name in texts for operators; does not change when a constant is renamed. */
+    /** The name in texts for operators, which stays the same when a constant is renamed. */
     public String wireName() {
         return wireName;
     }
 
-    /** Whether the migration is over. */
+    /** Whether the migration has ended. */
     public boolean isFinal() {
         return this == RETIRED || this == ROLLED_BACK;
     }
--- a/src/main/java/postbeam/migration/MigrationStateMachine.java
+++ b/src/main/java/postbeam/migration/MigrationStateMachine.java
@@ -7,7 +7,7 @@
 import postbeam.slices.Move;
 import postbeam.slices.MoveState;
 
-/** Takes one migration from state to state, and pauses it where it must not go on. */
+/** Advances one migration through its states, and pauses it if there is a reason to. */
 final class MigrationStateMachine {
     private final TransferProgress progress;
     private final MigrationJournalState journalState;
@@ -17,7 +17,10 @@
     private final SwitchConditions conditions;
     private final MigrationLimits limits;
 
-    /** The layout that all routers must acknowledge, by migration. */
+    /**
+     * By migration id, the version of the layout that all routers must acknowledge to end the
+     * switch.
+     */
     private final Map<Long, Long> versionToAcknowledge = new HashMap<>();
 
     MigrationStateMachine(
@@ -37,7 +40,7 @@
         this.limits = limits;
     }
 
-    /** Takes steps as long as the migration enters another state. */
+    /** Takes steps until one leaves the migration in its state or ends it. */
     void advance(ActionBatch batch, Migration migration, Duration now) {
         MigrationState before;
         do {
@@ -46,7 +49,7 @@
         } while (migration.state() != before && !migration.state().isFinal());
     }
 
-    /** Forgets what was kept for migrations that are over. */
+    /** Removes the data of migrations that have ended. */
     void retainActive() {
         versionToAcknowledge.keySet().removeIf(id -> journalState.findActive(id).isEmpty());
     }
@@ -81,7 +84,7 @@
             case RETIRING -> retire(batch, migration, now);
             case ROLLING_BACK -> rollBack(batch, migration, now);
             default -> {
-                // RETIREMENT_CHECKPOINT waits for an operator; the others are final.
+                // RETIREMENT_CHECKPOINT waits for an operator; RETIRED and ROLLED_BACK are final.
             }
         }
     }
@@ -157,8 +160,8 @@
     }
 
     /**
-     * Abandons a move to the new side; verifies one to the old side, which the coordinator then
-     * lets go on.
+     * Abandons a move to the target. Verifies a move back to the source, which the coordinator
+     * advances once it is verified.
      */
     private void rollBackMove(
             ActionBatch batch,
--- a/src/main/java/postbeam/migration/MigrationThrottle.java
+++ b/src/main/java/postbeam/migration/MigrationThrottle.java
@@ -6,9 +6,9 @@
 import java.util.TreeMap;
 
 /**
- * Limits how soon the next copy may start, over all migrations: each copy takes the time that its
- * move and its bytes cost at the configured rates, and none starts before that is over. Counts the
- * bytes by member, for a fair order.
+ * Limits the rate at which copies start, over all migrations. After the start of a copy, the next
+ * one may start once the time has passed that one move or the copy's bytes take at the configured
+ * rates, whichever is longer. Also counts the bytes by member, which gives a fair order of members.
  */
 final class MigrationThrottle {
     private static final double NANOS_PER_SECOND = 1e9;
@@ -27,19 +27,19 @@
         return now.compareTo(nextStartAt) >= 0;
     }
 
-    /** A copy of so many bytes starts for this member. */
+    /** Records the start of a copy of this size for the member. */
     void onCopyStarted(String member, long bytes, Duration now) {
         double seconds = Math.max(1 / movesPerSecond, bytes / bytesPerSecond);
         nextStartAt = now.plusNanos((long) (seconds * NANOS_PER_SECOND));
         copiedBytes.merge(member, Math.max(1, bytes), Long::sum);
     }
 
-    /** Bytes that the member's copies have taken; 0 for one that has not copied yet. */
+    /** Bytes of the member's copies; 0 if none has started. An empty copy counts as one byte. */
     long copiedBytes(String member) {
         return copiedBytes.getOrDefault(member, 0L);
     }
 
-    /** Forgets all other members. */
+    /** Removes the counts of all other members. */
     void retainMembers(Set<String> members) {
         copiedBytes.keySet().retainAll(members);
     }
--- a/src/main/java/postbeam/migration/MovePlanner.java
+++ b/src/main/java/postbeam/migration/MovePlanner.java
@@ -9,8 +9,8 @@
 import postbeam.slices.MoveState;
 
 /**
- * Plans the moves that a migration still lacks, as its batch size and the throttle over all
- * migrations allow.
+ * Plans the moves that a migration still needs, within the limit on its concurrent copies and the
+ * throttle over all migrations.
  */
 final class MovePlanner {
     private final Coordinator coordinator;
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Plans moves, or requests the sizes of their slices; pauses the migration where neither can be
-     * done.
+     * Plans moves whose slice size is known and requests the sizes of other slices. Pauses the
+     * migration if a move can't be planned, or if no holder reports a size within the stall timeout.
      */
     void planMissingMoves(ActionBatch batch, Migration migration, Duration now) {
         long copying = copiesInProgress(migration);
@@ -65,7 +65,11 @@
                         new MigrationRecord.Paused(
                                 migration.id,
                                 PauseReason.STALLED,
-                                "no holder says what slice " + transfer.slice() + " weighs",
+                                "no holder reported the size of slice "
+                                        + transfer.slice()
+                                        + " within "
+                                        + limits.stallTimeout().toMillis()
+                                        + " ms",
                                 now));
                 return;
             }
@@ -88,12 +92,12 @@
         return !atDestination && progress.activeMove(transfer).isEmpty();
     }
 
-    /** Bytes that the member's copies have taken since it has had a migration that is not over. */
+    /** Bytes of the member's copies, counted since it has had an active migration. */
     long copiedBytes(String member) {
         return throttle.copiedBytes(member);
     }
 
-    /** Forgets all other members. */
+    /** Removes the counts of all other members. */
     void retainMembers(Set<String> members) {
         throttle.retainMembers(members);
     }
--- a/src/main/java/postbeam/migration/MoveVerifier.java
+++ b/src/main/java/postbeam/migration/MoveVerifier.java
@@ -8,8 +8,8 @@
 import postbeam.slices.Move;
 
 /**
- * Compares the replicas of moves; the comparisons are lost with the process and start anew in its
- * successor.
+ * Compares the replicas of moves at source and target. The comparisons are kept in memory only and
+ * start from the beginning after a restart.
  */
 final class MoveVerifier {
     private final MigrationLimits limits;
@@ -23,7 +23,7 @@
         this.conditions = conditions;
     }
 
-    /** Continues the comparison; true once both replicas are equal. */
+    /** Continues the comparison of the move's replicas; returns true once they are equal. */
     boolean verify(ActionBatch batch, Migration migration, Move move, Duration now) {
         if (conditions.isVerified(migration, move)) {
             return true;
@@ -60,12 +60,12 @@
         return Optional.ofNullable(comparisons.get(move.id));
     }
 
-    /** Ends the comparison of the move; the next one starts from nothing. */
+    /** Removes the comparison of the move; the next one starts from the beginning. */
     Optional<ReplicaComparison> discard(Move move) {
         return Optional.ofNullable(comparisons.remove(move.id));
     }
 
-    /** Forgets the comparisons of moves that are over. */
+    /** Removes the comparisons of moves that have ended. */
     void retainActive(TransferProgress progress) {
         comparisons.keySet().removeIf(moveId -> !progress.isMoveActive(moveId));
     }
--- a/src/main/java/postbeam/migration/PauseDetector.java
+++ b/src/main/java/postbeam/migration/PauseDetector.java
@@ -11,11 +11,11 @@
 import postbeam.slices.Slice;
 
 /**
- * Finds out why a migration must pause. Keeps what it is told of node starts and members'
- * utilities, and since when a move's target lags; none of it outlives the process.
+ * Detects reasons for which a migration must pause. Keeps the start times of nodes, the utilities
+ * of members and the times since which targets of moves lag; all of these are lost on a restart.
  */
 final class PauseDetector {
-    /** Members whose utility is kept. */
+    /** Maximum number of members whose utility is kept; updates of further members are ignored. */
     private static final int MAX_MEMBERS = 1000;
 
     private final TransferProgress progress;
@@ -26,7 +26,7 @@
     private final Map<String, Duration> nodeStartedAt = new HashMap<>();
     private final Map<String, Double> utilityByMember = new LinkedHashMap<>();
 
-    /** Since when a move's target has not confirmed that it is kept up to date. */
+    /** By move id, the time since which the target has not confirmed that it is up to date. */
     private final Map<Long, Duration> laggingSince = new HashMap<>();
 
     PauseDetector(
@@ -55,24 +55,24 @@
         }
     }
 
-    /** The member's utility, from 0 to 1; 0 where none is known. */
+    /** The member's utility, from 0 to 1; 0 if it is unknown. */
     double utilityOf(String member) {
         return utilityByMember.getOrDefault(member, 0.0);
     }
 
-    /** Ends the move's lag; true where it was lagging. */
+    /** Clears the lag of the move's target; returns whether it was lagging. */
     boolean clearLag(Move move) {
         return laggingSince.remove(move.id) != null;
     }
 
-    /** Forgets the lag of moves that are over. */
+    /** Removes the lag of moves that have ended. */
     void retainActive() {
         laggingSince.keySet().removeIf(moveId -> !progress.isMoveActive(moveId));
     }
 
-    // ---- reasons that last, whatever an operator orders
+    // ---- reasons that a resume does not clear
 
-    /** A reason that keeps a migration paused as long as it lasts. */
+    /** A reason that keeps the migration paused while its condition holds; empty if none does. */
     Optional<MigrationRecord.Paused> persistentReason(Migration migration, Duration now) {
         if (migration.state() == MigrationState.PLANNED || !migration.state().allowsRollback()) {
             return Optional.empty();
@@ -91,8 +91,8 @@
     private Optional<MigrationRecord.Paused> tooFewReplicas(
             Migration migration, SliceTransfer transfer, Duration now) {
         Slice slice = progress.currentLayout().slice(transfer.slice());
-        // A node that was never listed counts as ready: a successor knows none before its first
-        // list.
+        // A node that was never listed counts as ready: after a restart no node is known until the
+        // first node list arrives.
         long ready =
                 slice.nodes().stream()
                         .filter(node -> !progress.isKnown(node) || progress.isReady(node))
@@ -103,7 +103,7 @@
         return paused(
                 migration,
                 PauseReason.TOO_FEW_READY_REPLICAS,
-                "slice " + transfer.slice() + " has " + ready + " ready holders",
+                "slice " + transfer.slice() + " has " + ready + " ready holders, at least 2 are needed",
                 now);
     }
 
@@ -116,7 +116,11 @@
         return paused(
                 migration,
                 PauseReason.TARGET_WARMING_UP,
-                "target " + transfer.target() + " is cold",
+                "target "
+                        + transfer.target()
+                        + " is warming up, for "
+                        + limits.warmUpPeriod().toMillis()
+                        + " ms after its start",
                 now);
     }
 
@@ -130,16 +134,18 @@
                 PauseReason.UTILITY_DROPPED,
                 "utility of "
                         + migration.member
-                        + " fell to "
+                        + " fell from "
+                        + migration.initialUtility
+                        + " to "
                         + utility
-                        + " from "
-                        + migration.initialUtility,
+                        + ", below the minimum ratio of "
+                        + limits.minUtilityRatio(),
                 now);
     }
 
     // ---- reasons that a resume clears
 
-    /** A reason that no longer counts once an operator has resumed the migration. */
+    /** A reason that an operator clears by resuming the migration; empty if there is none. */
     Optional<MigrationRecord.Paused> transientReason(Migration migration, Duration now) {
         for (SliceTransfer transfer : migration.transfers) {
             Optional<MigrationRecord.Paused> reason =
@@ -186,9 +192,9 @@
                                 paused(
                                         migration,
                                         PauseReason.DIGEST_MISMATCH,
-                                        "slice "
+                                        "the replicas of slice "
                                                 + transfer.slice()
-                                                + " differs, keys "
+                                                + " differ, keys "
                                                 + String.join("; ", comparison.differences()),
                                         now));
     }
@@ -203,13 +209,14 @@
         return paused(
                 migration,
                 PauseReason.STALLED,
-                "slice "
+                "copying, updating or comparing slice "
                         + transfer.slice()
-                        + " is not copied, kept up to date or "
-                        + "compared at "
+                        + " at "
                         + move.destinations.get(0).node()
-                        + " since "
+                        + " made no progress for "
                         + idle.toMillis()
+                        + " ms, the limit is "
+                        + limits.stallTimeout().toMillis()
                         + " ms",
                 now);
     }
@@ -222,10 +229,11 @@
         }
     }
 
-    /** Since when the move has made no progress; {@code now} where nothing is expected of it. */
+    /** The time of the move's last progress; {@code now} if no progress is expected of it. */
     private Duration lastProgressAt(Migration migration, Move move, Duration now) {
         if (move.state() == MoveState.COPYING) {
-            // A successor gives copies that stood still without a coordinator their time again.
+            // The stall timeout of a copy starts again after a restart, because copies make no
+            // progress without a coordinator.
             return later(createdAt, later(move.stateSince(), migration.since()));
         }
         Duration lagging = laggingSince.get(move.id);
--- a/src/main/java/postbeam/migration/PauseReason.java
+++ b/src/main/java/postbeam/migration/PauseReason.java
@@ -4,15 +4,15 @@
 public enum PauseReason {
     /** An operator paused it. */
     OPERATOR("OPERATOR"),
-    /** A target started a short while ago. */
+    /** A target started less than the warm-up period ago. */
     TARGET_WARMING_UP("TARGET_COLD"),
-    /** A slice has at most one ready holder. */
+    /** A slice with several holders has fewer than two that are ready. */
     TOO_FEW_READY_REPLICAS("SHARD_THIN"),
-    /** The member's utility fell below the limit. */
+    /** The member's utility fell below the minimum ratio of its initial utility. */
     UTILITY_DROPPED("UTILITY_FELL"),
-    /** A copy, or an answer about one, takes too long. */
+    /** A copy, a comparison or a size request made no progress within the stall timeout. */
     STALLED("STARVED"),
-    /** The two replicas of a slice differ. */
+    /** The replicas of a slice at source and target differ. */
     DIGEST_MISMATCH("DIFFERS"),
     /** A move was abandoned, or can't be planned. */
     MOVE_FAILED("MOVE_FAILED");
@@ -23,7 +23,7 @@
         this.wireName = wireName;
     }
 
-    /** Its name in texts for operators; does not change when a constant is renamed. */
+    /** The name in texts for operators, which stays the same when a constant is renamed. */
     public String wireName() {
         return wireName;
     }
--- a/src/main/java/postbeam/migration/ReplicaComparison.java
+++ b/src/main/java/postbeam/migration/ReplicaComparison.java
@@ -9,36 +9,38 @@
 import postbeam.slices.KeyRange;
 
 /**
- * Compares two nodes' replicas of a slice by digests of key ranges: requests from both nodes the
- * same ranges, drops those that match, requests again where writes were under way, and splits those
- * that go on to differ. A mismatch counts only once it has shown several times with the source
- * unchanged: rows that arrive in between, or in another order, are none.
+ * Compares two nodes' replicas of a slice by digests of key ranges: requests the same ranges from
+ * both nodes, drops ranges that match, requests ranges with pending writes again, and splits ranges
+ * that keep differing. A mismatch counts only after several consecutive rounds with the source
+ * unchanged, because rows that arrive between two responses or in another order are not a
+ * difference.
  */
 final class ReplicaComparison {
-    /** Ranges that a range is split into. */
+    /** Number of parts that a range is split into. */
     private static final int SPLIT_COUNT = 8;
 
     /**
-     * Differing ranges after which the comparison ends: enough to see where the replicas differ.
+     * Number of differing ranges after which the comparison ends: enough to show where the
+     * replicas differ.
      */
     private static final int MAX_DIFFERENCES = 16;
 
-    /** Ranges that are compared at once. */
+    /** Maximum number of ranges that are compared at the same time. */
     private static final int MAX_OPEN_RANGES = 256;
 
-    /** Rounds after which a range that is always being written to is split. */
+    /** Number of rounds without a match after which a range with constant writes is split. */
     private static final int ROUNDS_BEFORE_SPLIT = 12;
 
-    /** What is known of a range that has not matched yet. */
+    /** State of a range that has not matched yet. */
     private static final class UnmatchedRange {
         private RangeDigest lastSourceDigest;
 
-        /** Mismatches in a row with the source unchanged. */
+        /** Number of consecutive mismatches with the source unchanged. */
         private int mismatches;
 
         private int rounds;
 
-        /** A round in which the replicas did not match. */
+        /** Records a round in which the replicas did not match. */
         void onMismatch(RangeDigest sourceDigest, RangeDigest targetDigest) {
             rounds++;
             boolean noPendingWrites =
@@ -62,15 +64,17 @@
     /** Descriptions of the ranges that differ. */
     private final Map<KeyRange, String> differences = new LinkedHashMap<>();
 
-    /** Of the open request; 0 where there is none. */
+    /** Id of the open request; 0 if there is none. */
     private long requestId;
 
     private Duration requestedAt;
 
-    /** The answers to the open request; null where one has not come. */
+    /** The source's response to the open request by range; null until it arrives. */
     private Map<KeyRange, RangeDigest> sourceDigests;
 
+    /** The target's response to the open request by range; null until it arrives. */
     private Map<KeyRange, RangeDigest> targetDigests;
+
     private Duration lastProgressAt;
 
     ReplicaComparison(
@@ -96,7 +100,10 @@
         }
     }
 
-    /** Requests to both nodes under this id, unless the last ones were sent a short while ago. */
+    /**
+     * Returns requests to both nodes under this id; none if the comparison is finished or the last
+     * requests were sent less than the request interval ago.
+     */
     List<MigrationAction.RequestDigests> nextRequests(long nextRequestId, Duration now) {
         if (isFinished() || isRequestPending(now)) {
             return List.of();
@@ -106,7 +113,7 @@
         sourceDigests = null;
         targetDigests = null;
         List<KeyRange> ranges = unmatchedRanges.keySet().stream().limit(MAX_OPEN_RANGES).toList();
-        // One id for both, so that an answer to an earlier request counts no more.
+        // Both requests share one id, so that responses to earlier requests are ignored.
         return List.of(
                 new MigrationAction.RequestDigests(requestId, source, slice, ranges),
                 new MigrationAction.RequestDigests(requestId, target, slice, ranges));
@@ -118,7 +125,8 @@
     }
 
     /**
-     * Takes over a node's answer, if it is one to the open request; compares once both have come.
+     * Handles a node's response if it belongs to the open request, and compares the replicas once
+     * both nodes have responded.
      */
     void onRangeDigests(long answeredRequestId, String node, List<RangeDigest> digests, Duration now) {
         if (answeredRequestId != requestId || isFinished()) {
@@ -162,7 +170,7 @@
         } else if (unmatched.rounds >= ROUNDS_BEFORE_SPLIT
                 && range.size() > limits.minRangeSize()
                 && canSplit()) {
-            // Where writes are always under way, smaller ranges have their quiet moments.
+            // Under constant writes, smaller ranges are more often without pending writes.
             unmatchedRanges.remove(range);
             addParts(range);
         }
@@ -192,7 +200,7 @@
         return unmatchedRanges.size() + SPLIT_COUNT <= MAX_OPEN_RANGES;
     }
 
-    /** Whether all ranges are compared, or enough of them differ. */
+    /** Whether all ranges are compared, or {@link #MAX_DIFFERENCES} of them differ. */
     boolean isFinished() {
         return unmatchedRanges.isEmpty() || differences.size() >= MAX_DIFFERENCES;
     }
@@ -202,17 +210,20 @@
         return unmatchedRanges.isEmpty() && differences.isEmpty();
     }
 
-    /** The ranges that differ, one text each; empty while none is found. */
+    /** Descriptions of the ranges that differ; empty while no difference is confirmed. */
     List<String> differences() {
         return List.copyOf(differences.values());
     }
 
-    /** When a range last matched, differed or was split. */
+    /** When the number of unmatched ranges last changed, or the comparison started. */
     Duration lastProgressAt() {
         return lastProgressAt;
     }
 
-    /** Over all that matched. The journal holds it: the form stays. */
+    /**
+     * A digest over the ranges that matched. The journal stores it, so the digested text must keep
+     * its format.
+     */
     String digest() {
         return Digests.sha256(
                 matchedRanges.entrySet().stream()
@@ -227,7 +238,7 @@
                         .collect(Collectors.joining()));
     }
 
-    /** As written in digests on disk and in texts for operators. */
+    /** The text of a range in stored digests and in texts for operators. */
     private static String format(KeyRange range) {
         return range.from() + "-" + range.to();
     }
--- a/src/main/java/postbeam/migration/RequestIds.java
+++ b/src/main/java/postbeam/migration/RequestIds.java
@@ -1,8 +1,8 @@
 package postbeam.migration;
 
 /**
- * Numbers the requests to nodes, so that a late answer to an earlier request is recognised as such.
- * One sequence is shared by all that send requests.
+ * Assigns ids to requests to nodes, so that a late response to an earlier request is recognized.
+ * All senders of requests share one sequence.
  */
 final class RequestIds {
     private long last;
--- a/src/main/java/postbeam/migration/RouterAcknowledgements.java
+++ b/src/main/java/postbeam/migration/RouterAcknowledgements.java
@@ -6,15 +6,16 @@
 import java.util.Map;
 
 /**
- * Which layout each router has acknowledged, and until when it may still use an older one. A
- * router's lease runs from its request, by its own clock; here it is counted from the response,
- * which is later. Times are spans since 1970.
+ * Tracks which layout version each router has acknowledged, and until when it may still use an
+ * older one. A router counts its lease from its request, by its own clock; here the lease is counted
+ * from the response, which is later and thus on the safe side. Times are durations since the Unix
+ * epoch.
  */
 public final class RouterAcknowledgements {
-    /** Routers that are kept; one that finds no room counts as unknown. */
+    /** Maximum number of routers that are tracked; further routers count as unknown. */
     private static final int MAX_ROUTERS = 4096;
 
-    /** The version of a router that holds no layout: it holds no old one either. */
+    /** Version of a router that holds no layout, and therefore no outdated one. */
     private static final long NO_LAYOUT = Long.MAX_VALUE;
 
     private static final class RouterStatus {
@@ -29,21 +30,22 @@
     private final Duration leaseWithDrift;
     private final Map<String, RouterStatus> routers = new LinkedHashMap<>();
 
-    /** Until then there may be routers with a lease that are not known here. */
+    /** Until this time, routers that are not tracked may hold a lease. */
     private Duration unknownRoutersUntil;
 
     /**
-     * Before the start other processes may have answered routers.
+     * Starts without known routers. Other processes may have granted leases before, so that all
+     * routers count as unknown until a lease from {@code createdAt} has expired.
      *
-     * @param routerLease how long a router may use a layout after it asked for it
-     * @param clockDrift by which two clocks may differ over a lease
+     * @param routerLease how long a router may use a layout after it requested it
+     * @param clockDrift the most by which two clocks may differ over the time of a lease
      */
     public RouterAcknowledgements(Duration routerLease, Duration clockDrift, Duration createdAt) {
         this.leaseWithDrift = routerLease.plus(clockDrift);
         this.unknownRoutersUntil = createdAt.plus(leaseWithDrift);
     }
 
-    /** A router asks for a layout and holds this version; 0 where it holds none. */
+    /** Handles a router's request for a layout; it holds this version, or none if it is 0. */
     public void onRequest(String router, long version, Duration now) {
         RouterStatus status = routers.get(router);
         if (status == null) {
@@ -58,8 +60,8 @@
     }
 
     /**
-     * A router is answered with this version; it holds that or, where the response is lost, what it
-     * held.
+     * Handles a response with this version to a router. The router then holds this version or, if
+     * the response is lost, the one that it held before; the older of both counts.
      */
     public void onResponse(String router, long version, Duration now) {
         RouterStatus status = routers.get(router);
@@ -79,7 +81,7 @@
                 && routers.values().stream().noneMatch(status -> mayUseOlder(status, version, now));
     }
 
-    /** Names of the routers that may still use an older version. */
+    /** Names of the tracked routers that may still use a version older than this one. */
     public List<String> routersBehind(long version, Duration now) {
         return routers.entrySet().stream()
                 .filter(entry -> mayUseOlder(entry.getValue(), version, now))
--- a/src/main/java/postbeam/migration/SliceSizes.java
+++ b/src/main/java/postbeam/migration/SliceSizes.java
@@ -8,8 +8,8 @@
 import postbeam.slices.Slice;
 
 /**
- * Requests from holders how many bytes a copy of a slice takes, and keeps each answer until the
- * copy starts.
+ * Requests the sizes of slices, in bytes of a copy, from their holders and keeps each size until
+ * the copy starts.
  */
 final class SliceSizes {
     private final TransferProgress progress;
@@ -26,7 +26,7 @@
         this.requestIds = requestIds;
     }
 
-    /** Takes the slice's size in bytes, if it is known; the next copy requests it anew. */
+    /** Removes and returns the slice's size in bytes, if known; the next copy needs a new one. */
     Optional<Long> take(int slice) {
         Long bytes = bytesBySlice.remove(slice);
         if (bytes != null) {
@@ -35,7 +35,7 @@
         return Optional.ofNullable(bytes);
     }
 
-    /** Requests the size from a holder, unless a request was sent a short while ago. */
+    /** Requests the size from a holder, unless the request interval has not passed yet. */
     void request(ActionBatch batch, int slice, Duration now) {
         Duration last = lastRequestedAt.get(slice);
         if (last != null && now.minus(last).compareTo(limits.requestInterval()) < 0) {
@@ -46,7 +46,7 @@
         List<String> holders = requested.nodes();
         String holder =
                 holders.stream().filter(progress::isReady).findFirst().orElse(holders.get(0));
-        // Answers to earlier requests for the slice no longer count.
+        // Responses to earlier requests for the slice are ignored from here on.
         sliceByRequest.values().removeIf(other -> other == slice);
         long requestId = requestIds.next();
         sliceByRequest.put(requestId, slice);
@@ -55,7 +55,10 @@
                         requestId, holder, slice, List.of(requested.keys())));
     }
 
-    /** Whether no holder has answered for the stall timeout, which starts again then. */
+    /**
+     * Whether no holder has responded within the stall timeout. The timeout starts with the first
+     * call, and with the first call after it expired.
+     */
     boolean hasTimedOut(int slice, Duration now) {
         Duration first = firstRequestedAt.putIfAbsent(slice, now);
         if (first == null || now.minus(first).compareTo(limits.stallTimeout()) <= 0) {
@@ -65,7 +68,7 @@
         return true;
     }
 
-    /** Takes over an answer; false where the request was not one for a size. */
+    /** Handles a response; returns false if it does not belong to an open size request. */
     boolean onRangeDigests(long requestId, List<RangeDigest> digests) {
         Integer slice = sliceByRequest.remove(requestId);
         if (slice == null) {
--- a/src/main/java/postbeam/migration/SliceTransfer.java
+++ b/src/main/java/postbeam/migration/SliceTransfer.java
@@ -3,19 +3,19 @@
 import postbeam.slices.LayoutChange;
 
 /**
- * One slice of a member that goes from one node to another.
+ * The transfer of one of a member's slices from one node to another.
  *
- * @param slice its number in the layout
- * @param source the node that gives it up
- * @param target the node that takes it
+ * @param slice the slice's number in the layout
+ * @param source the node that gives the slice up
+ * @param target the node that takes the slice over
  */
 public record SliceTransfer(int slice, String source, String target) {
-    /** The change that hands the slice to the target. */
+    /** The layout change that hands the slice to the target. */
     public LayoutChange.Transfer forwardChange() {
         return new LayoutChange.Transfer(slice, source, target);
     }
 
-    /** The change that hands the slice back to the source. */
+    /** The layout change that hands the slice back to the source. */
     public LayoutChange.Transfer reverseChange() {
         return new LayoutChange.Transfer(slice, target, source);
     }
@@ -24,7 +24,7 @@
         return change.equals(forwardChange());
     }
 
-    /** Whether the change is this transfer, in either direction. */
+    /** Whether the change is this transfer in either direction. */
     boolean matches(LayoutChange change) {
         return isForward(change) || change.equals(reverseChange());
     }
--- a/src/main/java/postbeam/migration/SwitchConditions.java
+++ b/src/main/java/postbeam/migration/SwitchConditions.java
@@ -3,11 +3,11 @@
 import java.time.Duration;
 import postbeam.slices.Move;
 
-/** What must hold before the new side takes over from the old one. */
+/** Conditions for the switch from the sources of a migration to its targets. */
 interface SwitchConditions {
-    /** Whether both replicas of the move's slice have been found equal. */
+    /** Whether the replicas of the move's slice at source and target were found equal. */
     boolean isVerified(Migration migration, Move move);
 
-    /** Whether no router can use a layout older than this version any more. */
+    /** Whether no router can still use a layout older than this version. */
     boolean allRoutersAcknowledged(long layoutVersion, Duration now);
 }
--- a/src/main/java/postbeam/migration/TransferProgress.java
+++ b/src/main/java/postbeam/migration/TransferProgress.java
@@ -10,9 +10,9 @@
 import postbeam.slices.TargetLayout;
 
 /**
- * How far the slice transfers of migrations have got. It reads the coordinator's state and has none
- * of its own: which move belongs to a transfer follows from the move's change, so a restarted
- * process goes on from the journal alone.
+ * Determines the progress of slice transfers from the coordinator's state. It has no state of its
+ * own: the move of a transfer is found by the move's layout change, so that a restarted process
+ * continues from the journal alone.
  */
 final class TransferProgress {
     private final Coordinator coordinator;
@@ -27,7 +27,7 @@
         return coordinator.state().layout();
     }
 
-    /** The move under way on the transfer's slice. */
+    /** The active move of the transfer's slice, in either direction; empty if there is none. */
     Optional<Move> activeMove(SliceTransfer transfer) {
         return coordinator.state().activeMoves().stream()
                 .filter(move -> move.change.slices().contains(transfer.slice()))
@@ -43,16 +43,18 @@
         return currentLayout().slice(transfer.slice()).heldBy(transfer.target());
     }
 
-    /** Whether the target has all of the slice and keeps it up to date. */
+    /** Whether the target has copied the whole slice and keeps it up to date. */
     boolean isCaughtUp(SliceTransfer transfer) {
         return activeMove(transfer).filter(this::isCaughtUp).isPresent();
     }
 
+    /** Whether the destinations have copied the whole slice and keep it up to date. */
     boolean isCaughtUp(Move move) {
         return move.state() == MoveState.REPLICATING
                 && coordinator.destinationsAcknowledged(move, HandoffCommand.HOLD);
     }
 
+    /** Whether each transfer is caught up or already cut over. */
     boolean isCaughtUp(Migration migration) {
         return migration.transfers.stream()
                 .allMatch(transfer -> isCutOver(transfer) || isCaughtUp(transfer));
@@ -66,7 +68,7 @@
         return migration.transfers.stream().anyMatch(transfer -> activeMove(transfer).isPresent());
     }
 
-    /** Whether a transfer that is not cut over has no move, or one that is being abandoned. */
+    /** Whether a transfer that is not cut over has no active move, or an abandoned one. */
     boolean hasLostMove(Migration migration) {
         return migration.transfers.stream().anyMatch(this::hasLostMove);
     }
@@ -79,7 +81,7 @@
         return move.isEmpty() || move.get().state() == MoveState.ABANDONING;
     }
 
-    /** The migration that the move is a part of. */
+    /** The active migration that the move belongs to; empty if there is none. */
     Optional<Migration> migrationOf(Move move) {
         int slice = move.change.slices().get(0);
         return journalState
@@ -94,11 +96,12 @@
         return info != null && info.readiness() == Readiness.READY;
     }
 
-    /** Whether the node was listed; a successor knows none before it receives the first list. */
+    /** Whether the node was listed; after a restart none is known before the first node list. */
     boolean isKnown(String node) {
         return coordinator.nodeInfo(node) != null;
     }
 
+    /** Whether the move is neither cut over nor already being abandoned. */
     static boolean isAbandonable(Move move) {
         return !move.isCutOver() && move.state() != MoveState.ABANDONING;
     }
--- a/src/test/java/postbeam/migration/MigrationCommandsTest.java
+++ b/src/test/java/postbeam/migration/MigrationCommandsTest.java
@@ -11,7 +11,7 @@
 import postbeam.model.Readiness;
 import postbeam.slices.LayoutChange;
 
-/** Each command that can't be carried out has an error of its own. */
+/** Each reason for which a command is rejected has its own type of error. */
 class MigrationCommandsTest {
     private static final Checkpoint UNKNOWN_CHECKPOINT = new Checkpoint(1, "x");
 
@@ -46,8 +46,8 @@
         assertEquals(
                 new MigrationError.StaleCheckpoint(1, UNKNOWN_CHECKPOINT, open),
                 errorOf(() -> scenario.manager.passCheckpoint(1, UNKNOWN_CHECKPOINT, scenario.now)));
-        scenario.pause(1, "lunch");
-        assertEquals(new MigrationError.MigrationPaused(1, "lunch"), errorOf(() -> scenario.passCheckpoint(1)));
+        scenario.pause(1, "maintenance");
+        assertEquals(new MigrationError.MigrationPaused(1, "maintenance"), errorOf(() -> scenario.passCheckpoint(1)));
         scenario.resume(1);
         scenario.passCheckpoint(1);
         assertEquals(
@@ -59,9 +59,9 @@
     void pauseOfPausedAndResumeOfRunningMigrationFail() throws Exception {
         scenario.createMigration("acme", SLICE_0_A_TO_E);
         assertEquals(new MigrationError.NotPaused(1), errorOf(() -> scenario.resume(1)));
-        scenario.pause(1, "lunch");
+        scenario.pause(1, "maintenance");
         assertEquals(
-                new MigrationError.MigrationPaused(1, "lunch"),
+                new MigrationError.MigrationPaused(1, "maintenance"),
                 errorOf(() -> scenario.pause(1, "again")));
     }
 
@@ -69,7 +69,7 @@
     void resumeFailsWhilePauseReasonPersists() throws Exception {
         scenario.createMigration("acme", SLICE_0_A_TO_E);
         scenario.runFor(Duration.ofSeconds(8));
-        scenario.pause(1, "lunch");
+        scenario.pause(1, "maintenance");
         scenario.setReadiness("b", Readiness.DRAINING);
         scenario.setReadiness("c", Readiness.REMOVED);
         assertInstanceOf(MigrationError.PauseReasonPersists.class, errorOf(() -> scenario.resume(1)));
@@ -90,7 +90,7 @@
                 errorOf(() -> scenario.rollBack(1, "x")));
     }
 
-    /** As above, with one migration through all of it. */
+    /** Repeats the rejected commands of the other tests in the course of one migration. */
     @Test
     void rejectedCommandsDoNotChangeTheMigration() throws Exception {
         scenario.createMigration("acme", SLICE_0_A_TO_E);
@@ -100,7 +100,7 @@
         scenario.runFor(Duration.ofSeconds(8));
         Checkpoint open = scenario.migration(1).openCheckpoint();
         errorOf(() -> scenario.manager.passCheckpoint(1, UNKNOWN_CHECKPOINT, scenario.now));
-        scenario.pause(1, "lunch");
+        scenario.pause(1, "maintenance");
         errorOf(() -> scenario.pause(1, "again"));
         errorOf(() -> scenario.passCheckpoint(1));
         scenario.setReadiness("b", Readiness.DRAINING);
--- a/src/test/java/postbeam/migration/MigrationErrorTextTest.java
+++ b/src/test/java/postbeam/migration/MigrationErrorTextTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import postbeam.samples.SampleFile;
 
-/** Operators see these texts: a change of wording is to be made in the sample too. */
+/** Operators see these messages: a change of wording must be made in the sample file too. */
 class MigrationErrorTextTest {
     private static final Checkpoint REQUESTED = new Checkpoint(4, "ab12");
     private static final Checkpoint OPEN = new Checkpoint(5, "cd34");
@@ -16,13 +16,13 @@
     private static final List<MigrationError> ALL_ERRORS =
             List.of(
                     new MigrationError.NotFound(7),
-                    new MigrationError.InvalidPlan("acme", "it has no hop"),
+                    new MigrationError.InvalidPlan("acme", "the list of hops is empty"),
                     new MigrationError.NoOpenCheckpoint(7, MigrationState.COPYING),
                     new MigrationError.StaleCheckpoint(7, REQUESTED, OPEN),
                     new MigrationError.CheckpointAlreadyPassed(7, REQUESTED),
                     new MigrationError.MigrationPaused(7, "by an operator"),
                     new MigrationError.NotPaused(7),
-                    new MigrationError.PauseReasonPersists(7, "target n3 is cold"),
+                    new MigrationError.PauseReasonPersists(7, "target n3 is warming up"),
                     new MigrationError.RollbackTooLate(7, MigrationState.RETIRING),
                     new MigrationError.MalformedCommand("digest is missing"),
                     new MigrationError.LeadershipLost(3, "a node"),
--- a/src/test/java/postbeam/migration/MigrationIT.java
+++ b/src/test/java/postbeam/migration/MigrationIT.java
@@ -35,10 +35,12 @@
 import postbeam.testbed.verification.InvariantChecker;
 
 /**
- * A member's migration by the built program: services killed at records or stopped and woken, with
- * holds under way.
+ * Runs a member's migration with the packaged program while a router sends side-effecting queries
+ * ("holds"). The layout service is killed after journal appends, or stopped and resumed while a
+ * successor runs; no query may take effect twice.
  */
 class MigrationIT {
+    /** Also the slack of the checker's time rules, which this test is not about. */
     private static final Duration CONDITION_TIMEOUT = Duration.ofSeconds(60);
     private static final Duration QUERY_DEADLINE = Duration.ofSeconds(6);
 
@@ -60,7 +62,8 @@
     @BeforeEach
     void setUp() throws IOException {
         discovery = new FakeDiscovery();
-        // What has run is known to all of them, as if each write went to all who hold its slice.
+        // The nodes share the record of executed queries, as if each write reached all holders of its
+        // slice.
         Map<String, Map<KeyRange, Boolean>> runs = new ConcurrentHashMap<>();
         for (int i = 0; i < 6; i++) {
             FakeDataNode node =
@@ -152,7 +155,7 @@
         return listen;
     }
 
-    /** The status, a space, and what was said; where nobody answers, 0. */
+    /** Returns the status, a space and the body of the response; 0 if there is no response. */
     private String get(String uri) throws InterruptedException {
         try {
             HttpResponse<String> response =
@@ -171,6 +174,7 @@
         return get("http://" + service + "/v1/migrations");
     }
 
+    /** Returns the exit code, a space and the output of a command. */
     private String runLayoutsCommand(String... arguments) throws IOException, InterruptedException {
         List<String> command =
                 new ArrayList<>(List.of("java", "-jar", "target/postbeam.jar", "layouts"));
@@ -182,7 +186,7 @@
         return process.waitFor() + " " + output;
     }
 
-    /** What there is to see, for a test that fails. */
+    /** The migrations and the output of the services, for the message of a failed test. */
     private String diagnostics() {
         try {
             return migrations() + " " + Files.readString(dir.resolve("service.txt"));
@@ -194,12 +198,12 @@
     private void await(Callable<Boolean> condition) throws Exception {
         long end = System.nanoTime() + CONDITION_TIMEOUT.toNanos();
         while (!condition.call()) {
-            assertTrue(System.nanoTime() < end, () -> "the condition did not come; " + diagnostics());
+            assertTrue(System.nanoTime() < end, () -> "the condition did not hold within " + CONDITION_TIMEOUT + "; " + diagnostics());
             Thread.sleep(10);
         }
     }
 
-    /** Sends holds for slices 0 to 3, one after the other, until the test is over. */
+    /** Sends holds for slices 0 to 3, one after the other, until the test ends. */
     private Thread startHoldQueries(String routerAddress) {
         checker.onLayout(Layout.initial(4, List.of("n0", "n1"), 2));
         Thread thread =
@@ -258,8 +262,8 @@
                                     }
                                     Thread.sleep(5);
                                 } catch (IOException | InterruptedException e) {
-                                    // What became of it is not known; the referee still sees
-                                    // whether it runs twice.
+                                    // The outcome is unknown; the checker still detects a query
+                                    // that runs twice.
                                 }
                             }
                         },
@@ -275,7 +279,7 @@
                 checker.violations().stream().filter(line -> line.startsWith("rule 2")).toList());
     }
 
-    /** The checkpoint that is open: version and digest. */
+    /** Waits for an open checkpoint and returns its version and digest. */
     private String[] awaitOpenCheckpoint() throws Exception {
         Matcher[] matcher = new Matcher[1];
         await(
@@ -307,7 +311,8 @@
     }
 
     /**
-     * A plan that hands slices 0 and 1 each from one of their holders to another node of its zone.
+     * Returns a plan that moves slices 0 and 1 each from one of their holders to another node of its
+     * zone.
      */
     private String migrationPlan() throws Exception {
         StringBuilder hops = new StringBuilder();
@@ -338,8 +343,8 @@
     }
 
     /**
-     * Kills the service right after its log has grown so often, and starts it again, until told to
-     * end.
+     * Kills the service as soon as its journal has grown this many times and starts it again, until
+     * the test ends or the service was killed 12 times.
      */
     private Thread startServiceKiller(int appendsBeforeKill, AtomicInteger kills, Process[] running) {
         Thread thread =
@@ -366,7 +371,7 @@
                                 throw new IllegalStateException(e);
                             }
                         },
-                        "killer");
+                        "service killer");
         thread.setDaemon(true);
         thread.start();
         return thread;
@@ -387,7 +392,7 @@
                         runLayoutsCommand("migrate", "--change", plan).startsWith("0 migration 1")
                                 || migrations().contains("acme"));
         String[] open = awaitOpenCheckpoint();
-        assertEquals(oldHolders, holders(0), "the old side serves");
+        assertEquals(oldHolders, holders(0), "the old holders serve until the checkpoint is passed");
         await(
                 () ->
                         runLayoutsCommand(
@@ -428,7 +433,7 @@
                 });
         int completedBefore = completedHolds.get();
         await(() -> completedHolds.get() > completedBefore + 20);
-        assertTrue(kills.get() >= 5, kills + " kills");
+        assertTrue(kills.get() >= 5, "expected at least 5 kills, got " + kills);
         await(() -> get("http://" + service + "/v1/verify").startsWith("200 sound"));
         assertNoQueryRanTwice();
     }
@@ -450,8 +455,8 @@
         nodes.forEach(node -> node.spoil(false));
         assertTrue(runLayoutsCommand("resume", "--migration", "1").startsWith("0 migration 1"));
         String[] open = awaitOpenCheckpoint();
-        // Its lock ends while it is stopped; a successor listens elsewhere, which this router never
-        // hears of.
+        // Without the lock file of the stopped service a successor can start. It listens at another
+        // address, which the router does not learn of.
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-STOP", String.valueOf(stoppedService.pid())).start().waitFor());
--- a/src/test/java/postbeam/migration/MigrationRecoveryTest.java
+++ b/src/test/java/postbeam/migration/MigrationRecoveryTest.java
@@ -35,7 +35,7 @@
             assertEquals(
                     MigrationState.ROLLED_BACK,
                     scenario.migration(1).state(),
-                    "after " + journalRecords.get(end - 1));
+                    "restarted after the record " + journalRecords.get(end - 1));
             assertEquals(List.of("a", "b", "c"), holdersOf(0));
             assertEquals(List.of("b", "c", "d"), holdersOf(1));
         }
--- a/src/test/java/postbeam/migration/MigrationRunSamplesTest.java
+++ b/src/test/java/postbeam/migration/MigrationRunSamplesTest.java
@@ -13,9 +13,11 @@
 import postbeam.slices.HandoffCommand;
 
 /**
- * Decisions, records and texts of whole runs are those that an earlier build made, line by line.
+ * Guards against unintended changes of decisions, records and texts: the traces of whole migration
+ * runs must equal, line by line, those recorded with an earlier build.
  */
 class MigrationRunSamplesTest {
+    /** Size of a range for which the byte rate, not the move rate, limits the start of copies. */
     private static final long RANGE_BYTES = 600;
 
     private final MigrationScenario scenario =
@@ -25,7 +27,7 @@
         scenario.manager
                 .journalState()
                 .migrations()
-                .forEach(migration -> scenario.trace("standing: " + migration.summary()));
+                .forEach(migration -> scenario.trace("final: " + migration.summary()));
         assertEquals(
                 String.join("\n", SampleFile.lines("migration/" + sample)),
                 String.join("\n", scenario.traceLines));
--- a/src/test/java/postbeam/migration/MigrationScenario.java
+++ b/src/test/java/postbeam/migration/MigrationScenario.java
@@ -24,18 +24,18 @@
 import postbeam.slices.TargetLayout;
 
 /**
- * Four slices on the nodes a to d, an empty node e, and nodes that answer the coordinator's
- * commands at once. Time goes in steps of 100 ms, and each action is written down as one line of
- * text, which does not depend on the names of types.
+ * Drives a {@link MigrationManager} with a simulated cluster: four slices on the nodes a to d, an
+ * empty node e, and nodes that acknowledge the coordinator's commands at once. Time advances in
+ * steps of 100 ms. Each action is traced as a line of text, which does not depend on type names.
  */
 final class MigrationScenario {
     static final SliceTransfer SLICE_0_A_TO_E = new SliceTransfer(0, "a", "e");
     static final SliceTransfer SLICE_1_B_TO_E = new SliceTransfer(1, "b", "e");
 
-    /** One migration at a time, ten moves a second. */
+    /** At most one active migration and ten moves per second. */
     static final MigrationLimits LIMITS = limits(1, 10);
 
-    /** Bytes of a range that cost less time than its move. */
+    /** Size of a range for which the move rate, not the byte rate, limits the start of copies. */
     static final long SMALL_RANGE_BYTES = 10;
 
     private static final MoveLimits MOVE_LIMITS =
@@ -52,10 +52,10 @@
     private static final Duration STEP = Duration.ofMillis(100);
     private static final long DIFFERING_KEY = 5;
 
-    /** Nodes whose replicas differ from the others in one key. */
+    /** Nodes whose replicas differ from the others in {@link #DIFFERING_KEY}. */
     final Set<String> differingNodes = new HashSet<>();
 
-    /** Commands that no node answers. */
+    /** Commands that no node acknowledges. */
     final Set<HandoffCommand> unansweredCommands = new HashSet<>();
 
     final List<String> traceLines = new ArrayList<>();
@@ -116,7 +116,7 @@
         coordinator.onNodesListed(nodes, List.of());
     }
 
-    /** A successor starts from the records alone. */
+    /** Replaces coordinator and manager by new ones that start from the records alone. */
     void restart() {
         MoveJournalState moveState = new MoveJournalState(100);
         MigrationJournalState migrationState = new MigrationJournalState();
@@ -129,7 +129,7 @@
         trace("restart");
     }
 
-    /** A successor starts from these records alone. */
+    /** Replaces coordinator and manager by new ones that start from these records alone. */
     void restartFrom(List<JournalRecord> prefix) {
         records.clear();
         records.addAll(prefix);
@@ -140,7 +140,7 @@
         return coordinator.state().layout();
     }
 
-    // ---- operators
+    // ---- operators' commands
 
     void createMigration(String member, SliceTransfer... transfers) throws OperatorErrorException {
         carryOut("migrate " + member, manager.createMigration(member, List.of(transfers), now));
@@ -154,7 +154,7 @@
         carryOut("resume " + id, manager.resume(id, now));
     }
 
-    /** Passes the checkpoint that is open. */
+    /** Passes the open checkpoint. */
     void passCheckpoint(long id) throws OperatorErrorException {
         carryOut("pass " + id, manager.passCheckpoint(id, migration(id).openCheckpoint(), now));
     }
@@ -201,14 +201,14 @@
                                         command.slice()));
     }
 
-    // ---- what is carried out, and written down
+    // ---- carrying out and tracing actions
 
     void trace(String line) {
         traceLines.add(now.toMillis() + " " + line);
     }
 
-    void carryOut(String command, List<MigrationAction> actions) {
-        trace("order: " + command);
+    void carryOut(String input, List<MigrationAction> actions) {
+        trace("input: " + input);
         carryOut(actions);
     }
 
@@ -224,11 +224,11 @@
 
     private void answer(MigrationAction.RequestDigests request) {
         trace(
-                "ask "
+                "digest request "
                         + request.requestId()
-                        + " "
+                        + " to "
                         + request.node()
-                        + " slice "
+                        + ": slice "
                         + request.slice()
                         + " "
                         + request.ranges().stream()
@@ -344,6 +344,6 @@
             return "rollingBack " + started.id() + " at " + started.at().toMillis() + ": " + started.reason();
         }
         throw new AssertionError(
-                "a record that is not written while migrations go on: " + migrationRecord);
+                "expected no such record while migrations run: " + migrationRecord);
     }
 }
--- a/src/test/java/postbeam/migration/MigrationStateMachineTest.java
+++ b/src/test/java/postbeam/migration/MigrationStateMachineTest.java
@@ -22,7 +22,7 @@
         scenario.createMigration("acme", SLICE_0_A_TO_E, SLICE_1_B_TO_E);
         scenario.runFor(Duration.ofSeconds(8));
         assertState(MigrationState.SWITCH_CHECKPOINT);
-        assertEquals(1, scenario.layout().version, "the old side serves");
+        assertEquals(1, scenario.layout().version, "the old layout is in force until the checkpoint is passed");
         scenario.passCheckpoint(1);
         scenario.runFor(Duration.ofSeconds(1));
         assertEquals(3, scenario.layout().version);
@@ -58,7 +58,7 @@
         assertEquals(
                 MigrationState.SWITCHING,
                 scenario.migration(1).state(),
-                "r2 may still use the old layout");
+                "r2 may still use the old layout until its lease expires");
         scenario.runFor(Duration.ofSeconds(2));
         assertState(MigrationState.OBSERVING);
     }
--- a/src/test/java/postbeam/migration/MigrationThrottleTest.java
+++ b/src/test/java/postbeam/migration/MigrationThrottleTest.java
@@ -21,6 +21,6 @@
         assertFalse(throttle.canStart(NOW.plusSeconds(5).plusMillis(99)));
         assertTrue(
                 throttle.copiedBytes("small") < throttle.copiedBytes("large"),
-                "the small one goes before the large one again");
+                "the member with fewer copied bytes goes first");
     }
 }
--- a/src/test/java/postbeam/migration/MigrationWireNamesTest.java
+++ b/src/test/java/postbeam/migration/MigrationWireNamesTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Operators' pages and programs know these names. */
+/** Guards against changes of names that operators' documentation and programs use. */
 class MigrationWireNamesTest {
     @Test
     void stateWireNamesAreStable() {
--- a/src/test/java/postbeam/migration/MoveVerifierTest.java
+++ b/src/test/java/postbeam/migration/MoveVerifierTest.java
@@ -27,8 +27,8 @@
                         .mapToLong(KeyRange::size)
                         .min()
                         .orElse(0);
-        assertTrue(smallest <= MigrationScenario.LIMITS.minRangeSize(), smallest + " keys");
-        // A resume never skips the difference: the slice is copied and compared again.
+        assertTrue(smallest <= MigrationScenario.LIMITS.minRangeSize(), "smallest requested range has " + smallest + " keys");
+        // A resume does not skip the mismatch: the slice is copied and compared again.
         scenario.resume(1);
         scenario.runFor(Duration.ofSeconds(20));
         assertEquals(PauseReason.DIGEST_MISMATCH, scenario.migration(1).pauseReason());
