--- a/src/main/java/postbeam/migration/RouterAcknowledgements.java
+++ b/src/main/java/postbeam/migration/RouterAcknowledgements.java
@@ -20,6 +20,8 @@
 
     private static final class RouterStatus {
         private long version;
+
+        /** Time of the last response, or of the first request while there was none. */
         private Duration respondedAt;
 
         RouterStatus(Duration respondedAt) {
--- a/src/main/java/postbeam/migration/SliceSizes.java
+++ b/src/main/java/postbeam/migration/SliceSizes.java
@@ -57,7 +57,7 @@
 
     /**
      * Whether no holder has responded within the stall timeout. The timeout starts with the first
-     * call, and with the first call after it expired.
+     * call, and again with the first call after it expired.
      */
     boolean hasTimedOut(int slice, Duration now) {
         Duration first = firstRequestedAt.putIfAbsent(slice, now);
--- a/src/test/java/postbeam/migration/MigrationScenario.java
+++ b/src/test/java/postbeam/migration/MigrationScenario.java
@@ -92,6 +92,10 @@
         restart();
     }
 
+    /**
+     * Limits with one copy at a time per migration, a stall timeout of 20 s, a warm-up period of 3
+     * s, an observation period of 5 s, and router leases of 4 s plus 1 s of clock drift.
+     */
     static MigrationLimits limits(int maxActiveMigrations, int movesPerSecond) {
         return new MigrationLimits(
                 maxActiveMigrations,
@@ -344,6 +348,6 @@
             return "rollingBack " + started.id() + " at " + started.at().toMillis() + ": " + started.reason();
         }
         throw new AssertionError(
-                "expected no such record while migrations run: " + migrationRecord);
+                "expected a record that a running migration writes, got " + migrationRecord);
     }
 }
