--- a/src/main/java/postbeam/migration/Digests.java
+++ b/src/main/java/postbeam/migration/Digests.java
@@ -15,7 +15,8 @@
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             return HexFormat.of().formatHex(digest.digest(text.getBytes(StandardCharsets.UTF_8)));
         } catch (NoSuchAlgorithmException e) {
-            throw new AssertionError("SHA-256 is missing, which every Java platform must provide", e);
+            throw new AssertionError(
+                    "SHA-256 is missing, which every Java platform must provide", e);
         }
     }
 }
--- a/src/main/java/postbeam/migration/MigrationError.java
+++ b/src/main/java/postbeam/migration/MigrationError.java
@@ -37,10 +37,7 @@
     record NoOpenCheckpoint(long id, MigrationState state) implements MigrationError {
         @Override
         public String problem() {
-            return "no checkpoint of migration "
-                    + id
-                    + " is open in state "
-                    + state.wireName();
+            return "no checkpoint of migration " + id + " is open in state " + state.wireName();
         }
 
         @Override
--- a/src/main/java/postbeam/migration/MigrationManager.java
+++ b/src/main/java/postbeam/migration/MigrationManager.java
@@ -104,7 +104,8 @@
                 return Optional.of(
                         "slice "
                                 + transfer.slice()
-                                + " is in more than one hop: a migration moves one replica of a slice");
+                                + " is in more than one hop: a migration moves one replica of a"
+                                + " slice");
             }
             Optional<String> problem = coordinator.rejectionReason(transfer.forwardChange());
             if (problem.isPresent()) {
@@ -218,7 +219,8 @@
             for (SliceTransfer transfer : migration.transfers) {
                 progress.activeMove(transfer)
                         .filter(move -> hasUnservedTarget(move, nodes))
-                        .ifPresent(move -> batch.abandonMove(move, "its target node restarted", now));
+                        .ifPresent(
+                                move -> batch.abandonMove(move, "its target node restarted", now));
             }
         }
         return batch.actions();
--- a/src/main/java/postbeam/migration/MigrationRecord.java
+++ b/src/main/java/postbeam/migration/MigrationRecord.java
@@ -39,9 +39,7 @@
     /** The replicas of a move's slice at source and target were found equal. */
     record MoveVerified(long id, long moveId, String digest) implements MigrationRecord {}
 
-    /**
-     * A checkpoint was opened for this layout version and this digest over the verified moves.
-     */
+    /** A checkpoint was opened for this layout version and this digest over the verified moves. */
     record CheckpointOpened(long id, long layoutVersion, String digest, Duration at)
             implements MigrationRecord {}
 
--- a/src/main/java/postbeam/migration/MovePlanner.java
+++ b/src/main/java/postbeam/migration/MovePlanner.java
@@ -33,7 +33,8 @@
 
     /**
      * Plans moves whose slice size is known and requests the sizes of other slices. Pauses the
-     * migration if a move can't be planned, or if no holder reports a size within the stall timeout.
+     * migration if a move can't be planned, or if no holder reports a size within the stall
+     * timeout.
      */
     void planMissingMoves(ActionBatch batch, Migration migration, Duration now) {
         long copying = copiesInProgress(migration);
--- a/src/main/java/postbeam/migration/PauseDetector.java
+++ b/src/main/java/postbeam/migration/PauseDetector.java
@@ -103,7 +103,11 @@
         return paused(
                 migration,
                 PauseReason.TOO_FEW_READY_REPLICAS,
-                "slice " + transfer.slice() + " has " + ready + " ready holders, at least 2 are needed",
+                "slice "
+                        + transfer.slice()
+                        + " has "
+                        + ready
+                        + " ready holders, at least 2 are needed",
                 now);
     }
 
--- a/src/main/java/postbeam/migration/ReplicaComparison.java
+++ b/src/main/java/postbeam/migration/ReplicaComparison.java
@@ -20,8 +20,8 @@
     private static final int SPLIT_COUNT = 8;
 
     /**
-     * Number of differing ranges after which the comparison ends: enough to show where the
-     * replicas differ.
+     * Number of differing ranges after which the comparison ends: enough to show where the replicas
+     * differ.
      */
     private static final int MAX_DIFFERENCES = 16;
 
@@ -128,7 +128,8 @@
      * Handles a node's response if it belongs to the open request, and compares the replicas once
      * both nodes have responded.
      */
-    void onRangeDigests(long answeredRequestId, String node, List<RangeDigest> digests, Duration now) {
+    void onRangeDigests(
+            long answeredRequestId, String node, List<RangeDigest> digests, Duration now) {
         if (answeredRequestId != requestId || isFinished()) {
             return;
         }
--- a/src/main/java/postbeam/migration/RouterAcknowledgements.java
+++ b/src/main/java/postbeam/migration/RouterAcknowledgements.java
@@ -7,9 +7,9 @@
 
 /**
  * Tracks which layout version each router has acknowledged, and until when it may still use an
- * older one. A router counts its lease from its request, by its own clock; here the lease is counted
- * from the response, which is later and thus on the safe side. Times are durations since the Unix
- * epoch.
+ * older one. A router counts its lease from its request, by its own clock; here the lease is
+ * counted from the response, which is later and thus on the safe side. Times are durations since
+ * the Unix epoch.
  */
 public final class RouterAcknowledgements {
     /** Maximum number of routers that are tracked; further routers count as unknown. */
--- a/src/test/java/postbeam/migration/MigrationCommandsTest.java
+++ b/src/test/java/postbeam/migration/MigrationCommandsTest.java
@@ -25,14 +25,17 @@
     @Test
     void planWithDuplicateOrReservedSliceIsRejected() throws Exception {
         assertInstanceOf(
-                MigrationError.InvalidPlan.class, errorOf(() -> scenario.createMigration("acme", SLICE_0_A_TO_E, SLICE_0_A_TO_E)));
+                MigrationError.InvalidPlan.class,
+                errorOf(() -> scenario.createMigration("acme", SLICE_0_A_TO_E, SLICE_0_A_TO_E)));
         scenario.createMigration("acme", SLICE_0_A_TO_E);
         assertInstanceOf(
                 MigrationError.InvalidPlan.class,
                 errorOf(() -> scenario.createMigration("other", new SliceTransfer(0, "b", "e"))));
         assertEquals(
                 "slice 0 belongs to migration 1 of acme",
-                scenario.coordinator.rejectionReason(new LayoutChange.Transfer(0, "b", "e")).orElse(""));
+                scenario.coordinator
+                        .rejectionReason(new LayoutChange.Transfer(0, "b", "e"))
+                        .orElse(""));
     }
 
     @Test
@@ -40,14 +43,22 @@
         scenario.createMigration("acme", SLICE_0_A_TO_E);
         assertEquals(
                 new MigrationError.NoOpenCheckpoint(1, MigrationState.PLANNED),
-                errorOf(() -> scenario.manager.passCheckpoint(1, UNKNOWN_CHECKPOINT, scenario.now)));
+                errorOf(
+                        () ->
+                                scenario.manager.passCheckpoint(
+                                        1, UNKNOWN_CHECKPOINT, scenario.now)));
         scenario.runFor(Duration.ofSeconds(8));
         Checkpoint open = scenario.migration(1).openCheckpoint();
         assertEquals(
                 new MigrationError.StaleCheckpoint(1, UNKNOWN_CHECKPOINT, open),
-                errorOf(() -> scenario.manager.passCheckpoint(1, UNKNOWN_CHECKPOINT, scenario.now)));
+                errorOf(
+                        () ->
+                                scenario.manager.passCheckpoint(
+                                        1, UNKNOWN_CHECKPOINT, scenario.now)));
         scenario.pause(1, "maintenance");
-        assertEquals(new MigrationError.MigrationPaused(1, "maintenance"), errorOf(() -> scenario.passCheckpoint(1)));
+        assertEquals(
+                new MigrationError.MigrationPaused(1, "maintenance"),
+                errorOf(() -> scenario.passCheckpoint(1)));
         scenario.resume(1);
         scenario.passCheckpoint(1);
         assertEquals(
@@ -72,7 +83,8 @@
         scenario.pause(1, "maintenance");
         scenario.setReadiness("b", Readiness.DRAINING);
         scenario.setReadiness("c", Readiness.REMOVED);
-        assertInstanceOf(MigrationError.PauseReasonPersists.class, errorOf(() -> scenario.resume(1)));
+        assertInstanceOf(
+                MigrationError.PauseReasonPersists.class, errorOf(() -> scenario.resume(1)));
         scenario.setReadiness("b", Readiness.READY);
         scenario.setReadiness("c", Readiness.READY);
         scenario.resume(1);
--- a/src/test/java/postbeam/migration/MigrationIT.java
+++ b/src/test/java/postbeam/migration/MigrationIT.java
@@ -42,6 +42,7 @@
 class MigrationIT {
     /** Also the slack of the checker's time rules, which this test is not about. */
     private static final Duration CONDITION_TIMEOUT = Duration.ofSeconds(60);
+
     private static final Duration QUERY_DEADLINE = Duration.ofSeconds(6);
 
     @TempDir private Path dir;
@@ -62,8 +63,8 @@
     @BeforeEach
     void setUp() throws IOException {
         discovery = new FakeDiscovery();
-        // The nodes share the record of executed queries, as if each write reached all holders of its
-        // slice.
+        // The nodes share the record of executed queries, as if each write reached all holders of
+        // its slice.
         Map<String, Map<KeyRange, Boolean>> runs = new ConcurrentHashMap<>();
         for (int i = 0; i < 6; i++) {
             FakeDataNode node =
@@ -198,7 +199,13 @@
     private void await(Callable<Boolean> condition) throws Exception {
         long end = System.nanoTime() + CONDITION_TIMEOUT.toNanos();
         while (!condition.call()) {
-            assertTrue(System.nanoTime() < end, () -> "the condition did not hold within " + CONDITION_TIMEOUT + "; " + diagnostics());
+            assertTrue(
+                    System.nanoTime() < end,
+                    () ->
+                            "the condition did not hold within "
+                                    + CONDITION_TIMEOUT
+                                    + "; "
+                                    + diagnostics());
             Thread.sleep(10);
         }
     }
@@ -242,7 +249,8 @@
                                                                             "Req-Deadline-Ms",
                                                                             "6000")
                                                                     .timeout(
-                                                                            QUERY_DEADLINE.plusSeconds(5))
+                                                                            QUERY_DEADLINE
+                                                                                    .plusSeconds(5))
                                                                     .POST(
                                                                             HttpRequest
                                                                                     .BodyPublishers
@@ -311,8 +319,8 @@
     }
 
     /**
-     * Returns a plan that moves slices 0 and 1 each from one of their holders to another node of its
-     * zone.
+     * Returns a plan that moves slices 0 and 1 each from one of their holders to another node of
+     * its zone.
      */
     private String migrationPlan() throws Exception {
         StringBuilder hops = new StringBuilder();
@@ -346,7 +354,8 @@
      * Kills the service as soon as its journal has grown this many times and starts it again, until
      * the test ends or the service was killed 12 times.
      */
-    private Thread startServiceKiller(int appendsBeforeKill, AtomicInteger kills, Process[] running) {
+    private Thread startServiceKiller(
+            int appendsBeforeKill, AtomicInteger kills, Process[] running) {
         Thread thread =
                 new Thread(
                         () -> {
@@ -392,7 +401,8 @@
                         runLayoutsCommand("migrate", "--change", plan).startsWith("0 migration 1")
                                 || migrations().contains("acme"));
         String[] open = awaitOpenCheckpoint();
-        assertEquals(oldHolders, holders(0), "the old holders serve until the checkpoint is passed");
+        assertEquals(
+                oldHolders, holders(0), "the old holders serve until the checkpoint is passed");
         await(
                 () ->
                         runLayoutsCommand(
@@ -447,10 +457,12 @@
         List<String> oldHolders = holders(0);
         nodes.get(Integer.parseInt(oldHolders.get(0).substring(1))).spoil(true);
         assertTrue(
-                runLayoutsCommand("migrate", "--change", migrationPlan()).startsWith("0 migration 1 of acme PLANNED"));
+                runLayoutsCommand("migrate", "--change", migrationPlan())
+                        .startsWith("0 migration 1 of acme PLANNED"));
         await(() -> migrations().contains("\"cause\":\"DIFFERS\""));
         assertTrue(
-                runLayoutsCommand("checkpoint", "--migration", "1", "--version", "1", "--digest", "x")
+                runLayoutsCommand(
+                                "checkpoint", "--migration", "1", "--version", "1", "--digest", "x")
                         .startsWith("1 no checkpoint of migration 1 is open"));
         nodes.forEach(node -> node.spoil(false));
         assertTrue(runLayoutsCommand("resume", "--migration", "1").startsWith("0 migration 1"));
@@ -459,14 +471,23 @@
         // address, which the router does not learn of.
         assertEquals(
                 0,
-                new ProcessBuilder("kill", "-STOP", String.valueOf(stoppedService.pid())).start().waitFor());
+                new ProcessBuilder("kill", "-STOP", String.valueOf(stoppedService.pid()))
+                        .start()
+                        .waitFor());
         Files.delete(journal.resolveSibling("moves.log.lock"));
         service = freeAddress();
         settingsFile = writeSettings("second.json5", service);
         startLayoutService();
         await(() -> migrations().startsWith("200"));
         assertTrue(
-                runLayoutsCommand("checkpoint", "--migration", "1", "--version", open[0], "--digest", open[1])
+                runLayoutsCommand(
+                                "checkpoint",
+                                "--migration",
+                                "1",
+                                "--version",
+                                open[0],
+                                "--digest",
+                                open[1])
                         .startsWith("0 "));
         await(() -> migrations().contains("LAST_CHECKPOINT"));
         assertTrue(!holders(0).equals(oldHolders));
@@ -474,7 +495,9 @@
         await(() -> rejectedHolds.get() > rejectedBefore + 5);
         assertEquals(
                 0,
-                new ProcessBuilder("kill", "-CONT", String.valueOf(stoppedService.pid())).start().waitFor());
+                new ProcessBuilder("kill", "-CONT", String.valueOf(stoppedService.pid()))
+                        .start()
+                        .waitFor());
         await(
                 () ->
                         Files.readString(dir.resolve("service.txt"))
--- a/src/test/java/postbeam/migration/MigrationRunSamplesTest.java
+++ b/src/test/java/postbeam/migration/MigrationRunSamplesTest.java
@@ -43,7 +43,8 @@
         scenario.passCheckpoint(1);
         scenario.passCheckpoint(2);
         scenario.runFor(Duration.ofSeconds(2));
-        List<String> behind = scenario.manager.routerAcknowledgements().routersBehind(2, scenario.now);
+        List<String> behind =
+                scenario.manager.routerAcknowledgements().routersBehind(2, scenario.now);
         scenario.trace("behind: " + behind);
         scenario.runFor(Duration.ofSeconds(18));
         scenario.passCheckpoint(1);
--- a/src/test/java/postbeam/migration/MigrationScenario.java
+++ b/src/test/java/postbeam/migration/MigrationScenario.java
@@ -321,7 +321,12 @@
                     + " at "
                     + entered.at().toMillis();
         } else if (migrationRecord instanceof MigrationRecord.MoveVerified verified) {
-            return "verified " + verified.id() + " move " + verified.moveId() + " digest " + verified.digest();
+            return "verified "
+                    + verified.id()
+                    + " move "
+                    + verified.moveId()
+                    + " digest "
+                    + verified.digest();
         } else if (migrationRecord instanceof MigrationRecord.CheckpointOpened opened) {
             return "opening "
                     + opened.id()
@@ -345,7 +350,12 @@
         } else if (migrationRecord instanceof MigrationRecord.Resumed resumed) {
             return "resumed " + resumed.id() + " at " + resumed.at().toMillis();
         } else if (migrationRecord instanceof MigrationRecord.RollbackStarted started) {
-            return "rollingBack " + started.id() + " at " + started.at().toMillis() + ": " + started.reason();
+            return "rollingBack "
+                    + started.id()
+                    + " at "
+                    + started.at().toMillis()
+                    + ": "
+                    + started.reason();
         }
         throw new AssertionError(
                 "expected a record that a running migration writes, got " + migrationRecord);
--- a/src/test/java/postbeam/migration/MigrationStateMachineTest.java
+++ b/src/test/java/postbeam/migration/MigrationStateMachineTest.java
@@ -22,7 +22,10 @@
         scenario.createMigration("acme", SLICE_0_A_TO_E, SLICE_1_B_TO_E);
         scenario.runFor(Duration.ofSeconds(8));
         assertState(MigrationState.SWITCH_CHECKPOINT);
-        assertEquals(1, scenario.layout().version, "the old layout is in force until the checkpoint is passed");
+        assertEquals(
+                1,
+                scenario.layout().version,
+                "the old layout is in force until the checkpoint is passed");
         scenario.passCheckpoint(1);
         scenario.runFor(Duration.ofSeconds(1));
         assertEquals(3, scenario.layout().version);
--- a/src/test/java/postbeam/migration/MoveVerifierTest.java
+++ b/src/test/java/postbeam/migration/MoveVerifierTest.java
@@ -27,7 +27,9 @@
                         .mapToLong(KeyRange::size)
                         .min()
                         .orElse(0);
-        assertTrue(smallest <= MigrationScenario.LIMITS.minRangeSize(), "smallest requested range has " + smallest + " keys");
+        assertTrue(
+                smallest <= MigrationScenario.LIMITS.minRangeSize(),
+                "smallest requested range has " + smallest + " keys");
         // A resume does not skip the mismatch: the slice is copied and compared again.
         scenario.resume(1);
         scenario.runFor(Duration.ofSeconds(20));
