--- a/src/main/java/postbeam/migration/MoveVerifier.java
+++ b/src/main/java/postbeam/migration/MoveVerifier.java
@@ -60,7 +60,7 @@
         return Optional.ofNullable(comparisons.get(move.id));
     }
 
-    /** Removes the comparison of the move; the next one starts from the beginning. */
+    /** Removes and returns the comparison of the move; the next one starts from the beginning. */
     Optional<ReplicaComparison> discard(Move move) {
         return Optional.ofNullable(comparisons.remove(move.id));
     }
