--- a/src/main/java/postbeam/router/DecisionLoop.java
+++ b/src/main/java/postbeam/router/DecisionLoop.java
@@ -168,7 +168,7 @@
                     () -> slicing.readmitReplica(attempt.shardRequest.shard, attempt.node));
         }
         if (queries.contains(attempt.shardRequest.query)) {
-            slicing.remapStaleParts(attempt.shardRequest.query);
+            slicing.remapStaleRequests(attempt.shardRequest.query);
         }
     }
 }
--- a/src/main/java/postbeam/router/PolicyActionHandler.java
+++ b/src/main/java/postbeam/router/PolicyActionHandler.java
@@ -144,10 +144,10 @@
      */
     private QueryAction answerBySlices(InFlightQuery inFlight, boolean complete) {
         LayoutCompleteness completeness = slicing.completenessOf(inFlight.query());
-        LayoutCompleteness.CompleteParts completeParts =
-                completeness.completeParts(inFlight.query());
+        LayoutCompleteness.CompleteRequests completeRequests =
+                completeness.completeRequests(inFlight.query());
         List<QueryAction.ShardValue> values = new ArrayList<>();
-        for (KeyRangeRequest request : completeParts.requests()) {
+        for (KeyRangeRequest request : completeRequests.requests()) {
             if (inFlight.isPaged()) {
                 inFlight.pagedQuery().includeRows(request);
             }
@@ -159,7 +159,7 @@
             values.add(
                     new QueryAction.ShardValue(request.shard, inFlight.value(request), coverage));
         }
-        return new QueryAction.Answer(complete, values, completeParts.version());
+        return new QueryAction.Answer(complete, values, completeRequests.version());
     }
 
     @Override
--- a/src/main/java/postbeam/router/PolicyExecutor.java
+++ b/src/main/java/postbeam/router/PolicyExecutor.java
@@ -326,7 +326,7 @@
                     clock.now(),
                     () -> {
                         if (slicing.onUpdate(layout)) {
-                            queries.queries().forEach(slicing::remapStaleParts);
+                            queries.queries().forEach(slicing::remapStaleRequests);
                         }
                     });
             if (slicing.rejectedLayouts() > rejectedBefore) {
--- a/src/main/java/postbeam/router/QueryFactory.java
+++ b/src/main/java/postbeam/router/QueryFactory.java
@@ -94,7 +94,7 @@
         if (page != null) {
             slicing.assignKeys(query, page.layoutVersion(), page.requestedSlices());
         } else if (slicing != null) {
-            slicing.assignParts(query, request.layoutVersion(), sliceRequests(request));
+            slicing.assignShardRequests(query, request.layoutVersion(), sliceRequests(request));
         }
         return new InFlightQuery(request, query, conditionFactory.get(), page);
     }
--- a/src/main/java/postbeam/slices/KeyRangeRequest.java
+++ b/src/main/java/postbeam/slices/KeyRangeRequest.java
@@ -13,10 +13,11 @@
      * Adds a part to a query.
      *
      * @param weight its share of the answer
-     * @param work the estimate of its work; null where there is none
+     * @param estimatedWork the estimate of its work; null where there is none
      */
-    public KeyRangeRequest(Query query, int slice, KeyRange keys, double weight, Duration work) {
-        super(query, slice, weight, work);
+    public KeyRangeRequest(
+            Query query, int slice, KeyRange keys, double weight, Duration estimatedWork) {
+        super(query, slice, weight, estimatedWork);
         this.keys = keys;
     }
 }
--- a/src/main/java/postbeam/slices/LayoutCompleteness.java
+++ b/src/main/java/postbeam/slices/LayoutCompleteness.java
@@ -24,16 +24,16 @@
      * A slice as the client named it.
      *
      * @param weight its share of the answer
-     * @param work the client's estimate of its work; null where there is none
+     * @param estimatedWork the client's estimate of its work; null where there is none
      */
-    public record RequestedSlice(int slice, KeyRange keys, double weight, Duration work) {}
+    public record RequestedSlice(int slice, KeyRange keys, double weight, Duration estimatedWork) {}
 
     /**
      * The parts that count.
      *
      * @param version of the layout whose slices they make complete
      */
-    public record CompleteParts(long version, List<KeyRangeRequest> requests) {}
+    public record CompleteRequests(long version, List<KeyRangeRequest> requests) {}
 
     private interface SliceLookup {
         /** The slices that hold any of these keys. */
@@ -82,13 +82,13 @@
     }
 
     /** The work of keys, in the same way; null where the client gave no estimate for any of it. */
-    Duration workOf(KeyRange keys) {
+    Duration estimatedWorkOf(KeyRange keys) {
         double nanos = 0;
         for (RequestedSlice slice : overlapping(keys)) {
-            if (slice.work() == null) {
+            if (slice.estimatedWork() == null) {
                 return null;
             }
-            nanos += slice.work().toNanos() * slice.keys().overlapFraction(keys);
+            nanos += slice.estimatedWork().toNanos() * slice.keys().overlapFraction(keys);
         }
         return Duration.ofNanos(Math.round(nanos));
     }
@@ -144,10 +144,10 @@
     }
 
     /** Which of the answered parts go into an answer. */
-    public CompleteParts completeParts(Query query) {
+    public CompleteRequests completeRequests(Query query) {
         Predicate<ShardRequest> answered = ShardRequest::isAnswered;
         if (!remapped) {
-            return new CompleteParts(
+            return new CompleteRequests(
                     requestedVersion,
                     query.shardRequests.stream()
                             .filter(answered)
@@ -157,8 +157,8 @@
         List<KeyRangeRequest> byRequest = completeByRequest(query, answered);
         List<KeyRangeRequest> byLayout = completeByLayout(query, answered);
         return totalWeight(byLayout) > totalWeight(byRequest)
-                ? new CompleteParts(currentLayout.get().version, byLayout)
-                : new CompleteParts(requestedVersion, byRequest);
+                ? new CompleteRequests(currentLayout.get().version, byLayout)
+                : new CompleteRequests(requestedVersion, byRequest);
     }
 
     private List<KeyRangeRequest> completeByRequest(Query query, Predicate<ShardRequest> counts) {
--- a/src/main/java/postbeam/slices/SliceRequest.java
+++ b/src/main/java/postbeam/slices/SliceRequest.java
@@ -7,6 +7,6 @@
  *
  * @param slice the slice's number by the layout version that the client knows
  * @param weight its share of the answer
- * @param work the client's estimate of its work; null where there is none
+ * @param estimatedWork the client's estimate of its work; null where there is none
  */
-public record SliceRequest(int slice, double weight, Duration work) {}
+public record SliceRequest(int slice, double weight, Duration estimatedWork) {}
--- a/src/main/java/postbeam/slices/SliceTranslator.java
+++ b/src/main/java/postbeam/slices/SliceTranslator.java
@@ -110,7 +110,7 @@
      * @param version 0 for the version in force
      * @throws UnroutableQueryException the slices can't be found; the query has no part then
      */
-    public final void assignParts(Query query, long version, List<SliceRequest> requests)
+    public final void assignShardRequests(Query query, long version, List<SliceRequest> requests)
             throws UnroutableQueryException {
         boolean current = version == CURRENT_VERSION && currentLayout != null;
         assignKeys(
@@ -154,7 +154,7 @@
             }
             resolved.add(
                     new LayoutCompleteness.RequestedSlice(
-                            request.slice(), keys, request.weight(), request.work()));
+                            request.slice(), keys, request.weight(), request.estimatedWork()));
         }
         return resolved;
     }
@@ -210,7 +210,7 @@
                 fragment.slice(),
                 fragment.keys(),
                 completeness.weightOf(fragment.keys()),
-                completeness.workOf(fragment.keys()));
+                completeness.estimatedWorkOf(fragment.keys()));
     }
 
     /** How the query's weights count. */
@@ -244,7 +244,7 @@
      *
      * @return whether any part was replaced
      */
-    public final boolean remapStaleParts(Query query) {
+    public final boolean remapStaleRequests(Query query) {
         List<KeyRangeRequest> stale = staleParts(query);
         if (stale.isEmpty()) {
             return false;
--- a/src/main/java/postbeam/testbed/simulation/SimulatedQueryRouter.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedQueryRouter.java
@@ -109,7 +109,7 @@
 
     void laidOut(Layout layout) {
         if (slicing.onUpdate(layout)) {
-            open.keySet().forEach(slicing::remapStaleParts);
+            open.keySet().forEach(slicing::remapStaleRequests);
         }
         turnEnded();
     }
@@ -123,7 +123,7 @@
         Duration now = cluster.now();
         Query query = new Query(verticals.get(kind.name()), null, now, until);
         try {
-            slicing.assignParts(
+            slicing.assignShardRequests(
                     query,
                     version,
                     wanted.stream()
@@ -175,7 +175,7 @@
                     });
         }
         if (q != null) {
-            slicing.remapStaleParts(attempt.shardRequest.query);
+            slicing.remapStaleRequests(attempt.shardRequest.query);
         }
     }
 
@@ -245,8 +245,8 @@
     @Override
     public void answer(Query query, boolean whole) {
         Open q = open.remove(query);
-        LayoutCompleteness.CompleteParts counted =
-                slicing.completenessOf(query).completeParts(query);
+        LayoutCompleteness.CompleteRequests counted =
+                slicing.completenessOf(query).completeRequests(query);
         List<InvariantChecker.Value> values =
                 counted.requests().stream()
                         .map(piece -> new InvariantChecker.Value(piece.keys, q.values.get(piece)))
--- a/src/test/java/postbeam/slices/SliceTranslatorTest.java
+++ b/src/test/java/postbeam/slices/SliceTranslatorTest.java
@@ -55,7 +55,7 @@
         for (int slice : slices) {
             askings.add(new SliceRequest(slice, 1.0 / slices.length, Duration.ofMillis(8)));
         }
-        translator.assignParts(query, version, askings);
+        translator.assignShardRequests(query, version, askings);
         return query;
     }
 
@@ -77,7 +77,7 @@
                         100);
         assertTrue(translator.onUpdate(layout));
         for (Query query : open) {
-            translator.remapStaleParts(query);
+            translator.remapStaleRequests(query);
         }
     }
 
@@ -104,7 +104,7 @@
         // Its answer is an error: it may have run.
         attempt.end();
         part(query, 0).recordPossibleExecution(attempt.sentAt);
-        assertTrue(translator.remapStaleParts(query));
+        assertTrue(translator.remapStaleRequests(query));
         assertNull(part(query, 0));
         for (int slice : new int[] {4, 5}) {
             assertEquals(
@@ -154,7 +154,7 @@
         after(new LayoutChange.Merge(List.of(4, 5)), query);
         attempt.end();
         part(query, 0).recordPossibleExecution(attempt.sentAt);
-        translator.remapStaleParts(query);
+        translator.remapStaleRequests(query);
         assertEquals(1, query.shardRequests.size());
         assertEquals(6, query.shardRequests.get(0).shard);
         assertEquals(
@@ -174,7 +174,7 @@
                         Duration.ZERO,
                         9);
         translator.onUpdate(layout);
-        translator.assignParts(
+        translator.assignShardRequests(
                 query,
                 1,
                 List.of(
@@ -193,7 +193,7 @@
         Query query = request(SideEffects.IDEMPOTENT, 1, 0, 1);
         part(query, 0).markAnswered();
         after(new LayoutChange.Split(0, List.of(100L)), query);
-        assertFalse(translator.remapStaleParts(query));
+        assertFalse(translator.remapStaleRequests(query));
         assertEquals(2, query.shardRequests.size());
         assertEquals(0.5, query.answeredWeight(), 1e-9);
     }
@@ -223,8 +223,8 @@
                 "half of 0 is in, and half of 6: neither slice is");
         part(query, 4).markAnswered();
         assertEquals(0.5, query.answeredWeight(), 1e-9, "0 is in, by the layout that was named");
-        LayoutCompleteness.CompleteParts complete =
-                translator.completenessOf(query).completeParts(query);
+        LayoutCompleteness.CompleteRequests complete =
+                translator.completenessOf(query).completeRequests(query);
         assertEquals(1, complete.version());
         assertEquals(2, complete.requests().size());
         attempt.end();
@@ -248,7 +248,7 @@
         LayoutCompleteness completeness = translator.completenessOf(query);
         assertEquals(
                 List.of(List.of(0, 1), List.of(2)),
-                completeness.completeParts(query).requests().stream()
+                completeness.completeRequests(query).requests().stream()
                         .map(piece -> completeness.requestedSlicesIn(piece.keys))
                         .toList());
     }
--- a/src/test/java/postbeam/slices/TranslationBenchmark.java
+++ b/src/test/java/postbeam/slices/TranslationBenchmark.java
@@ -82,14 +82,14 @@
     @Benchmark
     public Query byTheVersionInForce() throws UnroutableQueryException {
         Query query = query();
-        translator.assignParts(query, 0, now);
+        translator.assignShardRequests(query, 0, now);
         return query;
     }
 
     @Benchmark
     public Query byAVersionOfAHundredRecutsAgo() throws UnroutableQueryException {
         Query query = query();
-        translator.assignParts(query, old.version, then);
+        translator.assignShardRequests(query, old.version, then);
         return query;
     }
 
@@ -97,7 +97,7 @@
     @Benchmark
     public double weightAcrossRecuts() throws UnroutableQueryException {
         Query query = query();
-        translator.assignParts(query, old.version, then);
+        translator.assignShardRequests(query, old.version, then);
         return query.answeredWeight();
     }
 
