--- a/src/main/java/postbeam/slices/ChangePlanner.java
+++ b/src/main/java/postbeam/slices/ChangePlanner.java
@@ -10,7 +10,7 @@
 /** Decides whether a change can be made now, and plans it. */
 final class ChangePlanner {
     /** A layout that is only tried out keeps no more history than this. */
-    private static final long TRIAL_HISTORY = 1;
+    private static final long DRY_RUN_HISTORY = 1;
 
     private final MoveJournalState state;
     private final MoveLimits limits;
@@ -67,13 +67,13 @@
                                     newSliceNumbers(change),
                                     state.nextVersion(),
                                     Duration.ZERO,
-                                    TRIAL_HISTORY);
+                                    DRY_RUN_HISTORY);
         } catch (IllegalArgumentException e) {
             return Optional.of(e.getMessage());
         }
         return change instanceof LayoutChange.Transfer transfer
                 ? transferProblem(transfer, changed)
-                : goneHolder(change.slices().get(0));
+                : goneHolderProblem(change.slices().get(0));
     }
 
     private Optional<String> sliceConflict(LayoutChange change) {
@@ -115,7 +115,7 @@
     }
 
     /** A split or merge takes the part of each holder. */
-    private Optional<String> goneHolder(int slice) {
+    private Optional<String> goneHolderProblem(int slice) {
         return state.layout().slice(slice).nodes().stream()
                 .filter(nodes::isGone)
                 .findFirst()
--- a/src/main/java/postbeam/slices/Coordinator.java
+++ b/src/main/java/postbeam/slices/Coordinator.java
@@ -168,7 +168,7 @@
         }
         commands.forgetFinishedMoves();
         reconciliation.sendPendingDrops(actions);
-        reconciliation.sendReminders(actions);
+        reconciliation.sendServeCommands(actions);
         return actions.toList();
     }
 
@@ -177,7 +177,9 @@
         for (LayoutChange change :
                 Planner.nextChanges(state.layout(), state.target(), state.busySlices())) {
             long waitingOrMoving =
-                    state.activeMoves().stream().filter(move -> !approval.isAwaited(move)).count();
+                    state.activeMoves().stream()
+                            .filter(move -> !approval.isAwaitingApproval(move))
+                            .count();
             if (waitingOrMoving < 2L * limits.maxMoves()
                     && planner.rejectionReason(change).isEmpty()) {
                 planner.plan(actions, change);
--- a/src/main/java/postbeam/slices/Layout.java
+++ b/src/main/java/postbeam/slices/Layout.java
@@ -62,17 +62,17 @@
                         });
         Set<Integer> numbers = new HashSet<>();
         for (Slice slice : sorted) {
-            requireNewNumber(slice.number(), numbers);
+            requireUniqueNumber(slice.number(), numbers);
             requireValid(slice, version);
         }
         for (RetiredSlice slice : retired) {
-            requireNewNumber(slice.number(), numbers);
+            requireUniqueNumber(slice.number(), numbers);
             requireValid(slice, version);
         }
         return new Layout(version, oldestVersion, sorted, retired);
     }
 
-    private static void requireNewNumber(int number, Set<Integer> numbers) {
+    private static void requireUniqueNumber(int number, Set<Integer> numbers) {
         if (!numbers.add(number)) {
             throw new IllegalArgumentException("slice " + number + " stands there twice");
         }
@@ -188,17 +188,17 @@
     /**
      * The layout with a change, under a higher version.
      *
-     * @param newNumbers the numbers of the slices that the change creates
-     * @param now when a new holder takes its slice, since 1970
-     * @param history how many versions back slices are still known
+     * @param newSliceNumbers the numbers of the slices that the change creates
+     * @param acquiredAt when a new holder takes its slice, since 1970
+     * @param historyVersions how many versions back slices are still known
      * @throws IllegalArgumentException the change can't be made; the message says why
      */
     public Layout withChange(
             LayoutChange change,
-            List<Integer> newNumbers,
+            List<Integer> newSliceNumbers,
             long newVersion,
-            Duration now,
-            long history) {
+            Duration acquiredAt,
+            long historyVersions) {
         requireHigherVersion(newVersion);
         List<Slice> newSlices = new ArrayList<>(slices);
         List<RetiredSlice> newRetired = new ArrayList<>(retiredSlices.values());
@@ -210,24 +210,27 @@
                             slice.number(),
                             slice.keys(),
                             slice.createdVersion(),
-                            holdersAfter(slice, transfer, now)));
+                            holdersAfter(slice, transfer, acquiredAt)));
         } else {
-            recut(change, newNumbers, newVersion, newSlices, newRetired);
+            replaceSlices(change, newSliceNumbers, newVersion, newSlices, newRetired);
         }
         return new Layout(
-                newVersion, Math.max(oldestVersion, newVersion - history), newSlices, newRetired);
+                newVersion,
+                Math.max(oldestVersion, newVersion - historyVersions),
+                newSlices,
+                newRetired);
     }
 
-    private void recut(
+    private void replaceSlices(
             LayoutChange change,
-            List<Integer> newNumbers,
+            List<Integer> newSliceNumbers,
             long newVersion,
             List<Slice> newSlices,
             List<RetiredSlice> newRetired) {
         List<KeyRange> ranges = newSliceRanges(change);
-        if (newNumbers.size() != ranges.size()) {
+        if (newSliceNumbers.size() != ranges.size()) {
             throw new IllegalArgumentException(
-                    change + " bears " + ranges.size() + " slices, not " + newNumbers.size());
+                    change + " bears " + ranges.size() + " slices, not " + newSliceNumbers.size());
         }
         Slice first = requireSlice(change.slices().get(0));
         int position = newSlices.indexOf(first);
@@ -237,12 +240,17 @@
             newSlices.remove(slice);
             newRetired.add(
                     new RetiredSlice(
-                            number, slice.keys(), slice.createdVersion(), newVersion, newNumbers));
+                            number,
+                            slice.keys(),
+                            slice.createdVersion(),
+                            newVersion,
+                            newSliceNumbers));
             holders = latestAcquired(holders, slice.holders());
         }
         for (int i = 0; i < ranges.size(); i++) {
             newSlices.add(
-                    position + i, new Slice(newNumbers.get(i), ranges.get(i), newVersion, holders));
+                    position + i,
+                    new Slice(newSliceNumbers.get(i), ranges.get(i), newVersion, holders));
         }
     }
 
@@ -323,7 +331,7 @@
     }
 
     private static List<Holder> holdersAfter(
-            Slice slice, LayoutChange.Transfer transfer, Duration now) {
+            Slice slice, LayoutChange.Transfer transfer, Duration acquiredAt) {
         String from = transfer.from();
         String to = transfer.to();
         if (from != null && !slice.heldBy(from)) {
@@ -339,11 +347,11 @@
             if (!holder.node().equals(from)) {
                 holders.add(holder);
             } else if (to != null) {
-                holders.add(new Holder(to, now));
+                holders.add(new Holder(to, acquiredAt));
             }
         }
         if (from == null) {
-            holders.add(new Holder(to, now));
+            holders.add(new Holder(to, acquiredAt));
         }
         if (holders.isEmpty()) {
             throw new IllegalArgumentException(
--- a/src/main/java/postbeam/slices/LayoutCompleteness.java
+++ b/src/main/java/postbeam/slices/LayoutCompleteness.java
@@ -120,17 +120,17 @@
     // ---- completeness
 
     @Override
-    public double weight(Query query, Predicate<ShardRequest> counts) {
+    public double weight(Query query, Predicate<ShardRequest> condition) {
         if (!remapped) {
             double sum = 0;
             for (ShardRequest request : query.shardRequests) {
-                sum += counts.test(request) ? request.weight : 0;
+                sum += condition.test(request) ? request.weight : 0;
             }
             return sum;
         }
         return Math.max(
-                totalWeight(completeByRequest(query, counts)),
-                totalWeight(completeByLayout(query, counts)));
+                totalWeight(completeByRequestedSlices(query, condition)),
+                totalWeight(completeByCurrentLayout(query, condition)));
     }
 
     @Override
@@ -154,31 +154,33 @@
                             .map(KeyRangeRequest.class::cast)
                             .toList());
         }
-        List<KeyRangeRequest> byRequest = completeByRequest(query, answered);
-        List<KeyRangeRequest> byLayout = completeByLayout(query, answered);
-        return totalWeight(byLayout) > totalWeight(byRequest)
-                ? new CompleteRequests(currentLayout.get().version, byLayout)
-                : new CompleteRequests(requestedVersion, byRequest);
+        List<KeyRangeRequest> byRequestedSlices = completeByRequestedSlices(query, answered);
+        List<KeyRangeRequest> byCurrentLayout = completeByCurrentLayout(query, answered);
+        return totalWeight(byCurrentLayout) > totalWeight(byRequestedSlices)
+                ? new CompleteRequests(currentLayout.get().version, byCurrentLayout)
+                : new CompleteRequests(requestedVersion, byRequestedSlices);
     }
 
-    private List<KeyRangeRequest> completeByRequest(Query query, Predicate<ShardRequest> counts) {
-        return complete(query, counts, this::overlapping);
+    private List<KeyRangeRequest> completeByRequestedSlices(
+            Query query, Predicate<ShardRequest> condition) {
+        return requestsOfCompleteSlices(query, condition, this::overlapping);
     }
 
-    private List<KeyRangeRequest> completeByLayout(Query query, Predicate<ShardRequest> counts) {
-        return complete(query, counts, currentLayout.get()::overlapping);
+    private List<KeyRangeRequest> completeByCurrentLayout(
+            Query query, Predicate<ShardRequest> condition) {
+        return requestsOfCompleteSlices(query, condition, currentLayout.get()::overlapping);
     }
 
     /** The parts of which each slice that they belong to counts with all parts of the query. */
-    private static List<KeyRangeRequest> complete(
-            Query query, Predicate<ShardRequest> counts, SliceLookup lookup) {
+    private static List<KeyRangeRequest> requestsOfCompleteSlices(
+            Query query, Predicate<ShardRequest> condition, SliceLookup lookup) {
         Map<Object, Boolean> completeSlices = new LinkedHashMap<>();
         IdentityHashMap<ShardRequest, List<?>> slicesOf = new IdentityHashMap<>();
         for (ShardRequest request : query.shardRequests) {
-            boolean partCounts = counts.test(request);
+            boolean matches = condition.test(request);
             List<?> slices = lookup.overlapping(((KeyRangeRequest) request).keys);
             slicesOf.put(request, slices);
-            slices.forEach(slice -> completeSlices.merge(slice, partCounts, Boolean::logicalAnd));
+            slices.forEach(slice -> completeSlices.merge(slice, matches, Boolean::logicalAnd));
         }
         List<KeyRangeRequest> complete = new ArrayList<>();
         for (ShardRequest request : query.shardRequests) {
@@ -189,9 +191,9 @@
         return complete;
     }
 
-    private static double totalWeight(List<KeyRangeRequest> parts) {
+    private static double totalWeight(List<KeyRangeRequest> requests) {
         double sum = 0;
-        for (KeyRangeRequest request : parts) {
+        for (KeyRangeRequest request : requests) {
             sum += request.weight;
         }
         return sum;
--- a/src/main/java/postbeam/slices/LayoutReplicaPlacement.java
+++ b/src/main/java/postbeam/slices/LayoutReplicaPlacement.java
@@ -29,13 +29,13 @@
     /**
      * Sets how nodes and times are translated.
      *
-     * @param names the name that the layout has for a node
-     * @param routerTime from a time since 1970 to the router's time
+     * @param nodeNames the name that the layout has for a node
+     * @param toRouterTime from a time since 1970 to the router's time
      */
     public void configure(
-            Function<DataNode, String> names, Function<Duration, Duration> routerTime) {
-        this.nodeNames = names;
-        this.toRouterTime = routerTime;
+            Function<DataNode, String> nodeNames, Function<Duration, Duration> toRouterTime) {
+        this.nodeNames = nodeNames;
+        this.toRouterTime = toRouterTime;
     }
 
     /** Uses a new layout; nodes that were excluded by the old one are used again. */
--- a/src/main/java/postbeam/slices/Move.java
+++ b/src/main/java/postbeam/slices/Move.java
@@ -71,7 +71,7 @@
         if (planned.change() instanceof LayoutChange.Transfer transfer) {
             planTransfer(transfer, planned.source(), layout, destinations, oldHolders);
         } else {
-            planRecut(planned, layout, destinations, oldHolders);
+            planSplitOrMerge(planned, layout, destinations, oldHolders);
         }
         return new Move(
                 planned.id(),
@@ -98,7 +98,7 @@
     }
 
     /** Each holder takes its own data up under the new slices' numbers. */
-    private static void planRecut(
+    private static void planSplitOrMerge(
             JournalRecord.Planned planned,
             Layout layout,
             List<Destination> destinations,
--- a/src/main/java/postbeam/slices/MoveApproval.java
+++ b/src/main/java/postbeam/slices/MoveApproval.java
@@ -26,7 +26,7 @@
      * Whether the move waits for approval alone, and needs nothing of its nodes but what they do
      * all the time.
      */
-    boolean isAwaited(Move move) {
+    boolean isAwaitingApproval(Move move) {
         return switch (move.state()) {
             case REPLICATING -> !permits(move, MoveState.FENCED);
             case CUT_OVER -> !move.reverseWhenDone() && !permits(move, MoveState.COMPLETED);
--- a/src/main/java/postbeam/slices/MoveCommands.java
+++ b/src/main/java/postbeam/slices/MoveCommands.java
@@ -40,7 +40,7 @@
      * they drop.
      */
     boolean sendToDestinations(ActionList actions, Move move, HandoffCommand command) {
-        return all(
+        return evaluateAll(
                 move.destinations,
                 destination ->
                         send(actions, move, command, destination)
@@ -53,7 +53,7 @@
      * are gone.
      */
     boolean sendToOldHolders(ActionList actions, Move move, HandoffCommand command) {
-        return all(
+        return evaluateAll(
                 move.oldHolders,
                 holder -> send(actions, move, command, holder) || nodes.isGone(holder.node()));
     }
@@ -99,7 +99,7 @@
     }
 
     /** Whether it holds for all; each is tested, since the test sends what is due. */
-    private static <T> boolean all(List<T> list, Predicate<T> predicate) {
+    private static <T> boolean evaluateAll(List<T> list, Predicate<T> predicate) {
         boolean all = true;
         for (T one : list) {
             all &= predicate.test(one);
--- a/src/main/java/postbeam/slices/MoveJournalState.java
+++ b/src/main/java/postbeam/slices/MoveJournalState.java
@@ -232,7 +232,7 @@
     private void advance(JournalRecord.Advanced advanced) {
         Move move = requireMove(advanced.id());
         move.enter(advanced.state(), advanced.at());
-        retireIfFinished(move);
+        archiveIfFinished(move);
     }
 
     private void cutOver(JournalRecord.CutOver cutOver) {
@@ -251,7 +251,7 @@
         Move move = requireMove(rolledBack.id());
         layout = layout.withVersion(advanceVersion(rolledBack.version()));
         move.enter(MoveState.ABANDONED, rolledBack.at());
-        retireIfFinished(move);
+        archiveIfFinished(move);
     }
 
     private void setPendingDrop(JournalRecord.PendingDrop drop) {
@@ -279,7 +279,7 @@
         return move;
     }
 
-    private void retireIfFinished(Move move) {
+    private void archiveIfFinished(Move move) {
         if (move.state().isFinal()) {
             activeMoves.remove(move.id);
             finishedMoves.add(move);
--- a/src/main/java/postbeam/slices/MoveStateMachine.java
+++ b/src/main/java/postbeam/slices/MoveStateMachine.java
@@ -50,7 +50,7 @@
             case COPYING -> copy(actions, move);
             case REPLICATING -> replicate(actions, move);
             case FENCED -> fenceAndCutOver(actions, move);
-            case CUT_OVER -> release(actions, move);
+            case CUT_OVER -> dropOldCopies(actions, move);
             case ABANDONING -> rollBack(actions, move);
             default -> {
                 // The move is over.
@@ -61,9 +61,9 @@
     // ---- forward
 
     private void start(ActionList actions, Move move) {
-        Optional<String> missing = missingNode(move);
-        if (missing.isPresent()) {
-            abandon(actions, move, isGone(missing.get()));
+        Optional<String> gone = goneNode(move);
+        if (gone.isPresent()) {
+            abandon(actions, move, goneReason(gone.get()));
         } else if (startLimits.mayStart(move, actions.now())
                 && approval.permits(move, MoveState.COPYING)) {
             enter(actions, move, MoveState.COPYING);
@@ -71,11 +71,11 @@
     }
 
     private void copy(ActionList actions, Move move) {
-        Optional<String> missing = missingNode(move);
+        Optional<String> gone = goneNode(move);
         if (isLate(actions, move)) {
             abandon(actions, move, "the copy is stuck");
-        } else if (missing.isPresent()) {
-            abandon(actions, move, isGone(missing.get()));
+        } else if (gone.isPresent()) {
+            abandon(actions, move, goneReason(gone.get()));
         } else if (approval.permits(move, MoveState.REPLICATING)
                 && commands.sendToDestinations(actions, move, HandoffCommand.COPY)) {
             enter(actions, move, MoveState.REPLICATING);
@@ -83,11 +83,11 @@
     }
 
     private void replicate(ActionList actions, Move move) {
-        Optional<String> missing = missingNode(move);
+        Optional<String> gone = goneNode(move);
         if (isLate(actions, move)) {
             abandon(actions, move, "nodes don't keep up");
-        } else if (missing.isPresent()) {
-            abandon(actions, move, isGone(missing.get()));
+        } else if (gone.isPresent()) {
+            abandon(actions, move, goneReason(gone.get()));
         } else if (commands.sendToDestinations(actions, move, HandoffCommand.HOLD)
                 && approval.permits(move, MoveState.FENCED)) {
             enter(actions, move, MoveState.FENCED);
@@ -104,22 +104,22 @@
         for (Move.OldHolder holder : move.oldHolders) {
             boolean acknowledged = commands.send(actions, move, HandoffCommand.FENCE, holder);
             boolean gone = nodes.isGone(holder.node());
-            if (!acknowledged && gone && !wasLostBefore(move, holder.node())) {
+            if (!acknowledged && gone && !canSkipFencing(move, holder.node())) {
                 // It may only be cut off from here, and still take calls of the old version.
-                abandon(actions, move, isGone(holder.node()) + " before it was fenced");
+                abandon(actions, move, goneReason(holder.node()) + " before it was fenced");
                 return;
             }
             fenced &= acknowledged || gone;
         }
-        Optional<String> missing =
+        Optional<String> gone =
                 move.destinations.stream()
                         .map(Move.Destination::node)
                         .filter(nodes::isGone)
                         .findFirst();
         if (isLate(actions, move)) {
             abandon(actions, move, "nodes don't answer while it is fenced");
-        } else if (missing.isPresent()) {
-            abandon(actions, move, isGone(missing.get()));
+        } else if (gone.isPresent()) {
+            abandon(actions, move, goneReason(gone.get()));
         } else if (fenced && commands.sendToDestinations(actions, move, HandoffCommand.SERVE)) {
             actions.append(new JournalRecord.CutOver(move.id, state.nextVersion(), actions.now()));
             actions.publishLayout();
@@ -127,14 +127,14 @@
     }
 
     /** Whether the move was planned without this node, as what it held was lost already. */
-    private static boolean wasLostBefore(Move move, String node) {
+    private static boolean canSkipFencing(Move move, String node) {
         return move.change instanceof LayoutChange.Transfer
                 && move.destinations.stream()
                         .noneMatch(destination -> destination.source().equals(node));
     }
 
     /** The old holders drop what they held. */
-    private void release(ActionList actions, Move move) {
+    private void dropOldCopies(ActionList actions, Move move) {
         if (move.reverseWhenDone() && move.change instanceof LayoutChange.Transfer) {
             // What the old holders have is wanted again: the reverse move copies onto it, and
             // cancels the drop.
@@ -236,7 +236,7 @@
         actions.append(new JournalRecord.AbandonRequested(move.id, reason, actions.now()));
     }
 
-    private static String isGone(String node) {
+    private static String goneReason(String node) {
         return "node " + node + " is gone";
     }
 
@@ -255,7 +255,7 @@
      * A destination or source that is gone. An old holder may be: a move with another source takes
      * the slice off it.
      */
-    private Optional<String> missingNode(Move move) {
+    private Optional<String> goneNode(Move move) {
         for (Move.Destination destination : move.destinations) {
             if (nodes.isGone(destination.node())) {
                 return Optional.of(destination.node());
--- a/src/main/java/postbeam/slices/NodeReconciliation.java
+++ b/src/main/java/postbeam/slices/NodeReconciliation.java
@@ -16,7 +16,7 @@
      * Slices that a node is reminded of at once until it has acknowledged them: its queue is
      * bounded.
      */
-    private static final int MAX_REMINDERS_IN_FLIGHT = 64;
+    private static final int MAX_SERVES_IN_FLIGHT = 64;
 
     /** A slice that is to be dropped is dropped whatever the version. */
     private static final long ANY_VERSION = 0;
@@ -28,7 +28,7 @@
     private final CommandDeliveries drops = new CommandDeliveries();
 
     /** By node that is to be reminded of what it serves. */
-    private final Map<String, CommandDeliveries> reminders = new LinkedHashMap<>();
+    private final Map<String, CommandDeliveries> serveDeliveries = new LinkedHashMap<>();
 
     NodeReconciliation(
             MoveJournalState state, MoveLimits limits, NodeStates nodes, MoveApproval approval) {
@@ -40,7 +40,7 @@
 
     /** A node has come, come back or restarted: it is to be reminded of what it serves. */
     void onArrival(String node) {
-        reminders.put(node, new CommandDeliveries());
+        serveDeliveries.put(node, new CommandDeliveries());
         drops.forgetNode(node);
     }
 
@@ -48,8 +48,8 @@
     void acknowledge(String node, HandoffCommand command, int slice) {
         if (command != HandoffCommand.SERVE) {
             drops.acknowledge(node, command, slice);
-        } else if (reminders.containsKey(node)) {
-            reminders.get(node).acknowledge(node, command, slice);
+        } else if (serveDeliveries.containsKey(node)) {
+            serveDeliveries.get(node).acknowledge(node, command, slice);
         }
     }
 
@@ -91,22 +91,24 @@
      * Has nodes that came back serve each slice that the layout gives them and that no move is
      * about.
      */
-    void sendReminders(ActionList actions) {
-        reminders
+    void sendServeCommands(ActionList actions) {
+        serveDeliveries
                 .entrySet()
                 .removeIf(
                         entry -> {
-                            boolean complete = remind(actions, entry.getKey(), entry.getValue());
+                            boolean complete =
+                                    sendServeCommandsTo(actions, entry.getKey(), entry.getValue());
                             return complete || nodes.isGone(entry.getKey());
                         });
     }
 
     /** True once the node has acknowledged all. */
-    private boolean remind(ActionList actions, String node, CommandDeliveries deliveries) {
+    private boolean sendServeCommandsTo(
+            ActionList actions, String node, CommandDeliveries deliveries) {
         boolean complete = true;
         int inFlight = 0;
         for (Slice slice : state.layout().slices()) {
-            if (!slice.heldBy(node) || inFlight >= MAX_REMINDERS_IN_FLIGHT) {
+            if (!slice.heldBy(node) || inFlight >= MAX_SERVES_IN_FLIGHT) {
                 continue;
             }
             // A slice that a move is about is reminded of once the move is over.
@@ -133,6 +135,6 @@
 
     private boolean isMoving(int slice) {
         return state.activeMoves().stream()
-                .anyMatch(move -> move.concerns(slice) && !approval.isAwaited(move));
+                .anyMatch(move -> move.concerns(slice) && !approval.isAwaitingApproval(move));
     }
 }
--- a/src/main/java/postbeam/slices/Planner.java
+++ b/src/main/java/postbeam/slices/Planner.java
@@ -19,31 +19,33 @@
             Layout layout, TargetLayout target, Set<Integer> busy) {
         List<LayoutChange> changes = new ArrayList<>();
         List<TargetLayout.DesiredSlice> desired = target.slices();
-        int at = 0;
-        List<Slice> inPlace = new ArrayList<>();
+        int desiredIndex = 0;
+        List<Slice> slicesInPlace = new ArrayList<>();
         for (Slice slice : layout.slices()) {
-            while (desired.get(at).keys().to() <= slice.keys().from()) {
-                at++;
-                inPlace.clear();
+            while (desired.get(desiredIndex).keys().to() <= slice.keys().from()) {
+                desiredIndex++;
+                slicesInPlace.clear();
             }
             if (busy.contains(slice.number())) {
                 continue;
             }
-            TargetLayout.DesiredSlice here = desired.get(at);
-            if (slice.keys().to() > here.keys().to()) {
+            TargetLayout.DesiredSlice desiredSlice = desired.get(desiredIndex);
+            if (slice.keys().to() > desiredSlice.keys().to()) {
                 changes.add(
                         new LayoutChange.Split(
-                                slice.number(), boundariesWithin(slice, desired, at)));
+                                slice.number(), boundariesWithin(slice, desired, desiredIndex)));
                 continue;
             }
-            Optional<LayoutChange> transfer = transferTowards(slice, here.nodes());
+            Optional<LayoutChange> transfer = transferTowards(slice, desiredSlice.nodes());
             if (transfer.isPresent()) {
                 changes.add(transfer.get());
                 continue;
             }
-            inPlace.add(slice);
-            if (makesUp(here, inPlace)) {
-                changes.add(new LayoutChange.Merge(inPlace.stream().map(Slice::number).toList()));
+            slicesInPlace.add(slice);
+            if (formDesiredSlice(desiredSlice, slicesInPlace)) {
+                changes.add(
+                        new LayoutChange.Merge(
+                                slicesInPlace.stream().map(Slice::number).toList()));
             }
         }
         return changes;
@@ -79,7 +81,7 @@
     }
 
     /** Whether two or more slices together are the desired one. */
-    private static boolean makesUp(TargetLayout.DesiredSlice desired, List<Slice> slices) {
+    private static boolean formDesiredSlice(TargetLayout.DesiredSlice desired, List<Slice> slices) {
         int last = slices.size() - 1;
         return last > 0
                 && slices.get(0).keys().from() == desired.keys().from()
--- a/src/main/java/postbeam/slices/SlicePlacement.java
+++ b/src/main/java/postbeam/slices/SlicePlacement.java
@@ -62,12 +62,12 @@
                                 slice.nodes()
                                         .forEach(node -> slicesHeld.merge(node, 1, Integer::sum)));
         List<LayoutChange> repairs = new ArrayList<>();
-        for (Slice slice : damagedSlices(layout, nodes, gone, busy)) {
+        for (Slice slice : repairableSlices(layout, nodes, gone, busy)) {
             if (repairs.size() >= maxRepairs) {
                 break;
             }
             String from = slice.nodes().stream().filter(gone::contains).findFirst().orElseThrow();
-            bestTarget(slice, nodes, slicesHeld)
+            bestDestination(slice, nodes, slicesHeld)
                     .ifPresent(
                             to -> {
                                 slicesHeld.merge(to, 1, Integer::sum);
@@ -81,21 +81,21 @@
      * Slices with a holder that is gone and one that is listed, those with the fewest listed
      * holders first.
      */
-    private static List<Slice> damagedSlices(
+    private static List<Slice> repairableSlices(
             Layout layout,
             Map<String, TargetLayout.NodeInfo> nodes,
             Set<String> gone,
             Set<Integer> busy) {
-        List<Slice> damaged = new ArrayList<>();
+        List<Slice> repairable = new ArrayList<>();
         for (Slice slice : layout.slices()) {
             if (!busy.contains(slice.number())
                     && slice.nodes().stream().anyMatch(gone::contains)
                     && !listedHolders(slice, nodes).isEmpty()) {
-                damaged.add(slice);
+                repairable.add(slice);
             }
         }
-        damaged.sort(Comparator.comparingInt(slice -> listedHolders(slice, nodes).size()));
-        return damaged;
+        repairable.sort(Comparator.comparingInt(slice -> listedHolders(slice, nodes).size()));
+        return repairable;
     }
 
     private static List<String> listedHolders(
@@ -108,7 +108,7 @@
                 .toList();
     }
 
-    private static Optional<String> bestTarget(
+    private static Optional<String> bestDestination(
             Slice slice,
             Map<String, TargetLayout.NodeInfo> nodes,
             Map<String, Integer> slicesHeld) {
--- a/src/main/java/postbeam/slices/SliceTranslator.java
+++ b/src/main/java/postbeam/slices/SliceTranslator.java
@@ -25,7 +25,7 @@
     public static final Duration EXCLUSION_TIME = Duration.ofMillis(500);
 
     /** Parts that one query may be translated into. */
-    private static final int MAX_PARTS = 2048;
+    private static final int MAX_SHARD_REQUESTS = 2048;
 
     /** A client that names this version means the layout in force. */
     private static final long CURRENT_VERSION = 0;
@@ -129,28 +129,28 @@
             throw new UnroutableQueryException(
                     UnroutableQueryException.Reason.LAYOUT_UNKNOWN, "no layout is known yet");
         }
-        long known = version == CURRENT_VERSION ? currentLayout.version : version;
-        if (known > currentLayout.version) {
+        long namedVersion = version == CURRENT_VERSION ? currentLayout.version : version;
+        if (namedVersion > currentLayout.version) {
             throw new UnroutableQueryException(
                     UnroutableQueryException.Reason.LAYOUT_UNKNOWN,
-                    "layout " + known + " is not known yet; " + currentLayout.version + " is");
+                    "layout " + namedVersion + " is not known yet; " + currentLayout.version + " is");
         }
-        if (known < currentLayout.oldestVersion) {
+        if (namedVersion < currentLayout.oldestVersion) {
             throw new UnroutableQueryException(
                     UnroutableQueryException.Reason.LAYOUT_EXPIRED,
                     "layout "
-                            + known
+                            + namedVersion
                             + " is no longer kept; "
                             + currentLayout.version
                             + " is in force");
         }
         List<LayoutCompleteness.RequestedSlice> resolved = new ArrayList<>();
         for (SliceRequest request : requests) {
-            KeyRange keys = currentLayout.keysOf(request.slice(), known);
+            KeyRange keys = currentLayout.keysOf(request.slice(), namedVersion);
             if (keys == null) {
                 throw new UnroutableQueryException(
                         UnroutableQueryException.Reason.UNKNOWN_SLICE,
-                        "layout " + known + " has no slice " + request.slice());
+                        "layout " + namedVersion + " has no slice " + request.slice());
             }
             resolved.add(
                     new LayoutCompleteness.RequestedSlice(
@@ -170,10 +170,10 @@
             Query query, long version, List<LayoutCompleteness.RequestedSlice> requested)
             throws UnroutableQueryException {
         requireLease(query);
-        List<Fragment> cut = new ArrayList<>();
-        requested.forEach(slice -> cut.addAll(Fragment.split(currentLayout, slice.keys())));
-        List<Fragment> fragments = Fragment.merged(cut);
-        if (fragments.size() > MAX_PARTS) {
+        List<Fragment> unmerged = new ArrayList<>();
+        requested.forEach(slice -> unmerged.addAll(Fragment.split(currentLayout, slice.keys())));
+        List<Fragment> fragments = Fragment.merged(unmerged);
+        if (fragments.size() > MAX_SHARD_REQUESTS) {
             throw new UnroutableQueryException(
                     UnroutableQueryException.Reason.UNKNOWN_SLICE,
                     "the query would take " + fragments.size() + " parts");
@@ -245,7 +245,7 @@
      * @return whether any part was replaced
      */
     public final boolean remapStaleRequests(Query query) {
-        List<KeyRangeRequest> stale = staleParts(query);
+        List<KeyRangeRequest> stale = staleRequests(query);
         if (stale.isEmpty()) {
             return false;
         }
@@ -253,18 +253,18 @@
         LayoutCompleteness completeness = completenessOf(query);
         // Parts that nothing was sent for are merged where they meet in one slice; the others keep
         // their own attempts.
-        List<Fragment> untried = new ArrayList<>();
-        Map<KeyRangeRequest, List<Fragment>> tried = new LinkedHashMap<>();
+        List<Fragment> notAttempted = new ArrayList<>();
+        Map<KeyRangeRequest, List<Fragment>> attempted = new LinkedHashMap<>();
         for (KeyRangeRequest request : stale) {
             List<Fragment> fragments = Fragment.split(currentLayout, request.keys);
             if (request.attempts.isEmpty() && !request.isClosed()) {
-                untried.addAll(fragments);
+                notAttempted.addAll(fragments);
             } else {
-                tried.put(request, fragments);
+                attempted.put(request, fragments);
             }
         }
-        Fragment.merged(untried).forEach(fragment -> newRequest(query, completeness, fragment));
-        tried.forEach(
+        Fragment.merged(notAttempted).forEach(fragment -> newRequest(query, completeness, fragment));
+        attempted.forEach(
                 (request, fragments) ->
                         fragments.forEach(
                                 fragment ->
@@ -275,7 +275,7 @@
         return true;
     }
 
-    private List<KeyRangeRequest> staleParts(Query query) {
+    private List<KeyRangeRequest> staleRequests(Query query) {
         List<KeyRangeRequest> stale = new ArrayList<>();
         for (ShardRequest request : query.shardRequests) {
             if (!request.isAnswered()
--- a/src/main/java/postbeam/slices/StartLimits.java
+++ b/src/main/java/postbeam/slices/StartLimits.java
@@ -35,7 +35,7 @@
         Map<String, Integer> byNode = new HashMap<>();
         Map<String, Integer> byZone = new HashMap<>();
         for (Move other : state.activeMoves()) {
-            if (other.state() != MoveState.PLANNED && !approval.isAwaited(other)) {
+            if (other.state() != MoveState.PLANNED && !approval.isAwaitingApproval(other)) {
                 total++;
                 other.requiredNodes().forEach(node -> byNode.merge(node, 1, Integer::sum));
                 zones(other).forEach(zone -> byZone.merge(zone, 1, Integer::sum));
@@ -58,10 +58,10 @@
     }
 
     private boolean areNodesReady(Move.Destination destination, Duration now) {
-        boolean takesUpOwnData = destination.node().equals(destination.source());
+        boolean reusesLocalData = destination.node().equals(destination.source());
         return nodes.isReady(destination.source())
                 && nodes.isReady(destination.node())
-                && (takesUpOwnData || hasCooledDown(destination.node(), now));
+                && (reusesLocalData || hasCooledDown(destination.node(), now));
     }
 
     /** A node is not given slice after slice while it still warms up for the last. */
