--- a/src/main/java/postbeam/slices/ActionList.java
+++ b/src/main/java/postbeam/slices/ActionList.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * What one call of the {@link Coordinator} decides, in order. A record is applied to the state as
- * it is decided.
+ * The actions that one call of the {@link Coordinator} decides on, in the order in which they are
+ * to be executed. A record is applied to the state as soon as it is appended.
  */
 final class ActionList {
     private final MoveJournalState state;
@@ -18,7 +18,7 @@
         this.now = now;
     }
 
-    /** The time of the call, since 1970. */
+    /** The time of the call, as a duration since the Unix epoch. */
     Duration now() {
         return now;
     }
@@ -32,7 +32,7 @@
         actions.add(command);
     }
 
-    /** Publishes the layout that is in force now. */
+    /** Adds the publication of the layout that is now in force. */
     void publishLayout() {
         actions.add(new CoordinatorAction.PublishLayout(state.layout()));
     }
--- a/src/main/java/postbeam/slices/ChangePlanner.java
+++ b/src/main/java/postbeam/slices/ChangePlanner.java
@@ -7,9 +7,9 @@
 import java.util.stream.IntStream;
 import postbeam.model.Readiness;
 
-/** Decides whether a change can be made now, and plans it. */
+/** Checks whether a layout change can be made now, and plans it. */
 final class ChangePlanner {
-    /** A layout that is only tried out keeps no more history than this. */
+    /** History, in versions, of a layout that is only computed to check a change. */
     private static final long DRY_RUN_HISTORY = 1;
 
     private final MoveJournalState state;
@@ -28,7 +28,8 @@
     /**
      * Plans a change.
      *
-     * @throws IllegalArgumentException it can't be planned now; nothing has changed then
+     * @throws IllegalArgumentException if the change can't be planned now; the state is unchanged
+     *     then
      */
     void plan(ActionList actions, LayoutChange change) {
         rejectionReason(change)
@@ -51,7 +52,7 @@
                 .toList();
     }
 
-    /** Why the change can't be planned now, in one line; empty where it can. */
+    /** The reason why the change can't be planned now, in one line; empty if it can. */
     Optional<String> rejectionReason(LayoutChange change) {
         Optional<String> conflict =
                 sliceConflict(change).or(() -> approval.reservationConflict(change));
@@ -114,17 +115,23 @@
                 : Optional.of("slice " + transfer.slice() + " has no holder left to copy from");
     }
 
-    /** A split or merge takes the part of each holder. */
+    /** A split or merge needs every holder of the slice, since each re-registers its own data. */
     private Optional<String> goneHolderProblem(int slice) {
         return state.layout().slice(slice).nodes().stream()
                 .filter(nodes::isGone)
                 .findFirst()
-                .map(node -> "holder " + node + " of slice " + slice + " is gone: move it first");
+                .map(
+                        node ->
+                                "holder "
+                                        + node
+                                        + " of slice "
+                                        + slice
+                                        + " is gone: move the slice off it first");
     }
 
     /**
-     * The node that hands a slice over: who lets it go, else another holder that is ready, else one
-     * that is listed.
+     * The node to copy a slice from: the holder that gives it up if that is ready, else another
+     * ready holder, else any listed holder; empty if no holder is listed.
      */
     private Optional<String> copySource(LayoutChange.Transfer transfer) {
         if (transfer.from() != null && nodes.isReady(transfer.from())) {
@@ -138,8 +145,8 @@
     }
 
     /**
-     * A slice may not come below the minimum of holders or zones; one that is below already may not
-     * get worse.
+     * A transfer may not take a slice below the minimum number of holders or zones. A slice that is
+     * below it already may not lose further holders or zones.
      */
     private Optional<String> replicationProblem(Slice before, Slice after) {
         List<String> oldHolders = listedHolders(before);
@@ -176,7 +183,10 @@
         return holders.stream().map(nodes::zone).distinct().count();
     }
 
-    /** Moves that would bring slices off nodes that are gone, as many as could be planned now. */
+    /**
+     * Transfers that replace holders that are gone, without those that can't be planned now. At
+     * most twice as many as moves may run at once.
+     */
     List<LayoutChange> repairs() {
         List<LayoutChange> repairs =
                 new ArrayList<>(
--- a/src/main/java/postbeam/slices/CommandDeliveries.java
+++ b/src/main/java/postbeam/slices/CommandDeliveries.java
@@ -6,14 +6,15 @@
 import java.util.function.BiPredicate;
 
 /**
- * The commands of one move, or of one node's reminder: when each was sent last, and whether it was
- * acknowledged. Commands are idempotent, so each is sent again until it is acknowledged.
+ * Delivery state of a set of commands, for example those of one move: when each was last sent, and
+ * whether it was acknowledged. Commands are idempotent, so each is sent again until it is
+ * acknowledged.
  */
 final class CommandDeliveries {
     private record Key(String node, HandoffCommand command, int slice) {}
 
     private static final class Delivery {
-        /** Null until it was sent. */
+        /** When the command was last sent; null if it was not sent yet. */
         private Duration sentAt;
 
         private boolean acknowledged;
@@ -27,7 +28,8 @@
     private final Map<Key, Delivery> deliveries = new HashMap<>();
 
     /**
-     * Sends the command unless it was sent lately or is acknowledged, or its node is gone.
+     * Sends the command unless it is acknowledged, was sent less than {@code resendInterval} ago,
+     * or its node is gone.
      *
      * @return whether the command is acknowledged
      */
@@ -47,7 +49,7 @@
         return delivery.acknowledged;
     }
 
-    /** Takes a node's acknowledgement; one of a command that was never sent is ignored. */
+    /** Records a node's acknowledgement; one for a command that was never sent is ignored. */
     void acknowledge(String node, HandoffCommand command, int slice) {
         Delivery delivery = deliveries.get(new Key(node, command, slice));
         if (delivery != null) {
@@ -60,17 +62,17 @@
         return delivery != null && delivery.acknowledged;
     }
 
-    /** Forgets a command, so that it is sent anew when it is due again. */
+    /** Forgets a command, so that the next request to send it does so at once. */
     void forget(String node, HandoffCommand command, int slice) {
         deliveries.remove(new Key(node, command, slice));
     }
 
-    /** Forgets the commands for all nodes and slices but those that match. */
+    /** Forgets all commands except those whose node and slice match. */
     void retain(BiPredicate<String, Integer> wanted) {
         deliveries.keySet().removeIf(key -> !wanted.test(key.node(), key.slice()));
     }
 
-    /** Forgets what was sent to a node, which may have lost it. */
+    /** Forgets the commands sent to a node, which may have lost them. */
     void forgetNode(String node) {
         deliveries.keySet().removeIf(key -> key.node().equals(node));
     }
--- a/src/main/java/postbeam/slices/Coordinator.java
+++ b/src/main/java/postbeam/slices/Coordinator.java
@@ -7,13 +7,13 @@
 
 /**
  * Decides how slices move: when each move starts, which commands its nodes get, when the layout is
- * cut over and when a move is abandoned. All that must outlive a restart is in the {@link
- * MoveJournalState}; which commands were sent and acknowledged is not, since each command is
- * idempotent. A coordinator that starts anew sends what the journaled state of each move asks for,
- * and takes acknowledgements of its predecessor's commands as its own.
+ * cut over and when a move is abandoned. All state that must survive a restart is in the {@link
+ * MoveJournalState}. Which commands were sent and acknowledged is not journaled, since commands are
+ * idempotent: a restarted coordinator sends the commands that the journaled state of each move
+ * requires, and accepts acknowledgements of the same commands sent before the restart.
  *
- * <p>No I/O, no clock and no thread: callers pass the time, since 1970, and carry out the actions
- * in order. Not thread-safe.
+ * <p>Does no I/O, reads no clock and starts no threads: callers pass the time as a duration since
+ * the Unix epoch, and execute the returned actions in order. Not thread-safe.
  */
 public final class Coordinator {
     private final MoveJournalState state;
@@ -25,7 +25,7 @@
     private final MoveStateMachine stateMachine;
     private final NodeReconciliation reconciliation;
 
-    /** A coordinator over the state that the journal's records add up to. */
+    /** Creates a coordinator over the state that results from the journal's records. */
     public Coordinator(MoveJournalState state, MoveLimits limits) {
         this.state = state;
         this.limits = limits;
@@ -35,12 +35,12 @@
         this.reconciliation = new NodeReconciliation(state, limits, nodes, approval);
     }
 
-    /** What the journal's records add up to. */
+    /** The state that results from the journal's records. */
     public MoveJournalState state() {
         return state;
     }
 
-    /** From now on moves go on as far as this permits. */
+    /** Sets the workflow that permits each move to go on, in place of the one before. */
     public void setAdmission(MoveAdmission admission) {
         approval.setAdmission(admission);
     }
@@ -48,10 +48,11 @@
     // ---- nodes
 
     /**
-     * Takes an update of the data-node list. A node that comes, comes back or restarts is reminded
-     * of what it serves.
+     * Handles an update of the data-node list. A node that appears, reappears or restarts is sent
+     * SERVE again for each slice that the layout assigns to it.
      *
-     * @param restarted nodes that have started anew since the last update
+     * @param update the listed nodes by name; a node that is not in it keeps its last state
+     * @param restarted names of the nodes that restarted since the last update
      */
     public void onNodesListed(Map<String, TargetLayout.NodeInfo> update, List<String> restarted) {
         for (String node : nodes.update(update, restarted)) {
@@ -60,17 +61,21 @@
         }
     }
 
-    /** Whether a list of data nodes has come yet. */
+    /** Whether any data node has been listed yet. */
     public boolean hasNodeList() {
         return !nodes.isEmpty();
     }
 
-    /** What is known of a node; null for one that was never listed. */
+    /** The last known state of a node; null if it was never listed. */
     public TargetLayout.NodeInfo nodeInfo(String node) {
         return nodes.find(node).orElse(null);
     }
 
-    /** Takes a node's acknowledgement of a command; one for a move that is over is ignored. */
+    /**
+     * Handles a node's acknowledgement of a command; one for a move that is over is ignored.
+     *
+     * @param move the move's id; 0 if the command belongs to no move
+     */
     public void acknowledged(long move, String node, HandoffCommand command, int slice) {
         if (move == NodeReconciliation.NO_MOVE) {
             reconciliation.acknowledge(node, command, slice);
@@ -80,8 +85,8 @@
     }
 
     /**
-     * Whether each destination of the move has acknowledged this command since it came onto the
-     * list.
+     * Whether each destination of the move has acknowledged this command since the destination last
+     * appeared in the node list or restarted.
      */
     public boolean destinationsAcknowledged(Move move, HandoffCommand command) {
         return move.destinations.stream()
@@ -91,9 +96,9 @@
                                         move, command, destination.node(), destination.slice()));
     }
 
-    // ---- operators
+    // ---- operator requests
 
-    /** Why the change can't be planned now, in one line; empty where it can. */
+    /** The reason why the change can't be planned now, in one line; empty if it can. */
     public Optional<String> rejectionReason(LayoutChange change) {
         return planner.rejectionReason(change);
     }
@@ -101,7 +106,8 @@
     /**
      * Plans a change.
      *
-     * @throws IllegalArgumentException it can't be planned now; nothing has changed then
+     * @throws IllegalArgumentException if the change can't be planned now; the state is unchanged
+     *     then
      */
     public List<CoordinatorAction> plan(LayoutChange change, Duration now) {
         ActionList actions = new ActionList(state, now);
@@ -109,16 +115,16 @@
         return actions.toList();
     }
 
-    /** What is wrong with a target, a line each; empty where it can be set. */
+    /** The problems of a target, one line each; empty if it can be set. */
     public List<String> targetProblems(TargetLayout target) {
         return target.problems(nodes.all(), limits.minHolders(), limits.minZones());
     }
 
     /**
-     * From now on changes are planned that lead to the target.
+     * Sets the target: each tick plans changes that lead to it.
      *
-     * @param target null: no further changes are planned
-     * @throws IllegalArgumentException the target can't be reached; the message is its first
+     * @param target null to plan no further changes
+     * @throws IllegalArgumentException if the target can't be reached; the message is its first
      *     problem
      */
     public List<CoordinatorAction> setTarget(TargetLayout target) {
@@ -132,9 +138,11 @@
     }
 
     /**
-     * Rolls a move back; one that is cut over already is completed and its reverse planned.
+     * Rolls a move back. A move that is cut over already is completed first, and then its reverse
+     * is planned.
      *
-     * @throws IllegalArgumentException no such move is under way, or it is being abandoned already
+     * @throws IllegalArgumentException if no such move is under way, or it is being abandoned
+     *     already
      */
     public List<CoordinatorAction> abandon(long id, String reason, Duration now) {
         Move move = state.move(id);
@@ -150,16 +158,16 @@
     }
 
     /**
-     * Moves that would bring slices off nodes that are gone: for operators, who alone know that
-     * these are dead.
+     * Transfers that replace holders that are gone. They are only proposed to operators, since the
+     * coordinator can't know whether a node that is no longer listed is dead.
      */
     public List<LayoutChange> repairs() {
         return planner.repairs();
     }
 
-    // ---- time
+    // ---- periodic work
 
-    /** What is to be done now. */
+    /** Advances all moves as far as possible now, and returns the actions to execute. */
     public List<CoordinatorAction> tick(Duration now) {
         ActionList actions = new ActionList(state, now);
         List.copyOf(state.activeMoves()).forEach(move -> stateMachine.advance(actions, move));
@@ -172,7 +180,10 @@
         return actions.toList();
     }
 
-    /** Plans as many changes as there is room for; the others are found again at the next tick. */
+    /**
+     * Plans changes until twice as many moves wait or run as may run at once. The next tick finds
+     * the remaining changes again.
+     */
     private void planTowardsTarget(ActionList actions) {
         for (LayoutChange change :
                 Planner.nextChanges(state.layout(), state.target(), state.busySlices())) {
--- a/src/main/java/postbeam/slices/CoordinatorAction.java
+++ b/src/main/java/postbeam/slices/CoordinatorAction.java
@@ -1,7 +1,7 @@
 package postbeam.slices;
 
 /**
- * What the coordinator has decided. Actions are carried out in order, each once the records before
+ * A decision of the coordinator. Actions are executed in order, each only after the records before
  * it are on disk.
  */
 public sealed interface CoordinatorAction {
@@ -9,13 +9,13 @@
     record AppendRecord(JournalRecord record) implements CoordinatorAction {}
 
     /**
-     * Sends a node what it is to do with a slice.
+     * Sends a command about a slice to a data node.
      *
-     * @param move the move's number; 0 where the command belongs to no move
-     * @param version for {@link HandoffCommand#SERVE}, the layout version from which on calls are
-     *     served
-     * @param source for {@link HandoffCommand#COPY}, the node that has the data; null where there
-     *     is none
+     * @param move the move's id; 0 if the command belongs to no move
+     * @param version for {@link HandoffCommand#SERVE}, the first layout version whose calls are to
+     *     be served
+     * @param source for {@link HandoffCommand#COPY}, the node to copy the data from; null for a
+     *     command to an old holder or of no move
      */
     record SendCommand(
             long move,
@@ -27,6 +27,6 @@
             String source)
             implements CoordinatorAction {}
 
-    /** Publishes a layout, which is in force from now on. */
+    /** Publishes the layout that has come into force. */
     record PublishLayout(Layout layout) implements CoordinatorAction {}
 }
--- a/src/main/java/postbeam/slices/Coverage.java
+++ b/src/main/java/postbeam/slices/Coverage.java
@@ -8,7 +8,8 @@
     private Coverage() {}
 
     /**
-     * The first gap or overlap of sorted ranges, in one line; empty where they cover each key once.
+     * The first gap or overlap of ranges that are sorted by key, in one line; empty if they cover
+     * each key exactly once.
      */
     static Optional<String> firstProblem(List<KeyRange> sorted) {
         long end = 0;
--- a/src/main/java/postbeam/slices/Fragment.java
+++ b/src/main/java/postbeam/slices/Fragment.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Keys of one slice of the layout in force that a query asks for. */
+/** Keys within one slice of the current layout, requested by a query. */
 public record Fragment(int slice, KeyRange keys) implements Comparable<Fragment> {
-    /** The keys, split along the slices of a layout. */
+    /** Splits a key range at the slice boundaries of a layout. */
     public static List<Fragment> split(Layout layout, KeyRange keys) {
         List<Fragment> fragments = new ArrayList<>();
         for (Slice slice : layout.overlapping(keys)) {
@@ -14,7 +14,7 @@
         return fragments;
     }
 
-    /** The fragments in order, with neighbours within one slice merged. */
+    /** The fragments in key order, with adjacent fragments of the same slice merged. */
     public static List<Fragment> merged(List<Fragment> fragments) {
         List<Fragment> sorted = new ArrayList<>(fragments);
         sorted.sort(null);
--- a/src/main/java/postbeam/slices/HandoffCommand.java
+++ b/src/main/java/postbeam/slices/HandoffCommand.java
@@ -1,21 +1,21 @@
 package postbeam.slices;
 
 /**
- * What a data node is to do with a slice. Commands are idempotent: each may come twice and then
- * changes nothing.
+ * A command to a data node about a slice. Commands are idempotent: one that arrives again changes
+ * nothing.
  */
 public enum HandoffCommand {
     /**
-     * Copy the keys' data from another node, or take it up under another number where the node
-     * holds it itself.
+     * Copy the data of the keys from another node, or register it under a new slice number if the
+     * node holds it itself.
      */
     COPY,
-    /** Keep what was copied up to date. */
+    /** Keep the copied data up to date. */
     HOLD,
-    /** Accept no new calls for it, and acknowledge once no accepted call is left. */
+    /** Accept no new calls for the slice, and acknowledge once no accepted call is running. */
     FENCE,
-    /** Serve it, for calls of this version of the layout or a later one. */
+    /** Serve the slice, for calls of the given layout version or a later one. */
     SERVE,
-    /** Delete it. */
+    /** Delete the slice's data. */
     DROP
 }
--- a/src/main/java/postbeam/slices/Holder.java
+++ b/src/main/java/postbeam/slices/Holder.java
@@ -5,7 +5,7 @@
 /**
  * A data node that holds a slice.
  *
- * @param acquiredAt when it took the slice over, since 1970; zero where that is not known or long
- *     ago
+ * @param acquiredAt when it acquired the slice, since the Unix epoch; zero if that is unknown or
+ *     long ago
  */
 public record Holder(String node, Duration acquiredAt) {}
--- a/src/main/java/postbeam/slices/JournalRecord.java
+++ b/src/main/java/postbeam/slices/JournalRecord.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * A record of the journal; {@link MoveJournalState} is what the records add up to. Times are since
- * 1970.
+ * A record of the move journal; applied in order, the records result in a {@link MoveJournalState}.
+ * Times are durations since the Unix epoch.
  */
 public sealed interface JournalRecord {
     /**
-     * All that is known: the first record of each journal.
+     * The complete state of layout and moves: the first record of each journal.
      *
      * @param lastVersion the highest layout version used so far
-     * @param lastMove the highest number of a move
-     * @param lastSlice the highest number of a slice
+     * @param lastMove the highest move id used so far
+     * @param lastSlice the highest slice number used so far
      * @param moves the moves under way
-     * @param target null where there is none
-     * @param pendingDrops what nodes have yet to drop
+     * @param target null if there is none
+     * @param pendingDrops the slices that nodes have yet to drop
      */
     record Snapshot(
             Layout layout,
@@ -31,7 +31,10 @@
     /**
      * A move under way, as part of a snapshot.
      *
-     * @param abandonReason null where it is not abandoned
+     * @param newSlices the numbers of the slices that the move creates
+     * @param abandonReason null if the move is not abandoned
+     * @param reverseWhenDone whether the reverse move is planned once this one is completed
+     * @param mayBeFenced whether old holders may have been fenced
      */
     record MoveSnapshot(
             long id,
@@ -49,44 +52,48 @@
     /**
      * A move is planned.
      *
-     * @param newSlices the numbers of the slices that it creates
-     * @param source null where no data goes from one node to another
+     * @param newSlices the numbers of the slices that the move creates
+     * @param source the node to copy data from; null if no data goes from one node to another
      */
     record Planned(
             long id, LayoutChange change, List<Integer> newSlices, String source, Duration at)
             implements JournalRecord {}
 
-    /** A move has come to a state. */
+    /** A move has entered a state. */
     record Advanced(long id, MoveState state, Duration at) implements JournalRecord {}
 
-    /** The layout with the move's change is in force, under this version. */
+    /** The layout with the move's change has come into force, under this version. */
     record CutOver(long id, long version, Duration at) implements JournalRecord {}
 
-    /** A move is rolled back, or is reversed once it is completed where it is cut over already. */
+    /** A move is to be rolled back or, if it is cut over already, to be reversed once completed. */
     record AbandonRequested(long id, String reason, Duration at) implements JournalRecord {}
 
-    /** The layout without the move's change is in force, under this version. */
+    /** The layout without the move's change has come into force, under this version. */
     record RolledBack(long id, long version, Duration at) implements JournalRecord {}
 
     /**
-     * A node has yet to drop a slice that is no longer its own.
+     * A node has yet to drop the data of a slice that is not assigned to it any more.
      *
-     * @param pending false once it has dropped it
+     * @param pending false once the node has dropped it
      */
     record PendingDrop(Move.OldHolder oldHolder, boolean pending) implements JournalRecord {}
 
     /**
-     * A process has begun to write this journal: records and commands of lower terms count no more.
+     * A process has started to write this journal: records and commands of lower terms are no
+     * longer valid.
      */
     record TermStarted(long term) implements JournalRecord {}
 
-    /** A record of a workflow over moves; {@link MoveJournalState} hands it on. */
+    /**
+     * A record of a workflow over moves; {@link MoveJournalState} passes it to its {@link
+     * MoveJournalState.WorkflowState}.
+     */
     non-sealed interface WorkflowRecord extends JournalRecord {}
 
     /**
-     * Where the layout is to get.
+     * The target layout was set or cleared.
      *
-     * @param target null: nowhere any more
+     * @param target null if it was cleared
      */
     record TargetSet(TargetLayout target) implements JournalRecord {}
 }
--- a/src/main/java/postbeam/slices/KeyRange.java
+++ b/src/main/java/postbeam/slices/KeyRange.java
@@ -1,54 +1,72 @@
 package postbeam.slices;
 
 /**
- * The keys from one to another.
+ * A non-empty range of keys.
  *
- * @param from the first key
- * @param to the key behind the last one
+ * @param from the first key, inclusive
+ * @param to the end, exclusive
  */
 public record KeyRange(long from, long to) implements Comparable<KeyRange> {
-    /** How many keys there are: keys are whole numbers from 0 on that JSON readers keep exact. */
+    /**
+     * The number of keys in the key space. Keys are integers from 0, small enough for JSON parsers
+     * to read them exactly.
+     */
     public static final long KEY_SPACE_SIZE = 1L << 48;
 
     /** The whole key space. */
     public static final KeyRange ALL = new KeyRange(0, KEY_SPACE_SIZE);
 
-    /** A range with at least one key; an IllegalArgumentException where it is none. */
+    /**
+     * Creates a range.
+     *
+     * @throws IllegalArgumentException if it is empty or not within the key space
+     */
     public KeyRange {
         if (from < 0 || to > KEY_SPACE_SIZE || from >= to) {
-            throw new IllegalArgumentException("no range of keys: from " + from + " to " + to);
+            throw new IllegalArgumentException(
+                    "invalid key range from "
+                            + from
+                            + " to "
+                            + to
+                            + ": expected 0 <= from < to <= "
+                            + KEY_SPACE_SIZE);
         }
     }
 
-    /** How many keys it has. */
+    /** The number of keys in the range. */
     public long size() {
         return to - from;
     }
 
-    /** Whether both have a key in common. */
+    /** Whether both ranges have a key in common. */
     public boolean overlaps(KeyRange other) {
         return from < other.to && other.from < to;
     }
 
-    /** Whether it has all keys of the other. */
+    /** Whether this range has all keys of the other. */
     public boolean contains(KeyRange other) {
         return from <= other.from && other.to <= to;
     }
 
-    /** The keys in both, which must overlap. */
+    /** The keys that both ranges have in common; the ranges must overlap. */
     public KeyRange intersection(KeyRange other) {
         return new KeyRange(Math.max(from, other.from), Math.min(to, other.to));
     }
 
-    /** The keys of both; the other must begin where this one ends. */
+    /**
+     * The keys of both ranges.
+     *
+     * @throws IllegalArgumentException if the other range does not begin where this one ends
+     */
     public KeyRange joinedWith(KeyRange next) {
         if (to != next.from) {
-            throw new IllegalArgumentException(this + " does not touch " + next);
+            throw new IllegalArgumentException(
+                    "key range " + next + " does not begin where " + this + " ends");
         }
         return new KeyRange(from, next.to);
     }
 
-    /** The fraction of its keys that are in the other, from 0 to 1. */
+    /** The fraction of this range's keys that the other range has too, from 0 to 1. */
     public double overlapFraction(KeyRange other) {
         return overlaps(other) ? (double) intersection(other).size() / size() : 0;
     }
--- a/src/main/java/postbeam/slices/KeyRangeRequest.java
+++ b/src/main/java/postbeam/slices/KeyRangeRequest.java
@@ -4,16 +4,16 @@
 import postbeam.model.Query;
 import postbeam.model.ShardRequest;
 
-/** A part of a query that asks for keys of one slice. */
+/** A shard request for keys of one slice. */
 public final class KeyRangeRequest extends ShardRequest {
-    /** The keys that it asks for. */
+    /** The requested keys, all within the slice. */
     public final KeyRange keys;
 
     /**
-     * Adds a part to a query.
+     * Creates a request and adds it to the query.
      *
-     * @param weight its share of the answer
-     * @param estimatedWork the estimate of its work; null where there is none
+     * @param weight its share of the answer's weight
+     * @param estimatedWork the estimated work of a node; null if there is no estimate
      */
     public KeyRangeRequest(
             Query query, int slice, KeyRange keys, double weight, Duration estimatedWork) {
--- a/src/main/java/postbeam/slices/Layout.java
+++ b/src/main/java/postbeam/slices/Layout.java
@@ -11,15 +11,15 @@
 import java.util.Set;
 
 /**
- * One version of which slices there are and who holds them, with the slices that were replaced in
- * the versions before. It covers the key space exactly once, by construction: {@link #validated} is
- * the only way to one from outside, {@link #withChange} the only way on. Immutable.
+ * One version of the slices and their holders, with the slices that were split or merged in the
+ * versions before. The slices cover the key space exactly once: {@link #validated} checks input
+ * from outside, and {@link #withChange} keeps the property. Immutable.
  */
 public final class Layout {
-    /** The version's number, from 1. */
+    /** The version number; at least 1. */
     public final long version;
 
-    /** The oldest version whose slices it still knows. */
+    /** The oldest version whose slices this layout can still resolve. */
     public final long oldestVersion;
 
     private final List<Slice> slices;
@@ -43,15 +43,19 @@
     // ---- creation
 
     /**
-     * A layout from outside.
+     * Creates a layout from unchecked input.
      *
-     * @throws IllegalArgumentException it is none; the message names what is wrong with it
+     * @throws IllegalArgumentException if the layout is invalid; the message names the problem
      */
     public static Layout validated(
             long version, long oldestVersion, List<Slice> slices, List<RetiredSlice> retired) {
         if (version < 1 || oldestVersion < 0 || oldestVersion > version) {
             throw new IllegalArgumentException(
-                    "versions can't be used: " + version + ", oldest " + oldestVersion);
+                    "invalid layout version "
+                            + version
+                            + " with oldest version "
+                            + oldestVersion
+                            + ": expected version >= 1 and 0 <= oldest <= version");
         }
         List<Slice> sorted = new ArrayList<>(slices);
         sorted.sort(Comparator.comparing(Slice::keys));
@@ -74,7 +78,7 @@
 
     private static void requireUniqueNumber(int number, Set<Integer> numbers) {
         if (!numbers.add(number)) {
-            throw new IllegalArgumentException("slice " + number + " stands there twice");
+            throw new IllegalArgumentException("slice " + number + " is listed twice");
         }
     }
 
@@ -82,23 +86,43 @@
         if (slice.holders().isEmpty()
                 || new HashSet<>(slice.nodes()).size() < slice.holders().size()) {
             throw new IllegalArgumentException(
-                    "slice " + slice.number() + " has no holder, or one twice");
+                    "slice "
+                            + slice.number()
+                            + " must have at least one holder, and no node twice: "
+                            + slice.holders().size()
+                            + " holders on "
+                            + new HashSet<>(slice.nodes()).size()
+                            + " nodes");
         }
         if (slice.createdVersion() > version) {
             throw new IllegalArgumentException(
-                    "slice " + slice.number() + " is younger than its layout");
+                    "slice "
+                            + slice.number()
+                            + " was created in version "
+                            + slice.createdVersion()
+                            + ", after layout version "
+                            + version);
         }
     }
 
     private static void requireValid(RetiredSlice slice, long version) {
         if (slice.createdVersion() >= slice.retiredVersion() || slice.retiredVersion() > version) {
             throw new IllegalArgumentException(
-                    "retired slice " + slice.number() + " has ages that can't be");
+                    "retired slice "
+                            + slice.number()
+                            + " was created in version "
+                            + slice.createdVersion()
+                            + " and retired in version "
+                            + slice.retiredVersion()
+                            + ": expected created < retired <= layout version "
+                            + version);
         }
     }
 
     /**
-     * The first layout: slices of even size, each with so many of the nodes as holders, in turn.
+     * Version 1 of a layout: slices of equal size, whose holders are assigned round-robin.
+     *
+     * @param holderCount holders of each slice; fewer if there are fewer nodes
      */
     public static Layout initial(int sliceCount, List<String> nodes, int holderCount) {
         long size = KeyRange.KEY_SPACE_SIZE / sliceCount;
@@ -117,24 +141,24 @@
 
     // ---- slices
 
-    /** The slices in the order of their keys. */
+    /** The slices in key order. */
     public List<Slice> slices() {
         return slices;
     }
 
-    /** The slice of this number; null where this version has none. */
+    /** The slice with this number; null if this version has none. */
     public Slice slice(int number) {
         return byNumber.get(number);
     }
 
-    /** The slices that were split or merged since the oldest version. */
+    /** The slices that were split or merged after the oldest version. */
     public Collection<RetiredSlice> retiredSlices() {
         return retiredSlices.values();
     }
 
     /**
-     * The keys that a slice had in a version between the oldest and this one; null where there was
-     * no such slice.
+     * The keys that a slice had in a version between {@link #oldestVersion} and this one; null if
+     * that version had no such slice.
      */
     public KeyRange keysOf(int number, long inVersion) {
         Slice slice = byNumber.get(number);
@@ -149,7 +173,7 @@
                 : null;
     }
 
-    /** The slices that hold any of these keys, in order. */
+    /** The slices that have any of these keys, in key order. */
     public List<Slice> overlapping(KeyRange keys) {
         int low = 0;
         int high = slices.size() - 1;
@@ -168,7 +192,7 @@
         return slices.subList(low, end);
     }
 
-    /** How many nodes hold a slice on average, rounded up; 1 at least. */
+    /** The mean number of holders of a slice, rounded up; at least 1. */
     public int meanHolders() {
         int holders = slices.stream().mapToInt(slice -> slice.holders().size()).sum();
         return Math.max(1, (holders + slices.size() - 1) / slices.size());
@@ -177,8 +201,8 @@
     // ---- the next version
 
     /**
-     * The same slices under a higher version: what was fenced may be served again by its old
-     * holders.
+     * The same slices and holders under a higher version. After a rollback, it allows old holders
+     * that were fenced to serve their slices again.
      */
     public Layout withVersion(long newVersion) {
         requireHigherVersion(newVersion);
@@ -189,9 +213,9 @@
      * The layout with a change, under a higher version.
      *
      * @param newSliceNumbers the numbers of the slices that the change creates
-     * @param acquiredAt when a new holder takes its slice, since 1970
-     * @param historyVersions how many versions back slices are still known
-     * @throws IllegalArgumentException the change can't be made; the message says why
+     * @param acquiredAt when a new holder acquires its slice, since the Unix epoch
+     * @param historyVersions how many versions back slices can still be resolved
+     * @throws IllegalArgumentException if the change can't be made; the message says why
      */
     public Layout withChange(
             LayoutChange change,
@@ -230,7 +254,12 @@
         List<KeyRange> ranges = newSliceRanges(change);
         if (newSliceNumbers.size() != ranges.size()) {
             throw new IllegalArgumentException(
-                    change + " bears " + ranges.size() + " slices, not " + newSliceNumbers.size());
+                    change
+                            + " creates "
+                            + ranges.size()
+                            + " slices, but "
+                            + newSliceNumbers.size()
+                            + " slice numbers are given");
         }
         Slice first = requireSlice(change.slices().get(0));
         int position = newSlices.indexOf(first);
@@ -257,7 +286,7 @@
     private void requireHigherVersion(long newVersion) {
         if (newVersion <= version) {
             throw new IllegalArgumentException(
-                    "version " + newVersion + " is not above " + version);
+                    "layout version " + newVersion + " is not above " + version);
         }
     }
 
@@ -270,8 +299,9 @@
     }
 
     /**
-     * The keys of the slices that a change creates; an IllegalArgumentException where it can't be
-     * made.
+     * The key ranges of the slices that a change creates, in key order; empty for a transfer.
+     *
+     * @throws IllegalArgumentException if the change can't be made
      */
     List<KeyRange> newSliceRanges(LayoutChange change) {
         if (change instanceof LayoutChange.Split split) {
@@ -297,7 +327,7 @@
         }
         if (ranges.isEmpty()) {
             throw new IllegalArgumentException(
-                    "a split of slice " + split.slice() + " without a cut");
+                    "a split of slice " + split.slice() + " needs at least one cut, got none");
         }
         ranges.add(new KeyRange(from, keys.to()));
         return ranges;
@@ -306,7 +336,8 @@
     private KeyRange mergedRange(LayoutChange.Merge merge) {
         List<Integer> numbers = merge.slices();
         if (numbers.size() < 2) {
-            throw new IllegalArgumentException("a merge takes two slices or more");
+            throw new IllegalArgumentException(
+                    "a merge needs at least two slices, got " + numbers.size());
         }
         Slice first = requireSlice(numbers.get(0));
         Set<String> nodes = new HashSet<>(first.nodes());
@@ -315,7 +346,7 @@
             Slice next = requireSlice(number);
             if (keys.to() != next.keys().from()) {
                 throw new IllegalArgumentException(
-                        "slices " + numbers + " are no neighbours in order");
+                        "slices " + numbers + " are not adjacent in key order");
             }
             if (!new HashSet<>(next.nodes()).equals(nodes)) {
                 throw new IllegalArgumentException(
@@ -323,7 +354,7 @@
                                 + first.number()
                                 + " and "
                                 + number
-                                + " are held by other nodes: move them together first");
+                                + " are held by different nodes: move them together first");
             }
             keys = keys.joinedWith(next.keys());
         }
@@ -360,9 +391,7 @@
         return holders;
     }
 
-    /**
-     * Each holder of merged slices has acquired the new slice when it acquired the last of them.
-     */
+    /** The holders of a merged slice: each acquired it when it acquired the last merged slice. */
     private static List<Holder> latestAcquired(List<Holder> holders, List<Holder> others) {
         return holders.stream()
                 .map(
--- a/src/main/java/postbeam/slices/LayoutChange.java
+++ b/src/main/java/postbeam/slices/LayoutChange.java
@@ -2,17 +2,22 @@
 
 import java.util.List;
 
-/** A change of a layout: split, merge or transfer. The text of each is what operators read. */
+/** A change of a layout: split, merge or transfer. {@code toString} is the text for operators. */
 public sealed interface LayoutChange {
-    /** The numbers of the slices that it changes. */
+    /** The numbers of the slices that the change replaces or transfers. */
     List<Integer> slices();
 
-    /** How many slices it creates. */
+    /** The number of slices that the change creates. */
     int newSliceCount();
 
-    /** Cuts a slice at these keys, each strictly inside it, in order. */
+    /**
+     * Splits a slice.
+     *
+     * @param cuts the first keys of the second and later new slices, ascending and strictly inside
+     *     the slice
+     */
     record Split(int slice, List<Long> cuts) implements LayoutChange {
-        /** A split of one slice. */
+        /** Creates a split; the cuts are checked against a layout when it is applied. */
         public Split {
             cuts = List.copyOf(cuts);
         }
@@ -33,9 +38,13 @@
         }
     }
 
-    /** Joins neighbours, in order, that the same nodes hold. */
+    /**
+     * Merges adjacent slices that are held by the same nodes.
+     *
+     * @param slices the numbers of the slices, in key order
+     */
     record Merge(List<Integer> slices) implements LayoutChange {
-        /** A merge of neighbours. */
+        /** Creates a merge; the slices are checked against a layout when it is applied. */
         public Merge {
             slices = List.copyOf(slices);
         }
@@ -52,20 +61,21 @@
     }
 
     /**
-     * Hands a slice from one node to another.
+     * Replaces, adds or removes a holder of a slice.
      *
-     * @param from the node that lets it go; null where a holder is only added
-     * @param to the node that takes it; null where a holder only lets it go
+     * @param from the holder to remove; null if a holder is only added
+     * @param to the node to add; null if a holder is only removed
      */
     record Transfer(int slice, String from, String to) implements LayoutChange {
         /**
-         * A transfer with at least one of both nodes; an IllegalArgumentException where both are
-         * null.
+         * Creates a transfer.
+         *
+         * @throws IllegalArgumentException if both nodes are null
          */
         public Transfer {
             if (from == null && to == null) {
                 throw new IllegalArgumentException(
-                        "a move of slice " + slice + " from nowhere to nowhere");
+                        "a move of slice " + slice + " needs a node to move from or to, got none");
             }
         }
 
--- a/src/main/java/postbeam/slices/LayoutCompleteness.java
+++ b/src/main/java/postbeam/slices/LayoutCompleteness.java
@@ -14,40 +14,40 @@
 import postbeam.model.ShardRequest;
 
 /**
- * How complete a query's answer is, against the slices that its client named and against those in
- * force. A slice counts where all keys that the query wants of it are answered; what counts is the
- * larger sum of the two. A mix of both layouts does not count: half a slice of each is no slice of
- * either.
+ * Computes how complete a query's answer is, once by the slices that its client named and once by
+ * the slices of the current layout. A slice counts only if all of its keys that the query requests
+ * are answered. The result is the larger of the two sums; the layouts are not mixed, since a part
+ * of one slice and a part of the other do not make a complete slice in either layout.
  */
 public final class LayoutCompleteness implements CompletenessRule {
     /**
      * A slice as the client named it.
      *
-     * @param weight its share of the answer
-     * @param estimatedWork the client's estimate of its work; null where there is none
+     * @param weight its share of the answer's weight
+     * @param estimatedWork the client's estimate of a node's work; null if there is none
      */
     public record RequestedSlice(int slice, KeyRange keys, double weight, Duration estimatedWork) {}
 
     /**
-     * The parts that count.
+     * The shard requests whose slices are complete.
      *
-     * @param version of the layout whose slices they make complete
+     * @param version the layout version to which these slices belong
      */
     public record CompleteRequests(long version, List<KeyRangeRequest> requests) {}
 
     private interface SliceLookup {
-        /** The slices that hold any of these keys. */
+        /** The slices that have any of these keys. */
         List<?> overlapping(KeyRange keys);
     }
 
-    /** The version by which the client named the slices. */
+    /** The layout version by which the client named the slices. */
     public final long requestedVersion;
 
     private final List<RequestedSlice> requested;
     private final double requestedWeight;
     private final Supplier<Layout> currentLayout;
 
-    /** Parts and requested slices are no longer one and the same. */
+    /** Whether shard requests no longer correspond one to one to the requested slices. */
     private boolean remapped;
 
     LayoutCompleteness(
@@ -67,11 +67,11 @@
         remapped = true;
     }
 
-    // ---- weight and work of keys
+    // ---- weight and estimated work of keys
 
     /**
-     * The weight of keys, from the weights that the client gave the slices it named; within one of
-     * these it is proportional to the keys.
+     * The weight of a key range, from the weights of the requested slices; within a slice, weight
+     * is proportional to the number of keys.
      */
     double weightOf(KeyRange keys) {
         double sum = 0;
@@ -81,7 +81,10 @@
         return sum;
     }
 
-    /** The work of keys, in the same way; null where the client gave no estimate for any of it. */
+    /**
+     * The estimated work of a key range, computed in the same way; null if any requested slice that
+     * overlaps it has no estimate.
+     */
     Duration estimatedWorkOf(KeyRange keys) {
         double nanos = 0;
         for (RequestedSlice slice : overlapping(keys)) {
@@ -93,12 +96,12 @@
         return Duration.ofNanos(Math.round(nanos));
     }
 
-    /** The numbers of the slices, as the client named them, that hold any of these keys. */
+    /** The numbers of the requested slices that have any of these keys. */
     public List<Integer> requestedSlicesIn(KeyRange keys) {
         return overlapping(keys).stream().map(RequestedSlice::slice).toList();
     }
 
-    /** The requested slices that hold any of these keys; they are sorted and don't overlap. */
+    /** The requested slices that have any of these keys; they are sorted and don't overlap. */
     private List<RequestedSlice> overlapping(KeyRange keys) {
         int low = 0;
         int high = requested.size();
@@ -143,7 +146,7 @@
         return requested.size();
     }
 
-    /** Which of the answered parts go into an answer. */
+    /** The answered shard requests that go into the answer. */
     public CompleteRequests completeRequests(Query query) {
         Predicate<ShardRequest> answered = ShardRequest::isAnswered;
         if (!remapped) {
@@ -171,7 +174,7 @@
         return requestsOfCompleteSlices(query, condition, currentLayout.get()::overlapping);
     }
 
-    /** The parts of which each slice that they belong to counts with all parts of the query. */
+    /** The shard requests all of whose slices are complete: all requests for these match. */
     private static List<KeyRangeRequest> requestsOfCompleteSlices(
             Query query, Predicate<ShardRequest> condition, SliceLookup lookup) {
         Map<Object, Boolean> completeSlices = new LinkedHashMap<>();
--- a/src/main/java/postbeam/slices/LayoutReplicaPlacement.java
+++ b/src/main/java/postbeam/slices/LayoutReplicaPlacement.java
@@ -14,8 +14,8 @@
 import postbeam.model.ReplicaPlacement;
 
 /**
- * Replica lists by the layout in force: a slice's holders that discovery lists, without those that
- * said they don't hold it. Not thread-safe: its owner calls it under the policy's lock.
+ * Replica lists by the current layout: the listed data nodes that hold a slice, except those that
+ * reported that they don't hold it. Not thread-safe: its owner calls it under the policy's lock.
  */
 public final class LayoutReplicaPlacement implements ReplicaPlacement {
     private final Map<String, DataNode> listedNodes = new LinkedHashMap<>();
@@ -29,8 +29,8 @@
     /**
      * Sets how nodes and times are translated.
      *
-     * @param nodeNames the name that the layout has for a node
-     * @param toRouterTime from a time since 1970 to the router's time
+     * @param nodeNames from a node to its name in the layout
+     * @param toRouterTime from a time since the Unix epoch to the router's time
      */
     public void configure(
             Function<DataNode, String> nodeNames, Function<Duration, Duration> toRouterTime) {
@@ -38,7 +38,7 @@
         this.toRouterTime = toRouterTime;
     }
 
-    /** Uses a new layout; nodes that were excluded by the old one are used again. */
+    /** Replaces the layout and clears all exclusions. */
     void setLayout(Layout newLayout) {
         layout = newLayout;
         cachedReplicas.clear();
@@ -62,13 +62,13 @@
         cachedReplicas.clear();
     }
 
-    /** The node has said that it does not hold the slice. */
+    /** Excludes a node that reported that it does not hold the slice. */
     void exclude(int slice, DataNode node) {
         excluded.computeIfAbsent(slice, key -> new HashSet<>()).add(node);
         cachedReplicas.remove(slice);
     }
 
-    /** What the node has said is too old to rely on. */
+    /** Ends an exclusion, for example because the node's report is too old to rely on. */
     void readmit(int slice, DataNode node) {
         Set<DataNode> nodes = excluded.get(slice);
         if (nodes != null && nodes.remove(node)) {
--- a/src/main/java/postbeam/slices/Move.java
+++ b/src/main/java/postbeam/slices/Move.java
@@ -7,37 +7,37 @@
 import java.util.Set;
 
 /**
- * One change of the layout on its way, and the nodes that it concerns. Its state changes by records
- * of the journal alone, which {@link MoveJournalState} applies. Not thread-safe.
+ * One layout change that is being carried out, with its nodes. Only journal records change its
+ * state; {@link MoveJournalState} applies them. Not thread-safe.
  */
 public final class Move {
     /**
-     * A node that is to hold keys as a slice.
+     * A node that acquires a slice.
      *
-     * @param source the node that it gets the data from; itself where only the slice's number is
-     *     new
+     * @param source the node to copy the data from; the node itself if it has the data already, as
+     *     in a split or merge
      */
     public record Destination(String node, int slice, KeyRange keys, String source) {}
 
-    /** A node that is to let a slice go. */
+    /** A node that gives up a slice. */
     public record OldHolder(String node, int slice, KeyRange keys) {}
 
-    /** The move's number. */
+    /** The id, unique among the moves of a journal. */
     public final long id;
 
-    /** What is done to the layout. */
+    /** The change of the layout. */
     public final LayoutChange change;
 
-    /** Numbers of the slices that it creates. */
+    /** The numbers of the slices that the change creates. */
     public final List<Integer> newSlices;
 
-    /** The nodes that are to hold slices by it. */
+    /** The nodes that acquire slices. */
     public final List<Destination> destinations;
 
-    /** The nodes that are to let slices go. */
+    /** The nodes that give up slices. */
     public final List<OldHolder> oldHolders;
 
-    /** When it was planned, since 1970. */
+    /** When the move was planned, since the Unix epoch. */
     public final Duration plannedAt;
 
     private MoveState state = MoveState.PLANNED;
@@ -64,7 +64,7 @@
 
     // ---- creation
 
-    /** The move that a record plans, as the layout stands. */
+    /** Creates the move that a record plans, for the current layout. */
     static Move plan(JournalRecord.Planned planned, Layout layout) {
         List<Destination> destinations = new ArrayList<>();
         List<OldHolder> oldHolders = new ArrayList<>();
@@ -97,7 +97,7 @@
         }
     }
 
-    /** Each holder takes its own data up under the new slices' numbers. */
+    /** Each holder registers its own data under the numbers of the new slices. */
     private static void planSplitOrMerge(
             JournalRecord.Planned planned,
             Layout layout,
@@ -116,7 +116,7 @@
         }
     }
 
-    /** The move as a snapshot holds it. */
+    /** Recreates a move from a snapshot. */
     static Move restore(JournalRecord.MoveSnapshot snapshot) {
         Move move =
                 new Move(
@@ -149,9 +149,9 @@
                 mayBeFenced);
     }
 
-    // ---- records
+    // ---- changes by records
 
-    /** The move has come to this state. */
+    /** Enters a state. */
     void enter(MoveState next, Duration at) {
         state = next;
         stateSince = at;
@@ -159,7 +159,8 @@
     }
 
     /**
-     * The move is rolled back; one that is cut over already is completed first, and reversed then.
+     * Starts the rollback. A move that is cut over already is marked to be completed first and then
+     * reversed.
      */
     void abandon(String reason, Duration at) {
         abandonReason = reason;
@@ -172,30 +173,30 @@
 
     // ---- state
 
-    /** How far it has come. */
+    /** The current state. */
     public MoveState state() {
         return state;
     }
 
-    /** Since when it is in its state, since 1970. */
+    /** When the move entered its current state, since the Unix epoch. */
     public Duration stateSince() {
         return stateSince;
     }
 
-    /** Why it is abandoned; null while it is not. */
+    /** Why the move is abandoned; null if it is not. */
     public String abandonReason() {
         return abandonReason;
     }
 
     /**
-     * Whether it was abandoned after the cut-over: it is completed, and its reverse is planned
-     * then.
+     * Whether the move was abandoned after the cut-over. Such a move is completed, and then its
+     * reverse is planned.
      */
     public boolean reverseWhenDone() {
         return reverseWhenDone;
     }
 
-    /** Whether its old holders may have been fenced. */
+    /** Whether old holders may have been fenced. */
     boolean mayBeFenced() {
         return mayBeFenced;
     }
@@ -205,9 +206,9 @@
         return state == MoveState.CUT_OVER || state == MoveState.COMPLETED;
     }
 
-    // ---- whom it concerns
+    // ---- slices and nodes of the move
 
-    /** Whether it changes or creates the slice. */
+    /** Whether the move changes or creates the slice. */
     boolean concerns(int slice) {
         return change.slices().contains(slice) || newSlices.contains(slice);
     }
@@ -219,7 +220,7 @@
                                 destination.slice() == slice && destination.node().equals(node));
     }
 
-    /** All nodes that it needs. */
+    /** All destinations, sources and old holders. */
     public Set<String> requiredNodes() {
         Set<String> nodes = new LinkedHashSet<>();
         destinations.forEach(
@@ -231,7 +232,7 @@
         return nodes;
     }
 
-    /** Whether it takes data from one node to another. */
+    /** Whether the move copies data from one node to another. */
     public boolean copiesData() {
         return destinations.stream()
                 .anyMatch(destination -> !destination.node().equals(destination.source()));
--- a/src/main/java/postbeam/slices/MoveAdmission.java
+++ b/src/main/java/postbeam/slices/MoveAdmission.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 
 /**
- * A workflow over several moves that decides whether each may go on. Asked at each look, so it
- * needs no memory here.
+ * A workflow over several moves that decides whether each of them may go on. The coordinator asks
+ * at each tick and does not remember the answers.
  */
 public interface MoveAdmission {
-    /** Without a workflow all moves may go on. */
+    /** Admits all moves, for a coordinator without a workflow. */
     MoveAdmission UNRESTRICTED =
             new MoveAdmission() {
                 @Override
@@ -26,12 +26,16 @@
                 }
             };
 
-    /** Whether the move may go on to COPYING, REPLICATING, FENCED or COMPLETED. */
+    /**
+     * Whether the move may enter the next state.
+     *
+     * @param next COPYING, REPLICATING, FENCED or COMPLETED
+     */
     boolean permits(Move move, MoveState next);
 
-    /** Whether a copy that takes too long is abandoned. */
+    /** Whether the move is abandoned if copying or replicating takes too long. */
     boolean copyTimeoutApplies(Move move);
 
-    /** Why the change may not be planned now, in one line; empty where it may. */
+    /** The reason why the change may not be planned now, in one line; empty if it may. */
     Optional<String> reservationConflict(LayoutChange change);
 }
--- a/src/main/java/postbeam/slices/MoveApproval.java
+++ b/src/main/java/postbeam/slices/MoveApproval.java
@@ -2,7 +2,10 @@
 
 import java.util.Optional;
 
-/** Asks the workflow that moves belong to, where there is one, whether they may go on. */
+/**
+ * Holds the current {@link MoveAdmission}, which can be set after the coordinator's classes were
+ * wired, and forwards questions to it.
+ */
 final class MoveApproval {
     private MoveAdmission admission = MoveAdmission.UNRESTRICTED;
 
@@ -23,8 +26,8 @@
     }
 
     /**
-     * Whether the move waits for approval alone, and needs nothing of its nodes but what they do
-     * all the time.
+     * Whether the move waits only for the workflow. Its nodes then do no more than keep copies up
+     * to date and serve, so it does not count towards the limits on moves.
      */
     boolean isAwaitingApproval(Move move) {
         return switch (move.state()) {
--- a/src/main/java/postbeam/slices/MoveCommands.java
+++ b/src/main/java/postbeam/slices/MoveCommands.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** The commands of all moves under way. */
+/** Sends the commands of all moves under way and records their acknowledgements. */
 final class MoveCommands {
     private final MoveJournalState state;
     private final MoveLimits limits;
@@ -25,19 +25,20 @@
         }
     }
 
-    /** Forgets what was sent to a node that has come back or restarted. */
+    /** Forgets the commands sent to a node that reappeared or restarted. */
     void forgetNode(String node) {
         byMove.values().forEach(deliveries -> deliveries.forgetNode(node));
     }
 
-    /** Forgets the commands of moves that are over. */
+    /** Forgets the commands of moves that are no longer under way. */
     void forgetFinishedMoves() {
         byMove.keySet().removeIf(id -> state.move(id) == null);
     }
 
     /**
-     * Sends the command to each destination; true once all have acknowledged it, or are gone where
-     * they drop.
+     * Sends the command to each destination.
+     *
+     * @return whether all have acknowledged it; for DROP, destinations that are gone don't matter
      */
     boolean sendToDestinations(ActionList actions, Move move, HandoffCommand command) {
         return evaluateAll(
@@ -49,8 +50,9 @@
     }
 
     /**
-     * Sends the command to each old holder; true once all have acknowledged it, but for those that
-     * are gone.
+     * Sends the command to each old holder.
+     *
+     * @return whether all that are not gone have acknowledged it
      */
     boolean sendToOldHolders(ActionList actions, Move move, HandoffCommand command) {
         return evaluateAll(
@@ -73,7 +75,11 @@
                         destination.source()));
     }
 
-    /** Sends the command to one old holder; true once it is acknowledged. */
+    /**
+     * Sends the command to one old holder.
+     *
+     * @return whether it has acknowledged the command
+     */
     boolean send(ActionList actions, Move move, HandoffCommand command, Move.OldHolder holder) {
         return send(
                 actions,
@@ -98,7 +104,10 @@
         return deliveries != null && deliveries.isAcknowledged(node, command, slice);
     }
 
-    /** Whether it holds for all; each is tested, since the test sends what is due. */
+    /**
+     * Whether all elements match. Unlike {@code allMatch}, it tests every element, since the test
+     * itself sends the command.
+     */
     private static <T> boolean evaluateAll(List<T> list, Predicate<T> predicate) {
         boolean all = true;
         for (T one : list) {
--- a/src/main/java/postbeam/slices/MoveJournalState.java
+++ b/src/main/java/postbeam/slices/MoveJournalState.java
@@ -12,11 +12,12 @@
 import java.util.Set;
 
 /**
- * What the records of the journal add up to: the layout in force, the moves under way and the
- * target. Changed only by {@link #apply}, so that it is the same after a restart. Not thread-safe.
+ * The state that results from the journal's records: the layout in force, the moves under way and
+ * the target. Only {@link #apply} changes it, so that replaying the journal restores the same state
+ * after a restart. Not thread-safe.
  */
 public final class MoveJournalState {
-    /** Moves that are over and still shown to operators. */
+    /** How many finished moves are kept, to be shown to operators. */
     private static final int FINISHED_MOVES_KEPT = 64;
 
     private final long historyVersions;
@@ -31,36 +32,36 @@
     private long term;
     private WorkflowState workflow;
 
-    /** What the records of a workflow over moves add up to. */
+    /** The state that results from the records of a workflow over moves. */
     public interface WorkflowState {
         /**
-         * Applies a record.
+         * Applies the next record.
          *
-         * @throws IllegalArgumentException the record can't follow on those before
+         * @throws IllegalArgumentException if the record contradicts the records before it
          */
         void apply(JournalRecord.WorkflowRecord record);
 
-        /** Records that replace all before. */
+        /** Records that lead to the current state and replace all earlier ones. */
         List<JournalRecord.WorkflowRecord> snapshotRecords();
     }
 
     /**
-     * An empty state.
+     * Creates an empty state.
      *
-     * @param historyVersions how many versions back a layout knows the slices of
+     * @param historyVersions how many versions back a layout can resolve slices
      */
     public MoveJournalState(long historyVersions) {
         this.historyVersions = historyVersions;
     }
 
-    /** Sets who takes the records of a workflow; null where none is expected. */
+    /** Sets the state that workflow records are applied to; null if none are expected. */
     public void setWorkflow(WorkflowState newWorkflow) {
         workflow = newWorkflow;
     }
 
     // ---- the state
 
-    /** The term of the process that has written last; 0 where terms are not kept. */
+    /** The term of the process that wrote the journal last; 0 if terms are not used. */
     public long term() {
         return term;
     }
@@ -70,50 +71,50 @@
         return layout;
     }
 
-    /** Where the layout is to get; null where there is no target. */
+    /** The target layout; null if there is none. */
     public TargetLayout target() {
         return target;
     }
 
-    /** The moves under way, the oldest first. */
+    /** The moves under way, oldest first. */
     public Collection<Move> activeMoves() {
         return activeMoves.values();
     }
 
-    /** The moves that were over last, the latest last. */
+    /** The most recently finished moves, the latest last. */
     public Collection<Move> finishedMoves() {
         return finishedMoves;
     }
 
-    /** What nodes have yet to drop. */
+    /** The slices whose data nodes have yet to drop. */
     public Collection<Move.OldHolder> pendingDrops() {
         return pendingDrops;
     }
 
-    /** The move under way with this number; null where there is none. */
+    /** The move under way with this id; null if there is none. */
     public Move move(long id) {
         return activeMoves.get(id);
     }
 
-    /** The version of the next layout. */
+    /** The version that the next layout gets. */
     public long nextVersion() {
         return lastVersion + 1;
     }
 
-    /** The number of the next move. */
+    /** The id that the next move gets. */
     public long nextMove() {
         return lastMove + 1;
     }
 
     /**
-     * The number of the next slice. Numbers are never used again, so a late call for an old slice
-     * finds no other.
+     * The number that the next new slice gets. Numbers are never reused, so a late call for an old
+     * slice can't reach another slice.
      */
     public int nextSlice() {
         return lastSlice + 1;
     }
 
-    /** The slices that a move under way concerns. */
+    /** The slices that the moves under way change or create. */
     public Set<Integer> busySlices() {
         Set<Integer> busy = new HashSet<>();
         activeMoves
@@ -126,14 +127,14 @@
         return busy;
     }
 
-    /** Whether a move under way concerns the slice. */
+    /** Whether a move under way changes or creates the slice. */
     public boolean isBusy(int slice) {
         return activeMoves.values().stream().anyMatch(move -> move.concerns(slice));
     }
 
     // ---- snapshots
 
-    /** The record that replaces all records of moves before. */
+    /** A record that replaces all earlier records except those of terms and workflows. */
     public JournalRecord.Snapshot snapshot() {
         return new JournalRecord.Snapshot(
                 layout,
@@ -145,7 +146,7 @@
                 List.copyOf(pendingDrops));
     }
 
-    /** What follows on {@link #snapshot} where the journal is written anew. */
+    /** The records that follow {@link #snapshot} when the journal is compacted. */
     public List<JournalRecord> recordsAfterSnapshot() {
         List<JournalRecord> records = new ArrayList<>();
         if (term > 0) {
@@ -162,7 +163,7 @@
     /**
      * Applies the next record.
      *
-     * @throws IllegalArgumentException the record can't follow on those before
+     * @throws IllegalArgumentException if the record contradicts the records before it
      */
     public void apply(JournalRecord record) {
         if (record instanceof JournalRecord.Snapshot snapshot) {
@@ -170,7 +171,9 @@
         } else if (record instanceof JournalRecord.TermStarted started) {
             startTerm(started);
         } else if (layout == null) {
-            throw new IllegalArgumentException("a log that does not begin with a whole layout");
+            throw new IllegalArgumentException(
+                    "the journal must begin with a Snapshot record, got "
+                            + record.getClass().getSimpleName());
         } else if (record instanceof JournalRecord.WorkflowRecord workflowRecord) {
             applyToWorkflow(workflowRecord);
         } else if (record instanceof JournalRecord.TargetSet targetSet) {
@@ -204,7 +207,8 @@
 
     private void startTerm(JournalRecord.TermStarted started) {
         if (started.term() < term) {
-            throw new IllegalArgumentException("term " + started.term() + " is not above " + term);
+            throw new IllegalArgumentException(
+                    "term " + started.term() + " is below the current term " + term);
         }
         term = started.term();
     }
@@ -212,20 +216,21 @@
     private void applyToWorkflow(JournalRecord.WorkflowRecord record) {
         if (workflow == null) {
             throw new IllegalArgumentException(
-                    "migrations stand in this log: switch layouts.migration on");
+                    "the journal has migration records: layouts.migration.enabled must be true");
         }
         workflow.apply(record);
     }
 
     private void plan(JournalRecord.Planned planned) {
         if (planned.id() <= lastMove) {
-            throw new IllegalArgumentException("move " + planned.id() + " is planned twice");
+            throw new IllegalArgumentException(
+                    "the id of planned move " + planned.id() + " is not above " + lastMove);
         }
         lastMove = planned.id();
         planned.newSlices().forEach(number -> lastSlice = Math.max(lastSlice, number));
         Move move = Move.plan(planned, layout);
         activeMoves.put(move.id, move);
-        // A node that is to get a slice again does not drop what it held of it before.
+        // A node that acquires a slice again must not drop its old data of the slice.
         pendingDrops.removeIf(drop -> move.hasDestination(drop.node(), drop.slice()));
     }
 
@@ -265,7 +270,7 @@
     private long advanceVersion(long version) {
         if (version <= lastVersion) {
             throw new IllegalArgumentException(
-                    "version " + version + " is not above " + lastVersion);
+                    "layout version " + version + " is not above " + lastVersion);
         }
         lastVersion = version;
         return version;
--- a/src/main/java/postbeam/slices/MoveLimits.java
+++ b/src/main/java/postbeam/slices/MoveLimits.java
@@ -3,17 +3,17 @@
 import java.time.Duration;
 
 /**
- * What moves must keep to.
+ * Limits on moves, and the replication that they must preserve.
  *
- * @param maxMoves moves under way at once
- * @param maxMovesPerNode of these, how many may need one node
- * @param maxMovesPerZone of these, how many may need nodes of one zone
- * @param copyTimeout after which a copy is stuck and its move abandoned
- * @param stepTimeout after which any other step that waits for nodes is given up
- * @param nodeCooldown for how long a node that has taken a slice is given no other
- * @param resendInterval how often a command that is not acknowledged is sent again
- * @param minHolders the fewest holders that a slice may have
- * @param minZones in how many zones these must be
+ * @param maxMoves maximum number of moves under way at once
+ * @param maxMovesPerNode maximum number of these that need the same node
+ * @param maxMovesPerZone maximum number of these that need nodes of the same zone
+ * @param copyTimeout how long copying may take before the move is abandoned
+ * @param stepTimeout how long any other step may wait for nodes before it is given up
+ * @param nodeCooldown how long after it acquired a slice a node gets no other
+ * @param resendInterval how often an unacknowledged command is sent again
+ * @param minHolders minimum number of holders of a slice
+ * @param minZones minimum number of zones that the holders of a slice are in
  */
 public record MoveLimits(
         int maxMoves,
--- a/src/main/java/postbeam/slices/MoveState.java
+++ b/src/main/java/postbeam/slices/MoveState.java
@@ -1,28 +1,28 @@
 package postbeam.slices;
 
 /**
- * How far a move has come. Up to {@link #FENCED} the old layout is in force, from {@link #CUT_OVER}
- * on the new one. Operators and the journal have names of their own for these.
+ * The state of a move. Up to {@link #FENCED} the old layout is in force, from {@link #CUT_OVER} the
+ * new one. Operators and the journal see separately defined names, not those of the constants.
  */
 public enum MoveState {
-    /** Waits until its nodes and the limits allow it to start. */
+    /** Waiting until its nodes and the limits allow it to start. */
     PLANNED("planned"),
-    /** The destinations copy the data. */
+    /** The destinations are copying the data. */
     COPYING("copying"),
-    /** The destinations hold all data and are kept up to date; the old holders still serve. */
+    /** The destinations have all data and are kept up to date; the old holders still serve. */
     REPLICATING("holding both"),
     /**
-     * The old holders accept no new calls and finish what they have; then the destinations are let
+     * The old holders accept no new calls and finish the accepted ones; then the destinations may
      * serve.
      */
     FENCED("fenced"),
-    /** The new layout is published; the old holders drop the data. */
+    /** The new layout is in force; the old holders drop their data. */
     CUT_OVER("cut over"),
-    /** All is done. */
+    /** Finished under the new layout. */
     COMPLETED("forgotten"),
-    /** On the way back to the old layout. */
+    /** Being rolled back to the old layout. */
     ABANDONING("abandoning"),
-    /** Back at the old layout, under a higher version. */
+    /** Finished with the old layout, under a higher version. */
     ABANDONED("abandoned");
 
     private final String text;
@@ -31,12 +31,12 @@
         this.text = text;
     }
 
-    /** As operators and logs read it; it stays when a constant is renamed. */
+    /** The name in logs and texts for operators; it stays when a constant is renamed. */
     public String text() {
         return text;
     }
 
-    /** Whether the move is over. */
+    /** Whether a move in this state is finished. */
     public boolean isFinal() {
         return this == COMPLETED || this == ABANDONED;
     }
--- a/src/main/java/postbeam/slices/MoveStateMachine.java
+++ b/src/main/java/postbeam/slices/MoveStateMachine.java
@@ -5,10 +5,9 @@
 import java.util.Optional;
 
 /**
- * The steps of one move: from {@link MoveState#PLANNED} over copying, replicating, fencing and
- * cut-over to {@link MoveState#COMPLETED}, or back to the old layout. Commands are sent from what
- * the journaled state asks for, so a coordinator that starts anew goes on where its predecessor
- * stopped.
+ * Takes the steps of a move: from {@link MoveState#PLANNED} through copying, replicating, fencing
+ * and cut-over to {@link MoveState#COMPLETED}, or back to the old layout. The commands follow from
+ * the journaled state of the move, so a restarted coordinator continues where it stopped.
  */
 final class MoveStateMachine {
     private final MoveJournalState state;
@@ -53,7 +52,7 @@
             case CUT_OVER -> dropOldCopies(actions, move);
             case ABANDONING -> rollBack(actions, move);
             default -> {
-                // The move is over.
+                // The move is finished.
             }
         }
     }
@@ -85,7 +84,12 @@
     private void replicate(ActionList actions, Move move) {
         Optional<String> gone = goneNode(move);
         if (isLate(actions, move)) {
-            abandon(actions, move, "nodes don't keep up");
+            abandon(
+                    actions,
+                    move,
+                    "the destinations did not acknowledge HOLD within "
+                            + limits.stepTimeout().toMillis()
+                            + " ms");
         } else if (gone.isPresent()) {
             abandon(actions, move, goneReason(gone.get()));
         } else if (commands.sendToDestinations(actions, move, HandoffCommand.HOLD)
@@ -96,8 +100,8 @@
 
     /**
      * Fences the old holders first, then lets the destinations serve, then cuts over: at no time do
-     * two versions take calls for a slice that changes hands. A source that dies once it is fenced
-     * is not needed any more.
+     * nodes accept calls of both layout versions for the slice. An old holder that is gone after it
+     * was fenced does not stop the move.
      */
     private void fenceAndCutOver(ActionList actions, Move move) {
         boolean fenced = true;
@@ -105,7 +109,8 @@
             boolean acknowledged = commands.send(actions, move, HandoffCommand.FENCE, holder);
             boolean gone = nodes.isGone(holder.node());
             if (!acknowledged && gone && !canSkipFencing(move, holder.node())) {
-                // It may only be cut off from here, and still take calls of the old version.
+                // The node may only be unreachable from here and still accept calls of the old
+                // version.
                 abandon(actions, move, goneReason(holder.node()) + " before it was fenced");
                 return;
             }
@@ -117,7 +122,12 @@
                         .filter(nodes::isGone)
                         .findFirst();
         if (isLate(actions, move)) {
-            abandon(actions, move, "nodes don't answer while it is fenced");
+            abandon(
+                    actions,
+                    move,
+                    "the nodes did not acknowledge FENCE and SERVE within "
+                            + limits.stepTimeout().toMillis()
+                            + " ms");
         } else if (gone.isPresent()) {
             abandon(actions, move, goneReason(gone.get()));
         } else if (fenced && commands.sendToDestinations(actions, move, HandoffCommand.SERVE)) {
@@ -126,32 +136,36 @@
         }
     }
 
-    /** Whether the move was planned without this node, as what it held was lost already. */
+    /**
+     * Whether the move may cut over although this old holder, which is gone, was not fenced. That
+     * is so for a transfer that copies from another node or copies nothing: it was planned without
+     * the data of this holder.
+     */
     private static boolean canSkipFencing(Move move, String node) {
         return move.change instanceof LayoutChange.Transfer
                 && move.destinations.stream()
                         .noneMatch(destination -> destination.source().equals(node));
     }
 
-    /** The old holders drop what they held. */
+    /** Has the old holders drop their data, and completes the move. */
     private void dropOldCopies(ActionList actions, Move move) {
         if (move.reverseWhenDone() && move.change instanceof LayoutChange.Transfer) {
-            // What the old holders have is wanted again: the reverse move copies onto it, and
-            // cancels the drop.
+            // The reverse move needs the data of the old holders: it copies onto it and cancels the
+            // pending drop.
             move.oldHolders.forEach(
                     holder -> actions.append(new JournalRecord.PendingDrop(holder, true)));
             complete(actions, move);
         } else if (approval.permits(move, MoveState.COMPLETED)
                 && (commands.sendToOldHolders(actions, move, HandoffCommand.DROP)
                         || isLate(actions, move))) {
-            // A holder that does not answer drops when it is back; until then its fence keeps it
-            // harmless.
+            // A holder that does not acknowledge drops its data when it is back; until then it is
+            // fenced and accepts no calls.
             appendPendingDrops(actions, move, move.oldHolders);
             complete(actions, move);
         }
     }
 
-    /** Keeps who has not acknowledged yet that it dropped what it has of the slice. */
+    /** Records a pending drop for each holder that has not acknowledged DROP yet. */
     private void appendPendingDrops(
             ActionList actions, Move move, List<Move.OldHolder> droppingHolders) {
         for (Move.OldHolder holder : droppingHolders) {
@@ -172,19 +186,19 @@
         }
     }
 
-    // ---- back
+    // ---- rollback and reverse
 
     private void rollBack(ActionList actions, Move move) {
         boolean dropped =
                 commands.sendToDestinations(actions, move, HandoffCommand.DROP)
                         || isLate(actions, move);
-        // Each old holder must take the slice again: one that stayed fenced would be a holder in
-        // name only.
+        // Old holders must acknowledge SERVE: one that stayed fenced would be a listed holder that
+        // accepts no calls.
         boolean served =
                 !move.mayBeFenced()
                         || commands.sendToOldHolders(actions, move, HandoffCommand.SERVE);
         if (served && dropped) {
-            // A destination that does not answer drops its copy when it is back.
+            // A destination that does not acknowledge drops its copy when it is back.
             appendPendingDrops(
                     actions,
                     move,
@@ -212,7 +226,7 @@
         return new LayoutChange.Split(move.newSlices.get(0), mergeBoundaries(move));
     }
 
-    /** Where the slices that a merge joined met. */
+    /** The boundaries between the slices that a merge joined. */
     private static List<Long> mergeBoundaries(Move merge) {
         String node = merge.oldHolders.get(0).node();
         return merge.oldHolders.stream()
@@ -229,8 +243,8 @@
     }
 
     /**
-     * Rolls the move back, or marks it to be reversed once it is completed where it is cut over
-     * already.
+     * Starts the rollback of a move or, if it is cut over already, marks it to be reversed once it
+     * is completed.
      */
     void abandon(ActionList actions, Move move, String reason) {
         actions.append(new JournalRecord.AbandonRequested(move.id, reason, actions.now()));
@@ -240,7 +254,7 @@
         return "node " + node + " is gone";
     }
 
-    /** Whether the move has been in its state for longer than it may. */
+    /** Whether the move has exceeded the timeout of its current state. */
     private boolean isLate(ActionList actions, Move move) {
         boolean copying = move.state() == MoveState.COPYING;
         Duration timeout = copying ? limits.copyTimeout() : limits.stepTimeout();
@@ -252,8 +266,8 @@
     }
 
     /**
-     * A destination or source that is gone. An old holder may be: a move with another source takes
-     * the slice off it.
+     * A destination or source that is gone. Old holders don't matter here: a move that copies from
+     * another node can replace an old holder that is gone.
      */
     private Optional<String> goneNode(Move move) {
         for (Move.Destination destination : move.destinations) {
--- a/src/main/java/postbeam/slices/NodeReconciliation.java
+++ b/src/main/java/postbeam/slices/NodeReconciliation.java
@@ -5,20 +5,18 @@
 import java.util.Map;
 
 /**
- * Brings nodes back in line with the layout, apart from any move: a node that comes back may have
- * forgotten what it is to serve, or still hold what was taken off it while it was gone.
+ * Brings nodes back in line with the layout, outside of moves: a node that reappears may have lost
+ * the knowledge of which slices it serves, or still have data of slices that were moved off it
+ * while it was gone.
  */
 final class NodeReconciliation {
-    /** The move of commands that belong to no move. */
+    /** The move id of commands that belong to no move. */
     static final long NO_MOVE = 0;
 
-    /**
-     * Slices that a node is reminded of at once until it has acknowledged them: its queue is
-     * bounded.
-     */
+    /** Maximum number of unacknowledged SERVE commands per node, whose command queue is bounded. */
     private static final int MAX_SERVES_IN_FLIGHT = 64;
 
-    /** A slice that is to be dropped is dropped whatever the version. */
+    /** The version in DROP commands, which apply whatever the layout version. */
     private static final long ANY_VERSION = 0;
 
     private final MoveJournalState state;
@@ -27,7 +25,7 @@
     private final MoveApproval approval;
     private final CommandDeliveries drops = new CommandDeliveries();
 
-    /** By node that is to be reminded of what it serves. */
+    /** The SERVE commands of nodes that have yet to acknowledge all their slices, by node. */
     private final Map<String, CommandDeliveries> serveDeliveries = new LinkedHashMap<>();
 
     NodeReconciliation(
@@ -38,13 +36,13 @@
         this.approval = approval;
     }
 
-    /** A node has come, come back or restarted: it is to be reminded of what it serves. */
+    /** Starts over with a node that appeared, reappeared or restarted. */
     void onArrival(String node) {
         serveDeliveries.put(node, new CommandDeliveries());
         drops.forgetNode(node);
     }
 
-    /** Takes the acknowledgement of a command that belongs to no move. */
+    /** Records the acknowledgement of a command that belongs to no move. */
     void acknowledge(String node, HandoffCommand command, int slice) {
         if (command != HandoffCommand.SERVE) {
             drops.acknowledge(node, command, slice);
@@ -54,8 +52,8 @@
     }
 
     /**
-     * Has old holders drop what no command to drop reached them for in time: a node that was gone
-     * while a slice was taken off it would serve old data to a router that is as far behind.
+     * Sends DROP to nodes that did not acknowledge it during the move. A node that was gone while a
+     * slice was moved off it would otherwise serve old data to a router with an equally old layout.
      */
     void sendPendingDrops(ActionList actions) {
         forgetCancelledDrops();
@@ -76,7 +74,10 @@
         }
     }
 
-    /** A drop that is asked for again later must not count as done by a late acknowledgement. */
+    /**
+     * Forgets drops that are no longer pending, so that a late acknowledgement does not count for a
+     * later drop of the same slice.
+     */
     private void forgetCancelledDrops() {
         drops.retain(
                 (node, slice) ->
@@ -88,8 +89,8 @@
     }
 
     /**
-     * Has nodes that came back serve each slice that the layout gives them and that no move is
-     * about.
+     * Sends SERVE to nodes that reappeared, for each slice that the layout assigns to them and that
+     * is not moving.
      */
     void sendServeCommands(ActionList actions) {
         serveDeliveries
@@ -102,7 +103,7 @@
                         });
     }
 
-    /** True once the node has acknowledged all. */
+    /** Returns whether the node has acknowledged SERVE for all its slices. */
     private boolean sendServeCommandsTo(
             ActionList actions, String node, CommandDeliveries deliveries) {
         boolean complete = true;
@@ -111,7 +112,7 @@
             if (!slice.heldBy(node) || inFlight >= MAX_SERVES_IN_FLIGHT) {
                 continue;
             }
-            // A slice that a move is about is reminded of once the move is over.
+            // A moving slice counts as unacknowledged, so its SERVE is sent after the move.
             boolean acknowledged =
                     !isMoving(slice.number())
                             && deliveries.send(
--- a/src/main/java/postbeam/slices/NodeStates.java
+++ b/src/main/java/postbeam/slices/NodeStates.java
@@ -9,15 +9,16 @@
 import java.util.Set;
 import postbeam.model.Readiness;
 
-/** What discovery has said of each data node, in the order in which they were listed first. */
+/** The last known state of each data node, in the order in which the nodes were first listed. */
 final class NodeStates {
     private final Map<String, TargetLayout.NodeInfo> nodes = new LinkedHashMap<>();
 
     /**
-     * Takes an update.
+     * Applies an update of the node list.
      *
-     * @param restarted nodes that have started anew since the last update
-     * @return the nodes that have come, come back or restarted
+     * @param update node states by name; a node that is not in it keeps its last state
+     * @param restarted names of the nodes that restarted since the last update
+     * @return the names of the nodes that appeared, reappeared or restarted
      */
     List<String> update(Map<String, TargetLayout.NodeInfo> update, List<String> restarted) {
         List<String> arrived = new ArrayList<>();
@@ -37,12 +38,12 @@
         return nodes.isEmpty();
     }
 
-    /** All that is known, by name. */
+    /** All nodes that were ever listed, by name. */
     Map<String, TargetLayout.NodeInfo> all() {
         return nodes;
     }
 
-    /** Empty for a node that was never listed. */
+    /** The state of a node; empty if it was never listed. */
     Optional<TargetLayout.NodeInfo> find(String node) {
         return Optional.ofNullable(nodes.get(node));
     }
@@ -52,20 +53,23 @@
         return info != null && info.readiness() == Readiness.READY;
     }
 
-    /** Whether the node was listed once and is no more; one that was never listed is waited for. */
+    /**
+     * Whether the node was listed once and is no longer. A node that was never listed is not gone,
+     * but expected to appear.
+     */
     boolean isGone(String node) {
         TargetLayout.NodeInfo info = nodes.get(node);
         return info != null && info.readiness() == Readiness.REMOVED;
     }
 
-    /** The nodes that were listed once and are no more. */
+    /** The names of the nodes that were listed once and are no longer. */
     Set<String> gone() {
         Set<String> gone = new LinkedHashSet<>();
         nodes.keySet().stream().filter(this::isGone).forEach(gone::add);
         return gone;
     }
 
-    /** Empty for a node that was never listed. */
+    /** The zone of a node; an empty string if it was never listed. */
     String zone(String node) {
         TargetLayout.NodeInfo info = nodes.get(node);
         return info == null ? "" : info.zone();
--- a/src/main/java/postbeam/slices/Planner.java
+++ b/src/main/java/postbeam/slices/Planner.java
@@ -6,15 +6,19 @@
 import java.util.Set;
 
 /**
- * Which changes bring a layout towards a target. It is called again after each change, so it needs
- * no memory, and a move that was abandoned is planned again. Slices are first split where the
- * target has a boundary, then transferred to the nodes that are to hold them, and merged last:
- * copies are of slices no larger than needed, and only what the same nodes hold is merged.
+ * Finds the changes that bring a layout towards a target. It keeps no state and is called again
+ * after each change, so a move that was abandoned is planned again. Slices are first split at the
+ * boundaries of the target, then transferred to their desired holders, and merged last: so no copy
+ * is larger than needed, and merged slices have the same holders.
  */
 public final class Planner {
     private Planner() {}
 
-    /** Changes that can be made now, each of slices of its own and none of a busy slice. */
+    /**
+     * The changes that can be made now. No two concern the same slice.
+     *
+     * @param busy the slices that moves under way concern; they are left out
+     */
     public static List<LayoutChange> nextChanges(
             Layout layout, TargetLayout target, Set<Integer> busy) {
         List<LayoutChange> changes = new ArrayList<>();
@@ -52,8 +56,9 @@
     }
 
     /**
-     * The boundaries of the target strictly inside a slice that begins in its slice number {@code
-     * first}.
+     * The boundaries of the target strictly inside a slice.
+     *
+     * @param first index of the desired slice in which the slice begins
      */
     private static List<Long> boundariesWithin(
             Slice slice, List<TargetLayout.DesiredSlice> desired, int first) {
@@ -66,7 +71,11 @@
         return boundaries;
     }
 
-    /** Empty where these nodes hold the slice. New holders come before old ones are let go. */
+    /**
+     * The next transfer towards the desired holders; empty if the slice has them already. While
+     * desired holders are missing, each transfer adds one; a surplus holder is removed in exchange
+     * for a missing one, or last.
+     */
     private static Optional<LayoutChange> transferTowards(Slice slice, List<String> nodes) {
         String missing =
                 nodes.stream().filter(node -> !slice.heldBy(node)).findFirst().orElse(null);
@@ -80,7 +89,7 @@
                 : Optional.of(new LayoutChange.Transfer(slice.number(), extra, missing));
     }
 
-    /** Whether two or more slices together are the desired one. */
+    /** Whether two or more slices together cover exactly the desired slice. */
     private static boolean formDesiredSlice(TargetLayout.DesiredSlice desired, List<Slice> slices) {
         int last = slices.size() - 1;
         return last > 0
--- a/src/main/java/postbeam/slices/Slice.java
+++ b/src/main/java/postbeam/slices/Slice.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * Keys that are held together.
+ * A key range whose data is held by the same nodes.
  *
- * @param number never used for another slice
+ * @param number identifies the slice; never reused for another one
  * @param createdVersion the layout version in which it was created
  */
 public record Slice(int number, KeyRange keys, long createdVersion, List<Holder> holders) {
-    /** A slice of a layout. */
+    /** Creates a slice with a copy of the list. */
     public Slice {
         holders = List.copyOf(holders);
     }
--- a/src/main/java/postbeam/slices/SlicePlacement.java
+++ b/src/main/java/postbeam/slices/SlicePlacement.java
@@ -11,13 +11,13 @@
 import java.util.Set;
 import postbeam.model.Readiness;
 
-/** Which nodes are to hold a slice: spread over zones first, then evenly over nodes. */
+/** Chooses holders for slices: spread over zones first, then evenly over nodes. */
 public final class SlicePlacement {
     private SlicePlacement() {}
 
     /**
-     * The ready nodes, zone after zone in turn, so that neighbours in the list are in different
-     * zones where possible.
+     * The names of the ready nodes, taken from the zones in turn, so that neighbours in the list
+     * are in different zones if possible.
      */
     public static List<String> spreadOverZones(Map<String, TargetLayout.NodeInfo> nodes) {
         Map<String, List<String>> zones = new LinkedHashMap<>();
@@ -41,13 +41,14 @@
     }
 
     /**
-     * Transfers that bring slices off nodes that are gone: each to a ready node, in a zone that
-     * does not hold the slice yet where there is one, and among these to the node that holds the
-     * fewest slices. Slices with the fewest holders left come first; one without any holder left is
-     * not among them, since nobody has its data.
+     * Transfers that replace holders that are gone. Each goes to a ready node, preferably in a zone
+     * without a holder of the slice, and among these to the node that holds the fewest slices.
+     * Slices with the fewest listed holders come first. A slice without a listed holder is left
+     * out, since no node has its data.
      *
-     * @param busy slices that a move under way concerns, which are left out
-     * @param maxRepairs how many transfers at most
+     * @param gone names of the nodes that are gone
+     * @param busy the slices that moves under way concern; they are left out
+     * @param maxRepairs the maximum number of transfers
      */
     static List<LayoutChange> repairs(
             Layout layout,
@@ -78,8 +79,8 @@
     }
 
     /**
-     * Slices with a holder that is gone and one that is listed, those with the fewest listed
-     * holders first.
+     * Slices with at least one holder that is gone and one that is listed, those with the fewest
+     * listed holders first.
      */
     private static List<Slice> repairableSlices(
             Layout layout,
--- a/src/main/java/postbeam/slices/SliceRequest.java
+++ b/src/main/java/postbeam/slices/SliceRequest.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /**
- * What a client asks of one slice.
+ * A client's request for one slice.
  *
- * @param slice the slice's number by the layout version that the client knows
- * @param weight its share of the answer
- * @param estimatedWork the client's estimate of its work; null where there is none
+ * @param slice the slice's number in the layout version that the client uses
+ * @param weight its share of the answer's weight
+ * @param estimatedWork the client's estimate of a node's work; null if there is none
  */
 public record SliceRequest(int slice, double weight, Duration estimatedWork) {}
--- a/src/main/java/postbeam/slices/SliceTranslator.java
+++ b/src/main/java/postbeam/slices/SliceTranslator.java
@@ -12,56 +12,58 @@
 import postbeam.model.SideEffects;
 
 /**
- * A router's view of the layout: which version it uses, how a query's parts map onto its slices,
- * and what becomes of queries in flight when it changes. The routing policy sees parts and replica
- * lists as without a layout. Not thread-safe: its owner calls it under the policy's lock.
+ * A router's view of the layout: which version it uses, how queries map onto its slices, and what
+ * happens to queries in flight when it changes. The routing policy works on shard requests and
+ * replica lists, as it does without a layout. Not thread-safe: its owner calls it under the
+ * policy's lock.
  */
 public class SliceTranslator {
     /**
-     * For how long a node that said it does not hold a slice gets no calls for it. The next layout
-     * version mostly comes sooner and clears it; a node that was wrong about itself, as after a
-     * restart, is used again after it.
+     * How long a node that reported that it does not hold a slice gets no calls for it. The next
+     * layout version usually arrives sooner and clears the exclusion. A node whose report was
+     * wrong, for example after a restart, is used again after this time.
      */
     public static final Duration EXCLUSION_TIME = Duration.ofMillis(500);
 
-    /** Parts that one query may be translated into. */
+    /** The maximum number of shard requests that a query may be translated into. */
     private static final int MAX_SHARD_REQUESTS = 2048;
 
-    /** A client that names this version means the layout in force. */
+    /** The version by which a client refers to the current layout. */
     private static final long CURRENT_VERSION = 0;
 
     private final LayoutReplicaPlacement placement = new LayoutReplicaPlacement();
     private Layout currentLayout;
     private long rejectedLayouts;
 
-    /** Null where layouts are held without a lease. */
+    /** Null if layouts are used without a lease. */
     private Duration leaseDuration;
 
     private Duration leaseEnd;
 
     // ---- the layout
 
-    /** The replicas of each slice by the layout in force. */
+    /** The replicas of each slice by the current layout. */
     public LayoutReplicaPlacement placement() {
         return placement;
     }
 
-    /** The layout in force; null before the first. */
+    /** The current layout; null before the first update. */
     public final Layout currentLayout() {
         return currentLayout;
     }
 
-    /** How many layouts were rejected because they go back to an older version. */
+    /** The number of layouts that were rejected because their version was older. */
     public final long rejectedLayouts() {
         return rejectedLayouts;
     }
 
     /**
-     * Adopts a layout, unless it is older than the one in force: a layout service that was restored
-     * from an older state, or a late response, would direct calls to nodes that are fenced for
-     * them. Where operators begin anew from an older journal, routers must be restarted.
+     * Adopts a layout unless it is older than the current one. An older layout, from a late
+     * response or a layout service that was restored from an older state, would direct calls to
+     * nodes that are fenced for them. If operators start again from an older journal, routers must
+     * be restarted.
      *
-     * @return whether the layout is in force now
+     * @return whether the layout was adopted
      */
     public final boolean onUpdate(Layout next) {
         if (!isSuccessor(currentLayout, next)) {
@@ -73,14 +75,18 @@
         return true;
     }
 
-    /** Whether a layout may follow the one in force, which is null before the first. */
+    /**
+     * Whether a layout may replace the current one.
+     *
+     * @param current null before the first update
+     */
     protected boolean isSuccessor(Layout current, Layout next) {
         return current == null || next.version > current.version;
     }
 
     /**
-     * From now on a layout may be used for so long after it was requested, for queries that are not
-     * idempotent.
+     * Limits how long after its request a layout may be used for queries that are not idempotent.
+     * No lease is granted yet.
      */
     public final void setLeaseDuration(Duration duration) {
         leaseDuration = duration;
@@ -88,8 +94,9 @@
     }
 
     /**
-     * The layout service has answered a request that was sent at this time with the layout in
-     * force.
+     * Renews the lease, after the layout service confirmed the current layout.
+     *
+     * @param requestedAt when the request to the layout service was sent
      */
     public final void renewLease(Duration requestedAt) {
         if (leaseDuration == null) {
@@ -101,14 +108,15 @@
         }
     }
 
-    // ---- a query arrives
+    // ---- translation of a new query
 
     /**
-     * Gives the query its parts: what the client names by a version that it knows, cut and merged
-     * to the slices in force.
+     * Creates the shard requests of a query: translates the slices that the client names by a
+     * layout version it knows to slices of the current layout.
      *
-     * @param version 0 for the version in force
-     * @throws UnroutableQueryException the slices can't be found; the query has no part then
+     * @param version the client's layout version; 0 for the current one
+     * @throws UnroutableQueryException if the slices can't be translated; the query has no shard
+     *     requests then
      */
     public final void assignShardRequests(Query query, long version, List<SliceRequest> requests)
             throws UnroutableQueryException {
@@ -118,10 +126,10 @@
     }
 
     /**
-     * The keys of what a client names by a version that it knows.
+     * Looks up the keys of the slices that a client names by a layout version it knows.
      *
-     * @param version 0 for the version in force
-     * @throws UnroutableQueryException the slices can't be found
+     * @param version the client's layout version; 0 for the current one
+     * @throws UnroutableQueryException if the version or a slice is unknown
      */
     public final List<LayoutCompleteness.RequestedSlice> resolveSlices(
             long version, List<SliceRequest> requests) throws UnroutableQueryException {
@@ -133,7 +141,11 @@
         if (namedVersion > currentLayout.version) {
             throw new UnroutableQueryException(
                     UnroutableQueryException.Reason.LAYOUT_UNKNOWN,
-                    "layout " + namedVersion + " is not known yet; " + currentLayout.version + " is");
+                    "layout "
+                            + namedVersion
+                            + " is not known yet; "
+                            + currentLayout.version
+                            + " is");
         }
         if (namedVersion < currentLayout.oldestVersion) {
             throw new UnroutableQueryException(
@@ -160,11 +172,11 @@
     }
 
     /**
-     * Gives the query its parts: these keys, which don't overlap, cut and merged to the slices in
-     * force.
+     * Creates the shard requests of a query for resolved slices, whose keys don't overlap.
      *
-     * @param version the version by which the client names the slices
-     * @throws UnroutableQueryException there would be too many parts, or the layout's lease is over
+     * @param version the layout version by which the client names the slices
+     * @throws UnroutableQueryException if there would be too many shard requests, or the layout's
+     *     lease is over
      */
     public final void assignKeys(
             Query query, long version, List<LayoutCompleteness.RequestedSlice> requested)
@@ -187,7 +199,7 @@
         fragments.forEach(fragment -> newRequest(query, completeness, fragment));
     }
 
-    /** A query that is not idempotent must not run by a layout that may long have been replaced. */
+    /** A query that is not idempotent must not run by a layout that may be out of date. */
     private void requireLease(Query query) throws UnroutableQueryException {
         if (leaseDuration != null
                 && query.queryClass().sideEffects == SideEffects.NON_IDEMPOTENT
@@ -213,36 +225,34 @@
                 completeness.estimatedWorkOf(fragment.keys()));
     }
 
-    /** How the query's weights count. */
+    /** The rule by which the weights of the query's answer count. */
     protected CompletenessRule completenessRule(LayoutCompleteness completeness) {
         return completeness;
     }
 
-    /** The slices that the query is held against. */
+    /** The completeness of a query whose shard requests this translator created. */
     public LayoutCompleteness completenessOf(Query query) {
         return (LayoutCompleteness) query.completenessRule();
     }
 
-    // ---- while a query is in flight
+    // ---- queries in flight
 
-    /**
-     * A node has said that it does not hold the part's slice: it gets no calls for it for a while.
-     */
+    /** Excludes a node that reported that it does not hold the slice of a shard request. */
     public final void excludeReplica(ShardRequest request, DataNode node) {
         placement.exclude(request.shard, node);
     }
 
-    /** The node may get calls for the slice again. */
+    /** Lets a node get calls for the slice again. */
     public final void readmitReplica(int slice, DataNode node) {
         placement.readmit(slice, node);
     }
 
     /**
-     * Replaces the parts of a query in flight whose slices are no more, and that are neither
-     * answered nor being asked for, by parts of the slices in force. A part that is being asked for
-     * stays as it was sent: its answer covers its keys, by whatever number they go now.
+     * Replaces the shard requests of a query in flight whose slices the current layout does not
+     * have, unless they are answered or have an attempt in flight. A request with an attempt in
+     * flight stays as it was sent: the answer covers its keys, whichever slices they belong to now.
      *
-     * @return whether any part was replaced
+     * @return whether any shard request was replaced
      */
     public final boolean remapStaleRequests(Query query) {
         List<KeyRangeRequest> stale = staleRequests(query);
@@ -251,8 +261,8 @@
         }
         query.removeShardRequests(stale);
         LayoutCompleteness completeness = completenessOf(query);
-        // Parts that nothing was sent for are merged where they meet in one slice; the others keep
-        // their own attempts.
+        // Requests without attempts are merged if they are adjacent in one slice; the others stay
+        // separate, so that each keeps its own attempts.
         List<Fragment> notAttempted = new ArrayList<>();
         Map<KeyRangeRequest, List<Fragment>> attempted = new LinkedHashMap<>();
         for (KeyRangeRequest request : stale) {
@@ -263,7 +273,8 @@
                 attempted.put(request, fragments);
             }
         }
-        Fragment.merged(notAttempted).forEach(fragment -> newRequest(query, completeness, fragment));
+        Fragment.merged(notAttempted)
+                .forEach(fragment -> newRequest(query, completeness, fragment));
         attempted.forEach(
                 (request, fragments) ->
                         fragments.forEach(
@@ -288,9 +299,10 @@
     }
 
     /**
-     * What may have run for the replaced part may have run for its successor: its attempts, when
-     * the first of them may have run, and that no further one is made. So retry rules and budgets
-     * hold across a split or merge.
+     * Copies to a successor the attempts of the replaced request, the time since when one of them
+     * may have executed, and whether further attempts are ruled out. What may have executed for the
+     * replaced request may have executed for its successor, so retry rules and budgets must hold
+     * across a split or merge.
      */
     protected void inherit(KeyRangeRequest successor, ShardRequest replaced) {
         successor.inherit(replaced);
--- a/src/main/java/postbeam/slices/StartLimits.java
+++ b/src/main/java/postbeam/slices/StartLimits.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 
 /**
- * Whether a planned move may start: how many moves are under way in all, at a node and in a zone,
- * and node readiness.
+ * Decides whether a planned move may start, by the number of moves under way in total, per node and
+ * per zone, and by the readiness of its nodes.
  */
 final class StartLimits {
     private final MoveJournalState state;
@@ -64,7 +64,10 @@
                 && (reusesLocalData || hasCooledDown(destination.node(), now));
     }
 
-    /** A node is not given slice after slice while it still warms up for the last. */
+    /**
+     * Whether the cooldown since the node last acquired a slice is over. It keeps a node that still
+     * warms up from getting one slice after another.
+     */
     private boolean hasCooledDown(String node, Duration now) {
         for (Slice slice : state.layout().slices()) {
             for (Holder holder : slice.holders()) {
--- a/src/main/java/postbeam/slices/TargetLayout.java
+++ b/src/main/java/postbeam/slices/TargetLayout.java
@@ -8,27 +8,41 @@
 import java.util.Set;
 import postbeam.model.Readiness;
 
-/** Where a layout is to get: ranges that cover the key space, and which nodes are to hold each. */
+/**
+ * The desired state of a layout: ranges that cover the key space, and the nodes to hold each.
+ *
+ * @param slices the desired slices, in key order
+ */
 public record TargetLayout(List<DesiredSlice> slices) {
-    /** A slice as it is to be. */
+    /**
+     * A desired slice.
+     *
+     * @param nodes the names of its holders
+     */
     public record DesiredSlice(KeyRange keys, List<String> nodes) {
-        /** A slice and the nodes that are to hold it. */
+        /** Creates a desired slice with a copy of the list. */
         public DesiredSlice {
             nodes = List.copyOf(nodes);
         }
     }
 
-    /** What is known of a data node. */
+    /** The last known state of a data node. */
     public record NodeInfo(String zone, Readiness readiness) {}
 
-    /** A target with its slices in the order of their keys. */
+    /** Creates a target; the slices may come in any order. */
     public TargetLayout {
         List<DesiredSlice> sorted = new ArrayList<>(slices);
         sorted.sort(Comparator.comparing(DesiredSlice::keys));
         slices = List.copyOf(sorted);
     }
 
-    /** What is wrong with it, a line each; empty where a layout can be brought there. */
+    /**
+     * The problems of the target, one line each; empty if a layout can be changed to match it.
+     *
+     * @param nodes the data nodes by name
+     * @param minHolders minimum number of holders of a slice
+     * @param minZones minimum number of zones that the holders of a slice are in
+     */
     public List<String> problems(Map<String, NodeInfo> nodes, int minHolders, int minZones) {
         List<String> problems = new ArrayList<>();
         Coverage.firstProblem(slices.stream().map(DesiredSlice::keys).toList())
@@ -52,7 +66,7 @@
                 zones.add(node.zone());
             }
             if (!holders.add(name)) {
-                problems.add(prefix + "node " + name + " stands there twice");
+                problems.add(prefix + "node " + name + " is listed twice");
             }
         }
         if (holders.size() < minHolders) {
--- a/src/main/java/postbeam/slices/UnroutableQueryException.java
+++ b/src/main/java/postbeam/slices/UnroutableQueryException.java
@@ -1,23 +1,30 @@
 package postbeam.slices;
 
-/** A query names slices that this router can't map to those in force; nothing of it has run. */
+/**
+ * Thrown if a query names slices that this router can't map to those of the current layout. No part
+ * of the query has been executed then.
+ */
 public final class UnroutableQueryException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /** Why the slices can't be mapped. */
     public enum Reason {
-        /** The client names a version that is no longer kept. */
+        /** The client names a layout version that this router no longer keeps. */
         LAYOUT_EXPIRED,
-        /** The router does not know the version yet, or may not rely on the one that it knows. */
+        /** The router does not know the layout version yet, or must not use the one that it has. */
         LAYOUT_UNKNOWN,
-        /** The client names a slice that the version never had, or too many. */
+        /** The layout version has no such slice, or the query names too many slices. */
         UNKNOWN_SLICE
     }
 
     /** Why the slices can't be mapped. */
     public final Reason reason;
 
-    /** An exception with the text that the client gets. */
+    /**
+     * Creates an exception.
+     *
+     * @param message the text that is sent to the client
+     */
     public UnroutableQueryException(Reason reason, String message) {
         super(message);
         this.reason = reason;
--- a/src/test/java/postbeam/slices/ChangePlannerTest.java
+++ b/src/test/java/postbeam/slices/ChangePlannerTest.java
@@ -23,8 +23,8 @@
         bad.put(new LayoutChange.Split(9, List.of(5L)), "there is no slice 9");
         bad.put(new LayoutChange.Split(0, List.of(KeyRange.KEY_SPACE_SIZE - 1)), "can't be cut at");
         bad.put(new LayoutChange.Merge(List.of(0, 2)), "slice 2 is moving already");
-        bad.put(new LayoutChange.Merge(List.of(0, 1)), "held by other nodes");
-        bad.put(new LayoutChange.Merge(List.of(1, 0)), "no neighbours in order");
+        bad.put(new LayoutChange.Merge(List.of(0, 1)), "held by different nodes");
+        bad.put(new LayoutChange.Merge(List.of(1, 0)), "not adjacent in key order");
         bad.put(new LayoutChange.Transfer(0, "a", "x"), "there is no node x");
         bad.put(new LayoutChange.Transfer(0, "a", "e"), "node e is draining");
         bad.put(new LayoutChange.Transfer(0, "a", "b"), "is held by b already");
