--- a/src/test/java/postbeam/slices/ChangePlannerTest.java
+++ b/src/test/java/postbeam/slices/ChangePlannerTest.java
@@ -14,7 +14,7 @@
 /** Which changes and targets are rejected, and why. */
 class ChangePlannerTest extends CoordinatorScenario {
     @Test
-    void badPlansAreRejectedInOneLineAndChangeNothing() {
+    void invalidChangeIsRejectedWithOneLineAndNoRecord() {
         nodes.put("e", new TargetLayout.NodeInfo("z0", Readiness.DRAINING));
         coordinator.onNodesListed(nodes, List.of());
         plan(new LayoutChange.Transfer(2, "c", "a"));
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void aBadTargetIsRejectedLineByLine() {
+    void invalidTargetIsRejectedWithOneLinePerProblem() {
         KeyRange low = new KeyRange(0, 100);
         assertEquals(
                 List.of("gap: no slice holds the keys 100-" + KeyRange.KEY_SPACE_SIZE),
--- a/src/test/java/postbeam/slices/CoordinatorMoveTest.java
+++ b/src/test/java/postbeam/slices/CoordinatorMoveTest.java
@@ -11,7 +11,7 @@
 /** How a move goes through its states, and when it may start. */
 class CoordinatorMoveTest extends CoordinatorScenario {
     @Test
-    void aMoveGoesThroughItsStatesAndIsFencedBeforeTheCutOver() {
+    void moveSendsCommandsInOrderAndFencesBeforeCutOver() {
         long id = plan(new LayoutChange.Transfer(0, "a", "c"));
         List<HandoffCommand> commands = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void splitsAndMergesGoThroughTheSameStates() {
+    void splitAndMergeCompleteLikeTransfers() {
         plan(new LayoutChange.Split(0, List.of(50L, 100L)));
         runFor(Duration.ofSeconds(3));
         assertEquals(6, layout().slices().size());
@@ -46,21 +46,21 @@
     }
 
     @Test
-    void limitsHoldMovesBack() {
+    void moveOverNodeLimitWaitsUntilOtherMoveCompletes() {
         // b is needed by both; one at a time may need a node.
         long first = plan(new LayoutChange.Transfer(0, "a", "c"));
         long second = plan(new LayoutChange.Transfer(1, "c", "a"));
-        silentNodes.add("c");
+        unresponsiveNodes.add("c");
         runFor(Duration.ofSeconds(1));
         assertEquals(MoveState.COPYING, coordinator.state().move(first).state());
         assertEquals(MoveState.PLANNED, coordinator.state().move(second).state());
-        silentNodes.clear();
+        unresponsiveNodes.clear();
         runFor(Duration.ofSeconds(4));
         assertEquals(MoveState.COMPLETED, finishedMove(second).state());
     }
 
     @Test
-    void aMoveWaitsWhileItsSourceDrainsOrItsDestinationCoolsDown() {
+    void moveWaitsWhileSourceDrainsOrDestinationCoolsDown() {
         setReadiness("a", Readiness.DRAINING);
         setReadiness("b", Readiness.DRAINING);
         long drains = plan(new LayoutChange.Transfer(0, "a", "c"));
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void aDrainingSourceIsSparedWhereAnotherHolderHasTheData() {
+    void moveCopiesFromReadyHolderInsteadOfDrainingOne() {
         setReadiness("a", Readiness.DRAINING);
         long id = plan(new LayoutChange.Transfer(0, "a", "c"));
         assertEquals(
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void aTargetIsReachedThoughMovesOnTheWayFail() {
+    void targetIsReachedDespiteFailedMovesAndRestart() {
         TargetLayout targetLayout =
                 new TargetLayout(
                         List.of(
@@ -108,9 +108,9 @@
                                                 KeyRange.KEY_SPACE_SIZE),
                                         List.of("a", "b"))));
         execute(coordinator.setTarget(targetLayout), -1);
-        silentNodes.add("d");
+        unresponsiveNodes.add("d");
         runFor(Duration.ofSeconds(30));
-        silentNodes.clear();
+        unresponsiveNodes.clear();
         restart();
         runFor(Duration.ofMinutes(2));
         assertEquals(2, layout().slices().size());
--- a/src/test/java/postbeam/slices/CoordinatorScenario.java
+++ b/src/test/java/postbeam/slices/CoordinatorScenario.java
@@ -29,7 +29,7 @@
     final List<Layout> published = new ArrayList<>();
 
     /** Nodes that acknowledge nothing. */
-    final List<String> silentNodes = new ArrayList<>();
+    final List<String> unresponsiveNodes = new ArrayList<>();
 
     final List<CoordinatorAction.SendCommand> sentCommands = new ArrayList<>();
     Coordinator coordinator;
@@ -60,11 +60,11 @@
     }
 
     /** Carries actions out; false where the coordinator dies after so many more records. */
-    boolean execute(List<CoordinatorAction> actions, int recordsLeft) {
+    boolean execute(List<CoordinatorAction> actions, int recordsBeforeCrash) {
         for (CoordinatorAction action : actions) {
-            if (action instanceof CoordinatorAction.AppendRecord write) {
-                records.add(write.record());
-                if (--recordsLeft == 0) {
+            if (action instanceof CoordinatorAction.AppendRecord append) {
+                records.add(append.record());
+                if (--recordsBeforeCrash == 0) {
                     return false;
                 }
             } else if (action instanceof CoordinatorAction.PublishLayout publish) {
@@ -77,10 +77,10 @@
     }
 
     void acknowledgeCommands() {
-        List<CoordinatorAction.SendCommand> all = List.copyOf(sentCommands);
+        List<CoordinatorAction.SendCommand> commands = List.copyOf(sentCommands);
         sentCommands.clear();
-        for (CoordinatorAction.SendCommand command : all) {
-            if (!silentNodes.contains(command.node())) {
+        for (CoordinatorAction.SendCommand command : commands) {
+            if (!unresponsiveNodes.contains(command.node())) {
                 coordinator.acknowledged(
                         command.move(), command.node(), command.command(), command.slice());
             }
--- a/src/test/java/postbeam/slices/LayoutPropertiesTest.java
+++ b/src/test/java/postbeam/slices/LayoutPropertiesTest.java
@@ -17,15 +17,15 @@
     private static final List<String> NODES = List.of("a", "b", "c", "d", "e");
 
     /** So many random re-cuts of a small layout, each version kept. */
-    private static List<Layout> recut(long seed, int steps, long history) {
-        Random chance = new Random(seed);
+    private static List<Layout> randomLayouts(long seed, int steps, long history) {
+        Random random = new Random(seed);
         List<Layout> all = new ArrayList<>(List.of(Layout.initial(4, NODES, 2)));
-        int next = 4;
+        int nextSliceNumber = 4;
         for (int i = 0; i < steps; i++) {
             Layout layout = all.get(all.size() - 1);
-            Slice slice = layout.slices().get(chance.nextInt(layout.slices().size()));
+            Slice slice = layout.slices().get(random.nextInt(layout.slices().size()));
             LayoutChange change =
-                    switch (chance.nextInt(3)) {
+                    switch (random.nextInt(3)) {
                         case 0 ->
                                 new LayoutChange.Split(
                                         slice.number(),
@@ -33,32 +33,32 @@
                                                 slice.keys().from()
                                                         + 1
                                                         + (long)
-                                                                (chance.nextDouble()
+                                                                (random.nextDouble()
                                                                         * (slice.keys().size()
                                                                                 - 1))));
                         case 1 ->
                                 new LayoutChange.Transfer(
                                         slice.number(),
                                         slice.nodes().get(0),
-                                        NODES.get(chance.nextInt(5)));
+                                        NODES.get(random.nextInt(5)));
                         default ->
                                 new LayoutChange.Merge(
                                         layout.slices().stream()
                                                 .map(Slice::number)
-                                                .skip(chance.nextInt(layout.slices().size()))
+                                                .skip(random.nextInt(layout.slices().size()))
                                                 .limit(2)
                                                 .toList());
                     };
             try {
-                List<Integer> births = new ArrayList<>();
+                List<Integer> newSliceNumbers = new ArrayList<>();
                 for (int j = 0; j < change.newSliceCount(); j++) {
-                    births.add(next++);
+                    newSliceNumbers.add(nextSliceNumber++);
                 }
                 all.add(
                         layout.withChange(
                                 change,
-                                births,
-                                layout.version + 1 + chance.nextInt(2),
+                                newSliceNumbers,
+                                layout.version + 1 + random.nextInt(2),
                                 Duration.ofSeconds(i + 1),
                                 history));
             } catch (IllegalArgumentException e) {
@@ -69,9 +69,9 @@
     }
 
     @Property(tries = 200, seed = "1")
-    void anyRecutsKeepTheKeySpaceCoveredOnce(
+    void randomChangesKeepKeySpaceCoveredExactlyOnce(
             @ForAll long seed, @ForAll @IntRange(max = 40) int steps) {
-        for (Layout layout : recut(seed, steps, 1000)) {
+        for (Layout layout : randomLayouts(seed, steps, 1000)) {
             assertTrue(
                     Coverage.firstProblem(layout.slices().stream().map(Slice::keys).toList())
                             .isEmpty());
@@ -79,8 +79,9 @@
     }
 
     @Property(tries = 200, seed = "1")
-    void lineageIsComplete(@ForAll long seed, @ForAll @IntRange(max = 40) int steps) {
-        List<Layout> all = recut(seed, steps, 1000);
+    void laterLayoutResolvesAllEarlierSlicesAndTheirChildren(
+            @ForAll long seed, @ForAll @IntRange(max = 40) int steps) {
+        List<Layout> all = randomLayouts(seed, steps, 1000);
         Layout last = all.get(all.size() - 1);
         for (Layout layout : all) {
             for (Slice slice : layout.slices()) {
@@ -89,18 +90,18 @@
         }
         Map<Integer, KeyRange> keys = new HashMap<>();
         last.slices().forEach(slice -> keys.put(slice.number(), slice.keys()));
-        last.retiredSlices().forEach(old -> keys.put(old.number(), old.keys()));
-        for (RetiredSlice old : last.retiredSlices()) {
-            long held =
-                    old.children().stream()
+        last.retiredSlices().forEach(retired -> keys.put(retired.number(), retired.keys()));
+        for (RetiredSlice retired : last.retiredSlices()) {
+            long keysInChildren =
+                    retired.children().stream()
                             .map(keys::get)
-                            .filter(old.keys()::overlaps)
-                            .mapToLong(child -> old.keys().intersection(child).size())
+                            .filter(retired.keys()::overlaps)
+                            .mapToLong(child -> retired.keys().intersection(child).size())
                             .sum();
             assertEquals(
-                    old.keys().size(),
-                    held,
-                    "what came of slice " + old.number() + " holds all of it");
+                    retired.keys().size(),
+                    keysInChildren,
+                    "what came of slice " + retired.number() + " holds all of it");
         }
     }
 
@@ -109,57 +110,64 @@
      * named by.
      */
     @Property(tries = 200, seed = "1")
-    void translationIsExactThereAndBack(@ForAll long seed, @ForAll @IntRange(max = 40) int steps) {
-        List<Layout> all = recut(seed, steps, 1000);
+    void translationCoversRequestedKeysExactlyAndMapsBack(
+            @ForAll long seed, @ForAll @IntRange(max = 40) int steps) {
+        List<Layout> all = randomLayouts(seed, steps, 1000);
         Layout last = all.get(all.size() - 1);
-        Layout named = all.get(new Random(seed).nextInt(all.size()));
+        Layout requestedLayout = all.get(new Random(seed).nextInt(all.size()));
         List<Fragment> fragments = new ArrayList<>();
-        List<LayoutCompleteness.RequestedSlice> names = new ArrayList<>();
+        List<LayoutCompleteness.RequestedSlice> requested = new ArrayList<>();
         long size = 0;
-        for (Slice slice : named.slices()) {
+        for (Slice slice : requestedLayout.slices()) {
             if ((slice.number() + seed) % 3 != 0) {
-                fragments.addAll(Fragment.split(last, last.keysOf(slice.number(), named.version)));
-                names.add(
+                fragments.addAll(
+                        Fragment.split(
+                                last, last.keysOf(slice.number(), requestedLayout.version)));
+                requested.add(
                         new LayoutCompleteness.RequestedSlice(
                                 slice.number(), slice.keys(), 1 + slice.number() % 7, null));
                 size += slice.keys().size();
             }
         }
-        List<Fragment> joined = Fragment.merged(fragments);
-        assertEquals(size, joined.stream().mapToLong(one -> one.keys().size()).sum());
+        List<Fragment> merged = Fragment.merged(fragments);
+        assertEquals(size, merged.stream().mapToLong(fragment -> fragment.keys().size()).sum());
         LayoutCompleteness completeness =
-                new LayoutCompleteness(named.version, names, () -> last, true);
+                new LayoutCompleteness(requestedLayout.version, requested, () -> last, true);
         assertEquals(
-                names.stream().mapToDouble(LayoutCompleteness.RequestedSlice::weight).sum(),
-                joined.stream().mapToDouble(one -> completeness.weightOf(one.keys())).sum(),
+                requested.stream().mapToDouble(LayoutCompleteness.RequestedSlice::weight).sum(),
+                merged.stream()
+                        .mapToDouble(fragment -> completeness.weightOf(fragment.keys()))
+                        .sum(),
                 1e-6);
-        for (LayoutCompleteness.RequestedSlice name : names) {
-            List<Fragment> of =
-                    joined.stream()
+        for (LayoutCompleteness.RequestedSlice slice : requested) {
+            List<Fragment> fragmentsOfSlice =
+                    merged.stream()
                             .filter(
-                                    one ->
+                                    fragment ->
                                             completeness
-                                                    .requestedSlicesIn(one.keys())
-                                                    .contains(name.slice()))
+                                                    .requestedSlicesIn(fragment.keys())
+                                                    .contains(slice.slice()))
                             .toList();
             assertEquals(
-                    name.keys().size(),
-                    of.stream()
-                            .mapToLong(one -> one.keys().intersection(name.keys()).size())
+                    slice.keys().size(),
+                    fragmentsOfSlice.stream()
+                            .mapToLong(
+                                    fragment ->
+                                            fragment.keys().intersection(slice.keys()).size())
                             .sum());
         }
-        for (int i = 0; i < joined.size(); i++) {
-            Fragment one = joined.get(i);
-            assertTrue(last.slice(one.slice()).keys().contains(one.keys()));
+        for (int i = 0; i < merged.size(); i++) {
+            Fragment fragment = merged.get(i);
+            assertTrue(last.slice(fragment.slice()).keys().contains(fragment.keys()));
             if (i > 0) {
-                assertTrue(joined.get(i - 1).keys().to() <= one.keys().from());
+                assertTrue(merged.get(i - 1).keys().to() <= fragment.keys().from());
             }
         }
     }
 
     @Property(tries = 100, seed = "1")
-    void versionsBeyondTheHistoryAreForgottenCompletely(@ForAll long seed) {
-        List<Layout> all = recut(seed, 40, 5);
+    void versionsBeyondHistoryAreNotKept(@ForAll long seed) {
+        List<Layout> all = randomLayouts(seed, 40, 5);
         Layout last = all.get(all.size() - 1);
         assertTrue(last.version - last.oldestVersion <= 6);
         for (Layout layout : all) {
@@ -172,13 +180,14 @@
                                                 last.keysOf(slice.number(), layout.version)));
             }
         }
-        last.retiredSlices().forEach(old -> assertTrue(old.retiredVersion() > last.oldestVersion));
+        last.retiredSlices()
+                .forEach(retired -> assertTrue(retired.retiredVersion() > last.oldestVersion));
     }
 
     @Property(tries = 100, seed = "1")
-    void thePlannerReachesAnyTarget(@ForAll long seed, @ForAll @IntRange(max = 30) int steps) {
-        List<Layout> from = recut(seed, steps, 10);
-        List<Layout> to = recut(seed + 1, steps, 10);
+    void plannerReachesRandomTarget(@ForAll long seed, @ForAll @IntRange(max = 30) int steps) {
+        List<Layout> from = randomLayouts(seed, steps, 10);
+        List<Layout> to = randomLayouts(seed + 1, steps, 10);
         Layout layout = from.get(from.size() - 1);
         TargetLayout targetLayout =
                 new TargetLayout(
@@ -188,7 +197,7 @@
                                                 new TargetLayout.DesiredSlice(
                                                         slice.keys(), slice.nodes()))
                                 .toList());
-        int next = 10_000;
+        int nextSliceNumber = 10_000;
         for (int i = 0; i < 500; i++) {
             List<LayoutChange> changes =
                     Planner.nextChanges(layout, targetLayout, java.util.Set.of());
@@ -196,11 +205,13 @@
                 break;
             }
             for (LayoutChange change : changes) {
-                List<Integer> births = new ArrayList<>();
+                List<Integer> newSliceNumbers = new ArrayList<>();
                 for (int j = 0; j < change.newSliceCount(); j++) {
-                    births.add(next++);
+                    newSliceNumbers.add(nextSliceNumber++);
                 }
-                layout = layout.withChange(change, births, layout.version + 1, Duration.ZERO, 10);
+                layout =
+                        layout.withChange(
+                                change, newSliceNumbers, layout.version + 1, Duration.ZERO, 10);
             }
         }
         assertEquals(
--- a/src/test/java/postbeam/slices/MoveFailureTest.java
+++ b/src/test/java/postbeam/slices/MoveFailureTest.java
@@ -12,8 +12,8 @@
 /** Moves whose nodes fail, that are abandoned, or whose coordinator dies. */
 class MoveFailureTest extends CoordinatorScenario {
     @Test
-    void aStuckCopyIsAbandonedAfterItsTime() {
-        silentNodes.add("c");
+    void copyWithoutAcknowledgementIsAbandonedAfterCopyTimeout() {
+        unresponsiveNodes.add("c");
         long id = plan(new LayoutChange.Transfer(0, "a", "c"));
         runFor(Duration.ofSeconds(9));
         assertEquals(MoveState.COPYING, coordinator.state().move(id).state());
@@ -25,10 +25,10 @@
     }
 
     @Test
-    void aDestinationThatDiesWhileReplicatingEndsTheMove() {
+    void moveIsAbandonedWhenDestinationIsRemovedWhileReplicating() {
         long id = plan(new LayoutChange.Transfer(0, "a", "c"));
         assertEquals(MoveState.REPLICATING, advanceTo(id, MoveState.REPLICATING));
-        silentNodes.add("c");
+        unresponsiveNodes.add("c");
         setReadiness("c", Readiness.REMOVED);
         runFor(Duration.ofSeconds(10));
         assertEquals(MoveState.ABANDONED, finishedMove(id).state());
@@ -36,11 +36,11 @@
     }
 
     @Test
-    void aSourceThatDiesOnceItIsFencedIsNotNeededAnyMore() {
+    void moveCompletesWhenSourceIsRemovedAfterFencing() {
         long id = plan(new LayoutChange.Transfer(0, "a", "c"));
         assertEquals(MoveState.FENCED, advanceTo(id, MoveState.FENCED));
         acknowledgeCommands();
-        silentNodes.add("a");
+        unresponsiveNodes.add("a");
         setReadiness("a", Readiness.REMOVED);
         runFor(Duration.ofSeconds(10));
         assertEquals(MoveState.COMPLETED, finishedMove(id).state());
@@ -48,10 +48,10 @@
     }
 
     @Test
-    void aSourceThatIsGoneBeforeItWasFencedEndsTheMove() {
+    void moveIsAbandonedWhenSourceIsRemovedBeforeFencing() {
         long id = plan(new LayoutChange.Transfer(0, "a", "c"));
         assertEquals(MoveState.FENCED, advanceTo(id, MoveState.FENCED));
-        silentNodes.add("a");
+        unresponsiveNodes.add("a");
         sentCommands.clear();
         setReadiness("a", Readiness.REMOVED);
         runFor(Duration.ofSeconds(10));
@@ -61,10 +61,10 @@
 
     /** Guards against a cut-over while a holder that only drained is cut off and unfenced. */
     @Test
-    void aDrainingHolderThatGoesBeforeItWasFencedEndsTheMove() {
+    void moveIsAbandonedWhenDrainingHolderIsRemovedBeforeFencing() {
         setReadiness("a", Readiness.DRAINING);
         long move = plan(new LayoutChange.Transfer(0, "a", "c"));
-        silentNodes.add("a");
+        unresponsiveNodes.add("a");
         advanceTo(move, MoveState.FENCED);
         setReadiness("a", Readiness.REMOVED);
         runFor(Duration.ofSeconds(20));
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void aMoveCanBeAbandonedInEachState() {
+    void moveCanBeAbandonedInEachState() {
         for (MoveState state :
                 List.of(
                         MoveState.PLANNED,
@@ -102,50 +102,56 @@
      * already sent.
      */
     @Test
-    void aCoordinatorKilledAtAnyRecordGoesOnOrAbandons() {
+    void coordinatorRestartedAfterAnyRecordFinishesAllMoves() {
         List<LayoutChange> changes =
                 List.of(
                         new LayoutChange.Split(0, List.of(100L)),
                         new LayoutChange.Transfer(2, "c", "a"),
                         new LayoutChange.Merge(List.of(4, 5)),
                         new LayoutChange.Transfer(2, "a", "c"));
-        boolean died = true;
-        int cuts = 0;
-        for (int at = 1; died; at++) {
-            CoordinatorScenario run = new CoordinatorScenario();
-            died = false;
+        boolean restarted = true;
+        int restarts = 0;
+        for (int crashRecord = 1; restarted; crashRecord++) {
+            CoordinatorScenario scenario = new CoordinatorScenario();
+            restarted = false;
             for (LayoutChange change : changes) {
-                List<CoordinatorAction> actions = run.coordinator.plan(change, run.now);
+                List<CoordinatorAction> actions = scenario.coordinator.plan(change, scenario.now);
                 for (int i = 0; i < 100; i++) {
-                    int before = run.records.size();
-                    if (!died && !run.execute(actions, at - run.records.size() + 1)) {
-                        died = true;
-                        cuts++;
-                        run.restart();
-                    } else if (died) {
-                        run.execute(actions, -1);
+                    int before = scenario.records.size();
+                    if (!restarted
+                            && !scenario.execute(
+                                    actions, crashRecord - scenario.records.size() + 1)) {
+                        restarted = true;
+                        restarts++;
+                        scenario.restart();
+                    } else if (restarted) {
+                        scenario.execute(actions, -1);
                     }
-                    assertTrue(run.records.size() >= before);
-                    run.acknowledgeCommands();
-                    run.now = run.now.plusMillis(100);
-                    actions = run.coordinator.tick(run.now);
+                    assertTrue(scenario.records.size() >= before);
+                    scenario.acknowledgeCommands();
+                    scenario.now = scenario.now.plusMillis(100);
+                    actions = scenario.coordinator.tick(scenario.now);
                 }
-                run.execute(actions, -1);
+                scenario.execute(actions, -1);
                 assertEquals(
                         0,
-                        run.coordinator.state().activeMoves().size(),
-                        "killed at record " + at + ", " + change);
+                        scenario.coordinator.state().activeMoves().size(),
+                        "killed at record " + crashRecord + ", " + change);
             }
-            assertEquals(4, run.layout().slices().size(), "killed at record " + at);
+            assertEquals(4, scenario.layout().slices().size(), "killed at record " + crashRecord);
             assertEquals(
                     4,
-                    run.records.stream().filter(JournalRecord.Planned.class::isInstance).count());
+                    scenario.records.stream()
+                            .filter(JournalRecord.Planned.class::isInstance)
+                            .count());
             long version = 0;
-            for (Layout layout : run.published) {
-                assertTrue(layout.version > version, "killed at record " + at + ": versions go up");
+            for (Layout layout : scenario.published) {
+                assertTrue(
+                        layout.version > version,
+                        "killed at record " + crashRecord + ": versions go up");
                 version = layout.version;
             }
         }
-        assertTrue(cuts > 15, "cut points: " + cuts);
+        assertTrue(restarts > 15, "cut points: " + restarts);
     }
 }
--- a/src/test/java/postbeam/slices/NodeReconciliationTest.java
+++ b/src/test/java/postbeam/slices/NodeReconciliationTest.java
@@ -10,7 +10,7 @@
 /** Nodes that come back, and slices of nodes that do not. */
 class NodeReconciliationTest extends CoordinatorScenario {
     @Test
-    void aNodeThatComesBackIsRemindedOfWhatItServes() {
+    void reappearedNodeIsSentServeForEachSlice() {
         runFor(Duration.ofSeconds(1));
         setReadiness("a", Readiness.REMOVED);
         runFor(Duration.ofSeconds(1));
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void slicesOfADeadNodeAreRepairedIntoOtherZonesAndDroppedWhenItIsBack() {
+    void repairReplacesRemovedHolderWhichDropsSliceWhenItReappears() {
         nodes.put("e", new TargetLayout.NodeInfo("z0", Readiness.READY));
         coordinator.onNodesListed(nodes, List.of());
         runFor(Duration.ofSeconds(1));
@@ -60,59 +60,59 @@
     }
 
     @Test
-    void aNodeThatIsToGetASliceAgainIsNotCommandedToDropIt() {
+    void pendingDropIsCancelledWhenNodeAcquiresSliceAgain() {
         setReadiness("a", Readiness.REMOVED);
         plan(new LayoutChange.Transfer(0, "a", "c"));
         runFor(Duration.ofSeconds(20));
         assertEquals(1, coordinator.state().pendingDrops().size());
-        silentNodes.add("a");
+        unresponsiveNodes.add("a");
         setReadiness("a", Readiness.READY);
         plan(new LayoutChange.Transfer(0, "c", "a"));
         assertEquals(0, coordinator.state().pendingDrops().size());
-        silentNodes.clear();
+        unresponsiveNodes.clear();
         runFor(Duration.ofSeconds(20));
         assertEquals(List.of("a", "b"), layout().slice(0).nodes());
     }
 
     /** Guards against a copy that stays on its node for ever after a rollback. */
     @Test
-    void destinationThatIsSilentWhileItsMoveIsRolledBackDropsLater() {
+    void unresponsiveDestinationDropsCopyAfterRollback() {
         long move = plan(new LayoutChange.Transfer(0, "a", "c"));
         advanceTo(move, MoveState.COPYING);
-        silentNodes.add("c");
+        unresponsiveNodes.add("c");
         runFor(Duration.ofSeconds(20));
         assertEquals(MoveState.ABANDONED, finishedMove(move).state());
         assertEquals(
                 List.of("c"),
                 coordinator.state().pendingDrops().stream().map(Move.OldHolder::node).toList());
         restart();
-        silentNodes.clear();
+        unresponsiveNodes.clear();
         runFor(Duration.ofSeconds(3));
         assertEquals(0, coordinator.state().pendingDrops().size());
         assertEquals(List.of("a", "b"), layout().slice(0).nodes());
     }
 
     /** Takes slice 0 off a node that takes no command any more once the move is cut over. */
-    private void transferOffNodeThatFallsSilent(String from, String to) {
+    private void transferFromNodeThatStopsResponding(String from, String to) {
         long move = plan(new LayoutChange.Transfer(0, from, to));
         assertEquals(MoveState.CUT_OVER, advanceTo(move, MoveState.CUT_OVER));
         sentCommands.clear();
-        silentNodes.add(from);
+        unresponsiveNodes.add(from);
         runFor(Duration.ofSeconds(8));
     }
 
     /** Guards against a drop that is taken for done by the acknowledgement of an earlier one. */
     @Test
-    void lateAcknowledgementDoesNotCountForTheNextDrop() {
-        transferOffNodeThatFallsSilent("a", "c");
+    void lateAcknowledgementDoesNotCountForNextDrop() {
+        transferFromNodeThatStopsResponding("a", "c");
         assertEquals(1, coordinator.state().pendingDrops().size());
         plan(new LayoutChange.Transfer(0, "c", "a"));
         assertEquals(0, coordinator.state().pendingDrops().size());
         coordinator.acknowledged(NodeReconciliation.NO_MOVE, "a", HandoffCommand.DROP, 0);
-        silentNodes.clear();
+        unresponsiveNodes.clear();
         runFor(Duration.ofSeconds(20));
         assertEquals(List.of("a", "b"), layout().slice(0).nodes());
-        transferOffNodeThatFallsSilent("a", "c");
+        transferFromNodeThatStopsResponding("a", "c");
         assertEquals(1, coordinator.state().pendingDrops().size(), "it has dropped nothing yet");
     }
 }
--- a/src/test/java/postbeam/slices/SlicePlacementTest.java
+++ b/src/test/java/postbeam/slices/SlicePlacementTest.java
@@ -9,7 +9,7 @@
 /** How slices are spread over zones. */
 class SlicePlacementTest extends CoordinatorScenario {
     @Test
-    void theFirstLayoutSpreadsOverZones() {
+    void readyNodesAlternateBetweenZones() {
         nodes.put("e", new TargetLayout.NodeInfo("z0", Readiness.READY));
         nodes.put("f", new TargetLayout.NodeInfo("z2", Readiness.DRAINING));
         assertEquals(List.of("a", "b", "c", "d", "e"), SlicePlacement.spreadOverZones(nodes));
--- a/src/test/java/postbeam/slices/SliceTranslatorTest.java
+++ b/src/test/java/postbeam/slices/SliceTranslatorTest.java
@@ -28,7 +28,7 @@
     private final DataNode node = new DataNode(0, new Zone(true));
     private final Map<DataNode, String> names = new HashMap<>(Map.of(node, "a"));
     private Layout layout = Layout.initial(4, List.of("a", "b", "c"), 2);
-    private int births = 4;
+    private int nextSliceNumber = 4;
 
     SliceTranslatorTest() {
         translator.placement().configure(names::get, at -> at);
@@ -36,56 +36,56 @@
         translator.onUpdate(layout);
     }
 
-    private static Query query(SideEffects effect, double floor) {
+    private static Query query(SideEffects sideEffects, double minWeight) {
         QueryClass queryClass =
-                QueryClass.builder(Duration.ofSeconds(1), effect)
+                QueryClass.builder(Duration.ofSeconds(1), sideEffects)
                         .deduplicationWindow(Duration.ofSeconds(1))
                         .utility(1, 0.1)
-                        .weights(1, floor)
+                        .weights(1, minWeight)
                         .partialUtility(0.9)
                         .build();
         return new Query(queryClass, null, Duration.ZERO, Duration.ofSeconds(3));
     }
 
     /** Asks for these slices of the first layout, with even weights. */
-    private Query request(SideEffects effect, long version, int... slices)
+    private Query request(SideEffects sideEffects, long version, int... slices)
             throws UnroutableQueryException {
-        Query query = query(effect, 0.25);
-        List<SliceRequest> askings = new ArrayList<>();
+        Query query = query(sideEffects, 0.25);
+        List<SliceRequest> sliceRequests = new ArrayList<>();
         for (int slice : slices) {
-            askings.add(new SliceRequest(slice, 1.0 / slices.length, Duration.ofMillis(8)));
+            sliceRequests.add(new SliceRequest(slice, 1.0 / slices.length, Duration.ofMillis(8)));
         }
-        translator.assignShardRequests(query, version, askings);
+        translator.assignShardRequests(query, version, sliceRequests);
         return query;
     }
 
-    private List<Integer> births(LayoutChange change) {
-        List<Integer> born = new ArrayList<>();
+    private List<Integer> newSliceNumbers(LayoutChange change) {
+        List<Integer> numbers = new ArrayList<>();
         for (int i = 0; i < change.newSliceCount(); i++) {
-            born.add(births++);
+            numbers.add(nextSliceNumber++);
         }
-        return born;
+        return numbers;
     }
 
-    private void after(LayoutChange change, Query... open) {
+    private void apply(LayoutChange change, Query... inFlight) {
         layout =
                 layout.withChange(
                         change,
-                        births(change),
+                        newSliceNumbers(change),
                         layout.version + 1,
                         Duration.ofSeconds(layout.version),
                         100);
         assertTrue(translator.onUpdate(layout));
-        for (Query query : open) {
+        for (Query query : inFlight) {
             translator.remapStaleRequests(query);
         }
     }
 
-    private Attempt sent(ShardRequest request, int atMs) {
+    private Attempt startAttempt(ShardRequest request, int atMs) {
         return new Attempt(request, node, Duration.ofMillis(atMs), null);
     }
 
-    private static ShardRequest part(Query query, int slice) {
+    private static ShardRequest requestFor(Query query, int slice) {
         return query.shardRequests.stream()
                 .filter(request -> request.shard == slice)
                 .findFirst()
@@ -95,37 +95,37 @@
     // ---- lineage
 
     @Test
-    void aSplitDividesWeightsAndWorkHintsAndKeepsAttempts() throws UnroutableQueryException {
+    void splitDividesWeightAndEstimatedWorkAndKeepsAttempts() throws UnroutableQueryException {
         Query query = request(SideEffects.NON_IDEMPOTENT, 1, 0, 1);
-        Attempt attempt = sent(part(query, 0), 5);
+        Attempt attempt = startAttempt(requestFor(query, 0), 5);
         LayoutChange split = new LayoutChange.Split(0, List.of(QUARTER / 4));
-        after(split, query);
-        assertNotNull(part(query, 0), "what is out stays as it was sent");
+        apply(split, query);
+        assertNotNull(requestFor(query, 0), "what is out stays as it was sent");
         // Its answer is an error: it may have run.
         attempt.end();
-        part(query, 0).recordPossibleExecution(attempt.sentAt);
+        requestFor(query, 0).recordPossibleExecution(attempt.sentAt);
         assertTrue(translator.remapStaleRequests(query));
-        assertNull(part(query, 0));
+        assertNull(requestFor(query, 0));
         for (int slice : new int[] {4, 5}) {
             assertEquals(
                     Duration.ofMillis(5),
-                    part(query, slice).mayHaveExecutedSince(),
+                    requestFor(query, slice).mayHaveExecutedSince(),
                     "a child may have run");
-            assertEquals(List.of(attempt), part(query, slice).attempts);
+            assertEquals(List.of(attempt), requestFor(query, slice).attempts);
         }
-        assertEquals(0.125, part(query, 4).weight, 1e-9);
-        assertEquals(0.375, part(query, 5).weight, 1e-9);
-        assertEquals(Duration.ofMillis(2), part(query, 4).estimatedWork);
-        assertEquals(Duration.ofMillis(6), part(query, 5).estimatedWork);
+        assertEquals(0.125, requestFor(query, 4).weight, 1e-9);
+        assertEquals(0.375, requestFor(query, 5).weight, 1e-9);
+        assertEquals(Duration.ofMillis(2), requestFor(query, 4).estimatedWork);
+        assertEquals(Duration.ofMillis(6), requestFor(query, 5).estimatedWork);
     }
 
     @Test
-    void aMergeOfASentAndAnUnsentRequestKeepsTheAttemptsOfBoth() throws UnroutableQueryException {
+    void mergeKeepsAttemptedRequestSeparateFromUnattemptedOne() throws UnroutableQueryException {
         Query query = request(SideEffects.NON_IDEMPOTENT, 1, 1, 2);
-        Attempt attempt = sent(part(query, 1), 5);
+        Attempt attempt = startAttempt(requestFor(query, 1), 5);
         attempt.end();
-        part(query, 1).recordPossibleExecution(attempt.sentAt);
-        Query fresh = request(SideEffects.NON_IDEMPOTENT, 1, 1, 2);
+        requestFor(query, 1).recordPossibleExecution(attempt.sentAt);
+        Query unattempted = request(SideEffects.NON_IDEMPOTENT, 1, 1, 2);
         layout =
                 layout.withChange(
                         new LayoutChange.Transfer(
@@ -134,26 +134,26 @@
                         2,
                         Duration.ZERO,
                         9);
-        after(new LayoutChange.Merge(List.of(1, 2)), query, fresh);
+        apply(new LayoutChange.Merge(List.of(1, 2)), query, unattempted);
         assertEquals(2, query.shardRequests.size());
         assertEquals(1, query.countRequests(request -> request.mayHaveExecutedSince() != null));
         assertEquals(1, query.countRequests(request -> request.attempts.isEmpty()));
         assertTrue(query.shardRequests.stream().allMatch(request -> request.shard == 4));
         assertEquals(
                 1,
-                fresh.shardRequests.size(),
+                unattempted.shardRequests.size(),
                 "parts that nothing was sent for are joined: one answer for both");
-        assertEquals(1.0, fresh.shardRequests.get(0).weight, 1e-9);
+        assertEquals(1.0, unattempted.shardRequests.get(0).weight, 1e-9);
     }
 
     @Test
-    void twoRecutsDuringOneQueryKeepTheAttemptsOfEach() throws UnroutableQueryException {
+    void splitAndMergeDuringQueryKeepFirstExecutionTime() throws UnroutableQueryException {
         Query query = request(SideEffects.DEDUPLICATED, 1, 0);
-        Attempt attempt = sent(part(query, 0), 7);
-        after(new LayoutChange.Split(0, List.of(100L)), query);
-        after(new LayoutChange.Merge(List.of(4, 5)), query);
+        Attempt attempt = startAttempt(requestFor(query, 0), 7);
+        apply(new LayoutChange.Split(0, List.of(100L)), query);
+        apply(new LayoutChange.Merge(List.of(4, 5)), query);
         attempt.end();
-        part(query, 0).recordPossibleExecution(attempt.sentAt);
+        requestFor(query, 0).recordPossibleExecution(attempt.sentAt);
         translator.remapStaleRequests(query);
         assertEquals(1, query.shardRequests.size());
         assertEquals(6, query.shardRequests.get(0).shard);
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void slicesMergedAndSplitAgainKeepTheClientsWeights() throws UnroutableQueryException {
+    void slicesMergedAndSplitAgainKeepRequestedWeights() throws UnroutableQueryException {
         Query query = query(SideEffects.IDEMPOTENT, 1);
         layout =
                 layout.withChange(
@@ -180,19 +180,19 @@
                 List.of(
                         new SliceRequest(0, 0.9, Duration.ofMillis(9)),
                         new SliceRequest(1, 0.1, null)));
-        after(new LayoutChange.Merge(List.of(0, 1)), query);
+        apply(new LayoutChange.Merge(List.of(0, 1)), query);
         assertNull(query.shardRequests.get(0).estimatedWork);
-        after(new LayoutChange.Split(4, List.of(QUARTER)), query);
-        assertEquals(0.9, part(query, 5).weight, 1e-9);
-        assertEquals(0.1, part(query, 6).weight, 1e-9);
-        assertEquals(Duration.ofMillis(9), part(query, 5).estimatedWork);
+        apply(new LayoutChange.Split(4, List.of(QUARTER)), query);
+        assertEquals(0.9, requestFor(query, 5).weight, 1e-9);
+        assertEquals(0.1, requestFor(query, 6).weight, 1e-9);
+        assertEquals(Duration.ofMillis(9), requestFor(query, 5).estimatedWork);
     }
 
     @Test
-    void anAnsweredRequestStaysAndIsNotSentAgain() throws UnroutableQueryException {
+    void answeredRequestIsNotRemapped() throws UnroutableQueryException {
         Query query = request(SideEffects.IDEMPOTENT, 1, 0, 1);
-        part(query, 0).markAnswered();
-        after(new LayoutChange.Split(0, List.of(100L)), query);
+        requestFor(query, 0).markAnswered();
+        apply(new LayoutChange.Split(0, List.of(100L)), query);
         assertFalse(translator.remapStaleRequests(query));
         assertEquals(2, query.shardRequests.size());
         assertEquals(0.5, query.answeredWeight(), 1e-9);
@@ -201,12 +201,12 @@
     // ---- the floor and the whole mark
 
     @Test
-    void halvesOfTwoSlicesAreNoSliceOfEitherLayout() throws UnroutableQueryException {
+    void answeredPartsOfSlicesOfTwoLayoutsDoNotCountTogether() throws UnroutableQueryException {
         // Named: 0 and 1. Then 0 is cut into 4 and 5, and 5 joined with 1 to 6.
         Query query = request(SideEffects.IDEMPOTENT, 1, 0, 1);
-        Attempt attempt = sent(part(query, 1), 5);
-        after(new LayoutChange.Split(0, List.of(QUARTER / 2)), query);
-        sent(part(query, 5), 6);
+        Attempt attempt = startAttempt(requestFor(query, 1), 5);
+        apply(new LayoutChange.Split(0, List.of(QUARTER / 2)), query);
+        startAttempt(requestFor(query, 5), 6);
         layout =
                 layout.withChange(
                         new LayoutChange.Transfer(1, layout.slice(1).nodes().get(1), "a"),
@@ -214,26 +214,26 @@
                         layout.version + 1,
                         Duration.ZERO,
                         9);
-        after(new LayoutChange.Merge(List.of(5, 1)), query);
-        part(query, 5).markAnswered();
+        apply(new LayoutChange.Merge(List.of(5, 1)), query);
+        requestFor(query, 5).markAnswered();
         assertEquals(
                 0,
                 query.answeredWeight(),
                 1e-9,
                 "half of 0 is in, and half of 6: neither slice is");
-        part(query, 4).markAnswered();
+        requestFor(query, 4).markAnswered();
         assertEquals(0.5, query.answeredWeight(), 1e-9, "0 is in, by the layout that was named");
         LayoutCompleteness.CompleteRequests complete =
                 translator.completenessOf(query).completeRequests(query);
         assertEquals(1, complete.version());
         assertEquals(2, complete.requests().size());
         attempt.end();
-        part(query, 1).markAnswered();
+        requestFor(query, 1).markAnswered();
         assertEquals(1, query.answeredWeight(), 1e-9);
     }
 
     @Test
-    void aResponseNamesTheRequestedSlicesOfAValue() throws UnroutableQueryException {
+    void requestedSlicesAreFoundForEachCompleteRequest() throws UnroutableQueryException {
         layout =
                 layout.withChange(
                         new LayoutChange.Transfer(1, layout.slice(1).nodes().get(1), "a"),
@@ -241,7 +241,7 @@
                         2,
                         Duration.ZERO,
                         9);
-        after(new LayoutChange.Merge(List.of(0, 1)));
+        apply(new LayoutChange.Merge(List.of(0, 1)));
         Query query = request(SideEffects.IDEMPOTENT, 1, 0, 1, 2);
         assertEquals(2, query.shardRequests.size());
         query.shardRequests.forEach(request -> request.markAnswered());
@@ -249,23 +249,23 @@
         assertEquals(
                 List.of(List.of(0, 1), List.of(2)),
                 completeness.completeRequests(query).requests().stream()
-                        .map(piece -> completeness.requestedSlicesIn(piece.keys))
+                        .map(request -> completeness.requestedSlicesIn(request.keys))
                         .toList());
     }
 
     // ---- versions
 
     @Test
-    void anOlderLayoutIsRejected() {
+    void olderLayoutIsRejected() {
         Layout first = layout;
-        after(new LayoutChange.Split(0, List.of(100L)));
+        apply(new LayoutChange.Split(0, List.of(100L)));
         assertFalse(translator.onUpdate(first));
         assertEquals(2, translator.currentLayout().version);
         assertEquals(1, translator.rejectedLayouts());
     }
 
     @Test
-    void reasonsWhyAQueryIsUnroutableAreDistinct() throws UnroutableQueryException {
+    void unroutableQueryIsRejectedWithItsReason() throws UnroutableQueryException {
         for (int i = 0; i < 6; i++) {
             layout = layout.withVersion(layout.version + 1);
         }
@@ -277,15 +277,15 @@
                         Duration.ZERO,
                         3);
         translator.onUpdate(layout);
-        assertEquals(UnroutableQueryException.Reason.LAYOUT_EXPIRED, refused(4, 0));
-        assertEquals(UnroutableQueryException.Reason.LAYOUT_UNKNOWN, refused(9, 0));
-        assertEquals(UnroutableQueryException.Reason.UNKNOWN_SLICE, refused(8, 0));
-        assertEquals(UnroutableQueryException.Reason.UNKNOWN_SLICE, refused(7, 4));
+        assertEquals(UnroutableQueryException.Reason.LAYOUT_EXPIRED, reasonFor(4, 0));
+        assertEquals(UnroutableQueryException.Reason.LAYOUT_UNKNOWN, reasonFor(9, 0));
+        assertEquals(UnroutableQueryException.Reason.UNKNOWN_SLICE, reasonFor(8, 0));
+        assertEquals(UnroutableQueryException.Reason.UNKNOWN_SLICE, reasonFor(7, 4));
         request(SideEffects.IDEMPOTENT, 7, 0);
         request(SideEffects.IDEMPOTENT, 0, 4);
     }
 
-    private UnroutableQueryException.Reason refused(long version, int slice) {
+    private UnroutableQueryException.Reason reasonFor(long version, int slice) {
         return assertThrows(
                         UnroutableQueryException.class,
                         () -> request(SideEffects.IDEMPOTENT, version, slice))
@@ -295,15 +295,15 @@
     // ---- replica lists
 
     @Test
-    void aNodeThatDoesNotHoldASliceIsExcludedForAWhile() throws UnroutableQueryException {
+    void excludedReplicaReturnsOnReadmissionOrNewLayout() throws UnroutableQueryException {
         assertEquals(List.of(node), translator.placement().replicas(0));
         Query query = request(SideEffects.IDEMPOTENT, 1, 0);
-        translator.excludeReplica(part(query, 0), node);
+        translator.excludeReplica(requestFor(query, 0), node);
         assertEquals(List.of(), translator.placement().replicas(0));
         translator.readmitReplica(0, node);
         assertEquals(List.of(node), translator.placement().replicas(0));
-        translator.excludeReplica(part(query, 0), node);
-        after(new LayoutChange.Split(1, List.of(QUARTER + 5)));
+        translator.excludeReplica(requestFor(query, 0), node);
+        apply(new LayoutChange.Split(1, List.of(QUARTER + 5)));
         assertEquals(
                 List.of(node),
                 translator.placement().replicas(0),
@@ -311,9 +311,9 @@
     }
 
     @Test
-    void aHolderThatAcquiredASliceIsKnownToBeWarmingUp() {
+    void acquisitionTimeOfNewHolderIsKnown() {
         assertNull(translator.placement().acquiredAt(1, node));
-        after(new LayoutChange.Transfer(1, layout.slice(1).nodes().get(1), "a"));
+        apply(new LayoutChange.Transfer(1, layout.slice(1).nodes().get(1), "a"));
         assertEquals(Duration.ofSeconds(1), translator.placement().acquiredAt(1, node));
         assertEquals(2, translator.placement().replicationFactor());
     }
--- a/src/test/java/postbeam/slices/TranslationBenchmark.java
+++ b/src/test/java/postbeam/slices/TranslationBenchmark.java
@@ -35,8 +35,8 @@
 @Measurement(iterations = 5, time = 1)
 public class TranslationBenchmark {
     private static final int SLICES = 10_000;
-    private static final int PARTS = 100;
-    private static final int RECUTS = 100;
+    private static final int REQUESTED_SLICES = 100;
+    private static final int SPLITS = 100;
     private static final QueryClass SEARCH =
             QueryClass.builder(Duration.ofSeconds(1), SideEffects.IDEMPOTENT)
                     .utility(1, 0.1)
@@ -45,9 +45,9 @@
                     .build();
 
     private final SliceTranslator translator = new SliceTranslator();
-    private final List<SliceRequest> now = new ArrayList<>();
-    private final List<SliceRequest> then = new ArrayList<>();
-    private Layout old;
+    private final List<SliceRequest> currentRequests = new ArrayList<>();
+    private final List<SliceRequest> oldRequests = new ArrayList<>();
+    private Layout oldLayout;
 
     @Setup
     public void layout() {
@@ -56,8 +56,8 @@
             nodes.add("n" + i);
         }
         Layout layout = Layout.initial(SLICES, nodes, 3);
-        old = layout;
-        for (int i = 0; i < RECUTS; i++) {
+        oldLayout = layout;
+        for (int i = 0; i < SPLITS; i++) {
             Slice slice = layout.slices().get(50 * i);
             layout =
                     layout.withChange(
@@ -69,9 +69,13 @@
                             1000);
         }
         translator.onUpdate(layout);
-        for (int i = 0; i < PARTS; i++) {
-            then.add(new SliceRequest(old.slices().get(97 * i).number(), 1.0 / PARTS, null));
-            now.add(new SliceRequest(layout.slices().get(97 * i).number(), 1.0 / PARTS, null));
+        for (int i = 0; i < REQUESTED_SLICES; i++) {
+            oldRequests.add(
+                    new SliceRequest(
+                            oldLayout.slices().get(97 * i).number(), 1.0 / REQUESTED_SLICES, null));
+            currentRequests.add(
+                    new SliceRequest(
+                            layout.slices().get(97 * i).number(), 1.0 / REQUESTED_SLICES, null));
         }
     }
 
@@ -80,24 +84,24 @@
     }
 
     @Benchmark
-    public Query byTheVersionInForce() throws UnroutableQueryException {
+    public Query translateFromCurrentVersion() throws UnroutableQueryException {
         Query query = query();
-        translator.assignShardRequests(query, 0, now);
+        translator.assignShardRequests(query, 0, currentRequests);
         return query;
     }
 
     @Benchmark
-    public Query byAVersionOfAHundredRecutsAgo() throws UnroutableQueryException {
+    public Query translateFromVersionBeforeHundredSplits() throws UnroutableQueryException {
         Query query = query();
-        translator.assignShardRequests(query, old.version, then);
+        translator.assignShardRequests(query, oldLayout.version, oldRequests);
         return query;
     }
 
     /** What the routing policy computes several times a batch. */
     @Benchmark
-    public double weightAcrossRecuts() throws UnroutableQueryException {
+    public double answeredWeightAcrossSplits() throws UnroutableQueryException {
         Query query = query();
-        translator.assignShardRequests(query, old.version, then);
+        translator.assignShardRequests(query, oldLayout.version, oldRequests);
         return query.answeredWeight();
     }
 
