--- a/src/test/java/postbeam/slices/ChangePlannerTest.java
+++ b/src/test/java/postbeam/slices/ChangePlannerTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import postbeam.model.Readiness;
 
-/** Which changes and targets are rejected, and why. */
+/** Tests the rejection of changes and targets, with the reasons given. */
 class ChangePlannerTest extends CoordinatorScenario {
     @Test
     void invalidChangeIsRejectedWithOneLineAndNoRecord() {
--- a/src/test/java/postbeam/slices/CoordinatorMoveTest.java
+++ b/src/test/java/postbeam/slices/CoordinatorMoveTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import postbeam.model.Readiness;
 
-/** How a move goes through its states, and when it may start. */
+/** Tests how moves go through their states, and when they may start. */
 class CoordinatorMoveTest extends CoordinatorScenario {
     @Test
     void moveSendsCommandsInOrderAndFencesBeforeCutOver() {
@@ -47,7 +47,7 @@
 
     @Test
     void moveOverNodeLimitWaitsUntilOtherMoveCompletes() {
-        // b is needed by both; one at a time may need a node.
+        // Both moves need the nodes a and c, and a node may take part in one move at a time.
         long first = plan(new LayoutChange.Transfer(0, "a", "c"));
         long second = plan(new LayoutChange.Transfer(1, "c", "a"));
         unresponsiveNodes.add("c");
@@ -70,7 +70,8 @@
         setReadiness("b", Readiness.READY);
         runFor(Duration.ofSeconds(3));
         assertEquals(MoveState.COMPLETED, finishedMove(drains).state());
-        // a then has just taken a slice: it is given no other for a while.
+        // After the next move, node a has just acquired a slice and gets no other during the
+        // cooldown.
         long first = plan(new LayoutChange.Transfer(0, "c", "a"));
         runFor(Duration.ofSeconds(1));
         assertEquals(MoveState.COMPLETED, finishedMove(first).state());
--- a/src/test/java/postbeam/slices/CoordinatorScenario.java
+++ b/src/test/java/postbeam/slices/CoordinatorScenario.java
@@ -8,8 +8,8 @@
 import postbeam.model.Readiness;
 
 /**
- * A coordinator over four nodes in two zones, whose records are kept as a journal would and whose
- * commands are acknowledged by all nodes but the silent ones. Tests extend it.
+ * Base class of tests with a coordinator over four nodes in two zones. Its records are kept in
+ * memory in place of a journal, and all nodes but the unresponsive ones acknowledge its commands.
  */
 class CoordinatorScenario {
     private static final MoveLimits LIMITS =
@@ -28,7 +28,7 @@
     final List<JournalRecord> records = new ArrayList<>();
     final List<Layout> published = new ArrayList<>();
 
-    /** Nodes that acknowledge nothing. */
+    /** Nodes that acknowledge no commands. */
     final List<String> unresponsiveNodes = new ArrayList<>();
 
     final List<CoordinatorAction.SendCommand> sentCommands = new ArrayList<>();
@@ -46,7 +46,7 @@
         restart();
     }
 
-    /** Starts the coordinator anew, from the records alone. */
+    /** Replaces the coordinator by one that is restored from the records alone. */
     void restart() {
         MoveJournalState journalState = new MoveJournalState(100);
         records.forEach(journalState::apply);
@@ -59,7 +59,13 @@
         coordinator.onNodesListed(nodes, List.of());
     }
 
-    /** Carries actions out; false where the coordinator dies after so many more records. */
+    /**
+     * Executes actions.
+     *
+     * @param recordsBeforeCrash the number of records after which the coordinator crashes and the
+     *     remaining actions are lost; negative for no crash
+     * @return false if the coordinator crashed
+     */
     boolean execute(List<CoordinatorAction> actions, int recordsBeforeCrash) {
         for (CoordinatorAction action : actions) {
             if (action instanceof CoordinatorAction.AppendRecord append) {
@@ -76,6 +82,7 @@
         return true;
     }
 
+    /** Acknowledges all commands sent so far, except those to unresponsive nodes. */
     void acknowledgeCommands() {
         List<CoordinatorAction.SendCommand> commands = List.copyOf(sentCommands);
         sentCommands.clear();
@@ -87,6 +94,7 @@
         }
     }
 
+    /** Runs ticks every 100 ms, each followed by the acknowledgements. */
     void runFor(Duration span) {
         Duration end = now.plus(span);
         while (now.compareTo(end) < 0) {
@@ -96,11 +104,17 @@
         }
     }
 
+    /** Plans a change and returns the id of its move. */
     long plan(LayoutChange change) {
         execute(coordinator.plan(change, now), -1);
         return coordinator.state().nextMove() - 1;
     }
 
+    /**
+     * Runs until the move is in a state; the commands of that state are sent, but not acknowledged.
+     *
+     * @return the move's state, which differs if 200 ticks were not enough; null if it is finished
+     */
     MoveState advanceTo(long id, MoveState state) {
         for (int i = 0;
                 i < 200
--- a/src/test/java/postbeam/slices/LayoutPropertiesTest.java
+++ b/src/test/java/postbeam/slices/LayoutPropertiesTest.java
@@ -13,10 +13,11 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
+/** Tests properties of layouts, translation and planning over random sequences of changes. */
 class LayoutPropertiesTest {
     private static final List<String> NODES = List.of("a", "b", "c", "d", "e");
 
-    /** So many random re-cuts of a small layout, each version kept. */
+    /** All versions of a small layout that is changed at random up to {@code steps} times. */
     private static List<Layout> randomLayouts(long seed, int steps, long history) {
         Random random = new Random(seed);
         List<Layout> all = new ArrayList<>(List.of(Layout.initial(4, NODES, 2)));
@@ -62,7 +63,7 @@
                                 Duration.ofSeconds(i + 1),
                                 history));
             } catch (IllegalArgumentException e) {
-                // Not every change is possible: then nothing has changed.
+                // A random change may be invalid; it is skipped then.
             }
         }
         return all;
@@ -101,13 +102,13 @@
             assertEquals(
                     retired.keys().size(),
                     keysInChildren,
-                    "what came of slice " + retired.number() + " holds all of it");
+                    "the children of slice " + retired.number() + " cover all its keys");
         }
     }
 
     /**
-     * There: the fragments hold the keys asked for, once. Back: each finds the slices that it was
-     * named by.
+     * The fragments cover the requested keys exactly once, and each of them maps back to the slices
+     * by which it was requested.
      */
     @Property(tries = 200, seed = "1")
     void translationCoversRequestedKeysExactlyAndMapsBack(
--- a/src/test/java/postbeam/slices/MoveFailureTest.java
+++ b/src/test/java/postbeam/slices/MoveFailureTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import postbeam.model.Readiness;
 
-/** Moves whose nodes fail, that are abandoned, or whose coordinator dies. */
+/** Tests moves whose nodes fail, that are abandoned, or whose coordinator crashes. */
 class MoveFailureTest extends CoordinatorScenario {
     @Test
     void copyWithoutAcknowledgementIsAbandonedAfterCopyTimeout() {
@@ -59,7 +59,10 @@
         assertEquals(List.of("a", "b"), layout().slice(0).nodes());
     }
 
-    /** Guards against a cut-over while a holder that only drained is cut off and unfenced. */
+    /**
+     * Guards against a cut-over without fencing: a draining holder that is no longer listed may be
+     * merely unreachable from the coordinator, and still accept calls.
+     */
     @Test
     void moveIsAbandonedWhenDrainingHolderIsRemovedBeforeFencing() {
         setReadiness("a", Readiness.DRAINING);
@@ -89,8 +92,8 @@
                     IllegalArgumentException.class, () -> coordinator.abandon(id, "again", now));
             runFor(Duration.ofSeconds(8));
             assertEquals(0, coordinator.state().activeMoves().size(), state.toString());
-            assertEquals(4, layout().slices().size(), state + ": the old slices are in force");
-            assertTrue(layout().version > version, state + ": under a higher version");
+            assertEquals(4, layout().slices().size(), state + ": as many slices as before");
+            assertTrue(layout().version > version, state + ": the layout version increases");
             assertEquals(
                     state == MoveState.CUT_OVER ? MoveState.COMPLETED : MoveState.ABANDONED,
                     finishedMove(id).state());
@@ -98,8 +101,8 @@
     }
 
     /**
-     * All cut points: dies right after each record of a run, and after each with what follows it
-     * already sent.
+     * Repeats a run and crashes the coordinator after a different record each time, so that the
+     * actions between two records are lost in one run and executed in the next.
      */
     @Test
     void coordinatorRestartedAfterAnyRecordFinishesAllMoves() {
@@ -148,10 +151,10 @@
             for (Layout layout : scenario.published) {
                 assertTrue(
                         layout.version > version,
-                        "killed at record " + crashRecord + ": versions go up");
+                        "killed at record " + crashRecord + ": versions increase");
                 version = layout.version;
             }
         }
-        assertTrue(restarts > 15, "cut points: " + restarts);
+        assertTrue(restarts > 15, "restarts: " + restarts);
     }
 }
--- a/src/test/java/postbeam/slices/NodeReconciliationTest.java
+++ b/src/test/java/postbeam/slices/NodeReconciliationTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import postbeam.model.Readiness;
 
-/** Nodes that come back, and slices of nodes that do not. */
+/** Tests the handling of nodes that reappear, and of slices whose holders don't. */
 class NodeReconciliationTest extends CoordinatorScenario {
     @Test
     void reappearedNodeIsSentServeForEachSlice() {
@@ -74,7 +74,7 @@
         assertEquals(List.of("a", "b"), layout().slice(0).nodes());
     }
 
-    /** Guards against a copy that stays on its node for ever after a rollback. */
+    /** Guards against a copy that is never deleted after a rollback. */
     @Test
     void unresponsiveDestinationDropsCopyAfterRollback() {
         long move = plan(new LayoutChange.Transfer(0, "a", "c"));
@@ -92,7 +92,7 @@
         assertEquals(List.of("a", "b"), layout().slice(0).nodes());
     }
 
-    /** Takes slice 0 off a node that takes no command any more once the move is cut over. */
+    /** Moves slice 0 off a node that stops acknowledging commands once the move is cut over. */
     private void transferFromNodeThatStopsResponding(String from, String to) {
         long move = plan(new LayoutChange.Transfer(0, from, to));
         assertEquals(MoveState.CUT_OVER, advanceTo(move, MoveState.CUT_OVER));
@@ -101,7 +101,7 @@
         runFor(Duration.ofSeconds(8));
     }
 
-    /** Guards against a drop that is taken for done by the acknowledgement of an earlier one. */
+    /** Guards against a drop that is considered done by the acknowledgement of an earlier one. */
     @Test
     void lateAcknowledgementDoesNotCountForNextDrop() {
         transferFromNodeThatStopsResponding("a", "c");
@@ -113,6 +113,6 @@
         runFor(Duration.ofSeconds(20));
         assertEquals(List.of("a", "b"), layout().slice(0).nodes());
         transferFromNodeThatStopsResponding("a", "c");
-        assertEquals(1, coordinator.state().pendingDrops().size(), "it has dropped nothing yet");
+        assertEquals(1, coordinator.state().pendingDrops().size(), "the second drop is pending");
     }
 }
--- a/src/test/java/postbeam/slices/SlicePlacementTest.java
+++ b/src/test/java/postbeam/slices/SlicePlacementTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import postbeam.model.Readiness;
 
-/** How slices are spread over zones. */
+/** Tests how holders are spread over zones. */
 class SlicePlacementTest extends CoordinatorScenario {
     @Test
     void readyNodesAlternateBetweenZones() {
--- a/src/test/java/postbeam/slices/SliceTranslatorTest.java
+++ b/src/test/java/postbeam/slices/SliceTranslatorTest.java
@@ -21,6 +21,7 @@
 import postbeam.model.SideEffects;
 import postbeam.model.Zone;
 
+/** Tests the translation of queries to slices of the current layout, while layouts change. */
 class SliceTranslatorTest {
     private static final long QUARTER = KeyRange.KEY_SPACE_SIZE / 4;
 
@@ -47,7 +48,7 @@
         return new Query(queryClass, null, Duration.ZERO, Duration.ofSeconds(3));
     }
 
-    /** Asks for these slices of the first layout, with even weights. */
+    /** A query for these slices of a layout version, with equal weights. */
     private Query request(SideEffects sideEffects, long version, int... slices)
             throws UnroutableQueryException {
         Query query = query(sideEffects, 0.25);
@@ -92,7 +93,7 @@
                 .orElse(null);
     }
 
-    // ---- lineage
+    // ---- splits and merges during a query
 
     @Test
     void splitDividesWeightAndEstimatedWorkAndKeepsAttempts() throws UnroutableQueryException {
@@ -100,8 +101,8 @@
         Attempt attempt = startAttempt(requestFor(query, 0), 5);
         LayoutChange split = new LayoutChange.Split(0, List.of(QUARTER / 4));
         apply(split, query);
-        assertNotNull(requestFor(query, 0), "what is out stays as it was sent");
-        // Its answer is an error: it may have run.
+        assertNotNull(requestFor(query, 0), "a request with an attempt in flight is not replaced");
+        // The attempt ends with an error, so it may have executed.
         attempt.end();
         requestFor(query, 0).recordPossibleExecution(attempt.sentAt);
         assertTrue(translator.remapStaleRequests(query));
@@ -110,7 +111,7 @@
             assertEquals(
                     Duration.ofMillis(5),
                     requestFor(query, slice).mayHaveExecutedSince(),
-                    "a child may have run");
+                    "a successor may have executed");
             assertEquals(List.of(attempt), requestFor(query, slice).attempts);
         }
         assertEquals(0.125, requestFor(query, 4).weight, 1e-9);
@@ -142,7 +143,7 @@
         assertEquals(
                 1,
                 unattempted.shardRequests.size(),
-                "parts that nothing was sent for are joined: one answer for both");
+                "requests without attempts are merged into one");
         assertEquals(1.0, unattempted.shardRequests.get(0).weight, 1e-9);
     }
 
@@ -160,7 +161,7 @@
         assertEquals(
                 Duration.ofMillis(7),
                 query.shardRequests.get(0).mayHaveExecutedSince(),
-                "the window counts from the first send");
+                "the deduplication window starts at the first attempt");
     }
 
     @Test
@@ -198,11 +199,12 @@
         assertEquals(0.5, query.answeredWeight(), 1e-9);
     }
 
-    // ---- the floor and the whole mark
+    // ---- completeness
 
     @Test
     void answeredPartsOfSlicesOfTwoLayoutsDoNotCountTogether() throws UnroutableQueryException {
-        // Named: 0 and 1. Then 0 is cut into 4 and 5, and 5 joined with 1 to 6.
+        // The query requests slices 0 and 1. Slice 0 is then split into 4 and 5, and 5 and 1 are
+        // merged into 6.
         Query query = request(SideEffects.IDEMPOTENT, 1, 0, 1);
         Attempt attempt = startAttempt(requestFor(query, 1), 5);
         apply(new LayoutChange.Split(0, List.of(QUARTER / 2)), query);
@@ -220,9 +222,10 @@
                 0,
                 query.answeredWeight(),
                 1e-9,
-                "half of 0 is in, and half of 6: neither slice is");
+                "parts of 0 and of 6 are answered, but neither slice is complete");
         requestFor(query, 4).markAnswered();
-        assertEquals(0.5, query.answeredWeight(), 1e-9, "0 is in, by the layout that was named");
+        assertEquals(
+                0.5, query.answeredWeight(), 1e-9, "slice 0 is complete by the requested layout");
         LayoutCompleteness.CompleteRequests complete =
                 translator.completenessOf(query).completeRequests(query);
         assertEquals(1, complete.version());
@@ -307,7 +310,7 @@
         assertEquals(
                 List.of(node),
                 translator.placement().replicas(0),
-                "a new version clears what was learned under the last");
+                "a new layout version clears exclusions");
     }
 
     @Test
--- a/src/test/java/postbeam/slices/TranslationBenchmark.java
+++ b/src/test/java/postbeam/slices/TranslationBenchmark.java
@@ -22,10 +22,10 @@
 import postbeam.model.SideEffects;
 
 /**
- * What translation costs a query of 100 parts over a layout of 10,000 slices: by the version in
- * force, and by one 100 re-cuts back. After {@code mvn -q test-compile dependency:build-classpath
- * -Dmdep.outputFile=target/cp} run it with {@code java -cp target/classes:target/test-classes:$(cat
- * target/cp) postbeam.slices.TranslationBenchmark}.
+ * Measures the translation of a query for 100 slices over a layout of 10,000 slices, requested by
+ * the current version and by a version before 100 splits. After {@code mvn -q test-compile
+ * dependency:build-classpath -Dmdep.outputFile=target/cp} run it with {@code java -cp
+ * target/classes:target/test-classes:$(cat target/cp) postbeam.slices.TranslationBenchmark}.
  */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
@@ -97,7 +97,7 @@
         return query;
     }
 
-    /** What the routing policy computes several times a batch. */
+    /** Includes the answered weight, which the routing policy computes several times per batch. */
     @Benchmark
     public double answeredWeightAcrossSplits() throws UnroutableQueryException {
         Query query = query();
