--- a/src/test/java/postbeam/slices/ChangePlannerTest.java
+++ b/src/test/java/postbeam/slices/ChangePlannerTest.java
@@ -19,28 +19,29 @@
         coordinator.onNodesListed(nodes, List.of());
         plan(new LayoutChange.Transfer(2, "c", "a"));
         int before = records.size();
-        Map<LayoutChange, String> bad = new LinkedHashMap<>();
-        bad.put(new LayoutChange.Split(9, List.of(5L)), "there is no slice 9");
-        bad.put(new LayoutChange.Split(0, List.of(KeyRange.KEY_SPACE_SIZE - 1)), "can't be cut at");
-        bad.put(new LayoutChange.Merge(List.of(0, 2)), "slice 2 is moving already");
-        bad.put(new LayoutChange.Merge(List.of(0, 1)), "held by different nodes");
-        bad.put(new LayoutChange.Merge(List.of(1, 0)), "not adjacent in key order");
-        bad.put(new LayoutChange.Transfer(0, "a", "x"), "there is no node x");
-        bad.put(new LayoutChange.Transfer(0, "a", "e"), "node e is draining");
-        bad.put(new LayoutChange.Transfer(0, "a", "b"), "is held by b already");
-        bad.put(new LayoutChange.Transfer(0, "d", "c"), "is not held by d");
-        bad.put(new LayoutChange.Transfer(0, "a", null), "1 holders, at least 2 are needed");
-        bad.put(
+        Map<LayoutChange, String> reasons = new LinkedHashMap<>();
+        reasons.put(new LayoutChange.Split(9, List.of(5L)), "there is no slice 9");
+        reasons.put(
+                new LayoutChange.Split(0, List.of(KeyRange.KEY_SPACE_SIZE - 1)), "can't be cut at");
+        reasons.put(new LayoutChange.Merge(List.of(0, 2)), "slice 2 is moving already");
+        reasons.put(new LayoutChange.Merge(List.of(0, 1)), "held by different nodes");
+        reasons.put(new LayoutChange.Merge(List.of(1, 0)), "not adjacent in key order");
+        reasons.put(new LayoutChange.Transfer(0, "a", "x"), "there is no node x");
+        reasons.put(new LayoutChange.Transfer(0, "a", "e"), "node e is draining");
+        reasons.put(new LayoutChange.Transfer(0, "a", "b"), "is held by b already");
+        reasons.put(new LayoutChange.Transfer(0, "d", "c"), "is not held by d");
+        reasons.put(new LayoutChange.Transfer(0, "a", null), "1 holders, at least 2 are needed");
+        reasons.put(
                 new LayoutChange.Transfer(0, "a", "d"),
                 "holders in 1 zones, at least 2 are needed");
-        bad.forEach(
-                (change, why) -> {
+        reasons.forEach(
+                (change, reason) -> {
                     String message =
                             assertThrows(
                                             IllegalArgumentException.class,
                                             () -> coordinator.plan(change, now))
                                     .getMessage();
-                    assertTrue(message.contains(why), change + ": " + message);
+                    assertTrue(message.contains(reason), change + ": " + message);
                     assertFalse(message.contains("\n"));
                 });
         assertEquals(before, records.size());
--- a/src/test/java/postbeam/slices/CoordinatorMoveTest.java
+++ b/src/test/java/postbeam/slices/CoordinatorMoveTest.java
@@ -63,23 +63,23 @@
     void moveWaitsWhileSourceDrainsOrDestinationCoolsDown() {
         setReadiness("a", Readiness.DRAINING);
         setReadiness("b", Readiness.DRAINING);
-        long drains = plan(new LayoutChange.Transfer(0, "a", "c"));
+        long whileDraining = plan(new LayoutChange.Transfer(0, "a", "c"));
         runFor(Duration.ofSeconds(3));
-        assertEquals(MoveState.PLANNED, coordinator.state().move(drains).state());
+        assertEquals(MoveState.PLANNED, coordinator.state().move(whileDraining).state());
         setReadiness("a", Readiness.READY);
         setReadiness("b", Readiness.READY);
         runFor(Duration.ofSeconds(3));
-        assertEquals(MoveState.COMPLETED, finishedMove(drains).state());
+        assertEquals(MoveState.COMPLETED, finishedMove(whileDraining).state());
         // After the next move, node a has just acquired a slice and gets no other during the
         // cooldown.
         long first = plan(new LayoutChange.Transfer(0, "c", "a"));
         runFor(Duration.ofSeconds(1));
         assertEquals(MoveState.COMPLETED, finishedMove(first).state());
-        long rests = plan(new LayoutChange.Transfer(1, "c", "a"));
+        long duringCooldown = plan(new LayoutChange.Transfer(1, "c", "a"));
         runFor(Duration.ofMillis(200));
-        assertEquals(MoveState.PLANNED, coordinator.state().move(rests).state());
+        assertEquals(MoveState.PLANNED, coordinator.state().move(duringCooldown).state());
         runFor(Duration.ofSeconds(4));
-        assertEquals(MoveState.COMPLETED, finishedMove(rests).state());
+        assertEquals(MoveState.COMPLETED, finishedMove(duringCooldown).state());
     }
 
     @Test
@@ -97,7 +97,7 @@
 
     @Test
     void targetIsReachedDespiteFailedMovesAndRestart() {
-        TargetLayout targetLayout =
+        TargetLayout target =
                 new TargetLayout(
                         List.of(
                                 new TargetLayout.DesiredSlice(
@@ -108,7 +108,7 @@
                                                 KeyRange.KEY_SPACE_SIZE / 3,
                                                 KeyRange.KEY_SPACE_SIZE),
                                         List.of("a", "b"))));
-        execute(coordinator.setTarget(targetLayout), -1);
+        execute(coordinator.setTarget(target), -1);
         unresponsiveNodes.add("d");
         runFor(Duration.ofSeconds(30));
         unresponsiveNodes.clear();
--- a/src/test/java/postbeam/slices/LayoutPropertiesTest.java
+++ b/src/test/java/postbeam/slices/LayoutPropertiesTest.java
@@ -190,7 +190,7 @@
         List<Layout> from = randomLayouts(seed, steps, 10);
         List<Layout> to = randomLayouts(seed + 1, steps, 10);
         Layout layout = from.get(from.size() - 1);
-        TargetLayout targetLayout =
+        TargetLayout target =
                 new TargetLayout(
                         to.get(to.size() - 1).slices().stream()
                                 .map(
@@ -201,7 +201,7 @@
         int nextSliceNumber = 10_000;
         for (int i = 0; i < 500; i++) {
             List<LayoutChange> changes =
-                    Planner.nextChanges(layout, targetLayout, java.util.Set.of());
+                    Planner.nextChanges(layout, target, java.util.Set.of());
             if (changes.isEmpty()) {
                 break;
             }
@@ -216,11 +216,11 @@
             }
         }
         assertEquals(
-                targetLayout.slices().stream().map(TargetLayout.DesiredSlice::keys).toList(),
+                target.slices().stream().map(TargetLayout.DesiredSlice::keys).toList(),
                 layout.slices().stream().map(Slice::keys).toList());
-        for (int i = 0; i < targetLayout.slices().size(); i++) {
+        for (int i = 0; i < target.slices().size(); i++) {
             assertEquals(
-                    java.util.Set.copyOf(targetLayout.slices().get(i).nodes()),
+                    java.util.Set.copyOf(target.slices().get(i).nodes()),
                     java.util.Set.copyOf(layout.slices().get(i).nodes()));
         }
     }
