--- a/src/main/java/postbeam/slices/MoveStateMachine.java
+++ b/src/main/java/postbeam/slices/MoveStateMachine.java
@@ -87,7 +87,7 @@
             abandon(
                     actions,
                     move,
-                    "the destinations did not acknowledge HOLD within "
+                    "not all destinations acknowledged HOLD within "
                             + limits.stepTimeout().toMillis()
                             + " ms");
         } else if (gone.isPresent()) {
@@ -125,7 +125,7 @@
             abandon(
                     actions,
                     move,
-                    "the nodes did not acknowledge FENCE and SERVE within "
+                    "not all nodes acknowledged FENCE and SERVE within "
                             + limits.stepTimeout().toMillis()
                             + " ms");
         } else if (gone.isPresent()) {
--- a/src/main/java/postbeam/slices/SliceTranslator.java
+++ b/src/main/java/postbeam/slices/SliceTranslator.java
@@ -261,8 +261,8 @@
         }
         query.removeShardRequests(stale);
         LayoutCompleteness completeness = completenessOf(query);
-        // Requests without attempts are merged if they are adjacent in one slice; the others stay
-        // separate, so that each keeps its own attempts.
+        // Open requests without attempts are merged if they are adjacent in one slice; the others
+        // stay separate, so that each keeps its own attempts.
         List<Fragment> notAttempted = new ArrayList<>();
         Map<KeyRangeRequest, List<Fragment>> attempted = new LinkedHashMap<>();
         for (KeyRangeRequest request : stale) {
