--- a/src/test/java/postbeam/slices/LayoutPropertiesTest.java
+++ b/src/test/java/postbeam/slices/LayoutPropertiesTest.java
@@ -18,12 +18,12 @@
     private static final List<String> NODES = List.of("a", "b", "c", "d", "e");
 
     /** All versions of a small layout that is changed at random up to {@code steps} times. */
-    private static List<Layout> randomLayouts(long seed, int steps, long history) {
+    private static List<Layout> randomLayouts(long seed, int steps, long historyVersions) {
         Random random = new Random(seed);
-        List<Layout> all = new ArrayList<>(List.of(Layout.initial(4, NODES, 2)));
+        List<Layout> layouts = new ArrayList<>(List.of(Layout.initial(4, NODES, 2)));
         int nextSliceNumber = 4;
         for (int i = 0; i < steps; i++) {
-            Layout layout = all.get(all.size() - 1);
+            Layout layout = layouts.get(layouts.size() - 1);
             Slice slice = layout.slices().get(random.nextInt(layout.slices().size()));
             LayoutChange change =
                     switch (random.nextInt(3)) {
@@ -55,18 +55,18 @@
                 for (int j = 0; j < change.newSliceCount(); j++) {
                     newSliceNumbers.add(nextSliceNumber++);
                 }
-                all.add(
+                layouts.add(
                         layout.withChange(
                                 change,
                                 newSliceNumbers,
                                 layout.version + 1 + random.nextInt(2),
                                 Duration.ofSeconds(i + 1),
-                                history));
+                                historyVersions));
             } catch (IllegalArgumentException e) {
                 // A random change may be invalid; it is skipped then.
             }
         }
-        return all;
+        return layouts;
     }
 
     @Property(tries = 200, seed = "1")
@@ -82,9 +82,9 @@
     @Property(tries = 200, seed = "1")
     void laterLayoutResolvesAllEarlierSlicesAndTheirChildren(
             @ForAll long seed, @ForAll @IntRange(max = 40) int steps) {
-        List<Layout> all = randomLayouts(seed, steps, 1000);
-        Layout last = all.get(all.size() - 1);
-        for (Layout layout : all) {
+        List<Layout> layouts = randomLayouts(seed, steps, 1000);
+        Layout last = layouts.get(layouts.size() - 1);
+        for (Layout layout : layouts) {
             for (Slice slice : layout.slices()) {
                 assertEquals(slice.keys(), last.keysOf(slice.number(), layout.version));
             }
@@ -113,12 +113,12 @@
     @Property(tries = 200, seed = "1")
     void translationCoversRequestedKeysExactlyAndMapsBack(
             @ForAll long seed, @ForAll @IntRange(max = 40) int steps) {
-        List<Layout> all = randomLayouts(seed, steps, 1000);
-        Layout last = all.get(all.size() - 1);
-        Layout requestedLayout = all.get(new Random(seed).nextInt(all.size()));
+        List<Layout> layouts = randomLayouts(seed, steps, 1000);
+        Layout last = layouts.get(layouts.size() - 1);
+        Layout requestedLayout = layouts.get(new Random(seed).nextInt(layouts.size()));
         List<Fragment> fragments = new ArrayList<>();
         List<LayoutCompleteness.RequestedSlice> requested = new ArrayList<>();
-        long size = 0;
+        long requestedKeyCount = 0;
         for (Slice slice : requestedLayout.slices()) {
             if ((slice.number() + seed) % 3 != 0) {
                 fragments.addAll(
@@ -127,11 +127,13 @@
                 requested.add(
                         new LayoutCompleteness.RequestedSlice(
                                 slice.number(), slice.keys(), 1 + slice.number() % 7, null));
-                size += slice.keys().size();
+                requestedKeyCount += slice.keys().size();
             }
         }
         List<Fragment> merged = Fragment.merged(fragments);
-        assertEquals(size, merged.stream().mapToLong(fragment -> fragment.keys().size()).sum());
+        assertEquals(
+                requestedKeyCount,
+                merged.stream().mapToLong(fragment -> fragment.keys().size()).sum());
         LayoutCompleteness completeness =
                 new LayoutCompleteness(requestedLayout.version, requested, () -> last, true);
         assertEquals(
@@ -168,10 +170,10 @@
 
     @Property(tries = 100, seed = "1")
     void versionsBeyondHistoryAreNotKept(@ForAll long seed) {
-        List<Layout> all = randomLayouts(seed, 40, 5);
-        Layout last = all.get(all.size() - 1);
+        List<Layout> layouts = randomLayouts(seed, 40, 5);
+        Layout last = layouts.get(layouts.size() - 1);
         assertTrue(last.version - last.oldestVersion <= 6);
-        for (Layout layout : all) {
+        for (Layout layout : layouts) {
             if (layout.version >= last.oldestVersion) {
                 layout.slices()
                         .forEach(
