--- a/src/main/java/postbeam/slices/Planner.java
+++ b/src/main/java/postbeam/slices/Planner.java
@@ -48,8 +48,7 @@
             slicesInPlace.add(slice);
             if (formDesiredSlice(desiredSlice, slicesInPlace)) {
                 changes.add(
-                        new LayoutChange.Merge(
-                                slicesInPlace.stream().map(Slice::number).toList()));
+                        new LayoutChange.Merge(slicesInPlace.stream().map(Slice::number).toList()));
             }
         }
         return changes;
--- a/src/test/java/postbeam/slices/LayoutPropertiesTest.java
+++ b/src/test/java/postbeam/slices/LayoutPropertiesTest.java
@@ -122,8 +122,7 @@
         for (Slice slice : requestedLayout.slices()) {
             if ((slice.number() + seed) % 3 != 0) {
                 fragments.addAll(
-                        Fragment.split(
-                                last, last.keysOf(slice.number(), requestedLayout.version)));
+                        Fragment.split(last, last.keysOf(slice.number(), requestedLayout.version)));
                 requested.add(
                         new LayoutCompleteness.RequestedSlice(
                                 slice.number(), slice.keys(), 1 + slice.number() % 7, null));
@@ -155,8 +154,7 @@
                     slice.keys().size(),
                     fragmentsOfSlice.stream()
                             .mapToLong(
-                                    fragment ->
-                                            fragment.keys().intersection(slice.keys()).size())
+                                    fragment -> fragment.keys().intersection(slice.keys()).size())
                             .sum());
         }
         for (int i = 0; i < merged.size(); i++) {
@@ -202,8 +200,7 @@
                                 .toList());
         int nextSliceNumber = 10_000;
         for (int i = 0; i < 500; i++) {
-            List<LayoutChange> changes =
-                    Planner.nextChanges(layout, target, java.util.Set.of());
+            List<LayoutChange> changes = Planner.nextChanges(layout, target, java.util.Set.of());
             if (changes.isEmpty()) {
                 break;
             }
