--- a/src/main/java/postbeam/policy/ReplicaSelector.java
+++ b/src/main/java/postbeam/policy/ReplicaSelector.java
@@ -102,11 +102,11 @@
         for (ShardRequest request : query.shardRequests) {
             offsetCount = Math.max(offsetCount, cluster.replicas(request.shard).size());
         }
-        int start = random.nextInt(offsetCount);
-        int best = start;
+        int firstOffset = random.nextInt(offsetCount);
+        int best = firstOffset;
         double leastCost = Double.MAX_VALUE;
         for (int i = 0; i < offsetCount; i++) {
-            int offset = (start + i) % offsetCount;
+            int offset = (firstOffset + i) % offsetCount;
             double cost = costOfOffset(now, query, offset);
             if (cost < leastCost) {
                 leastCost = cost;
--- a/src/test/java/postbeam/policy/SlowStartTest.java
+++ b/src/test/java/postbeam/policy/SlowStartTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void startingNodeGetsNoMoreThanThisRoutersShareInEveryWindow() {
+    void nodeWarmingUpGetsNoMoreThanThisRoutersShareInEveryWindow() {
         SlowStart slowStart = slowStart(2);
         DataNode node = startedNode(slowStart, ms(0), 0);
         assertTrue(slowStart.allows(ms(10), node, null, ms(150)));
@@ -60,7 +60,7 @@
      * again: it has lost the record of the work that it sent before.
      */
     @Test
-    void routerThatHasJustStartedSendsNothingToStartingNodes() {
+    void routerThatHasJustStartedSendsNothingToNodesWarmingUp() {
         SlowStart slowStart = slowStart(2);
         DataNode node = startedNode(slowStart, ms(-300), 0);
         assertFalse(slowStart.allows(ms(1200), node, null, ms(150)));
@@ -143,13 +143,13 @@
     @Test
     void manyRoutersRoundTheirShareByTheSamplingThreshold() {
         SlowStart slowStart = slowStart(100);
-        DataNode low = startedNode(slowStart, ms(0), 0.01);
-        assertTrue(slowStart.allows(ms(10), low, null, ms(80)));
-        slowStart.recordSent(ms(10), low, null, ms(80));
-        assertFalse(slowStart.allows(ms(500), low, null, ms(80)));
-        DataNode high = startedNode(slowStart, ms(0), 0.99);
-        slowStart.recordSent(ms(10), high, null, ms(80));
-        assertFalse(slowStart.allows(ms(2000), high, null, ms(80)));
+        DataNode lowThreshold = startedNode(slowStart, ms(0), 0.01);
+        assertTrue(slowStart.allows(ms(10), lowThreshold, null, ms(80)));
+        slowStart.recordSent(ms(10), lowThreshold, null, ms(80));
+        assertFalse(slowStart.allows(ms(500), lowThreshold, null, ms(80)));
+        DataNode highThreshold = startedNode(slowStart, ms(0), 0.99);
+        slowStart.recordSent(ms(10), highThreshold, null, ms(80));
+        assertFalse(slowStart.allows(ms(2000), highThreshold, null, ms(80)));
     }
 
     @Test
