--- a/src/main/java/postbeam/dispatch/QueryAction.java
+++ b/src/main/java/postbeam/dispatch/QueryAction.java
@@ -30,7 +30,7 @@
     /**
      * Answers the client.
      *
-     * @param complete whether the answer is complete
+     * @param complete whether the values suffice for a complete answer in the query class
      * @param layoutVersion version of the layout whose slices the values cover; 0 if slices don't
      *     move
      * @param page the requested page; null if none was requested
--- a/src/main/java/postbeam/policy/LatencyEstimator.java
+++ b/src/main/java/postbeam/policy/LatencyEstimator.java
@@ -150,8 +150,8 @@
 
     /**
      * Updates the baseline with a sample. The first sample of a class is divided by the typical
-     * slowdown: it may come from a slow node, and in a rare class the next sample may come much
-     * later.
+     * slowdown: it may come from a slow node, and in a class with few queries the next sample may
+     * come much later.
      */
     private void updateBaseline(Duration now, QueryClass queryClass, Duration latency) {
         Baseline baseline = baselines.get(queryClass);
--- a/src/main/java/postbeam/policy/ReplicaSelector.java
+++ b/src/main/java/postbeam/policy/ReplicaSelector.java
@@ -151,7 +151,8 @@
     /**
      * Returns the best node for the request, or null if no replica may be sent the request now.
      * Among equals, the first node from the query's replica offset is chosen. Suspect nodes are
-     * chosen only if there are no others.
+     * chosen only if there are no others, and only nodes of rank 0 if the request already has an
+     * attempt in flight.
      */
     DataNode chooseNode(Duration now, ShardRequest request) {
         List<DataNode> replicas = cluster.replicas(request.shard);
@@ -179,8 +180,8 @@
 
     /**
      * Returns the work of the request that is checked against the slow start budget: at least that
-     * of a typical request. Every router has some light requests, and together these would exceed
-     * the budget.
+     * of a typical request. Every router has some requests with little work, and together these
+     * would exceed the budget.
      */
     private Duration admissionWork(ShardRequest request) {
         return max(
--- a/src/test/java/postbeam/policy/SlowStartTest.java
+++ b/src/test/java/postbeam/policy/SlowStartTest.java
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Guards against a router that, after its own restart, sends a starting node its whole share
-     * again: it has lost the record of the work that it sent before.
+     * Guards against a router that, after its own restart, sends a node that is warming up its
+     * whole share again: it has lost the record of the work that it sent before.
      */
     @Test
     void routerThatHasJustStartedSendsNothingToNodesWarmingUp() {
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Returns the work in seconds that this number of routers can send to a starting node within a
-     * window, with requests of different work.
+     * Returns the work in seconds that this number of routers can send to a node that is warming up
+     * within a window, with requests of different work.
      */
     private static double maxWorkInAWindow(Random random, int routers, double loadFactor) {
         List<SlowStart> slowStarts = new ArrayList<>();
