--- a/src/main/java/postbeam/coordination/CoordinationError.java
+++ b/src/main/java/postbeam/coordination/CoordinationError.java
@@ -40,7 +40,7 @@
 
         @Override
         public String remedy() {
-            return "stop one of the two, and give each router a unique together.name";
+            return "stop one of the two and give each router a unique together.name";
         }
     }
 
