--- a/src/test/java/postbeam/coordination/CoordinationIT.java
+++ b/src/test/java/postbeam/coordination/CoordinationIT.java
@@ -116,7 +116,7 @@
      * both before it sends.
      */
     @Test
-    void resumedRouterFollowsTheNodeChangesMadeWhileItWasStopped() throws Exception {
+    void resumedRouterFollowsTheNodeChangesMadeWhileItWasSuspended() throws Exception {
         startCluster(4, 3, UNCHANGED);
         cluster.stop("r0");
         cluster.kill("n0");
--- a/src/test/java/postbeam/coordination/CoordinationWithSlicesIT.java
+++ b/src/test/java/postbeam/coordination/CoordinationWithSlicesIT.java
@@ -131,7 +131,7 @@
      * the first continues after it is resumed.
      */
     @Test
-    void secondLayoutServiceOnTheSameLogExitsWhileTheFirstIsStopped() throws Exception {
+    void secondLayoutServiceOnTheSameLogExitsWhileTheFirstIsSuspended() throws Exception {
         cluster.stop(ProcessCluster.LAYOUTS);
         Path secondSettings =
                 cluster.writeFile(
--- a/src/test/java/postbeam/coordination/LeaderElectionIT.java
+++ b/src/test/java/postbeam/coordination/LeaderElectionIT.java
@@ -23,17 +23,17 @@
 @Timeout(value = 150, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class LeaderElectionIT {
     private static final int ROUTERS = 5;
-    private static final double BUDGET = 0.4;
-    private static final double WORK = 0.005;
+    private static final double BUDGET_SECONDS = 0.4;
+    private static final double REQUEST_SECONDS = 0.005;
     private static final Duration WINDOW = Duration.ofSeconds(1);
 
     private final SlowStartUsage usage = new SlowStartUsage();
     private final AtomicIntegerArray acquisitionsByRouter = new AtomicIntegerArray(ROUTERS);
     private final List<Thread> clients = new ArrayList<>();
-    private volatile boolean stopped;
+    private volatile boolean stopRequested;
     private ProcessCluster cluster;
 
-    private void startCluster(boolean unaware) throws Exception {
+    private void startCluster(boolean configuredAlone) throws Exception {
         cluster =
                 new ProcessCluster(
                         new ProcessCluster.Size(
@@ -44,7 +44,7 @@
                                 ProcessCluster.PATIENT,
                                 (all, file, text) ->
                                         file.endsWith(".json5")
-                                                ? settings(all, file.replace(".json5", ""), unaware)
+                                                ? settings(all, file.replace(".json5", ""), configuredAlone)
                                                 : text),
                         1);
         for (int i = 0; i < ROUTERS; i++) {
@@ -56,12 +56,12 @@
         }
     }
 
-    private static String settings(ProcessCluster processes, String name, boolean unaware)
+    private static String settings(ProcessCluster processes, String name, boolean configuredAlone)
             throws IOException {
         StringBuilder routers = new StringBuilder();
         for (int i = 0; i < ROUTERS; i++) {
             String other = "r" + i;
-            if (!unaware || other.equals(name)) {
+            if (!configuredAlone || other.equals(name)) {
                 routers.append("{name: \"")
                         .append(other)
                         .append("\", address: \"")
@@ -77,26 +77,26 @@
                 + "\", routers: ["
                 + routers
                 + "], shares: "
-                + (unaware ? 1 : ROUTERS)
+                + (configuredAlone ? 1 : ROUTERS)
                 + ", stripes: 1, leaseMs: 600, windowMs: "
                 + WINDOW.toMillis()
                 + ", driftMs: 30, officeMs: 900, longestMs: 1200, reserved: 0.25, underWay: 0.1,"
                 + " callMost: 0.008, firstWork: "
-                + BUDGET
+                + BUDGET_SECONDS
                 + ", risesTo: 1, rampMs: 60000}}";
     }
 
     /** Acquires as much work from the router as it admits. */
     private void acquireUntilStopped(int router) {
-        while (!stopped) {
+        while (!stopRequested) {
             try {
                 Duration startedAt = cluster.now();
                 if (cluster.post(
                                 "r" + router,
                                 "/together/v1/take",
-                                "{\"node\":\"n0\",\"incarnation\":7,\"work\":" + WORK + "}")
+                                "{\"node\":\"n0\",\"incarnation\":7,\"work\":" + REQUEST_SECONDS + "}")
                         .contains("\"taken\":true")) {
-                    usage.record(startedAt, cluster.now(), WORK);
+                    usage.record(startedAt, cluster.now(), REQUEST_SECONDS);
                     acquisitionsByRouter.incrementAndGet(router);
                 }
                 Thread.sleep(5);
@@ -110,7 +110,7 @@
 
     @AfterEach
     void stopClientsAndCloseCluster() throws Exception {
-        stopped = true;
+        stopRequested = true;
         for (Thread client : clients) {
             client.interrupt();
             client.join();
@@ -161,11 +161,11 @@
                         + " acquisitions, at most "
                         + maxWork
                         + " of "
-                        + BUDGET
+                        + BUDGET_SECONDS
                         + " in a window");
         assertTrue(
-                maxWork <= BUDGET + 1e-9,
-                "acquired in a window: " + maxWork + ", budget " + BUDGET);
+                maxWork <= BUDGET_SECONDS + 1e-9,
+                "acquired in a window: " + maxWork + ", budget " + BUDGET_SECONDS);
     }
 
     @Test
@@ -213,7 +213,7 @@
         startCluster(true);
         awaitAcquisitions(0, 1, 2, 3, 4, 0, 1, 2, 3, 4);
         cluster.awaitCondition(
-                "the budget is exceeded", () -> usage.maxWorkIn(WINDOW) > BUDGET + WORK);
+                "the budget is exceeded", () -> usage.maxWorkIn(WINDOW) > BUDGET_SECONDS + REQUEST_SECONDS);
         assertEquals(5, clients.size());
     }
 }
