--- a/src/main/java/postbeam/coordination/HealthGossip.java
+++ b/src/main/java/postbeam/coordination/HealthGossip.java
@@ -257,7 +257,7 @@
                 .sum();
     }
 
-    /** Number of reports held, this router's own included. */
+    /** Number of stored reports, including those of this router. */
     public int size() {
         return localReports.size() + remoteReports.values().stream().mapToInt(Map::size).sum();
     }
--- a/src/main/java/postbeam/coordination/LeaderElection.java
+++ b/src/main/java/postbeam/coordination/LeaderElection.java
@@ -9,7 +9,7 @@
 /**
  * One router's part in the election of one stripe's leader: it votes, and it may become a candidate
  * and the leader. At any moment at most one router is the leader by its own clock, even if messages
- * are lost or late and processes stop or restart (docs/together.md, invariant 1).
+ * are lost or late and processes are suspended or restart (docs/together.md, invariant 1).
  *
  * <p>Not thread-safe; {@link StripedCoordinator} guards it with the stripe's lock. Times are
  * readings of the router's own monotonic clock.
--- a/src/main/java/postbeam/coordination/LeaseParameters.java
+++ b/src/main/java/postbeam/coordination/LeaseParameters.java
@@ -18,7 +18,7 @@
  * @param reservedFraction s: the fraction of each budget that is never leased; a router that can't
  *     reach a leader may still use its part of it
  * @param inFlightFraction k: the fraction of each budget for work that is acquired and not yet
- *     sent, as a process may be stopped in between
+ *     sent, as a process may be suspended in between
  * @param maxRouters the number that the reserve is divided by: all routers, including those that
  *     may be added before every router has new parameters
  * @param maxAttemptWork the work of the largest attempt, in the unit of the budget
--- a/src/main/java/postbeam/coordination/QuotaCounters.java
+++ b/src/main/java/postbeam/coordination/QuotaCounters.java
@@ -13,8 +13,8 @@
  *
  * <p>The limit holds whichever messages are lost. Every router has an even share of the limit. It
  * may yield part of its share to the others, permanently; each of them may use an even part of the
- * yielded amount once it has received the entry. A router without a received entry is taken to use
- * its full share (docs/together.md, Counts).
+ * yielded amount once it has received the entry. A router without a received entry is assumed to
+ * use its full share (docs/together.md, Counts).
  *
  * <p>A bucket is a number that all routers assign to a span of time. If two routers assign
  * different numbers to the same time, the limit still holds for each number. Not thread-safe.
--- a/src/main/java/postbeam/coordination/SlowStartQuota.java
+++ b/src/main/java/postbeam/coordination/SlowStartQuota.java
@@ -8,7 +8,7 @@
 /**
  * The work that one router may send one node that warms up, in any window: its part of the reserve
  * and the largest unexpired lease that it holds. Work that is acquired and not yet released is in
- * flight, and is limited as well: a process that is stopped in between sends it when it resumes,
+ * flight, and is limited as well: a process that is suspended in between sends it when it resumes,
  * possibly after its lease has expired.
  *
  * <p>Not thread-safe; {@link StripedCoordinator} guards it with the stripe's lock.
--- a/src/main/java/postbeam/peers/PeerCoordinator.java
+++ b/src/main/java/postbeam/peers/PeerCoordinator.java
@@ -29,7 +29,7 @@
     private static final String STATE_PATH = "/together/v1/state";
     private static final String ACQUIRE_PATH = "/together/v1/take";
 
-    /** Bounds {@link #firstUsedAt}; the age of further nodes is taken to be 0. */
+    /** Bounds {@link #firstUsedAt}; the age of further nodes counts as 0. */
     private static final int MAX_NODES = 10_000;
 
     private final FleetConfig config;
--- a/src/test/java/postbeam/coordination/CoordinationIT.java
+++ b/src/test/java/postbeam/coordination/CoordinationIT.java
@@ -112,7 +112,7 @@
     }
 
     /**
-     * While the router is stopped, one node restarts and another drains; the router must learn of
+     * While the router is suspended, one node restarts and another drains; the router must learn of
      * both before it sends.
      */
     @Test
@@ -164,10 +164,10 @@
     }
 
     /**
-     * Checks that a violation of rule 4 is detected: each router is configured as the only one, so
-     * each stays within the whole budget and the sum, which no router sees, exceeds it. The sum
-     * exceeds the budget only if enough is requested while the node is cold; if the machine was too
-     * busy for that, the node starts cold once more.
+     * Checks that a violation of rule 4, the budget of cold nodes, is detected: each router is
+     * configured as the only one, so each stays within the whole budget and the sum, which no
+     * router sees, exceeds it. The sum exceeds the budget only if enough is requested while the
+     * node is cold; if the machine was too busy for that, the node starts cold once more.
      */
     @Test
     void routersThatEachUseTheWholeBudgetAreReportedAsViolatingRule4() throws Exception {
--- a/src/test/java/postbeam/coordination/CoordinationWithSlicesIT.java
+++ b/src/test/java/postbeam/coordination/CoordinationWithSlicesIT.java
@@ -127,7 +127,7 @@
     }
 
     /**
-     * Two services may not use one log: the second one exits even while the first is stopped, and
+     * Two services may not use one log: the second one exits even while the first is suspended, and
      * the first continues after it is resumed.
      */
     @Test
--- a/src/test/java/postbeam/coordination/LeaderElectionIT.java
+++ b/src/test/java/postbeam/coordination/LeaderElectionIT.java
@@ -23,8 +23,13 @@
 @Timeout(value = 150, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class LeaderElectionIT {
     private static final int ROUTERS = 5;
+
+    /** The node's budget: seconds of work in a window. */
     private static final double BUDGET_SECONDS = 0.4;
+
+    /** Seconds of work that a client acquires at a time. */
     private static final double REQUEST_SECONDS = 0.005;
+
     private static final Duration WINDOW = Duration.ofSeconds(1);
 
     private final SlowStartUsage usage = new SlowStartUsage();
@@ -33,6 +38,11 @@
     private volatile boolean stopRequested;
     private ProcessCluster cluster;
 
+    /**
+     * Starts the routers, each with a client that acquires work.
+     *
+     * @param configuredAlone whether each router's settings list no other router
+     */
     private void startCluster(boolean configuredAlone) throws Exception {
         cluster =
                 new ProcessCluster(
@@ -44,7 +54,10 @@
                                 ProcessCluster.PATIENT,
                                 (all, file, text) ->
                                         file.endsWith(".json5")
-                                                ? settings(all, file.replace(".json5", ""), configuredAlone)
+                                                ? settings(
+                                                        all,
+                                                        file.replace(".json5", ""),
+                                                        configuredAlone)
                                                 : text),
                         1);
         for (int i = 0; i < ROUTERS; i++) {
@@ -94,14 +107,16 @@
                 if (cluster.post(
                                 "r" + router,
                                 "/together/v1/take",
-                                "{\"node\":\"n0\",\"incarnation\":7,\"work\":" + REQUEST_SECONDS + "}")
+                                "{\"node\":\"n0\",\"incarnation\":7,\"work\":"
+                                        + REQUEST_SECONDS
+                                        + "}")
                         .contains("\"taken\":true")) {
                     usage.record(startedAt, cluster.now(), REQUEST_SECONDS);
                     acquisitionsByRouter.incrementAndGet(router);
                 }
                 Thread.sleep(5);
             } catch (IOException e) {
-                // The router is killed or stopped.
+                // The router is killed or suspended.
             } catch (InterruptedException e) {
                 return;
             }
@@ -213,7 +228,8 @@
         startCluster(true);
         awaitAcquisitions(0, 1, 2, 3, 4, 0, 1, 2, 3, 4);
         cluster.awaitCondition(
-                "the budget is exceeded", () -> usage.maxWorkIn(WINDOW) > BUDGET_SECONDS + REQUEST_SECONDS);
+                "the budget is exceeded",
+                () -> usage.maxWorkIn(WINDOW) > BUDGET_SECONDS + REQUEST_SECONDS);
         assertEquals(5, clients.size());
     }
 }
--- a/src/test/java/postbeam/coordination/LeaderElectionTest.java
+++ b/src/test/java/postbeam/coordination/LeaderElectionTest.java
@@ -82,8 +82,9 @@
         assertFalse(
                 b.handleVoteRequest(
                                 ms(at + 700),
-                                new VoteRequest(0, 10, 1, new ProcessIdentity("stranger", 0)))
-                        .granted());
+                                new VoteRequest(0, 10, 1, new ProcessIdentity("unknown", 0)))
+                        .granted(),
+                "a vote for a router that is not configured");
     }
 
     @Test
--- a/src/test/java/postbeam/coordination/QuotaCountersTest.java
+++ b/src/test/java/postbeam/coordination/QuotaCountersTest.java
@@ -58,7 +58,7 @@
         a.merge(
                 List.of(
                         new QuotaCounterEntry(
-                                new ProcessIdentity("stranger", 9), "m", 10, 99, 7, 0)));
+                                new ProcessIdentity("unknown", 9), "m", 10, 99, 7, 0)));
         assertEquals(2, a.knownTotal("m", 10));
         a.merge(List.of(new QuotaCounterEntry(new ProcessIdentity("b", 2), "m", 10, 1, 0, 2)));
         assertEquals(
