--- a/src/main/java/postbeam/slices/CommandDeliveries.java
+++ b/src/main/java/postbeam/slices/CommandDeliveries.java
@@ -62,7 +62,7 @@
         return delivery != null && delivery.acknowledged;
     }
 
-    /** Forgets a command, so that the next request to send it does so at once. */
+    /** Forgets a command, so that the next call of {@link #send} sends it at once. */
     void forget(String node, HandoffCommand command, int slice) {
         deliveries.remove(new Key(node, command, slice));
     }
--- a/src/main/java/postbeam/slices/MoveCommands.java
+++ b/src/main/java/postbeam/slices/MoveCommands.java
@@ -38,7 +38,7 @@
     /**
      * Sends the command to each destination.
      *
-     * @return whether all have acknowledged it; for DROP, destinations that are gone don't matter
+     * @return whether all have acknowledged it; DROP also counts as done if the destination is gone
      */
     boolean sendToDestinations(ActionList actions, Move move, HandoffCommand command) {
         return evaluateAll(
--- a/src/main/java/postbeam/slices/NodeReconciliation.java
+++ b/src/main/java/postbeam/slices/NodeReconciliation.java
@@ -36,7 +36,10 @@
         this.approval = approval;
     }
 
-    /** Starts over with a node that appeared, reappeared or restarted. */
+    /**
+     * Resets the deliveries to a node that appeared, reappeared or restarted, so that it is sent
+     * SERVE for all its slices and its pending DROPs again.
+     */
     void onArrival(String node) {
         serveDeliveries.put(node, new CommandDeliveries());
         drops.forgetNode(node);
--- a/src/main/java/postbeam/slices/SliceTranslator.java
+++ b/src/main/java/postbeam/slices/SliceTranslator.java
@@ -86,7 +86,7 @@
 
     /**
      * Limits how long after its request a layout may be used for queries that are not idempotent.
-     * No lease is granted yet.
+     * Such queries are rejected until the first {@link #renewLease}.
      */
     public final void setLeaseDuration(Duration duration) {
         leaseDuration = duration;
