--- a/src/main/java/postbeam/layoutservice/EndpointDirectory.java
+++ b/src/main/java/postbeam/layoutservice/EndpointDirectory.java
@@ -13,16 +13,16 @@
 import postbeam.slices.TargetLayout;
 
 /**
- * The data nodes that discovery has listed and the addresses at which they are reached. Nodes that
- * have left the list are kept as removed. Not thread-safe: {@link LayoutController} guards it with
- * its lock.
+ * The data nodes that discovery has listed, and their addresses. A node that has left the list is
+ * kept with readiness {@link Readiness#REMOVED} and without an address. Not thread-safe: {@link
+ * LayoutController} guards it with its lock.
  */
 final class EndpointDirectory {
     private final Map<String, Endpoint> endpoints = new TreeMap<>();
     private final Map<String, String> addresses = new LinkedHashMap<>();
 
     /**
-     * Takes an update of the endpoint list.
+     * Applies an update of the endpoint list.
      *
      * @return the names of known nodes that have restarted since the last update
      */
@@ -64,7 +64,7 @@
         return endpoint == null ? Readiness.REMOVED : endpoint.readiness();
     }
 
-    /** Zone and readiness of each node that was ever listed, by name. */
+    /** Zone and readiness of each node that was ever listed, by node name. */
     Map<String, TargetLayout.NodeInfo> nodeInfos() {
         Map<String, TargetLayout.NodeInfo> infos = new TreeMap<>();
         endpoints.forEach(
@@ -76,7 +76,7 @@
         return infos;
     }
 
-    /** HOST:PORT of each node that is not removed, by name. */
+    /** HOST:PORT of each node that is not removed, by node name. A live view. */
     Map<String, String> addresses() {
         return addresses;
     }
--- a/src/main/java/postbeam/layoutservice/HandoffClient.java
+++ b/src/main/java/postbeam/layoutservice/HandoffClient.java
@@ -10,23 +10,24 @@
 import postbeam.slices.HandoffCommand;
 
 /**
- * Sends data nodes what to do with slices, over the frames that they speak. A thread and a
- * connection a node, so that a node that hangs delays no other. What is not answered, for whatever
- * cause, is sent again by the coordinator: each command may come twice. Its monitor guards the
- * addresses and connections; listeners are called without it.
+ * Sends handoff commands and digest requests to data nodes in frames. Each node has a thread and a
+ * connection of its own, so that a node that hangs does not delay the others. The coordinator
+ * resends each request that was not answered, for whatever reason, so a node may receive a command
+ * more than once. The monitor of this object guards the addresses and connections; listeners are
+ * called without holding it.
  */
 final class HandoffClient implements Closeable {
     private static final int MAX_COMMAND_RESPONSE_BYTES = 1024;
 
-    /** Digests of up to 256 key ranges. */
+    /** Limit for a response with the digests of up to 256 key ranges. */
     private static final int MAX_DIGEST_RESPONSE_BYTES = 128 << 10;
 
-    /** Gets the commands that nodes have carried out. */
+    /** Is notified of each command that a node has carried out. */
     interface CompletionListener {
         void onDone(long move, String node, HandoffCommand command, int slice);
     }
 
-    /** Gets the digests that nodes have answered with. */
+    /** Receives the range digests from the responses of nodes. */
     interface DigestListener {
         void onDigests(long requestId, String node, List<RangeDigest> digests);
     }
@@ -37,7 +38,7 @@
     private DigestListener digestListener;
     private Runnable onSuperseded;
 
-    /** 0 where terms are not kept. */
+    /** The term that commands carry; 0 where terms are not in use. */
     private long term;
 
     HandoffClient(CompletionListener completionListener) {
@@ -45,9 +46,10 @@
     }
 
     /**
-     * From now on commands carry this term.
+     * Makes all further commands carry this term.
      *
-     * @param onSuperseded run when a node has taken a command of a later term
+     * @param onSuperseded run when a node rejects a command because it has accepted one of a later
+     *     term
      */
     synchronized void startTerm(
             long newTerm, DigestListener digestListener, Runnable onSuperseded) {
@@ -56,7 +58,10 @@
         this.onSuperseded = onSuperseded;
     }
 
-    /** Takes the addresses of all nodes; connections to other addresses are closed. */
+    /**
+     * Replaces the addresses of all nodes; closes each connection whose node has left or has
+     * another address.
+     */
     synchronized void updateAddresses(Map<String, String> newAddresses) {
         addresses.clear();
         addresses.putAll(newAddresses);
@@ -75,7 +80,7 @@
                         });
     }
 
-    /** Sends a command; one for a node without an address is dropped. */
+    /** Queues a command; drops it if the node has no known address. */
     synchronized void send(CoordinatorAction.SendCommand command) {
         String source = command.source() == null ? null : addresses.get(command.source());
         offer(
@@ -98,12 +103,12 @@
                             command.move(), command.node(), command.command(), command.slice());
             case STALE_TERM -> onSuperseded.run();
             default -> {
-                // The work goes on; the coordinator asks again.
+                // The node is still working; the coordinator resends the command later.
             }
         }
     }
 
-    /** Asks a node for digests; a request for a node without an address is dropped. */
+    /** Queues a request for digests; drops it if the node has no known address. */
     synchronized void requestDigests(MigrationAction.RequestDigests request) {
         offer(
                 request.node(),
--- a/src/main/java/postbeam/layoutservice/HandoffConnection.java
+++ b/src/main/java/postbeam/layoutservice/HandoffConnection.java
@@ -15,33 +15,33 @@
 import postbeam.config.RouterConfig;
 
 /**
- * Owner of one data node's connection, of the thread that uses it and of the queue of requests for
- * the node. Requests are sent one after the other, each once the one before is answered; one that
- * fails is dropped and the connection opened anew for the next.
+ * The connection to one data node, with its thread and its queue of requests. Requests are sent one
+ * at a time, each after the previous one was answered. A request that fails is dropped, and the
+ * next one opens a new connection.
  */
 final class HandoffConnection implements Closeable {
     private static final System.Logger LOG = System.getLogger(HandoffConnection.class.getName());
 
-    /** Nodes answer at once, with busy while the work goes on. */
+    /** Nodes respond immediately, with "busy" while the work is in progress. */
     private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(1);
 
     private static final int MAX_QUEUED_REQUESTS = 256;
 
-    /** A request and what is done with its response. */
+    /** A request frame, the limit for its response in bytes, and the reader of the response. */
     record Request(String frame, int maxResponseBytes, ResponseReader reader) {}
 
-    /** Checks a response. */
+    /** Checks a response and decides how it is delivered. */
     interface ResponseReader {
         /**
-         * Checks that the response is one to the request.
+         * Checks that the response belongs to the request.
          *
-         * @return hands the response on
-         * @throws IOException it is a response to something else
+         * @return delivers the response to its listener
+         * @throws IOException the response belongs to another request
          */
         Completion read(String response) throws IOException;
     }
 
-    /** Hands a response on. */
+    /** Delivers a checked response to its listener. */
     interface Completion {
         void run() throws IOException;
     }
@@ -51,10 +51,10 @@
     private final BlockingQueue<Request> queue = new ArrayBlockingQueue<>(MAX_QUEUED_REQUESTS);
     private final Thread thread;
 
-    /** Of the thread alone; null while there is no connection. */
+    /** Used by the thread only; null while there is no connection. */
     private Socket socket;
 
-    /** Of the thread alone: the last request failed, which was logged. */
+    /** Used by the thread only: the last request failed and the failure was logged. */
     private boolean failing;
 
     /** Starts the thread; the connection is opened with the first request. */
@@ -72,7 +72,8 @@
     }
 
     /**
-     * Queues a request; drops it where the queue is full, since the coordinator sends each again.
+     * Queues a request; drops it if the queue is full, since the coordinator resends unanswered
+     * requests.
      */
     void offer(Request request) {
         queue.offer(request);
@@ -89,7 +90,7 @@
                 exchange(queue.take());
             }
         } catch (InterruptedException e) {
-            // Closed.
+            // The connection was closed.
         } finally {
             IoUtils.safeClose(socket);
         }
@@ -114,7 +115,7 @@
             if (!failing) {
                 LOG.log(
                         System.Logger.Level.WARNING,
-                        "node {0} at {1} takes no handoff commands: {2}",
+                        "handoff request to node {0} at {1} failed and will be sent again: {2}",
                         node,
                         address,
                         e.toString());
@@ -143,7 +144,11 @@
     private static String receive(DataInputStream in, int maxBytes) throws IOException {
         int length = Integer.reverseBytes(in.readInt());
         if (length < 1 || length > maxBytes) {
-            throw new IOException("a frame of " + length + " bytes");
+            throw new IOException(
+                    "response frame has a length of "
+                            + length
+                            + " bytes, expected 1 to "
+                            + maxBytes);
         }
         byte[] bytes = new byte[length];
         in.readFully(bytes);
--- a/src/main/java/postbeam/layoutservice/HandoffMessages.java
+++ b/src/main/java/postbeam/layoutservice/HandoffMessages.java
@@ -13,14 +13,16 @@
 import postbeam.slices.HandoffCommand;
 
 /**
- * The text of frames to and from data nodes. A command is the letter s and a line of command, move,
- * slice, first key, last key, version, the source's address or "-", and the term where terms are
- * kept; a node answers with the letter s, command, move, slice and one word. A request for digests
- * is the letter s, "SAY", a number, the slice and key ranges; a node answers with the same number
- * and slice and a JSON object.
+ * The text of handoff frames to and from data nodes; its fields are separated by single spaces. A
+ * command is the letter s followed by the command, the move id, the slice, the first key
+ * (inclusive), the last key (exclusive), the layout version, the address of the source node or "-",
+ * and the term where terms are in use. A node responds with the letter s, the command, the move id,
+ * the slice and one word of status. A digest request is the letter s followed by "SAY", a request
+ * id, the slice and the key ranges; a node responds with the same request id and slice and a JSON
+ * object.
  */
 final class HandoffMessages {
-    /** What a node says of a command. */
+    /** The status of a command in a node's response. */
     enum CommandStatus {
         DONE,
         IN_PROGRESS,
@@ -34,7 +36,7 @@
     private static final WireNames<HandoffCommand> COMMAND_NAMES =
             WireNames.of(
                     HandoffCommand.class,
-                    "an unknown command",
+                    "unknown handoff command",
                     entry(HandoffCommand.COPY, "COPY"),
                     entry(HandoffCommand.HOLD, "HOLD"),
                     entry(HandoffCommand.FENCE, "FENCE"),
@@ -44,11 +46,11 @@
     private HandoffMessages() {}
 
     /**
-     * A command's frame.
+     * Returns the frame of a command.
      *
-     * @param sourceAddress HOST:PORT of the node to copy from; null where there is none, or where
-     *     it is not known
-     * @param term the sender's term; 0 where terms are not kept
+     * @param sourceAddress HOST:PORT of the node to copy from; null if the command has no source or
+     *     its address is not known
+     * @param term the sender's term; 0 where terms are not in use
      */
     static String command(CoordinatorAction.SendCommand command, String sourceAddress, long term) {
         return FRAME_TYPE
@@ -71,7 +73,7 @@
     /**
      * Reads a node's response to a command.
      *
-     * @throws IOException it is no response to this command
+     * @throws IOException the response belongs to another command
      */
     static CommandStatus commandStatus(CoordinatorAction.SendCommand command, String response)
             throws IOException {
@@ -80,7 +82,13 @@
                 || !words[0].equals(FRAME_TYPE + COMMAND_NAMES.of(command.command()))
                 || !words[1].equals(String.valueOf(command.move()))
                 || !words[2].equals(String.valueOf(command.slice()))) {
-            throw new IOException("a response to another command: " + String.join(" ", words));
+            throw new IOException(
+                    "response does not match the command "
+                            + COMMAND_NAMES.of(command.command())
+                            + " of move "
+                            + command.move()
+                            + " for slice "
+                            + command.slice());
         }
         return switch (words[3]) {
             case "done" -> CommandStatus.DONE;
@@ -89,7 +97,7 @@
         };
     }
 
-    /** The frame of a request for digests. */
+    /** Returns the frame of a digest request. */
     static String digestRequest(MigrationAction.RequestDigests request) {
         String ranges =
                 request.ranges().stream()
@@ -99,24 +107,28 @@
     }
 
     /**
-     * Checks that a response is for this request for digests.
+     * Checks that a response belongs to this digest request.
      *
-     * @return the response's JSON
-     * @throws IOException it is for another request
+     * @return the JSON object in the response
+     * @throws IOException the response belongs to another request
      */
     static String digestResponseBody(MigrationAction.RequestDigests request, String response)
             throws IOException {
         String prefix = digestPrefix(request);
         if (!response.startsWith(prefix)) {
-            throw new IOException("a response to another request for digests");
+            throw new IOException(
+                    "response does not match the digest request "
+                            + request.requestId()
+                            + " for slice "
+                            + request.slice());
         }
         return response.substring(prefix.length());
     }
 
     /**
-     * Reads the digests from a response's JSON.
+     * Reads the digests from the JSON object in a response.
      *
-     * @throws IOException a member is missing or of the wrong kind
+     * @throws IOException a member is missing or of the wrong type
      */
     static List<RangeDigest> digests(String body) throws IOException {
         return MigrationRecordCodec.readDigests(
--- a/src/main/java/postbeam/layoutservice/JournalFrames.java
+++ b/src/main/java/postbeam/layoutservice/JournalFrames.java
@@ -5,13 +5,16 @@
 import java.util.zip.CRC32C;
 
 /**
- * The form of the journal's file: a format mark, then records, each as its length in 4 bytes, a
- * CRC-32C over length and bytes in 4 bytes, and the bytes. Numbers are big-endian.
+ * The format of the journal file: a format mark, then the records. Each record is framed by its
+ * length (4 bytes) and a CRC-32C over the length and the record (4 bytes), followed by the record.
+ * Numbers are big-endian.
  */
 final class JournalFrames {
     static final int HEADER_BYTES = Integer.BYTES + Integer.BYTES;
 
-    /** Bytes: a snapshot of some 100,000 slices; a greater length is a fault. */
+    /**
+     * Large enough for a snapshot of about 100,000 slices; a greater length means a damaged frame.
+     */
     static final int MAX_RECORD_BYTES = 64 << 20;
 
     private static final byte[] FORMAT_MARK =
@@ -19,12 +22,12 @@
 
     private JournalFrames() {}
 
-    /** The bytes that a journal's file begins with. */
+    /** Returns the bytes at the beginning of each journal file. */
     static byte[] formatMark() {
         return FORMAT_MARK.clone();
     }
 
-    /** A record as it stands in the file. */
+    /** Returns a record with its header, as it is stored in the file. */
     static ByteBuffer frame(byte[] record) {
         return ByteBuffer.allocate(HEADER_BYTES + record.length)
                 .putInt(record.length)
--- a/src/main/java/postbeam/layoutservice/JournalReader.java
+++ b/src/main/java/postbeam/layoutservice/JournalReader.java
@@ -8,12 +8,12 @@
 import java.util.Arrays;
 
 /**
- * Reads a journal's file from its beginning. A crash while a record is written leaves that record
- * short or with bytes missing: the last record may be torn so, and is not read. Damage anywhere
- * before, which shows as a valid record behind it, makes the file unusable.
+ * Reads a journal file from its beginning. A crash during a write can leave the last record
+ * truncated or with some bytes unwritten; such a torn record is not read. Damage before the last
+ * record makes the file unusable; it is recognized by a valid record that follows the damage.
  */
 final class JournalReader {
-    /** Takes the records in order. */
+    /** Receives the records in the order of the file. */
     interface RecordConsumer {
         void accept(byte[] record, long position) throws IOException;
     }
@@ -21,23 +21,24 @@
     private final Path file;
     private final FileChannel channel;
 
-    /** Reads the file through a channel that stands at its beginning. */
+    /** Reads the file through a channel whose position is the beginning of the file. */
     JournalReader(Path file, FileChannel channel) {
         this.file = file;
         this.channel = channel;
     }
 
     /**
-     * Reads all records but a torn last one.
+     * Reads all records except a torn last one.
      *
-     * @return the position behind the last record read
-     * @throws IOException the file is no journal, is damaged, or a record was not taken
+     * @return the position after the last record read
+     * @throws IOException the file is not a journal or is damaged, or the consumer rejected a
+     *     record
      */
     long readAll(RecordConsumer consumer) throws IOException {
         long size = channel.size();
         byte[] mark = JournalFrames.formatMark();
         if (size < mark.length || !Arrays.equals(readBytes(mark.length), mark)) {
-            throw new IOException(file + " is no log of moves of a form that is known");
+            throw new IOException(file + " is not a move journal of format 1");
         }
         long position = mark.length;
         while (position < size) {
@@ -51,7 +52,7 @@
         return position;
     }
 
-    /** The record at this position; null where it is the torn last one. */
+    /** Returns the record at this position; null if it is a torn last record. */
     private byte[] readRecord(long position, long size) throws IOException {
         if (size - position < JournalFrames.HEADER_BYTES) {
             return null;
@@ -75,12 +76,13 @@
                         + ", byte "
                         + position
                         + ": a damaged record with others behind it; restore the file from a copy,"
-                        + " or begin anew from a layout that a router still holds");
+                        + " or start a new journal from a layout that a router still holds");
     }
 
     /**
-     * Whether a valid record begins anywhere from this position on; also true where there is too
-     * much to search.
+     * Returns whether a valid record begins at or after this position. Also returns true if the
+     * rest of the file is longer than a record can be, without a search: a torn last record does
+     * not explain it.
      */
     private boolean validRecordFollows(long from, long size) throws IOException {
         if (size - from > JournalFrames.MAX_RECORD_BYTES) {
@@ -88,7 +90,7 @@
         }
         ByteBuffer rest = ByteBuffer.allocate((int) (size - from));
         while (rest.hasRemaining() && channel.read(rest, from + rest.position()) >= 0) {
-            // Until it is all there.
+            // Reads until the buffer is full or the file ends.
         }
         for (int i = 0; i + JournalFrames.HEADER_BYTES < rest.position(); i++) {
             if (isValidRecord(rest, i)) {
@@ -112,7 +114,8 @@
         ByteBuffer buffer = ByteBuffer.allocate(length);
         while (buffer.hasRemaining()) {
             if (channel.read(buffer) < 0) {
-                throw new EOFException(file + " ends within a record");
+                throw new EOFException(
+                        file + " ended before " + length + " expected bytes were read");
             }
         }
         return buffer.array();
--- a/src/main/java/postbeam/layoutservice/JournalWriteException.java
+++ b/src/main/java/postbeam/layoutservice/JournalWriteException.java
@@ -3,16 +3,16 @@
 import java.io.IOException;
 
 /**
- * A record could not be written: it may be on disk or not. The service decides nothing further; a
- * restart goes on from what is on disk.
+ * A record could not be written, and it is not known whether it is on disk. The service makes no
+ * further decisions in this process; a restart continues from what is on disk.
  */
 final class JournalWriteException extends IOException {
     private static final long serialVersionUID = 1L;
 
     JournalWriteException(IOException cause) {
         super(
-                "the journal can't be written; whether the request was recorded shows after a"
-                        + " restart of the service",
+                "the journal can't be written, and the request may or may not be recorded;"
+                        + " restart the service and check its status",
                 cause);
     }
 }
--- a/src/main/java/postbeam/layoutservice/JsonFields.java
+++ b/src/main/java/postbeam/layoutservice/JsonFields.java
@@ -10,8 +10,8 @@
 import postbeam.slices.KeyRange;
 
 /**
- * Members of JSON objects that the codecs of this package share. Each reader throws an IOException
- * that names a member that is missing or of the wrong kind.
+ * Reads and writes members of JSON objects for the codecs of this package. Each reader throws an
+ * IOException that names the member if it is missing or of the wrong type.
  */
 final class JsonFields {
     private JsonFields() {}
@@ -22,7 +22,7 @@
         return Json.member(object, name, String.class);
     }
 
-    /** Null where the member is absent. */
+    /** Returns null if the member is absent. */
     static String optionalText(Map<?, ?> object, String name) throws IOException {
         return object.containsKey(name) ? text(object, name) : null;
     }
@@ -39,13 +39,13 @@
         if (number instanceof Integer || number instanceof Long) {
             return number.longValue();
         }
-        throw new IOException(name + " is not a whole number in range: " + number);
+        throw new IOException(name + " is not a 64-bit integer: " + number);
     }
 
     static int integer(Map<?, ?> object, String name) throws IOException {
         long number = number(object, name);
         if (number != (int) number) {
-            throw new IOException(name + " is out of range: " + number);
+            throw new IOException(name + " is not a 32-bit integer: " + number);
         }
         return (int) number;
     }
@@ -63,17 +63,17 @@
     }
 
     static List<Integer> integers(Map<?, ?> object, String name) throws IOException {
-        return list(object, name, Integer.class, "whole numbers");
+        return list(object, name, Integer.class, "32-bit integers");
     }
 
     static List<String> texts(Map<?, ?> object, String name) throws IOException {
         return list(object, name, String.class, "strings");
     }
 
-    /** Keys of the key space: numbers of any size. */
+    /** Reads a list of keys; each is a 64-bit integer. */
     static List<Long> keys(Map<?, ?> object, String name) throws IOException {
         List<Long> keys = new ArrayList<>();
-        for (Number key : list(object, name, Number.class, "keys")) {
+        for (Number key : list(object, name, Number.class, "numbers")) {
             keys.add(wholeNumber(name, key));
         }
         return keys;
@@ -92,14 +92,14 @@
         List<T> list = new ArrayList<>();
         for (Object one : Json.member(object, name, List.class)) {
             if (!kind.isInstance(one)) {
-                throw new IOException(name + " holds something else than " + kindName);
+                throw new IOException(name + " must contain only " + kindName);
             }
             list.add(kind.cast(one));
         }
         return list;
     }
 
-    /** The range from the member "from" (inclusive) to the member "to" (exclusive). */
+    /** Reads the range from the member "from" (inclusive) to the member "to" (exclusive). */
     static KeyRange keyRange(Map<?, ?> object) throws IOException {
         try {
             return new KeyRange(number(object, "from"), number(object, "to"));
@@ -132,7 +132,7 @@
         json.writeEndArray();
     }
 
-    /** Leaves the member out where the text is null. */
+    /** Omits the member if the text is null. */
     static void writeOptionalText(JsonGenerator json, String name, String text) throws IOException {
         if (text != null) {
             json.writeStringField(name, text);
--- a/src/main/java/postbeam/layoutservice/LayoutChangeCodec.java
+++ b/src/main/java/postbeam/layoutservice/LayoutChangeCodec.java
@@ -8,7 +8,7 @@
 import postbeam.slices.LayoutChange;
 import postbeam.slices.TargetLayout;
 
-/** Changes and targets in JSON, as operators give them and as the journal keeps them. */
+/** Maps layout changes and target layouts to the JSON of operator requests and journal records. */
 final class LayoutChangeCodec {
     private LayoutChangeCodec() {}
 
@@ -47,7 +47,7 @@
      * Reads {@code {"split": 3, "at": [KEY]}}, {@code {"merge": [3, 4]}} or {@code {"move": 3,
      * "off": "n1", "onto": "n2"}}.
      *
-     * @throws IOException it is none of these
+     * @throws IOException the object has none of these forms
      */
     static LayoutChange readChange(Map<?, ?> object) throws IOException {
         if (object.containsKey("split")) {
@@ -60,14 +60,14 @@
         if (object.containsKey("move")) {
             return readTransfer(object);
         }
-        throw new IOException("a change needs split, merge or move");
+        throw new IOException("a change must have a member split, merge or move");
     }
 
     private static LayoutChange readTransfer(Map<?, ?> object) throws IOException {
         String from = JsonFields.optionalText(object, "off");
         String to = JsonFields.optionalText(object, "onto");
         if (from == null && to == null) {
-            throw new IOException("a move needs off, onto or both");
+            throw new IOException("a change with move must also have off, onto or both");
         }
         return new LayoutChange.Transfer(JsonFields.integer(object, "move"), from, to);
     }
@@ -90,7 +90,7 @@
     /**
      * Reads {@code {"slices": [{"from": KEY, "to": KEY, "nodes": ["n1", "n2"]}]}}.
      *
-     * @throws IOException it is none, or has no slice
+     * @throws IOException the object does not have this form, or has no slice
      */
     static TargetLayout readTarget(Map<?, ?> object) throws IOException {
         List<TargetLayout.DesiredSlice> slices = new ArrayList<>();
@@ -100,7 +100,7 @@
                             JsonFields.keyRange(slice), JsonFields.texts(slice, "nodes")));
         }
         if (slices.isEmpty()) {
-            throw new IOException("slices is empty");
+            throw new IOException("slices must not be empty");
         }
         return new TargetLayout(slices);
     }
--- a/src/main/java/postbeam/layoutservice/LayoutCodec.java
+++ b/src/main/java/postbeam/layoutservice/LayoutCodec.java
@@ -11,11 +11,14 @@
 import postbeam.slices.RetiredSlice;
 import postbeam.slices.Slice;
 
-/** Layouts in JSON, as they are published and stored. Times are milliseconds since 1970. */
+/**
+ * Maps layouts to the JSON in which they are published and stored. Times are in milliseconds since
+ * 1970.
+ */
 public final class LayoutCodec {
     private LayoutCodec() {}
 
-    /** The layout as one JSON object. */
+    /** Encodes the layout as one JSON object. */
     public static byte[] write(Layout layout) {
         return Json.encode(json -> write(json, layout));
     }
@@ -64,9 +67,10 @@
     }
 
     /**
-     * Reads what {@link #write} has written.
+     * Reads a layout that {@link #write} has written.
      *
-     * @throws IOException a member is missing or of the wrong kind, or the slices are no layout
+     * @throws IOException a member is missing or of the wrong type, or the slices do not form a
+     *     valid layout
      */
     public static Layout read(Map<?, ?> object) throws IOException {
         List<Slice> slices = new ArrayList<>();
--- a/src/main/java/postbeam/layoutservice/LayoutHttpServer.java
+++ b/src/main/java/postbeam/layoutservice/LayoutHttpServer.java
@@ -17,12 +17,12 @@
 import postbeam.errors.OperatorErrorException;
 
 /**
- * The layout service's HTTP interface: {@code GET /v1/layout}, which can be watched by long
- * polling, and the operators' requests. Translates between HTTP and {@link LayoutController}; has
- * no state of its own but the server.
+ * The HTTP interface of the layout service: {@code GET /v1/layout}, which supports long polling,
+ * and the requests of operators. Translates between HTTP and {@link LayoutController}; its only
+ * state is the HTTP server.
  */
 final class LayoutHttpServer implements Closeable {
-    /** Bytes: a target of some 50,000 slices. */
+    /** Large enough for a target layout of about 50,000 slices. */
     private static final long MAX_BODY_BYTES = 8L << 20;
 
     private static final int IO_THREADS = 1;
@@ -31,10 +31,10 @@
     private final String listen;
     private final LayoutController controller;
 
-    /** Null until it is started. */
+    /** Null until the server is started. */
     private Undertow server;
 
-    /** A server that listens on HOST:PORT once it is {@link #start started}. */
+    /** Creates a server that listens on HOST:PORT once it is {@link #start started}. */
     LayoutHttpServer(String listen, LayoutController controller) {
         this.listen = listen;
         this.controller = controller;
@@ -53,7 +53,7 @@
         server.start();
     }
 
-    /** HOST:PORT that it listens on. */
+    /** The HOST:PORT that the server listens on. */
     String address() {
         InetSocketAddress address =
                 (InetSocketAddress) server.getListenerInfo().get(0).getAddress();
@@ -77,7 +77,7 @@
         }
     }
 
-    // ---- the layout
+    // ---- requests for the layout
 
     private void handleLayoutRequest(HttpServerExchange exchange) {
         Map<String, Deque<String>> parameters = exchange.getQueryParameters();
@@ -113,7 +113,7 @@
         }
     }
 
-    // ---- operators
+    // ---- requests of operators
 
     private void handleOperatorRequest(HttpServerExchange exchange, String path) {
         try {
--- a/src/main/java/postbeam/layoutservice/LayoutPublisher.java
+++ b/src/main/java/postbeam/layoutservice/LayoutPublisher.java
@@ -8,25 +8,25 @@
 import postbeam.slices.Layout;
 
 /**
- * The published layout and the requests for it: each is answered at once, or waits for a newer
- * layout. Where routers hold leases of the layout, each answer to one renews its lease. Not
- * thread-safe: {@link LayoutController} guards it with its lock.
+ * Holds the published layout and answers the requests for it, either immediately or once a newer
+ * layout is published. Where routers hold leases of the layout, each response to a router renews
+ * its lease. Not thread-safe: {@link LayoutController} guards it with its lock.
  */
 final class LayoutPublisher {
     private static final long MAX_WAIT_MILLIS = 60_000;
 
     /**
-     * A router's request is answered at least so many times per lease, so that the lease is renewed
-     * in time.
+     * A router's request waits at most the duration of the lease divided by this number, so that
+     * the lease is renewed in time.
      */
     private static final int ANSWERS_PER_LEASE = 3;
 
     /**
-     * Leases of the layout.
+     * The leases under which routers use the layout.
      *
-     * @param acknowledgements which router holds which version
-     * @param duration how long a router may use a layout after it requested it
-     * @param mayBeGranted whether this service still leads
+     * @param acknowledgements records which router holds which version
+     * @param duration how long a router may use a layout after requesting it
+     * @param mayBeGranted whether this service is still the leader
      */
     record Leases(
             RouterAcknowledgements acknowledgements,
@@ -39,13 +39,13 @@
     /** Null where routers hold no leases. */
     private Leases leases;
 
-    /** Null before the first layout. */
+    /** Null until the first layout is published. */
     private Layout published;
 
     private byte[] publishedJson;
     private boolean closed;
 
-    /** The listener gets each layout before it is published. */
+    /** Creates a publisher whose listener receives each layout before it is published. */
     LayoutPublisher(Consumer<Layout> listener, LayoutWatchers watchers) {
         this.listener = listener;
         this.watchers = watchers;
@@ -56,7 +56,7 @@
         leases = granted;
     }
 
-    /** Publishes a layout, and answers all who wait for it. */
+    /** Publishes a layout and answers all waiting requests. */
     void publish(Layout layout) {
         listener.accept(layout);
         published = layout;
@@ -65,9 +65,9 @@
     }
 
     /**
-     * Answers a request, unless it is to wait for a newer layout.
+     * Answers a request, unless it has to wait for a newer layout.
      *
-     * @return whether the request was answered; otherwise it is to be handed to {@link #awaitNewer}
+     * @return whether the request was answered; if not, the caller passes it to {@link #awaitNewer}
      */
     boolean answer(LayoutRequest request) {
         if (closed) {
@@ -87,15 +87,13 @@
             return true;
         }
         if (watchers.isFull()) {
-            request.responder().sendOverloaded("too many wait for a newer layout");
+            request.responder().sendOverloaded("too many requests are waiting for a newer layout");
             return true;
         }
         return false;
     }
 
-    /**
-     * Keeps the request until a newer layout is published or its wait is over, and answers it then.
-     */
+    /** Answers the request when a newer layout is published or its wait expires. */
     void awaitNewer(LayoutRequest request) {
         if (closed) {
             sendClosed(request);
@@ -108,14 +106,15 @@
         }
     }
 
-    /** Answers the requests whose wait is over. */
+    /** Answers the requests whose wait has expired. */
     void answerExpired() {
         watchers.removeExpired(System.nanoTime()).forEach(this::sendLayout);
     }
 
     /**
-     * Leases may be granted no more: routers that wait are told at once. Without leases the layout
-     * stays published, and waiting requests are answered with it in their time.
+     * Rejects all waiting requests immediately where routers hold leases, since no lease may be
+     * granted any more. Without leases the layout stays published, and waiting requests receive it
+     * when their wait expires.
      */
     void onLeadershipEnded() {
         if (leases != null) {
@@ -123,19 +122,19 @@
         }
     }
 
-    /** Rejects all requests, those that wait included, from now on. */
+    /** Rejects all waiting and all further requests. */
     void close() {
         closed = true;
         watchers.removeAll().forEach(LayoutPublisher::sendClosed);
     }
 
     private static void sendClosed(LayoutRequest request) {
-        request.responder().sendUnavailable("the service stops");
+        request.responder().sendUnavailable("the service is shutting down");
     }
 
     /**
-     * A router under a lease is answered before the lease runs out, so that it is renewed while
-     * nothing changes.
+     * Returns how long a request may wait. A router with a lease is answered well before the lease
+     * expires, so that the lease is renewed even while the layout does not change.
      */
     private long waitMillis(LayoutRequest request) {
         long wait = Math.min(MAX_WAIT_MILLIS, request.waitMillis());
@@ -154,8 +153,8 @@
 
     private void sendLayout(LayoutRequest request) {
         if (isLeaseRefused()) {
-            // A layout given out now would be a lease that the successor knows nothing of.
-            request.responder().sendUnavailable("this service grants no leases any more");
+            // Sending the layout would grant a lease that the next leader does not know about.
+            request.responder().sendUnavailable("this service no longer grants leases");
             return;
         }
         if (isOfLeaseHolder(request)) {
--- a/src/main/java/postbeam/layoutservice/LayoutRequest.java
+++ b/src/main/java/postbeam/layoutservice/LayoutRequest.java
@@ -3,13 +3,14 @@
 import java.util.Optional;
 
 /**
- * A request for the layout, by a router that watches it or by an operator.
+ * A request for the layout, from a router that watches it or from an operator.
  *
- * @param knownVersion the requester waits for a newer version than this one; 0 for any
- * @param waitMillis how long it waits at most
- * @param router the router's name; empty for a requester that is no router
- * @param heldVersion the version that the router holds
- * @param responder gives the answer, once
+ * @param knownVersion the request is answered at once if the published version is newer than this
+ *     one; 0 for any version
+ * @param waitMillis the longest wait for a newer version, in milliseconds
+ * @param router the router's name; empty if the requester is not a router
+ * @param heldVersion the version that the router currently uses
+ * @param responder sends the response; called exactly once
  */
 record LayoutRequest(
         long knownVersion,
@@ -17,15 +18,18 @@
         Optional<String> router,
         long heldVersion,
         Responder responder) {
-    /** Sends the one answer to a request for the layout. */
+    /** Sends the response to a request for the layout. One method is called, once. */
     interface Responder {
         /** Sends the layout in JSON. */
         void sendLayout(byte[] json);
 
-        /** The layout can't be given now. */
+        /** Rejects the request: no layout can be sent now. */
         void sendUnavailable(String reason);
 
-        /** Too many are waiting: the requester is to try again after a second. */
+        /**
+         * Rejects the request because too many are waiting; asks the requester to retry after one
+         * second.
+         */
         void sendOverloaded(String reason);
     }
 }
--- a/src/main/java/postbeam/layoutservice/LayoutRequestHandler.java
+++ b/src/main/java/postbeam/layoutservice/LayoutRequestHandler.java
@@ -20,8 +20,8 @@
 import postbeam.slices.TargetLayout;
 
 /**
- * Operators' requests about layouts and moves: plan, start, abandon, status, verify. Not
- * thread-safe: {@link LayoutController} guards it with its lock.
+ * Handles the requests of operators about layouts and moves: plan, start, abandon, status and
+ * verify. Not thread-safe: {@link LayoutController} guards it with its lock.
  */
 final class LayoutRequestHandler {
     private static final Set<String> PATHS =
@@ -38,7 +38,11 @@
     private final LayoutWatchers watchers;
     private final int minHolders;
 
-    /** A slice with fewer ready holders than the minimum is reported by verify. */
+    /**
+     * Creates a handler.
+     *
+     * @param minHolders verify reports a slice with fewer ready holders
+     */
     LayoutRequestHandler(
             Coordinator coordinator,
             EndpointDirectory endpoints,
@@ -50,15 +54,15 @@
         this.minHolders = minHolders;
     }
 
-    /** Whether requests of this method and path are for this handler. */
+    /** Returns whether this handler serves the method and path. */
     static boolean handles(String path) {
         return PATHS.contains(path);
     }
 
     /**
-     * Handles a request of one of the {@link #handles known} paths.
+     * Handles a request whose method and path this handler {@link #handles serves}.
      *
-     * @throws IOException the body can't be read
+     * @throws IOException the request body can't be parsed
      * @throws IllegalArgumentException the request can't be fulfilled; the message says why in its
      *     first line
      */
@@ -69,13 +73,16 @@
             case "POST /v1/plan" -> OperatorResponse.query(plan(Json.parseObject(request.body())));
             case "POST /v1/start" -> start(Json.parseObject(request.body()), now);
             case "POST /v1/abandon" -> abandon(request, now);
-            default -> throw new IllegalArgumentException("no such request");
+            default -> throw new IllegalArgumentException("unknown method or path");
         };
     }
 
     // ---- plan, start and abandon
 
-    /** The changes that a target would take first, or that a change is possible. */
+    /**
+     * Returns the first changes toward a target, or that a single change is possible. Changes
+     * nothing.
+     */
     private String plan(Map<String, Object> body) throws IOException {
         return isTarget(body)
                 ? planTarget(LayoutChangeCodec.readTarget(body))
@@ -101,7 +108,7 @@
         List<LayoutChange> changes =
                 Planner.nextChanges(state().layout(), target, state().busySlices());
         if (changes.isEmpty()) {
-            return "nothing is to be done";
+            return "no change is needed now";
         }
         return String.join("\n", changes.stream().map(change -> "first: " + change).toList());
     }
@@ -109,7 +116,7 @@
     private OperatorResponse start(Map<String, Object> body, Duration now) throws IOException {
         if (isTarget(body)) {
             TargetLayout target = LayoutChangeCodec.readTarget(body);
-            return command(coordinator.setTarget(target), "the target is taken");
+            return command(coordinator.setTarget(target), "the target is set");
         }
         long id = state().nextMove();
         LayoutChange change = LayoutChangeCodec.readChange(body);
@@ -119,7 +126,7 @@
     private OperatorResponse abandon(OperatorRequest request, Duration now) {
         if (request.parameters().containsKey("target")) {
             return command(
-                    coordinator.setTarget(null), "the target is dropped; moves under way go on");
+                    coordinator.setTarget(null), "the target is removed; active moves continue");
         }
         long id = request.longParameter("move", NO_SUCH_MOVE);
         return command(
@@ -182,8 +189,8 @@
     // ---- verify
 
     /**
-     * Holders that are gone or draining and slices with too few ready ones, a line each, and
-     * repairs.
+     * Reports holders that are removed or draining, slices with too few ready holders, and possible
+     * repairs, one line each; the last line is a summary.
      */
     private String verify() {
         List<String> lines = new ArrayList<>();
--- a/src/main/java/postbeam/layoutservice/LayoutService.java
+++ b/src/main/java/postbeam/layoutservice/LayoutService.java
@@ -14,23 +14,23 @@
 import postbeam.slices.MoveLimits;
 
 /**
- * The one process that moves slices. Wires the parts and owns their threads: {@link
- * LayoutController} keeps the state and carries out what the coordinator decides, {@link
- * LayoutHttpServer} publishes the layout and takes operators' requests, and discovery is followed
- * for the list of data nodes.
+ * The service that moves slices and publishes the layout; one process runs it per installation.
+ * Connects the components and owns their threads: {@link LayoutController} keeps the state and
+ * executes the decisions of the coordinator, {@link LayoutHttpServer} serves the layout and the
+ * requests of operators, and a watch on discovery supplies the list of data nodes.
  */
 public final class LayoutService implements Closeable {
     /**
-     * What the service needs to run.
+     * The configuration of the service.
      *
      * @param listen HOST:PORT of the HTTP interface
-     * @param log the file of the journal
+     * @param log the journal file
      * @param discovery HOST:PORT of discovery
-     * @param history how many versions back the layout knows the slices of
-     * @param limits what moves must keep to
+     * @param history for how many past versions the layout keeps the retired slices
+     * @param limits the limits of moves
      * @param initialSlices how many slices the first layout has
      * @param initialHolders how many holders each slice of the first layout has
-     * @param migrationLimits what migrations must keep to; null switches migrations off
+     * @param migrationLimits the limits of migrations; null switches migrations off
      */
     public record Config(
             String listen,
@@ -41,7 +41,7 @@
             int initialSlices,
             int initialHolders,
             MigrationLimits migrationLimits) {
-        /** A service without migrations. */
+        /** Creates a configuration that switches migrations off. */
         public Config(
                 String listen,
                 Path log,
@@ -60,12 +60,12 @@
     private final Thread endpointThread;
     private final Thread movesThread;
 
-    /** A service that does nothing until it is started. */
+    /** Creates a service; it does nothing until it is started. */
     public LayoutService(Config config) {
         this(config, layout -> {});
     }
 
-    /** A service whose listener gets each layout before it is published. */
+    /** Creates a service whose listener receives each layout before it is published. */
     public LayoutService(Config config, Consumer<Layout> listener) {
         controller = new LayoutController(config, listener);
         httpServer = new LayoutHttpServer(config.listen(), controller);
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Opens the journal where there is one, and begins to serve. Without a journal the first list
-     * of nodes begins it.
+     * Opens the journal if its file exists, and starts to serve. Otherwise the first endpoint list
+     * with enough ready nodes creates the journal.
      *
      * @throws IOException the journal is damaged or in use
      */
@@ -98,14 +98,14 @@
         movesThread.start();
     }
 
-    /** HOST:PORT that it listens on. */
+    /** The HOST:PORT that the service listens on. */
     public String address() {
         return httpServer.address();
     }
 
     /**
-     * The moves that are under way or finished lately, a line each; for those who run the service
-     * in their process.
+     * Describes the active and the recently finished moves, one line each; for callers that run the
+     * service in their own process.
      */
     public List<String> describeMoves() {
         return controller.describeMoves();
@@ -117,8 +117,8 @@
         endpointWatcher.stop();
         awaitMoves();
         controller.closeConnections();
-        // Before the HTTP threads are interrupted: one that writes to the journal then would close
-        // it within a record.
+        // Closes the journal before the HTTP threads are interrupted: an interrupt during a write
+        // would close the file in the middle of a record.
         controller.closeJournal();
         httpServer.close();
     }
--- a/src/main/java/postbeam/layoutservice/LayoutServiceSettings.java
+++ b/src/main/java/postbeam/layoutservice/LayoutServiceSettings.java
@@ -17,8 +17,7 @@
     /**
      * Reads the configuration.
      *
-     * @throws IllegalArgumentException a setting is missing or out of its bounds; the message names
-     *     it
+     * @throws IllegalArgumentException a setting is missing or out of range; the message names it
      */
     static LayoutService.Config read(InstanceSettings settings) {
         return new LayoutService.Config(
@@ -45,7 +44,7 @@
                 settings.integerAtLeast(LIMITS + "zones", 1));
     }
 
-    /** Null where migrations are switched off. */
+    /** Returns null if migrations are switched off. */
     private static MigrationLimits migrationLimits(InstanceSettings settings) {
         if (!Boolean.TRUE.equals(settings.flag(MIGRATION + "enabled"))) {
             return null;
--- a/src/main/java/postbeam/layoutservice/LayoutWatch.java
+++ b/src/main/java/postbeam/layoutservice/LayoutWatch.java
@@ -10,25 +10,26 @@
 import postbeam.slices.Layout;
 
 /**
- * How a router follows the layout, by long polling; while the service is absent the router keeps
- * the layout it has.
+ * Watches the published layout by long polling. While the layout service is unreachable, a router
+ * keeps the layout that it has.
  */
 public final class LayoutWatch {
-    /** Bytes: some 20,000 slices with the history of the last versions. */
+    /** Large enough for about 20,000 slices with the retired slices of past versions. */
     static final int MAX_LAYOUT_BYTES = 8 << 20;
 
     /** Query parameter: the router's name. */
     static final String ROUTER = "router";
 
-    /** Query parameter: the version that the router holds. */
+    /** Query parameter: the version that the router currently uses. */
     static final String HELD = "held";
 
     private LayoutWatch() {}
 
     /**
-     * The query parameters by which a router says who it is and which layout it holds.
+     * Returns the query parameters with which a router sends its name and the layout version it
+     * uses.
      *
-     * @param version the version held; 0 for none
+     * @param version the version in use; 0 for none
      */
     public static String queryParameters(String router, long version) {
         return ROUTER
@@ -40,16 +41,16 @@
                 + version;
     }
 
-    /** A watch that does not say who asks. */
+    /** Creates a watch whose requests do not identify a router. */
     public static LongPollWatcher<Layout> of(String address, Consumer<Layout> listener) {
         return of(address, listener, () -> "");
     }
 
     /**
-     * A watch that sends query parameters with each request.
+     * Creates a watch that sends query parameters with each request.
      *
      * @param address HOST:PORT of the layout service
-     * @param listener gets each new layout
+     * @param listener receives each new layout
      * @param queryParameters see {@link #queryParameters}
      */
     public static LongPollWatcher<Layout> of(
--- a/src/main/java/postbeam/layoutservice/LayoutWatchers.java
+++ b/src/main/java/postbeam/layoutservice/LayoutWatchers.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * Requests that wait for a newer layout, a bounded number of them. Not thread-safe: {@link
+ * The bounded list of requests that wait for a newer layout. Not thread-safe: {@link
  * LayoutController} guards it with its lock.
  */
 final class LayoutWatchers {
@@ -22,19 +22,19 @@
         return waiting.size();
     }
 
-    /** Keeps a request until the deadline, in the time of {@link System#nanoTime}. */
+    /** Adds a request with its deadline on the clock of {@link System#nanoTime}. */
     void add(LayoutRequest request, long deadlineNanos) {
         waiting.add(new Waiting(request, deadlineNanos));
     }
 
-    /** Takes all requests out. */
+    /** Removes and returns all requests. */
     List<LayoutRequest> removeAll() {
         List<LayoutRequest> requests = waiting.stream().map(Waiting::request).toList();
         waiting.clear();
         return requests;
     }
 
-    /** Takes out the requests whose deadline has come. */
+    /** Removes and returns the requests whose deadline has passed. */
     List<LayoutRequest> removeExpired(long nowNanos) {
         List<Waiting> expired =
                 waiting.stream().filter(one -> one.deadlineNanos - nowNanos <= 0).toList();
--- a/src/main/java/postbeam/layoutservice/LayoutsCommand.java
+++ b/src/main/java/postbeam/layoutservice/LayoutsCommand.java
@@ -15,13 +15,14 @@
 import postbeam.config.SubsystemSettings;
 
 /**
- * The sub-command {@code layouts}: runs the layout service, or sends an operator's request to one
- * that runs.
+ * The sub-command {@code layouts}: runs the layout service, or sends an operator's request to a
+ * running one.
  */
 @Parameters(
         commandDescription =
                 "serve: run the layout service; show, plan, start, abandon, status, verify,"
-                        + " migrate, migrations, pause, resume, checkpoint, rollback: ask one")
+                    + " migrate, migrations, pause, resume, checkpoint, rollback: send a request to"
+                    + " a running service")
 public final class LayoutsCommand {
     private static final int EXIT_USAGE = 2;
 
@@ -33,24 +34,26 @@
 
     @Parameter(
             names = "--settings",
-            description = "File of settings in JSON5, as deploy/postbeam.json5")
+            description = "Settings file in JSON5, such as deploy/postbeam.json5")
     private String settings = "deploy/postbeam.json5";
 
     @Parameter(
             names = "--service",
-            description = "HOST:PORT of a service that runs; else as the settings have it")
+            description =
+                    "HOST:PORT of a running service; default: layouts.serve.listen of the settings")
     private String service;
 
     @Parameter(
             names = "--file",
-            description = "plan, start: a file of JSON with a change or a target")
+            description = "plan, start, migrate: JSON file with a change, a target or a migration")
     private String file;
 
     @Parameter(
             names = "--change",
             description =
-                    "plan, start: the change itself, as {\"split\": 3, \"at\": [KEY]}, {\"merge\":"
-                            + " [3, 4]} or {\"move\": 3, \"off\": \"n1\", \"onto\": \"n2\"}")
+                    "plan, start, migrate: the JSON itself, such as {\"split\": 3, \"at\": [KEY]},"
+                            + " {\"merge\": [3, 4]} or {\"move\": 3, \"off\": \"n1\", \"onto\":"
+                            + " \"n2\"}")
     private String change;
 
     @Parameter(names = "--move", description = "abandon: the number of the move")
@@ -58,7 +61,7 @@
 
     @Parameter(
             names = "--target",
-            description = "abandon: the target, so that no further moves are planned")
+            description = "abandon: remove the target, so that no further moves are planned for it")
     private boolean target;
 
     @Parameter(
@@ -66,7 +69,9 @@
             description = "pause, resume, checkpoint, rollback: the number of the migration")
     private Long migration;
 
-    @Parameter(names = "--version", description = "checkpoint: the version that it was opened for")
+    @Parameter(
+            names = "--version",
+            description = "checkpoint: the layout version that it was opened for")
     private Long version;
 
     @Parameter(names = "--digest", description = "checkpoint: the digest that it was opened for")
@@ -75,10 +80,9 @@
     /**
      * Runs the sub-command.
      *
-     * @param out gets the answer
-     * @param err gets what went wrong
-     * @return the exit status: 0 for done, 1 where it can't be done, 2 where the arguments are
-     *     wrong
+     * @param out receives the response
+     * @param err receives error messages
+     * @return the exit status: 0 for success, 1 for a failure, 2 for wrong arguments
      */
     public int run(PrintStream out, PrintStream err) throws InterruptedException {
         String verb = verbs.size() == 1 ? verbs.get(0) : "";
@@ -94,9 +98,9 @@
                 default ->
                         usageError(
                                 err,
-                                "layouts: say serve, show, plan, start, abandon, status, verify,"
-                                        + " migrate, migrations, pause, resume, checkpoint or"
-                                        + " rollback");
+                                "layouts: expected one of serve, show, plan, start, abandon,"
+                                        + " status, verify, migrate, migrations, pause, resume,"
+                                        + " checkpoint or rollback");
             };
         } catch (IOException | IllegalArgumentException e) {
             err.println(
@@ -158,7 +162,7 @@
         return new OperatorClient(address, out, err);
     }
 
-    /** Runs the layout service until the process is ended. */
+    /** Runs the layout service until the process ends. */
     private int serve() throws IOException, InterruptedException {
         InstanceSettings instanceSettings = SubsystemSettings.read(Paths.get(settings));
         if (!Boolean.TRUE.equals(instanceSettings.flag("layouts.serve.enabled"))) {
@@ -174,7 +178,7 @@
                                     try {
                                         layoutService.close();
                                     } catch (IOException e) {
-                                        // What counts is on disk already.
+                                        // Each acknowledged record is already on disk.
                                     }
                                 },
                                 "stop"));
--- a/src/main/java/postbeam/layoutservice/MigrationHandler.java
+++ b/src/main/java/postbeam/layoutservice/MigrationHandler.java
@@ -20,11 +20,11 @@
 import postbeam.slices.Slice;
 
 /**
- * Operators' requests about migrations. Not thread-safe: {@link LayoutController} guards it with
- * its lock.
+ * Handles the requests of operators about migrations. Not thread-safe: {@link LayoutController}
+ * guards it with its lock.
  *
- * @param manager decides on migrations
- * @param coordinator knows the layout in force
+ * @param manager decides the steps of migrations
+ * @param coordinator holds the current layout
  */
 record MigrationHandler(MigrationManager manager, Coordinator coordinator) {
     private static final Set<String> PATHS =
@@ -40,13 +40,13 @@
     private static final double PERMILLE = 1000.0;
     private static final String OPERATOR_REASON = "by an operator";
 
-    /** Whether requests of this method and path are for this handler. */
+    /** Returns whether this handler serves the method and path. */
     static boolean handles(String path) {
         return PATHS.contains(path);
     }
 
     /**
-     * Handles a request of one of the {@link #handles known} paths.
+     * Handles a request whose method and path this handler {@link #handles serves}.
      *
      * @throws OperatorErrorException the request is malformed or can't be fulfilled
      */
@@ -73,7 +73,11 @@
                     new MigrationError.MalformedCommand(e.getMessage()), e);
         }
         if (member.isEmpty() || member.length() > MAX_MEMBER_LENGTH) {
-            throw malformed("a member of " + member.length() + " letters");
+            throw malformed(
+                    "member must have 1 to "
+                            + MAX_MEMBER_LENGTH
+                            + " characters, but has "
+                            + member.length());
         }
         long id = manager.journalState().nextId();
         return OperatorResponse.command(
@@ -86,7 +90,7 @@
         return OperatorResponse.command(List.of(), () -> "noted");
     }
 
-    /** A command about one migration that is under way. */
+    /** Executes a command on one active migration. */
     private OperatorResponse command(OperatorRequest request, Duration now)
             throws OperatorErrorException {
         long id = requiredLong(request, "migration");
@@ -106,9 +110,9 @@
         return OperatorResponse.command(actions, () -> describe(id));
     }
 
-    // ---- answers
+    // ---- response texts
 
-    /** One migration in a line; "null" where there is none of that number. */
+    /** Describes a migration in one line; returns "null" if no migration has this id. */
     private String describe(long id) {
         return manager.journalState().find(id).map(MigrationHandler::describe).orElse("null");
     }
@@ -130,7 +134,9 @@
         return line.toString();
     }
 
-    /** One JSON object: each migration, and the routers that may still use an older layout. */
+    /**
+     * Lists all migrations, and the routers that may still use an older layout, as one JSON object.
+     */
     private String listMigrations(Duration now) {
         Layout layout = coordinator.state().layout();
         return new String(
@@ -203,7 +209,7 @@
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
             throw new OperatorErrorException(
-                    new MigrationError.MalformedCommand(name + " is no whole number"), e);
+                    new MigrationError.MalformedCommand(name + " is not a 64-bit integer"), e);
         }
     }
 
--- a/src/main/java/postbeam/layoutservice/MigrationRecordCodec.java
+++ b/src/main/java/postbeam/layoutservice/MigrationRecordCodec.java
@@ -17,15 +17,16 @@
 import postbeam.migration.SliceTransfer;
 
 /**
- * The records of migrations in JSON, one object each; the member "what" tells the kind of record.
- * Also reads an operator's plan of a migration and the digests that nodes answer with.
+ * Maps records of migrations to JSON, one object per record; the member "what" is the kind of
+ * record. Also reads the transfers of an operator's migration request and the digests in responses
+ * of data nodes.
  */
 final class MigrationRecordCodec {
     /** The states of a migration as they are stored and shown to operators. */
     static final WireNames<MigrationState> STATE_NAMES =
             WireNames.of(
                     MigrationState.class,
-                    "an unknown Stage",
+                    "unknown migration state",
                     entry(MigrationState.PLANNED, "PLANNED"),
                     entry(MigrationState.COPYING, "COPYING"),
                     entry(MigrationState.CAUGHT_UP, "CAUGHT_UP"),
@@ -39,11 +40,11 @@
                     entry(MigrationState.ROLLING_BACK, "ROLLING_BACK"),
                     entry(MigrationState.ROLLED_BACK, "ROLLED_BACK"));
 
-    /** The reasons of a pause as they are stored and shown to operators. */
+    /** The reasons for a pause as they are stored and shown to operators. */
     static final WireNames<PauseReason> PAUSE_REASON_NAMES =
             WireNames.of(
                     PauseReason.class,
-                    "an unknown Cause",
+                    "unknown pause reason",
                     entry(PauseReason.OPERATOR, "OPERATOR"),
                     entry(PauseReason.TARGET_WARMING_UP, "TARGET_COLD"),
                     entry(PauseReason.TOO_FEW_READY_REPLICAS, "SHARD_THIN"),
@@ -56,7 +57,7 @@
 
     // ---- writing
 
-    /** Writes the members of a record into an object that is already started. */
+    /** Writes the members of a record into the JSON object that is already open. */
     static void writeMembers(JsonGenerator json, MigrationRecord record) throws IOException {
         json.writeStringField("kind", "migration");
         json.writeNumberField("migration", record.id());
@@ -146,7 +147,7 @@
         json.writeEndArray();
     }
 
-    /** Writes a checkpoint as a member; leaves it out where it is null. */
+    /** Writes a checkpoint as a member; omits the member if the checkpoint is null. */
     static void writeCheckpoint(JsonGenerator json, String name, Checkpoint checkpoint)
             throws IOException {
         if (checkpoint != null) {
@@ -164,9 +165,9 @@
     // ---- reading
 
     /**
-     * Reads what {@link #writeMembers} has written.
+     * Reads a record that {@link #writeMembers} has written.
      *
-     * @throws IOException the object is no record of a known kind
+     * @throws IOException the object is not a migration record of a known kind
      */
     static MigrationRecord read(Map<?, ?> object) throws IOException {
         long id = JsonFields.number(object, "migration");
@@ -189,7 +190,7 @@
                     new MigrationRecord.RollbackStarted(
                             id, JsonFields.text(object, "why"), at(object));
             case "standing" -> readSnapshot(id, object);
-            default -> throw new IOException("a migration's record of an unknown kind: " + what);
+            default -> throw new IOException("unknown kind of migration record: " + what);
         };
     }
 
@@ -225,7 +226,7 @@
                 JsonFields.optionalText(object, "rollbackWhy"));
     }
 
-    /** Null where there is no such checkpoint. */
+    /** Returns null if the member is absent. */
     private static Checkpoint readCheckpoint(Map<?, ?> object, String name) throws IOException {
         if (!object.containsKey(name)) {
             return null;
@@ -248,8 +249,8 @@
     }
 
     /**
-     * Reads {@code {"open": 0, "mark": 7, "rows": 2, "bytes": 20, "digest": "...", "from": KEY,
-     * "to": KEY}} in an array "said".
+     * Reads the array "said" of objects {@code {"open": 0, "mark": 7, "rows": 2, "bytes": 20,
+     * "digest": "...", "from": KEY, "to": KEY}}.
      */
     static List<RangeDigest> readDigests(Map<?, ?> object) throws IOException {
         List<RangeDigest> digests = new ArrayList<>();
--- a/src/main/java/postbeam/layoutservice/MoveJournal.java
+++ b/src/main/java/postbeam/layoutservice/MoveJournal.java
@@ -19,14 +19,14 @@
 import postbeam.slices.MoveJournalState;
 
 /**
- * The journal of moves in a file, in the form of {@link JournalFrames}. A record counts once it is
- * complete and on disk. A torn last record is cut off when the journal is opened, since nothing was
- * done on it; a damaged one anywhere before makes the journal unusable, and nothing is changed.
- * Compaction writes a new file that begins with a snapshot and puts it in the old one's place.
+ * The journal of moves in a file with the format of {@link JournalFrames}. A record is valid once
+ * it is complete and on disk. Opening the journal removes a torn last record, since no action
+ * depended on it; a damaged record before the last makes the journal unusable, and the file is not
+ * changed. Compaction writes a new file that begins with a snapshot and replaces the old one.
  *
- * <p>A lock file keeps other processes out. Where terms are kept, each record carries its writer's
- * term, and a writer that was paused past its lock notices that the file has been written to by its
- * successor. Not thread-safe: its owner guards it.
+ * <p>A lock file excludes other processes. Where terms are in use, each record carries its writer's
+ * term, and a writer that was suspended while it lost its lock detects that its successor has
+ * written to the file. Not thread-safe: the owner guards it.
  */
 final class MoveJournal implements Closeable {
     private static final int COMPACT_AFTER_RECORDS = 1000;
@@ -34,13 +34,16 @@
     private final Path file;
     private final FileChannel lockFile;
     private FileChannel channel;
+
+    /** Records in the file since the last compaction. */
     private int records;
+
     private long tornBytes;
 
-    /** 0 where terms are not kept. */
+    /** The term of records that are written; 0 where terms are not in use. */
     private long term;
 
-    /** Where the next record begins, as far as this process knows. */
+    /** The size of the file if no other process has written to it. */
     private long end;
 
     private MoveJournal(Path file, FileChannel lockFile) {
@@ -48,7 +51,7 @@
         this.lockFile = lockFile;
     }
 
-    /** Another process writes to the journal. */
+    /** Another process has written to the journal and leads now. */
     static final class LeadershipLostException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -60,11 +63,11 @@
     // ---- opening
 
     /**
-     * Opens the journal, applies its records to the state, and cuts a torn tail off. A journal that
-     * does not exist is begun with a snapshot.
+     * Opens the journal, applies its records to the state and removes a torn last record. A journal
+     * that does not exist is created with a snapshot.
      *
-     * @param first the snapshot; null where the journal must exist
-     * @throws IOException another process has the journal open, or it is damaged
+     * @param first the snapshot for a new journal; null if the journal must exist
+     * @throws IOException the journal is in use, is damaged, or does not exist
      */
     static MoveJournal open(Path file, MoveJournalState state, JournalRecord.Snapshot first)
             throws IOException {
@@ -94,7 +97,7 @@
 
     private void create(MoveJournalState state, JournalRecord.Snapshot first) throws IOException {
         if (first == null) {
-            throw new IOException(file + " is not there, and no first layout is given");
+            throw new IOException(file + " does not exist, and no initial layout was given");
         }
         state.apply(first);
         writeNewFile(first, List.of());
@@ -112,7 +115,7 @@
                                         records++;
                                     });
             if (records == 0) {
-                throw new IOException(file + " holds no whole record");
+                throw new IOException(file + " contains no complete record");
             }
             tornBytes = size - end;
             channel.truncate(end);
@@ -131,8 +134,8 @@
             Map<String, Object> object = Json.parseObject(record);
             long recordTerm = MoveRecordCodec.term(object);
             if (recordTerm > 0 && recordTerm < state.term()) {
-                // Appended behind its successor's first record by a process that had been paused:
-                // never acted on.
+                // Written by a process that was suspended, after the first record of its successor:
+                // no action depended on it.
                 return;
             }
             state.apply(MoveRecordCodec.read(object));
@@ -142,8 +145,8 @@
     }
 
     /**
-     * The torn record may have been complete once, and its version published: the layout goes on
-     * under a version that can't have been.
+     * Continues under a layout version that can't have been published: the torn record may have
+     * been complete once, and its version published.
      */
     private void skipVersion(MoveJournalState state) throws IOException {
         JournalRecord.Snapshot snapshot = state.snapshot();
@@ -161,7 +164,7 @@
         append(next);
     }
 
-    /** How many bytes of a torn record were cut off when the journal was opened. */
+    /** The length of the torn record that was removed on opening, in bytes; 0 if there was none. */
     long tornBytes() {
         return tornBytes;
     }
@@ -171,13 +174,15 @@
     /**
      * Appends a record; once this returns the record is on disk.
      *
-     * @throws IOException the record may be on disk or not, and nothing further may be written
+     * @throws IOException it is not known whether the record is on disk; no further record may be
+     *     written
      */
     void append(JournalRecord record) throws IOException {
         ByteBuffer frame = frame(record);
         if (term > 0) {
             requireLeadership();
-            // At the end, wherever that is by now: a successor's records are never overwritten.
+            // Always appends at the current end of the file, so that records of a successor are
+            // never overwritten.
             channel.position(channel.size());
         }
         end += frame.remaining();
@@ -192,7 +197,7 @@
         return JournalFrames.frame(MoveRecordCodec.write(record, term));
     }
 
-    /** Writes the journal anew, beginning with a snapshot, where it has grown long. */
+    /** Replaces the file by one that begins with a snapshot, if it has more than 1000 records. */
     void compact(MoveJournalState state) throws IOException {
         if (records > COMPACT_AFTER_RECORDS) {
             FileChannel old = channel;
@@ -205,8 +210,8 @@
     }
 
     /**
-     * A new file, synced, in place of the old one, and the directory synced: there is a complete
-     * journal at any time.
+     * Writes and syncs a new file, renames it over the old one and syncs the directory, so that a
+     * complete journal exists at any time.
      */
     private void writeNewFile(JournalRecord.Snapshot snapshot, List<JournalRecord> following)
             throws IOException {
@@ -249,7 +254,12 @@
 
     // ---- terms
 
-    /** Begins a term above all before; records that others write with a lower one count no more. */
+    /**
+     * Starts a term that is higher than all before. From then on readers ignore records that
+     * another process appends with a lower term.
+     *
+     * @return the new term
+     */
     long startTerm(MoveJournalState state) throws IOException {
         term = state.term() + 1;
         JournalRecord.TermStarted started = new JournalRecord.TermStarted(term);
@@ -259,22 +269,22 @@
     }
 
     /**
-     * Checks that no other process has written to the journal, by its length and by which file
-     * stands in its place.
+     * Checks that no other process has written to the journal or replaced its file, by comparing
+     * the file's size with the size that this process expects.
      *
-     * @throws LeadershipLostException another process has
+     * @throws LeadershipLostException another process has written to it
      */
     void requireLeadership() throws IOException {
         if (!isLeader()) {
             throw new LeadershipLostException(
                     new MigrationError.LeadershipLost(
-                            term, file + ", which others have written to,"));
+                            term, file + ", which another process has written to,"));
         }
     }
 
     /**
-     * Whether no other process has written to the journal since this one did, as far as one can
-     * see.
+     * Returns whether both the open file and the file at the path have the size that this process
+     * expects. A write by another process that keeps the size is not detected.
      */
     boolean isLeader() throws IOException {
         return channel.size() == end && Files.size(file) == end;
--- a/src/main/java/postbeam/layoutservice/MoveRecordCodec.java
+++ b/src/main/java/postbeam/layoutservice/MoveRecordCodec.java
@@ -16,7 +16,7 @@
 import postbeam.slices.TargetLayout;
 
 /**
- * The records of the move journal in JSON, one object each; the member "kind" tells the kind of
+ * Maps records of the move journal to JSON, one object per record; the member "kind" is the kind of
  * record.
  */
 public final class MoveRecordCodec {
@@ -24,7 +24,7 @@
     static final WireNames<MoveState> STATE_NAMES =
             WireNames.of(
                     MoveState.class,
-                    "a move in an unknown state",
+                    "unknown move state",
                     entry(MoveState.PLANNED, "PLANNED"),
                     entry(MoveState.COPYING, "COPYING"),
                     entry(MoveState.REPLICATING, "HOLDING_BOTH"),
@@ -41,12 +41,14 @@
 
     // ---- writing
 
-    /** A record without a term. */
+    /** Encodes a record without a term. */
     public static byte[] write(JournalRecord record) {
         return write(record, NO_TERM);
     }
 
-    /** A record with the term of the process that writes it; 0 where terms are not kept. */
+    /**
+     * Encodes a record with the term of the process that writes it; 0 where terms are not in use.
+     */
     public static byte[] write(JournalRecord record, long term) {
         return Json.encode(
                 json -> {
@@ -183,15 +185,15 @@
 
     // ---- reading
 
-    /** The term that a record was written in; 0 where none was kept. */
+    /** Returns the term that a record was written in; 0 if the record has none. */
     public static long term(Map<String, Object> object) {
         return object.get("term") instanceof Number term ? term.longValue() : NO_TERM;
     }
 
     /**
-     * Reads what {@link #write(JournalRecord)} has written.
+     * Reads a record that {@link #write(JournalRecord)} has written; ignores its term.
      *
-     * @throws IOException the bytes are no record of a known kind
+     * @throws IOException the bytes are not a record of a known kind
      */
     public static JournalRecord read(byte[] bytes) throws IOException {
         return read(Json.parseObject(bytes));
@@ -218,7 +220,7 @@
             case "aimed" -> new JournalRecord.TargetSet(readOptionalTarget(object));
             case "office" -> new JournalRecord.TermStarted(JsonFields.number(object, "office"));
             case "migration" -> MigrationRecordCodec.read(object);
-            default -> throw new IOException("a record of an unknown kind: " + kind);
+            default -> throw new IOException("unknown kind of journal record: " + kind);
         };
     }
 
@@ -262,7 +264,7 @@
                 readOldHolders(object, "owed"));
     }
 
-    /** Null where there is no target. */
+    /** Returns null if there is no target. */
     private static TargetLayout readOptionalTarget(Map<?, ?> object) throws IOException {
         return object.containsKey("target")
                 ? LayoutChangeCodec.readTarget(JsonFields.object(object, "target"))
--- a/src/main/java/postbeam/layoutservice/OperatorClient.java
+++ b/src/main/java/postbeam/layoutservice/OperatorClient.java
@@ -9,9 +9,9 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 
-/** Sends an operator's request to a layout service and prints the answer. */
+/** Sends an operator's request to a layout service and prints the response. */
 final class OperatorClient {
-    /** The exit status of a request that was not fulfilled. */
+    /** The exit status of a request that failed. */
     static final int EXIT_FAILED = 1;
 
     private static final int EXIT_DONE = 0;
@@ -23,11 +23,11 @@
     private final PrintStream err;
 
     /**
-     * A client for one service.
+     * Creates a client for one service.
      *
      * @param address HOST:PORT of the service
-     * @param out gets answers
-     * @param err gets answers that say what went wrong
+     * @param out receives the texts of successful responses
+     * @param err receives the texts of error responses
      */
     OperatorClient(String address, PrintStream out, PrintStream err) {
         this.address = address;
--- a/src/main/java/postbeam/layoutservice/OperatorRequest.java
+++ b/src/main/java/postbeam/layoutservice/OperatorRequest.java
@@ -6,18 +6,18 @@
 /**
  * An operator's request over HTTP.
  *
- * @param path method and path, as {@code POST /v1/plan}
+ * @param path method and path, such as {@code POST /v1/plan}
  * @param parameters query parameters
- * @param body the body's bytes; empty where there is none
+ * @param body the request body; empty if there is none
  */
 @SuppressWarnings("ArrayRecordComponent") // Requests are never compared.
 record OperatorRequest(String path, Map<String, Deque<String>> parameters, byte[] body) {
-    /** The first value of a query parameter; null where it is absent. */
+    /** Returns the first value of a query parameter; null if it is absent. */
     String parameter(String name) {
         return QueryParameters.text(parameters, name);
     }
 
-    /** A query parameter as a number; the default where it is absent or no number. */
+    /** Returns a query parameter as a number; the default if it is absent or not a number. */
     long longParameter(String name, long defaultValue) {
         return QueryParameters.longValue(parameters, name, defaultValue);
     }
--- a/src/main/java/postbeam/layoutservice/OperatorResponse.java
+++ b/src/main/java/postbeam/layoutservice/OperatorResponse.java
@@ -5,19 +5,19 @@
 import postbeam.migration.MigrationAction;
 
 /**
- * What an operator's request leads to.
+ * The result of an operator's request: actions to execute and the response text.
  *
- * @param actions what is to be done, in this order, before the answer is given
- * @param text the answer's text; evaluated once the actions are done
- * @param wakesMoves whether the moves are looked at again at once
+ * @param actions to be executed in this order before the response is sent
+ * @param text the text of the response; evaluated after the actions are executed
+ * @param wakesMoves whether the thread "moves" checks the moves immediately
  */
 record OperatorResponse(List<MigrationAction> actions, Supplier<String> text, boolean wakesMoves) {
-    /** An answer that changes nothing. */
+    /** A response to a request that changes nothing. */
     static OperatorResponse query(String text) {
         return new OperatorResponse(List.of(), () -> text, false);
     }
 
-    /** Actions, and the answer once they are done. */
+    /** Actions to execute, and the text to respond with after them. */
     static OperatorResponse command(List<MigrationAction> actions, Supplier<String> text) {
         return new OperatorResponse(actions, text, true);
     }
--- a/src/main/java/postbeam/layoutservice/QueryParameters.java
+++ b/src/main/java/postbeam/layoutservice/QueryParameters.java
@@ -7,13 +7,13 @@
 final class QueryParameters {
     private QueryParameters() {}
 
-    /** The first value of a parameter; null where it is absent. */
+    /** Returns the first value of a parameter; null if it is absent. */
     static String text(Map<String, Deque<String>> parameters, String name) {
         Deque<String> values = parameters.get(name);
         return values == null ? null : values.getFirst();
     }
 
-    /** A parameter as a number; the default where it is absent or no number. */
+    /** Returns a parameter as a number; the default if it is absent or not a number. */
     static long longValue(Map<String, Deque<String>> parameters, String name, long defaultValue) {
         String value = text(parameters, name);
         try {
--- a/src/main/java/postbeam/layoutservice/RequestRejectedException.java
+++ b/src/main/java/postbeam/layoutservice/RequestRejectedException.java
@@ -1,16 +1,16 @@
 package postbeam.layoutservice;
 
-/** A request that the layout service can't serve now, or doesn't know. */
+/** The layout service can't handle a request now, or its method and path are unknown. */
 final class RequestRejectedException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final int status;
 
     /**
-     * Rejects a request.
+     * Creates the exception.
      *
-     * @param status the HTTP status of the answer
-     * @param reason the answer's text
+     * @param status the HTTP status of the response
+     * @param reason the text of the response
      */
     RequestRejectedException(int status, String reason) {
         super(reason);
--- a/src/main/java/postbeam/layoutservice/ServiceClock.java
+++ b/src/main/java/postbeam/layoutservice/ServiceClock.java
@@ -4,9 +4,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The service's clock: time since 1970 as it was when the process started, advanced by the
- * monotonic clock. It never jumps when the system time is set, so that router leases and records
- * keep their order.
+ * The clock of the layout service: the system time at the start of the process, advanced by the
+ * monotonic clock. A change of the system time does not affect it, so that router leases and
+ * records keep their order.
  */
 final class ServiceClock {
     private static final long START_MILLIS = System.currentTimeMillis();
@@ -14,7 +14,7 @@
 
     private ServiceClock() {}
 
-    /** The time since 1970. */
+    /** Returns the time since 1970. */
     static Duration now() {
         return Duration.ofMillis(
                 START_MILLIS + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - START_NANOS));
--- a/src/main/java/postbeam/layoutservice/WireNames.java
+++ b/src/main/java/postbeam/layoutservice/WireNames.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * The names under which the constants of an enum are stored and sent. They are written out one by
- * one, so that a constant can be renamed without making older logs or other programs' messages
- * unreadable.
+ * The names under which the constants of an enum are stored and sent. They are listed explicitly,
+ * so that a constant can be renamed while older journals and messages of other programs stay
+ * readable.
  */
 final class WireNames<E extends Enum<E>> {
     private final String unknown;
@@ -22,10 +22,10 @@
     }
 
     /**
-     * Names for all constants of an enum.
+     * Creates the names for all constants of an enum.
      *
-     * @param unknown how an error about a name that is none of these begins
-     * @throws IllegalArgumentException a constant has no name, or two have the same
+     * @param unknown the beginning of the error message for any other name
+     * @throws IllegalArgumentException a constant has no name, or two constants have the same name
      */
     @SafeVarargs
     static <E extends Enum<E>> WireNames<E> of(
@@ -37,7 +37,7 @@
         WireNames<E> made = new WireNames<>(unknown, all);
         if (made.constants.size() != type.getEnumConstants().length) {
             throw new IllegalArgumentException(
-                    "constants of " + type + " without a name of their own");
+                    "each constant of " + type + " must have a distinct name");
         }
         return made;
     }
@@ -47,7 +47,7 @@
     }
 
     /**
-     * The constant of this name.
+     * Returns the constant with this name.
      *
      * @throws IOException no constant has this name
      */
--- a/src/test/java/postbeam/layoutservice/HandoffClientMessagesTest.java
+++ b/src/test/java/postbeam/layoutservice/HandoffClientMessagesTest.java
@@ -24,8 +24,8 @@
 import postbeam.slices.KeyRange;
 
 /**
- * Messages to data nodes keep their bytes, and answers that nodes gave before are understood as
- * before.
+ * Compares the frames that {@link HandoffClient} sends with a stored sample, and checks that it
+ * understands responses from older versions of data nodes.
  */
 class HandoffClientMessagesTest {
     private static final KeyRange KEYS = new KeyRange(100, 200);
@@ -39,7 +39,10 @@
     private final BlockingQueue<Object> events = new LinkedBlockingQueue<>();
 
     /**
-     * Takes a frame for each answer that it has and keeps the bytes; then it closes the connection.
+     * Accepts one connection, reads one frame before each response that it sends, and then closes
+     * the connection.
+     *
+     * @return the bytes of all frames
      */
     private static byte[] serve(ServerSocket server, List<String> answers) throws IOException {
         ByteArrayOutputStream received = new ByteArrayOutputStream();
@@ -98,7 +101,7 @@
             Samples.assertSameBytes("node-orders.bin", serve(server, answers));
             assertEquals(
                     new Done(7, "n1", HandoffCommand.COPY, 3), events.poll(10, TimeUnit.SECONDS));
-            // HOLD is answered with busy, which nobody hears.
+            // The response to HOLD is "busy", which is not reported to a listener.
             assertEquals(
                     new Done(7, "n1", HandoffCommand.FENCE, 3), events.poll(10, TimeUnit.SECONDS));
             assertEquals(
--- a/src/test/java/postbeam/layoutservice/JsonFieldsTest.java
+++ b/src/test/java/postbeam/layoutservice/JsonFieldsTest.java
@@ -11,14 +11,17 @@
 import postbeam.json.Json;
 import postbeam.slices.LayoutChange;
 
-/** Numbers in operators' commands and stored records. */
+/** Checks that numbers in operator commands and stored records are read without loss. */
 class JsonFieldsTest {
     private static LayoutChange change(String json) throws IOException {
         return LayoutChangeCodec.readChange(
                 Json.parseObject(json.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Guards against a command that is carried out on another slice or key than it names. */
+    /**
+     * Guards against a command that is executed on a wrong slice or key because its number was
+     * truncated.
+     */
     @Test
     void numbersThatDoNotFitAreNamed() {
         for (String split :
--- a/src/test/java/postbeam/layoutservice/LayoutControllerTest.java
+++ b/src/test/java/postbeam/layoutservice/LayoutControllerTest.java
@@ -26,7 +26,7 @@
 import postbeam.slices.MoveJournalState;
 import postbeam.slices.MoveLimits;
 
-/** The service's state while its journal fails and while it stops. */
+/** Checks the controller after a failed journal write and during shutdown. */
 @Timeout(30)
 class LayoutControllerTest {
     private static final Duration NEVER = Duration.ofDays(1);
@@ -103,7 +103,7 @@
                         "{\"split\": 0, \"at\": [100]}".getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** A write fails as its thread is interrupted, which closes the journal's file. */
+    /** Makes a journal write fail: an interrupt of the writing thread closes the file's channel. */
     private <E extends Exception> E failWrite(Class<E> failure) {
         Thread.currentThread().interrupt();
         try {
@@ -113,7 +113,11 @@
         }
     }
 
-    /** A request that waits for a newer layout, and what it is answered. */
+    /**
+     * Requests a newer layout for a router.
+     *
+     * @return receives "layout" or the reason of a rejection
+     */
     private BlockingQueue<String> watch(Duration wait) {
         BlockingQueue<String> answers = new LinkedBlockingQueue<>();
         LayoutRequest request =
@@ -148,7 +152,7 @@
         return answers.poll(5, TimeUnit.SECONDS);
     }
 
-    /** Guards against a failed write that an operator takes for a mistake of his own. */
+    /** Guards against a failed write that is reported to the operator as a faulty request. */
     @Test
     void failedWriteIsAnErrorOfTheServiceAndLeavesAJournalThatReadsBack() throws Exception {
         start(null);
@@ -161,7 +165,7 @@
         assertTrue(state.activeMoves().size() <= 1);
     }
 
-    /** Guards against watchers that wait for ever once the journal has failed. */
+    /** Guards against requests that wait forever after a failed journal write. */
     @Test
     void watcherIsAnsweredInItsTimeThoughTheJournalHasFailed() throws Exception {
         start(null);
@@ -171,14 +175,16 @@
         assertEquals("layout", next(watch(Duration.ofMillis(200))));
     }
 
-    /** Guards against routers that wait for the renewal of a lease that can't come. */
+    /**
+     * Guards against routers that wait for a lease renewal after the service has lost its journal.
+     */
     @Test
     void watcherUnderALeaseIsToldAtOnceThatTheServiceHasFailed() throws Exception {
         start(migrationLimits());
         BlockingQueue<String> before = watch(NEVER);
         failWrite(IOException.class);
-        assertEquals("this service grants no leases any more", next(before));
-        assertEquals("this service grants no leases any more", next(watch(NEVER)));
+        assertEquals("this service no longer grants leases", next(before));
+        assertEquals("this service no longer grants leases", next(watch(NEVER)));
     }
 
     @Test
@@ -186,12 +192,12 @@
         start(null);
         BlockingQueue<String> before = watch(NEVER);
         controller.stop();
-        assertEquals("the service stops", next(before));
-        assertEquals("the service stops", next(watch(NEVER)));
+        assertEquals("the service is shutting down", next(before));
+        assertEquals("the service is shutting down", next(watch(NEVER)));
         moves.join();
     }
 
-    /** Guards against a journal that a late list of nodes opens again. */
+    /** Guards against a closed journal that a late endpoint update opens again. */
     @Test
     void stoppedServiceTakesNoList() throws Exception {
         start(null);
--- a/src/test/java/postbeam/layoutservice/LayoutServiceIT.java
+++ b/src/test/java/postbeam/layoutservice/LayoutServiceIT.java
@@ -31,8 +31,8 @@
 import postbeam.testbed.verification.InvariantChecker;
 
 /**
- * The built program as an operator runs it: the layout service, its commands, a service killed and
- * started again.
+ * Runs the built program as an operator does: the layout service and its commands, and a service
+ * that is killed and restarted.
  */
 class LayoutServiceIT {
     private static final Duration LONG = Duration.ofSeconds(20);
@@ -103,7 +103,7 @@
                         .start();
     }
 
-    /** The status, a space, and the output. */
+    /** Runs the sub-command; returns its exit status, a space and its output. */
     private String layouts(String... words) throws IOException, InterruptedException {
         List<String> command = java("layouts");
         command.addAll(List.of(words));
@@ -117,7 +117,7 @@
     private static void until(Callable<Boolean> condition) throws Exception {
         long end = System.nanoTime() + LONG.toNanos();
         while (!condition.call()) {
-            assertTrue(System.nanoTime() < end, "the condition did not come");
+            assertTrue(System.nanoTime() < end, "the condition did not hold within " + LONG);
             Thread.sleep(50);
         }
     }
@@ -206,7 +206,7 @@
             assertTrue(query(listen, 1, 0).startsWith("200 {\"total\":true,\"layout\":1,"));
             layouts("start", "--change", "{\"split\": 0, \"at\": [100]}");
             until(() -> query(listen, 2, 4).startsWith("200"));
-            // A search is complete with three quarters of its weight; a hold takes all keys.
+            // A search is complete with three quarters of its weight; a hold needs all keys.
             String cut = query(listen, "/hold?obj=1", 1, 0);
             assertTrue(cut.startsWith("200 {\"total\":true,"), cut);
             assertTrue(
@@ -216,7 +216,7 @@
             assertEquals("400 layout 2 has no slice 0", query(listen, 2, 0));
             assertEquals("503 0.2 layout 9 is not known yet; 2 is", query(listen, 9, 0));
             assertEquals("400 Req-Layout can't be used", query(listen, -1, 0));
-            // The history is of one version: the first layout is forgotten with the third.
+            // The history has one version: the third layout removes the first.
             layouts(
                     "start",
                     "--change",
@@ -226,13 +226,13 @@
                             query(listen, 1, 0)
                                     .equals("410 layout 1 is no longer kept; 3 is in force"));
             service.destroyForcibly().waitFor();
-            assertTrue(query(listen, 2, 5).startsWith("200"), "the layout held stays");
+            assertTrue(query(listen, 2, 5).startsWith("200"), "the router keeps its layout");
         } finally {
             router.destroyForcibly().waitFor();
         }
     }
 
-    /** Status, how long to wait where that is told, and the body. */
+    /** Sends a query; returns the status, the Retry-After header if present, and the body. */
     private static String query(String router, long version, int slice)
             throws IOException, InterruptedException {
         return query(router, "/search?obj=1", version, slice);
@@ -296,7 +296,7 @@
             while (curl == null && (line = out.readLine()) != null) {
                 curl = line.contains("curl -i") ? line.strip() : null;
             }
-            // Without what follows the last quote.
+            // Limit 0 drops the empty string after the last quote, so that the body is last.
             String[] quoted = curl.split("'", 0);
             HttpURLConnection connection =
                     (HttpURLConnection)
--- a/src/test/java/postbeam/layoutservice/LayoutServiceResponsesTest.java
+++ b/src/test/java/postbeam/layoutservice/LayoutServiceResponsesTest.java
@@ -25,7 +25,8 @@
 import postbeam.slices.MoveLimits;
 
 /**
- * The layout service answers a fixed course of requests as before: status, content type and text.
+ * Compares the responses to a fixed sequence of requests with a stored sample: status, content type
+ * and text.
  */
 class LayoutServiceResponsesTest {
     private static final Duration NEVER = Duration.ofDays(1);
@@ -36,7 +37,8 @@
     private final List<String> transcript = new ArrayList<>();
 
     /**
-     * Nodes that discovery lists; nothing listens at their addresses, so no order is ever answered.
+     * The JSON entries of the nodes that discovery lists. Nothing listens at their addresses, so no
+     * handoff command is ever answered.
      */
     private volatile String listed = "";
 
@@ -114,9 +116,7 @@
                 HttpResponse.BodyHandlers.ofString());
     }
 
-    /**
-     * Sends the request and keeps it with its answer; how long something has lasted is left out.
-     */
+    /** Sends a request and records it with its response; durations are replaced by 0. */
     private void ask(String method, String path, String body) throws Exception {
         HttpResponse<String> answer = send(method, path, body);
         transcript.add("> " + (method + " " + path + " " + body).strip());
@@ -140,7 +140,9 @@
     private void until(String path, String text) throws Exception {
         long end = System.nanoTime() + PATIENCE.toNanos();
         while (!send("GET", path, "").body().contains(text)) {
-            assertTrue(System.nanoTime() < end, path + " never said " + text);
+            assertTrue(
+                    System.nanoTime() < end,
+                    path + " did not return " + text + " within " + PATIENCE);
             Thread.sleep(20);
         }
     }
--- a/src/test/java/postbeam/layoutservice/LayoutServiceSettingsTest.java
+++ b/src/test/java/postbeam/layoutservice/LayoutServiceSettingsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import postbeam.config.SubsystemSettings;
 
-/** The limits of migrations, as the settings file gives them. */
+/** Checks that wrong limits of migrations in the settings file are rejected. */
 class LayoutServiceSettingsTest {
     @TempDir private Path dir;
 
@@ -31,14 +31,14 @@
         assertTrue(e.getMessage().contains(name), e.getMessage());
     }
 
-    /** Guards against a NullPointerException where a number is missing. */
+    /** Guards against a NullPointerException if a number is missing. */
     @ParameterizedTest
     @ValueSource(strings = {"leastUtility", "finestKeys", "bytesASecond"})
     void missingNumberIsNamed(String name) throws IOException {
         assertRejected(name, deployed().replaceAll("(?m)^ *" + name + ": .*$", ""));
     }
 
-    /** Guards against a range of one key that is split into itself. */
+    /** Guards against an endless split of a range that has a single key. */
     @ParameterizedTest
     @ValueSource(strings = {"0", "-1", "0.5"})
     void rangesNeverGoBelowOneKey(String keys) throws IOException {
--- a/src/test/java/postbeam/layoutservice/LayoutServiceStopTest.java
+++ b/src/test/java/postbeam/layoutservice/LayoutServiceStopTest.java
@@ -33,7 +33,7 @@
 import postbeam.slices.MoveLimits;
 import postbeam.testbed.fakes.FakeDiscovery;
 
-/** A clean stop of the service while operators start moves. */
+/** Checks a clean stop of the service while operators start moves. */
 class LayoutServiceStopTest {
     private static final int STOPS = 15;
     private static final int SLICES = 2000;
@@ -116,7 +116,10 @@
         return Layout.initial(SLICES, List.of("n1"), 1).slice(slice).keys().from() + 1;
     }
 
-    /** Guards against a stop that interrupts a thread within a record of the journal. */
+    /**
+     * Guards against a stop that interrupts a thread during a journal write, which leaves a torn
+     * record.
+     */
     @Test
     @Timeout(60)
     void requestsBesideAStopAreRecordedOrRejected() throws Exception {
@@ -178,6 +181,7 @@
         for (Move move : state.activeMoves()) {
             recorded.add(((LayoutChange.Split) move.change).slice());
         }
-        assertTrue(recorded.containsAll(accepted), "accepted " + accepted + ", kept " + recorded);
+        assertTrue(
+                recorded.containsAll(accepted), "accepted " + accepted + ", recorded " + recorded);
     }
 }
--- a/src/test/java/postbeam/layoutservice/MoveJournalTest.java
+++ b/src/test/java/postbeam/layoutservice/MoveJournalTest.java
@@ -22,6 +22,7 @@
 import postbeam.slices.MoveState;
 import postbeam.slices.TargetLayout;
 
+/** Checks that the move journal is read back, repaired after a crash and compacted without loss. */
 class MoveJournalTest {
     private static final Duration AT = Duration.ofMillis(1234);
 
@@ -52,7 +53,7 @@
                         3, new LayoutChange.Merge(List.of(3, 4)), List.of(6), null, AT));
     }
 
-    /** The file after each record, the first one's included. */
+    /** Writes all records; returns the file's size after the snapshot and after each record. */
     private List<Long> written(Path file) throws IOException {
         List<Long> ends = new ArrayList<>();
         try (MoveJournal log = MoveJournal.open(file, new MoveJournalState(10), first())) {
@@ -180,7 +181,7 @@
                                 IOException.class,
                                 () -> MoveJournal.open(other, new MoveJournalState(10), null))
                         .getMessage()
-                        .contains("no log of moves"));
+                        .contains("not a move journal of format 1"));
         assertThrows(
                 IOException.class,
                 () -> MoveJournal.open(dir.resolve("none"), new MoveJournalState(10), null));
--- a/src/test/java/postbeam/layoutservice/Samples.java
+++ b/src/test/java/postbeam/layoutservice/Samples.java
@@ -10,7 +10,7 @@
 import java.util.List;
 
 /**
- * Stored data and messages as earlier versions wrote them, kept under {@code
+ * Reads samples of stored data and messages of earlier versions, from {@code
  * samples/layoutservice}.
  */
 final class Samples {
@@ -28,13 +28,13 @@
         return new String(bytes(name), StandardCharsets.UTF_8).lines().toList();
     }
 
-    /** Fails at the first line that differs. */
+    /** Compares all lines with those of a sample. */
     static void assertSameLines(String name, List<String> actual) {
         assertEquals(String.join("\n", lines(name)), String.join("\n", actual));
     }
 
     static void assertSameBytes(String name, byte[] actual) {
-        // As text first: a difference can be read then.
+        // Compared as text first, for a readable message.
         assertEquals(
                 new String(bytes(name), StandardCharsets.ISO_8859_1),
                 new String(actual, StandardCharsets.ISO_8859_1));
--- a/src/test/java/postbeam/layoutservice/StoredMoveRecordsTest.java
+++ b/src/test/java/postbeam/layoutservice/StoredMoveRecordsTest.java
@@ -32,15 +32,15 @@
 import postbeam.slices.TargetLayout;
 
 /**
- * Logs that earlier versions wrote stay readable, and each record is still written with the same
- * bytes.
+ * Checks that journals of earlier versions stay readable, and that each record is still written
+ * with the same bytes.
  */
 class StoredMoveRecordsTest {
     private static final Duration AT = Duration.ofMillis(1_700_000_000_123L);
     private static final String DIGEST = "5c".repeat(32);
     private static final int HISTORY = 10;
 
-    /** More records than a log takes before it is compacted. */
+    /** The number of records after which a journal is compacted, and one more. */
     private static final int ENOUGH_TO_COMPACT = 1001;
 
     @TempDir private Path dir;
@@ -117,7 +117,7 @@
                 layout(), 5, id, 6, moves, target(), List.of(new Move.OldHolder("n4", 6, keys)));
     }
 
-    /** Records of moves, of every kind; they are written before terms are kept. */
+    /** Move records of every kind; they are written without a term. */
     private static List<JournalRecord> moveRecords() {
         List<JournalRecord> records = new ArrayList<>();
         records.add(
@@ -168,7 +168,7 @@
         return records;
     }
 
-    /** Records of migrations, of every kind and stage; they carry the writer's term. */
+    /** Migration records of every kind and state; they are written with the writer's term. */
     private static List<JournalRecord> migrationRecords() {
         List<SliceTransfer> hops =
                 List.of(new SliceTransfer(1, "n2", "n3"), new SliceTransfer(5, "n2", "n4"));
@@ -233,8 +233,8 @@
     }
 
     /**
-     * The log as it is written; the term is taken over between the records of moves and those of
-     * migrations.
+     * Writes a journal of all records; its term starts between the move records and the migration
+     * records.
      */
     private Path written() throws IOException {
         Path file = dir.resolve("written.bin");
