--- a/src/main/java/postbeam/layoutservice/EndpointDirectory.java
+++ b/src/main/java/postbeam/layoutservice/EndpointDirectory.java
@@ -32,8 +32,8 @@
         }
         List<String> restarted = new ArrayList<>();
         for (Endpoint endpoint : update.endpoints()) {
-            Endpoint before = endpoints.put(endpoint.name(), endpoint);
-            if (before != null && before.startedMicros() != endpoint.startedMicros()) {
+            Endpoint previous = endpoints.put(endpoint.name(), endpoint);
+            if (previous != null && previous.startedMicros() != endpoint.startedMicros()) {
                 restarted.add(endpoint.name());
             }
         }
--- a/src/main/java/postbeam/layoutservice/HandoffClient.java
+++ b/src/main/java/postbeam/layoutservice/HandoffClient.java
@@ -69,14 +69,14 @@
                 .entrySet()
                 .removeIf(
                         entry -> {
-                            boolean moved =
+                            boolean addressChanged =
                                     !entry.getValue()
                                             .address()
                                             .equals(addresses.get(entry.getKey()));
-                            if (moved) {
+                            if (addressChanged) {
                                 entry.getValue().close();
                             }
-                            return moved;
+                            return addressChanged;
                         });
     }
 
--- a/src/main/java/postbeam/layoutservice/JournalReader.java
+++ b/src/main/java/postbeam/layoutservice/JournalReader.java
@@ -36,11 +36,11 @@
      */
     long readAll(RecordConsumer consumer) throws IOException {
         long size = channel.size();
-        byte[] mark = JournalFrames.formatMark();
-        if (size < mark.length || !Arrays.equals(readBytes(mark.length), mark)) {
+        byte[] formatMark = JournalFrames.formatMark();
+        if (size < formatMark.length || !Arrays.equals(readBytes(formatMark.length), formatMark)) {
             throw new IOException(file + " is not a move journal of format 1");
         }
-        long position = mark.length;
+        long position = formatMark.length;
         while (position < size) {
             byte[] record = readRecord(position, size);
             if (record == null) {
@@ -60,12 +60,12 @@
         ByteBuffer header = ByteBuffer.wrap(readBytes(JournalFrames.HEADER_BYTES));
         int length = header.getInt();
         int checksum = header.getInt();
-        boolean fits =
+        boolean fitsInFile =
                 length > 0
                         && length <= JournalFrames.MAX_RECORD_BYTES
                         && position + JournalFrames.HEADER_BYTES + length <= size;
-        byte[] record = fits ? readBytes(length) : null;
-        if (fits && JournalFrames.checksum(length, record) == checksum) {
+        byte[] record = fitsInFile ? readBytes(length) : null;
+        if (fitsInFile && JournalFrames.checksum(length, record) == checksum) {
             return record;
         }
         if (!validRecordFollows(position + 1, size)) {
@@ -84,12 +84,12 @@
      * rest of the file is longer than a record can be, without a search: a torn last record does
      * not explain it.
      */
-    private boolean validRecordFollows(long from, long size) throws IOException {
-        if (size - from > JournalFrames.MAX_RECORD_BYTES) {
+    private boolean validRecordFollows(long start, long size) throws IOException {
+        if (size - start > JournalFrames.MAX_RECORD_BYTES) {
             return true;
         }
-        ByteBuffer rest = ByteBuffer.allocate((int) (size - from));
-        while (rest.hasRemaining() && channel.read(rest, from + rest.position()) >= 0) {
+        ByteBuffer rest = ByteBuffer.allocate((int) (size - start));
+        while (rest.hasRemaining() && channel.read(rest, start + rest.position()) >= 0) {
             // Reads until the buffer is full or the file ends.
         }
         for (int i = 0; i + JournalFrames.HEADER_BYTES < rest.position(); i++) {
--- a/src/main/java/postbeam/layoutservice/JsonFields.java
+++ b/src/main/java/postbeam/layoutservice/JsonFields.java
@@ -81,20 +81,21 @@
 
     static List<Map<?, ?>> objects(Map<?, ?> object, String name) throws IOException {
         List<Map<?, ?>> objects = new ArrayList<>();
-        for (Map<?, ?> one : list(object, name, Map.class, "objects")) {
-            objects.add(one);
+        for (Map<?, ?> element : list(object, name, Map.class, "objects")) {
+            objects.add(element);
         }
         return objects;
     }
 
-    private static <T> List<T> list(Map<?, ?> object, String name, Class<T> kind, String kindName)
+    private static <T> List<T> list(
+            Map<?, ?> object, String name, Class<T> elementType, String elementDescription)
             throws IOException {
         List<T> list = new ArrayList<>();
-        for (Object one : Json.member(object, name, List.class)) {
-            if (!kind.isInstance(one)) {
-                throw new IOException(name + " must contain only " + kindName);
+        for (Object element : Json.member(object, name, List.class)) {
+            if (!elementType.isInstance(element)) {
+                throw new IOException(name + " must contain only " + elementDescription);
             }
-            list.add(kind.cast(one));
+            list.add(elementType.cast(element));
         }
         return list;
     }
--- a/src/main/java/postbeam/layoutservice/LayoutHttpServer.java
+++ b/src/main/java/postbeam/layoutservice/LayoutHttpServer.java
@@ -68,11 +68,11 @@
     }
 
     private void handle(HttpServerExchange exchange) throws Exception {
-        String path = exchange.getRequestMethod() + " " + exchange.getRequestPath();
-        if (path.equals("GET /v1/layout")) {
+        String route = exchange.getRequestMethod() + " " + exchange.getRequestPath();
+        if (route.equals("GET /v1/layout")) {
             handleLayoutRequest(exchange);
         } else {
-            new BlockingHandler(blocking -> handleOperatorRequest(blocking, path))
+            new BlockingHandler(blocking -> handleOperatorRequest(blocking, route))
                     .handleRequest(exchange);
         }
     }
@@ -85,8 +85,10 @@
                 new LayoutRequest(
                         QueryParameters.longValue(parameters, "index", 0),
                         QueryParameters.longValue(parameters, "wait", 0),
-                        Optional.ofNullable(QueryParameters.text(parameters, LayoutWatch.ROUTER)),
-                        QueryParameters.longValue(parameters, LayoutWatch.HELD, 1),
+                        Optional.ofNullable(
+                                QueryParameters.text(parameters, LayoutWatch.ROUTER_PARAMETER)),
+                        QueryParameters.longValue(
+                                parameters, LayoutWatch.HELD_VERSION_PARAMETER, 1),
                         new ExchangeResponder(exchange));
         if (!controller.answerLayoutRequest(request)) {
             exchange.dispatch(() -> controller.awaitNewerLayout(request));
@@ -115,14 +117,14 @@
 
     // ---- requests of operators
 
-    private void handleOperatorRequest(HttpServerExchange exchange, String path) {
+    private void handleOperatorRequest(HttpServerExchange exchange, String route) {
         try {
             byte[] body = exchange.getInputStream().readAllBytes();
             sendText(
                     exchange,
                     200,
                     controller.handle(
-                            new OperatorRequest(path, exchange.getQueryParameters(), body)));
+                            new OperatorRequest(route, exchange.getQueryParameters(), body)));
         } catch (OperatorErrorException e) {
             sendText(exchange, 409, e.getMessage());
         } catch (RequestRejectedException e) {
--- a/src/main/java/postbeam/layoutservice/LayoutPublisher.java
+++ b/src/main/java/postbeam/layoutservice/LayoutPublisher.java
@@ -52,8 +52,8 @@
     }
 
     /** Grants leases from now on. */
-    void useLeases(Leases granted) {
-        leases = granted;
+    void useLeases(Leases newLeases) {
+        leases = newLeases;
     }
 
     /** Publishes a layout and answers all waiting requests. */
--- a/src/main/java/postbeam/layoutservice/LayoutRequestHandler.java
+++ b/src/main/java/postbeam/layoutservice/LayoutRequestHandler.java
@@ -24,7 +24,7 @@
  * verify. Not thread-safe: {@link LayoutController} guards it with its lock.
  */
 final class LayoutRequestHandler {
-    private static final Set<String> PATHS =
+    private static final Set<String> ROUTES =
             Set.of(
                     "GET /v1/status",
                     "GET /v1/verify",
@@ -55,8 +55,8 @@
     }
 
     /** Returns whether this handler serves the method and path. */
-    static boolean handles(String path) {
-        return PATHS.contains(path);
+    static boolean handles(String route) {
+        return ROUTES.contains(route);
     }
 
     /**
@@ -67,7 +67,7 @@
      *     first line
      */
     OperatorResponse handle(OperatorRequest request, Duration now) throws IOException {
-        return switch (request.path()) {
+        return switch (request.route()) {
             case "GET /v1/status" -> OperatorResponse.query(status(now));
             case "GET /v1/verify" -> OperatorResponse.query(verify());
             case "POST /v1/plan" -> OperatorResponse.query(plan(Json.parseObject(request.body())));
--- a/src/main/java/postbeam/layoutservice/LayoutService.java
+++ b/src/main/java/postbeam/layoutservice/LayoutService.java
@@ -24,7 +24,7 @@
      * The configuration of the service.
      *
      * @param listen HOST:PORT of the HTTP interface
-     * @param log the journal file
+     * @param journalFile the journal file
      * @param discovery HOST:PORT of discovery
      * @param history for how many past versions the layout keeps the retired slices
      * @param limits the limits of moves
@@ -34,7 +34,7 @@
      */
     public record Config(
             String listen,
-            Path log,
+            Path journalFile,
             String discovery,
             long history,
             MoveLimits limits,
@@ -44,13 +44,21 @@
         /** Creates a configuration that switches migrations off. */
         public Config(
                 String listen,
-                Path log,
+                Path journalFile,
                 String discovery,
                 long history,
                 MoveLimits limits,
                 int initialSlices,
                 int initialHolders) {
-            this(listen, log, discovery, history, limits, initialSlices, initialHolders, null);
+            this(
+                    listen,
+                    journalFile,
+                    discovery,
+                    history,
+                    limits,
+                    initialSlices,
+                    initialHolders,
+                    null);
         }
     }
 
--- a/src/main/java/postbeam/layoutservice/LayoutWatch.java
+++ b/src/main/java/postbeam/layoutservice/LayoutWatch.java
@@ -18,10 +18,10 @@
     static final int MAX_LAYOUT_BYTES = 8 << 20;
 
     /** Query parameter: the router's name. */
-    static final String ROUTER = "router";
+    static final String ROUTER_PARAMETER = "router";
 
     /** Query parameter: the version that the router currently uses. */
-    static final String HELD = "held";
+    static final String HELD_VERSION_PARAMETER = "held";
 
     private LayoutWatch() {}
 
@@ -32,11 +32,11 @@
      * @param version the version in use; 0 for none
      */
     public static String queryParameters(String router, long version) {
-        return ROUTER
+        return ROUTER_PARAMETER
                 + "="
                 + URLEncoder.encode(router, StandardCharsets.UTF_8)
                 + "&"
-                + HELD
+                + HELD_VERSION_PARAMETER
                 + "="
                 + version;
     }
--- a/src/main/java/postbeam/layoutservice/LayoutWatchers.java
+++ b/src/main/java/postbeam/layoutservice/LayoutWatchers.java
@@ -10,35 +10,35 @@
 final class LayoutWatchers {
     private static final int MAX_WATCHERS = 1000;
 
-    private record Waiting(LayoutRequest request, long deadlineNanos) {}
+    private record Watcher(LayoutRequest request, long deadlineNanos) {}
 
-    private final List<Waiting> waiting = new ArrayList<>();
+    private final List<Watcher> watchers = new ArrayList<>();
 
     boolean isFull() {
-        return waiting.size() >= MAX_WATCHERS;
+        return watchers.size() >= MAX_WATCHERS;
     }
 
     int size() {
-        return waiting.size();
+        return watchers.size();
     }
 
     /** Adds a request with its deadline on the clock of {@link System#nanoTime}. */
     void add(LayoutRequest request, long deadlineNanos) {
-        waiting.add(new Waiting(request, deadlineNanos));
+        watchers.add(new Watcher(request, deadlineNanos));
     }
 
     /** Removes and returns all requests. */
     List<LayoutRequest> removeAll() {
-        List<LayoutRequest> requests = waiting.stream().map(Waiting::request).toList();
-        waiting.clear();
+        List<LayoutRequest> requests = watchers.stream().map(Watcher::request).toList();
+        watchers.clear();
         return requests;
     }
 
     /** Removes and returns the requests whose deadline has passed. */
     List<LayoutRequest> removeExpired(long nowNanos) {
-        List<Waiting> expired =
-                waiting.stream().filter(one -> one.deadlineNanos - nowNanos <= 0).toList();
-        waiting.removeAll(expired);
-        return expired.stream().map(Waiting::request).toList();
+        List<Watcher> expired =
+                watchers.stream().filter(watcher -> watcher.deadlineNanos - nowNanos <= 0).toList();
+        watchers.removeAll(expired);
+        return expired.stream().map(Watcher::request).toList();
     }
 }
--- a/src/main/java/postbeam/layoutservice/MigrationHandler.java
+++ b/src/main/java/postbeam/layoutservice/MigrationHandler.java
@@ -27,7 +27,7 @@
  * @param coordinator holds the current layout
  */
 record MigrationHandler(MigrationManager manager, Coordinator coordinator) {
-    private static final Set<String> PATHS =
+    private static final Set<String> ROUTES =
             Set.of(
                     "GET /v1/migrations",
                     "POST /v1/migrate",
@@ -41,8 +41,8 @@
     private static final String OPERATOR_REASON = "by an operator";
 
     /** Returns whether this handler serves the method and path. */
-    static boolean handles(String path) {
-        return PATHS.contains(path);
+    static boolean handles(String route) {
+        return ROUTES.contains(route);
     }
 
     /**
@@ -51,7 +51,7 @@
      * @throws OperatorErrorException the request is malformed or can't be fulfilled
      */
     OperatorResponse handle(OperatorRequest request, Duration now) throws OperatorErrorException {
-        return switch (request.path()) {
+        return switch (request.route()) {
             case "GET /v1/migrations" ->
                     OperatorResponse.command(List.of(), () -> listMigrations(now));
             case "POST /v1/migrate" -> migrate(request, now);
@@ -95,7 +95,7 @@
             throws OperatorErrorException {
         long id = requiredLong(request, "migration");
         List<MigrationAction> actions =
-                switch (request.path()) {
+                switch (request.route()) {
                     case "POST /v1/pause" -> manager.pause(id, OPERATOR_REASON, now);
                     case "POST /v1/resume" -> manager.resume(id, now);
                     case "POST /v1/rollback" -> manager.rollBack(id, OPERATOR_REASON, now);
--- a/src/main/java/postbeam/layoutservice/MigrationRecordCodec.java
+++ b/src/main/java/postbeam/layoutservice/MigrationRecordCodec.java
@@ -206,8 +206,8 @@
 
     private static MigrationRecord readSnapshot(long id, Map<?, ?> object) throws IOException {
         Map<Long, String> verified = new TreeMap<>();
-        for (Map<?, ?> one : JsonFields.objects(object, "verified")) {
-            verified.put(JsonFields.number(one, "move"), digest(one));
+        for (Map<?, ?> element : JsonFields.objects(object, "verified")) {
+            verified.put(JsonFields.number(element, "move"), digest(element));
         }
         return new MigrationRecord.Snapshot(
                 id,
@@ -254,15 +254,15 @@
      */
     static List<RangeDigest> readDigests(Map<?, ?> object) throws IOException {
         List<RangeDigest> digests = new ArrayList<>();
-        for (Map<?, ?> one : JsonFields.objects(object, "said")) {
+        for (Map<?, ?> element : JsonFields.objects(object, "said")) {
             digests.add(
                     new RangeDigest(
-                            JsonFields.keyRange(one),
-                            JsonFields.integer(one, "open"),
-                            JsonFields.number(one, "mark"),
-                            JsonFields.number(one, "rows"),
-                            JsonFields.number(one, "bytes"),
-                            digest(one)));
+                            JsonFields.keyRange(element),
+                            JsonFields.integer(element, "open"),
+                            JsonFields.number(element, "mark"),
+                            JsonFields.number(element, "rows"),
+                            JsonFields.number(element, "bytes"),
+                            digest(element)));
         }
         return digests;
     }
--- a/src/main/java/postbeam/layoutservice/MoveJournal.java
+++ b/src/main/java/postbeam/layoutservice/MoveJournal.java
@@ -35,8 +35,8 @@
     private final FileChannel lockFile;
     private FileChannel channel;
 
-    /** Records in the file since the last compaction. */
-    private int records;
+    /** The number of records since the last compaction, including the first snapshot. */
+    private int recordCount;
 
     private long tornBytes;
 
@@ -44,7 +44,7 @@
     private long term;
 
     /** The size of the file if no other process has written to it. */
-    private long end;
+    private long expectedSize;
 
     private MoveJournal(Path file, FileChannel lockFile) {
         this.file = file;
@@ -66,24 +66,25 @@
      * Opens the journal, applies its records to the state and removes a torn last record. A journal
      * that does not exist is created with a snapshot.
      *
-     * @param first the snapshot for a new journal; null if the journal must exist
+     * @param initialSnapshot the snapshot for a new journal; null if the journal must exist
      * @throws IOException the journal is in use, is damaged, or does not exist
      */
-    static MoveJournal open(Path file, MoveJournalState state, JournalRecord.Snapshot first)
+    static MoveJournal open(
+            Path file, MoveJournalState state, JournalRecord.Snapshot initialSnapshot)
             throws IOException {
-        Path lock = file.resolveSibling(file.getFileName() + ".lock");
+        Path lockPath = file.resolveSibling(file.getFileName() + ".lock");
         FileChannel lockFile =
-                FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                FileChannel.open(lockPath, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
-            FileLock held = lockFile.tryLock();
-            if (held == null) {
+            FileLock lock = lockFile.tryLock();
+            if (lock == null) {
                 throw new IOException(file + " is in use by another process");
             }
             MoveJournal journal = new MoveJournal(file, lockFile);
             if (Files.exists(file)) {
                 journal.read(state);
             } else {
-                journal.create(state, first);
+                journal.create(state, initialSnapshot);
             }
             return journal;
         } catch (OverlappingFileLockException e) {
@@ -95,31 +96,32 @@
         }
     }
 
-    private void create(MoveJournalState state, JournalRecord.Snapshot first) throws IOException {
-        if (first == null) {
+    private void create(MoveJournalState state, JournalRecord.Snapshot initialSnapshot)
+            throws IOException {
+        if (initialSnapshot == null) {
             throw new IOException(file + " does not exist, and no initial layout was given");
         }
-        state.apply(first);
-        writeNewFile(first, List.of());
+        state.apply(initialSnapshot);
+        writeNewFile(initialSnapshot, List.of());
     }
 
     private void read(MoveJournalState state) throws IOException {
         channel = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE);
         try {
             long size = channel.size();
-            end =
+            expectedSize =
                     new JournalReader(file, channel)
                             .readAll(
                                     (record, position) -> {
                                         apply(state, record, position);
-                                        records++;
+                                        recordCount++;
                                     });
-            if (records == 0) {
+            if (recordCount == 0) {
                 throw new IOException(file + " contains no complete record");
             }
-            tornBytes = size - end;
-            channel.truncate(end);
-            channel.position(end);
+            tornBytes = size - expectedSize;
+            channel.truncate(expectedSize);
+            channel.position(expectedSize);
             if (tornBytes > 0) {
                 skipVersion(state);
             }
@@ -185,27 +187,30 @@
             // never overwritten.
             channel.position(channel.size());
         }
-        end += frame.remaining();
+        expectedSize += frame.remaining();
         while (frame.hasRemaining()) {
             channel.write(frame);
         }
         channel.force(false);
-        records++;
+        recordCount++;
     }
 
     private ByteBuffer frame(JournalRecord record) {
         return JournalFrames.frame(MoveRecordCodec.write(record, term));
     }
 
-    /** Replaces the file by one that begins with a snapshot, if it has more than 1000 records. */
+    /**
+     * Replaces the file by one that begins with a snapshot, if it has more than {@value
+     * #COMPACT_AFTER_RECORDS} records.
+     */
     void compact(MoveJournalState state) throws IOException {
-        if (records > COMPACT_AFTER_RECORDS) {
-            FileChannel old = channel;
+        if (recordCount > COMPACT_AFTER_RECORDS) {
+            FileChannel previousChannel = channel;
             if (term > 0) {
                 requireLeadership();
             }
             writeNewFile(state.snapshot(), state.recordsAfterSnapshot());
-            old.close();
+            previousChannel.close();
         }
     }
 
@@ -242,8 +247,8 @@
             throw e;
         }
         channel = newChannel;
-        end = newChannel.size();
-        records = 1;
+        expectedSize = newChannel.size();
+        recordCount = 1;
     }
 
     private static void writeFully(FileChannel channel, ByteBuffer[] parts) throws IOException {
@@ -287,7 +292,7 @@
      * expects. A write by another process that keeps the size is not detected.
      */
     boolean isLeader() throws IOException {
-        return channel.size() == end && Files.size(file) == end;
+        return channel.size() == expectedSize && Files.size(file) == expectedSize;
     }
 
     @Override
--- a/src/main/java/postbeam/layoutservice/OperatorClient.java
+++ b/src/main/java/postbeam/layoutservice/OperatorClient.java
@@ -14,7 +14,7 @@
     /** The exit status of a request that failed. */
     static final int EXIT_FAILED = 1;
 
-    private static final int EXIT_DONE = 0;
+    private static final int EXIT_SUCCESS = 0;
     private static final Duration TIMEOUT = Duration.ofSeconds(10);
     private static final int FIRST_ERROR_STATUS = 400;
 
@@ -61,16 +61,17 @@
     }
 
     private int print(HttpURLConnection connection) throws IOException {
-        boolean done = connection.getResponseCode() < FIRST_ERROR_STATUS;
-        try (InputStream body = done ? connection.getInputStream() : connection.getErrorStream()) {
+        boolean successful = connection.getResponseCode() < FIRST_ERROR_STATUS;
+        try (InputStream body =
+                successful ? connection.getInputStream() : connection.getErrorStream()) {
             String text =
                     body == null
                             ? ""
                             : new String(
                                     body.readNBytes(LayoutWatch.MAX_LAYOUT_BYTES),
                                     StandardCharsets.UTF_8);
-            (done ? out : err).println(text.stripTrailing());
+            (successful ? out : err).println(text.stripTrailing());
         }
-        return done ? EXIT_DONE : EXIT_FAILED;
+        return successful ? EXIT_SUCCESS : EXIT_FAILED;
     }
 }
--- a/src/main/java/postbeam/layoutservice/WireNames.java
+++ b/src/main/java/postbeam/layoutservice/WireNames.java
@@ -11,12 +11,12 @@
  * readable.
  */
 final class WireNames<E extends Enum<E>> {
-    private final String unknown;
+    private final String unknownNameError;
     private final Map<E, String> names;
     private final Map<String, E> constants = new HashMap<>();
 
-    private WireNames(String unknown, Map<E, String> names) {
-        this.unknown = unknown;
+    private WireNames(String unknownNameError, Map<E, String> names) {
+        this.unknownNameError = unknownNameError;
         this.names = names;
         names.forEach((constant, name) -> constants.put(name, constant));
     }
@@ -24,22 +24,22 @@
     /**
      * Creates the names for all constants of an enum.
      *
-     * @param unknown the beginning of the error message for any other name
+     * @param unknownNameError the beginning of the error message for any other name
      * @throws IllegalArgumentException a constant has no name, or two constants have the same name
      */
     @SafeVarargs
     static <E extends Enum<E>> WireNames<E> of(
-            Class<E> type, String unknown, Map.Entry<E, String>... names) {
-        Map<E, String> all = new EnumMap<>(type);
+            Class<E> type, String unknownNameError, Map.Entry<E, String>... names) {
+        Map<E, String> namesByConstant = new EnumMap<>(type);
         for (Map.Entry<E, String> name : names) {
-            all.put(name.getKey(), name.getValue());
+            namesByConstant.put(name.getKey(), name.getValue());
         }
-        WireNames<E> made = new WireNames<>(unknown, all);
-        if (made.constants.size() != type.getEnumConstants().length) {
+        WireNames<E> wireNames = new WireNames<>(unknownNameError, namesByConstant);
+        if (wireNames.constants.size() != type.getEnumConstants().length) {
             throw new IllegalArgumentException(
                     "each constant of " + type + " must have a distinct name");
         }
-        return made;
+        return wireNames;
     }
 
     String of(E constant) {
@@ -54,7 +54,7 @@
     E constant(String name) throws IOException {
         E constant = constants.get(name);
         if (constant == null) {
-            throw new IOException(unknown + ": " + name);
+            throw new IOException(unknownNameError + ": " + name);
         }
         return constant;
     }
