--- a/src/test/java/postbeam/layoutservice/HandoffClientMessagesTest.java
+++ b/src/test/java/postbeam/layoutservice/HandoffClientMessagesTest.java
@@ -28,13 +28,13 @@
  * understands responses from older versions of data nodes.
  */
 class HandoffClientMessagesTest {
-    private static final KeyRange KEYS = new KeyRange(100, 200);
-    private static final KeyRange REST = new KeyRange(200, KeyRange.KEY_SPACE_SIZE);
-    private static final Object STALE = "stale";
+    private static final KeyRange LOW_KEYS = new KeyRange(100, 200);
+    private static final KeyRange HIGH_KEYS = new KeyRange(200, KeyRange.KEY_SPACE_SIZE);
+    private static final Object SUPERSEDED = "stale";
 
-    private record Done(long move, String node, HandoffCommand order, int slice) {}
+    private record CommandDone(long move, String node, HandoffCommand command, int slice) {}
 
-    private record Answered(long number, String node, List<RangeDigest> digests) {}
+    private record DigestsReceived(long requestId, String node, List<RangeDigest> digests) {}
 
     private final BlockingQueue<Object> events = new LinkedBlockingQueue<>();
 
@@ -44,17 +44,18 @@
      *
      * @return the bytes of all frames
      */
-    private static byte[] serve(ServerSocket server, List<String> answers) throws IOException {
+    private static byte[] receiveFrames(ServerSocket server, List<String> responses)
+            throws IOException {
         ByteArrayOutputStream received = new ByteArrayOutputStream();
         try (Socket socket = server.accept()) {
             DataInputStream in = new DataInputStream(socket.getInputStream());
-            for (String answer : answers) {
-                byte[] head = in.readNBytes(Integer.BYTES);
-                received.write(head);
+            for (String response : responses) {
+                byte[] header = in.readNBytes(Integer.BYTES);
+                received.write(header);
                 received.write(
                         in.readNBytes(
-                                ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN).getInt()));
-                byte[] bytes = answer.getBytes(StandardCharsets.UTF_8);
+                                ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN).getInt()));
+                byte[] bytes = response.getBytes(StandardCharsets.UTF_8);
                 socket.getOutputStream()
                         .write(
                                 ByteBuffer.allocate(Integer.BYTES + bytes.length)
@@ -68,52 +69,56 @@
     }
 
     @Test
-    void ordersKeepTheirBytesAndAnswersTheirMeaning() throws Exception {
-        List<String> answers = Samples.lines("node-order-answers.txt");
+    void sentFramesMatchTheSampleAndResponsesAreReported() throws Exception {
+        List<String> responses = Samples.lines("node-order-answers.txt");
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 HandoffClient client =
                         new HandoffClient(
                                 (move, node, command, slice) ->
-                                        events.add(new Done(move, node, command, slice)))) {
+                                        events.add(new CommandDone(move, node, command, slice)))) {
             client.updateAddresses(
                     Map.of("n1", "127.0.0.1:" + server.getLocalPort(), "n2", "127.0.0.1:7002"));
             client.send(
                     new CoordinatorAction.SendCommand(
-                            7, "n1", HandoffCommand.COPY, 3, KEYS, 12, "n2"));
+                            7, "n1", HandoffCommand.COPY, 3, LOW_KEYS, 12, "n2"));
             client.send(
                     new CoordinatorAction.SendCommand(
-                            7, "n1", HandoffCommand.HOLD, 3, KEYS, 12, "n9"));
+                            7, "n1", HandoffCommand.HOLD, 3, LOW_KEYS, 12, "n9"));
             client.send(
                     new CoordinatorAction.SendCommand(
-                            7, "n1", HandoffCommand.FENCE, 3, KEYS, 12, null));
+                            7, "n1", HandoffCommand.FENCE, 3, LOW_KEYS, 12, null));
             client.startTerm(
                     4,
-                    (number, node, digests) -> events.add(new Answered(number, node, digests)),
-                    () -> events.add(STALE));
+                    (requestId, node, digests) ->
+                            events.add(new DigestsReceived(requestId, node, digests)),
+                    () -> events.add(SUPERSEDED));
             client.send(
                     new CoordinatorAction.SendCommand(
-                            0, "n1", HandoffCommand.SERVE, 3, REST, 13, null));
+                            0, "n1", HandoffCommand.SERVE, 3, HIGH_KEYS, 13, null));
             client.send(
                     new CoordinatorAction.SendCommand(
-                            8, "n1", HandoffCommand.DROP, 3, KEYS, 13, null));
+                            8, "n1", HandoffCommand.DROP, 3, LOW_KEYS, 13, null));
             client.requestDigests(
-                    new MigrationAction.RequestDigests(99, "n1", 3, List.of(KEYS, REST)));
-            Samples.assertSameBytes("node-orders.bin", serve(server, answers));
+                    new MigrationAction.RequestDigests(99, "n1", 3, List.of(LOW_KEYS, HIGH_KEYS)));
+            Samples.assertSameBytes("node-orders.bin", receiveFrames(server, responses));
             assertEquals(
-                    new Done(7, "n1", HandoffCommand.COPY, 3), events.poll(10, TimeUnit.SECONDS));
+                    new CommandDone(7, "n1", HandoffCommand.COPY, 3),
+                    events.poll(10, TimeUnit.SECONDS));
             // The response to HOLD is "busy", which is not reported to a listener.
             assertEquals(
-                    new Done(7, "n1", HandoffCommand.FENCE, 3), events.poll(10, TimeUnit.SECONDS));
+                    new CommandDone(7, "n1", HandoffCommand.FENCE, 3),
+                    events.poll(10, TimeUnit.SECONDS));
             assertEquals(
-                    new Done(0, "n1", HandoffCommand.SERVE, 3), events.poll(10, TimeUnit.SECONDS));
-            assertEquals(STALE, events.poll(10, TimeUnit.SECONDS));
+                    new CommandDone(0, "n1", HandoffCommand.SERVE, 3),
+                    events.poll(10, TimeUnit.SECONDS));
+            assertEquals(SUPERSEDED, events.poll(10, TimeUnit.SECONDS));
             assertEquals(
-                    new Answered(
+                    new DigestsReceived(
                             99,
                             "n1",
                             List.of(
-                                    new RangeDigest(KEYS, 0, 71, 2, 20, "ab".repeat(32)),
-                                    new RangeDigest(REST, 1, 0, 0, 0, "cd".repeat(32)))),
+                                    new RangeDigest(LOW_KEYS, 0, 71, 2, 20, "ab".repeat(32)),
+                                    new RangeDigest(HIGH_KEYS, 1, 0, 0, 0, "cd".repeat(32)))),
                     events.poll(10, TimeUnit.SECONDS));
         }
     }
--- a/src/test/java/postbeam/layoutservice/JsonFieldsTest.java
+++ b/src/test/java/postbeam/layoutservice/JsonFieldsTest.java
@@ -13,7 +13,7 @@
 
 /** Checks that numbers in operator commands and stored records are read without loss. */
 class JsonFieldsTest {
-    private static LayoutChange change(String json) throws IOException {
+    private static LayoutChange readChange(String json) throws IOException {
         return LayoutChangeCodec.readChange(
                 Json.parseObject(json.getBytes(StandardCharsets.UTF_8)));
     }
@@ -23,26 +23,26 @@
      * truncated.
      */
     @Test
-    void numbersThatDoNotFitAreNamed() {
+    void fractionalOrTooLargeNumberIsRejectedWithItsFieldName() {
         for (String split :
                 List.of(
                         "{\"split\": 4294967296, \"at\": [100]}",
                         "{\"split\": 0.5, \"at\": [100]}",
                         "{\"split\": 18446744073709551616, \"at\": [100]}")) {
-            IOException e = assertThrows(IOException.class, () -> change(split), split);
+            IOException e = assertThrows(IOException.class, () -> readChange(split), split);
             assertTrue(e.getMessage().startsWith("split is "), e.getMessage());
         }
         for (String key : List.of("100.5", "18446744073709551716", "1e300")) {
             String split = "{\"split\": 0, \"at\": [" + key + "]}";
-            IOException e = assertThrows(IOException.class, () -> change(split), split);
+            IOException e = assertThrows(IOException.class, () -> readChange(split), split);
             assertTrue(e.getMessage().startsWith("at is "), e.getMessage());
         }
     }
 
     @Test
-    void numbersThatFitAreRead() throws IOException {
+    void integersInRangeAreRead() throws IOException {
         assertEquals(
                 new LayoutChange.Split(7, List.of(100L, 1L << 47)),
-                change("{\"split\": 7, \"at\": [100, 140737488355328]}"));
+                readChange("{\"split\": 7, \"at\": [100, 140737488355328]}"));
     }
 }
--- a/src/test/java/postbeam/layoutservice/LayoutControllerTest.java
+++ b/src/test/java/postbeam/layoutservice/LayoutControllerTest.java
@@ -57,13 +57,13 @@
                                 1,
                                 migrationLimits),
                         layout -> {});
-        controller.onEndpointUpdate(listed("n1"));
+        controller.onEndpointUpdate(endpointUpdate("n1"));
         moves = new Thread(controller::runMoves, "moves");
         moves.setDaemon(true);
         moves.start();
     }
 
-    private static EndpointUpdate listed(String node) {
+    private static EndpointUpdate endpointUpdate(String node) {
         return new EndpointUpdate(
                 1,
                 true,
@@ -89,13 +89,13 @@
     }
 
     @AfterEach
-    void stop() throws IOException {
+    void tearDown() throws IOException {
         controller.stop();
         controller.closeConnections();
         controller.closeJournal();
     }
 
-    private String split() throws Exception {
+    private String startSplit() throws Exception {
         return controller.handle(
                 new OperatorRequest(
                         "POST /v1/start",
@@ -104,10 +104,10 @@
     }
 
     /** Makes a journal write fail: an interrupt of the writing thread closes the file's channel. */
-    private <E extends Exception> E failWrite(Class<E> failure) {
+    private <E extends Exception> E failJournalWrite(Class<E> failure) {
         Thread.currentThread().interrupt();
         try {
-            return assertThrows(failure, this::split);
+            return assertThrows(failure, this::startSplit);
         } finally {
             Thread.interrupted();
         }
@@ -118,8 +118,8 @@
      *
      * @return receives "layout" or the reason of a rejection
      */
-    private BlockingQueue<String> watch(Duration wait) {
-        BlockingQueue<String> answers = new LinkedBlockingQueue<>();
+    private BlockingQueue<String> awaitNewerLayout(Duration wait) {
+        BlockingQueue<String> responses = new LinkedBlockingQueue<>();
         LayoutRequest request =
                 new LayoutRequest(
                         1,
@@ -129,36 +129,39 @@
                         new LayoutRequest.Responder() {
                             @Override
                             public void sendLayout(byte[] json) {
-                                answers.add("layout");
+                                responses.add("layout");
                             }
 
                             @Override
                             public void sendUnavailable(String reason) {
-                                answers.add(reason);
+                                responses.add(reason);
                             }
 
                             @Override
                             public void sendOverloaded(String reason) {
-                                answers.add(reason);
+                                responses.add(reason);
                             }
                         });
         if (!controller.answerLayoutRequest(request)) {
             controller.awaitNewerLayout(request);
         }
-        return answers;
+        return responses;
     }
 
-    private static String next(BlockingQueue<String> answers) throws InterruptedException {
-        return answers.poll(5, TimeUnit.SECONDS);
+    private static String nextResponse(BlockingQueue<String> responses)
+            throws InterruptedException {
+        return responses.poll(5, TimeUnit.SECONDS);
     }
 
     /** Guards against a failed write that is reported to the operator as a faulty request. */
     @Test
-    void failedWriteIsAnErrorOfTheServiceAndLeavesAJournalThatReadsBack() throws Exception {
+    void failedJournalWriteIsAServiceErrorAndLeavesAReadableJournal() throws Exception {
         start(null);
-        assertInstanceOf(IOException.class, failWrite(JournalWriteException.class).getCause());
-        RequestRejectedException next = assertThrows(RequestRejectedException.class, this::split);
-        assertEquals(503, next.status());
+        assertInstanceOf(
+                IOException.class, failJournalWrite(JournalWriteException.class).getCause());
+        RequestRejectedException rejection =
+                assertThrows(RequestRejectedException.class, this::startSplit);
+        assertEquals(503, rejection.status());
         controller.closeJournal();
         MoveJournalState state = new MoveJournalState(4);
         MoveJournal.open(dir.resolve("moves.log"), state, null).close();
@@ -167,43 +170,43 @@
 
     /** Guards against requests that wait forever after a failed journal write. */
     @Test
-    void watcherIsAnsweredInItsTimeThoughTheJournalHasFailed() throws Exception {
+    void withoutLeasesAWaitingRequestReceivesTheLayoutAfterAJournalFailure() throws Exception {
         start(null);
-        BlockingQueue<String> before = watch(Duration.ofMillis(200));
-        failWrite(IOException.class);
-        assertEquals("layout", next(before));
-        assertEquals("layout", next(watch(Duration.ofMillis(200))));
+        BlockingQueue<String> waitingResponses = awaitNewerLayout(Duration.ofMillis(200));
+        failJournalWrite(IOException.class);
+        assertEquals("layout", nextResponse(waitingResponses));
+        assertEquals("layout", nextResponse(awaitNewerLayout(Duration.ofMillis(200))));
     }
 
     /**
      * Guards against routers that wait for a lease renewal after the service has lost its journal.
      */
     @Test
-    void watcherUnderALeaseIsToldAtOnceThatTheServiceHasFailed() throws Exception {
+    void withLeasesAWaitingRequestIsRejectedAtOnceAfterAJournalFailure() throws Exception {
         start(migrationLimits());
-        BlockingQueue<String> before = watch(NEVER);
-        failWrite(IOException.class);
-        assertEquals("this service no longer grants leases", next(before));
-        assertEquals("this service no longer grants leases", next(watch(NEVER)));
+        BlockingQueue<String> waitingResponses = awaitNewerLayout(NEVER);
+        failJournalWrite(IOException.class);
+        assertEquals("this service no longer grants leases", nextResponse(waitingResponses));
+        assertEquals("this service no longer grants leases", nextResponse(awaitNewerLayout(NEVER)));
     }
 
     @Test
-    void watcherIsToldThatTheServiceStops() throws Exception {
+    void waitingAndNewRequestsAreRejectedOnceTheServiceStops() throws Exception {
         start(null);
-        BlockingQueue<String> before = watch(NEVER);
+        BlockingQueue<String> waitingResponses = awaitNewerLayout(NEVER);
         controller.stop();
-        assertEquals("the service is shutting down", next(before));
-        assertEquals("the service is shutting down", next(watch(NEVER)));
+        assertEquals("the service is shutting down", nextResponse(waitingResponses));
+        assertEquals("the service is shutting down", nextResponse(awaitNewerLayout(NEVER)));
         moves.join();
     }
 
     /** Guards against a closed journal that a late endpoint update opens again. */
     @Test
-    void stoppedServiceTakesNoList() throws Exception {
+    void stoppedServiceIgnoresEndpointUpdates() throws Exception {
         start(null);
         controller.stop();
         controller.closeJournal();
-        controller.onEndpointUpdate(listed("n2"));
+        controller.onEndpointUpdate(endpointUpdate("n2"));
         MoveJournal.open(dir.resolve("moves.log"), new MoveJournalState(4), null).close();
     }
 }
--- a/src/test/java/postbeam/layoutservice/LayoutServiceIT.java
+++ b/src/test/java/postbeam/layoutservice/LayoutServiceIT.java
@@ -35,7 +35,7 @@
  * that is killed and restarted.
  */
 class LayoutServiceIT {
-    private static final Duration LONG = Duration.ofSeconds(20);
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
     @TempDir private Path dir;
     private final List<FakeDataNode> nodes = new ArrayList<>();
@@ -44,9 +44,9 @@
     private String settings;
 
     @BeforeEach
-    void stage() throws IOException {
+    void startPeersAndWriteSettings() throws IOException {
         discovery = new FakeDiscovery();
-        InvariantChecker checker = new InvariantChecker(LoopbackCluster.RULES, LONG, LONG);
+        InvariantChecker checker = new InvariantChecker(LoopbackCluster.RULES, TIMEOUT, TIMEOUT);
         for (int i = 0; i < 4; i++) {
             FakeDataNode node =
                     new FakeDataNode(
@@ -60,9 +60,9 @@
             discovery.tell(node, "up", 0);
         }
         String listen;
-        try (var free =
+        try (var portFinder =
                 new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
-            listen = "127.0.0.1:" + free.getLocalPort();
+            listen = "127.0.0.1:" + portFinder.getLocalPort();
         }
         String file =
                 Files.readString(Path.of("deploy/postbeam.json5"))
@@ -81,7 +81,7 @@
     }
 
     @AfterEach
-    void giveBack() throws InterruptedException {
+    void stopAll() throws InterruptedException {
         if (service != null) {
             service.destroyForcibly().waitFor();
         }
@@ -89,24 +89,24 @@
         nodes.forEach(FakeDataNode::close);
     }
 
-    private static List<String> java(String... words) {
+    private static List<String> javaCommand(String... arguments) {
         List<String> command = new ArrayList<>(List.of("java", "-jar", "target/postbeam.jar"));
-        command.addAll(List.of(words));
+        command.addAll(List.of(arguments));
         return command;
     }
 
     private void serve() throws IOException {
         service =
-                new ProcessBuilder(java("layouts", "serve", "--settings", settings))
+                new ProcessBuilder(javaCommand("layouts", "serve", "--settings", settings))
                         .redirectErrorStream(true)
                         .redirectOutput(dir.resolve("service.txt").toFile())
                         .start();
     }
 
     /** Runs the sub-command; returns its exit status, a space and its output. */
-    private String layouts(String... words) throws IOException, InterruptedException {
-        List<String> command = java("layouts");
-        command.addAll(List.of(words));
+    private String layouts(String... arguments) throws IOException, InterruptedException {
+        List<String> command = javaCommand("layouts");
+        command.addAll(List.of(arguments));
         command.addAll(List.of("--settings", settings));
         Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
         String output =
@@ -114,18 +114,20 @@
         return process.waitFor() + " " + output;
     }
 
-    private static void until(Callable<Boolean> condition) throws Exception {
-        long end = System.nanoTime() + LONG.toNanos();
+    private static void awaitCondition(Callable<Boolean> condition) throws Exception {
+        long deadlineNanos = System.nanoTime() + TIMEOUT.toNanos();
         while (!condition.call()) {
-            assertTrue(System.nanoTime() < end, "the condition did not hold within " + LONG);
+            assertTrue(
+                    System.nanoTime() < deadlineNanos,
+                    "the condition did not hold within " + TIMEOUT);
             Thread.sleep(50);
         }
     }
 
     @Test
-    void operatorsPlanStartAndAbandonAndAKilledServiceGoesOn() throws Exception {
+    void operatorsPlanStartAndAbandonMovesAndARestartedServiceResumesThem() throws Exception {
         serve();
-        until(() -> layouts("verify").equals("0 sound: layout 1, 4 slices"));
+        awaitCondition(() -> layouts("verify").equals("0 sound: layout 1, 4 slices"));
         assertEquals(
                 "0 possible: split 0 at [100]",
                 layouts("plan", "--change", "{\"split\": 0, \"at\": [100]}"));
@@ -143,19 +145,19 @@
         assertEquals(
                 "0 move 1: split 0 at [100]",
                 layouts("start", "--change", "{\"split\": 0, \"at\": [100]}"));
-        until(() -> layouts("verify").equals("0 sound: layout 2, 5 slices"));
+        awaitCondition(() -> layouts("verify").equals("0 sound: layout 2, 5 slices"));
         nodes.get(2).setHanging(true);
         assertEquals(
                 "0 move 2: move 4 from n0 to n2",
                 layouts("start", "--change", "{\"move\": 4, \"off\": \"n0\", \"onto\": \"n2\"}"));
-        until(() -> layouts("status").contains("COPYING"));
+        awaitCondition(() -> layouts("status").contains("COPYING"));
         service.destroyForcibly().waitFor();
         serve();
-        until(() -> layouts("status").contains("COPYING"));
+        awaitCondition(() -> layouts("status").contains("COPYING"));
         assertEquals("0 move 2 is being abandoned", layouts("abandon", "--move", "2"));
         nodes.get(2).setHanging(false);
-        until(() -> layouts("status").contains("ABANDONED"));
-        until(() -> layouts("verify").equals("0 sound: layout 3, 5 slices"));
+        awaitCondition(() -> layouts("status").contains("ABANDONED"));
+        awaitCondition(() -> layouts("verify").equals("0 sound: layout 3, 5 slices"));
         assertTrue(layouts("show").contains("\"version\":3"));
         assertTrue(
                 Files.readString(dir.resolve("service.txt"))
@@ -163,13 +165,13 @@
     }
 
     @Test
-    void aRouterFollowsTheLayoutAndTellsWhatItCantRoute() throws Exception {
+    void routerFollowsTheLayoutAndRejectsQueriesItCannotRoute() throws Exception {
         serve();
-        until(() -> layouts("verify").startsWith("0 sound"));
+        awaitCondition(() -> layouts("verify").startsWith("0 sound"));
         String listen;
-        try (var free =
+        try (var portFinder =
                 new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
-            listen = "127.0.0.1:" + free.getLocalPort();
+            listen = "127.0.0.1:" + portFinder.getLocalPort();
         }
         String config =
                 Files.writeString(
@@ -180,12 +182,12 @@
                                         .replaceAll("\"known\": [^]]*\\]},", ""))
                         .toString();
         Process router =
-                new ProcessBuilder(java("serve", "--config", config, "--settings", settings))
+                new ProcessBuilder(javaCommand("serve", "--config", config, "--settings", settings))
                         .redirectErrorStream(true)
                         .redirectOutput(dir.resolve("router.txt").toFile())
                         .start();
         try {
-            until(
+            awaitCondition(
                     () -> {
                         try {
                             return HttpClient.newHttpClient()
@@ -205,14 +207,14 @@
                     });
             assertTrue(query(listen, 1, 0).startsWith("200 {\"total\":true,\"layout\":1,"));
             layouts("start", "--change", "{\"split\": 0, \"at\": [100]}");
-            until(() -> query(listen, 2, 4).startsWith("200"));
+            awaitCondition(() -> query(listen, 2, 4).startsWith("200"));
             // A search is complete with three quarters of its weight; a hold needs all keys.
-            String cut = query(listen, "/hold?obj=1", 1, 0);
-            assertTrue(cut.startsWith("200 {\"total\":true,"), cut);
+            String holdResponse = query(listen, "/hold?obj=1", 1, 0);
+            assertTrue(holdResponse.startsWith("200 {\"total\":true,"), holdResponse);
             assertTrue(
-                    cut.contains("\"from\":0,\"to\":100,\"named\":[0]")
-                            && cut.contains("\"range\":5,\"from\":100"),
-                    cut);
+                    holdResponse.contains("\"from\":0,\"to\":100,\"named\":[0]")
+                            && holdResponse.contains("\"range\":5,\"from\":100"),
+                    holdResponse);
             assertEquals("400 layout 2 has no slice 0", query(listen, 2, 0));
             assertEquals("503 0.2 layout 9 is not known yet; 2 is", query(listen, 9, 0));
             assertEquals("400 Req-Layout can't be used", query(listen, -1, 0));
@@ -221,7 +223,7 @@
                     "start",
                     "--change",
                     "{\"split\": 1, \"at\": [" + (KeyRange.KEY_SPACE_SIZE / 3) + "]}");
-            until(
+            awaitCondition(
                     () ->
                             query(listen, 1, 0)
                                     .equals("410 layout 1 is no longer kept; 3 is in force"));
@@ -240,7 +242,7 @@
 
     private static String query(String router, String path, long version, int slice)
             throws IOException, InterruptedException {
-        HttpResponse<String> answer =
+        HttpResponse<String> response =
                 HttpClient.newHttpClient()
                         .send(
                                 HttpRequest.newBuilder(URI.create("http://" + router + path))
@@ -256,16 +258,16 @@
                                                                 + "\"predicate\":\"x\"}"))
                                         .build(),
                                 HttpResponse.BodyHandlers.ofString());
-        return answer.statusCode()
+        return response.statusCode()
                 + " "
-                + answer.headers().firstValue("Retry-After").map(wait -> wait + " ").orElse("")
-                + answer.body().strip();
+                + response.headers().firstValue("Retry-After").map(wait -> wait + " ").orElse("")
+                + response.body().strip();
     }
 
     @Test
-    void aSecondServiceOnOneLogIsKeptOut() throws Exception {
+    void secondServiceOnTheSameJournalIsRejected() throws Exception {
         serve();
-        until(() -> layouts("verify").startsWith("0 sound"));
+        awaitCondition(() -> layouts("verify").startsWith("0 sound"));
         String other =
                 Files.writeString(
                                 dir.resolve("other.json5"),
@@ -275,7 +277,7 @@
                                                 "listen: \"127.0.0.1:1\""))
                         .toString();
         Process second =
-                new ProcessBuilder(java("layouts", "serve", "--settings", other))
+                new ProcessBuilder(javaCommand("layouts", "serve", "--settings", other))
                         .redirectErrorStream(true)
                         .start();
         assertTrue(
@@ -285,12 +287,12 @@
     }
 
     @Test
-    void tryAnswersTheQueryItPrints() throws Exception {
-        Process tried =
-                new ProcessBuilder(java("try", "--seconds", "20"))
+    void tryCommandAnswersTheQueryItPrints() throws Exception {
+        Process tryProcess =
+                new ProcessBuilder(javaCommand("try", "--seconds", "20"))
                         .redirectErrorStream(true)
                         .start();
-        try (var out = tried.inputReader()) {
+        try (var out = tryProcess.inputReader()) {
             String line;
             String curl = null;
             while (curl == null && (line = out.readLine()) != null) {
@@ -314,13 +316,13 @@
                     new String(connection.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
                             .contains("\"total\":true"));
         } finally {
-            tried.destroyForcibly().waitFor();
+            tryProcess.destroyForcibly().waitFor();
         }
     }
 
     @Test
-    void trialsAreListedAndBadOnesNamed() throws Exception {
-        for (Map.Entry<String, Integer> one :
+    void trialCommandListsTrialsAndReportsErrorsInItsExitStatus() throws Exception {
+        for (Map.Entry<String, Integer> argumentsAndStatus :
                 Map.of(
                                 "--list",
                                 0,
@@ -335,12 +337,12 @@
                                 "recuts --seeds 1-2 --plant back",
                                 1)
                         .entrySet()) {
-            List<String> command = java("trial");
-            command.addAll(List.of(one.getKey().split(" ")));
+            List<String> command = javaCommand("trial");
+            command.addAll(List.of(argumentsAndStatus.getKey().split(" ")));
             Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
             String output =
                     new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertEquals(one.getValue(), process.waitFor(), output);
+            assertEquals(argumentsAndStatus.getValue(), process.waitFor(), output);
         }
     }
 }
--- a/src/test/java/postbeam/layoutservice/LayoutServiceResponsesTest.java
+++ b/src/test/java/postbeam/layoutservice/LayoutServiceResponsesTest.java
@@ -30,7 +30,7 @@
  */
 class LayoutServiceResponsesTest {
     private static final Duration NEVER = Duration.ofDays(1);
-    private static final Duration PATIENCE = Duration.ofSeconds(20);
+    private static final Duration WAIT_LIMIT = Duration.ofSeconds(20);
 
     @TempDir private Path dir;
     private final HttpClient client = HttpClient.newHttpClient();
@@ -40,9 +40,9 @@
      * The JSON entries of the nodes that discovery lists. Nothing listens at their addresses, so no
      * handoff command is ever answered.
      */
-    private volatile String listed = "";
+    private volatile String listedNodes = "";
 
-    private final AtomicInteger seq = new AtomicInteger(1);
+    private final AtomicInteger endpointListVersion = new AtomicInteger(1);
     private HttpServer discovery;
     private LayoutService service;
 
@@ -56,9 +56,9 @@
                 exchange -> {
                     byte[] body =
                             ("{\"seq\":"
-                                            + seq.get()
+                                            + endpointListVersion.get()
                                             + ",\"whole\":true,\"hosts\":["
-                                            + listed
+                                            + listedNodes
                                             + "]}")
                                     .getBytes(StandardCharsets.UTF_8);
                     exchange.sendResponseHeaders(200, body.length);
@@ -117,37 +117,37 @@
     }
 
     /** Sends a request and records it with its response; durations are replaced by 0. */
-    private void ask(String method, String path, String body) throws Exception {
-        HttpResponse<String> answer = send(method, path, body);
+    private void sendAndRecord(String method, String path, String body) throws Exception {
+        HttpResponse<String> response = send(method, path, body);
         transcript.add("> " + (method + " " + path + " " + body).strip());
         transcript.add(
                 "< "
-                        + answer.statusCode()
+                        + response.statusCode()
                         + " "
-                        + answer.headers().firstValue("Content-Type").orElse("-"));
+                        + response.headers().firstValue("Content-Type").orElse("-"));
         transcript.addAll(
-                answer.body().replaceAll("\"for_ms\":[0-9]+", "\"for_ms\":0").lines().toList());
+                response.body().replaceAll("\"for_ms\":[0-9]+", "\"for_ms\":0").lines().toList());
     }
 
     private void get(String path) throws Exception {
-        ask("GET", path, "");
+        sendAndRecord("GET", path, "");
     }
 
     private void post(String path, String body) throws Exception {
-        ask("POST", path, body);
+        sendAndRecord("POST", path, body);
     }
 
-    private void until(String path, String text) throws Exception {
-        long end = System.nanoTime() + PATIENCE.toNanos();
+    private void awaitBodyContaining(String path, String text) throws Exception {
+        long deadlineNanos = System.nanoTime() + WAIT_LIMIT.toNanos();
         while (!send("GET", path, "").body().contains(text)) {
             assertTrue(
-                    System.nanoTime() < end,
-                    path + " did not return " + text + " within " + PATIENCE);
+                    System.nanoTime() < deadlineNanos,
+                    path + " did not return " + text + " within " + WAIT_LIMIT);
             Thread.sleep(20);
         }
     }
 
-    private static String node(String name, String zone, String health) {
+    private static String nodeEntry(String name, String zone, String health) {
         return "{\"host\":\""
                 + name
                 + "\",\"dial\":\"127.0.0.1:1\",\"site\":\""
@@ -157,38 +157,38 @@
                 + "\",\"born_ms\":0}";
     }
 
-    private void list(String... nodes) {
-        listed = String.join(",", nodes);
-        seq.incrementAndGet();
+    private void listNodes(String... nodes) {
+        listedNodes = String.join(",", nodes);
+        endpointListVersion.incrementAndGet();
     }
 
     @Test
-    void answersAreAsBefore() throws Exception {
+    void responsesToAFixedRequestSequenceMatchTheSample() throws Exception {
         get("/v1/layout");
         get("/v1/status");
-        list(
-                node("n1", "z1", "up"),
-                node("n2", "z2", "up"),
-                node("n3", "z1", "up"),
-                node("n4", "z2", "up"));
-        until("/v1/layout", "version");
-        layouts();
-        plans();
-        moves();
-        migrations();
-        list(
-                node("n1", "z1", "removed"),
-                node("n2", "z2", "draining"),
-                node("n3", "z1", "up"),
-                node("n4", "z2", "up"));
-        until("/v1/verify", "n2 is draining");
-        until("/v1/status", "node n1 is gone");
+        listNodes(
+                nodeEntry("n1", "z1", "up"),
+                nodeEntry("n2", "z2", "up"),
+                nodeEntry("n3", "z1", "up"),
+                nodeEntry("n4", "z2", "up"));
+        awaitBodyContaining("/v1/layout", "version");
+        requestLayouts();
+        requestPlans();
+        requestMoves();
+        requestMigrations();
+        listNodes(
+                nodeEntry("n1", "z1", "removed"),
+                nodeEntry("n2", "z2", "draining"),
+                nodeEntry("n3", "z1", "up"),
+                nodeEntry("n4", "z2", "up"));
+        awaitBodyContaining("/v1/verify", "n2 is draining");
+        awaitBodyContaining("/v1/status", "node n1 is gone");
         get("/v1/status");
         get("/v1/verify");
         Samples.assertSameLines("layout-service-answers.txt", transcript);
     }
 
-    private void layouts() throws Exception {
+    private void requestLayouts() throws Exception {
         get("/v1/layout");
         get("/v1/layout?index=1&wait=10");
         get("/v1/layout?index=1&wait=10&router=r1&held=1");
@@ -197,7 +197,7 @@
         get("/v1/nothing");
     }
 
-    private void plans() throws Exception {
+    private void requestPlans() throws Exception {
         post("/v1/plan", "{\"split\": 0, \"at\": [100]}");
         post("/v1/plan", "{\"merge\": [0, 1]}");
         post("/v1/plan", "{\"move\": 0, \"off\": \"n1\", \"onto\": \"n3\"}");
@@ -220,11 +220,12 @@
                 "{\"slices\": [{\"from\": 0, \"to\": 200, \"nodes\": [\"n1\", \"n1\", \"n9\"]}]}");
     }
 
-    private void moves() throws Exception {
+    private void requestMoves() throws Exception {
         post("/v1/start", "{\"split\": 0, \"at\": [100, 200]}");
         post("/v1/start", "{\"split\": 0, \"at\": [100]}");
         post("/v1/start", "{\"move\": 1, \"off\": \"n2\", \"onto\": \"n4\"}");
-        until("/v1/status", "\"change\":\"move 1 from n2 to n4\",\"state\":\"COPYING\"");
+        awaitBodyContaining(
+                "/v1/status", "\"change\":\"move 1 from n2 to n4\",\"state\":\"COPYING\"");
         post("/v1/abandon?move=2", "");
         post("/v1/abandon?move=2", "");
         post("/v1/abandon?move=77", "");
@@ -233,11 +234,11 @@
         post(
                 "/v1/start",
                 "{\"slices\": [{\"from\": 0, \"to\": 100, \"nodes\": [\"n1\", \"n2\"]}]}");
-        until("/v1/status", "ABANDONING");
+        awaitBodyContaining("/v1/status", "ABANDONING");
         get("/v1/status");
     }
 
-    private void migrations() throws Exception {
+    private void requestMigrations() throws Exception {
         get("/v1/migrations");
         post(
                 "/v1/migrate",
@@ -249,7 +250,7 @@
                 "/v1/migrate",
                 "{\"member\": \"gold\", \"hops\": [{\"move\": 2, \"off\": \"n3\", \"onto\":"
                         + " \"n1\"}]}");
-        until("/v1/migrations", "\"stage\":\"COPYING\"");
+        awaitBodyContaining("/v1/migrations", "\"stage\":\"COPYING\"");
         get("/v1/migrations");
         post("/v1/pause?migration=1", "");
         post("/v1/pause?migration=x", "");
@@ -262,7 +263,7 @@
         post("/v1/utility?member=gold&permille=900", "");
         post("/v1/rollback?migration=1", "");
         post("/v1/rollback?migration=9", "");
-        until("/v1/migrations", "ROLLED_BACK");
+        awaitBodyContaining("/v1/migrations", "ROLLED_BACK");
         get("/v1/migrations");
         get("/v1/status");
     }
--- a/src/test/java/postbeam/layoutservice/LayoutServiceSettingsTest.java
+++ b/src/test/java/postbeam/layoutservice/LayoutServiceSettingsTest.java
@@ -21,12 +21,12 @@
                 SubsystemSettings.read(Files.writeString(dir.resolve("settings.json5"), text)));
     }
 
-    private static String deployed() throws IOException {
+    private static String deployedSettings() throws IOException {
         return Files.readString(Path.of("deploy/postbeam.json5"));
     }
 
     private void assertRejected(String name, String text) throws IOException {
-        assertNotEquals(deployed(), text);
+        assertNotEquals(deployedSettings(), text);
         IOException e = assertThrows(IOException.class, () -> read(text));
         assertTrue(e.getMessage().contains(name), e.getMessage());
     }
@@ -34,15 +34,16 @@
     /** Guards against a NullPointerException if a number is missing. */
     @ParameterizedTest
     @ValueSource(strings = {"leastUtility", "finestKeys", "bytesASecond"})
-    void missingNumberIsNamed(String name) throws IOException {
-        assertRejected(name, deployed().replaceAll("(?m)^ *" + name + ": .*$", ""));
+    void missingNumberIsRejectedWithItsName(String name) throws IOException {
+        assertRejected(name, deployedSettings().replaceAll("(?m)^ *" + name + ": .*$", ""));
     }
 
     /** Guards against an endless split of a range that has a single key. */
     @ParameterizedTest
     @ValueSource(strings = {"0", "-1", "0.5"})
-    void rangesNeverGoBelowOneKey(String keys) throws IOException {
+    void finestKeysBelowOneOrFractionalIsRejected(String keys) throws IOException {
         assertRejected(
-                "finestKeys", deployed().replaceAll("finestKeys: [0-9]+", "finestKeys: " + keys));
+                "finestKeys",
+                deployedSettings().replaceAll("finestKeys: [0-9]+", "finestKeys: " + keys));
     }
 }
--- a/src/test/java/postbeam/layoutservice/LayoutServiceStopTest.java
+++ b/src/test/java/postbeam/layoutservice/LayoutServiceStopTest.java
@@ -68,7 +68,7 @@
     }
 
     @AfterEach
-    void leaveLogger() {
+    void stopRecordingErrors() {
         logger.removeHandler(errorRecorder);
     }
 
@@ -92,9 +92,9 @@
                 1);
     }
 
-    private int split(String address, int slice) throws InterruptedException {
+    private int startSplit(String address, int slice) throws InterruptedException {
         try {
-            HttpResponse<String> answer =
+            HttpResponse<String> response =
                     client.send(
                             HttpRequest.newBuilder(URI.create("http://" + address + "/v1/start"))
                                     .POST(
@@ -102,17 +102,17 @@
                                                     "{\"split\": "
                                                             + slice
                                                             + ", \"at\": ["
-                                                            + firstCut(slice)
+                                                            + secondKeyOf(slice)
                                                             + "]}"))
                                     .build(),
                             HttpResponse.BodyHandlers.ofString());
-            return answer.statusCode();
+            return response.statusCode();
         } catch (IOException e) {
             return 0;
         }
     }
 
-    private static long firstCut(int slice) {
+    private static long secondKeyOf(int slice) {
         return Layout.initial(SLICES, List.of("n1"), 1).slice(slice).keys().from() + 1;
     }
 
@@ -122,7 +122,7 @@
      */
     @Test
     @Timeout(60)
-    void requestsBesideAStopAreRecordedOrRejected() throws Exception {
+    void requestsDuringAStopAreRecordedOrRejected() throws Exception {
         for (int stop = 0; stop < STOPS; stop++) {
             Path journal = dir.resolve("moves" + stop);
             Set<Integer> accepted = ConcurrentHashMap.newKeySet();
@@ -132,13 +132,14 @@
                 LayoutService service = new LayoutService(config(journal, discovery));
                 service.start();
                 String address = service.address();
-                while (split(address, SLICES - 1) != 200) {
+                while (startSplit(address, SLICES - 1) != 200) {
                     Thread.sleep(5);
                 }
-                AtomicInteger next = new AtomicInteger();
+                AtomicInteger nextSlice = new AtomicInteger();
                 List<Thread> operators = new ArrayList<>();
                 for (int i = 0; i < OPERATORS; i++) {
-                    operators.add(new Thread(() -> startMoves(address, next, accepted, statuses)));
+                    operators.add(
+                            new Thread(() -> startMoves(address, nextSlice, accepted, statuses)));
                 }
                 operators.forEach(Thread::start);
                 Thread.sleep(20 + random.nextInt(30));
@@ -156,12 +157,12 @@
     }
 
     private void startMoves(
-            String address, AtomicInteger next, Set<Integer> accepted, Set<Integer> statuses) {
+            String address, AtomicInteger nextSlice, Set<Integer> accepted, Set<Integer> statuses) {
         try {
             int status = 200;
             while (status == 200) {
-                int slice = next.getAndIncrement();
-                status = split(address, slice);
+                int slice = nextSlice.getAndIncrement();
+                status = startSplit(address, slice);
                 statuses.add(status);
                 if (status == 200) {
                     accepted.add(slice);
--- a/src/test/java/postbeam/layoutservice/MoveJournalTest.java
+++ b/src/test/java/postbeam/layoutservice/MoveJournalTest.java
@@ -28,7 +28,7 @@
 
     @TempDir private Path dir;
 
-    private static JournalRecord.Snapshot first() {
+    private static JournalRecord.Snapshot initialSnapshot() {
         return new JournalRecord.Snapshot(
                 Layout.initial(3, List.of("a", "b"), 2), 1, 0, 2, List.of(), null, List.of());
     }
@@ -54,12 +54,13 @@
     }
 
     /** Writes all records; returns the file's size after the snapshot and after each record. */
-    private List<Long> written(Path file) throws IOException {
+    private List<Long> writeJournal(Path file) throws IOException {
         List<Long> ends = new ArrayList<>();
-        try (MoveJournal log = MoveJournal.open(file, new MoveJournalState(10), first())) {
+        try (MoveJournal journal =
+                MoveJournal.open(file, new MoveJournalState(10), initialSnapshot())) {
             ends.add(Files.size(file));
             for (JournalRecord record : records()) {
-                log.append(record);
+                journal.append(record);
                 ends.add(Files.size(file));
             }
         }
@@ -71,11 +72,11 @@
     }
 
     @Test
-    void recordsComeBackAsTheyWere() throws IOException {
+    void recordsAreReadBackToTheSameState() throws IOException {
         Path file = dir.resolve("moves.log");
-        written(file);
+        writeJournal(file);
         MoveJournalState expected = new MoveJournalState(10);
-        expected.apply(first());
+        expected.apply(initialSnapshot());
         records().forEach(expected::apply);
         MoveJournalState read = new MoveJournalState(10);
         MoveJournal.open(file, read, null).close();
@@ -86,28 +87,28 @@
     }
 
     @Test
-    void aTornTailIsCutOffAtEachByteAndItsVersionNotUsedAgain() throws IOException {
+    void tornTailOfAnyLengthIsRemovedAndItsVersionIsNotReused() throws IOException {
         Path file = dir.resolve("moves.log");
-        List<Long> ends = written(file);
+        List<Long> ends = writeJournal(file);
         byte[] all = Files.readAllBytes(file);
         for (int length = ends.get(0).intValue(); length < all.length; length++) {
             Path torn = dir.resolve("torn" + length);
             Files.write(torn, Arrays.copyOf(all, length));
-            int sound = 0;
-            while (sound + 1 < ends.size() && ends.get(sound + 1) <= length) {
-                sound++;
+            int intactRecords = 0;
+            while (intactRecords + 1 < ends.size() && ends.get(intactRecords + 1) <= length) {
+                intactRecords++;
             }
             MoveJournalState expected = new MoveJournalState(10);
-            expected.apply(first());
-            records().subList(0, sound).forEach(expected::apply);
+            expected.apply(initialSnapshot());
+            records().subList(0, intactRecords).forEach(expected::apply);
             MoveJournalState read = new MoveJournalState(10);
-            try (MoveJournal log = MoveJournal.open(torn, read, null)) {
-                assertEquals(length - ends.get(sound), log.tornBytes());
+            try (MoveJournal journal = MoveJournal.open(torn, read, null)) {
+                assertEquals(length - ends.get(intactRecords), journal.tornBytes());
                 assertEquals(expected.activeMoves().size(), read.activeMoves().size());
                 assertEquals(expected.layout().slices(), read.layout().slices());
                 assertEquals(
                         expected.layout().version
-                                + (log.tornBytes() == 0
+                                + (journal.tornBytes() == 0
                                         ? 0
                                         : expected.nextVersion() + 1 - expected.layout().version),
                         read.layout().version);
@@ -120,28 +121,28 @@
     }
 
     @Test
-    void aFlippedBitBeforeTheEndIsNamedAndNothingIsCut() throws IOException {
+    void flippedBitBeforeTheLastRecordIsRejectedAndTheFileIsUnchanged() throws IOException {
         Path file = dir.resolve("moves.log");
-        List<Long> ends = written(file);
+        List<Long> ends = writeJournal(file);
         byte[] all = Files.readAllBytes(file);
-        for (int at = 0; at < ends.get(ends.size() - 2); at += 3) {
-            byte[] bad = all.clone();
-            bad[at] = (byte) (bad[at] ^ (1 << (at % 8)));
+        for (int offset = 0; offset < ends.get(ends.size() - 2); offset += 3) {
+            byte[] damaged = all.clone();
+            damaged[offset] = (byte) (damaged[offset] ^ (1 << (offset % 8)));
             Path flipped = dir.resolve("flipped");
-            Files.write(flipped, bad);
+            Files.write(flipped, damaged);
             assertThrows(
                     IOException.class,
                     () -> MoveJournal.open(flipped, new MoveJournalState(10), null).close(),
-                    "byte " + at);
-            assertTrue(Arrays.equals(bad, Files.readAllBytes(flipped)), "byte " + at);
+                    "byte " + offset);
+            assertTrue(Arrays.equals(damaged, Files.readAllBytes(flipped)), "byte " + offset);
         }
     }
 
     @Test
-    void compactionKeepsAllThatIsKnown() throws IOException {
+    void compactionPreservesTheState() throws IOException {
         Path file = dir.resolve("moves.log");
         MoveJournalState journalState = new MoveJournalState(10);
-        try (MoveJournal log = MoveJournal.open(file, journalState, first())) {
+        try (MoveJournal journal = MoveJournal.open(file, journalState, initialSnapshot())) {
             for (int i = 0; i < 1100; i++) {
                 JournalRecord record =
                         new JournalRecord.TargetSet(
@@ -152,8 +153,8 @@
                                                         new TargetLayout.DesiredSlice(
                                                                 KeyRange.ALL, List.of("a", "b")))));
                 journalState.apply(record);
-                log.append(record);
-                log.compact(journalState);
+                journal.append(record);
+                journal.compact(journalState);
             }
         }
         assertTrue(Files.size(file) < 30_000, "size " + Files.size(file));
@@ -163,10 +164,11 @@
     }
 
     @Test
-    void aLogInUseOrOfAnotherFormIsNotTouched() throws IOException {
+    void journalInUseOrOfAnotherFormatOrMissingIsRejected() throws IOException {
         Path file = dir.resolve("moves.log");
-        try (MoveJournal log = MoveJournal.open(file, new MoveJournalState(10), first())) {
-            assertEquals(0, log.tornBytes());
+        try (MoveJournal journal =
+                MoveJournal.open(file, new MoveJournalState(10), initialSnapshot())) {
+            assertEquals(0, journal.tornBytes());
             assertTrue(
                     assertThrows(
                                     IOException.class,
--- a/src/test/java/postbeam/layoutservice/StoredMoveRecordsTest.java
+++ b/src/test/java/postbeam/layoutservice/StoredMoveRecordsTest.java
@@ -41,7 +41,7 @@
     private static final int HISTORY = 10;
 
     /** The number of records after which a journal is compacted, and one more. */
-    private static final int ENOUGH_TO_COMPACT = 1001;
+    private static final int COMPACTION_RECORDS = 1001;
 
     @TempDir private Path dir;
 
@@ -170,18 +170,18 @@
 
     /** Migration records of every kind and state; they are written with the writer's term. */
     private static List<JournalRecord> migrationRecords() {
-        List<SliceTransfer> hops =
+        List<SliceTransfer> transfers =
                 List.of(new SliceTransfer(1, "n2", "n3"), new SliceTransfer(5, "n2", "n4"));
         List<JournalRecord> records = new ArrayList<>();
         long id = 0;
-        for (MigrationState stage : MigrationState.values()) {
+        for (MigrationState migrationState : MigrationState.values()) {
             id++;
-            records.add(new MigrationRecord.Created(id, "member " + id, hops, 7, 0.25, AT));
-            records.add(new MigrationRecord.StateEntered(id, stage, AT));
+            records.add(new MigrationRecord.Created(id, "member " + id, transfers, 7, 0.25, AT));
+            records.add(new MigrationRecord.StateEntered(id, migrationState, AT));
         }
         records.add(new MigrationRecord.MoveVerified(2, 9, DIGEST));
-        for (PauseReason cause : PauseReason.values()) {
-            records.add(new MigrationRecord.Paused(3, cause, "because", AT));
+        for (PauseReason pauseReason : PauseReason.values()) {
+            records.add(new MigrationRecord.Paused(3, pauseReason, "because", AT));
         }
         records.add(
                 new MigrationRecord.Paused(2, PauseReason.DIGEST_MISMATCH, "slice 1 differs", AT));
@@ -195,7 +195,7 @@
                 new MigrationRecord.Snapshot(
                         21,
                         "silver",
-                        hops,
+                        transfers,
                         7,
                         0,
                         MigrationState.PLANNED,
@@ -211,7 +211,7 @@
                 new MigrationRecord.Snapshot(
                         22,
                         "gold",
-                        hops,
+                        transfers,
                         7,
                         1.5,
                         MigrationState.ROLLING_BACK,
@@ -239,15 +239,15 @@
     private Path written() throws IOException {
         Path file = dir.resolve("written.bin");
         MoveJournalState journalState = emptyState();
-        try (MoveJournal log = MoveJournal.open(file, journalState, snapshot())) {
+        try (MoveJournal journal = MoveJournal.open(file, journalState, snapshot())) {
             for (JournalRecord record : moveRecords()) {
                 journalState.apply(record);
-                log.append(record);
+                journal.append(record);
             }
-            log.startTerm(journalState);
+            journal.startTerm(journalState);
             for (JournalRecord record : migrationRecords()) {
                 journalState.apply(record);
-                log.append(record);
+                journal.append(record);
             }
         }
         return file;
@@ -287,7 +287,7 @@
     }
 
     @Test
-    void recordsOfEveryKindAreWrittenAsBefore() {
+    void recordsOfEveryKindMatchTheSample() {
         List<String> written = new ArrayList<>();
         List<JournalRecord> records = new ArrayList<>(List.of(snapshot()));
         records.addAll(moveRecords());
@@ -306,35 +306,36 @@
     }
 
     @Test
-    void aLogIsWrittenWithTheSameBytes() throws IOException {
+    void journalIsWrittenWithTheSameBytes() throws IOException {
         Samples.assertSameBytes("move-journal.bin", Files.readAllBytes(written()));
     }
 
     @Test
-    void aStoredLogIsReadToTheSameState() throws IOException {
+    void storedJournalIsReadToTheSameState() throws IOException {
         MoveJournalState journalState = emptyState();
-        try (MoveJournal log = MoveJournal.open(sample("move-journal.bin"), journalState, null)) {
-            assertEquals(0, log.tornBytes());
+        try (MoveJournal journal =
+                MoveJournal.open(sample("move-journal.bin"), journalState, null)) {
+            assertEquals(0, journal.tornBytes());
         }
         Samples.assertSameLines("move-journal-state.jsonl", state(journalState));
     }
 
     @Test
-    void aStoredLogIsCompactedToTheSameBytes() throws IOException {
+    void storedJournalIsCompactedToTheSameBytes() throws IOException {
         Path file = sample("move-journal.bin");
         MoveJournalState journalState = emptyState();
-        try (MoveJournal log = MoveJournal.open(file, journalState, null)) {
-            log.startTerm(journalState);
-            for (int i = 0; i < ENOUGH_TO_COMPACT; i++) {
-                log.append(new JournalRecord.TargetSet(target()));
+        try (MoveJournal journal = MoveJournal.open(file, journalState, null)) {
+            journal.startTerm(journalState);
+            for (int i = 0; i < COMPACTION_RECORDS; i++) {
+                journal.append(new JournalRecord.TargetSet(target()));
             }
-            log.compact(journalState);
+            journal.compact(journalState);
         }
         Samples.assertSameBytes("move-journal-compacted.bin", Files.readAllBytes(file));
     }
 
     @Test
-    void aStoredCompactedLogIsReadToTheSameState() throws IOException {
+    void storedCompactedJournalIsReadToTheSameState() throws IOException {
         MoveJournalState journalState = emptyState();
         MoveJournal.open(sample("move-journal-compacted.bin"), journalState, null).close();
         List<String> state =
@@ -349,7 +350,7 @@
     }
 
     @Test
-    void aStoredLayoutIsReadAndWrittenWithTheSameBytes() throws IOException {
+    void storedLayoutIsReadAndWrittenWithTheSameBytes() throws IOException {
         Samples.assertSameBytes("layout.json", LayoutCodec.write(layout()));
         byte[] stored = Samples.bytes("layout.json");
         Samples.assertSameBytes(
