--- a/src/main/java/postbeam/layoutservice/LayoutRequest.java
+++ b/src/main/java/postbeam/layoutservice/LayoutRequest.java
@@ -18,7 +18,7 @@
         Optional<String> router,
         long heldVersion,
         Responder responder) {
-    /** Sends the response to a request for the layout. One method is called, once. */
+    /** Sends the response to a request for the layout. Exactly one method is called, once. */
     interface Responder {
         /** Sends the layout in JSON. */
         void sendLayout(byte[] json);
--- a/src/main/java/postbeam/layoutservice/MigrationRecordCodec.java
+++ b/src/main/java/postbeam/layoutservice/MigrationRecordCodec.java
@@ -88,9 +88,9 @@
         }
     }
 
-    private static void writeStart(JsonGenerator json, String what, Duration at)
+    private static void writeStart(JsonGenerator json, String kind, Duration at)
             throws IOException {
-        json.writeStringField("what", what);
+        json.writeStringField("what", kind);
         json.writeNumberField("at_ms", at.toMillis());
     }
 
@@ -171,8 +171,8 @@
      */
     static MigrationRecord read(Map<?, ?> object) throws IOException {
         long id = JsonFields.number(object, "migration");
-        String what = JsonFields.text(object, "what");
-        return switch (what) {
+        String kind = JsonFields.text(object, "what");
+        return switch (kind) {
             case "opened" -> readCreated(id, object);
             case "entered" -> new MigrationRecord.StateEntered(id, state(object), at(object));
             case "verified" ->
@@ -190,7 +190,7 @@
                     new MigrationRecord.RollbackStarted(
                             id, JsonFields.text(object, "why"), at(object));
             case "standing" -> readSnapshot(id, object);
-            default -> throw new IOException("unknown kind of migration record: " + what);
+            default -> throw new IOException("unknown kind of migration record: " + kind);
         };
     }
 
--- a/src/test/java/postbeam/layoutservice/MoveJournalTest.java
+++ b/src/test/java/postbeam/layoutservice/MoveJournalTest.java
@@ -90,10 +90,10 @@
     void tornTailOfAnyLengthIsRemovedAndItsVersionIsNotReused() throws IOException {
         Path file = dir.resolve("moves.log");
         List<Long> ends = writeJournal(file);
-        byte[] all = Files.readAllBytes(file);
-        for (int length = ends.get(0).intValue(); length < all.length; length++) {
+        byte[] fileBytes = Files.readAllBytes(file);
+        for (int length = ends.get(0).intValue(); length < fileBytes.length; length++) {
             Path torn = dir.resolve("torn" + length);
-            Files.write(torn, Arrays.copyOf(all, length));
+            Files.write(torn, Arrays.copyOf(fileBytes, length));
             int intactRecords = 0;
             while (intactRecords + 1 < ends.size() && ends.get(intactRecords + 1) <= length) {
                 intactRecords++;
@@ -124,9 +124,9 @@
     void flippedBitBeforeTheLastRecordIsRejectedAndTheFileIsUnchanged() throws IOException {
         Path file = dir.resolve("moves.log");
         List<Long> ends = writeJournal(file);
-        byte[] all = Files.readAllBytes(file);
+        byte[] fileBytes = Files.readAllBytes(file);
         for (int offset = 0; offset < ends.get(ends.size() - 2); offset += 3) {
-            byte[] damaged = all.clone();
+            byte[] damaged = fileBytes.clone();
             damaged[offset] = (byte) (damaged[offset] ^ (1 << (offset % 8)));
             Path flipped = dir.resolve("flipped");
             Files.write(flipped, damaged);
--- a/src/test/java/postbeam/layoutservice/StoredMoveRecordsTest.java
+++ b/src/test/java/postbeam/layoutservice/StoredMoveRecordsTest.java
@@ -40,7 +40,7 @@
     private static final String DIGEST = "5c".repeat(32);
     private static final int HISTORY = 10;
 
-    /** The number of records after which a journal is compacted, and one more. */
+    /** One more than the number of records after which a journal is compacted. */
     private static final int COMPACTION_RECORDS = 1001;
 
     @TempDir private Path dir;
