--- a/src/main/java/postbeam/pages/AnsweredRange.java
+++ b/src/main/java/postbeam/pages/AnsweredRange.java
@@ -3,20 +3,20 @@
 import java.util.List;
 import postbeam.slices.KeyRange;
 
-/** Keys that one answer covered, and the rows that it had of them. */
+/** A key range that one answer covers, with the rows of that answer in the range. */
 final class AnsweredRange {
-    /** The answer of the first round that covered these keys; itself in the first round. */
+    /** The first-round range that contains these keys; this object itself in the first round. */
     final AnsweredRange root;
 
     final KeyRange range;
     final List<Row> rows;
 
-    /** Position of the last row that was seen; null where none was. */
+    /** Position of the last row received for these keys in any round; null if there is none. */
     final RowPosition lastSeen;
 
     /**
-     * No unseen row comes before it; null where there is none, or where the keys were fetched again
-     * since.
+     * Lower bound of the positions of rows that the shard has but did not send; null if it has
+     * none, or if the keys were fetched again in a later round.
      */
     private RowPosition nextUnseen;
 
@@ -33,7 +33,7 @@
         this.nextUnseen = nextUnseen;
     }
 
-    /** An answer of the first round. */
+    /** Creates the range of a first-round answer. */
     static AnsweredRange ofFirstRound(PartialPage answer) {
         return new AnsweredRange(
                 null,
@@ -43,7 +43,7 @@
                 answer.nextPosition());
     }
 
-    /** The part of a later answer that has keys of this range. */
+    /** Returns the part of a later answer that covers these keys of this range. */
     AnsweredRange followedBy(PartialPage answer, KeyRange keys, SortOrder order) {
         List<Row> ownRows =
                 answer.rows().stream()
@@ -57,8 +57,8 @@
     }
 
     /**
-     * The part of this range that was fetched again in vain: its next unseen row is still what it
-     * was.
+     * Returns a part of this range that was fetched again without an answer; its next unseen
+     * position stays the same.
      */
     AnsweredRange withoutAnswer(KeyRange keys, RowPosition unseen) {
         return new AnsweredRange(root, keys, List.of(), lastSeen, unseen);
@@ -72,14 +72,14 @@
         return nextUnseen;
     }
 
-    /** Whether an unseen row may come before this position; null stands for the end. */
+    /** Returns whether an unseen row may precede this position; null means the end of the order. */
     boolean mayHaveUnseenBefore(RowPosition position, SortOrder order) {
         return nextUnseen != null && (position == null || order.compare(nextUnseen, position) < 0);
     }
 
     /**
-     * Later answers stand for its unseen rows from now on. Returns the position that they start
-     * from.
+     * Returns the next unseen position and clears it, as the answers of a later round now account
+     * for the unseen rows.
      */
     RowPosition handOverUnseen() {
         RowPosition unseen = nextUnseen;
@@ -87,7 +87,10 @@
         return unseen;
     }
 
-    /** Whether all its rows were seen, and come up to this position; null stands for before all. */
+    /**
+     * Returns whether all rows of the range were received and none is after this position; null
+     * means before the first row.
+     */
     boolean isExhausted(RowPosition upTo, SortOrder order) {
         if (hasUnseenRows()) {
             return false;
--- a/src/main/java/postbeam/pages/AnsweredRanges.java
+++ b/src/main/java/postbeam/pages/AnsweredRanges.java
@@ -5,16 +5,16 @@
 import java.util.List;
 import postbeam.slices.KeyRange;
 
-/** All answers for a page, round by round. */
+/** Collects the answers for a page, round by round. */
 final class AnsweredRanges {
     private final SortOrder sortOrder;
     private final List<AnsweredRange> answered = new ArrayList<>();
     private final List<AnsweredRange> firstRound = new ArrayList<>();
 
-    /** Answers of the round that is open. */
+    /** Answers of the current round. */
     private List<PartialPage> received = new ArrayList<>();
 
-    /** Ranges that were fetched again in the round that is open. */
+    /** Ranges that are fetched again in the current round. */
     private List<AnsweredRange> refetched = List.of();
 
     private boolean firstRoundClosed;
@@ -31,7 +31,7 @@
         rowsFetched += answer.rows().size();
     }
 
-    /** The answers of the open round count from now on. */
+    /** Ends the current round and adds its answers to the results. */
     void closeRound() {
         received.sort(Comparator.comparing(PartialPage::range));
         if (firstRoundClosed) {
@@ -45,14 +45,14 @@
         refetched = List.of();
     }
 
-    /** The round that opens now fetches these ranges again. */
+    /** Starts a round that fetches these ranges again. */
     void openRound(List<AnsweredRange> toRefetch) {
         refetched = toRefetch;
     }
 
     /**
-     * Takes over what came for a range that was fetched again; its slice may have been split or
-     * merged since.
+     * Adds the answers for a range that was fetched again. They may cover other key ranges than the
+     * first answer, as the slice may have been split or merged since.
      */
     private void addFollowUps(AnsweredRange fetched) {
         RowPosition unseen = fetched.handOverUnseen();
@@ -73,9 +73,9 @@
         }
     }
 
-    // ---- what is known after the rounds that are closed
+    // ---- results of the rounds that have ended
 
-    /** The rows of each answer, in order. */
+    /** The rows of each answer, each list in the sort order. */
     List<List<Row>> sortedLists() {
         return answered.stream().map(range -> range.rows).toList();
     }
@@ -84,14 +84,14 @@
         return firstRound;
     }
 
-    /** Ranges of which an unseen row may come before this position; null stands for the end. */
+    /** Ranges that may have unseen rows before this position; null means the end of the order. */
     List<AnsweredRange> withUnseenBefore(RowPosition position) {
         return answered.stream()
                 .filter(range -> range.mayHaveUnseenBefore(position, sortOrder))
                 .toList();
     }
 
-    /** No unseen row comes before it; null where none is unseen. */
+    /** Lower bound of the positions of all unseen rows; null if there are none. */
     RowPosition firstUnseen() {
         return answered.stream()
                 .filter(AnsweredRange::hasUnseenRows)
@@ -104,14 +104,17 @@
         return answered.stream().anyMatch(AnsweredRange::hasUnseenRows);
     }
 
-    /** Whether all rows of a range of the first round were seen, and come up to this position. */
+    /**
+     * Returns whether all rows of a first-round range were received and none is after this
+     * position.
+     */
     boolean isExhausted(AnsweredRange root, RowPosition upTo) {
         return answered.stream()
                 .filter(range -> range.root == root)
                 .allMatch(range -> range.isExhausted(upTo, sortOrder));
     }
 
-    /** Rows that came in all rounds. */
+    /** Number of rows received in all rounds. */
     int rowsFetched() {
         return rowsFetched;
     }
--- a/src/main/java/postbeam/pages/Cursor.java
+++ b/src/main/java/postbeam/pages/Cursor.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * From where a client's next page goes on.
+ * The state from which a client's next page continues.
  *
- * @param layoutVersion of the layout that it was made under
- * @param queryDigest of the query that it belongs to, see {@link QueryDigest#of}
- * @param ranges that have rows left, in the order of their keys
+ * @param layoutVersion version of the layout in force when the cursor was created
+ * @param queryDigest digest of the query that the cursor belongs to, see {@link QueryDigest#of}
+ * @param ranges the key ranges that may have rows left, in key order
  */
 public record Cursor(long layoutVersion, long queryDigest, List<RangeProgress> ranges) {
-    /** Copies the ranges. */
+    /** Makes an immutable copy of the ranges. */
     public Cursor {
         ranges = List.copyOf(ranges);
     }
--- a/src/main/java/postbeam/pages/CursorBody.java
+++ b/src/main/java/postbeam/pages/CursorBody.java
@@ -10,9 +10,9 @@
 import postbeam.slices.KeyRange;
 
 /**
- * The bytes of a cursor between its header and its signature: layout version, query digest (8),
- * positions, ranges. Each range refers to its position by number, 0 for none. Whole numbers are as
- * {@link VarLong} writes them.
+ * Encodes and decodes the part of a cursor between its header and its signature: layout version,
+ * query digest (8 bytes), positions, ranges. Each range refers to its position by a number from 1
+ * on; 0 means no position. Whole numbers are encoded by {@link VarLong}.
  */
 final class CursorBody {
     private static final int MISSING_VALUE = 0;
@@ -24,7 +24,7 @@
 
     // ---- write
 
-    /** The numbers of the cursor's positions, from 1 on. */
+    /** Numbers the distinct positions of the cursor from 1 on, in the order of their first use. */
     static Map<RowPosition, Integer> numberPositions(Cursor cursor) {
         Map<RowPosition, Integer> numbers = new LinkedHashMap<>();
         for (RangeProgress progress : cursor.ranges()) {
@@ -82,14 +82,25 @@
 
     // ---- read
 
-    /** Reads all that is left; a runtime exception where it is none that {@link #write} wrote. */
+    /**
+     * Reads a body up to the end of the buffer.
+     *
+     * @throws IllegalArgumentException if a number, count or key range is invalid, no range is
+     *     present, or bytes follow the last range
+     * @throws java.nio.BufferUnderflowException if the body is truncated
+     */
     static Cursor read(ByteBuffer in) {
         long layoutVersion = VarLong.read(in);
         long queryDigest = in.getLong();
         List<RowPosition> positions = readPositions(in);
         List<RangeProgress> ranges = readRanges(in, positions);
         if (in.hasRemaining() || ranges.isEmpty()) {
-            throw new IllegalArgumentException("not as it was written");
+            throw new IllegalArgumentException(
+                    "expected at least one range and no trailing bytes, not "
+                            + ranges.size()
+                            + " ranges and "
+                            + in.remaining()
+                            + " bytes");
         }
         return new Cursor(layoutVersion, queryDigest, ranges);
     }
--- a/src/main/java/postbeam/pages/CursorCodec.java
+++ b/src/main/java/postbeam/pages/CursorCodec.java
@@ -8,14 +8,15 @@
 import postbeam.errors.OperatorErrorException;
 
 /**
- * Cursors to opaque text and back. The text is base64url without padding of: format version (1
- * byte), fingerprint of the key (4), {@link CursorBody}, HMAC-SHA256 over all before it (16).
- * Thread-safe.
+ * Encodes cursors as opaque text and decodes them. The text is the base64url encoding, without
+ * padding, of: format version (1 byte), fingerprint of the signing key (4 bytes), {@link
+ * CursorBody}, and HMAC-SHA256 of all preceding bytes, truncated to 16 bytes. Thread-safe.
  */
 public final class CursorCodec {
     /**
-     * Characters: {@link PageAssembler#MAX_RANGES} of 19 bytes, {@link PageAssembler#MAX_POSITIONS}
-     * of 280 and 41 more, at 4/3. A query's body has room for it.
+     * Maximum length in characters: {@link PageAssembler#MAX_RANGES} ranges of 19 bytes, {@link
+     * PageAssembler#MAX_POSITIONS} positions of 280 bytes and 41 other bytes, times 4/3 for base64.
+     * It fits into the body of a query.
      */
     static final int MAX_TEXT_LENGTH = 25_000;
 
@@ -26,21 +27,22 @@
     private final CursorSigner signer;
 
     /**
-     * Writes cursors with one key, and reads those of either; so routers can change keys one by
-     * one.
+     * Creates a codec that signs with the key and accepts signatures of both keys, so that the key
+     * can be changed on one router after the other.
      *
      * @param key 64 hexadecimal digits
-     * @param oldKey the key before it, likewise; null where there is none
-     * @throws OperatorErrorException with {@link PageError.InvalidSigningKey}
+     * @param oldKey a second accepted key in the same form, usually the previous one; null for none
+     * @throws OperatorErrorException with {@link PageError.InvalidSigningKey} if a key is malformed
      */
     public CursorCodec(String key, String oldKey) throws OperatorErrorException {
         signer = new CursorSigner(key, oldKey);
     }
 
     /**
-     * The text for a client.
+     * Encodes and signs a cursor for a client.
      *
-     * @throws OperatorErrorException with {@link PageError.CursorTooLarge}
+     * @throws OperatorErrorException with {@link PageError.CursorTooLarge} if the cursor has too
+     *     many ranges or positions
      */
     public String encode(Cursor cursor) throws OperatorErrorException {
         Map<RowPosition, Integer> positionNumbers = CursorBody.numberPositions(cursor);
@@ -59,10 +61,10 @@
     }
 
     /**
-     * Reads a cursor that goes on with this query.
+     * Decodes and verifies a cursor that continues this query.
      *
-     * @param queryDigest see {@link QueryDigest}
-     * @throws OperatorErrorException with the {@link PageError} that says why it can't be used
+     * @param queryDigest digest of the query, see {@link QueryDigest#of}
+     * @throws OperatorErrorException with a {@link PageError} that tells why the cursor is rejected
      */
     public Cursor decode(String text, long queryDigest, LayoutHistory layouts)
             throws OperatorErrorException {
@@ -94,7 +96,7 @@
         } catch (IllegalArgumentException e) {
             throw new OperatorErrorException(new PageError.InvalidCursor(), e);
         }
-        // The last letter has bits that stand for nothing: with others it is another text.
+        // The last base64 character may have unused bits; text with other values there is rejected.
         if (bytes.length < HEADER_BYTES + CursorSigner.SIGNATURE_BYTES
                 || !toBase64(bytes).equals(text)) {
             throw new PageError.InvalidCursor().toException();
--- a/src/main/java/postbeam/pages/CursorSigner.java
+++ b/src/main/java/postbeam/pages/CursorSigner.java
@@ -12,8 +12,8 @@
 import postbeam.errors.OperatorErrorException;
 
 /**
- * Signs with one key, and verifies with that and the one before it; keys are told apart by
- * fingerprints.
+ * Signs cursors with one key and verifies them with that key or a second one. A fingerprint, the
+ * first 4 bytes of the key's SHA-256 hash, identifies each key.
  */
 final class CursorSigner {
     static final int SIGNATURE_BYTES = 16;
@@ -24,7 +24,7 @@
     private final Map<Integer, SecretKeySpec> keysByFingerprint = new LinkedHashMap<>();
     private final int signingFingerprint;
 
-    /** See {@link CursorCodec#CursorCodec}. */
+    /** Creates a signer; for the parameters see {@link CursorCodec#CursorCodec}. */
     CursorSigner(String key, String oldKey) throws OperatorErrorException {
         signingFingerprint = addKey(key, "pages.key");
         if (oldKey != null) {
@@ -42,7 +42,7 @@
         return fingerprint;
     }
 
-    /** No bytes where the text is none of hexadecimal digits. */
+    /** Returns an empty array if the text is null or not hexadecimal. */
     private static byte[] parse(String hexDigits) {
         try {
             return HexFormat.of().parseHex(hexDigits == null ? "" : hexDigits);
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Of the key that signs. */
+    /** Fingerprint of the signing key. */
     int signingFingerprint() {
         return signingFingerprint;
     }
@@ -68,14 +68,14 @@
         return keysByFingerprint.containsKey(fingerprint);
     }
 
-    /** Signs with the newest key. */
+    /** Returns the signature of the bytes by the signing key. */
     byte[] sign(byte[] bytes) {
         return signature(signingFingerprint, bytes, bytes.length);
     }
 
     /**
-     * Whether the last bytes are the signature of all before them, by the key of this fingerprint,
-     * which it has.
+     * Returns whether the last {@link #SIGNATURE_BYTES} bytes are the signature of all bytes before
+     * them by the key with this fingerprint, which must be one of this signer's keys.
      */
     boolean verify(int fingerprint, byte[] signed) {
         int length = signed.length - SIGNATURE_BYTES;
--- a/src/main/java/postbeam/pages/FetchPlanner.java
+++ b/src/main/java/postbeam/pages/FetchPlanner.java
@@ -4,9 +4,12 @@
 import java.util.List;
 import postbeam.slices.KeyRange;
 
-/** Decides how many rows of which keys are fetched for a page. */
+/** Decides which key ranges to fetch for a page, and how many rows of each. */
 final class FetchPlanner {
-    /** Rows of the other ranges are taken for at least this share of all. */
+    /**
+     * Lower bound of the expected share of all other ranges, which keeps estimates of large ranges
+     * finite.
+     */
     private static final double MIN_SHARE_OF_OTHERS = 0.5;
 
     private final SortOrder sortOrder;
@@ -27,7 +30,10 @@
 
     // ---- the first round
 
-    /** From where each range stands, split along the slices in force. */
+    /**
+     * Fetches that continue each range from its position, split at the boundaries of the current
+     * slices.
+     */
     List<RowFetch> initialFetches(LayoutHistory layouts) {
         List<RangeProgress> parts = new ArrayList<>();
         for (RangeProgress range : ranges) {
@@ -44,7 +50,10 @@
         return fetches;
     }
 
-    /** Which parts owe rows, as they were missing on an earlier page. */
+    /**
+     * Returns which parts are behind the furthest range, because they were missing on an earlier
+     * page.
+     */
     private boolean[] areBehind(List<RangeProgress> parts) {
         RowPosition furthest = null;
         for (RangeProgress range : ranges) {
@@ -62,13 +71,12 @@
     // ---- later rounds
 
     /**
-     * Fetches of the ranges of which an unseen row may still come on the page, by what the others
-     * are expected to have.
+     * Fetches more rows of the ranges that may have unseen rows for the page. The number of rows
+     * follows from the expected shares of the ranges.
      *
-     * @param merged the page as far as its rows were seen
-     * @param unfinished the ranges, see {@link AnsweredRanges#withUnseenBefore}
-     * @param firstRound the ranges of the first round, each with the progress that {@link
-     *     #progressOf} gives
+     * @param merged the first rows of all answers so far, at most a page
+     * @param unfinished the ranges to fetch, see {@link AnsweredRanges#withUnseenBefore}
+     * @param firstRound the ranges of the first round
      */
     List<RowFetch> followUpFetches(
             List<Row> merged, List<AnsweredRange> unfinished, List<AnsweredRange> firstRound) {
@@ -117,16 +125,13 @@
                 fetches.add(
                         new RowFetch(
                                 common, sortOrder.later(range.after(), answered.lastSeen), rows));
-                // What the first of them is asked for is usually enough for all of the answered
-                // range.
+                // The first fetch usually returns enough rows for the whole answered range.
                 rows = Math.max(1, rows / 2);
             }
         }
     }
 
-    /**
-     * The ranges of the first round with their weights, as if none of their rows had been given.
-     */
+    /** Returns the ranges of the first round with their weights and no position. */
     List<RangeProgress> progressOf(List<AnsweredRange> firstRound) {
         return firstRound.stream()
                 .map(answered -> new RangeProgress(answered.range, weightOf(answered.range), null))
--- a/src/main/java/postbeam/pages/FollowUpFetchBudget.java
+++ b/src/main/java/postbeam/pages/FollowUpFetchBudget.java
@@ -4,14 +4,15 @@
 import postbeam.model.SlidingWindowCounter;
 
 /**
- * Limits follow-up fetches in a window of the budget for extra attempts (rule 6 of the protocol). A
- * follow-up counts as a query of its own there and would raise the budget that it uses; so as much
- * is taken off the budget beforehand.
+ * Limits the follow-up fetches in a window of the budget for extra attempts (rule 6 of the
+ * protocol). That budget counts a follow-up as a query of its own, so follow-ups would raise the
+ * budget that they use. To make up for this, {@link #reservedAttempts} is subtracted from the
+ * budget beforehand.
  *
- * <p>Thread-safe: it has a lock of its own, under which nothing waits.
+ * <p>Thread-safe; no method blocks while it holds the lock.
  */
 public final class FollowUpFetchBudget {
-    /** At most this share of the budget's free part is set aside. */
+    /** Maximum share of the budget's free attempts that is reserved for follow-ups. */
     private static final double MAX_FREE_SHARE = 0.5;
 
     private static final int UNLIMITED = Integer.MAX_VALUE;
@@ -24,11 +25,12 @@
     private final SlidingWindowCounter started;
 
     /**
-     * Works out the limit from the budget for extra attempts.
+     * Derives the limit from the budget for extra attempts.
      *
-     * @param freeAttempts that the budget allows in a window whatever the number of queries
-     * @param budgetShare extra attempts that it allows for each query
-     * @param window null where there is no budget
+     * @param freeAttempts extra attempts that the budget allows in a window regardless of the
+     *     number of queries
+     * @param budgetShare extra attempts that the budget allows for each query
+     * @param window length of the budget's window; null if there is no budget
      */
     public FollowUpFetchBudget(double freeAttempts, double budgetShare, Duration window) {
         this.window = window;
@@ -42,12 +44,15 @@
                         window == null ? WINDOW_WITHOUT_BUDGET : window, WINDOW_BUCKETS);
     }
 
-    /** What is to be taken off the budget's free attempts. */
+    /** Number of attempts to subtract from the budget's free attempts. */
     public double reservedAttempts() {
         return limit == UNLIMITED ? 0 : limit * budgetShare;
     }
 
-    /** Whether a follow-up query with so many parts may start now; it is counted then. */
+    /**
+     * Returns whether a follow-up query with this number of parts may start now, and counts it if
+     * so.
+     */
     public synchronized boolean tryAcquire(Duration now, int parts) {
         int cost = 1 + parts;
         if (window != null && started.upperBoundSum(now, window) + cost > limit) {
--- a/src/main/java/postbeam/pages/LayoutHistory.java
+++ b/src/main/java/postbeam/pages/LayoutHistory.java
@@ -3,14 +3,19 @@
 import java.util.List;
 import postbeam.slices.KeyRange;
 
-/** What pages need to know of the layout in force and of those before. */
+/**
+ * The current layout and the range of earlier versions that are still known, as paging needs them.
+ */
 public interface LayoutHistory {
-    /** The version of the layout in force. */
+    /** Version of the current layout. */
     long currentVersion();
 
-    /** The oldest version whose slices are known. */
+    /** Oldest layout version whose slices are known. */
     long oldestVersion();
 
-    /** These keys, split along the slices in force, in the order of the keys. */
+    /**
+     * Splits a key range at the slice boundaries of the current layout; returns the parts in key
+     * order.
+     */
     List<KeyRange> splitBySlices(KeyRange keys);
 }
--- a/src/main/java/postbeam/pages/Page.java
+++ b/src/main/java/postbeam/pages/Page.java
@@ -4,14 +4,13 @@
 import postbeam.slices.KeyRange;
 
 /**
- * A page.
+ * A page of a query's rows, and the progress after it.
  *
- * @param rows in the sort order
- * @param missingRanges keys that it was made without
- * @param remaining all ranges that may have rows left, and from where they go on; with none left
- *     the page is the last
- * @param truncated whether it is not full although rows are left
- * @param rowsFetched rows that came from the shards for it
+ * @param rows the rows in the sort order
+ * @param missingRanges key ranges that did not answer, so that the page has none of their rows
+ * @param remaining progress of all ranges that may have rows left; empty on the last page
+ * @param truncated whether the page is not full although rows are left
+ * @param rowsFetched number of rows received from shards for this page
  */
 public record Page(
         List<Row> rows,
--- a/src/main/java/postbeam/pages/PageAssembler.java
+++ b/src/main/java/postbeam/pages/PageAssembler.java
@@ -6,18 +6,18 @@
 
 /**
  * Assembles one page from the rows of many key ranges. The caller sends the {@link
- * #initialFetches}, {@link #add}s each answer that is valid (see {@link PartialPage#findProblem}),
- * one for each key a round, and goes on with the {@link #followUpFetches} as long as there are any;
- * {@link #finish} is the page. It may end earlier: the page is then shorter, never wrong. To be
- * used by one thread.
+ * #initialFetches}, {@link #add}s each valid answer (see {@link PartialPage#findProblem}; at most
+ * one answer for each key in a round), and repeats this with the {@link #followUpFetches} until
+ * there are none; {@link #finish} returns the page. The caller may finish earlier: the page may
+ * then have fewer rows, but never wrong ones. Not thread-safe.
  */
 public class PageAssembler implements ProgressRules {
-    /** Ranges in a cursor: more than a query usually has parts. */
+    /** Maximum number of ranges in a cursor; a query usually has fewer parts. */
     public static final int MAX_RANGES = 512;
 
     /**
-     * Positions in a cursor: a page that misses ranges may add one, a page that misses none takes
-     * them away.
+     * Maximum number of positions in a cursor. A page with missing ranges may add a position; a
+     * page without missing ranges removes the additional ones.
      */
     public static final int MAX_POSITIONS = 32;
 
@@ -30,13 +30,12 @@
     private final AnsweredRanges answeredRanges;
 
     /**
-     * Nothing is fetched yet.
+     * Creates an assembler for one page.
      *
-     * @param pageSize rows of a full page
-     * @param ranges the keys of the query and from where each is to go on, in the order of their
-     *     keys
-     * @param distribution of rows over keys, as earlier pages of such queries had them; it learns
-     *     from this page too
+     * @param pageSize number of rows of a full page
+     * @param ranges the key ranges of the query and the progress of each, in key order
+     * @param distribution row distribution learned from earlier pages of such queries; {@link
+     *     #finish} updates it with this page
      */
     public PageAssembler(
             SortOrder sortOrder,
@@ -52,29 +51,29 @@
         this.answeredRanges = new AnsweredRanges(sortOrder);
     }
 
-    /** The order of the page's rows. */
+    /** Sort order of the page's rows. */
     public SortOrder sortOrder() {
         return sortOrder;
     }
 
-    /** The keys of the query and from where each goes on. */
+    /** Key ranges of the query and the progress of each before this page, in key order. */
     public List<RangeProgress> ranges() {
         return ranges;
     }
 
-    /** What to fetch in the first round. */
+    /** Fetches of the first round. */
     public List<RowFetch> initialFetches(LayoutHistory layouts) {
         return planner.initialFetches(layouts);
     }
 
-    /** A valid answer to a fetch of this round. */
+    /** Adds a valid answer to fetches of the current round. */
     public void add(PartialPage answer) {
         answeredRanges.add(answer);
     }
 
     /**
-     * Ends the round. Returns what to fetch in the next one, of the ranges alone of which an unseen
-     * row can come on the page; none where the page is as full as it gets.
+     * Ends the current round. Returns the fetches of the next round, only of ranges that may have
+     * unseen rows for this page; empty if more fetches can't add rows to it.
      */
     public List<RowFetch> followUpFetches() {
         answeredRanges.closeRound();
@@ -87,7 +86,8 @@
     }
 
     /**
-     * Ends the last round. Returns the page, from what has come; nothing may be fetched after it.
+     * Ends the last round and returns the page made from all answers so far. Must be called once,
+     * as the last call.
      */
     public Page finish() {
         answeredRanges.closeRound();
@@ -109,14 +109,14 @@
                 answeredRanges.rowsFetched());
     }
 
-    // ---- rules that trials replace by faulty ones
+    // ---- rules that simulations override with defective ones
 
-    /** By what rows are merged. */
+    /** Order by which rows are merged. */
     protected Comparator<RowPosition> mergeOrder(SortOrder order) {
         return order;
     }
 
-    /** The page has rows before this position alone; null where there is no unseen row. */
+    /** Exclusive upper bound of the positions on the page; null if there are no unseen rows. */
     protected RowPosition mergeBound() {
         return answeredRanges.firstUnseen();
     }
--- a/src/main/java/postbeam/pages/PageError.java
+++ b/src/main/java/postbeam/pages/PageError.java
@@ -2,9 +2,9 @@
 
 import postbeam.errors.OperatorError;
 
-/** Why a page, or a cursor, can't be given. */
+/** A reason why a page or a cursor can't be produced. */
 public sealed interface PageError extends OperatorError {
-    /** The text is no cursor that a router made. */
+    /** The text is not an unaltered cursor of a router. */
     record InvalidCursor() implements PageError {
         @Override
         public String problem() {
@@ -13,11 +13,12 @@
 
         @Override
         public String remedy() {
-            return "see whether the client keeps cursors whole, and begin with the first page";
+            return "check that the client sends cursors back unchanged, and start again from the"
+                    + " first page";
         }
     }
 
-    /** A cursor of another version of the format. */
+    /** The cursor has a format version that this router does not support. */
     record UnsupportedCursorFormat(int format) implements PageError {
         @Override
         public String problem() {
@@ -26,11 +27,11 @@
 
         @Override
         public String remedy() {
-            return "bring all routers to one version of the program";
+            return "run the same version of the program on all routers";
         }
     }
 
-    /** A cursor that is signed with a key that this router does not have. */
+    /** The cursor is signed with a key that this router does not have. */
     record UnknownSigningKey(String fingerprint) implements PageError {
         @Override
         public String problem() {
@@ -41,12 +42,12 @@
 
         @Override
         public String remedy() {
-            return "give all routers the same pages.key, and the one before as pages.oldKey while"
-                    + " its cursors last";
+            return "set the same pages.key on all routers, and keep the previous key as"
+                    + " pages.oldKey while cursors signed with it are in use";
         }
     }
 
-    /** A cursor of another query. */
+    /** The cursor belongs to another query. */
     record QueryMismatch() implements PageError {
         @Override
         public String problem() {
@@ -55,30 +56,29 @@
 
         @Override
         public String remedy() {
-            return "have the client send vertical, owner, predicate and order as with the first"
-                    + " page";
+            return "the client must send the same vertical, owner, predicate and order as for the"
+                    + " first page";
         }
     }
 
-    /** A cursor of a layout that is too old. */
+    /** The cursor's layout is older than the oldest layout whose slices are known. */
     record LayoutNoLongerKept(long layoutVersion, long oldestVersion) implements PageError {
         @Override
         public String problem() {
             return "the cursor is of layout "
                     + layoutVersion
-                    + ", and "
-                    + oldestVersion
-                    + " is the oldest that is kept";
+                    + ", but the oldest layout that is kept is "
+                    + oldestVersion;
         }
 
         @Override
         public String remedy() {
-            return "begin with the first page, or raise layouts.serve.history if clients rest that"
-                    + " long between pages";
+            return "start again from the first page, or raise layouts.serve.history if clients"
+                    + " pause that long between pages";
         }
     }
 
-    /** A cursor of a layout that this router does not have yet. */
+    /** The cursor's layout is newer than the current layout of this router. */
     record LayoutNotYetKnown(long layoutVersion, long currentVersion) implements PageError {
         @Override
         public String problem() {
@@ -90,11 +90,12 @@
 
         @Override
         public String remedy() {
-            return "ask again; if it stays, see why this router does not hear the layout service";
+            return "retry; if the error persists, check why this router gets no updates from the"
+                    + " layout service";
         }
     }
 
-    /** A data node's answer that can't be merged. */
+    /** A data node's answer is invalid, see {@link PartialPage#findProblem}. */
     record InvalidRows(String part, String reason) implements PageError {
         @Override
         public String problem() {
@@ -103,41 +104,49 @@
 
         @Override
         public String remedy() {
-            return "see whether that data node sorts by the order it is asked for and its copy is"
-                    + " sound";
+            return "check that the data node sorts by the requested order and that its copy is"
+                    + " intact";
         }
     }
 
-    /** A cursor that would not be bounded. */
+    /** The cursor would have more ranges or positions than a cursor may have. */
     record CursorTooLarge(int ranges, int positions) implements PageError {
         @Override
         public String problem() {
-            return "the cursor would hold " + ranges + " ranges at " + positions + " marks";
+            return "the cursor would hold "
+                    + ranges
+                    + " ranges (limit "
+                    + PageAssembler.MAX_RANGES
+                    + ") at "
+                    + positions
+                    + " positions (limit "
+                    + PageAssembler.MAX_POSITIONS
+                    + ")";
         }
 
         @Override
         public String remedy() {
-            return "ask again with the last cursor once the missing ranges are back, or for fewer"
-                    + " ranges";
+            return "retry with the previous cursor when the missing ranges answer again, or query"
+                    + " fewer ranges";
         }
     }
 
-    /** A page of a query class whose calls can't be repeated. */
+    /** The vertical's shard requests must not be repeated, so it can't be paged. */
     record NotIdempotent(String vertical) implements PageError {
         @Override
         public String problem() {
             return "vertical "
                     + vertical
-                    + " is not repeatable, and its parts can't be asked for pages";
+                    + " is not repeatable, but pages need repeatable shard requests";
         }
 
         @Override
         public String remedy() {
-            return "ask for pages of repeatable verticals only";
+            return "request pages of repeatable verticals only";
         }
     }
 
-    /** A member of a client's request that can't be used. */
+    /** A member of a client's request is invalid. */
     record InvalidRequestMember(String member, String reason) implements PageError {
         @Override
         public String problem() {
@@ -150,7 +159,7 @@
         }
     }
 
-    /** A signing key in the settings that is none. */
+    /** A signing key in the settings is malformed. */
     record InvalidSigningKey(String setting) implements PageError {
         @Override
         public String problem() {
@@ -159,7 +168,7 @@
 
         @Override
         public String remedy() {
-            return "make one with: openssl rand -hex 32";
+            return "generate one with: openssl rand -hex 32";
         }
     }
 }
--- a/src/main/java/postbeam/pages/PageRequest.java
+++ b/src/main/java/postbeam/pages/PageRequest.java
@@ -1,9 +1,9 @@
 package postbeam.pages;
 
 /**
- * The page that a client asks for.
+ * A client's request for a page.
  *
- * @param size rows of a full page
- * @param cursor of the page before; null for the first page
+ * @param size number of rows of a full page
+ * @param cursor the cursor that came with the previous page; null for the first page
  */
 public record PageRequest(SortOrder order, int size, String cursor) {}
--- a/src/main/java/postbeam/pages/PageResult.java
+++ b/src/main/java/postbeam/pages/PageResult.java
@@ -1,8 +1,8 @@
 package postbeam.pages;
 
 /**
- * A page for a client.
+ * A page and the cursor that continues it, as sent to a client.
  *
- * @param cursor to ask for the next page with; null where this is the last
+ * @param cursor the cursor to request the next page with; null on the last page
  */
 public record PageResult(Page page, String cursor) {}
--- a/src/main/java/postbeam/pages/PartialPage.java
+++ b/src/main/java/postbeam/pages/PartialPage.java
@@ -5,35 +5,36 @@
 import postbeam.slices.KeyRange;
 
 /**
- * A shard's answer to a fetch.
+ * A shard's answer to fetches.
  *
- * @param range the keys that it covers
- * @param rows in the sort order
- * @param nextPosition of the first row that the shard has beyond these; null where it has no more
+ * @param range the keys that the answer covers
+ * @param rows the rows in the sort order
+ * @param nextPosition position of the first row that the shard has after these; null if it has no
+ *     more
  */
 public record PartialPage(KeyRange range, List<Row> rows, RowPosition nextPosition) {
-    /** Copies the rows. */
+    /** Makes an immutable copy of the rows. */
     public PartialPage {
         rows = List.copyOf(rows);
     }
 
-    /** The position of the last row; the other one where there is no row. */
+    /** Returns the position of the last row, or the other position if there are no rows. */
     RowPosition lastPosition(RowPosition other) {
         return rows.isEmpty() ? other : rows.get(rows.size() - 1).position();
     }
 
     /**
-     * What is wrong with it as an answer to these fetches, in a clause; empty where nothing is. The
-     * merge relies on it: each answer must be in order from the position that was asked for, and no
-     * longer than a page may get.
+     * Checks this answer against the fetches it answers. Returns a clause that tells the first
+     * problem, or empty if the answer is valid. The merge relies on this check: the rows must be
+     * sorted, come after the position of their fetch, and be no more than the fetches allow.
      */
     public Optional<String> findProblem(SortOrder order, List<RowFetch> fetches) {
         int maxRows = RowFetch.maxRows(fetches, range);
         if (rows.size() > maxRows) {
-            return Optional.of(rows.size() + " rows where " + maxRows + " were asked for");
+            return Optional.of(rows.size() + " rows, but at most " + maxRows + " were requested");
         }
         if (nextPosition != null && rows.isEmpty()) {
-            return Optional.of("no row, and more to come");
+            return Optional.of("no rows, but a next position");
         }
         RowPosition last = null;
         for (Row row : rows) {
@@ -52,21 +53,30 @@
             SortOrder order, List<RowFetch> fetches, RowPosition last, RowPosition position) {
         Optional<String> problem = position.findProblem(order);
         if (problem.isPresent()) {
-            return problem.map(reason -> "a row can't be used: " + reason);
+            return problem.map(reason -> "invalid row position: " + reason);
         }
         if (last != null && order.compare(last, position) >= 0) {
             return Optional.of("a row out of order");
         }
         if (position.key() < range.from() || position.key() >= range.to()) {
-            return Optional.of("a row of other keys");
+            return Optional.of(
+                    "a row with key "
+                            + position.key()
+                            + ", which is outside the range from "
+                            + range.from()
+                            + " to "
+                            + range.to());
         }
         RowPosition start = startOf(fetches, position.key());
         return start != null && order.compare(start, position) >= 0
-                ? Optional.of("a row that had been given before")
+                ? Optional.of("a row that is not after the start position of its fetch")
                 : Optional.empty();
     }
 
-    /** From where the fetch of this key starts; null where it starts from the first row. */
+    /**
+     * Returns the position after which the fetch of this key starts; null if it starts from the
+     * first row.
+     */
     private static RowPosition startOf(List<RowFetch> fetches, long key) {
         for (RowFetch fetch : fetches) {
             if (fetch.range().from() <= key && key < fetch.range().to()) {
--- a/src/main/java/postbeam/pages/ProgressAfterPage.java
+++ b/src/main/java/postbeam/pages/ProgressAfterPage.java
@@ -6,7 +6,8 @@
 import postbeam.slices.KeyRange;
 
 /**
- * Works out which ranges a page is given without, and where all ranges that have rows left go on.
+ * Computes which ranges are missing from a page, and from which position each range that may have
+ * rows left continues.
  */
 final class ProgressAfterPage {
     private final ProgressRules rules;
@@ -16,9 +17,9 @@
     private final List<RangeProgress> remaining = new ArrayList<>();
 
     /**
-     * Works it out for all ranges.
+     * Computes the progress of all ranges.
      *
-     * @param lastGiven the position of the page's last row; null where it has none
+     * @param lastGiven the position of the page's last row; null if the page is empty
      */
     ProgressAfterPage(
             ProgressRules rules,
@@ -31,20 +32,20 @@
         ranges.forEach(this::addRange);
     }
 
-    /** Keys that did not answer, neighbours joined. */
+    /** Key ranges that did not answer; adjacent ranges are joined. */
     List<KeyRange> missing() {
         return missing;
     }
 
     /**
-     * The ranges that have rows left, or may have them; at most {@link PageAssembler#MAX_RANGES} if
-     * that can be.
+     * The ranges that may have rows left. If they are more than {@link PageAssembler#MAX_RANGES},
+     * adjacent ranges at the same position are joined; the result may still exceed that limit.
      */
     List<RangeProgress> remaining() {
         if (remaining.size() <= PageAssembler.MAX_RANGES) {
             return remaining;
         }
-        // Neighbours at the same position are joined, whatever weights the client gave them.
+        // Joins ranges across the client's own ranges, whose separate weights are lost.
         List<RangeProgress> joined = new ArrayList<>();
         remaining.forEach(progress -> addJoined(joined, progress, 0));
         return joined;
@@ -71,8 +72,7 @@
         if (from < before.range().to()) {
             parts.add(missingPart(before, new KeyRange(from, before.range().to())));
         }
-        // Parts of one range are joined again, else ranges would grow in number as slices are
-        // split.
+        // Parts of one range are joined again; otherwise each split of a slice would add a range.
         parts.forEach(part -> addJoined(remaining, part, before.range().from()));
     }
 
@@ -88,8 +88,8 @@
     }
 
     /**
-     * Adds a range, joined with the last one if both touch, are at the same position and start at
-     * this key or later.
+     * Adds a range to the list. It is joined with the last range if both are adjacent and at the
+     * same position, and the last range starts at the first key or later.
      */
     private static void addJoined(List<RangeProgress> list, RangeProgress next, long firstKey) {
         int last = list.size() - 1;
--- a/src/main/java/postbeam/pages/ProgressRules.java
+++ b/src/main/java/postbeam/pages/ProgressRules.java
@@ -2,22 +2,28 @@
 
 import postbeam.slices.KeyRange;
 
-/** From which position a range goes on after a page. */
+/** Determines the position from which a range continues after a page. */
 interface ProgressRules {
     /**
-     * Of keys that answered. Rows that were seen beyond the page are fetched again with the next
-     * one.
+     * Returns the new position of keys that answered. Rows received beyond the end of the page are
+     * fetched again for the next page.
      *
      * @param before the range's progress before the page
-     * @param keys those of the range that were fetched together; fewer than all where its slice was
-     *     split since
-     * @param lastSeen of these keys; null where no row was seen
-     * @param lastGiven of the page; null where it has no row
-     * @return null where the range starts from its first row
+     * @param keys the part of the range that one first-round answer covers; smaller than the range
+     *     if its slice was split
+     * @param lastSeen position of the last row received for these keys; null if there is none
+     * @param lastGiven position of the page's last row; null if the page is empty
+     * @return the position after which the keys continue; null to start from the first row
      */
     RowPosition positionAfterPage(
             RangeProgress before, KeyRange keys, RowPosition lastSeen, RowPosition lastGiven);
 
-    /** Of keys that did not answer; parameters as above. */
+    /**
+     * Returns the new position of keys that did not answer.
+     *
+     * @param before the position before the page; null if the range starts from its first row
+     * @param lastGiven position of the page's last row; null if the page is empty
+     * @return the position after which the keys continue; null to start from the first row
+     */
     RowPosition positionOfMissing(RowPosition before, RowPosition lastGiven);
 }
--- a/src/main/java/postbeam/pages/QueryDigest.java
+++ b/src/main/java/postbeam/pages/QueryDigest.java
@@ -6,11 +6,14 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.stream.Collectors;
 
-/** Tells queries apart: a cursor goes on with the query that it was made for, and with no other. */
+/** Identifies a query, so that a cursor is accepted only with the query it was created for. */
 public final class QueryDigest {
     private QueryDigest() {}
 
-    /** The same for each page of a query. Cursors carry it: the form stays. */
+    /**
+     * Returns the digest, which is the same for each page of a query: the first 8 bytes of a
+     * SHA-256 hash. Cursors contain it, so the hashed form must not change.
+     */
     public static long of(String queryClass, String tenant, byte[] payload, SortOrder order) {
         String head = queryClass + "\n" + tenant + "\n" + text(order) + "\n";
         MessageDigest digest = sha256();
--- a/src/main/java/postbeam/pages/RangeProgress.java
+++ b/src/main/java/postbeam/pages/RangeProgress.java
@@ -3,19 +3,19 @@
 import postbeam.slices.KeyRange;
 
 /**
- * How far the rows of some keys have been given to the client.
+ * How far the rows of a key range have been returned to the client.
  *
- * @param weight the keys' share of the answer, as the client has it
- * @param after the position up to which they were given; null where none was
+ * @param weight the range's share of the answer, as the client sent it
+ * @param after the position up to which all rows were returned; null if none were
  */
 public record RangeProgress(KeyRange range, double weight, RowPosition after) {
-    /** The part that lies within these keys, with its share of the weight by the number of keys. */
+    /** Returns the part within these keys; its weight is proportional to its number of keys. */
     RangeProgress restrictedTo(KeyRange keys) {
         KeyRange common = range.intersection(keys);
         return new RangeProgress(common, weight * common.size() / range.size(), after);
     }
 
-    /** The same keys, given up to this position; null where none was given. */
+    /** Returns the same range at another position; null means before the first row. */
     RangeProgress advancedTo(RowPosition position) {
         return new RangeProgress(range, weight, position);
     }
--- a/src/main/java/postbeam/pages/Row.java
+++ b/src/main/java/postbeam/pages/Row.java
@@ -1,4 +1,4 @@
 package postbeam.pages;
 
-/** A row: its position in the sort order, and its content. */
+/** A row of a query's result: its position in the sort order, and its content. */
 public record Row(RowPosition position, String text) {}
--- a/src/main/java/postbeam/pages/RowCodec.java
+++ b/src/main/java/postbeam/pages/RowCodec.java
@@ -14,16 +14,16 @@
 import postbeam.slices.KeyRange;
 
 /**
- * Fetches and rows in JSON, as they travel between routers and data nodes, and rows as clients get
- * them.
+ * Encodes and decodes the JSON of fetch requests and answers between routers and data nodes, and
+ * writes the rows of pages for clients.
  *
  * <p>A fetch request:
  * {"order":[{"by":FIELD,"descending":BOOLEAN,"missing":"first"}],"asks":[[FROM,TO,ROWS,POSITION]],
- * "marks":[[[VALUE..],KEY,SEQUENCE]]}, where POSITION is an index in marks, or -1 for the first row
- * on.
+ * "marks":[[[VALUE..],KEY,SEQUENCE]]}, where POSITION is an index in marks, or -1 to start from the
+ * first row.
  *
  * <p>An answer: {"rows":[[[VALUE..],KEY,SEQUENCE,TEXT]],"next":[[VALUE..],KEY,SEQUENCE]}, without
- * next where the node has no more rows.
+ * the member next if the node has no more rows.
  */
 public final class RowCodec {
     private static final int FIRST_ROW = -1;
@@ -31,7 +31,7 @@
     private static final int POSITION_MEMBERS = 3;
     private static final int ROW_MEMBERS = 4;
 
-    /** What a router asks a data node for. */
+    /** A router's request to a data node for rows of several key ranges in one sort order. */
     public record FetchRequest(SortOrder sortOrder, List<RowFetch> fetches) {}
 
     private interface JsonWriter {
@@ -96,9 +96,9 @@
     }
 
     /**
-     * Decodes what {@link #encodeFetchRequest} wrote.
+     * Decodes a request that {@link #encodeFetchRequest} encoded.
      *
-     * @throws IOException that says why it is none
+     * @throws IOException if the bytes are no such request; the message tells why
      */
     public static FetchRequest decodeFetchRequest(byte[] bytes) throws IOException {
         Map<String, Object> request = Json.parseObject(bytes);
@@ -118,7 +118,11 @@
             throws IOException {
         int position = (int) wholeNumber(fetch.get(3));
         if (position >= positions.size()) {
-            throw new IOException("an ask without its mark");
+            throw new IOException(
+                    "a fetch refers to position "
+                            + position
+                            + ", but \"marks\" has "
+                            + positions.size());
         }
         KeyRange range = rangeOf(wholeNumber(fetch.get(0)), wholeNumber(fetch.get(1)));
         RowPosition after = position < 0 ? null : positions.get(position);
@@ -126,9 +130,11 @@
     }
 
     /**
-     * Reads a sort order from a list of objects, as clients and fetch requests have it.
+     * Reads a sort order from a parsed JSON list of objects, the form that client requests and
+     * fetch requests share.
      *
-     * @throws IOException that says why it can't be used
+     * @throws IOException if the list is no valid sort order; the message tells why and may be sent
+     *     to a client
      */
     public static SortOrder readOrder(List<?> list) throws IOException {
         if (list.isEmpty() || list.size() > SortOrder.MAX_KEYS) {
@@ -178,10 +184,10 @@
     }
 
     /**
-     * Decodes what {@link #encodePartialPage} wrote.
+     * Decodes an answer that {@link #encodePartialPage} encoded.
      *
-     * @param range the keys that the answer covers, which it does not name
-     * @throws IOException that says why it is none
+     * @param range the keys that the answer covers, which are not part of the encoded form
+     * @throws IOException if the bytes are no such answer; the message tells why
      */
     public static PartialPage decodePartialPage(KeyRange range, byte[] bytes) throws IOException {
         Map<String, Object> answer = Json.parseObject(bytes);
@@ -189,7 +195,7 @@
         for (Object element : Json.member(answer, "rows", List.class)) {
             List<?> row = listOf(element, ROW_MEMBERS);
             if (!(row.get(3) instanceof String text)) {
-                throw new IOException("a row without its text");
+                throw new IOException("the last element of a row is not a string");
             }
             rows.add(new Row(readPosition(row), text));
         }
@@ -201,7 +207,8 @@
     }
 
     /**
-     * Writes rows as a member of the open object, the same bytes for the same rows from any router.
+     * Writes the rows as member "rows" of the current JSON object. Equal rows give equal bytes on
+     * every router.
      */
     public static void writeRows(JsonGenerator json, List<Row> rows) throws IOException {
         json.writeArrayFieldStart("rows");
@@ -214,7 +221,7 @@
         json.writeEndArray();
     }
 
-    // ---- what both have
+    // ---- elements of both forms
 
     private static void writePosition(JsonGenerator json, RowPosition position) throws IOException {
         json.writeStartArray();
@@ -228,7 +235,8 @@
 
     private static RowPosition readPosition(List<?> list) throws IOException {
         if (!(list.get(0) instanceof List<?> values)) {
-            throw new IOException("a row without its sort values");
+            throw new IOException(
+                    "the first element of a row or position is not a list of sort values");
         }
         List<Object> sortValues = new ArrayList<>();
         for (Object value : values) {
@@ -240,7 +248,7 @@
 
     private static List<?> listOf(Object value, int size) throws IOException {
         if (!(value instanceof List<?> list) || list.size() != size) {
-            throw new IOException("something else than a list of " + size);
+            throw new IOException("expected a list of " + size + " elements");
         }
         return list;
     }
@@ -257,7 +265,7 @@
         if (!(value instanceof Number number)
                 || value instanceof Double
                 || value instanceof BigInteger) {
-            throw new IOException("a value is no whole number of 64 bits");
+            throw new IOException("expected a whole number of 64 bits");
         }
         return number.longValue();
     }
@@ -265,11 +273,11 @@
     private static byte[] toBytes(JsonWriter writer) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator json = Json.FACTORY.createGenerator(bytes)) {
-            // Data nodes that count characters in place of bytes read it alike.
+            // ASCII output has as many characters as bytes, for data nodes that count characters.
             json.enable(JsonWriteFeature.ESCAPE_NON_ASCII.mappedFeature());
             writer.writeTo(json);
         } catch (IOException e) {
-            throw new UncheckedIOException("writing to memory", e);
+            throw new UncheckedIOException("could not write JSON to memory", e);
         }
         return bytes.toByteArray();
     }
--- a/src/main/java/postbeam/pages/RowDistribution.java
+++ b/src/main/java/postbeam/pages/RowDistribution.java
@@ -4,57 +4,66 @@
 import postbeam.slices.KeyRange;
 
 /**
- * How many rows to expect of which keys, learned from earlier pages: row counts in even buckets of
- * the key space, and how far rows are spread beyond chance. It decides what a page costs, never
- * what is on it.
+ * Estimates how many rows to expect of each key range, from earlier pages: row counts in equal
+ * buckets of the key space, and the dispersion of row counts beyond chance. The estimates affect
+ * only the cost of a page, never its content.
  *
- * <p>Thread-safe: it has a lock of its own, under which nothing waits.
+ * <p>Thread-safe; no method blocks while it holds the lock.
  */
 public final class RowDistribution {
-    /** Buckets of the key space: finer than a tenth of a slice for a hundred slices. */
+    /**
+     * Number of buckets in the key space; with 100 slices, a bucket is smaller than a tenth of a
+     * slice.
+     */
     private static final int BUCKET_COUNT = 1024;
 
     private static final long BUCKET_WIDTH = KeyRange.KEY_SPACE_SIZE / BUCKET_COUNT;
 
-    /** Rows that the client's own weights count for, beside the rows counted here. */
+    /**
+     * Number of counted rows that the weights sent by the client are worth as prior information.
+     */
     private static final double CLIENT_WEIGHT_ROWS = 200;
 
-    /** Counted rows after which all counts are halved, so that they follow how queries change. */
+    /**
+     * Number of counted rows above which all counts are halved, so that they follow changes in
+     * queries.
+     */
     private static final double MAX_COUNTED_ROWS = 4096;
 
     /**
-     * Rows fetched over rows given that slack may cost as long as each part has many rows on a
-     * page.
+     * Maximum ratio of rows fetched to rows returned that the safety margin may cause while each
+     * part has many rows on a page.
      */
     private static final double MAX_FETCH_RATIO = 1.3;
 
-    /** Standard deviations fetched beyond the expected rows at the most. */
+    /** Maximum safety margin above the expected rows, in standard deviations. */
     private static final double MAX_DEVIATIONS = 2.5;
 
-    /** What a follow-up fetch costs, in rows. */
+    /** Cost of a follow-up fetch, in rows. */
     private static final double FETCH_COST_ROWS = 8;
 
-    /** Weight of a new page in the dispersion. */
+    /** Weight of a new page in the moving average of the dispersion. */
     private static final double DISPERSION_STEP = 0.05;
 
     private static final double MIN_DISPERSION = 0.25;
     private static final double MAX_DISPERSION = 9;
 
-    /** A page with fewer rows says nothing about the dispersion. */
+    /** Pages with fewer rows do not update the dispersion, as they say too little about it. */
     private static final int MIN_SAMPLE_ROWS = 10;
 
-    /** Times its expected rows that a range is asked for that owes rows of earlier pages. */
+    /**
+     * Factor on the expected rows of a range that is behind because it was missing on an earlier
+     * page.
+     */
     private static final double BEHIND_FACTOR = 2;
 
     private final double[] rowsByBucket = new double[BUCKET_COUNT];
     private double countedRows;
 
-    /** Variance of the rows of a range on a page, over the variance that chance alone makes. */
+    /** Variance of the rows of a range on a page, divided by the binomial variance. */
     private double dispersion = 1;
 
-    /**
-     * The share of the rows to come that each range is expected to have; the shares add up to 1.
-     */
+    /** Returns the expected share of each range in the rows to come; the shares add up to 1. */
     synchronized double[] expectedShares(List<RangeProgress> ranges) {
         double[] shares = new double[ranges.size()];
         double weights = 0;
@@ -90,10 +99,10 @@
     }
 
     /**
-     * How many rows to fetch of each range in the first round of a page.
+     * Returns how many rows to fetch of each range in the first round of a page.
      *
-     * @param shares of the ranges, see {@link #expectedShares}
-     * @param behind which ranges owe rows of earlier pages
+     * @param shares expected shares of the ranges, see {@link #expectedShares}
+     * @param behind which ranges are behind because they were missing on an earlier page
      */
     synchronized int[] rowsToFetch(int pageSize, double[] shares, boolean[] behind) {
         double sumOfDeviations = 0;
@@ -121,8 +130,8 @@
     }
 
     /**
-     * Up to this row the chance that it is needed is worth more than its cost, by the normal
-     * distribution.
+     * Returns the largest number of rows at which one more row still saves more expected follow-up
+     * cost than it costs, for normally distributed row counts.
      */
     private static double rowsThatPay(double expected, double deviation) {
         double density = deviation * Math.sqrt(2 * Math.PI) / FETCH_COST_ROWS;
@@ -131,14 +140,16 @@
                 : 0;
     }
 
-    /** Standard deviation of the rows of a range with this share on a page. */
+    /**
+     * Standard deviation of the number of rows on a page that belong to a range with this share.
+     */
     private double deviation(int pageSize, double share) {
         return Math.sqrt(dispersion * pageSize * share * Math.max(0, 1 - share));
     }
 
     /**
-     * How many more rows to fetch of a range that has given too few and is expected to have so many
-     * more on the page.
+     * Returns how many rows a follow-up fetches of a range that is expected to have this many more
+     * rows on the page.
      */
     int followUpRows(double expected, int pageSize) {
         return clampRows(1 + expected + Math.sqrt(expected), pageSize);
@@ -148,7 +159,7 @@
         return (int) Math.max(1, Math.min(pageSize, Math.round(rows)));
     }
 
-    /** Learns from a page of these ranges, which had answered. */
+    /** Updates the estimates with a page; the ranges are those that answered. */
     synchronized void recordPage(List<Row> rows, List<RangeProgress> ranges) {
         if (rows.size() >= MIN_SAMPLE_ROWS && ranges.size() > 1) {
             updateDispersion(rows, ranges);
@@ -188,7 +199,10 @@
         }
     }
 
-    /** The index of the range with this key; ranges are in the order of their keys. */
+    /**
+     * Returns the index of the range that contains this key, by binary search; ranges are in key
+     * order.
+     */
     private static int indexOf(List<RangeProgress> ranges, long key) {
         int low = 0;
         int high = ranges.size() - 1;
--- a/src/main/java/postbeam/pages/RowFetch.java
+++ b/src/main/java/postbeam/pages/RowFetch.java
@@ -4,13 +4,16 @@
 import postbeam.slices.KeyRange;
 
 /**
- * A request for rows of some keys.
+ * A request for rows of a key range.
  *
- * @param after the rows after this position; null for those from the first on
- * @param maxRows at most so many
+ * @param after the position after which to start; null to start from the first row
+ * @param maxRows maximum number of rows
  */
 public record RowFetch(KeyRange range, RowPosition after, int maxRows) {
-    /** How many rows a shard may answer that has these keys, over all fetches that concern it. */
+    /**
+     * Returns the maximum number of rows in an answer that covers these keys: the sum over all
+     * fetches that overlap them.
+     */
     public static int maxRows(List<RowFetch> fetches, KeyRange keys) {
         int rows = 0;
         for (RowFetch fetch : fetches) {
--- a/src/main/java/postbeam/pages/RowMerger.java
+++ b/src/main/java/postbeam/pages/RowMerger.java
@@ -5,8 +5,9 @@
 import java.util.List;
 import java.util.PriorityQueue;
 
-/** Merges sorted lists of rows, no further than wanted. */
+/** Merges sorted lists of rows up to a number of rows or a position. */
 final class RowMerger {
+    /** The next row of one list. */
     private static final class ListHead {
         private final List<Row> rows;
         private int index;
@@ -23,7 +24,7 @@
             return row().position();
         }
 
-        /** Goes on to the next row; false where there is none. */
+        /** Moves to the next row; returns false if there is none. */
         boolean advance() {
             index++;
             return index < rows.size();
@@ -33,11 +34,11 @@
     private RowMerger() {}
 
     /**
-     * The first rows of all lists.
+     * Returns the first rows of the merged lists.
      *
-     * @param lists each sorted by the order
-     * @param maxRows at most so many rows
-     * @param bound only rows before this position; null for no bound
+     * @param lists lists of rows, each sorted by the order
+     * @param maxRows maximum number of rows to return
+     * @param bound exclusive upper bound of positions; null for no bound
      */
     static List<Row> mergeFirst(
             Comparator<RowPosition> order, List<List<Row>> lists, int maxRows, RowPosition bound) {
--- a/src/main/java/postbeam/pages/RowPosition.java
+++ b/src/main/java/postbeam/pages/RowPosition.java
@@ -8,25 +8,31 @@
 import postbeam.slices.KeyRange;
 
 /**
- * A row's place in the sort order, the same at all replicas.
+ * A row's position in the sort order, which is the same on all replicas.
  *
- * @param sortValues one for each sort key: a Long, a String, or null where the row has no value
- * @param key in the key space
+ * @param sortValues one value for each sort key: a Long, a String, or null if the row has no value
+ * @param key the row's key, from 0 to {@link KeyRange#KEY_SPACE_SIZE} exclusive
  * @param sequence distinguishes rows of one key
  */
 public record RowPosition(List<Object> sortValues, long key, long sequence) {
-    /** Bytes in UTF-8 of a sort value: positions travel in cursors. */
+    /**
+     * Maximum length of a sort value in UTF-8 bytes; it bounds the length of cursors, which contain
+     * positions.
+     */
     static final int MAX_TEXT_BYTES = 64;
 
     private static final int FIRST_NON_ASCII = 0x80;
 
-    /** Copies the sort values. */
+    /** Makes an immutable copy of the sort values. */
     public RowPosition {
         // Values may be null, which List.copyOf does not accept.
         sortValues = Collections.unmodifiableList(new ArrayList<>(sortValues));
     }
 
-    /** Why it can't be a position in this order, in a clause; empty where it can. */
+    /**
+     * Returns a clause that tells why this is no valid position in the order, or empty if it is
+     * valid.
+     */
     Optional<String> findProblem(SortOrder order) {
         if (sortValues.size() != order.keys().size()) {
             return Optional.of(
@@ -39,10 +45,12 @@
             if (value instanceof String text) {
                 if (!isShortText(text)) {
                     return Optional.of(
-                            "a sort value is longer than " + MAX_TEXT_BYTES + " bytes, or no text");
+                            "a sort value is longer than "
+                                    + MAX_TEXT_BYTES
+                                    + " bytes in UTF-8, or has a lone surrogate");
                 }
             } else if (value != null && !(value instanceof Long)) {
-                return Optional.of("a sort value is neither a whole number nor a text");
+                return Optional.of("a sort value is neither a whole number nor a string");
             }
         }
         return Optional.empty();
@@ -61,7 +69,9 @@
         return true;
     }
 
-    /** A lone surrogate has no bytes of its own: its position would come back as another. */
+    /**
+     * Rejects lone surrogates: UTF-8 can't encode them, so a cursor would return another position.
+     */
     private static boolean fitsInUtf8(String text) {
         return StandardCharsets.UTF_8.newEncoder().canEncode(text)
                 && text.getBytes(StandardCharsets.UTF_8).length <= MAX_TEXT_BYTES;
--- a/src/main/java/postbeam/pages/SortKey.java
+++ b/src/main/java/postbeam/pages/SortKey.java
@@ -1,11 +1,11 @@
 package postbeam.pages;
 
 /**
- * One key of a sort order. A value is a Long, a String, or null where a row has none.
+ * One key of a sort order. A sort value is a Long, a String, or null if the row has no value.
  *
  * @param field the name of the row's field
- * @param missingFirst whether rows without a value come first or last, in whichever direction the
- *     others go
+ * @param missingFirst whether rows without a value come first (true) or last (false), in both
+ *     directions
  */
 public record SortKey(String field, boolean descending, boolean missingFirst) {
     int compare(Object one, Object other) {
@@ -17,7 +17,9 @@
         return descending ? -ascending : ascending;
     }
 
-    /** Numbers come before texts; texts go by code points, as their bytes in UTF-8 do. */
+    /**
+     * Numbers come before strings; strings are ordered by code points, as their UTF-8 bytes are.
+     */
     private static int compareAscending(Object one, Object other) {
         if (one instanceof Long number) {
             return other instanceof Long otherNumber ? Long.compare(number, otherNumber) : -1;
@@ -38,8 +40,8 @@
     }
 
     /**
-     * Surrogates stand for code points above U+FFFF and come after all other chars, though their
-     * numbers don't.
+     * Surrogates encode code points above U+FFFF, so they come after all other chars, although some
+     * chars have larger values.
      */
     private static int compareDifferentChars(char a, char b) {
         if (Character.isSurrogate(a) == Character.isSurrogate(b)) {
--- a/src/main/java/postbeam/pages/SortOrder.java
+++ b/src/main/java/postbeam/pages/SortOrder.java
@@ -5,10 +5,13 @@
 
 /** The total order of a query's rows: by its sort keys, then by the key, then by the sequence. */
 public record SortOrder(List<SortKey> keys) implements Comparator<RowPosition> {
-    /** Sort keys of a query: their values travel in cursors. */
+    /**
+     * Maximum number of sort keys of a query; it bounds the length of cursors, which contain their
+     * values.
+     */
     public static final int MAX_KEYS = 4;
 
-    /** Copies the sort keys. */
+    /** Makes an immutable copy of the sort keys. */
     public SortOrder {
         keys = List.copyOf(keys);
     }
@@ -25,7 +28,7 @@
         return byKey != 0 ? byKey : Long.compare(one.sequence(), other.sequence());
     }
 
-    /** The later of two positions; null stands for the start, before all. */
+    /** Returns the later of two positions; null means before the first row. */
     RowPosition later(RowPosition one, RowPosition other) {
         return one == null || (other != null && compare(one, other) < 0) ? other : one;
     }
--- a/src/main/java/postbeam/pages/VarLong.java
+++ b/src/main/java/postbeam/pages/VarLong.java
@@ -4,7 +4,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * Whole numbers in groups of 7 bits, the least first; the high bit says that another group follows.
+ * Variable-length encoding of whole numbers in groups of 7 bits, least significant group first. The
+ * high bit of a byte tells that another group follows.
  */
 final class VarLong {
     private static final int GROUP_BITS = 7;
@@ -22,7 +23,12 @@
         out.write((int) rest);
     }
 
-    /** An IllegalArgumentException where it does not end within 64 bits. */
+    /**
+     * Reads a number.
+     *
+     * @throws IllegalArgumentException if it is longer than a 64-bit number can be
+     * @throws java.nio.BufferUnderflowException if the buffer ends before the number
+     */
     static long read(ByteBuffer in) {
         long value = 0;
         for (int shift = 0; shift < Long.SIZE; shift += GROUP_BITS) {
@@ -32,14 +38,19 @@
                 return value;
             }
         }
-        throw new IllegalArgumentException("a number that does not end");
+        throw new IllegalArgumentException("a number of more than 10 bytes");
     }
 
-    /** A number from 0 to a maximum; an IllegalArgumentException where it is none. */
+    /**
+     * Reads a number from 0 to a maximum.
+     *
+     * @throws IllegalArgumentException if the number is out of this range
+     */
     static int readCount(ByteBuffer in, int max) {
         long count = read(in);
         if (count < 0 || count > max) {
-            throw new IllegalArgumentException("more than there can be");
+            throw new IllegalArgumentException(
+                    "expected a count from 0 to " + max + ", not " + count);
         }
         return (int) count;
     }
--- a/src/test/java/postbeam/pages/PagesIT.java
+++ b/src/test/java/postbeam/pages/PagesIT.java
@@ -338,9 +338,9 @@
         assertTrue(pages >= ROWS / 37, "pages are no larger than asked for");
         assertTrue(
                 Files.readString(dir.resolve("router1.txt"))
-                                .contains("a row out of order; see whether that data node")
+                                .contains("a row out of order; check that the data node")
                         || Files.readString(dir.resolve("router2.txt"))
-                                .contains("a row out of order; see whether that data node"));
+                                .contains("a row out of order; check that the data node"));
     }
 
     @Test
@@ -373,8 +373,8 @@
         long sent = checker.calls();
         char last = cursor.charAt(30);
         assertEquals(
-                "400 the cursor is not as it was given; see whether the client keeps cursors whole,"
-                        + " and begin with the first page",
+                "400 the cursor is not as it was given; check that the client sends cursors back"
+                        + " unchanged, and start again from the first page",
                 asked(
                         1,
                         "search",
