--- a/src/main/java/postbeam/pages/AnsweredRange.java
+++ b/src/main/java/postbeam/pages/AnsweredRange.java
@@ -81,7 +81,7 @@
      * Returns the next unseen position and clears it, as the answers of a later round now account
      * for the unseen rows.
      */
-    RowPosition handOverUnseen() {
+    RowPosition takeNextUnseen() {
         RowPosition unseen = nextUnseen;
         nextUnseen = null;
         return unseen;
--- a/src/main/java/postbeam/pages/AnsweredRanges.java
+++ b/src/main/java/postbeam/pages/AnsweredRanges.java
@@ -55,7 +55,7 @@
      * first answer, as the slice may have been split or merged since.
      */
     private void addFollowUps(AnsweredRange fetched) {
-        RowPosition unseen = fetched.handOverUnseen();
+        RowPosition unseen = fetched.takeNextUnseen();
         long from = fetched.range.from();
         for (PartialPage answer : received) {
             if (!answer.range().overlaps(fetched.range)) {
--- a/src/main/java/postbeam/pages/FetchPlanner.java
+++ b/src/main/java/postbeam/pages/FetchPlanner.java
@@ -90,14 +90,17 @@
         List<RowFetch> fetches = new ArrayList<>();
         for (int i = 0; i < shares.length; i++) {
             AnsweredRange range = unfinished.get(i);
-            double amongSeen =
+            double expectedAmongMerged =
                     rowsAfter(range.nextUnseen(), merged)
                             * shares[i]
                             / Math.max(MIN_SHARE_OF_OTHERS, 1 - shares[i]);
-            double amongMissing =
+            double expectedBeyondMerged =
                     (pageSize - merged.size()) * shares[i] / Math.max(sum, Double.MIN_NORMAL);
             addFetches(
-                    fetches, range, distribution.followUpRows(amongSeen + amongMissing, pageSize));
+                    fetches,
+                    range,
+                    distribution.followUpRows(
+                            expectedAmongMerged + expectedBeyondMerged, pageSize));
         }
         return fetches;
     }
--- a/src/main/java/postbeam/pages/PageAssembler.java
+++ b/src/main/java/postbeam/pages/PageAssembler.java
@@ -94,11 +94,12 @@
         List<Row> rows =
                 RowMerger.mergeFirst(
                         mergeOrder, answeredRanges.sortedLists(), pageSize, mergeBound());
-        RowPosition lastGiven = null;
+        RowPosition lastReturned = null;
         for (Row row : rows) {
-            lastGiven = sortOrder.later(lastGiven, row.position());
+            lastReturned = sortOrder.later(lastReturned, row.position());
         }
-        ProgressAfterPage progress = new ProgressAfterPage(this, answeredRanges, lastGiven, ranges);
+        ProgressAfterPage progress =
+                new ProgressAfterPage(this, answeredRanges, lastReturned, ranges);
         distribution.recordPage(rows, planner.progressOf(answeredRanges.firstRound()));
         boolean truncated = rows.size() < pageSize && answeredRanges.hasUnseenRows();
         return new Page(
@@ -123,12 +124,12 @@
 
     @Override
     public RowPosition positionAfterPage(
-            RangeProgress before, KeyRange keys, RowPosition lastSeen, RowPosition lastGiven) {
-        return sortOrder.later(before.after(), lastGiven);
+            RangeProgress before, KeyRange keys, RowPosition lastSeen, RowPosition lastReturned) {
+        return sortOrder.later(before.after(), lastReturned);
     }
 
     @Override
-    public RowPosition positionOfMissing(RowPosition before, RowPosition lastGiven) {
+    public RowPosition positionOfMissing(RowPosition before, RowPosition lastReturned) {
         return before;
     }
 }
--- a/src/main/java/postbeam/pages/PageError.java
+++ b/src/main/java/postbeam/pages/PageError.java
@@ -19,10 +19,10 @@
     }
 
     /** The cursor has a format version that this router does not support. */
-    record UnsupportedCursorFormat(int format) implements PageError {
+    record UnsupportedCursorFormat(int formatVersion) implements PageError {
         @Override
         public String problem() {
-            return "the cursor is of form " + format + ", which this router does not read";
+            return "the cursor is of form " + formatVersion + ", which this router does not read";
         }
 
         @Override
@@ -96,10 +96,10 @@
     }
 
     /** A data node's answer is invalid, see {@link PartialPage#findProblem}. */
-    record InvalidRows(String part, String reason) implements PageError {
+    record InvalidRows(String attemptId, String reason) implements PageError {
         @Override
         public String problem() {
-            return "the rows of part " + part + " are spoilt: " + reason;
+            return "the rows of part " + attemptId + " are spoilt: " + reason;
         }
 
         @Override
--- a/src/main/java/postbeam/pages/ProgressAfterPage.java
+++ b/src/main/java/postbeam/pages/ProgressAfterPage.java
@@ -12,23 +12,23 @@
 final class ProgressAfterPage {
     private final ProgressRules rules;
     private final AnsweredRanges answeredRanges;
-    private final RowPosition lastGiven;
+    private final RowPosition lastReturned;
     private final List<KeyRange> missing = new ArrayList<>();
     private final List<RangeProgress> remaining = new ArrayList<>();
 
     /**
      * Computes the progress of all ranges.
      *
-     * @param lastGiven the position of the page's last row; null if the page is empty
+     * @param lastReturned the position of the page's last row; null if the page is empty
      */
     ProgressAfterPage(
             ProgressRules rules,
             AnsweredRanges answeredRanges,
-            RowPosition lastGiven,
+            RowPosition lastReturned,
             List<RangeProgress> ranges) {
         this.rules = rules;
         this.answeredRanges = answeredRanges;
-        this.lastGiven = lastGiven;
+        this.lastReturned = lastReturned;
         ranges.forEach(this::addRange);
     }
 
@@ -62,9 +62,9 @@
             if (common.from() > from) {
                 parts.add(missingPart(before, new KeyRange(from, common.from())));
             }
-            if (!answeredRanges.isExhausted(answered, lastGiven)) {
+            if (!answeredRanges.isExhausted(answered, lastReturned)) {
                 RowPosition position =
-                        rules.positionAfterPage(before, common, answered.lastSeen, lastGiven);
+                        rules.positionAfterPage(before, common, answered.lastSeen, lastReturned);
                 parts.add(before.restrictedTo(common).advancedTo(position));
             }
             from = common.to();
@@ -84,7 +84,7 @@
             missing.add(keys);
         }
         return before.restrictedTo(keys)
-                .advancedTo(rules.positionOfMissing(before.after(), lastGiven));
+                .advancedTo(rules.positionOfMissing(before.after(), lastReturned));
     }
 
     /**
--- a/src/main/java/postbeam/pages/ProgressRules.java
+++ b/src/main/java/postbeam/pages/ProgressRules.java
@@ -12,18 +12,18 @@
      * @param keys the part of the range that one first-round answer covers; smaller than the range
      *     if its slice was split
      * @param lastSeen position of the last row received for these keys; null if there is none
-     * @param lastGiven position of the page's last row; null if the page is empty
+     * @param lastReturned position of the page's last row; null if the page is empty
      * @return the position after which the keys continue; null to start from the first row
      */
     RowPosition positionAfterPage(
-            RangeProgress before, KeyRange keys, RowPosition lastSeen, RowPosition lastGiven);
+            RangeProgress before, KeyRange keys, RowPosition lastSeen, RowPosition lastReturned);
 
     /**
      * Returns the new position of keys that did not answer.
      *
      * @param before the position before the page; null if the range starts from its first row
-     * @param lastGiven position of the page's last row; null if the page is empty
+     * @param lastReturned position of the page's last row; null if the page is empty
      * @return the position after which the keys continue; null to start from the first row
      */
-    RowPosition positionOfMissing(RowPosition before, RowPosition lastGiven);
+    RowPosition positionOfMissing(RowPosition before, RowPosition lastReturned);
 }
--- a/src/main/java/postbeam/pages/RowDistribution.java
+++ b/src/main/java/postbeam/pages/RowDistribution.java
@@ -120,7 +120,9 @@
             double expected = pageSize * shares[i];
             double deviation = deviation(pageSize, shares[i]);
             double wanted =
-                    Math.max(expected + deviations * deviation, rowsThatPay(expected, deviation));
+                    Math.max(
+                            expected + deviations * deviation,
+                            rowsWorthFetching(expected, deviation));
             rows[i] =
                     clampRows(
                             behind[i] ? Math.max(wanted, BEHIND_FACTOR * expected) : wanted,
@@ -133,7 +135,7 @@
      * Returns the largest number of rows at which one more row still saves more expected follow-up
      * cost than it costs, for normally distributed row counts.
      */
-    private static double rowsThatPay(double expected, double deviation) {
+    private static double rowsWorthFetching(double expected, double deviation) {
         double density = deviation * Math.sqrt(2 * Math.PI) / FETCH_COST_ROWS;
         return density < 1 && density > 0
                 ? Math.floor(expected + deviation * Math.sqrt(-2 * Math.log(density)))
--- a/src/main/java/postbeam/pages/VarLong.java
+++ b/src/main/java/postbeam/pages/VarLong.java
@@ -15,12 +15,12 @@
     private VarLong() {}
 
     static void write(ByteArrayOutputStream out, long value) {
-        long rest = value;
-        while ((rest & ~GROUP_MASK) != 0) {
-            out.write((int) ((rest & GROUP_MASK) | MORE_FOLLOW));
-            rest >>>= GROUP_BITS;
+        long remaining = value;
+        while ((remaining & ~GROUP_MASK) != 0) {
+            out.write((int) ((remaining & GROUP_MASK) | MORE_FOLLOW));
+            remaining >>>= GROUP_BITS;
         }
-        out.write((int) rest);
+        out.write((int) remaining);
     }
 
     /**
--- a/src/test/java/postbeam/pages/CursorCodecTest.java
+++ b/src/test/java/postbeam/pages/CursorCodecTest.java
@@ -16,16 +16,18 @@
 
 class CursorCodecTest {
     private static final String KEY = "0f".repeat(32);
-    private static final String NEXT = "a7".repeat(32);
-    private static final long QUERY = 77;
+    private static final String NEXT_KEY = "a7".repeat(32);
+    private static final long QUERY_DIGEST = 77;
 
     private static LayoutHistory layouts(long currentVersion, long oldestVersion) {
         return new UnsplitLayout(currentVersion, oldestVersion);
     }
 
     private static OperatorError errorOf(
-            CursorCodec codec, String text, long query, LayoutHistory layouts) {
-        return assertThrows(OperatorErrorException.class, () -> codec.decode(text, query, layouts))
+            CursorCodec codec, String text, long queryDigest, LayoutHistory layouts) {
+        return assertThrows(
+                        OperatorErrorException.class,
+                        () -> codec.decode(text, queryDigest, layouts))
                 .error();
     }
 
@@ -47,7 +49,7 @@
                     new RowPosition(sortValues, KeyRange.KEY_SPACE_SIZE - 1 - number, number);
             ranges.add(new RangeProgress(range, 1.0f / rangeCount, after));
         }
-        return new Cursor(12, QUERY, ranges);
+        return new Cursor(12, QUERY_DIGEST, ranges);
     }
 
     private static void assertSame(Cursor expected, Cursor actual) {
@@ -64,7 +66,7 @@
     }
 
     @Test
-    void cursorComesBackUnchangedAndWithinItsLengths() throws OperatorErrorException {
+    void encodedCursorDecodesToEqualCursorWithinLengthLimits() throws OperatorErrorException {
         CursorCodec codec = new CursorCodec(KEY, null);
         Cursor usual = cursor(100, 1, 4_000L);
         Cursor worst = cursor(100, PageAssembler.MAX_POSITIONS, "\u00fc".repeat(32));
@@ -75,8 +77,11 @@
                         usual,
                         worst,
                         largest,
-                        new Cursor(12, QUERY, List.of(new RangeProgress(KeyRange.ALL, 1, null))))) {
-            assertSame(cursor, codec.decode(codec.encode(cursor), QUERY, layouts(12, 12)));
+                        new Cursor(
+                                12,
+                                QUERY_DIGEST,
+                                List.of(new RangeProgress(KeyRange.ALL, 1, null))))) {
+            assertSame(cursor, codec.decode(codec.encode(cursor), QUERY_DIGEST, layouts(12, 12)));
         }
         assertTrue(codec.encode(usual).length() <= 2_600, "usual: " + codec.encode(usual).length());
         assertTrue(
@@ -101,13 +106,13 @@
     }
 
     @Test
-    void anyAlteredCharacterIsRejected() throws OperatorErrorException {
+    void cursorWithAlteredCharacterIsRejected() throws OperatorErrorException {
         CursorCodec codec = new CursorCodec(KEY, null);
         String text = codec.encode(cursor(5, 3, "x"));
         for (int i = 0; i < text.length(); i++) {
             char other = text.charAt(i) == 'A' ? 'B' : 'A';
             String altered = text.substring(0, i) + other + text.substring(i + 1);
-            OperatorError error = errorOf(codec, altered, QUERY, layouts(12, 1));
+            OperatorError error = errorOf(codec, altered, QUERY_DIGEST, layouts(12, 1));
             assertTrue(
                     error instanceof PageError.InvalidCursor
                             || (i < 2 && error instanceof PageError.UnsupportedCursorFormat)
@@ -124,28 +129,30 @@
                         text + "=",
                         "A".repeat(CursorCodec.MAX_TEXT_LENGTH + 1))) {
             assertTrue(
-                    errorOf(codec, bad, QUERY, layouts(12, 1)) instanceof PageError.InvalidCursor
-                            || errorOf(codec, bad, QUERY, layouts(12, 1))
+                    errorOf(codec, bad, QUERY_DIGEST, layouts(12, 1))
+                                    instanceof PageError.InvalidCursor
+                            || errorOf(codec, bad, QUERY_DIGEST, layouts(12, 1))
                                     instanceof PageError.UnsupportedCursorFormat,
                     bad);
         }
     }
 
     @Test
-    void eachOtherReasonToRejectHasItsOwnError() throws OperatorErrorException {
+    void wrongQueryLayoutOrKeyIsRejectedWithItsOwnError() throws OperatorErrorException {
         CursorCodec codec = new CursorCodec(KEY, null);
         String text = codec.encode(cursor(3, 1, 1L));
         assertInstanceOf(
-                PageError.QueryMismatch.class, errorOf(codec, text, QUERY + 1, layouts(12, 1)));
+                PageError.QueryMismatch.class,
+                errorOf(codec, text, QUERY_DIGEST + 1, layouts(12, 1)));
         assertEquals(
                 new PageError.LayoutNotYetKnown(12, 11),
-                errorOf(codec, text, QUERY, layouts(11, 1)));
+                errorOf(codec, text, QUERY_DIGEST, layouts(11, 1)));
         assertEquals(
                 new PageError.LayoutNoLongerKept(12, 13),
-                errorOf(codec, text, QUERY, layouts(20, 13)));
+                errorOf(codec, text, QUERY_DIGEST, layouts(20, 13)));
         assertInstanceOf(
                 PageError.UnknownSigningKey.class,
-                errorOf(new CursorCodec(NEXT, null), text, QUERY, layouts(12, 1)));
+                errorOf(new CursorCodec(NEXT_KEY, null), text, QUERY_DIGEST, layouts(12, 1)));
     }
 
     /**
@@ -153,17 +160,21 @@
      * go.
      */
     @Test
-    void keysCanBeChangedWhileCursorsAreInUse() throws OperatorErrorException {
-        CursorCodec before = new CursorCodec(KEY, NEXT);
-        CursorCodec after = new CursorCodec(NEXT, KEY);
+    void cursorsOfBothKeysAreAcceptedDuringKeyRotation() throws OperatorErrorException {
+        CursorCodec oldKeySigns = new CursorCodec(KEY, NEXT_KEY);
+        CursorCodec newKeySigns = new CursorCodec(NEXT_KEY, KEY);
         Cursor cursor = cursor(3, 2, "x");
-        assertSame(cursor, after.decode(before.encode(cursor), QUERY, layouts(12, 1)));
-        assertSame(cursor, before.decode(after.encode(cursor), QUERY, layouts(12, 1)));
-        assertNotEquals(before.encode(cursor), after.encode(cursor));
+        assertSame(
+                cursor,
+                newKeySigns.decode(oldKeySigns.encode(cursor), QUERY_DIGEST, layouts(12, 1)));
+        assertSame(
+                cursor,
+                oldKeySigns.decode(newKeySigns.encode(cursor), QUERY_DIGEST, layouts(12, 1)));
+        assertNotEquals(oldKeySigns.encode(cursor), newKeySigns.encode(cursor));
     }
 
     @Test
-    void invalidKeyIsNamedByItsSetting() {
+    void invalidKeyIsReportedWithItsSetting() {
         for (String key : new String[] {null, "", "0f", "zz".repeat(32)}) {
             assertEquals(
                     new PageError.InvalidSigningKey("pages.key"),
--- a/src/test/java/postbeam/pages/FollowUpFetchBudgetPropertyTest.java
+++ b/src/test/java/postbeam/pages/FollowUpFetchBudgetPropertyTest.java
@@ -19,11 +19,11 @@
      * follow-ups add to it.
      */
     @Property(tries = 200, seed = "1")
-    void followUpsStayWithinTheirReserveInEveryWindow(@ForAll long seed) {
+    void followUpsStayWithinTheReservedAttemptsInEveryWindow(@ForAll long seed) {
         Random random = new Random(seed);
         double freeAttempts = random.nextInt(60);
-        double share = 0.1 + random.nextDouble() / 2;
-        FollowUpFetchBudget budget = new FollowUpFetchBudget(freeAttempts, share, WINDOW);
+        double budgetShare = 0.1 + random.nextDouble() / 2;
+        FollowUpFetchBudget budget = new FollowUpFetchBudget(freeAttempts, budgetShare, WINDOW);
         assertTrue(budget.reservedAttempts() <= freeAttempts);
         List<Duration> started = new ArrayList<>();
         long nowMillis = 0;
@@ -37,7 +37,7 @@
             long inWindow =
                     started.stream().filter(at -> at.compareTo(now.minus(WINDOW)) > 0).count();
             assertTrue(
-                    share * inWindow <= budget.reservedAttempts() + ROUNDING,
+                    budgetShare * inWindow <= budget.reservedAttempts() + ROUNDING,
                     inWindow + " of " + budget.reservedAttempts());
         }
         assertTrue(freeAttempts < 10 || !started.isEmpty());
--- a/src/test/java/postbeam/pages/PageAssemblerTest.java
+++ b/src/test/java/postbeam/pages/PageAssemblerTest.java
@@ -12,7 +12,7 @@
     private static final KeyRange LOW = new KeyRange(0, 10);
     private static final KeyRange HIGH = new KeyRange(10, 20);
 
-    private static PageAssembler page(int size, RowPosition after) {
+    private static PageAssembler assembler(int size, RowPosition after) {
         return new PageAssembler(
                 ORDER,
                 size,
@@ -33,41 +33,41 @@
     }
 
     @Test
-    void fullPageFetchesNothingMore() {
-        PageAssembler page = page(3, null);
-        page.add(new PartialPage(LOW, rows(LOW, 1, 2, 3), position(LOW, 4)));
-        page.add(new PartialPage(HIGH, rows(HIGH, 5), position(HIGH, 7)));
-        assertEquals(List.of(), page.followUpFetches());
+    void fullPageNeedsNoFollowUpFetch() {
+        PageAssembler assembler = assembler(3, null);
+        assembler.add(new PartialPage(LOW, rows(LOW, 1, 2, 3), position(LOW, 4)));
+        assembler.add(new PartialPage(HIGH, rows(HIGH, 5), position(HIGH, 7)));
+        assertEquals(List.of(), assembler.followUpFetches());
     }
 
     @Test
-    void rangeIsFetchedAgainOnlyWhereAnUnseenRowCanComeOnThePage() {
-        PageAssembler page = page(4, null);
-        page.add(new PartialPage(LOW, rows(LOW, 1, 2, 9), position(LOW, 10)));
-        page.add(new PartialPage(HIGH, rows(HIGH, 5), position(HIGH, 7)));
-        List<RowFetch> followUps = page.followUpFetches();
+    void onlyRangesThatMayHaveUnseenRowsForThePageAreFetchedAgain() {
+        PageAssembler assembler = assembler(4, null);
+        assembler.add(new PartialPage(LOW, rows(LOW, 1, 2, 9), position(LOW, 10)));
+        assembler.add(new PartialPage(HIGH, rows(HIGH, 5), position(HIGH, 7)));
+        List<RowFetch> followUps = assembler.followUpFetches();
         assertEquals(List.of(HIGH), followUps.stream().map(RowFetch::range).toList());
         assertEquals(position(HIGH, 5), followUps.get(0).after());
-        page.add(new PartialPage(HIGH, rows(HIGH, 7), null));
-        assertEquals(List.of(), page.followUpFetches());
-        Page finished = page.finish();
+        assembler.add(new PartialPage(HIGH, rows(HIGH, 7), null));
+        assertEquals(List.of(), assembler.followUpFetches());
+        Page page = assembler.finish();
         assertEquals(
                 List.of(1L, 2L, 5L, 7L),
-                finished.rows().stream().map(row -> row.position().sortValues().get(0)).toList());
+                page.rows().stream().map(row -> row.position().sortValues().get(0)).toList());
         assertEquals(
-                List.of(new RangeProgress(LOW, 0.5, finished.rows().get(3).position())),
-                finished.remaining());
+                List.of(new RangeProgress(LOW, 0.5, page.rows().get(3).position())),
+                page.remaining());
     }
 
     @Test
-    void missingRangeIsNamedAndGoesOnFromWhereItWas() {
+    void missingRangeIsReportedAndKeepsItsPosition() {
         RowPosition after = position(HIGH, 1);
-        PageAssembler page = page(9, after);
-        page.add(new PartialPage(LOW, rows(LOW, 4, 5), null));
-        assertEquals(List.of(), page.followUpFetches());
-        Page finished = page.finish();
-        assertEquals(List.of(HIGH), finished.missingRanges());
-        assertEquals(List.of(new RangeProgress(HIGH, 0.5, after)), finished.remaining());
-        assertEquals(2, finished.rows().size());
+        PageAssembler assembler = assembler(9, after);
+        assembler.add(new PartialPage(LOW, rows(LOW, 4, 5), null));
+        assertEquals(List.of(), assembler.followUpFetches());
+        Page page = assembler.finish();
+        assertEquals(List.of(HIGH), page.missingRanges());
+        assertEquals(List.of(new RangeProgress(HIGH, 0.5, after)), page.remaining());
+        assertEquals(2, page.rows().size());
     }
 }
--- a/src/test/java/postbeam/pages/PageCostReport.java
+++ b/src/test/java/postbeam/pages/PageCostReport.java
@@ -26,8 +26,8 @@
                         + " page");
         for (int size : new int[] {SIZE, 25, 400}) {
             for (int shards : new int[] {3, 10, 20, 50, 100}) {
-                for (String how : List.of("even", "skewed")) {
-                    run(shards, how.equals("skewed"), size);
+                for (String keyDistribution : List.of("even", "skewed")) {
+                    run(shards, keyDistribution.equals("skewed"), size);
                 }
             }
         }
@@ -36,11 +36,11 @@
     /** Row counts and calls of many chains of pages. */
     private static final class Totals {
         private long fetched;
-        private long given;
+        private long returned;
         private long calls;
         private long pages;
         private long fullPages;
-        private long fetchedIfAllAreAskedForAFullPage;
+        private long fetchedWithFullPageRequests;
     }
 
     /**
@@ -64,7 +64,13 @@
             for (int i = 0; i < PAGES && !ranges.isEmpty(); i++) {
                 PageAssembler assembler = new PageAssembler(ORDER, pageSize, ranges, distribution);
                 ranges =
-                        page(assembler, new EvenLayout(start), rowsByShard, width, pageSize, totals)
+                        assemblePage(
+                                        assembler,
+                                        new EvenLayout(start),
+                                        rowsByShard,
+                                        width,
+                                        pageSize,
+                                        totals)
                                 .remaining();
             }
         }
@@ -74,10 +80,10 @@
                 shards,
                 skewed ? "skewed" : "even",
                 pageSize,
-                (double) totals.fetched / totals.given,
+                (double) totals.fetched / totals.returned,
                 (double) totals.calls / totals.pages,
                 (double) totals.fullPages / totals.pages,
-                (double) totals.fetchedIfAllAreAskedForAFullPage / totals.given);
+                (double) totals.fetchedWithFullPageRequests / totals.returned);
     }
 
     private static List<List<Row>> rows(Random random, int shards, boolean skewed, int rowCount) {
@@ -96,7 +102,7 @@
         return rowsByShard;
     }
 
-    private static Page page(
+    private static Page assemblePage(
             PageAssembler assembler,
             LayoutHistory layouts,
             List<List<Row>> rowsByShard,
@@ -104,7 +110,7 @@
             int pageSize,
             Totals totals) {
         List<RowFetch> fetches = assembler.initialFetches(layouts);
-        totals.fetchedIfAllAreAskedForAFullPage += (long) fetches.size() * pageSize;
+        totals.fetchedWithFullPageRequests += (long) fetches.size() * pageSize;
         for (int round = 0; round <= FOLLOW_UP_ROUNDS && !fetches.isEmpty(); round++) {
             for (RowFetch fetch : fetches) {
                 assembler.add(answer(rowsByShard.get((int) (fetch.range().from() / width)), fetch));
@@ -114,7 +120,7 @@
         }
         Page page = assembler.finish();
         totals.fetched += page.rowsFetched();
-        totals.given += page.rows().size();
+        totals.returned += page.rows().size();
         totals.pages++;
         totals.fullPages += page.truncated() ? 0 : 1;
         return page;
--- a/src/test/java/postbeam/pages/PageErrorTextTest.java
+++ b/src/test/java/postbeam/pages/PageErrorTextTest.java
@@ -10,7 +10,7 @@
 
 /** Clients and operators see these texts: a change of wording is to be made in the sample too. */
 class PageErrorTextTest {
-    private static final List<PageError> ALL =
+    private static final List<PageError> ERRORS =
             List.of(
                     new PageError.InvalidCursor(),
                     new PageError.UnsupportedCursorFormat(9),
@@ -25,19 +25,19 @@
                     new PageError.InvalidSigningKey("pages.key"));
 
     @Test
-    void eachErrorReadsAsInTheSample() throws IOException {
+    void messageOfEachErrorEqualsTheSample() throws IOException {
         assertEquals(
                 SampleFile.lines("errors/pages.txt"),
-                ALL.stream().map(PageError::message).toList());
+                ERRORS.stream().map(PageError::message).toList());
     }
 
     @Test
     void eachErrorNamesProblemAndRemedy() {
         assertEquals(
                 PageError.class.getPermittedSubclasses().length,
-                ALL.stream().map(Object::getClass).distinct().count(),
+                ERRORS.stream().map(Object::getClass).distinct().count(),
                 "each kind is here");
-        for (PageError error : ALL) {
+        for (PageError error : ERRORS) {
             assertTrue(
                     error.problem().length() > 10 && !error.problem().endsWith("."),
                     error.toString());
--- a/src/test/java/postbeam/pages/PageSamplesTest.java
+++ b/src/test/java/postbeam/pages/PageSamplesTest.java
@@ -32,11 +32,11 @@
             new RowPosition(Arrays.asList(4200L, "caf\u00e9"), 77, 1);
     private static final RowPosition SECOND =
             new RowPosition(Arrays.asList(-3L, null), KeyRange.KEY_SPACE_SIZE - 1, Long.MIN_VALUE);
-    private static final long QUERY = 0x123456789abcdef0L;
+    private static final long QUERY_DIGEST = 0x123456789abcdef0L;
     private static final Cursor CURSOR =
             new Cursor(
                     300,
-                    QUERY,
+                    QUERY_DIGEST,
                     List.of(
                             new RangeProgress(LOW, 0.25, FIRST),
                             new RangeProgress(MIDDLE, 0.5, SECOND),
@@ -71,19 +71,22 @@
     }
 
     @Test
-    void cursorsUnderEachKeyAreReadAndWrittenAsBefore() throws IOException, OperatorErrorException {
+    void recordedCursorsOfBothKeysDecodeAndEncodeToTheSameText()
+            throws IOException, OperatorErrorException {
         CursorCodec codec = new CursorCodec(KEY, OLD_KEY);
         CursorCodec oldCodec = new CursorCodec(OLD_KEY, null);
         assertEquals(
-                CURSOR, codec.decode(sample("cursor-signed-with-the-key.txt"), QUERY, LAYOUTS));
+                CURSOR,
+                codec.decode(sample("cursor-signed-with-the-key.txt"), QUERY_DIGEST, LAYOUTS));
         assertEquals(
-                CURSOR, codec.decode(sample("cursor-signed-with-the-old-key.txt"), QUERY, LAYOUTS));
+                CURSOR,
+                codec.decode(sample("cursor-signed-with-the-old-key.txt"), QUERY_DIGEST, LAYOUTS));
         assertEquals(sample("cursor-signed-with-the-key.txt"), codec.encode(CURSOR));
         assertEquals(sample("cursor-signed-with-the-old-key.txt"), oldCodec.encode(CURSOR));
     }
 
     @Test
-    void queryDigestIsAsBefore() throws IOException {
+    void queryDigestEqualsTheRecordedDigest() throws IOException {
         assertEquals(
                 sample("query-digest.txt"),
                 Long.toHexString(
@@ -92,7 +95,7 @@
     }
 
     @Test
-    void fetchRequestIsReadAndWrittenAsBefore() throws IOException {
+    void recordedFetchRequestDecodesAndEncodesToTheSameBytes() throws IOException {
         String expected = sample("rows-request.json");
         RowCodec.FetchRequest read = RowCodec.decodeFetchRequest(bytes(expected));
         assertEquals(new RowCodec.FetchRequest(ORDER, FETCHES), read);
@@ -100,7 +103,7 @@
     }
 
     @Test
-    void answersAreReadAndWrittenAsBefore() throws IOException {
+    void recordedAnswersDecodeAndEncodeToTheSameBytes() throws IOException {
         for (RowPosition next : new RowPosition[] {null, SECOND}) {
             String expected =
                     sample(next == null ? "rows-last.json" : "rows-with-more-to-come.json");
@@ -111,7 +114,7 @@
     }
 
     @Test
-    void rowsForAClientAreWrittenAsBefore() throws IOException {
+    void rowsForClientsEncodeToTheRecordedBytes() throws IOException {
         StringWriter out = new StringWriter();
         try (JsonGenerator json = Json.FACTORY.createGenerator(out)) {
             json.writeStartObject();
--- a/src/test/java/postbeam/pages/PagesIT.java
+++ b/src/test/java/postbeam/pages/PagesIT.java
@@ -40,13 +40,13 @@
  * and dying nodes.
  */
 class PagesIT {
-    private static final Duration LONG = Duration.ofSeconds(30);
-    private static final int ROUTERS = 3;
-    private static final int ROWS = 400;
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
+    private static final int ROUTER_COUNT = 3;
+    private static final int ROW_COUNT = 400;
     private static final SortOrder ORDER =
             new SortOrder(
                     List.of(new SortKey("fare", true, true), new SortKey("to", false, false)));
-    private static final String ASKED_ORDER =
+    private static final String ORDER_JSON =
             "[{\"by\":\"fare\",\"descending\":true,\"missing\":\"first\"},{\"by\":\"to\"}]";
 
     @TempDir private Path dir;
@@ -58,23 +58,23 @@
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private final InvariantChecker checker =
-            new InvariantChecker(LoopbackCluster.RULES, LONG, LONG);
+            new InvariantChecker(LoopbackCluster.RULES, TIMEOUT, TIMEOUT);
     private FakeDiscovery discovery;
-    private String service;
-    private int asked;
+    private String serviceAddress;
+    private int requestCount;
 
     @BeforeEach
-    void stage() throws Exception {
-        Random chance = new Random(5);
-        for (int i = 0; i < ROWS; i++) {
-            int fare = chance.nextInt(9);
+    void startCluster() throws Exception {
+        Random random = new Random(5);
+        for (int i = 0; i < ROW_COUNT; i++) {
+            int fare = random.nextInt(9);
             rows.add(
                     new Row(
                             new RowPosition(
                                     Arrays.asList(
                                             fare == 0 ? null : (Object) (long) fare,
-                                            "city " + chance.nextInt(4)),
-                                    (long) (chance.nextDouble() * KeyRange.KEY_SPACE_SIZE),
+                                            "city " + random.nextInt(4)),
+                                    (long) (random.nextDouble() * KeyRange.KEY_SPACE_SIZE),
                                     i),
                             "seat " + i + " to K\u00f8ge"));
         }
@@ -92,10 +92,10 @@
             nodes.add(node);
             discovery.tell(node, "up", 0);
         }
-        service = freeAddress();
+        serviceAddress = freeAddress();
         String file =
                 Files.readString(Path.of("deploy/postbeam.json5"))
-                        .replace("127.0.0.1:7080", service)
+                        .replace("127.0.0.1:7080", serviceAddress)
                         .replace("127.0.0.1:8500", discovery.address())
                         .replace("follow: {enabled: false", "follow: {enabled: true")
                         .replaceFirst("(serve: \\{\\s+enabled: )false", "$1true")
@@ -106,10 +106,10 @@
                         .replace("holders: 3", "holders: 2")
                         .replace("restMs: 30000", "restMs: 0")
                         .replace("againMs: 1000", "againMs: 50");
-        String first = own("first.json5", file, "5c", "");
+        String first = writeSettings("first.json5", file, "5c", "");
         start("service", "layouts", "serve", "--settings", first);
-        until(() -> layouts("verify", first).startsWith("0 sound"));
-        for (int i = 0; i < ROUTERS; i++) {
+        awaitCondition(() -> layouts("verify", first).startsWith("0 sound"));
+        for (int i = 0; i < ROUTER_COUNT; i++) {
             String listen = freeAddress();
             String config =
                     Files.writeString(
@@ -125,14 +125,14 @@
                             .toString();
             // The last router has had its keys changed already.
             String settings =
-                    i + 1 < ROUTERS
-                            ? own("own" + i + ".json5", file, "5c", "e1")
-                            : own("own" + i + ".json5", file, "e1", "5c");
+                    i + 1 < ROUTER_COUNT
+                            ? writeSettings("own" + i + ".json5", file, "5c", "e1")
+                            : writeSettings("own" + i + ".json5", file, "e1", "5c");
             addresses.add(listen);
             routers.add(start("router" + i, "serve", "--config", config, "--settings", settings));
         }
         for (String address : addresses) {
-            until(
+            awaitCondition(
                     () -> {
                         try {
                             return http.send(
@@ -153,19 +153,20 @@
     }
 
     @AfterEach
-    void giveBack() throws InterruptedException {
-        for (Process one : processes) {
-            one.destroyForcibly().waitFor();
+    void stopCluster() throws InterruptedException {
+        for (Process process : processes) {
+            process.destroyForcibly().waitFor();
         }
         discovery.close();
         nodes.forEach(FakeDataNode::close);
     }
 
-    private String own(String name, String file, String key, String old) throws IOException {
+    private String writeSettings(String name, String file, String key, String oldKey)
+            throws IOException {
         return Files.writeString(
                         dir.resolve(name),
                         file.replace(" key: \"\"", " key: \"" + key.repeat(32) + "\"")
-                                .replace("oldKey: \"\"", "oldKey: \"" + old.repeat(32) + "\""))
+                                .replace("oldKey: \"\"", "oldKey: \"" + oldKey.repeat(32) + "\""))
                 .toString();
     }
 
@@ -175,19 +176,19 @@
         }
     }
 
-    private Process start(String log, String... words) throws IOException {
+    private Process start(String logName, String... arguments) throws IOException {
         List<String> command = new ArrayList<>(List.of("java", "-jar", "target/postbeam.jar"));
-        command.addAll(List.of(words));
+        command.addAll(List.of(arguments));
         Process process =
                 new ProcessBuilder(command)
                         .redirectErrorStream(true)
-                        .redirectOutput(dir.resolve(log + ".txt").toFile())
+                        .redirectOutput(dir.resolve(logName + ".txt").toFile())
                         .start();
         processes.add(process);
         return process;
     }
 
-    private String layouts(String verb, String settings, String... more)
+    private String layouts(String subcommand, String settings, String... options)
             throws IOException, InterruptedException {
         List<String> command =
                 new ArrayList<>(
@@ -196,24 +197,24 @@
                                 "-jar",
                                 "target/postbeam.jar",
                                 "layouts",
-                                verb,
+                                subcommand,
                                 "--settings",
                                 settings));
-        command.addAll(List.of(more));
+        command.addAll(List.of(options));
         Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
-        String said =
+        String output =
                 new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
-        return process.waitFor() + " " + said;
+        return process.waitFor() + " " + output;
     }
 
-    private void change(String change, String sound) throws Exception {
+    private void changeLayout(String change, String summary) throws Exception {
         String settings = dir.resolve("first.json5").toString();
         assertTrue(layouts("start", settings, "--change", change).startsWith("0 "), change);
-        until(() -> layouts("verify", settings).equals("0 sound: " + sound));
+        awaitCondition(() -> layouts("verify", settings).equals("0 sound: " + summary));
     }
 
-    private static void until(Callable<Boolean> condition) throws Exception {
-        long end = System.nanoTime() + LONG.toNanos();
+    private static void awaitCondition(Callable<Boolean> condition) throws Exception {
+        long end = System.nanoTime() + TIMEOUT.toNanos();
         while (!condition.call()) {
             assertTrue(System.nanoTime() < end, "the condition did not come");
             Thread.sleep(50);
@@ -221,7 +222,7 @@
     }
 
     /** Status, a space, and the body. */
-    private String asked(int router, String vertical, String more)
+    private String post(int router, String vertical, String members)
             throws IOException, InterruptedException {
         HttpResponse<String> answer =
                 http.send(
@@ -232,19 +233,19 @@
                                                         + "/"
                                                         + vertical
                                                         + "?obj=1"))
-                                .header("Req-Id", "q" + asked++)
+                                .header("Req-Id", "q" + requestCount++)
                                 .header("Req-Owner", "acme")
                                 .header("Req-Deadline-Ms", "7000")
-                                .timeout(LONG)
+                                .timeout(TIMEOUT)
                                 .POST(
                                         HttpRequest.BodyPublishers.ofString(
-                                                "{\"predicate\":\"x\"," + more + "}"))
+                                                "{\"predicate\":\"x\"," + members + "}"))
                                 .build(),
                         HttpResponse.BodyHandlers.ofString());
         return answer.statusCode() + " " + answer.body().strip();
     }
 
-    private static String first(int size) {
+    private static String firstPageMembers(int size) {
         StringBuilder ranges = new StringBuilder();
         for (int i = 0; i < 4; i++) {
             ranges.append(i == 0 ? "" : ",")
@@ -252,90 +253,95 @@
                     .append(i)
                     .append(",\"portion\":0.25}");
         }
-        return "\"page\":" + size + ",\"order\":" + ASKED_ORDER + ",\"ranges\":[" + ranges + "]";
+        return "\"page\":" + size + ",\"order\":" + ORDER_JSON + ",\"ranges\":[" + ranges + "]";
     }
 
-    private static String next(int size, String cursor) {
-        return "\"page\":" + size + ",\"order\":" + ASKED_ORDER + ",\"cursor\":\"" + cursor + "\"";
+    private static String nextPageMembers(int size, String cursor) {
+        return "\"page\":" + size + ",\"order\":" + ORDER_JSON + ",\"cursor\":\"" + cursor + "\"";
     }
 
     /**
      * A page: its rows, and what was missing; the rows are added to the chain. Null: it was turned
      * away.
      */
-    private Map<String, Object> page(int router, String more, List<Row> chain) throws Exception {
-        String said = asked(router, "search", more);
-        if (said.startsWith("503")) {
+    private Map<String, Object> fetchPage(int router, String members, List<Row> chain)
+            throws Exception {
+        String response = post(router, "search", members);
+        if (response.startsWith("503")) {
             return null;
         }
-        assertTrue(said.startsWith("200 "), said);
-        Map<String, Object> answer =
-                Json.parseObject(said.substring(4).getBytes(StandardCharsets.UTF_8));
-        Map<?, ?> page = Json.member(answer, "page", Map.class);
-        assertFalse(said.contains("\"blob\""), said);
+        assertTrue(response.startsWith("200 "), response);
+        Map<String, Object> body =
+                Json.parseObject(response.substring(4).getBytes(StandardCharsets.UTF_8));
+        Map<?, ?> page = Json.member(body, "page", Map.class);
+        assertFalse(response.contains("\"blob\""), response);
         SortOrder order = ORDER;
-        List<Row> came =
+        List<Row> received =
                 RowCodec.decodePartialPage(
                                 KeyRange.ALL,
                                 ("{\"rows\":"
-                                                + said.substring(
-                                                        said.indexOf("\"rows\":") + 7,
-                                                        said.lastIndexOf(",\"short\""))
+                                                + response.substring(
+                                                        response.indexOf("\"rows\":") + 7,
+                                                        response.lastIndexOf(",\"short\""))
                                                 + "}")
                                         .getBytes(StandardCharsets.UTF_8))
                         .rows();
-        for (int i = 1; i < came.size(); i++) {
+        for (int i = 1; i < received.size(); i++) {
             assertTrue(
-                    order.compare(came.get(i - 1).position(), came.get(i).position()) < 0,
+                    order.compare(received.get(i - 1).position(), received.get(i).position()) < 0,
                     "a page ascends");
         }
-        chain.addAll(came);
-        answer.put("missing", page.get("missing"));
-        return answer;
+        chain.addAll(received);
+        body.put("missing", page.get("missing"));
+        return body;
     }
 
-    private static String written(List<Row> rows) {
+    private static String encode(List<Row> rows) {
         return new String(
                 RowCodec.encodePartialPage(new PartialPage(KeyRange.ALL, rows, null)),
                 StandardCharsets.UTF_8);
     }
 
-    private List<Row> sorted() {
+    private List<Row> sortedRows() {
         return SortedRows.sorted(ORDER, rows, KeyRange.ALL);
     }
 
     @Test
-    void oneChainIsReadThroughRoutersThatShareNothingWhileSlicesAreCutAndMoved() throws Exception {
+    void chainOfPagesThroughSeveralRoutersIsCompleteWhileSlicesAreSplitMovedAndMerged()
+            throws Exception {
         List<Row> chain = new ArrayList<>();
         Map<String, Object> page = null;
         int pages = 0;
         while (pages == 0 || page == null || page.get("cursor") != null) {
             if (pages == 2) {
-                change("{\"split\": 0, \"at\": [" + (1L << 44) + "]}", "layout 2, 5 slices");
+                changeLayout("{\"split\": 0, \"at\": [" + (1L << 44) + "]}", "layout 2, 5 slices");
             } else if (pages == 4) {
-                change("{\"move\": 2, \"off\": \"n2\", \"onto\": \"n0\"}", "layout 3, 5 slices");
+                changeLayout(
+                        "{\"move\": 2, \"off\": \"n2\", \"onto\": \"n0\"}", "layout 3, 5 slices");
                 // One of two holders spoils the order from now on: what it says is not merged.
                 nodes.get(1).setSwapsRows(true);
             } else if (pages == 6) {
-                change("{\"merge\": [4, 5]}", "layout 4, 4 slices");
+                changeLayout("{\"merge\": [4, 5]}", "layout 4, 4 slices");
                 routers.get(0).destroyForcibly().waitFor();
             }
-            int router = pages < 6 ? pages % ROUTERS : 1 + pages % (ROUTERS - 1);
+            int router = pages < 6 ? pages % ROUTER_COUNT : 1 + pages % (ROUTER_COUNT - 1);
             Map<String, Object> last = page;
-            Map<String, Object> came =
-                    page(
+            Map<String, Object> received =
+                    fetchPage(
                             router,
-                            last == null ? first(37) : next(37, (String) last.get("cursor")),
+                            last == null
+                                    ? firstPageMembers(37)
+                                    : nextPageMembers(37, (String) last.get("cursor")),
                             chain);
-            if (came != null) {
-                assertEquals(List.of(), came.get("missing"));
-                page = came;
+            if (received != null) {
+                assertEquals(List.of(), received.get("missing"));
+                page = received;
                 pages++;
             }
-            assertTrue(chain.size() <= ROWS, "more rows than there are");
+            assertTrue(chain.size() <= ROW_COUNT, "more rows than there are");
         }
-        assertEquals(written(sorted()), written(chain));
-        assertTrue(pages >= ROWS / 37, "pages are no larger than asked for");
+        assertEquals(encode(sortedRows()), encode(chain));
+        assertTrue(pages >= ROW_COUNT / 37, "pages are no larger than asked for");
         assertTrue(
                 Files.readString(dir.resolve("router1.txt"))
                                 .contains("a row out of order; check that the data node")
@@ -344,13 +350,13 @@
     }
 
     @Test
-    void whatIsMissingIsNamedAndOwedAndComesOnce() throws Exception {
+    void missingRangeIsReportedAndItsRowsAreReturnedOnceOnLaterPages() throws Exception {
         List<Row> chain = new ArrayList<>();
-        Map<String, Object> page = page(0, first(50), chain);
+        Map<String, Object> page = fetchPage(0, firstPageMembers(50), chain);
         // The slice of these two is gone.
         nodes.get(0).crash();
         nodes.get(1).crash();
-        page = page(1, next(50, (String) page.get("cursor")), chain);
+        page = fetchPage(1, nextPageMembers(50, (String) page.get("cursor")), chain);
         assertEquals(
                 List.of(Map.of("from", 0, "to", KeyRange.KEY_SPACE_SIZE / 4)), page.get("missing"));
         assertEquals(false, page.get("total"));
@@ -358,52 +364,62 @@
         nodes.get(1).restart();
         int router = 2;
         while (page.get("cursor") != null) {
-            Map<String, Object> came =
-                    page(router++ % ROUTERS, next(50, (String) page.get("cursor")), chain);
-            page = came == null ? page : came;
-            assertTrue(chain.size() <= ROWS, "more rows than there are");
+            Map<String, Object> received =
+                    fetchPage(
+                            router++ % ROUTER_COUNT,
+                            nextPageMembers(50, (String) page.get("cursor")),
+                            chain);
+            page = received == null ? page : received;
+            assertTrue(chain.size() <= ROW_COUNT, "more rows than there are");
         }
         chain.sort((one, other) -> ORDER.compare(one.position(), other.position()));
-        assertEquals(written(sorted()), written(chain));
+        assertEquals(encode(sortedRows()), encode(chain));
     }
 
     @Test
-    void aCursorThatCantBeGoneOnFromIsRefusedBeforeAnythingIsSent() throws Exception {
-        String cursor = (String) page(0, first(10), new ArrayList<>()).get("cursor");
-        long sent = checker.calls();
-        char last = cursor.charAt(30);
+    void invalidPageRequestIsRejectedBeforeAnyShardRequestIsSent() throws Exception {
+        String cursor =
+                (String) fetchPage(0, firstPageMembers(10), new ArrayList<>()).get("cursor");
+        long callsBefore = checker.calls();
+        char original = cursor.charAt(30);
         assertEquals(
                 "400 the cursor is not as it was given; check that the client sends cursors back"
                         + " unchanged, and start again from the first page",
-                asked(
+                post(
                         1,
                         "search",
-                        next(
+                        nextPageMembers(
                                 10,
                                 cursor.substring(0, 30)
-                                        + (last == 'A' ? 'B' : 'A')
+                                        + (original == 'A' ? 'B' : 'A')
                                         + cursor.substring(31))));
         assertTrue(
-                asked(1, "search", next(10, cursor).replace("\"by\":\"to\"", "\"by\":\"from\""))
+                post(
+                                1,
+                                "search",
+                                nextPageMembers(10, cursor)
+                                        .replace("\"by\":\"to\"", "\"by\":\"from\""))
                         .startsWith("400 the cursor is of another query; "));
         assertTrue(
-                asked(1, "search", next(1001, cursor))
+                post(1, "search", nextPageMembers(1001, cursor))
                         .startsWith("400 page can't be used: it takes 1 to 1000 rows; "));
         assertTrue(
-                asked(1, "search", next(10, cursor).replace("true", "\"yes\""))
+                post(1, "search", nextPageMembers(10, cursor).replace("true", "\"yes\""))
                         .startsWith("400 order can't be used: "));
-        assertTrue(asked(1, "hold", first(10)).startsWith("400 vertical hold is not repeatable"));
-        assertEquals(sent, checker.calls());
         assertTrue(
-                asked(2, "search", next(10, cursor)).startsWith("200 "),
+                post(1, "hold", firstPageMembers(10))
+                        .startsWith("400 vertical hold is not repeatable"));
+        assertEquals(callsBefore, checker.calls());
+        assertTrue(
+                post(2, "search", nextPageMembers(10, cursor)).startsWith("200 "),
                 "and the sound one goes on, by the older key");
     }
 
     /** What a start of a router takes, without settings of our own, has nothing of pages in it. */
     @Test
-    void nothingOfItIsLoadedWhereItIsOff() throws Exception {
+    void noPagingClassIsLoadedWhenPagesAreDisabled() throws Exception {
         Path loaded = dir.resolve("loaded.txt");
-        Process rehearsed =
+        Process rehearsal =
                 new ProcessBuilder(
                                 "java",
                                 "-Xshare:off",
@@ -414,7 +430,7 @@
                         .redirectErrorStream(true)
                         .redirectOutput(dir.resolve("r.txt").toFile())
                         .start();
-        assertEquals(0, rehearsed.waitFor());
+        assertEquals(0, rehearsal.waitFor());
         String classes = Files.readString(loaded);
         assertTrue(classes.contains(" postbeam.router.PolicyExecutor "));
         assertFalse(
--- a/src/test/java/postbeam/pages/PartialPagePropertyTest.java
+++ b/src/test/java/postbeam/pages/PartialPagePropertyTest.java
@@ -19,13 +19,13 @@
     private static final KeyRange OTHER_RANGE = new KeyRange(0, 100);
 
     private static void assertInvalid(
-            PartialPage answer, SortOrder order, RowFetch fetch, String why) {
-        assertTrue(answer.findProblem(order, List.of(fetch)).isPresent(), why);
+            PartialPage answer, SortOrder order, RowFetch fetch, String defect) {
+        assertTrue(answer.findProblem(order, List.of(fetch)).isPresent(), defect);
     }
 
     /** Any one thing that is wrong with an answer is found. */
     @Property(tries = 500, seed = "1")
-    void invalidAnswerIsFound(
+    void answerWithOneDefectIsInvalid(
             @ForAll long seed, @ForAll @IntRange(min = 2, max = 20) int rowCount) {
         Random random = new Random(seed);
         SortOrder order = RandomRows.order(random);
@@ -66,7 +66,7 @@
     }
 
     @Example
-    void rowWithAnInvalidPositionIsFound() {
+    void answerWithAnInvalidPositionIsInvalid() {
         SortOrder order = new SortOrder(List.of(new SortKey("k", false, false)));
         List<RowPosition> invalid =
                 List.of(
--- a/src/test/java/postbeam/pages/QueryDigestTest.java
+++ b/src/test/java/postbeam/pages/QueryDigestTest.java
@@ -16,7 +16,7 @@
     private static final byte[] OTHER_PAYLOAD = "other".getBytes(StandardCharsets.UTF_8);
 
     @Test
-    void anotherQueryHasAnotherDigest() {
+    void digestDependsOnEachPartOfTheQuery() {
         assertEquals(
                 5,
                 Set.of(
--- a/src/test/java/postbeam/pages/RandomRows.java
+++ b/src/test/java/postbeam/pages/RandomRows.java
@@ -41,9 +41,10 @@
     static PartialPage answer(Random random, SortOrder order, KeyRange range, int rowCount) {
         List<Row> rows = new ArrayList<>();
         for (int i = 0; i < rowCount; i++) {
-            RowPosition drawn = position(random, order.keys().size());
+            RowPosition randomPosition = position(random, order.keys().size());
             RowPosition position =
-                    new RowPosition(drawn.sortValues(), range.from() + random.nextInt(5), i);
+                    new RowPosition(
+                            randomPosition.sortValues(), range.from() + random.nextInt(5), i);
             rows.add(new Row(position, "r" + i));
         }
         rows.sort((one, other) -> order.compare(one.position(), other.position()));
--- a/src/test/java/postbeam/pages/RowCodecTest.java
+++ b/src/test/java/postbeam/pages/RowCodecTest.java
@@ -20,7 +20,7 @@
                     Long.MIN_VALUE);
 
     @Test
-    void answersComeBackUnchanged() throws IOException {
+    void encodedAnswerDecodesToEqualAnswer() throws IOException {
         PartialPage answer =
                 new PartialPage(
                         RANGE,
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void fetchRequestsComeBackUnchanged() throws IOException {
+    void encodedFetchRequestDecodesToEqualRequest() throws IOException {
         SortOrder order =
                 new SortOrder(
                         List.of(new SortKey("fare", true, true), new SortKey("at", false, false)));
--- a/src/test/java/postbeam/pages/RowMergerBenchmark.java
+++ b/src/test/java/postbeam/pages/RowMergerBenchmark.java
@@ -50,7 +50,7 @@
     private CursorCodec cursorCodec;
 
     @Setup
-    public void drawRows() throws OperatorErrorException {
+    public void generateRows() throws OperatorErrorException {
         Random random = new Random(1);
         cursorCodec = new CursorCodec("1d".repeat(32), null);
         List<RangeProgress> ranges = new ArrayList<>();
--- a/src/test/java/postbeam/pages/SortOrderPropertyTest.java
+++ b/src/test/java/postbeam/pages/SortOrderPropertyTest.java
@@ -30,7 +30,7 @@
     }
 
     @Property(tries = 500, seed = "1")
-    void textsAreOrderedAsTheirUtf8Bytes(@ForAll long seed) {
+    void stringsAreOrderedByTheirUtf8Bytes(@ForAll long seed) {
         Random random = new Random(seed);
         String one = text(random);
         String other = text(random);
@@ -52,7 +52,7 @@
     }
 
     @Example
-    void missingValuesComeWhereTheKeySaysInEitherDirection() {
+    void missingValuesSortFirstOrLastAsConfiguredInBothDirections() {
         for (boolean descending : new boolean[] {false, true}) {
             assertTrue(new SortKey("k", descending, true).compare(null, 1L) < 0);
             assertTrue(new SortKey("k", descending, false).compare(null, "a") > 0);
