--- a/src/test/java/postbeam/pages/CursorCodecTest.java
+++ b/src/test/java/postbeam/pages/CursorCodecTest.java
@@ -32,8 +32,8 @@
     }
 
     /**
-     * So many ranges of even size apart from one another, at so many positions with this sort
-     * value.
+     * Returns a cursor of equally sized ranges with gaps between them; the ranges share the given
+     * number of positions, which have the given sort value.
      */
     private static Cursor cursor(int rangeCount, int positionCount, Object value) {
         List<Object> sortValues =
@@ -83,12 +83,15 @@
                                 List.of(new RangeProgress(KeyRange.ALL, 1, null))))) {
             assertSame(cursor, codec.decode(codec.encode(cursor), QUERY_DIGEST, layouts(12, 12)));
         }
-        assertTrue(codec.encode(usual).length() <= 2_600, "usual: " + codec.encode(usual).length());
         assertTrue(
-                codec.encode(worst).length() <= 14_535, "worst: " + codec.encode(worst).length());
+                codec.encode(usual).length() <= 2_600,
+                "length of a usual cursor: " + codec.encode(usual).length());
+        assertTrue(
+                codec.encode(worst).length() <= 14_535,
+                "length of a cursor with most positions: " + codec.encode(worst).length());
         assertTrue(
                 codec.encode(largest).length() <= CursorCodec.MAX_TEXT_LENGTH,
-                "largest: " + codec.encode(largest).length());
+                "length of the largest cursor: " + codec.encode(largest).length());
         assertInstanceOf(
                 PageError.CursorTooLarge.class,
                 assertThrows(
@@ -117,7 +120,7 @@
                     error instanceof PageError.InvalidCursor
                             || (i < 2 && error instanceof PageError.UnsupportedCursorFormat)
                             || (i < 7 && error instanceof PageError.UnknownSigningKey),
-                    i + ": " + error);
+                    "altered character " + i + ": " + error);
         }
         for (String bad :
                 List.of(
@@ -156,8 +159,8 @@
     }
 
     /**
-     * First all hold the new key beside the old, then the new one signs, then the old one is let
-     * go.
+     * During a key rotation each router first accepts the new key besides the old one, then signs
+     * with the new key, and drops the old key last.
      */
     @Test
     void cursorsOfBothKeysAreAcceptedDuringKeyRotation() throws OperatorErrorException {
--- a/src/test/java/postbeam/pages/FollowUpFetchBudgetPropertyTest.java
+++ b/src/test/java/postbeam/pages/FollowUpFetchBudgetPropertyTest.java
@@ -15,8 +15,8 @@
     private static final double ROUNDING = 1e-9;
 
     /**
-     * The budget for extra attempts holds in every window, as the reserve makes up for what
-     * follow-ups add to it.
+     * Follow-ups raise the budget for extra attempts as queries do. The test guards against a
+     * budget that is exceeded because they raise it in some window by more than was reserved.
      */
     @Property(tries = 200, seed = "1")
     void followUpsStayWithinTheReservedAttemptsInEveryWindow(@ForAll long seed) {
@@ -38,11 +38,13 @@
                     started.stream().filter(at -> at.compareTo(now.minus(WINDOW)) > 0).count();
             assertTrue(
                     budgetShare * inWindow <= budget.reservedAttempts() + ROUNDING,
-                    inWindow + " of " + budget.reservedAttempts());
+                    inWindow
+                            + " follow-up parts and queries in a window, reserved attempts: "
+                            + budget.reservedAttempts());
         }
         assertTrue(freeAttempts < 10 || !started.isEmpty());
         assertTrue(
                 new FollowUpFetchBudget(0, 0, null).tryAcquire(Duration.ZERO, 1000),
-                "there is no budget");
+                "without a budget, follow-ups are not limited");
     }
 }
--- a/src/test/java/postbeam/pages/PageCostReport.java
+++ b/src/test/java/postbeam/pages/PageCostReport.java
@@ -7,9 +7,9 @@
 import postbeam.slices.KeyRange;
 
 /**
- * What pages cost: rows fetched over rows given and calls a page, against asking every part for a
- * full page. Run it as {@code TranslationBenchmark} says; it takes no time into account and prints
- * the same each time.
+ * Reports the cost of pages: the ratio of rows fetched to rows returned and the calls for each
+ * page, compared with requesting a full page from every part. Run it like {@code
+ * TranslationBenchmark}; it measures no times, and its output is the same in each run.
  */
 final class PageCostReport {
     private static final int SIZE = 100;
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Row counts and calls of many chains of pages. */
+    /** Totals over many chains of pages. */
     private static final class Totals {
         private long fetched;
         private long returned;
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Chains one after the other through one router, each over other rows; skewed: the first of 20
-     * shards has a third.
+     * Runs chains of pages one after the other through one router, each over other rows. If skewed,
+     * the first of 20 shards has about a third of the rows.
      */
     private static void run(int shards, boolean skewed, int pageSize) {
         Random random = new Random(1);
--- a/src/test/java/postbeam/pages/PageErrorTextTest.java
+++ b/src/test/java/postbeam/pages/PageErrorTextTest.java
@@ -8,7 +8,9 @@
 import org.junit.jupiter.api.Test;
 import postbeam.samples.SampleFile;
 
-/** Clients and operators see these texts: a change of wording is to be made in the sample too. */
+/**
+ * Clients and operators see these messages; a reworded message must be changed in the sample too.
+ */
 class PageErrorTextTest {
     private static final List<PageError> ERRORS =
             List.of(
@@ -36,7 +38,7 @@
         assertEquals(
                 PageError.class.getPermittedSubclasses().length,
                 ERRORS.stream().map(Object::getClass).distinct().count(),
-                "each kind is here");
+                "ERRORS has one instance of each type");
         for (PageError error : ERRORS) {
             assertTrue(
                     error.problem().length() > 10 && !error.problem().endsWith("."),
--- a/src/test/java/postbeam/pages/PageSamplesTest.java
+++ b/src/test/java/postbeam/pages/PageSamplesTest.java
@@ -15,7 +15,8 @@
 import postbeam.slices.KeyRange;
 
 /**
- * Cursors and messages written by an earlier build are read, and written again to the same bytes.
+ * Decodes cursors and messages recorded from an earlier build and encodes them again to the same
+ * bytes. Guards against a change of the wire format.
  */
 class PageSamplesTest {
     private static final String KEY = "0f".repeat(32);
--- a/src/test/java/postbeam/pages/PagesIT.java
+++ b/src/test/java/postbeam/pages/PagesIT.java
@@ -36,8 +36,9 @@
 import postbeam.testbed.verification.InvariantChecker;
 
 /**
- * Router processes that share nothing read one chain of pages, through a layout service's re-cuts
- * and dying nodes.
+ * Tests pages with a layout service, data nodes and router processes that share no state: a chain
+ * of pages must stay complete while slices are split, moved and merged, and while routers and nodes
+ * fail.
  */
 class PagesIT {
     private static final Duration TIMEOUT = Duration.ofSeconds(30);
@@ -123,11 +124,11 @@
                                                     "\"leastShare\": [0.75", "\"leastShare\": [0.4")
                                             .replace("\"quotaPerS\": 5.0", "\"quotaPerS\": 500"))
                             .toString();
-            // The last router has had its keys changed already.
+            // The last router already signs with the new key.
             String settings =
                     i + 1 < ROUTER_COUNT
-                            ? writeSettings("own" + i + ".json5", file, "5c", "e1")
-                            : writeSettings("own" + i + ".json5", file, "e1", "5c");
+                            ? writeSettings("router" + i + ".json5", file, "5c", "e1")
+                            : writeSettings("router" + i + ".json5", file, "e1", "5c");
             addresses.add(listen);
             routers.add(start("router" + i, "serve", "--config", config, "--settings", settings));
         }
@@ -216,12 +217,12 @@
     private static void awaitCondition(Callable<Boolean> condition) throws Exception {
         long end = System.nanoTime() + TIMEOUT.toNanos();
         while (!condition.call()) {
-            assertTrue(System.nanoTime() < end, "the condition did not come");
+            assertTrue(System.nanoTime() < end, "the condition was not met within " + TIMEOUT);
             Thread.sleep(50);
         }
     }
 
-    /** Status, a space, and the body. */
+    /** Posts a query; returns the status, a space and the body. */
     private String post(int router, String vertical, String members)
             throws IOException, InterruptedException {
         HttpResponse<String> answer =
@@ -261,8 +262,8 @@
     }
 
     /**
-     * A page: its rows, and what was missing; the rows are added to the chain. Null: it was turned
-     * away.
+     * Requests a page and adds its rows to the chain. Returns the response body, with the missing
+     * ranges of the page as an additional member; null if the router answered 503.
      */
     private Map<String, Object> fetchPage(int router, String members, List<Row> chain)
             throws Exception {
@@ -289,7 +290,7 @@
         for (int i = 1; i < received.size(); i++) {
             assertTrue(
                     order.compare(received.get(i - 1).position(), received.get(i).position()) < 0,
-                    "a page ascends");
+                    "rows of a page are in the sort order");
         }
         chain.addAll(received);
         body.put("missing", page.get("missing"));
@@ -318,7 +319,8 @@
             } else if (pages == 4) {
                 changeLayout(
                         "{\"move\": 2, \"off\": \"n2\", \"onto\": \"n0\"}", "layout 3, 5 slices");
-                // One of two holders spoils the order from now on: what it says is not merged.
+                // One of the two holders sends rows out of order from now on; they must not be
+                // merged.
                 nodes.get(1).setSwapsRows(true);
             } else if (pages == 6) {
                 changeLayout("{\"merge\": [4, 5]}", "layout 4, 4 slices");
@@ -338,10 +340,12 @@
                 page = received;
                 pages++;
             }
-            assertTrue(chain.size() <= ROW_COUNT, "more rows than there are");
+            assertTrue(
+                    chain.size() <= ROW_COUNT,
+                    "the chain has " + chain.size() + " rows, the data nodes have " + ROW_COUNT);
         }
         assertEquals(encode(sortedRows()), encode(chain));
-        assertTrue(pages >= ROW_COUNT / 37, "pages are no larger than asked for");
+        assertTrue(pages >= ROW_COUNT / 37, "pages are larger than requested: " + pages + " pages");
         assertTrue(
                 Files.readString(dir.resolve("router1.txt"))
                                 .contains("a row out of order; check that the data node")
@@ -353,7 +357,7 @@
     void missingRangeIsReportedAndItsRowsAreReturnedOnceOnLaterPages() throws Exception {
         List<Row> chain = new ArrayList<>();
         Map<String, Object> page = fetchPage(0, firstPageMembers(50), chain);
-        // The slice of these two is gone.
+        // These two are the only holders of one slice.
         nodes.get(0).crash();
         nodes.get(1).crash();
         page = fetchPage(1, nextPageMembers(50, (String) page.get("cursor")), chain);
@@ -370,7 +374,9 @@
                             nextPageMembers(50, (String) page.get("cursor")),
                             chain);
             page = received == null ? page : received;
-            assertTrue(chain.size() <= ROW_COUNT, "more rows than there are");
+            assertTrue(
+                    chain.size() <= ROW_COUNT,
+                    "the chain has " + chain.size() + " rows, the data nodes have " + ROW_COUNT);
         }
         chain.sort((one, other) -> ORDER.compare(one.position(), other.position()));
         assertEquals(encode(sortedRows()), encode(chain));
@@ -412,10 +418,13 @@
         assertEquals(callsBefore, checker.calls());
         assertTrue(
                 post(2, "search", nextPageMembers(10, cursor)).startsWith("200 "),
-                "and the sound one goes on, by the older key");
+                "the unaltered cursor is accepted by the router that has its key as oldKey");
     }
 
-    /** What a start of a router takes, without settings of our own, has nothing of pages in it. */
+    /**
+     * The rehearse command starts a router without a settings file, which must not load any class
+     * of the paging code.
+     */
     @Test
     void noPagingClassIsLoadedWhenPagesAreDisabled() throws Exception {
         Path loaded = dir.resolve("loaded.txt");
--- a/src/test/java/postbeam/pages/PartialPagePropertyTest.java
+++ b/src/test/java/postbeam/pages/PartialPagePropertyTest.java
@@ -23,7 +23,7 @@
         assertTrue(answer.findProblem(order, List.of(fetch)).isPresent(), defect);
     }
 
-    /** Any one thing that is wrong with an answer is found. */
+    /** A valid answer has no problem; with any single defect it has one. */
     @Property(tries = 500, seed = "1")
     void answerWithOneDefectIsInvalid(
             @ForAll long seed, @ForAll @IntRange(min = 2, max = 20) int rowCount) {
@@ -36,24 +36,29 @@
         int index = random.nextInt(rowCount - 1);
         List<Row> swapped = new ArrayList<>(rows);
         Collections.swap(swapped, index, index + 1);
-        assertInvalid(new PartialPage(RANGE, swapped, null), order, fetch, "swapped");
+        assertInvalid(new PartialPage(RANGE, swapped, null), order, fetch, "rows swapped");
         List<Row> repeated = new ArrayList<>(rows);
         repeated.set(index + 1, repeated.get(index));
-        assertInvalid(new PartialPage(RANGE, repeated, null), order, fetch, "repeated");
-        assertInvalid(valid, order, new RowFetch(RANGE, null, rowCount - 1), "too many");
+        assertInvalid(new PartialPage(RANGE, repeated, null), order, fetch, "row repeated");
+        assertInvalid(
+                valid, order, new RowFetch(RANGE, null, rowCount - 1), "more rows than requested");
         assertInvalid(
                 valid,
                 order,
                 new RowFetch(RANGE, rows.get(index).position(), rowCount),
-                "given before");
+                "row at the start position of the fetch");
         assertInvalid(
                 new PartialPage(OTHER_RANGE, rows, null),
                 order,
                 new RowFetch(OTHER_RANGE, null, rowCount),
-                "other keys");
+                "rows of keys outside the range");
         List<Row> allButLast = rows.subList(0, rowCount - 1);
         RowPosition seen = rows.get(random.nextInt(rowCount - 1)).position();
-        assertInvalid(new PartialPage(RANGE, allButLast, seen), order, fetch, "next");
+        assertInvalid(
+                new PartialPage(RANGE, allButLast, seen),
+                order,
+                fetch,
+                "next position not after the last row");
         RowPosition last = rows.get(rowCount - 1).position();
         assertEquals(
                 Optional.empty(),
@@ -62,7 +67,7 @@
                 new PartialPage(RANGE, List.of(), rows.get(0).position()),
                 order,
                 fetch,
-                "none, and more");
+                "no rows, but a next position");
     }
 
     @Example
--- a/src/test/java/postbeam/pages/RandomRows.java
+++ b/src/test/java/postbeam/pages/RandomRows.java
@@ -5,7 +5,7 @@
 import java.util.Random;
 import postbeam.slices.KeyRange;
 
-/** Sort orders, positions and answers drawn at random, with many that are close or equal. */
+/** Random sort orders, positions and answers; many of their values are adjacent or equal. */
 final class RandomRows {
     private RandomRows() {}
 
@@ -37,7 +37,7 @@
         return new SortOrder(keys);
     }
 
-    /** A valid answer of so many rows, with no more to come. */
+    /** Returns a valid answer with this number of rows and no next position. */
     static PartialPage answer(Random random, SortOrder order, KeyRange range, int rowCount) {
         List<Row> rows = new ArrayList<>();
         for (int i = 0; i < rowCount; i++) {
--- a/src/test/java/postbeam/pages/RowMergerBenchmark.java
+++ b/src/test/java/postbeam/pages/RowMergerBenchmark.java
@@ -24,8 +24,8 @@
 import postbeam.slices.KeyRange;
 
 /**
- * What a page of 1,000 rows costs a row, by the parts it is merged from; run as {@code
- * TranslationBenchmark} is.
+ * Measures the time for each row of a page of 1,000 rows, by the number of parts it is merged from.
+ * Run it like {@code TranslationBenchmark}.
  */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
@@ -89,7 +89,7 @@
         return RowMerger.mergeFirst(order, lists, SIZE, null);
     }
 
-    /** Decoding what nodes answered, and checking whether it is valid. */
+    /** Decodes and validates the answers of data nodes. */
     @Benchmark
     @OperationsPerInvocation(SIZE)
     public int decodeAndCheck() throws IOException {
@@ -102,7 +102,7 @@
         return valid;
     }
 
-    /** Of one cursor, not of a row. */
+    /** Encodes one cursor; the time is that of the cursor, not of a row. */
     @Benchmark
     public String encodeCursor() throws OperatorErrorException {
         return cursorCodec.encode(cursor);
--- a/src/test/java/postbeam/pages/UnsplitLayout.java
+++ b/src/test/java/postbeam/pages/UnsplitLayout.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import postbeam.slices.KeyRange;
 
-/** A layout of one slice. */
+/** A layout with one slice, which has all keys. */
 record UnsplitLayout(long currentVersion, long oldestVersion) implements LayoutHistory {
     @Override
     public List<KeyRange> splitBySlices(KeyRange keys) {
