--- a/src/main/java/postbeam/pages/CursorBody.java
+++ b/src/main/java/postbeam/pages/CursorBody.java
@@ -35,6 +35,7 @@
         return numbers;
     }
 
+    /** Writes the body; the positions are those that {@link #numberPositions} returns. */
     static void write(
             ByteArrayOutputStream out, Cursor cursor, Map<RowPosition, Integer> positionNumbers) {
         VarLong.write(out, cursor.layoutVersion());
--- a/src/main/java/postbeam/pages/FetchPlanner.java
+++ b/src/main/java/postbeam/pages/FetchPlanner.java
@@ -105,6 +105,7 @@
         return fetches;
     }
 
+    /** Expected share of a range, as its part of the share of its first-round range. */
     private static double expectedShare(
             AnsweredRange range, List<AnsweredRange> firstRound, double[] shares) {
         return shares[firstRound.indexOf(range.root)]
--- a/src/main/java/postbeam/pages/RowCodec.java
+++ b/src/main/java/postbeam/pages/RowCodec.java
@@ -122,7 +122,8 @@
                     "a fetch refers to position "
                             + position
                             + ", but \"marks\" has "
-                            + positions.size());
+                            + positions.size()
+                            + " positions");
         }
         KeyRange range = rangeOf(wholeNumber(fetch.get(0)), wholeNumber(fetch.get(1)));
         RowPosition after = position < 0 ? null : positions.get(position);
--- a/src/main/java/postbeam/pages/RowDistribution.java
+++ b/src/main/java/postbeam/pages/RowDistribution.java
@@ -45,7 +45,10 @@
     /** Weight of a new page in the moving average of the dispersion. */
     private static final double DISPERSION_STEP = 0.05;
 
+    /** Lower bound of the dispersion, and of the binomial variance that it is computed with. */
     private static final double MIN_DISPERSION = 0.25;
+
+    /** Upper bound of what one page may contribute to the dispersion. */
     private static final double MAX_DISPERSION = 9;
 
     /** Pages with fewer rows do not update the dispersion, as they say too little about it. */
--- a/src/main/java/postbeam/pages/VarLong.java
+++ b/src/main/java/postbeam/pages/VarLong.java
@@ -38,7 +38,7 @@
                 return value;
             }
         }
-        throw new IllegalArgumentException("a number of more than 10 bytes");
+        throw new IllegalArgumentException("expected a number of at most 10 bytes");
     }
 
     /**
