--- a/src/main/java/postbeam/cli/ConfigurationReloader.java
+++ b/src/main/java/postbeam/cli/ConfigurationReloader.java
@@ -34,8 +34,8 @@
     }
 
     /** Sets the router to reload. */
-    synchronized void attach(Router running) {
-        router = running;
+    synchronized void attach(Router newRouter) {
+        router = newRouter;
         if (reloadRequested) {
             reload();
         }
--- a/src/main/java/postbeam/cli/ExtendedClassPathLauncher.java
+++ b/src/main/java/postbeam/cli/ExtendedClassPathLauncher.java
@@ -20,7 +20,7 @@
  */
 final class ExtendedClassPathLauncher {
     private static final String CORE_LIBRARIES = "lib";
-    private static final String MORE_LIBRARIES = "more";
+    private static final String EXTRA_LIBRARIES = "more";
 
     private ExtendedClassPathLauncher() {}
 
@@ -30,18 +30,19 @@
      * @return whether it did, so that nothing is left to do
      * @throws IllegalStateException if the libraries can't be used, or the program failed
      */
-    static boolean relaunched(String[] args) {
+    static boolean relaunchIfNeeded(String[] args) {
         try {
             Path jar =
                     Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-            Path more = jar.resolveSibling(MORE_LIBRARIES);
-            if (Main.class.getClassLoader() instanceof URLClassLoader || !Files.isDirectory(more)) {
+            Path extraLibraries = jar.resolveSibling(EXTRA_LIBRARIES);
+            if (Main.class.getClassLoader() instanceof URLClassLoader
+                    || !Files.isDirectory(extraLibraries)) {
                 return false;
             }
             List<URL> classPath = new ArrayList<>();
             classPath.add(url(jar));
             addJars(classPath, jar.resolveSibling(CORE_LIBRARIES));
-            addJars(classPath, more);
+            addJars(classPath, extraLibraries);
             run(args, classPath);
             return true;
         } catch (IOException | URISyntaxException | ReflectiveOperationException e) {
--- a/src/main/java/postbeam/cli/Main.java
+++ b/src/main/java/postbeam/cli/Main.java
@@ -29,7 +29,7 @@
                 args.length > 0
                         && CORE_COMMANDS.contains(args[0])
                         && !List.of(args).contains("--settings");
-        if (!core && ExtendedClassPathLauncher.relaunched(args)) {
+        if (!core && ExtendedClassPathLauncher.relaunchIfNeeded(args)) {
             return;
         }
         System.exit(new Main().run(args));
@@ -47,7 +47,7 @@
         JCommander commandLine = builder.build();
         if (args.length == 0 || !commands.containsKey(args[0])) {
             ToolCommands.addTo(commandLine)
-                    .forEach((name, tool) -> commands.put(name, withBoundedLogs(tool)));
+                    .forEach((name, tool) -> commands.put(name, withLogRateLimit(tool)));
         }
         try {
             commandLine.parse(args);
@@ -67,7 +67,7 @@
         return commands.get(commandLine.getParsedCommand()).run();
     }
 
-    private static Command withBoundedLogs(Command command) {
+    private static Command withLogRateLimit(Command command) {
         return () -> {
             LogRateLimiter.install();
             return command.run();
--- a/src/main/java/postbeam/cli/RouterFactory.java
+++ b/src/main/java/postbeam/cli/RouterFactory.java
@@ -31,19 +31,19 @@
         }
         InstanceSettings settings = SubsystemSettings.read(Path.of(settingsFile));
         Router router = createWithLayouts(config, settings);
-        return isOn(settings, "together.enabled")
+        return isEnabled(settings, "together.enabled")
                 ? router.withExtension(peerCoordinator(settings))
                 : router;
     }
 
-    private static boolean isOn(InstanceSettings settings, String path) {
+    private static boolean isEnabled(InstanceSettings settings, String path) {
         return Boolean.TRUE.equals(settings.flag(path));
     }
 
     private static Router createWithLayouts(RouterConfig config, InstanceSettings settings)
             throws IOException {
-        boolean pages = isOn(settings, "pages.enabled");
-        if (!isOn(settings, "layouts.follow.enabled")) {
+        boolean pages = isEnabled(settings, "pages.enabled");
+        if (!isEnabled(settings, "layouts.follow.enabled")) {
             if (pages) {
                 throw new IOException("pages.enabled needs layouts.follow.enabled");
             }
@@ -58,7 +58,7 @@
     /** Where shards migrate, a layout is valid for a lease. */
     private static SliceTranslator sliceTranslator(InstanceSettings settings) {
         SliceTranslator translator = new SliceTranslator();
-        if (isOn(settings, "layouts.migration.enabled")) {
+        if (isEnabled(settings, "layouts.migration.enabled")) {
             translator.setLeaseDuration(
                     Duration.ofMillis(settings.integerAtLeast("layouts.migration.leaseMs", 1)));
         }
--- a/src/main/java/postbeam/config/InstanceSettings.java
+++ b/src/main/java/postbeam/config/InstanceSettings.java
@@ -135,11 +135,11 @@
     }
 
     /** An integer that must be there, and at least so large. */
-    public int integerAtLeast(String path, int least) {
+    public int integerAtLeast(String path, int min) {
         required(path);
         int value = integer(path);
-        if (value < least) {
-            throw invalid(path, "must be " + least + " or more, not " + text(path));
+        if (value < min) {
+            throw invalid(path, "must be " + min + " or more, not " + text(path));
         }
         return value;
     }
--- a/src/main/java/postbeam/config/PolicyFactory.java
+++ b/src/main/java/postbeam/config/PolicyFactory.java
@@ -64,7 +64,7 @@
         settings.required(prefix + "promise");
         double complete =
                 orDefault(settings.listEntry("domain.classNeed", index), DEFAULT_COMPLETE_FRACTION);
-        double least = orDefault(settings.listEntry("domain.leastShare", index), complete);
+        double minimum = orDefault(settings.listEntry("domain.leastShare", index), complete);
         double lateUtility = orDefault(settings.number(prefix + "lateWorth"), DEFAULT_LATE_UTILITY);
         double partialUtility =
                 orDefault(settings.listEntry("domain.shortWorth", index), DEFAULT_PARTIAL_UTILITY);
@@ -74,38 +74,38 @@
                         .utility(
                                 orDefault(settings.number(prefix + "worth"), DEFAULT_UTILITY),
                                 lateUtility)
-                        .weights(complete, least)
+                        .weights(complete, minimum)
                         .partialUtility(partialUtility)
                         .totalClientTimeout(settings.duration(prefix + "deadline"))
                         .build();
         boolean hasSecondStep = orDefault(settings.listEntry("domain.followUp", index), 0) >= 1;
-        return hasSecondStep ? withSecondStep(first, complete, least) : first;
+        return hasSecondStep ? withSecondStep(first, complete, minimum) : first;
     }
 
     /** The class with a follow-up query that needs all of its parts. */
-    private static QueryClass withSecondStep(QueryClass first, double complete, double least) {
+    private static QueryClass withSecondStep(QueryClass first, double complete, double minimum) {
         QueryClass second =
                 first.toBuilder()
                         .weights(
                                 DEFAULT_COMPLETE_FRACTION,
-                                least < complete ? least : DEFAULT_COMPLETE_FRACTION)
+                                minimum < complete ? minimum : DEFAULT_COMPLETE_FRACTION)
                         .totalClientTimeout(null)
                         .build();
         return first.toBuilder().secondStep(second).build();
     }
 
     private static SideEffects sideEffects(InstanceSettings settings, String path) {
-        String word = settings.text(path);
-        if (word == null) {
+        String value = settings.text(path);
+        if (value == null) {
             return DEFAULT_SIDE_EFFECTS;
         }
-        return switch (word) {
+        return switch (value) {
             case "retryable" -> SideEffects.IDEMPOTENT;
             case "dedup" -> SideEffects.DEDUPLICATED;
             case "fragile" -> SideEffects.NON_IDEMPOTENT;
             default ->
                     throw settings.invalid(
-                            path, "must be retryable, dedup or fragile, not " + word);
+                            path, "must be retryable, dedup or fragile, not " + value);
         };
     }
 
--- a/src/main/java/postbeam/config/RouterConfig.java
+++ b/src/main/java/postbeam/config/RouterConfig.java
@@ -35,7 +35,7 @@
     private static final int SEED_RADIX = 16;
 
     /** The whole configuration by path. */
-    public final InstanceSettings instance;
+    public final InstanceSettings members;
 
     /** Its settings, by the paths of the simulator's protocol. */
     public final InstanceSettings settings;
@@ -44,7 +44,7 @@
 
     private RouterConfig(Map<String, Object> document, Map<String, Object> settings) {
         this.document = document;
-        this.instance = new InstanceSettings(document, "");
+        this.members = new InstanceSettings(document, "");
         this.settings = new InstanceSettings(settings, "settings.");
     }
 
@@ -92,16 +92,16 @@
     }
 
     /** A limit of the machine, at least so large; where none is stated, the default. */
-    public int limit(String name, int least) {
-        SettingsValidator.requireObject(instance, "limits");
+    public int limit(String name, int min) {
+        SettingsValidator.requireObject(members, "limits");
         String path = "limits." + name;
         int limit =
-                instance.text(path) == null
+                members.text(path) == null
                         ? DEFAULT_LIMITS.get(name)
-                        : instance.integerAtLeast(path, least);
+                        : members.integerAtLeast(path, min);
         if (name.equals(MEMORY_MB) && limit > MAX_MEMORY_MB) {
-            throw instance.invalid(
-                    path, "must be " + MAX_MEMORY_MB + " or less, not " + instance.text(path));
+            throw members.invalid(
+                    path, "must be " + MAX_MEMORY_MB + " or less, not " + members.text(path));
         }
         return limit;
     }
@@ -118,9 +118,9 @@
 
     /** A member that must be HOST:PORT. */
     public String address(String path) {
-        String value = instance.required(path);
+        String value = members.required(path);
         if (!HOST_AND_PORT.matcher(value).matches() || port(value) > MAX_PORT) {
-            throw instance.invalid(path, "must be HOST:PORT, not " + value);
+            throw members.invalid(path, "must be HOST:PORT, not " + value);
         }
         return value;
     }
@@ -137,9 +137,9 @@
     /** The seed of this router's random numbers: up to 16 hex digits. */
     public long seed() {
         try {
-            return Long.parseUnsignedLong(instance.required("seed"), SEED_RADIX);
+            return Long.parseUnsignedLong(members.required("seed"), SEED_RADIX);
         } catch (NumberFormatException e) {
-            throw instance.invalid("seed", "must be up to 16 hex digits");
+            throw members.invalid("seed", "must be up to 16 hex digits");
         }
     }
 }
--- a/src/main/java/postbeam/config/SettingsSchema.java
+++ b/src/main/java/postbeam/config/SettingsSchema.java
@@ -102,16 +102,16 @@
             node = step.isEmpty() ? node : node.path(PROPERTIES).path(step);
         }
         LevenshteinDistance distance = new LevenshteinDistance(MAX_EDIT_DISTANCE);
-        String nearest = null;
-        int least = MAX_EDIT_DISTANCE + 1;
+        String suggested = null;
+        int minEdits = MAX_EDIT_DISTANCE + 1;
         for (Iterator<String> names = node.path(PROPERTIES).fieldNames(); names.hasNext(); ) {
             String known = names.next();
             int edits = distance.apply(known, unknown);
-            if (edits >= 0 && edits < least) {
-                nearest = known;
-                least = edits;
+            if (edits >= 0 && edits < minEdits) {
+                suggested = known;
+                minEdits = edits;
             }
         }
-        return nearest == null ? "" : "; " + nearest + " is known";
+        return suggested == null ? "" : "; " + suggested + " is known";
     }
 }
--- a/src/main/java/postbeam/config/SettingsValidator.java
+++ b/src/main/java/postbeam/config/SettingsValidator.java
@@ -137,8 +137,8 @@
         }
         for (int i = 0; i < classes; i++) {
             Double complete = fraction(settings, "domain.classNeed", i);
-            Double least = fraction(settings, "domain.leastShare", i);
-            if (least != null && least > (complete == null ? 1 : complete) + ROUNDING) {
+            Double minimum = fraction(settings, "domain.leastShare", i);
+            if (minimum != null && minimum > (complete == null ? 1 : complete) + ROUNDING) {
                 throw settings.invalid(
                         "domain.leastShare",
                         "must not be above domain.classNeed, which it is at entry " + i);
@@ -225,13 +225,13 @@
     }
 
     private static void requireInRange(
-            InstanceSettings settings, String path, double least, double most) {
+            InstanceSettings settings, String path, double min, double max) {
         Double value = settings.number(path);
-        if (value != null && (value < least || value > most)) {
+        if (value != null && (value < min || value > max)) {
             throw settings.invalid(
                     path,
                     "must be "
-                            + (most == UNBOUNDED ? "0 or more" : "from 0 to 1")
+                            + (max == UNBOUNDED ? "0 or more" : "from 0 to 1")
                             + ", not "
                             + settings.text(path));
         }
--- a/src/main/java/postbeam/router/Router.java
+++ b/src/main/java/postbeam/router/Router.java
@@ -155,7 +155,7 @@
         startedMessage =
                 String.format(
                         "%s serves at %s: at most %d client connections, %d to data nodes",
-                        config.instance.text("name"),
+                        config.members.text("name"),
                         config.address("listen"),
                         limits.maxClientConnections(),
                         limits.maxNodeConnections());
@@ -223,8 +223,7 @@
     }
 
     private LongPollWatcher<Layout> layoutWatch(String layoutService) {
-        String routerName =
-                config.instance.text("name") + "/" + Long.toHexString(System.nanoTime());
+        String routerName = config.members.text("name") + "/" + Long.toHexString(System.nanoTime());
         return LayoutWatch.of(
                 layoutService,
                 this::onLayout,
@@ -319,7 +318,7 @@
     }
 
     private void logChangesThatNeedRestart(RouterConfig newConfig) {
-        List<String> paths = new ArrayList<>(config.instance.changedPaths(newConfig.instance));
+        List<String> paths = new ArrayList<>(config.members.changedPaths(newConfig.members));
         paths.removeIf(Router::isExcludedFromRestartWarning);
         paths.addAll(config.settings.changedPaths(newConfig.settings));
         if (!paths.isEmpty()) {
--- a/src/main/java/postbeam/simulator/ActionWriter.java
+++ b/src/main/java/postbeam/simulator/ActionWriter.java
@@ -63,8 +63,8 @@
         write("PANIC", String.valueOf(e).replaceAll("\\s", " ") + " at " + place);
     }
 
-    private static long microsOrZero(Duration span) {
-        return span == null ? 0 : span.toNanos() / NANOS_PER_MICRO;
+    private static long microsOrZero(Duration duration) {
+        return duration == null ? 0 : duration.toNanos() / NANOS_PER_MICRO;
     }
 
     private void write(String action, Object... fields) {
--- a/src/main/java/postbeam/simulator/EventReader.java
+++ b/src/main/java/postbeam/simulator/EventReader.java
@@ -105,8 +105,8 @@
             return new RouterEvent.QueryArrival(
                     id, queryNumber, queryClass, tenant, timeout, clientRetry);
         }
-        boolean hinted = (attributes & HAS_WORK_HINT) != 0 && workMicros > 0;
-        Duration work = hinted ? micros(workMicros) : null;
+        boolean hasWorkHint = (attributes & HAS_WORK_HINT) != 0 && workMicros > 0;
+        Duration work = hasWorkHint ? micros(workMicros) : null;
         return new RouterEvent.ShardRequestArrival(id, queryNumber, shard, weight, work);
     }
 
--- a/src/main/java/postbeam/simulator/LineReader.java
+++ b/src/main/java/postbeam/simulator/LineReader.java
@@ -9,7 +9,7 @@
     private static final String ABSENT = "-";
 
     /** Maximum number of characters of a line in an error message. */
-    private static final int MAX_SHOWN = 80;
+    private static final int MAX_EXCERPT_LENGTH = 80;
 
     private final BufferedReader in;
     private String line;
@@ -91,12 +91,12 @@
 
     /** The error for the current line. */
     MalformedLineException malformed(String problem) {
-        String start = "";
+        String excerpt = "";
         if (line != null) {
-            start = line.substring(0, Math.min(MAX_SHOWN, line.length()));
+            excerpt = line.substring(0, Math.min(MAX_EXCERPT_LENGTH, line.length()));
         }
-        start = start.replace(FIELD_SEPARATOR, ' ');
+        excerpt = excerpt.replace(FIELD_SEPARATOR, ' ');
         return new MalformedLineException(
-                lineNumber, problem + (start.isEmpty() ? "" : ", in: " + start));
+                lineNumber, problem + (excerpt.isEmpty() ? "" : ", in: " + excerpt));
     }
 }
--- a/src/main/java/postbeam/simulator/SimulatedQueryTable.java
+++ b/src/main/java/postbeam/simulator/SimulatedQueryTable.java
@@ -66,11 +66,11 @@
             queriesById.remove(key.id);
             queriesByNumber.remove(key.number, query);
         }
-        removeFinished(query.shardRequests);
-        removeFinished(query.firstStepRequests);
+        removeIdle(query.shardRequests);
+        removeIdle(query.firstStepRequests);
     }
 
-    private void removeFinished(List<ShardRequest> requests) {
+    private void removeIdle(List<ShardRequest> requests) {
         for (ShardRequest request : requests) {
             if (request.attemptsInFlight.isEmpty()) {
                 requestsById.remove(requestIds.remove(request));
--- a/src/main/java/postbeam/simulator/SimulatorSession.java
+++ b/src/main/java/postbeam/simulator/SimulatorSession.java
@@ -29,7 +29,7 @@
     private final Map<Integer, SimulatedRouter> routers = new HashMap<>();
 
     /** The routers with an event in the current batch, in order of their first one. */
-    private final Set<SimulatedRouter> touchedRouters = new LinkedHashSet<>();
+    private final Set<SimulatedRouter> routersInBatch = new LinkedHashSet<>();
 
     /** Creates a session that reads events from the source and writes replies to the sink. */
     public SimulatorSession(InputStream source, OutputStream sink) {
@@ -64,7 +64,7 @@
     }
 
     private void readBatch(long clockMicros) throws IOException {
-        touchedRouters.clear();
+        routersInBatch.clear();
         while (true) {
             if (!in.nextLine()) {
                 throw in.malformed("the input ends within a batch");
@@ -75,7 +75,7 @@
             }
             readEvent(event, clockMicros);
         }
-        for (SimulatedRouter router : touchedRouters) {
+        for (SimulatedRouter router : routersInBatch) {
             Duration now = router.sinceStart(clockMicros);
             runGuarded(router, () -> router.onBatchEnd(now));
             router.pollIfDue(now);
@@ -98,10 +98,10 @@
         }
         if (event.equals("DETACH")) {
             routers.remove(id);
-            touchedRouters.remove(router);
+            routersInBatch.remove(router);
             return;
         }
-        touchedRouters.add(router);
+        routersInBatch.add(router);
         RouterEvent read = events.readEvent(event);
         runGuarded(router, () -> read.deliverTo(router, router.sinceStart(clockMicros)));
     }
@@ -110,8 +110,8 @@
         long seed = in.requiredNumber();
         InstanceSettings settings = events.readSettings();
         SimulatedRouter created = new SimulatedRouter(id, seed, settings, clockMicros, reply);
-        touchedRouters.remove(routers.put(id, created));
-        touchedRouters.add(created);
+        routersInBatch.remove(routers.put(id, created));
+        routersInBatch.add(created);
     }
 
     /** Reports a failure of the policy to the simulator; any other one ends the session. */
--- a/src/test/java/postbeam/cli/IgnoredHangupIT.java
+++ b/src/test/java/postbeam/cli/IgnoredHangupIT.java
@@ -35,12 +35,12 @@
                         .redirectErrorStream(true)
                         .start();
         try (BufferedReader out = program.inputReader()) {
-            StringBuilder said = new StringBuilder();
+            StringBuilder output = new StringBuilder();
             String line;
             while ((line = out.readLine()) != null && !line.contains(" serves at ")) {
-                said.append(line).append('\n');
+                output.append(line).append('\n');
             }
-            return said.append(line).toString();
+            return output.append(line).toString();
         } finally {
             program.destroyForcibly().waitFor();
         }
@@ -48,15 +48,15 @@
 
     /** Guards against a router that no reload reaches and that says nothing of it. */
     @Test
-    void routerThatCanNotHearSighupSaysSo() throws Exception {
-        String said = start("--ignore-signal=HUP");
-        assertTrue(said.contains(WARNING), said);
+    void routerStartedWithSighupIgnoredLogsAWarning() throws Exception {
+        String output = start("--ignore-signal=HUP");
+        assertTrue(output.contains(WARNING), output);
     }
 
     @Test
-    void routerThatHearsSighupWarnsOfNothing() throws Exception {
-        String said = start("--default-signal=HUP");
-        assertFalse(said.contains(WARNING), said);
-        assertTrue(said.contains(" serves at "), said);
+    void routerStartedWithDefaultSighupLogsNoWarning() throws Exception {
+        String output = start("--default-signal=HUP");
+        assertFalse(output.contains(WARNING), output);
+        assertTrue(output.contains(" serves at "), output);
     }
 }
--- a/src/test/java/postbeam/config/ConfigurationSamplesTest.java
+++ b/src/test/java/postbeam/config/ConfigurationSamplesTest.java
@@ -28,21 +28,21 @@
     }
 
     /** All that is told, a path=value a line. */
-    private static byte[] pairs(InstanceSettings info) {
-        return info.changedPaths(new InstanceSettings()).stream()
+    private static byte[] pairs(InstanceSettings settings) {
+        return settings.changedPaths(new InstanceSettings()).stream()
                 .map(path -> path.replaceFirst("^settings\\.", ""))
-                .map(path -> path + "=" + info.text(path) + "\n")
+                .map(path -> path + "=" + settings.text(path) + "\n")
                 .collect(Collectors.joining())
                 .getBytes(StandardCharsets.UTF_8);
     }
 
     @Test
-    void configurationIsReadIntoThePairsOfTheSample() throws IOException {
+    void configurationIsFlattenedToTheSamplePairs() throws IOException {
         SampleFile.assertSame("config/configuration-settings.txt", pairs(configuration().settings));
     }
 
     @Test
-    void pairsOfTheSimulatorsWireAreReadAlike() throws IOException {
+    void pairsFromTheSimulatorAreReadLikeTheConfiguration() throws IOException {
         InstanceSettings wire = new InstanceSettings();
         SampleFile.text("config/configuration-settings.txt").lines().forEach(wire::putPair);
         assertEquals(List.of(), wire.changedPaths(configuration().settings));
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void configurationIsWrittenAsTheSample() throws IOException {
+    void configurationIsWrittenLikeTheSample() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (var json = Json.FACTORY.createGenerator(bytes)) {
             Json.write(json, Json.parseObject(SampleFile.bytes("config/configuration.json")));
@@ -59,23 +59,23 @@
     }
 
     @Test
-    void eachSectionOfTheConfigurationIsUsed() throws IOException {
-        RouterConfig startup = configuration();
-        SettingsValidator.validate(startup.settings);
-        assertEquals("127.0.0.1:7070", startup.address("listen"));
-        assertEquals("127.0.0.1:8500", startup.address("discovery"));
-        assertEquals(0x8c1f30d27a5be964L, startup.seed());
-        assertEquals(128, startup.limit("memory_mb", 64));
-        assertEquals(512, startup.limit("sockets", 128));
+    void everySectionOfTheConfigurationIsRead() throws IOException {
+        RouterConfig config = configuration();
+        SettingsValidator.validate(config.settings);
+        assertEquals("127.0.0.1:7070", config.address("listen"));
+        assertEquals("127.0.0.1:8500", config.address("discovery"));
+        assertEquals(0x8c1f30d27a5be964L, config.seed());
+        assertEquals(128, config.limit("memory_mb", 64));
+        assertEquals(512, config.limit("sockets", 128));
         assertEquals(
                 new Endpoint("s-1", "a", 0, 0, Readiness.READY),
-                EndpointListCodec.decode(startup.initialEndpointList().orElseThrow(), 9)
+                EndpointListCodec.decode(config.initialEndpointList().orElseThrow(), 9)
                         .endpoints()
                         .get(0));
     }
 
     @Test
-    void classesAndTenantsOfTheConfigurationAreUsed() throws IOException {
+    void queryClassesAndTenantsOfTheConfigurationAreRead() throws IOException {
         InstanceSettings settings = configuration().settings;
         Map<String, QueryClass> classes = PolicyFactory.queryClasses(settings);
         QueryClass search = classes.get("search");
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void ownSettingsAreReadIntoThePairsOfTheSample() throws IOException {
+    void subsystemSettingsAreFlattenedToTheSamplePairs() throws IOException {
         SampleFile.assertSame(
                 "config/settings.txt",
                 pairs(
--- a/src/test/java/postbeam/config/RouterConfigTest.java
+++ b/src/test/java/postbeam/config/RouterConfigTest.java
@@ -20,12 +20,12 @@
         return RouterConfig.read(Files.writeString(dir.resolve("config.json"), json).toString());
     }
 
-    private static void names(String key, Exception e) {
+    private static void assertMessageContains(String key, Exception e) {
         assertTrue(String.valueOf(e.getMessage()).contains(key), e.getMessage());
     }
 
     @Test
-    void nestedSettingsAreReadByTheirPaths() throws IOException {
+    void nestedSettingsAreReadByPath() throws IOException {
         InstanceSettings settings =
                 read("{\"settings\":{\"domain\":{\"cells\":9,\"classNeed\":[0.5,1]},"
                          + "\"classes\":[{\"name\":\"a\",\"promise\":2000000},{\"name\":\"b\"}],\"caps\":{\"probes\":true}}}")
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void missingLimitHasItsDefault() throws IOException {
+    void missingLimitHasTheDefaultValue() throws IOException {
         assertEquals(192, read("{\"settings\":{}}").limit("memory_mb", 64));
         assertEquals(
                 2048,
@@ -47,33 +47,33 @@
     }
 
     @Test
-    void invalidMemberIsNamed() throws IOException {
-        names("settings", assertThrows(IOException.class, () -> read("{}")));
-        names(
+    void invalidMemberIsNamedInTheMessage() throws IOException {
+        assertMessageContains("settings", assertThrows(IOException.class, () -> read("{}")));
+        assertMessageContains(
                 "seed",
                 assertThrows(
                         IllegalArgumentException.class,
                         () -> read("{\"settings\":{},\"seed\":\"x\"}").seed()));
-        names(
+        assertMessageContains(
                 "listen",
                 assertThrows(
                         IllegalArgumentException.class,
                         () -> read("{\"settings\":{},\"listen\":\"here\"}").address("listen")));
-        names(
+        assertMessageContains(
                 "listen",
                 assertThrows(
                         IllegalArgumentException.class,
                         () ->
                                 read("{\"settings\":{},\"listen\":\"127.0.0.1:70000\"}")
                                         .address("listen")));
-        names(
+        assertMessageContains(
                 "limits.sockets",
                 assertThrows(
                         IllegalArgumentException.class,
                         () ->
                                 read("{\"settings\":{},\"limits\":{\"sockets\":3}}")
                                         .limit("sockets", 128)));
-        names(
+        assertMessageContains(
                 "settings.domain.cells",
                 assertThrows(
                         IllegalArgumentException.class,
@@ -81,7 +81,7 @@
                                 PolicyFactory.cluster(
                                         read("{\"settings\":{\"domain\":{\"cells\":\"nine\",\"reach\":1}}}")
                                                 .settings)));
-        names(
+        assertMessageContains(
                 "settings.domain.reach",
                 assertThrows(
                         IllegalArgumentException.class,
@@ -92,8 +92,8 @@
     }
 
     @Test
-    void missingOrTruncatedFileIsReported() {
-        names(
+    void missingOrMalformedFileIsRejected() {
+        assertMessageContains(
                 "read",
                 assertThrows(
                         IOException.class,
@@ -104,13 +104,13 @@
     }
 
     @Test
-    void unknownDiscoveryModeIsNamed() throws IOException {
-        RouterConfig wrong = read("{\"settings\":{\"discovery\":\"pull\"}}");
-        names(
+    void unknownDiscoveryModeIsRejected() throws IOException {
+        RouterConfig invalid = read("{\"settings\":{\"discovery\":\"pull\"}}");
+        assertMessageContains(
                 "settings.discovery",
                 assertThrows(
                         IllegalArgumentException.class,
-                        () -> PolicyFactory.pollSchedule(wrong.settings, new Random(1))));
+                        () -> PolicyFactory.pollSchedule(invalid.settings, new Random(1))));
         assertNull(
                 PolicyFactory.pollSchedule(read("{\"settings\":{}}").settings, new Random(1))
                         .nextPollAt());
--- a/src/test/java/postbeam/config/SettingsValidatorTest.java
+++ b/src/test/java/postbeam/config/SettingsValidatorTest.java
@@ -34,26 +34,26 @@
     private static final String[] EXAMPLES = {"deploy/example.json", "deploy/rehearsal.json"};
 
     @SuppressWarnings("unchecked")
-    private static void set(Object in, String path, Object value) {
+    private static void set(Object target, String path, Object value) {
         String first = path.split("\\.", 2)[0];
         String rest = path.substring(Math.min(path.length(), first.length() + 1));
-        if (in instanceof List<?> list) {
+        if (target instanceof List<?> list) {
             set(list.get(Integer.parseInt(first)), rest, value);
         } else if (!rest.isEmpty()) {
             set(
-                    ((Map<String, Object>) in)
+                    ((Map<String, Object>) target)
                             .computeIfAbsent(first, name -> new LinkedHashMap<>()),
                     rest,
                     value);
         } else if (value == ABSENT) {
-            ((Map<String, Object>) in).remove(first);
+            ((Map<String, Object>) target).remove(first);
         } else {
-            ((Map<String, Object>) in).put(first, value);
+            ((Map<String, Object>) target).put(first, value);
         }
     }
 
     /** The configuration of the rehearsal with these put in its place: path, value, path, value. */
-    private static RouterConfig startup(Object... edits) throws IOException {
+    private static RouterConfig configWith(Object... edits) throws IOException {
         Map<String, Object> document =
                 Json.parseObject(Files.readAllBytes(Path.of("deploy/rehearsal.json")));
         for (int i = 0; i < edits.length; i += 2) {
@@ -68,24 +68,24 @@
 
     /** Reports all failures together, so that one run shows each case. */
     private static void assertRejected(Object[]... cases) throws IOException {
-        List<String> wrong = new ArrayList<>();
-        for (Object[] one : cases) {
-            String line = (String) one[0];
-            Object[] edits = Arrays.copyOfRange(one, 1, one.length);
+        List<String> failures = new ArrayList<>();
+        for (Object[] rejected : cases) {
+            String message = (String) rejected[0];
+            Object[] edits = Arrays.copyOfRange(rejected, 1, rejected.length);
             try {
-                new Router(startup(edits));
-                wrong.add("not rejected: " + line);
+                new Router(configWith(edits));
+                failures.add("not rejected: " + message);
             } catch (IOException | RuntimeException e) {
-                if (!line.equals(e.getMessage())) {
-                    wrong.add("wanted: " + line + "\n   actual: " + e);
+                if (!message.equals(e.getMessage())) {
+                    failures.add("wanted: " + message + "\n   actual: " + e);
                 }
             }
         }
-        assertTrue(wrong.isEmpty(), String.join("\n", wrong));
+        assertTrue(failures.isEmpty(), String.join("\n", failures));
     }
 
-    private static Object[] rejectedCase(Object... lineAndEdits) {
-        return lineAndEdits;
+    private static Object[] rejectedCase(Object... messageAndEdits) {
+        return messageAndEdits;
     }
 
     @Test
@@ -100,12 +100,13 @@
     @Test
     void missingEffectDefaultsToNonIdempotent() throws IOException {
         Map<String, QueryClass> queryClasses =
-                PolicyFactory.queryClasses(startup("settings.classes.0.effect", ABSENT).settings);
+                PolicyFactory.queryClasses(
+                        configWith("settings.classes.0.effect", ABSENT).settings);
         assertEquals(SideEffects.NON_IDEMPOTENT, queryClasses.get("search").sideEffects);
     }
 
     @Test
-    void absurdDurationsAreRejected() throws IOException {
+    void durationsOutOfRangeAreRejected() throws IOException {
         List<Object[]> cases = new ArrayList<>();
         for (String path :
                 new String[] {
@@ -126,7 +127,7 @@
                                 "settings." + path,
                                 value));
             }
-            cases.addAll(notNumbers("settings." + path));
+            cases.addAll(nonNumericCases("settings." + path));
         }
         for (Object value : new Object[] {-1, 366 * 86_400_000_000L + 1}) {
             cases.add(
@@ -137,7 +138,7 @@
                             "settings.classes.0.repeatWindow",
                             value));
         }
-        cases.addAll(notNumbers("settings.classes.0.repeatWindow"));
+        cases.addAll(nonNumericCases("settings.classes.0.repeatWindow"));
         for (String path :
                 new String[] {
                     "obligations.rampTime",
@@ -156,12 +157,12 @@
                                 "settings." + path,
                                 value));
             }
-            cases.addAll(notNumbers("settings." + path));
+            cases.addAll(nonNumericCases("settings." + path));
         }
         assertRejected(cases.toArray(Object[][]::new));
     }
 
-    private static List<Object[]> notNumbers(String key) {
+    private static List<Object[]> nonNumericCases(String key) {
         return List.of(
                 rejectedCase(key + " is not a finite number: NaN", key, "NaN"),
                 rejectedCase(key + " is not a finite number: Infinity", key, "Infinity"),
@@ -234,7 +235,7 @@
     }
 
     @Test
-    void absurdMachineLimitsAreRejected() throws IOException {
+    void limitsOutOfRangeAreRejected() throws IOException {
         assertRejected(
                 rejectedCase("limits.sockets must be 128 or more, not 0", "limits.sockets", 0),
                 rejectedCase(
@@ -253,7 +254,7 @@
 
     /** Each would else pass for one that tells nothing, and the usual would be taken in silence. */
     @Test
-    void settingsOfAnotherTypeAreRejected() throws IOException {
+    void settingsOfTheWrongTypeAreRejected() throws IOException {
         assertRejected(
                 rejectedCase("limits must be an object", "limits", 192),
                 rejectedCase(
@@ -281,7 +282,7 @@
     }
 
     @Test
-    void slowStartAndRetryBudgetAreBounded() throws IOException {
+    void slowStartAndRetryBudgetOutOfRangeAreRejected() throws IOException {
         assertRejected(
                 rejectedCase(
                         "settings.obligations.coldFrom must be from 0 to 1, not -0.1",
@@ -310,7 +311,7 @@
     }
 
     @Test
-    void fractionsOfClassesAreFractionsAndOneForEachClass() throws IOException {
+    void invalidListsOfClassFractionsAreRejected() throws IOException {
         List<Object[]> cases = new ArrayList<>();
         for (String path :
                 new String[] {"settings.domain.classNeed", "settings.domain.leastShare"}) {
@@ -349,7 +350,7 @@
     }
 
     @Test
-    void namesAreUniqueAndFitThePath() throws IOException {
+    void duplicateNamesAndNamesWithASlashAreRejected() throws IOException {
         assertRejected(
                 rejectedCase(
                         "settings.classes.1.name stands there twice: search",
@@ -366,7 +367,7 @@
     }
 
     @Test
-    void flagsAreTrueOrFalse() throws IOException {
+    void invalidFlagsAreRejected() throws IOException {
         List<Object[]> cases = new ArrayList<>();
         for (String path : new String[] {"mayDuplicate", "cancelling", "probes", "retryAfter"}) {
             cases.add(
@@ -432,43 +433,43 @@
                     "classes.0.effect"
                 }) {
             try {
-                SettingsValidator.validate(startup("settings." + path, ABSENT).settings);
+                SettingsValidator.validate(configWith("settings." + path, ABSENT).settings);
             } catch (IllegalArgumentException e) {
                 fail(path + " may be absent: " + e.getMessage());
             }
         }
-        InstanceSettings dedup = startup("settings.classes.0.effect", "dedup").settings;
+        InstanceSettings dedup = configWith("settings.classes.0.effect", "dedup").settings;
         assertNull(PolicyFactory.queryClasses(dedup).get("search").deduplicationWindow);
     }
 
     @Test
-    void reloadOfInvalidSettingsChangesNothing() throws Exception {
-        Router router = new Router(startup());
+    void reloadOfInvalidSettingsIsRejectedAndTheRouterKeepsServing() throws Exception {
+        Router router = new Router(configWith());
         router.start();
         try {
             RouterConfig bad =
-                    startup("discovery", "127.0.0.1:2", "settings.classes.0.deadline", -5);
+                    configWith("discovery", "127.0.0.1:2", "settings.classes.0.deadline", -5);
             assertEquals(
                     "settings.classes.0.deadline must be above 0 and up to a day in microseconds,"
                             + " not -5",
                     assertThrows(IllegalArgumentException.class, () -> router.reload(bad))
                             .getMessage());
-            HttpURLConnection asked =
+            HttpURLConnection connection =
                     (HttpURLConnection)
                             URI.create("http://" + router.address() + "/healthz")
                                     .toURL()
                                     .openConnection(Proxy.NO_PROXY);
-            assertEquals(200, asked.getResponseCode());
-            asked.disconnect();
+            assertEquals(200, connection.getResponseCode());
+            connection.disconnect();
         } finally {
             router.stop();
         }
     }
 
     @Test
-    void defaultsAreThoseOfTheProtocol() throws IOException {
+    void absentSettingsHaveTheDefaultsOfTheProtocol() throws IOException {
         InstanceSettings settings =
-                startup(
+                configWith(
                                 "settings.classes.1.worth",
                                 ABSENT,
                                 "settings.classes.1.lateWorth",
--- a/src/test/java/postbeam/simulator/RecordedSessionTest.java
+++ b/src/test/java/postbeam/simulator/RecordedSessionTest.java
@@ -24,8 +24,8 @@
      * unreachable nodes.
      */
     @Test
-    void tenantsAndRestartAreDecidedAsRecorded() throws IOException {
-        assertSessionAsRecorded("tenants-and-restart");
+    void tenantsAndRestartMatchTheRecording() throws IOException {
+        assertMatchesRecording("tenants-and-restart");
     }
 
     /**
@@ -33,23 +33,23 @@
      * aborted queries.
      */
     @Test
-    void sideEffectsAndFullNodesAreDecidedAsRecorded() throws IOException {
-        assertSessionAsRecorded("side-effects-and-full-nodes");
+    void sideEffectsAndFullNodesMatchTheRecording() throws IOException {
+        assertMatchesRecording("side-effects-and-full-nodes");
     }
 
     /** Hedged requests within a retry budget, resets, timeouts, health probes. */
     @Test
-    void hedgedRequestsAndResetsAreDecidedAsRecorded() throws IOException {
-        assertSessionAsRecorded("hedged-requests-and-resets");
+    void hedgedRequestsAndResetsMatchTheRecording() throws IOException {
+        assertMatchesRecording("hedged-requests-and-resets");
     }
 
     /** Queries that crash nodes, clients that leave early, partial answers, rejections. */
     @Test
-    void partialAnswersAndLostClientsAreDecidedAsRecorded() throws IOException {
-        assertSessionAsRecorded("partial-answers-and-lost-clients");
+    void partialAnswersAndLostClientsMatchTheRecording() throws IOException {
+        assertMatchesRecording("partial-answers-and-lost-clients");
     }
 
-    private static void assertSessionAsRecorded(String session) throws IOException {
+    private static void assertMatchesRecording(String session) throws IOException {
         byte[] input = recorded(session + ".in.gz");
         byte[] expected = recorded(session + ".out.gz");
         ByteArrayOutputStream actual = new ByteArrayOutputStream();
@@ -71,11 +71,11 @@
     }
 
     private static byte[] recorded(String file) throws IOException {
-        try (InputStream packed =
+        try (InputStream compressed =
                 RecordedSessionTest.class.getResourceAsStream("/samples/simulator/" + file)) {
-            assertNotNull(packed, file);
-            try (GZIPInputStream unpacked = new GZIPInputStream(packed)) {
-                return unpacked.readAllBytes();
+            assertNotNull(compressed, file);
+            try (GZIPInputStream decompressed = new GZIPInputStream(compressed)) {
+                return decompressed.readAllBytes();
             }
         }
     }
--- a/src/test/java/postbeam/simulator/SimulatedQueryTableTest.java
+++ b/src/test/java/postbeam/simulator/SimulatedQueryTableTest.java
@@ -24,7 +24,7 @@
     private final ShardRequest request = new ShardRequest(query, 0, 1, null);
 
     @Test
-    void endedQueryIsForgottenAndItsRequestOnceNothingIsInFlight() {
+    void endedQueryIsRemovedAndItsRequestAfterItsLastAttempt() {
         table.add("q-id", 7, query);
         table.add("p-id", request);
         Attempt attempt =
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void numberThatALaterQueryHasTakenOverStaysKnown() {
+    void numberReusedByALaterQueryStillFindsThatQuery() {
         table.add("q-id", 7, query);
         Query later = new Query(query.queryClass(), null, Duration.ZERO, Duration.ofSeconds(3));
         table.add("r-id", 7, later);
--- a/src/test/java/postbeam/simulator/SimulatorSessionTest.java
+++ b/src/test/java/postbeam/simulator/SimulatorSessionTest.java
@@ -36,16 +36,16 @@
     }
 
     /** One batch of events at this time, in microseconds. */
-    private static String batch(long clock, String... events) {
-        return "SYNC\t" + clock + "\n" + String.join("", events) + "EOF_BATCH\n";
+    private static String batch(long clockMicros, String... events) {
+        return "SYNC\t" + clockMicros + "\n" + String.join("", events) + "EOF_BATCH\n";
     }
 
-    private static String answered(String requestId) {
+    private static String successReport(String requestId) {
         return "REPORT_BACK\t3\t" + requestId + "\t0\tok\t1\t100\t10.0.0.1:80\t-\n";
     }
 
     @Test
-    void emptyBatchIsAnswered() throws IOException {
+    void emptyBatchIsAnsweredWithDone() throws IOException {
         assertEquals("DONE\n", reply(batch(5)));
     }
 
@@ -54,7 +54,7 @@
         String reply =
                 reply(
                         batch(5, CREATE, LIST, QUERY)
-                                + batch(105, answered("p-id"))
+                                + batch(105, successReport("p-id"))
                                 + batch(110, "ABANDONED\t3\tq-id\n"));
         assertTrue(reply.startsWith("ATTEMPT\t3\tp-id\t10.0.0.1:80\t"), reply);
         assertEquals(reply.indexOf("WRAP_UP\t3\tq-id\t1\n"), reply.lastIndexOf("WRAP_UP"), reply);
@@ -62,14 +62,14 @@
     }
 
     @Test
-    void secondStepIsServedAndAnsweredToo() throws IOException {
+    void secondStepIsSentAndAnswered() throws IOException {
         String untilSecondStep =
                 batch(5, CREATE.replace("new.key=7", "domain.followUp=1"), LIST, QUERY)
-                        + batch(105, answered("p-id"))
+                        + batch(105, successReport("p-id"))
                         + batch(110, "INGRESS\t3\tp-two\ta\t-\t-\t4000000\t-\t1\t0\t1.0\t0\n");
         String sent = reply(untilSecondStep + batch(210));
         assertTrue(sent.contains("ATTEMPT\t3\tp-two\t10.0.0.1:80\t"), sent);
-        String both = reply(untilSecondStep + batch(210, answered("p-two")));
+        String both = reply(untilSecondStep + batch(210, successReport("p-two")));
         assertEquals(3, both.split("WRAP_UP\t3\tq-id\t1\n").length, both);
         // What is given up in the second step gets a final answer too, and none from the first
         // step's requests alone.
@@ -78,13 +78,13 @@
     }
 
     @Test
-    void routerMayStopAndStartInOneBatch() throws IOException {
+    void routerCanStopAndRestartInOneBatch() throws IOException {
         String input = batch(5, CREATE, LIST) + batch(10, "DETACH\t3\n", CREATE, LIST, QUERY);
         assertTrue(reply(input).contains("ATTEMPT\t3\tp-id"));
     }
 
     @Test
-    void failureOfThePolicyIsReportedAndTheSessionGoesOn() throws IOException {
+    void exceptionInThePolicyIsReportedAndTheSessionContinues() throws IOException {
         String unknownCell = LIST.replace("ROW\tz\t0", "ROW\tz\t5");
         String reply = reply(batch(5, CREATE, unknownCell) + batch(10));
         assertTrue(reply.startsWith("PANIC\t3\tjava.lang.IndexOutOfBoundsException: "), reply);
@@ -92,14 +92,14 @@
     }
 
     @Test
-    void malformedInputNamesTheLine() {
+    void malformedInputIsReportedWithTheLineNumber() {
         MalformedLineException e =
                 assertThrows(MalformedLineException.class, () -> reply("SYNC\t5\nINGRESS\tx\n"));
         assertTrue(e.getMessage().startsWith("line 2: "), e.getMessage());
     }
 
     @Test
-    void invalidFieldsAndSettingsNameTheLine() {
+    void invalidFieldsAndSettingsAreReportedWithTheLine() {
         Map<String, String> problems =
                 Map.of(
                         batch(5, CREATE.replace("retryable", "sometimes")),
@@ -107,7 +107,7 @@
                                 + " not sometimes, in: ",
                         batch(5, "DETACH\t9\n"),
                         "line 2: no instance 9, in: DETACH 9",
-                        batch(5, CREATE, answered("p-id").replace("ok", "odd")),
+                        batch(5, CREATE, successReport("p-id").replace("ok", "odd")),
                         "line 3: unknown outcome odd, in: ",
                         batch(5, CREATE, "SPEAK\t3\n"),
                         "line 3: unknown message SPEAK, in: ",
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void discoveryIsPolledOnlyWhereItSendsNothingByItself() throws IOException {
+    void discoveryIsPolledOnlyInSubscribeMode() throws IOException {
         String polled =
                 CREATE.replace("new.key=7", "discovery=subscribe\tobligations.askEvery=10000000");
         assertTrue(reply(batch(5, polled, LIST)).contains("OBSERVE\t3\t1\n"));
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void rejectedClientIsToldWhenToRetryOnlyWhereThatIsAllowed() throws IOException {
+    void rejectionHasARetryAfterOnlyIfTheSettingsAllowIt() throws IOException {
         String settings = "caps.maxRetryAfter=2000000\tcaps.mostHeld=2\tcaps.retryAfter=";
         String other =
                 QUERY.replace("q-id", "r-id").replace("p-id", "s-id").replace("-\t1\t", "-\t2\t");
@@ -151,7 +151,7 @@
     }
 
     @Test
-    void clientRetryWhoseObjectiveIsOverIsNotStarted() throws IOException {
+    void clientRetryPastItsLatencyObjectiveIsRejected() throws IOException {
         assertTrue(replyToRetry(2_900_000).contains("REJECT\t3\tr-id\t"));
         assertTrue(replyToRetry(3_900_000).contains("ATTEMPT\t3\ts-id\t"));
     }
