--- a/src/main/java/postbeam/config/InstanceSettings.java
+++ b/src/main/java/postbeam/config/InstanceSettings.java
@@ -10,13 +10,14 @@
 import java.util.stream.Collectors;
 
 /**
- * Settings as path=value pairs, in the form of the simulator's protocol: the members of nested
- * objects are joined by dots, lists of objects are numbered and have a {@code count}, lists of
- * plain values are joined by commas. Every typed access checks the value; what is absent, empty or
- * {@code -} is null.
+ * Settings as path=value pairs, in the form of the simulator's protocol: the names of nested
+ * members are joined by dots, the objects of a list are numbered from 0 and have a {@code count},
+ * and the plain values of a list are joined by commas. Every typed accessor checks the value and
+ * throws {@link InvalidSettingException} if it is invalid. A value that is absent, empty or {@code
+ * -} is read as null.
  */
 public final class InstanceSettings {
-    /** Durations are in microseconds. */
+    /** Durations in settings are in microseconds. */
     private static final int NANOS_PER_MICRO = 1000;
 
     private static final Set<String> TRUE = Set.of("true", "1");
@@ -24,15 +25,15 @@
 
     private final Map<String, String> values = new LinkedHashMap<>();
 
-    /** Stands before a path where a message names it. */
+    /** Prefix of all paths in error messages. */
     private final String prefix;
 
-    /** Empty settings, to be filled by {@link #putPair}. */
+    /** Creates empty settings, to be filled by {@link #putPair}. */
     public InstanceSettings() {
         this.prefix = "";
     }
 
-    /** The settings of a JSON object; messages name a path with the prefix before it. */
+    /** Creates settings from a JSON object; error messages put the prefix before a path. */
     public InstanceSettings(Map<String, Object> object, String prefix) {
         this.prefix = prefix;
         object.forEach(this::flatten);
@@ -43,7 +44,7 @@
         values.putAll(other.values);
     }
 
-    /** A copy in which one path has another value. */
+    /** Returns a copy in which the path has the given value. */
     public InstanceSettings withValue(String path, String value) {
         InstanceSettings copy = new InstanceSettings(this);
         copy.values.put(path, value);
@@ -51,14 +52,14 @@
     }
 
     /**
-     * Adds a pair, path=value.
+     * Adds a pair of the form path=value; a later value of the same path replaces an earlier one.
      *
-     * @throws IllegalArgumentException if it has no equals sign
+     * @throws IllegalArgumentException if the pair has no equals sign
      */
     public void putPair(String pair) {
         int equalsSign = pair.indexOf('=');
         if (equalsSign < 0) {
-            throw new IllegalArgumentException("no = in " + pair);
+            throw new IllegalArgumentException("expected PATH=VALUE, not " + pair);
         }
         values.put(pair.substring(0, equalsSign), pair.substring(equalsSign + 1));
     }
@@ -84,7 +85,7 @@
         }
     }
 
-    /** The paths whose values differ from the other's, in order, with the prefix. */
+    /** Returns the sorted paths, with the prefix, whose values differ from the other settings'. */
     public List<String> changedPaths(InstanceSettings other) {
         Set<String> paths = new TreeSet<>(values.keySet());
         paths.addAll(other.values.keySet());
@@ -94,15 +95,15 @@
                 .toList();
     }
 
-    // ---- text
+    // ---- text values
 
-    /** The value; null if it is absent, empty or {@code -}. */
+    /** Returns the value as text; null if it is absent, empty or {@code -}. */
     public String text(String path) {
         String value = values.get(path);
         return value == null || value.isEmpty() || value.equals("-") ? null : value;
     }
 
-    /** The value, which must be there. */
+    /** Returns the value as text, which must be present. */
     public String required(String path) {
         String value = text(path);
         if (value == null) {
@@ -111,7 +112,7 @@
         return value;
     }
 
-    /** Whether the path has a value, or anything below it is set. */
+    /** Returns whether the path or any path below it has a value. */
     public boolean isPresent(String path) {
         return text(path) != null
                 || values.keySet().stream().anyMatch(known -> known.startsWith(path + "."));
@@ -119,13 +120,13 @@
 
     // ---- numbers, flags and durations
 
-    /** A finite number; null if it is absent. */
+    /** Returns the value as a finite number; null if it is absent. */
     public Double number(String path) {
         String value = text(path);
         return value == null ? null : parseNumber(path, value);
     }
 
-    /** A number rounded to an integer; null if it is absent. */
+    /** Returns the value rounded to an integer; null if it is absent. */
     public Integer integer(String path) {
         Double value = number(path);
         if (value != null && Math.abs(value) > Integer.MAX_VALUE) {
@@ -134,7 +135,7 @@
         return value == null ? null : (int) Math.round(value);
     }
 
-    /** An integer that must be there, and at least so large. */
+    /** Returns the value as an integer, which must be present and not below the minimum. */
     public int integerAtLeast(String path, int min) {
         required(path);
         int value = integer(path);
@@ -144,7 +145,7 @@
         return value;
     }
 
-    /** True or false, written so or as 1 or 0; null if it is absent. */
+    /** Returns a flag, written as true, false, 1 or 0; null if it is absent. */
     public Boolean flag(String path) {
         String value = text(path);
         if (value == null) {
@@ -156,11 +157,11 @@
         return TRUE.contains(value);
     }
 
-    /** A duration, which is written in microseconds; null if it is absent. */
+    /** Returns a duration, written in microseconds; null if it is absent. */
     public Duration duration(String path) {
         Double micros = number(path);
         if (micros != null && Math.abs(micros) >= (double) Long.MAX_VALUE / NANOS_PER_MICRO) {
-            throw invalid(path, "is beyond any time: " + text(path));
+            throw invalid(path, "is too large for a duration in microseconds: " + text(path));
         }
         return micros == null ? null : Duration.ofNanos(Math.round(micros * NANOS_PER_MICRO));
     }
@@ -172,7 +173,7 @@
         } catch (NumberFormatException e) {
             throw invalid(path, "is not a number: " + value);
         }
-        // Neither NaN nor infinity compares as a bound expects, and a duration of NaN would be 0.
+        // Range checks don't work with NaN and infinity, and a duration of NaN would become 0.
         if (!Double.isFinite(number)) {
             throw invalid(path, "is not a finite number: " + value);
         }
@@ -181,26 +182,30 @@
 
     // ---- lists
 
-    /** One number of a list of plain values; null if the list is shorter or absent. */
+    /** Returns a number from a list of numbers; null if the list is absent or too short. */
     public Double listEntry(String path, int index) {
         String value = text(path);
         List<String> entries = value == null ? List.of() : List.of(value.split(","));
         return index < entries.size() ? parseNumber(path, entries.get(index)) : null;
     }
 
-    /** Entries in a list of plain values; 0 if it is absent or empty. */
+    /** Returns the length of a list of plain values; 0 if it is absent or empty. */
     public int listSize(String path) {
         String value = text(path);
         return value == null ? 0 : value.split(",", -1).length;
     }
 
-    /** Objects in a list of them; 0 if it is absent. */
+    /** Returns the length of a list of objects; 0 if it is absent. */
     public int objectCount(String path) {
         Integer count = integer(path + ".count");
         return count == null ? 0 : count;
     }
 
-    /** The error to throw if the path's value can't be used, for the reason given in a clause. */
+    /**
+     * Creates the exception for a value that can't be used.
+     *
+     * @param reason clause that follows the path in the message, without a full stop
+     */
     public InvalidSettingException invalid(String path, String reason) {
         return new InvalidSettingException(prefix + path + " " + reason);
     }
--- a/src/main/java/postbeam/config/PolicyFactory.java
+++ b/src/main/java/postbeam/config/PolicyFactory.java
@@ -16,39 +16,43 @@
 import postbeam.policy.SlowStart;
 
 /**
- * Builds the routing policy and what it decides about from an instance's settings, alike for the
- * router on sockets and the simulated one.
+ * Builds the routing policy, and the query classes, tenants and cluster that it works on, from the
+ * settings. The serving router and the simulated router both use it, so that they decide alike.
  *
  * <p>All methods throw {@link InvalidSettingException} for a setting that can't be used.
  */
 public final class PolicyFactory {
-    // Defaults where the settings are silent; each is the protocol's, none one deployment's.
+    // Defaults of absent settings. The simulator's protocol defines them; none is taken from a
+    // particular deployment.
 
-    /** The strictest, so that nothing runs twice. */
+    /** The strictest value, so that no shard request is executed twice. */
     private static final SideEffects DEFAULT_SIDE_EFFECTS = SideEffects.NON_IDEMPOTENT;
 
-    /** Of a complete answer in time: all classes weigh the same. */
+    /** Utility of a complete answer in time: by default, all query classes have the same. */
     private static final double DEFAULT_UTILITY = 1;
 
-    /** Fraction of the utility that a late answer keeps: none is promised. */
+    /** Fraction of the utility that a late answer keeps: none by default. */
     private static final double DEFAULT_LATE_UTILITY = 0;
 
-    /** Fraction of the utility that an incomplete answer keeps: none is promised. */
+    /** Fraction of the utility that a partial answer keeps: none by default. */
     private static final double DEFAULT_PARTIAL_UTILITY = 0;
 
-    /** Fraction of the weight that makes an answer complete, and the least for any answer. */
+    /**
+     * Fraction of the total weight that makes an answer complete; also the minimum for a partial
+     * answer, unless that is set.
+     */
     private static final double DEFAULT_COMPLETE_FRACTION = 1;
 
     private PolicyFactory() {}
 
-    /** The cells that data nodes are in, and how many of them hold a shard. */
+    /** Returns the number of cells of data nodes, and the number of cells that serve a shard. */
     public static Cluster cluster(InstanceSettings settings) {
         return new Cluster(
                 settings.integerAtLeast("domain.cells", 1),
                 settings.integerAtLeast("domain.reach", 1));
     }
 
-    /** The query classes by name, in the order of the settings. */
+    /** Returns the query classes by name, in the order of the settings. */
     public static Map<String, QueryClass> queryClasses(InstanceSettings settings) {
         Map<String, QueryClass> classes = new LinkedHashMap<>();
         for (int i = 0; i < settings.objectCount("classes"); i++) {
@@ -82,7 +86,7 @@
         return hasSecondStep ? withSecondStep(first, complete, minimum) : first;
     }
 
-    /** The class with a follow-up query that needs all of its parts. */
+    /** Returns the class with a second step, which needs all of its parts to be complete. */
     private static QueryClass withSecondStep(QueryClass first, double complete, double minimum) {
         QueryClass second =
                 first.toBuilder()
@@ -113,7 +117,7 @@
         return value == null ? defaultValue : value;
     }
 
-    /** The tenants by name, in the order of the settings. */
+    /** Returns the tenants by name, in the order of the settings. */
     public static Map<String, Tenant> tenants(InstanceSettings settings) {
         Map<String, Tenant> tenants = new LinkedHashMap<>();
         for (int i = 0; i < settings.objectCount("tenants"); i++) {
@@ -126,10 +130,10 @@
     }
 
     /**
-     * The routing policy.
+     * Creates the routing policy.
      *
-     * @param actions carries out what it decides
-     * @param random its source of chance
+     * @param actions carries out the policy's decisions
+     * @param random source of the policy's random numbers
      */
     public static RoutingPolicy routingPolicy(
             PolicyActions actions, Random random, Cluster cluster, InstanceSettings settings) {
@@ -165,7 +169,10 @@
                         settings.duration("caps.connectTimeout")));
     }
 
-    /** When discovery is polled: never where it sends updates by itself, which is the default. */
+    /**
+     * Creates the schedule for polling discovery. It never polls in the default mode, in which
+     * discovery sends updates without being polled.
+     */
     public static PollSchedule pollSchedule(InstanceSettings settings, Random random) {
         String mode = settings.text("discovery");
         if (mode != null && !mode.equals("automatic") && !mode.equals("subscribe")) {
--- a/src/main/java/postbeam/config/RouterConfig.java
+++ b/src/main/java/postbeam/config/RouterConfig.java
@@ -10,11 +10,11 @@
 import postbeam.json.Json;
 
 /**
- * The configuration that a router is started with, from a file of JSON and, for a few members, the
- * environment. Values are checked as they are read; messages name the key.
+ * Configuration of a router, from a JSON file and, for a few members, environment variables. Values
+ * are checked when they are accessed; error messages name the key.
  */
 public final class RouterConfig {
-    /** Variables that stand in for members that the file lacks. */
+    /** Environment variables, by the members that they replace if the file lacks them. */
     private static final Map<String, String> ENVIRONMENT_VARIABLES =
             Map.of(
                     "name", "BALANCER_NAME",
@@ -23,21 +23,21 @@
 
     private static final String MEMORY_MB = "memory_mb";
 
-    /** Descriptors and MB where no limits are stated. */
+    /** Limits that apply if the file sets none: file descriptors and MB. */
     private static final Map<String, Integer> DEFAULT_LIMITS =
             Map.of("sockets", 1024, MEMORY_MB, 192);
 
-    /** 16 TB, beyond any machine: what is worked out of it stays an integer. */
+    /** 16 TB, more than any machine has; numbers derived from it still fit an int. */
     private static final int MAX_MEMORY_MB = 1 << 24;
 
     private static final Pattern HOST_AND_PORT = Pattern.compile("[^:]+:[0-9]{1,5}");
     private static final int MAX_PORT = 65_535;
     private static final int SEED_RADIX = 16;
 
-    /** The whole configuration by path. */
+    /** All members of the configuration by path, those of {@code settings} included. */
     public final InstanceSettings members;
 
-    /** Its settings, by the paths of the simulator's protocol. */
+    /** The member {@code settings}, by the paths of the simulator's protocol. */
     public final InstanceSettings settings;
 
     private final Map<String, Object> document;
@@ -49,11 +49,11 @@
     }
 
     /**
-     * Reads a file.
+     * Reads a configuration file.
      *
-     * @param file null or empty where none is named, which is an error
-     * @throws IOException if it can't be read or is malformed
-     * @throws IllegalArgumentException if none is named
+     * @param file path of the file; null or empty is an error
+     * @throws IOException if the file can't be read or is malformed
+     * @throws IllegalArgumentException if the path is null or empty
      */
     public static RouterConfig read(String file) throws IOException {
         if (file == null || file.isEmpty()) {
@@ -70,9 +70,9 @@
     }
 
     /**
-     * Parses a file's bytes.
+     * Parses the contents of a configuration file.
      *
-     * @throws IOException if they are malformed
+     * @throws IOException if they are not a JSON object that has an object {@code settings}
      */
     public static RouterConfig parse(byte[] bytes) throws IOException {
         Map<String, Object> document = Json.parseObject(bytes);
@@ -91,7 +91,12 @@
         return (Map<String, Object>) object;
     }
 
-    /** A limit of the machine, at least so large; where none is stated, the default. */
+    /**
+     * Returns a resource limit of the process, or its default if the file does not set it.
+     *
+     * @param name name below {@code limits}
+     * @param min smallest valid value
+     */
     public int limit(String name, int min) {
         SettingsValidator.requireObject(members, "limits");
         String path = "limits." + name;
@@ -107,8 +112,8 @@
     }
 
     /**
-     * The endpoint list as this router last held it, in discovery's form; empty where none is
-     * given.
+     * Returns the endpoint list that this router last had, in discovery's format; empty if the file
+     * has none.
      */
     public Optional<Map<String, Object>> initialEndpointList() {
         return document.get("known") instanceof Map<?, ?> list
@@ -116,7 +121,7 @@
                 : Optional.empty();
     }
 
-    /** A member that must be HOST:PORT. */
+    /** Returns a member that must have the form HOST:PORT. */
     public String address(String path) {
         String value = members.required(path);
         if (!HOST_AND_PORT.matcher(value).matches() || port(value) > MAX_PORT) {
@@ -125,7 +130,7 @@
         return value;
     }
 
-    /** The socket address of HOST:PORT. */
+    /** Returns the socket address for a text of the form HOST:PORT. */
     public static InetSocketAddress socketAddress(String address) {
         return new InetSocketAddress(address.substring(0, address.lastIndexOf(':')), port(address));
     }
@@ -134,7 +139,7 @@
         return Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
     }
 
-    /** The seed of this router's random numbers: up to 16 hex digits. */
+    /** Returns the seed of this router's random numbers, written as up to 16 hex digits. */
     public long seed() {
         try {
             return Long.parseUnsignedLong(members.required("seed"), SEED_RADIX);
--- a/src/main/java/postbeam/config/SettingsSchema.java
+++ b/src/main/java/postbeam/config/SettingsSchema.java
@@ -19,25 +19,25 @@
 import postbeam.json.Json;
 
 /**
- * Validates one settings file by the schema: a problem is reported with its line and key, an
- * unknown key with the known one that is spelt most alike.
+ * Validates one settings file by the schema. A problem is reported with its line and key; for an
+ * unknown key, the message suggests the known key with the most similar spelling.
  */
 final class SettingsSchema {
     private static final String RESOURCE = "/postbeam/config/settings.schema.json";
 
-    /** Letters that an unknown key may differ from the one that is meant. */
+    /** Maximum edit distance between an unknown key and a suggested one. */
     private static final int MAX_EDIT_DISTANCE = 4;
 
     private static final String PROPERTIES = "properties";
 
     private final String file;
 
-    /** By JSON pointer. */
+    /** Line numbers of the file's values, by JSON pointer. */
     private final Map<String, Integer> lines;
 
     private final Schema schema;
 
-    /** The lines are those of the file's values, by their JSON pointers. */
+    /** Creates a validator for a file; the lines are those of its values, by JSON pointer. */
     SettingsSchema(String file, Map<String, Integer> lines) throws IOException {
         this.file = file;
         this.lines = lines;
@@ -52,7 +52,11 @@
         }
     }
 
-    /** Throws an IOException for the first thing wrong, which says how many more there are. */
+    /**
+     * Validates the settings.
+     *
+     * @throws IOException with the first problem, and the number of further ones
+     */
     void validate(Map<String, Object> settings) throws IOException {
         List<Error> errors = new ArrayList<>(schema.validate(toJson(settings), InputFormat.JSON));
         if (!errors.isEmpty()) {
@@ -82,7 +86,7 @@
         return "line " + lineOf(pointer) + ": " + displayName(pointer) + ": " + problem;
     }
 
-    /** The line of the value or, where it is missing, of what it is missing in. */
+    /** Returns the line of the value or, if it is missing, of the nearest enclosing value. */
     private int lineOf(String pointer) {
         String nearest = pointer;
         while (!nearest.isEmpty() && !lines.containsKey(nearest)) {
@@ -95,7 +99,7 @@
         return pointer.isEmpty() ? "the settings" : pointer.substring(1).replace('/', '.');
     }
 
-    /** The key known in that place that is spelt most alike, as a clause; empty if none is near. */
+    /** Suggests the most similar known key of the object, as a clause; empty if none is similar. */
     private String suggestion(String pointer, String unknown) {
         JsonNode node = schema.getSchemaNode();
         for (String step : pointer.split("/", -1)) {
@@ -112,6 +116,6 @@
                 minEdits = edits;
             }
         }
-        return suggested == null ? "" : "; " + suggested + " is known";
+        return suggested == null ? "" : "; did you mean " + suggested + "?";
     }
 }
--- a/src/main/java/postbeam/config/SettingsValidator.java
+++ b/src/main/java/postbeam/config/SettingsValidator.java
@@ -5,24 +5,25 @@
 import java.util.Set;
 
 /**
- * Rejects settings whose values can't be meant, before a router serves by them. It guards against a
- * timeout, a limit or a list that a slip left absurd, which would else show only in what the router
- * does. The bounds are wide; absent members are left to the defaults, zero is accepted wherever one
- * can serve by it, and unknown members are ignored, as the settings may grow.
+ * Rejects implausible settings before a router uses them. Without it, a timeout, a limit or a list
+ * that is wrong by a typing error would show only in how the router behaves. The bounds are wide.
+ * Absent members have defaults, zero is accepted wherever a router can serve with it, and unknown
+ * members are ignored, so that later versions can add settings.
  */
 public final class SettingsValidator {
-    /** No client, connection or rule of the protocol spans more. */
+    /** No timeout or interval of clients, connections or the protocol is longer. */
     private static final Duration MAX_DURATION = Duration.ofDays(1);
 
-    /** Data nodes may keep the ids of requests for longer than any client waits. */
+    /** Data nodes may keep request ids for deduplication longer than any client waits. */
     private static final Duration MAX_REPEAT_WINDOW = Duration.ofDays(366);
 
     /**
-     * More than an endpoint list of 256 KiB can hold nodes of, and few enough to keep one by one.
+     * More cells than there can be nodes in an endpoint list of 256 KiB, and few enough to allocate
+     * state for each.
      */
     private static final int MAX_CELLS = 1 << 16;
 
-    /** Two fractions that are meant to be equal may have been rounded apart. */
+    /** Tolerance for two fractions that are meant to be equal and differ by rounding. */
     private static final double ROUNDING = 1e-9;
 
     private static final double UNBOUNDED = Double.MAX_VALUE;
@@ -32,7 +33,7 @@
     /**
      * Validates all settings.
      *
-     * @throws InvalidSettingException naming the first one that can't be used
+     * @throws InvalidSettingException with the path of the first invalid setting
      */
     public static void validate(InstanceSettings settings) {
         for (String path : new String[] {"domain", "caps", "obligations"}) {
@@ -62,7 +63,7 @@
             settings.integerAtLeast(path, 1);
         }
         requireAtLeastOneIfPresent(settings, "nInstances", "caps.mostHeld");
-        // No attempt at all leaves a router that rejects everything, as it must.
+        // Zero attempts is valid: the router then rejects every query.
         requireInRange(settings, "caps.maxAttempts", 0, UNBOUNDED);
         if (settings.integerAtLeast("domain.cells", 1) > MAX_CELLS) {
             throw settings.invalid(
@@ -80,8 +81,8 @@
                 "caps.keepalive",
                 "obligations.fall",
                 "obligations.extraWindow");
-        // Zero means: no advice, a call costs nothing, no slow start, no send after a drain, polled
-        // at will.
+        // Zero is valid and means, in this order: no Retry-After, a call costs nothing, no slow
+        // start, no attempt to a draining node, no limit on how often discovery is polled.
         requireNonNegative(
                 settings,
                 MAX_DURATION,
@@ -94,7 +95,7 @@
 
     private static void validateQueryClasses(InstanceSettings settings) {
         if (!settings.isPresent("classes")) {
-            throw settings.invalid("classes", "must name one class at least");
+            throw settings.invalid("classes", "must have at least one class");
         }
         requireUniqueNames(settings, "classes");
         requireUniqueNames(settings, "tenants");
@@ -108,17 +109,18 @@
         String name = settings.required(prefix + "name");
         if (name.contains("/")) {
             throw settings.invalid(
-                    prefix + "name", "must hold no /: it is one part of a path, not " + name);
+                    prefix + "name",
+                    "must not contain /, as it is one segment of the request path, not " + name);
         }
         settings.required(prefix + "promise");
-        // A deadline may be absent: clients then state theirs with each query.
+        // The deadline may be absent: clients then send theirs with each query.
         requirePositive(settings, prefix + "promise", prefix + "deadline");
-        // Stated for all classes, used for deduplicated ones; without it, or at zero, no repeat is
-        // dropped.
+        // Any class may set the window, but only deduplicated classes use it. If it is absent or
+        // zero, data nodes do not drop repeated requests.
         requireNonNegative(settings, MAX_REPEAT_WINDOW, prefix + "repeatWindow");
     }
 
-    /** The lists that have an entry for each query class. */
+    /** Validates the lists that have one entry for each query class. */
     private static void validateFractions(InstanceSettings settings) {
         int classes = settings.objectCount("classes");
         for (String path :
@@ -141,7 +143,7 @@
             if (minimum != null && minimum > (complete == null ? 1 : complete) + ROUNDING) {
                 throw settings.invalid(
                         "domain.leastShare",
-                        "must not be above domain.classNeed, which it is at entry " + i);
+                        "must not be above domain.classNeed, but is at entry " + i);
             }
             settings.listEntry("domain.shortWorth", i);
             settings.listEntry("domain.followUp", i);
@@ -153,12 +155,15 @@
         if (fraction != null && (fraction <= 0 || fraction > 1)) {
             throw settings.invalid(
                     path,
-                    "must hold shares above 0 and up to 1, not " + fraction + " at entry " + index);
+                    "must contain fractions above 0 and up to 1, not "
+                            + fraction
+                            + " at entry "
+                            + index);
         }
         return fraction;
     }
 
-    /** Each has a name, and no two the same: a query could only mean one of them. */
+    /** Requires a unique name for each object of a list, as queries refer to it by name. */
     private static void requireUniqueNames(InstanceSettings settings, String path) {
         if (settings.isPresent(path) && settings.text(path + ".count") == null) {
             throw settings.invalid(path, "must be a list of objects");
@@ -168,7 +173,7 @@
             String namePath = path + "." + i + ".name";
             String name = settings.required(namePath);
             if (!names.add(name)) {
-                throw settings.invalid(namePath, "stands there twice: " + name);
+                throw settings.invalid(namePath, "is a duplicate: " + name);
             }
         }
     }
@@ -181,7 +186,7 @@
         }
     }
 
-    /** Rejects a list or a plain value, which would pass for an object without members. */
+    /** Rejects a list or plain value, which would else be read as an object without members. */
     static void requireObject(InstanceSettings settings, String path) {
         if (settings.text(path) != null || settings.text(path + ".count") != null) {
             throw settings.invalid(path, "must be an object");
--- a/src/main/java/postbeam/config/SubsystemSettings.java
+++ b/src/main/java/postbeam/config/SubsystemSettings.java
@@ -14,8 +14,8 @@
 import postbeam.json.JsonTreeReader;
 
 /**
- * Reads the settings file of the subsystems that the platform's configuration has no place for, in
- * JSON5. Read only where a flag names the file.
+ * Reads the JSON5 settings file of the subsystems that the platform's configuration file does not
+ * cover. The file is optional: it is read only if the command line names it.
  */
 public final class SubsystemSettings {
     private static final JsonFactory JSON5 =
@@ -35,9 +35,9 @@
     private SubsystemSettings() {}
 
     /**
-     * Reads a file and checks it by the schema.
+     * Reads a file and validates it by the schema.
      *
-     * @throws IOException naming the file, the line and key of the first thing wrong, and why
+     * @throws IOException with the file, line and key of the first problem, and the reason
      */
     public static InstanceSettings read(Path file) throws IOException {
         String text;
@@ -50,7 +50,7 @@
         return parse(file.toString(), text);
     }
 
-    /** The same for a text that came from a file of this name. */
+    /** Parses and validates the text of a file; messages have the given file name. */
     static InstanceSettings parse(String file, String text) throws IOException {
         Map<String, Integer> lines = new LinkedHashMap<>();
         Map<String, Object> settings = parseObject(file, text, lines);
@@ -58,19 +58,19 @@
         return new InstanceSettings(settings, "");
     }
 
-    /** The object, and the line of each value by its pointer. */
+    /** Parses the object, and puts the line of each value into the map, by JSON pointer. */
     private static Map<String, Object> parseObject(
             String file, String text, Map<String, Integer> lines) throws IOException {
         try (JsonParser parser = JSON5.createParser(text)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new IOException(file + ": line 1: not an object");
+                throw new IOException(file + ": line 1: the settings must be an object");
             }
             Map<String, Object> settings = new JsonTreeReader(parser, lines::put).readObject();
             if (parser.nextToken() != null) {
                 throw malformed(
                         file,
                         parser.currentLocation().getLineNr(),
-                        "something follows the object",
+                        "unexpected content after the object",
                         null);
             }
             return settings;
--- a/src/test/java/postbeam/config/ConfigurationSamplesTest.java
+++ b/src/test/java/postbeam/config/ConfigurationSamplesTest.java
@@ -21,13 +21,16 @@
 import postbeam.model.Tenant;
 import postbeam.samples.SampleFile;
 
-/** A configuration and our own settings with each section, as an earlier build read them. */
+/**
+ * Compares a configuration file and a settings file that have every section with recorded samples.
+ * Guards against a change in how existing files are read.
+ */
 class ConfigurationSamplesTest {
     private static RouterConfig configuration() throws IOException {
         return RouterConfig.parse(SampleFile.bytes("config/configuration.json"));
     }
 
-    /** All that is told, a path=value a line. */
+    /** Returns the settings as lines of the form path=value, sorted by path. */
     private static byte[] pairs(InstanceSettings settings) {
         return settings.changedPaths(new InstanceSettings()).stream()
                 .map(path -> path.replaceFirst("^settings\\.", ""))
--- a/src/test/java/postbeam/config/RunScriptTest.java
+++ b/src/test/java/postbeam/config/RunScriptTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command that operators run, where no program but the virtual machine can be started. */
+/** Runs the start script with a search path that has no program but the virtual machine. */
 class RunScriptTest {
     @TempDir Path dir;
 
-    /** The arguments that the virtual machine is started with; a stand-in prints them. */
+    /** Returns the virtual machine's arguments, as printed by a script in its place. */
     private String javaArguments(String config) throws IOException, InterruptedException {
         Path java = dir.resolve("java");
         Files.writeString(java, "#!/bin/sh\necho \"$@\"\n");
--- a/src/test/java/postbeam/config/SettingsValidatorTest.java
+++ b/src/test/java/postbeam/config/SettingsValidatorTest.java
@@ -26,9 +26,9 @@
 import postbeam.model.SideEffects;
 import postbeam.router.Router;
 
-/** What a router refuses to start with, and what it must not refuse. */
+/** Checks which settings a router rejects at startup and on reload, and which it must accept. */
 class SettingsValidatorTest {
-    /** Stands for a member that is taken out. */
+    /** Marks a member to remove. */
     private static final Object ABSENT = new Object();
 
     private static final String[] EXAMPLES = {"deploy/example.json", "deploy/rehearsal.json"};
@@ -52,7 +52,7 @@
         }
     }
 
-    /** The configuration of the rehearsal with these put in its place: path, value, path, value. */
+    /** Returns the rehearsal configuration with edits: path, value, path, value and so on. */
     private static RouterConfig configWith(Object... edits) throws IOException {
         Map<String, Object> document =
                 Json.parseObject(Files.readAllBytes(Path.of("deploy/rehearsal.json")));
@@ -77,7 +77,7 @@
                 failures.add("not rejected: " + message);
             } catch (IOException | RuntimeException e) {
                 if (!message.equals(e.getMessage())) {
-                    failures.add("wanted: " + message + "\n   actual: " + e);
+                    failures.add("expected: " + message + "\n  actual: " + e);
                 }
             }
         }
@@ -168,7 +168,8 @@
                 rejectedCase(key + " is not a finite number: Infinity", key, "Infinity"),
                 rejectedCase(key + " is not a finite number: -Infinity", key, "-Infinity"),
                 rejectedCase(key + " is not a number: soon", key, "soon"),
-                rejectedCase(key + " is beyond any time: 1.0E300", key, 1e300));
+                rejectedCase(
+                        key + " is too large for a duration in microseconds: 1.0E300", key, 1e300));
     }
 
     @Test
@@ -192,7 +193,7 @@
                 rejectedCase("settings.classes.0.name is missing", "settings.classes.0.name", ""));
         cases.add(
                 rejectedCase(
-                        "settings.classes must name one class at least",
+                        "settings.classes must have at least one class",
                         "settings.classes",
                         List.of()));
         assertRejected(cases.toArray(Object[][]::new));
@@ -252,7 +253,7 @@
                         "limits.memory_mb is not a finite number: NaN", "limits.memory_mb", "NaN"));
     }
 
-    /** Each would else pass for one that tells nothing, and the usual would be taken in silence. */
+    /** Guards against a value of another type being read as absent and replaced by defaults. */
     @Test
     void settingsOfTheWrongTypeAreRejected() throws IOException {
         assertRejected(
@@ -319,7 +320,7 @@
                 cases.add(
                         rejectedCase(
                                 path
-                                        + " must hold shares above 0 and up to 1, not "
+                                        + " must contain fractions above 0 and up to 1, not "
                                         + bad
                                         + " at entry 1",
                                 path,
@@ -342,8 +343,8 @@
         }
         cases.add(
                 rejectedCase(
-                        "settings.domain.leastShare must not be above domain.classNeed, which it is"
-                                + " at entry 0",
+                        "settings.domain.leastShare must not be above domain.classNeed, but is at"
+                                + " entry 0",
                         "settings.domain.leastShare",
                         List.of(0.8, 1)));
         assertRejected(cases.toArray(Object[][]::new));
@@ -353,15 +354,16 @@
     void duplicateNamesAndNamesWithASlashAreRejected() throws IOException {
         assertRejected(
                 rejectedCase(
-                        "settings.classes.1.name stands there twice: search",
+                        "settings.classes.1.name is a duplicate: search",
                         "settings.classes.1.name",
                         "search"),
                 rejectedCase(
-                        "settings.classes.0.name must hold no /: it is one part of a path, not a/b",
+                        "settings.classes.0.name must not contain /, as it is one segment of the"
+                                + " request path, not a/b",
                         "settings.classes.0.name",
                         "a/b"),
                 rejectedCase(
-                        "settings.tenants.1.name stands there twice: acme",
+                        "settings.tenants.1.name is a duplicate: acme",
                         "settings.tenants",
                         List.of(Map.of("name", "acme"), Map.of("name", "acme"))));
     }
@@ -384,7 +386,9 @@
         assertRejected(cases.toArray(Object[][]::new));
     }
 
-    /** The settings as the wire's page shows them, with the names and figures of no deployment. */
+    /**
+     * The settings have the form that the simulator's protocol documents; no deployment uses them.
+     */
     @Test
     void validSettingsAreAccepted() throws IOException {
         InstanceSettings wire = new InstanceSettings();
--- a/src/test/java/postbeam/config/SubsystemSettingsTest.java
+++ b/src/test/java/postbeam/config/SubsystemSettingsTest.java
@@ -21,10 +21,10 @@
     void problemIsReportedWithLineKeyAndReason() throws IOException {
         assertEquals("h:1", SubsystemSettings.parse("f", VALID).text("layouts.follow.service"));
         assertEquals(
-                "f: line 3: layouts.follow.enabeld: unknown key; enabled is known",
+                "f: line 3: layouts.follow.enabeld: unknown key; did you mean enabled?",
                 errorFor(VALID.replace("enabled: true", "enabled: true, enabeld: true")));
         assertEquals(
-                "f: line 2: layuots: unknown key; layouts is known",
+                "f: line 2: layuots: unknown key; did you mean layouts?",
                 errorFor(VALID.replace("layouts", "layuots")));
         assertEquals(
                 "f: line 3: layouts.follow.service: is missing",
@@ -33,7 +33,7 @@
                 "f: line 3: layouts.follow.enabled: string found, boolean expected",
                 errorFor(VALID.replace("true", "'yes'")));
         assertEquals("f: line 5: ", errorFor(VALID.replace("'h:1'}", "'h:1'")).substring(0, 11));
-        assertEquals("f: line 1: not an object", errorFor("[]"));
+        assertEquals("f: line 1: the settings must be an object", errorFor("[]"));
     }
 
     @Test
