--- a/src/main/java/postbeam/simulator/ActionWriter.java
+++ b/src/main/java/postbeam/simulator/ActionWriter.java
@@ -14,7 +14,7 @@
         this.out = out;
     }
 
-    /** An attempt of a shard request at a node; a null timeout is the client's. */
+    /** Sends an attempt of a shard request to a node; null means the client's timeout. */
     void attempt(String requestId, String node, Duration timeout) {
         write("ATTEMPT", requestId, node, microsOrZero(timeout));
     }
@@ -24,6 +24,7 @@
         write("RECALL", requestId, attemptIndex);
     }
 
+    /** Answers a query, completely or partially. */
     void answer(String queryId, boolean complete) {
         write("WRAP_UP", queryId, complete ? 1 : 0);
     }
@@ -33,6 +34,7 @@
         write("REJECT", queryId, microsOrZero(retryAfter));
     }
 
+    /** Aborts a query with an error. */
     void abort(String queryId) {
         write("REPORT_FAILURE", queryId);
     }
@@ -52,11 +54,12 @@
         write("OBSERVE", 1);
     }
 
+    /** Writes a log line of the policy. */
     void log(String text) {
         write("TRACE", text);
     }
 
-    /** Reports that the policy failed, and where. */
+    /** Reports an exception of the policy, with the code location that threw it. */
     void reportPolicyFailure(RuntimeException e) {
         StackTraceElement[] stack = e.getStackTrace();
         String place = stack.length == 0 ? "an unknown place" : stack[0].toString();
--- a/src/main/java/postbeam/simulator/EventReader.java
+++ b/src/main/java/postbeam/simulator/EventReader.java
@@ -11,9 +11,9 @@
 import postbeam.model.AttemptOutcome;
 import postbeam.model.Readiness;
 
-/** Reads events of the simulator's wire protocol, and maps its names to the terms of the code. */
+/** Reads events of the simulator's wire protocol, and maps wire names to the terms of the code. */
 final class EventReader {
-    /** Attribute bit: the request carries an estimate of its work. */
+    /** Attribute bit: the shard request has an estimate of its work. */
     private static final int HAS_WORK_HINT = 1;
 
     /** Attribute bit: the client marks the query as a retry. */
@@ -32,7 +32,7 @@
 
     private final LineReader in;
 
-    /** Endpoint lists, by the number that events refer to. */
+    /** Endpoint lists, by the number with which events refer to them. */
     private final Map<Integer, List<Endpoint>> endpointLists = new HashMap<>();
 
     EventReader(LineReader in) {
@@ -48,9 +48,9 @@
             case "REGISTRY" -> readEndpointUpdate();
             case "ABANDONED" -> new RouterEvent.ClientDisconnect(in.requiredText());
             case "CHECKED" -> readProbeResult();
-            // No class of queries is streamed, and simulated routers do not gossip.
+            // No query class has streamed answers, and simulated routers do not exchange gossip.
             case "FIRST", "NEIGHBOUR_SAYS" -> new RouterEvent.Ignored();
-            default -> throw new InvalidFieldException("unknown message " + name);
+            default -> throw new InvalidFieldException("unknown event " + name);
         };
     }
 
@@ -63,14 +63,14 @@
         return settings;
     }
 
-    /** Reads an endpoint list, to which later events refer. */
+    /** Reads an endpoint list, to which later events refer by its number. */
     void readEndpointList() throws IOException {
         int list = (int) in.requiredNumber();
         long count = in.requiredNumber();
         List<Endpoint> endpoints = new ArrayList<>();
         for (long i = 0; i < count; i++) {
             if (!in.nextLine() || !"ROW".equals(in.nextField())) {
-                throw in.malformed("the list has too few rows");
+                throw in.malformed("the endpoint list has " + i + " rows, expected " + count);
             }
             endpoints.add(readEndpoint());
         }
@@ -88,7 +88,7 @@
         return new Endpoint(address, zone, cell, startedMicros, readiness);
     }
 
-    /** A query, whose shard is below 0, or a shard request of one. */
+    /** Reads the arrival of a shard request or, if the shard is negative, of a query. */
     private RouterEvent readArrival() {
         String id = in.requiredText();
         String queryClass = in.nextField();
@@ -133,7 +133,7 @@
         }
         List<Endpoint> endpoints = endpointLists.get(list);
         if (endpoints == null) {
-            throw new InvalidFieldException("no list " + list);
+            throw new InvalidFieldException("unknown endpoint list " + list);
         }
         boolean complete = scope == SCOPE_COMPLETE || scope == SCOPE_CACHED;
         return new RouterEvent.EndpointUpdate(endpoints, complete, scope != SCOPE_CACHED);
@@ -148,7 +148,7 @@
             case 0 -> Readiness.REMOVED;
             case 1 -> Readiness.READY;
             case 2 -> Readiness.DRAINING;
-            default -> throw new InvalidFieldException("unknown readiness");
+            default -> throw new InvalidFieldException("unknown readiness " + wireNumber);
         };
     }
 
--- a/src/main/java/postbeam/simulator/InvalidFieldException.java
+++ b/src/main/java/postbeam/simulator/InvalidFieldException.java
@@ -1,6 +1,6 @@
 package postbeam.simulator;
 
-/** A field of the simulator's wire protocol that is missing or has an invalid value. */
+/** Reports a missing or invalid field in the simulator's wire protocol. */
 final class InvalidFieldException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/postbeam/simulator/LineReader.java
+++ b/src/main/java/postbeam/simulator/LineReader.java
@@ -3,7 +3,7 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 
-/** Reads the simulator's wire protocol line by line, and a line field by field. */
+/** Reads input in the simulator's wire protocol line by line, and each line field by field. */
 final class LineReader {
     private static final char FIELD_SEPARATOR = '\t';
     private static final String ABSENT = "-";
@@ -20,7 +20,7 @@
         this.in = in;
     }
 
-    /** Moves on to the next line that is not empty; false at the end of the input. */
+    /** Moves to the next line that is not empty; returns false at the end of the input. */
     boolean nextLine() throws IOException {
         do {
             line = in.readLine();
@@ -34,7 +34,7 @@
         return position <= line.length();
     }
 
-    /** The next field; null if its value is absent. */
+    /** Returns the next field; null if its value is absent ({@code -}). */
     String nextField() {
         if (!hasMoreFields()) {
             throw new InvalidFieldException("a field is missing");
@@ -52,27 +52,27 @@
         nextField();
     }
 
-    /** The next field, whose value must be present. */
+    /** Returns the next field, whose value must be present. */
     String requiredText() {
         String value = nextField();
         if (value == null) {
-            throw new InvalidFieldException("a field that must be there is absent");
+            throw new InvalidFieldException("a required field is absent");
         }
         return value;
     }
 
-    /** The next field as an integer, whose value must be present. */
+    /** Returns the next field as an integer, whose value must be present. */
     long requiredNumber() {
         return parseNumber(requiredText());
     }
 
-    /** The next field as an integer; the default if its value is absent. */
+    /** Returns the next field as an integer; the default if its value is absent. */
     long number(long defaultValue) {
         String value = nextField();
         return value == null ? defaultValue : parseNumber(value);
     }
 
-    /** The next field as a decimal number, whose value must be present. */
+    /** Returns the next field as a decimal number, whose value must be present. */
     double requiredDecimal() {
         try {
             return Double.parseDouble(requiredText());
@@ -89,7 +89,7 @@
         }
     }
 
-    /** The error for the current line. */
+    /** Creates an exception for the current line, with its number and an excerpt of it. */
     MalformedLineException malformed(String problem) {
         String excerpt = "";
         if (line != null) {
--- a/src/main/java/postbeam/simulator/MalformedLineException.java
+++ b/src/main/java/postbeam/simulator/MalformedLineException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Input that does not follow the simulator's wire protocol; the message names the line. */
+/** Reports input that violates the simulator's wire protocol; the message has the line number. */
 public final class MalformedLineException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/postbeam/simulator/RouterEvent.java
+++ b/src/main/java/postbeam/simulator/RouterEvent.java
@@ -7,16 +7,16 @@
 
 /** An event for one simulated router. */
 sealed interface RouterEvent {
-    /** Reports the event to its router. */
+    /** Calls the router's method for this event, at the given time since the router's start. */
     void deliverTo(SimulatedRouter router, Duration now);
 
     /**
      * A query has arrived.
      *
-     * @param number by which its shard requests refer to it
+     * @param number number with which its shard requests refer to it
      * @param queryClass name of its class; null if absent
      * @param tenant name of its tenant; null if absent
-     * @param timeout time that its client waits
+     * @param timeout how long its client waits for the answer
      * @param clientRetry whether its client marks it as a retry
      */
     record QueryArrival(
@@ -36,7 +36,7 @@
     /**
      * A shard request of a query has arrived.
      *
-     * @param estimatedWork null without a hint
+     * @param estimatedWork estimated processing time at a node; null if there is no estimate
      */
     record ShardRequestArrival(
             String id, long queryNumber, int shard, double weight, Duration estimatedWork)
@@ -100,10 +100,10 @@
     }
 
     /**
-     * Endpoints were listed.
+     * Endpoints have been received from discovery.
      *
-     * @param complete whether these are all endpoints, else changed ones
-     * @param polled whether this answers a poll of discovery
+     * @param complete whether the list has all endpoints; otherwise it has the changed ones only
+     * @param polled whether the update is the result of a poll
      */
     record EndpointUpdate(List<Endpoint> endpoints, boolean complete, boolean polled)
             implements RouterEvent {
--- a/src/main/java/postbeam/simulator/SimulatedQueryTable.java
+++ b/src/main/java/postbeam/simulator/SimulatedQueryTable.java
@@ -8,8 +8,8 @@
 
 /**
  * The queries and shard requests of one simulated router, by their ids on the wire. A query has an
- * id, and a number by which its shard requests refer to it. An ended query is removed, and each of
- * its requests once the last of its attempts has ended.
+ * id, and a number with which its shard requests refer to it. A query is removed after it has
+ * ended; its shard requests are removed after that, each when it has no attempt in flight.
  */
 final class SimulatedQueryTable {
     private record QueryKey(String id, long number) {}
@@ -31,32 +31,33 @@
         requestIds.put(request, id);
     }
 
-    /** The query of this id; null if it is unknown or was removed. */
+    /** Returns the query with this id; null if it is unknown or was removed. */
     Query query(String id) {
         return queriesById.get(id);
     }
 
-    /** The query of this number; null if it is unknown or was removed. */
+    /** Returns the query with this number; null if it is unknown or was removed. */
     Query query(long number) {
         return queriesByNumber.get(number);
     }
 
-    /** The shard request of this id; null if it is unknown or was removed. */
+    /** Returns the shard request with this id; null if it is unknown or was removed. */
     ShardRequest request(String id) {
         return requestsById.get(id);
     }
 
-    /** The id of a query; null if it was removed. */
+    /** Returns the id of a query; null if it was removed. */
     String id(Query query) {
         QueryKey key = queryKeys.get(query);
         return key == null ? null : key.id;
     }
 
-    /** The id of a shard request; null if it was removed. */
+    /** Returns the id of a shard request; null if it was removed. */
     String id(ShardRequest request) {
         return requestIds.get(request);
     }
 
+    /** Removes a query that has ended, and its shard requests without attempts in flight. */
     void removeIfEnded(Query query) {
         if (!query.hasEnded()) {
             return;
--- a/src/main/java/postbeam/simulator/SimulatedRouter.java
+++ b/src/main/java/postbeam/simulator/SimulatedRouter.java
@@ -16,7 +16,7 @@
 import postbeam.policy.PolicyActions;
 import postbeam.policy.RoutingPolicy;
 
-/** One simulated router: reports events to its policy, and writes the policy's actions. */
+/** A simulated router: passes events to its routing policy, and writes the policy's actions. */
 final class SimulatedRouter implements PolicyActions {
     /** Cookie of the policy's timer. */
     private static final int WAKE_UP_TIMER = 0;
@@ -50,7 +50,10 @@
         this.pollSchedule = PolicyFactory.pollSchedule(settings, random);
     }
 
-    /** The session's clock as a time since this router's start. */
+    /**
+     * Converts a time of the session's clock, in microseconds, to the time since this router
+     * started.
+     */
     Duration sinceStart(long micros) {
         return Duration.ofNanos((micros - startMicros) * NANOS_PER_MICRO);
     }
@@ -60,7 +63,7 @@
     void onQuery(Duration now, RouterEvent.QueryArrival event) {
         QueryClass queryClass = queryClasses.get(event.queryClass());
         if (queryClass == null) {
-            throw new InvalidFieldException("a vertical that the settings lack");
+            throw new InvalidFieldException("the query class is not in the settings");
         }
         Tenant tenant = tenants.get(event.tenant());
         Query query = new Query(queryClass, tenant, now, now.plus(event.timeout()));
@@ -125,12 +128,12 @@
         registry.update(now, event.endpoints(), event.complete(), this::sinceStart, policy);
     }
 
-    /** All events of a batch have been reported. */
+    /** Called after all events of a batch have been passed to the policy. */
     void onBatchEnd(Duration now) {
         policy.onBatchEnd(now);
     }
 
-    /** Polls discovery if that is due, or sets a timer for when it is. */
+    /** Polls discovery if a poll is due, and sets a timer for the next poll. */
     void pollIfDue(Duration now) {
         if (pollSchedule.startPollIfDue(now)) {
             actions.pollDiscovery();
@@ -142,7 +145,7 @@
         }
     }
 
-    /** The policy failed on an event of this router. */
+    /** Called after the policy has thrown an exception for an event of this router. */
     void onFailure(RuntimeException e) {
         actions.reportPolicyFailure(e);
     }
--- a/src/main/java/postbeam/simulator/SimulatorSession.java
+++ b/src/main/java/postbeam/simulator/SimulatorSession.java
@@ -15,8 +15,8 @@
 import postbeam.policy.RoutingPolicy;
 
 /**
- * A session of the simulator's wire protocol: reads batches of events, and writes one reply of
- * actions for each.
+ * A session of the simulator's wire protocol: reads batches of events, and writes one reply with
+ * the resulting actions for each batch.
  */
 public final class SimulatorSession {
     private static final int BUFFER_CHARS = 1 << 16;
@@ -28,7 +28,7 @@
     private final StringBuilder reply = new StringBuilder();
     private final Map<Integer, SimulatedRouter> routers = new HashMap<>();
 
-    /** The routers with an event in the current batch, in order of their first one. */
+    /** The routers with an event in the current batch, in the order of their first events. */
     private final Set<SimulatedRouter> routersInBatch = new LinkedHashSet<>();
 
     /** Creates a session that reads events from the source and writes replies to the sink. */
@@ -49,7 +49,7 @@
         while (in.nextLine()) {
             try {
                 if (!"SYNC".equals(in.nextField())) {
-                    throw in.malformed("a batch starts with SYNC");
+                    throw in.malformed("a batch must start with SYNC");
                 }
                 readBatch(in.requiredNumber());
             } catch (InvalidFieldException | IllegalArgumentException e) {
@@ -67,7 +67,7 @@
         routersInBatch.clear();
         while (true) {
             if (!in.nextLine()) {
-                throw in.malformed("the input ends within a batch");
+                throw in.malformed("the input ends before EOF_BATCH");
             }
             String event = in.requiredText();
             if (event.equals("EOF_BATCH")) {
@@ -94,7 +94,7 @@
         }
         SimulatedRouter router = routers.get(id);
         if (router == null) {
-            throw in.malformed("no instance " + id);
+            throw in.malformed("unknown router " + id);
         }
         if (event.equals("DETACH")) {
             routers.remove(id);
@@ -114,7 +114,7 @@
         routersInBatch.add(created);
     }
 
-    /** Reports a failure of the policy to the simulator; any other one ends the session. */
+    /** Runs a step; reports an exception of the policy to the simulator, and throws any other. */
     private static void runGuarded(SimulatedRouter router, Runnable step) {
         try {
             step.run();
--- a/src/test/java/postbeam/simulator/RecordedSessionTest.java
+++ b/src/test/java/postbeam/simulator/RecordedSessionTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Feeds recorded simulator sessions to the simulator session and compares what comes out byte for
- * byte. A refactoring of the routing policy must not change a single decision; a change of the
- * policy itself needs new recordings.
+ * Replays recorded simulator sessions and compares the output byte for byte. Guards against a
+ * refactoring that changes a decision of the routing policy; an intended change of the policy needs
+ * new recordings.
  */
 class RecordedSessionTest {
     /**
-     * Tenants' quotas, deduplicated and two-step queries, a stopped and restarted instance,
+     * Covers tenants' quotas, deduplicated and two-step queries, a router that stops and restarts,
      * unreachable nodes.
      */
     @Test
@@ -29,21 +29,21 @@
     }
 
     /**
-     * Queries with side effects, no duplicates allowed, nodes that reject for lack of capacity,
-     * aborted queries.
+     * Covers queries with side effects, a ban on duplicates, nodes that reject for lack of
+     * capacity, aborted queries.
      */
     @Test
     void sideEffectsAndFullNodesMatchTheRecording() throws IOException {
         assertMatchesRecording("side-effects-and-full-nodes");
     }
 
-    /** Hedged requests within a retry budget, resets, timeouts, health probes. */
+    /** Covers hedged requests within a retry budget, resets, timeouts and health probes. */
     @Test
     void hedgedRequestsAndResetsMatchTheRecording() throws IOException {
         assertMatchesRecording("hedged-requests-and-resets");
     }
 
-    /** Queries that crash nodes, clients that leave early, partial answers, rejections. */
+    /** Covers queries that crash nodes, clients that disconnect, partial answers and rejections. */
     @Test
     void partialAnswersAndLostClientsMatchTheRecording() throws IOException {
         assertMatchesRecording("partial-answers-and-lost-clients");
@@ -59,7 +59,8 @@
     }
 
     /**
-     * Names the first line that differs, which says more than a difference of thousands of lines.
+     * Fails at the first line that differs, which is easier to read than a difference of thousands
+     * of lines.
      */
     private static void assertSameLines(byte[] expected, byte[] actual) {
         List<String> expectedLines = new String(expected, StandardCharsets.UTF_8).lines().toList();
--- a/src/test/java/postbeam/simulator/SimulatorSessionTest.java
+++ b/src/test/java/postbeam/simulator/SimulatorSessionTest.java
@@ -35,7 +35,7 @@
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    /** One batch of events at this time, in microseconds. */
+    /** Returns a batch of events at a time in microseconds. */
     private static String batch(long clockMicros, String... events) {
         return "SYNC\t" + clockMicros + "\n" + String.join("", events) + "EOF_BATCH\n";
     }
@@ -71,8 +71,8 @@
         assertTrue(sent.contains("ATTEMPT\t3\tp-two\t10.0.0.1:80\t"), sent);
         String both = reply(untilSecondStep + batch(210, successReport("p-two")));
         assertEquals(3, both.split("WRAP_UP\t3\tq-id\t1\n").length, both);
-        // What is given up in the second step gets a final answer too, and none from the first
-        // step's requests alone.
+        // A query that can't complete its second step is rejected; it is not answered with the
+        // results of the first step alone.
         String late = reply(untilSecondStep + batch(210) + batch(3_999_000, "RING\t3\t0\n"));
         assertTrue(late.contains("REJECT\t3\tq-id\t"), late);
     }
@@ -106,19 +106,19 @@
                         "line 2: classes.0.effect must be retryable, dedup or fragile,"
                                 + " not sometimes, in: ",
                         batch(5, "DETACH\t9\n"),
-                        "line 2: no instance 9, in: DETACH 9",
+                        "line 2: unknown router 9, in: DETACH 9",
                         batch(5, CREATE, successReport("p-id").replace("ok", "odd")),
                         "line 3: unknown outcome odd, in: ",
                         batch(5, CREATE, "SPEAK\t3\n"),
-                        "line 3: unknown message SPEAK, in: ",
+                        "line 3: unknown event SPEAK, in: ",
                         batch(5, CREATE, "RING\t3\tx\n"),
                         "line 3: For input string: \"x\", in: ",
                         batch(5, CREATE, "ABANDONED\t3\n"),
                         "line 3: a field is missing, in: ",
                         batch(5, CREATE, "ABANDONED\t3\t-\n"),
-                        "line 3: a field that must be there is absent, in: ",
+                        "line 3: a required field is absent, in: ",
                         batch(5, CREATE, LIST.replace("REGISTRY\t3\t0", "REGISTRY\t3\t8")),
-                        "line 5: no list 8, in: ");
+                        "line 5: unknown endpoint list 8, in: ");
         problems.forEach(
                 (input, problem) -> {
                     MalformedLineException e =
@@ -156,7 +156,7 @@
         assertTrue(replyToRetry(3_900_000).contains("ATTEMPT\t3\ts-id\t"));
     }
 
-    /** A first request with 4 s, and a retry with this time, of a client that waits 5 s in all. */
+    /** Replies to a query with a timeout of 4 s and to its retry; the client waits 5 s in total. */
     private static String replyToRetry(long timeoutMicros) throws IOException {
         String create = CREATE.replace("new.key=7", "classes.0.deadline=5000000");
         String retry =
