--- a/src/main/java/postbeam/cli/ConfigurationReloader.java
+++ b/src/main/java/postbeam/cli/ConfigurationReloader.java
@@ -21,7 +21,7 @@
         this.configFile = configFile;
     }
 
-    /** Installs the handler of SIGHUP. */
+    /** Installs a handler that reloads the file on SIGHUP; logs a warning if SIGHUP is ignored. */
     static ConfigurationReloader install(String configFile) {
         ConfigurationReloader reloader = new ConfigurationReloader(configFile);
         if (!HangupSignal.handle(reloader::reload)) {
--- a/src/main/java/postbeam/cli/ServeCommand.java
+++ b/src/main/java/postbeam/cli/ServeCommand.java
@@ -35,7 +35,8 @@
             return 1;
         }
         reloader.attach(router);
-        // Added before the router listens; else a signal in between would end the process without
+        // Added before the router listens; otherwise a signal in between would end the process
+        // without
         // answering the queries that it has accepted.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(router), "stop"));
         try {
--- a/src/main/java/postbeam/config/InstanceSettings.java
+++ b/src/main/java/postbeam/config/InstanceSettings.java
@@ -13,8 +13,8 @@
  * Settings as path=value pairs, in the form of the simulator's protocol: the names of nested
  * members are joined by dots, the objects of a list are numbered from 0 and have a {@code count},
  * and the plain values of a list are joined by commas. Every typed accessor checks the value and
- * throws {@link InvalidSettingException} if it is invalid. A value that is absent, empty or {@code
- * -} is read as null.
+ * throws {@link InvalidSettingException} if it is invalid. A value counts as absent if its path is
+ * not set, or if it is empty or {@code -}.
  */
 public final class InstanceSettings {
     /** Durations in settings are in microseconds. */
--- a/src/main/java/postbeam/config/PolicyFactory.java
+++ b/src/main/java/postbeam/config/PolicyFactory.java
@@ -45,7 +45,9 @@
 
     private PolicyFactory() {}
 
-    /** Returns the number of cells of data nodes, and the number of cells that serve a shard. */
+    /**
+     * Creates a cluster without nodes: the number of cells, and how many of them hold each shard.
+     */
     public static Cluster cluster(InstanceSettings settings) {
         return new Cluster(
                 settings.integerAtLeast("domain.cells", 1),
--- a/src/main/java/postbeam/config/SettingsValidator.java
+++ b/src/main/java/postbeam/config/SettingsValidator.java
@@ -186,7 +186,9 @@
         }
     }
 
-    /** Rejects a list or plain value, which would else be read as an object without members. */
+    /**
+     * Rejects a list or plain value, which would otherwise be read as an object without members.
+     */
     static void requireObject(InstanceSettings settings, String path) {
         if (settings.text(path) != null || settings.text(path + ".count") != null) {
             throw settings.invalid(path, "must be an object");
--- a/src/main/java/postbeam/simulator/SimulatedRouter.java
+++ b/src/main/java/postbeam/simulator/SimulatedRouter.java
@@ -34,6 +34,8 @@
     private final SimulatedQueryTable table = new SimulatedQueryTable();
     private final RoutingPolicy policy;
     private final PollSchedule pollSchedule;
+
+    /** Time of the latest poll timer; null before the first one. */
     private Duration scheduledPollAt;
 
     SimulatedRouter(
--- a/src/test/java/postbeam/cli/IgnoredHangupIT.java
+++ b/src/test/java/postbeam/cli/IgnoredHangupIT.java
@@ -17,7 +17,7 @@
 
     @TempDir private Path dir;
 
-    /** Returns the output of the program up to the line that says that it serves. */
+    /** Starts the program, and returns its output up to the line with the address it serves at. */
     private String start(String signalOption) throws Exception {
         String config =
                 Files.readString(Path.of("deploy/example.json"))
