--- a/src/main/java/postbeam/datanodes/FrameCodec.java
+++ b/src/main/java/postbeam/datanodes/FrameCodec.java
@@ -50,15 +50,15 @@
 
     /** A call of these attempts, each with its text. */
     static ByteBuffer encodeCall(List<DispatchedAttempt> attempts) {
-        byte[][] heads = new byte[attempts.size()][];
+        byte[][] headers = new byte[attempts.size()][];
         int size = 0;
-        for (int i = 0; i < heads.length; i++) {
-            heads[i] = attempts.get(i).frameHeader();
-            size += heads[i].length + attempts.get(i).payload.length;
+        for (int i = 0; i < headers.length; i++) {
+            headers[i] = attempts.get(i).frameHeader();
+            size += headers[i].length + attempts.get(i).payload.length;
         }
         ByteBuffer frame = allocate(CALL, size);
-        for (int i = 0; i < heads.length; i++) {
-            frame.put(heads[i]).put(attempts.get(i).payload);
+        for (int i = 0; i < headers.length; i++) {
+            frame.put(headers[i]).put(attempts.get(i).payload);
         }
         return frame.flip();
     }
@@ -100,8 +100,8 @@
         return new ShardResponse(fields[0], outcome, value);
     }
 
-    private static AttemptOutcome decodeOutcome(String word) throws MalformedFrameException {
-        return switch (word) {
+    private static AttemptOutcome decodeOutcome(String text) throws MalformedFrameException {
+        return switch (text) {
             case "good" -> AttemptOutcome.SUCCESS;
             case "bad" -> AttemptOutcome.ERROR;
             case "later" -> AttemptOutcome.OVERLOADED;
--- a/src/main/java/postbeam/datanodes/FrameReader.java
+++ b/src/main/java/postbeam/datanodes/FrameReader.java
@@ -48,12 +48,12 @@
         int count;
         while ((count = channel.read(buffer)) > 0) {
             lastReadNanos = System.nanoTime();
-            takeFrames(handler);
+            decodeFrames(handler);
         }
         return count >= 0;
     }
 
-    private void takeFrames(FrameHandler handler) throws MalformedFrameException {
+    private void decodeFrames(FrameHandler handler) throws MalformedFrameException {
         buffer.flip();
         int needed = BUFFER_BYTES;
         while (buffer.remaining() >= FrameCodec.LENGTH_BYTES) {
@@ -65,12 +65,12 @@
                 needed = FrameCodec.LENGTH_BYTES + length;
                 break;
             }
-            takeFrame(length, handler);
+            decodeFrame(length, handler);
         }
-        makeRoom(needed);
+        resizeBuffer(needed);
     }
 
-    private void takeFrame(int length, FrameHandler handler) throws MalformedFrameException {
+    private void decodeFrame(int length, FrameHandler handler) throws MalformedFrameException {
         partialSinceNanos = 0;
         buffer.getInt();
         char type = (char) buffer.get();
@@ -80,7 +80,7 @@
     }
 
     /** Keeps what is left; grows for a frame that needs it, and shrinks again after one. */
-    private void makeRoom(int needed) {
+    private void resizeBuffer(int needed) {
         boolean oversized = needed == BUFFER_BYTES && buffer.capacity() > BUFFER_BYTES;
         if (needed > buffer.capacity() || oversized) {
             buffer = newBuffer(needed).put(buffer);
--- a/src/main/java/postbeam/datanodes/FrameWriter.java
+++ b/src/main/java/postbeam/datanodes/FrameWriter.java
@@ -31,7 +31,7 @@
     /** Told what becomes of queued attempts. */
     interface Listener {
         /** These will never be written. */
-        void attemptsDropped(List<AttemptResult> endings);
+        void attemptsDropped(List<AttemptResult> results);
 
         /** The frame of these is begun. */
         void attemptsStarted(List<InFlightAttempt> attempts);
@@ -142,7 +142,7 @@
                 return true;
             }
             List<DispatchedAttempt> sendable =
-                    takeSendable(((QueuedFrame.Attempts) next).attempts());
+                    dequeueSendable(((QueuedFrame.Attempts) next).attempts());
             if (!sendable.isEmpty()) {
                 begin(FrameCodec.encodeCall(sendable));
                 currentAttempts = sendable.stream().map(InFlightAttempt::new).toList();
@@ -159,21 +159,21 @@
     }
 
     /** Those that may still be sent; the others end here. */
-    private List<DispatchedAttempt> takeSendable(List<DispatchedAttempt> attempts) {
+    private List<DispatchedAttempt> dequeueSendable(List<DispatchedAttempt> attempts) {
         queuedAttempts -= attempts.size();
         DispatchedAttempt.checkClientPresence(attempts);
         List<DispatchedAttempt> sendable = new ArrayList<>();
-        List<AttemptResult> endings = new ArrayList<>();
+        List<AttemptResult> results = new ArrayList<>();
         for (DispatchedAttempt attempt : attempts) {
             AttemptOutcome outcome = attempt.unsentOutcome();
             if (outcome == null) {
                 sendable.add(attempt);
             } else {
-                endings.add(new AttemptResult(attempt, outcome));
+                results.add(new AttemptResult(attempt, outcome));
             }
         }
-        if (!endings.isEmpty()) {
-            listener.attemptsDropped(endings);
+        if (!results.isEmpty()) {
+            listener.attemptsDropped(results);
         }
         return sendable;
     }
--- a/src/main/java/postbeam/datanodes/NodeConnection.java
+++ b/src/main/java/postbeam/datanodes/NodeConnection.java
@@ -30,7 +30,7 @@
     private static final System.Logger LOG = System.getLogger(NodeConnection.class.getName());
 
     /** From the end of the connect timeout until the connection is given up. */
-    private static final Duration SECOND_LOOK_DELAY = Duration.ofMillis(10);
+    private static final Duration CONNECT_TIMEOUT_GRACE = Duration.ofMillis(10);
 
     private final ConnectionPool pool;
     private final AttemptListener listener;
@@ -80,34 +80,34 @@
 
     /** Begins to connect; what is sent meanwhile waits. */
     void open(XnioIoThread ioThread, InetSocketAddress target) {
-        IoFuture<StreamConnection> opening =
+        IoFuture<StreamConnection> connectFuture =
                 ioThread.openStreamConnection(
                         target, opened -> {}, null, OptionMap.create(Options.TCP_NODELAY, true));
         connectTimer =
                 ioThread.executeAfter(
-                        () -> lookAgainAfterTimeout(ioThread, opening),
+                        () -> closeAfterGracePeriod(ioThread, connectFuture),
                         connectTimeout.toMillis(),
                         TimeUnit.MILLISECONDS);
-        opening.addNotifier((future, none) -> ioThread.execute(() -> opened(future)), null);
+        connectFuture.addNotifier((future, none) -> ioThread.execute(() -> handleConnectResult(future)), null);
     }
 
     /**
      * Gives up a connection that is not up at a second look. Where the thread is late, the first
      * one comes before the sockets that are ready were seen to.
      */
-    private void lookAgainAfterTimeout(
-            XnioIoThread ioThread, IoFuture<? extends StreamConnection> opening) {
+    private void closeAfterGracePeriod(
+            XnioIoThread ioThread, IoFuture<? extends StreamConnection> connectFuture) {
         connectTimer =
                 ioThread.executeAfter(
                         () -> {
-                            opening.cancel();
+                            connectFuture.cancel();
                             close("no connection in time");
                         },
-                        SECOND_LOOK_DELAY.toMillis(),
+                        CONNECT_TIMEOUT_GRACE.toMillis(),
                         TimeUnit.MILLISECONDS);
     }
 
-    private void opened(IoFuture<? extends StreamConnection> future) {
+    private void handleConnectResult(IoFuture<? extends StreamConnection> future) {
         try {
             if (future.getStatus() != IoFuture.Status.DONE) {
                 close("no connection: " + connectFailure(future));
@@ -202,8 +202,8 @@
     }
 
     @Override
-    public void attemptsDropped(List<AttemptResult> endings) {
-        listener.onAttemptResults(endings);
+    public void attemptsDropped(List<AttemptResult> results) {
+        listener.onAttemptResults(results);
     }
 
     @Override
@@ -220,12 +220,12 @@
         if (closed) {
             return;
         }
-        List<AttemptResult> endings = new ArrayList<>();
+        List<AttemptResult> results = new ArrayList<>();
         String failure = null;
         boolean malformed = false;
         try {
             boolean open =
-                    reader.read(source, (type, payload) -> handleFrame(type, payload, endings));
+                    reader.read(source, (type, payload) -> handleFrame(type, payload, results));
             failure = open ? null : "closed by the node";
             checkPartialFrame();
         } catch (MalformedFrameException e) {
@@ -234,8 +234,8 @@
         } catch (IOException | RuntimeException e) {
             failure = "read failed: " + e;
         }
-        if (!endings.isEmpty()) {
-            listener.onAttemptResults(endings);
+        if (!results.isEmpty()) {
+            listener.onAttemptResults(results);
         }
         if (failure != null) {
             close(failure, malformed);
@@ -255,10 +255,10 @@
         }
     }
 
-    private void handleFrame(char type, byte[] payload, List<AttemptResult> endings)
+    private void handleFrame(char type, byte[] payload, List<AttemptResult> results)
             throws MalformedFrameException {
         switch (type) {
-            case FrameCodec.RESPONSE -> handleResponse(payload, endings);
+            case FrameCodec.RESPONSE -> handleResponse(payload, results);
             case FrameCodec.PROBE, FrameCodec.LOAD_PROBE -> handleProbeResult(payload);
             case FrameCodec.PROTOCOL_ERROR ->
                     throw new MalformedFrameException(
@@ -268,13 +268,13 @@
         }
     }
 
-    private void handleResponse(byte[] payload, List<AttemptResult> endings)
+    private void handleResponse(byte[] payload, List<AttemptResult> results)
             throws MalformedFrameException {
         ShardResponse response = FrameCodec.decodeResponse(payload);
         InFlightAttempt inFlightAttempt = inFlight.find(response.attemptId());
         if (inFlightAttempt != null) {
             endAttempt(inFlightAttempt.attempt());
-            endings.add(
+            results.add(
                     new AttemptResult(
                             inFlightAttempt.attempt(), response.outcome(), response.value()));
         } else if (!inFlight.hasEndedRecently(response.attemptId())) {
@@ -343,33 +343,33 @@
             IoUtils.safeClose(channel);
         }
         pool.connectionClosed(this);
-        List<AttemptResult> endings = endAll(malformed);
-        if (reason != null && (!endings.isEmpty() || !pendingProbes.isEmpty())) {
+        List<AttemptResult> results = endAll(malformed);
+        if (reason != null && (!results.isEmpty() || !pendingProbes.isEmpty())) {
             LOG.log(
                     System.Logger.Level.DEBUG,
                     "connection to {0}: {1}; {2} calls end",
                     address,
                     reason,
-                    endings.size());
+                    results.size());
         }
-        if (!endings.isEmpty()) {
-            listener.onAttemptResults(endings);
+        if (!results.isEmpty()) {
+            listener.onAttemptResults(results);
         }
         pendingProbes.forEach(node -> listener.onHealthCheck(node, false));
     }
 
     private List<AttemptResult> endAll(boolean malformed) {
-        List<AttemptResult> endings = new ArrayList<>();
+        List<AttemptResult> results = new ArrayList<>();
         for (InFlightAttempt inFlightAttempt : inFlight.all()) {
             pool.attemptEnded(inFlightAttempt.attempt());
-            endings.add(
+            results.add(
                     new AttemptResult(
                             inFlightAttempt.attempt(), lostOutcome(inFlightAttempt, malformed)));
         }
         for (DispatchedAttempt attempt : writer.queuedFrameAttempts()) {
-            endings.add(new AttemptResult(attempt, AttemptOutcome.UNREACHABLE));
+            results.add(new AttemptResult(attempt, AttemptOutcome.UNREACHABLE));
         }
-        return endings;
+        return results;
     }
 
     private static AttemptOutcome lostOutcome(InFlightAttempt inFlightAttempt, boolean malformed) {
--- a/src/test/java/postbeam/datanodes/DataNodeClientTest.java
+++ b/src/test/java/postbeam/datanodes/DataNodeClientTest.java
@@ -24,7 +24,7 @@
 @Timeout(30)
 class DataNodeClientTest {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(250);
-    private static final Duration LATENESS = Duration.ofMillis(400);
+    private static final Duration IO_THREAD_DELAY = Duration.ofMillis(400);
 
     private final BlockingQueue<Boolean> healthChecks = new LinkedBlockingQueue<>();
     private final ScriptedDataNode node = new ScriptedDataNode();
@@ -61,7 +61,7 @@
                 .execute(
                         () -> {
                             try {
-                                Thread.sleep(LATENESS.toMillis());
+                                Thread.sleep(IO_THREAD_DELAY.toMillis());
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
@@ -74,7 +74,7 @@
 
     /** Guards against a connection that is up and is given up, so that one more is opened. */
     @Test
-    void connectionThatCameUpWhileTheThreadWasLateIsUsed() throws Exception {
+    void connectionEstablishedWhileIoThreadIsLateIsUsed() throws Exception {
         client.probe("n1", node.dialAddress());
         delayIoThread();
         assertTrue(nextHealthCheck(), "the node was reached in time");
--- a/src/test/java/postbeam/datanodes/FrameCodecTest.java
+++ b/src/test/java/postbeam/datanodes/FrameCodecTest.java
@@ -14,7 +14,7 @@
     }
 
     @Test
-    void frameIsItsLittleEndianLengthItsTypeAndItsPayload() {
+    void frameConsistsOfLittleEndianLengthTypeAndPayload() {
         assertArrayEquals(
                 bytes("\5\0\0\0nab.3"), FrameCodec.encode(FrameCodec.CANCEL, "ab.3").array());
         assertArrayEquals(bytes("\1\0\0\0o"), FrameCodec.encode(FrameCodec.PROBE, "").array());
@@ -22,11 +22,11 @@
 
     @Test
     void responseIsDecodedWithItsValueUnchanged() throws MalformedFrameException {
-        ShardResponse answer =
+        ShardResponse response =
                 FrameCodec.decodeResponse(bytes("ab.3 good 1840277719 -\nx  y\u00e4z"));
-        assertEquals("ab.3", answer.attemptId());
-        assertEquals(AttemptOutcome.SUCCESS, answer.outcome());
-        assertArrayEquals(bytes("x  y\u00e4z"), answer.value());
+        assertEquals("ab.3", response.attemptId());
+        assertEquals(AttemptOutcome.SUCCESS, response.outcome());
+        assertArrayEquals(bytes("x  y\u00e4z"), response.value());
     }
 
     @Test
@@ -39,14 +39,14 @@
     }
 
     @Test
-    void unreadableLoadReportDoesNotSpoilTheResponse() throws MalformedFrameException {
+    void responseWithMalformedLoadReportIsDecoded() throws MalformedFrameException {
         assertArrayEquals(
                 bytes("v"), FrameCodec.decodeResponse(bytes("a.1 good 0 \7 x= = ?\nv")).value());
     }
 
     @Test
     void malformedResponseIsRejected() {
-        for (String rest :
+        for (String payload :
                 new String[] {
                     "",
                     "a.1 good 0 -",
@@ -57,8 +57,8 @@
                 }) {
             assertThrows(
                     MalformedFrameException.class,
-                    () -> FrameCodec.decodeResponse(bytes(rest)),
-                    rest);
+                    () -> FrameCodec.decodeResponse(bytes(payload)),
+                    payload);
         }
     }
 }
--- a/src/test/java/postbeam/datanodes/FrameSamplesTest.java
+++ b/src/test/java/postbeam/datanodes/FrameSamplesTest.java
@@ -69,55 +69,55 @@
     private final ServerSocket node = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final XnioWorker worker =
             Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-    private PolicyExecutor decisions;
-    private Thread ticks;
+    private PolicyExecutor executor;
+    private Thread backgroundThread;
 
     FrameSamplesTest() throws IOException {}
 
     @AfterEach
     void tearDown() throws IOException {
-        if (ticks != null) {
-            ticks.interrupt();
+        if (backgroundThread != null) {
+            backgroundThread.interrupt();
         }
         worker.shutdownNow();
         node.close();
     }
 
-    private void route(SliceTranslator slicing, PagingService paging) throws IOException {
-        decisions =
+    private void startRouter(SliceTranslator translator, PagingService paging) throws IOException {
+        executor =
                 new PolicyExecutor(
                         new InstanceSettings(
                                 Json.parseObject(SETTINGS.getBytes(StandardCharsets.UTF_8)), ""),
                         1,
                         16,
                         Duration.ofMillis(50),
-                        slicing,
+                        translator,
                         paging);
-        decisions.onEndpointUpdate(
+        executor.onEndpointUpdate(
                 new EndpointUpdate(
                         1,
                         true,
                         List.of(new Endpoint("n1", "a", 0, 0, Readiness.READY)),
                         Map.of("n1", "127.0.0.1:" + node.getLocalPort())));
-        if (slicing != null) {
-            decisions.onLayout(Layout.initial(2, List.of("n1"), 1), System.nanoTime());
+        if (translator != null) {
+            executor.onLayout(Layout.initial(2, List.of("n1"), 1), System.nanoTime());
         }
-        ticks =
+        backgroundThread =
                 new Thread(
                         () -> {
                             try {
                                 while (true) {
-                                    decisions.awaitBackgroundActions();
+                                    executor.awaitBackgroundActions();
                                 }
                             } catch (InterruptedException e) {
                                 // The test is over.
                             }
                         });
-        ticks.setDaemon(true);
-        ticks.start();
+        backgroundThread.setDaemon(true);
+        backgroundThread.start();
     }
 
-    private InFlightQuery take(PageRequest page, int... shards) throws Exception {
+    private InFlightQuery accept(PageRequest page, int... shards) throws Exception {
         List<ClientRequest.RequestedShard> parts =
                 Arrays.stream(shards)
                         .mapToObj(
@@ -125,7 +125,7 @@
                                         new ClientRequest.RequestedShard(
                                                 shard, 1.0 / shards.length, null))
                         .toList();
-        return decisions
+        return executor
                 .accept(
                         new ClientRequest(
                                 ID, "search", null, DEADLINE, parts, PREDICATE, 0, false, page),
@@ -134,11 +134,11 @@
     }
 
     private QueryAction.Send send(InFlightQuery query) throws InterruptedException {
-        return assertInstanceOf(QueryAction.Send.class, decisions.awaitAction(query));
+        return assertInstanceOf(QueryAction.Send.class, executor.awaitAction(query));
     }
 
     /** The time left is the one part of a frame that differs from run to run. */
-    private static byte[] withDeadline(byte[] frame) {
+    private static byte[] withFixedDeadline(byte[] frame) {
         return new String(frame, StandardCharsets.ISO_8859_1)
                 .replaceAll(" d=[0-9]{4}", " d=9999")
                 .getBytes(StandardCharsets.ISO_8859_1);
@@ -159,34 +159,34 @@
     }
 
     @Test
-    void callIsWrittenAsTheSample() throws Exception {
-        route(null, null);
+    void callFrameEqualsSample() throws Exception {
+        startRouter(null, null);
         SampleFile.assertSame(
                 TO_NODE + "call.bin",
-                withDeadline(array(FrameCodec.encodeCall(send(take(null, 3, 9)).attempts()))));
+                withFixedDeadline(array(FrameCodec.encodeCall(send(accept(null, 3, 9)).attempts()))));
     }
 
     @Test
-    void callOfSlicesIsWrittenAsTheSample() throws Exception {
-        route(new SliceTranslator(), null);
+    void callFrameOfSlicesEqualsSample() throws Exception {
+        startRouter(new SliceTranslator(), null);
         SampleFile.assertSame(
                 TO_NODE + "call-slices.bin",
-                withDeadline(array(FrameCodec.encodeCall(send(take(null, 0, 1)).attempts()))));
+                withFixedDeadline(array(FrameCodec.encodeCall(send(accept(null, 0, 1)).attempts()))));
     }
 
     @Test
-    void callForAPageIsWrittenAsTheSample() throws Exception {
-        route(new SliceTranslator(), new PagingService("0a".repeat(32), null, 100));
+    void callFrameForPageEqualsSample() throws Exception {
+        startRouter(new SliceTranslator(), new PagingService("0a".repeat(32), null, 100));
         PageRequest page =
                 new PageRequest(
                         new SortOrder(List.of(new SortKey("price", true, false))), 10, null);
         SampleFile.assertSame(
                 TO_NODE + "call-page.bin",
-                withDeadline(array(FrameCodec.encodeCall(send(take(page, 0, 1)).attempts()))));
+                withFixedDeadline(array(FrameCodec.encodeCall(send(accept(page, 0, 1)).attempts()))));
     }
 
     @Test
-    void framesWithoutPartsAreWrittenAsTheSamples() throws IOException {
+    void cancelAndProbeFramesEqualSamples() throws IOException {
         SampleFile.assertSame(
                 TO_NODE + "give-up.bin", array(FrameCodec.encode(FrameCodec.CANCEL, ID + ".3")));
         SampleFile.assertSame(
@@ -203,18 +203,18 @@
         "answer-later.bin, OVERLOADED, ''",
         "answer-moved.bin, MOVED, ''"
     })
-    void answerIsReadFromTheSample(String sample, AttemptOutcome outcome, String value)
+    void responseIsDecodedFromSample(String sample, AttemptOutcome outcome, String value)
             throws Exception {
-        ShardResponse answer =
+        ShardResponse response =
                 FrameCodec.decodeResponse(
                         payload(FrameCodec.RESPONSE, SampleFile.bytes(FROM_NODE + sample)));
-        assertEquals(ID + ".3", answer.attemptId());
-        assertEquals(outcome, answer.outcome());
-        assertEquals(value, new String(answer.value(), StandardCharsets.UTF_8));
+        assertEquals(ID + ".3", response.attemptId());
+        assertEquals(outcome, response.outcome());
+        assertEquals(value, new String(response.value(), StandardCharsets.UTF_8));
     }
 
     @Test
-    void samplesOfTheNodesOtherFramesHaveTheLettersOfTheirKinds() throws IOException {
+    void otherNodeFrameSamplesHaveTheirTypeLetters() throws IOException {
         assertEquals(
                 "good",
                 new String(
@@ -235,7 +235,7 @@
         payload(FrameCodec.PROTOCOL_ERROR, SampleFile.bytes(FROM_NODE + "unusable.bin"));
     }
 
-    private static byte[] frame(DataInputStream in) throws IOException {
+    private static byte[] readFrame(DataInputStream in) throws IOException {
         byte[] head = in.readNBytes(FrameCodec.LENGTH_BYTES);
         byte[] rest = in.readNBytes(ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN).getInt());
         return ByteBuffer.allocate(head.length + rest.length).put(head).put(rest).array();
@@ -243,29 +243,29 @@
 
     /** A whole exchange on one connection: the router writes and takes the bytes of the samples. */
     @Test
-    void connectionWritesAndReadsTheSamples() throws Exception {
-        route(null, null);
-        DataNodeClient nodes =
+    void connectionWritesAndReadsSampleFrames() throws Exception {
+        startRouter(null, null);
+        DataNodeClient dataNodeClient =
                 new DataNodeClient(
                         worker.getIoThread(),
-                        decisions,
+                        executor,
                         32,
                         Duration.ofSeconds(5),
                         Duration.ofSeconds(10),
                         10,
                         false);
-        InFlightQuery query = take(null, 3);
+        InFlightQuery query = accept(null, 3);
         QueryAction.Send send = send(query);
-        nodes.send(send.address(), send.attempts());
+        dataNodeClient.send(send.address(), send.attempts());
         try (Socket router = node.accept()) {
             DataInputStream in = new DataInputStream(router.getInputStream());
-            SampleFile.assertSame(TO_NODE + "call-one-part.bin", withDeadline(frame(in)));
-            nodes.probe("n1", send.address());
-            SampleFile.assertSame(TO_NODE + "probe.bin", frame(in));
+            SampleFile.assertSame(TO_NODE + "call-one-part.bin", withFixedDeadline(readFrame(in)));
+            dataNodeClient.probe("n1", send.address());
+            SampleFile.assertSame(TO_NODE + "probe.bin", readFrame(in));
             router.getOutputStream().write(SampleFile.bytes(FROM_NODE + "probe-good.bin"));
             router.getOutputStream().write(SampleFile.bytes(FROM_NODE + "answer-good.bin"));
             QueryAction.Answer answer =
-                    assertInstanceOf(QueryAction.Answer.class, decisions.awaitAction(query));
+                    assertInstanceOf(QueryAction.Answer.class, executor.awaitAction(query));
             assertEquals(
                     "5be2a07c19f04d63",
                     new String(answer.values().get(0).payload(), StandardCharsets.UTF_8));
@@ -275,23 +275,23 @@
     /** A frame that the node could not use, or an answer to nothing, ends the connection. */
     @ParameterizedTest
     @ValueSource(strings = {"unusable.bin", "probe-good.bin"})
-    void connectionIsClosedByTheSample(String sample) throws Exception {
-        route(null, null);
-        DataNodeClient nodes =
+    void unexpectedOrProtocolErrorFrameClosesConnection(String sample) throws Exception {
+        startRouter(null, null);
+        DataNodeClient dataNodeClient =
                 new DataNodeClient(
                         worker.getIoThread(),
-                        decisions,
+                        executor,
                         32,
                         Duration.ofSeconds(5),
                         Duration.ofSeconds(10),
                         10,
                         false);
-        InFlightQuery query = take(null, 3);
+        InFlightQuery query = accept(null, 3);
         QueryAction.Send send = send(query);
-        nodes.send(send.address(), send.attempts());
+        dataNodeClient.send(send.address(), send.attempts());
         try (Socket router = node.accept()) {
             DataInputStream in = new DataInputStream(router.getInputStream());
-            frame(in);
+            readFrame(in);
             router.getOutputStream().write(SampleFile.bytes(FROM_NODE + sample));
             assertThrows(
                     IOException.class,
--- a/src/test/java/postbeam/datanodes/NodeConnectionTest.java
+++ b/src/test/java/postbeam/datanodes/NodeConnectionTest.java
@@ -36,7 +36,7 @@
     private final ServerSocket node = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final XnioWorker worker =
             Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-    private final PolicyExecutor decisions =
+    private final PolicyExecutor executor =
             new PolicyExecutor(
                     new InstanceSettings(
                             Json.parseObject(
@@ -49,22 +49,22 @@
                     2,
                     Duration.ofMillis(50),
                     null);
-    private final DataNodeClient nodes =
+    private final DataNodeClient dataNodeClient =
             new DataNodeClient(
                     worker.getIoThread(),
-                    decisions,
+                    executor,
                     32,
                     Duration.ofSeconds(5),
                     Duration.ofSeconds(10),
                     10,
                     false);
 
-    private final Thread ticks =
+    private final Thread backgroundThread =
             new Thread(
                     () -> {
                         try {
                             while (true) {
-                                decisions().awaitBackgroundActions();
+                                executor().awaitBackgroundActions();
                             }
                         } catch (InterruptedException e) {
                             // The test is over.
@@ -72,33 +72,33 @@
                     });
 
     NodeConnectionTest() throws IOException {
-        decisions.onEndpointUpdate(
+        executor.onEndpointUpdate(
                 new EndpointUpdate(
                         1,
                         true,
                         List.of(new Endpoint("n1", "a", 0, 0, Readiness.READY)),
-                        Map.of("n1", dial())));
-        ticks.setDaemon(true);
-        ticks.start();
+                        Map.of("n1", nodeAddress())));
+        backgroundThread.setDaemon(true);
+        backgroundThread.start();
     }
 
-    private PolicyExecutor decisions() {
-        return decisions;
+    private PolicyExecutor executor() {
+        return executor;
     }
 
-    private String dial() {
+    private String nodeAddress() {
         return "127.0.0.1:" + node.getLocalPort();
     }
 
     @AfterEach
     void tearDown() throws IOException {
-        ticks.interrupt();
+        backgroundThread.interrupt();
         worker.shutdownNow();
         node.close();
     }
 
-    private InFlightQuery take(String id) throws Exception {
-        return decisions
+    private InFlightQuery accept(String id) throws Exception {
+        return executor
                 .accept(
                         new ClientRequest(
                                 id,
@@ -111,30 +111,30 @@
                 .orElseThrow();
     }
 
-    private void send(InFlightQuery q) throws InterruptedException {
-        QueryAction.Send send = assertInstanceOf(QueryAction.Send.class, decisions.awaitAction(q));
-        nodes.send(send.address(), send.attempts());
+    private void send(InFlightQuery query) throws InterruptedException {
+        QueryAction.Send send = assertInstanceOf(QueryAction.Send.class, executor.awaitAction(query));
+        dataNodeClient.send(send.address(), send.attempts());
     }
 
     /** The I/O thread stands until it is let on; returns once it does. */
-    private CountDownLatch held() throws InterruptedException {
-        CountDownLatch stands = new CountDownLatch(1);
-        CountDownLatch goesOn = new CountDownLatch(1);
+    private CountDownLatch blockIoThread() throws InterruptedException {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         worker.getIoThread()
                 .execute(
                         () -> {
-                            stands.countDown();
+                            blocked.countDown();
                             try {
-                                goesOn.await();
+                                release.await();
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
                         });
-        stands.await();
-        return goesOn;
+        blocked.await();
+        return release;
     }
 
-    private static String part(DataInputStream in) throws IOException {
+    private static String readFirstWord(DataInputStream in) throws IOException {
         byte[] frame = in.readNBytes(Integer.reverseBytes(in.readInt()));
         return new String(frame, StandardCharsets.UTF_8).split(" ", -1)[0];
     }
@@ -145,24 +145,24 @@
      */
     @Test
     void attemptIsNotWrittenOnceItsClientHasDisconnected() throws Exception {
-        InFlightQuery gone = take("gone");
-        InFlightQuery stays = take("stays");
-        CountDownLatch[] left = {new CountDownLatch(1)};
-        gone.setClientCheck(
+        InFlightQuery leaving = accept("leaving");
+        InFlightQuery staying = accept("staying");
+        CountDownLatch[] disconnected = {new CountDownLatch(1)};
+        leaving.setClientCheck(
                 () -> {
-                    if (left[0].getCount() == 0) {
-                        decisions.clientDisconnected(gone);
+                    if (disconnected[0].getCount() == 0) {
+                        executor.clientDisconnected(leaving);
                     }
                 });
-        CountDownLatch goesOn = held();
-        send(gone);
-        left[0].countDown();
-        send(stays);
-        goesOn.countDown();
+        CountDownLatch release = blockIoThread();
+        send(leaving);
+        disconnected[0].countDown();
+        send(staying);
+        release.countDown();
         try (Socket router = node.accept()) {
-            assertEquals("mstays.0", part(new DataInputStream(router.getInputStream())));
+            assertEquals("mstaying.0", readFirstWord(new DataInputStream(router.getInputStream())));
         }
-        assertInstanceOf(QueryAction.CancelAttempt.class, decisions.awaitAction(gone));
-        assertInstanceOf(QueryAction.ClientDisconnected.class, decisions.awaitAction(gone));
+        assertInstanceOf(QueryAction.CancelAttempt.class, executor.awaitAction(leaving));
+        assertInstanceOf(QueryAction.ClientDisconnected.class, executor.awaitAction(leaving));
     }
 }
