--- a/src/main/java/postbeam/datanodes/ConnectionPool.java
+++ b/src/main/java/postbeam/datanodes/ConnectionPool.java
@@ -14,15 +14,15 @@
 import postbeam.dispatch.DispatchedAttempt;
 
 /**
- * Owner of the connections to data nodes, each from its opening to its close, within one limit over
- * all of them; on the I/O thread alone.
+ * Owns the connections to data nodes from opening to close and limits their total number. Used only
+ * on the I/O thread.
  */
 final class ConnectionPool {
     private static final System.Logger LOG = System.getLogger(ConnectionPool.class.getName());
 
     private static final long MIN_SWEEP_INTERVAL_MILLIS = 100;
 
-    /** Sweeps within the idle time, so that a connection outlives it by a tenth at most. */
+    /** Sweeps per idle time: a connection is closed at most a tenth of the idle time late. */
     private static final int SWEEPS_PER_IDLE_TIME = 10;
 
     private final XnioIoThread ioThread;
@@ -33,7 +33,7 @@
     private final int maxConnections;
     private final Map<String, List<NodeConnection>> byAddress = new LinkedHashMap<>();
 
-    /** The connection that each attempt is in flight on. */
+    /** Connections by the attempts in flight on them. */
     private final IdentityHashMap<DispatchedAttempt, NodeConnection> byAttempt =
             new IdentityHashMap<>();
 
@@ -54,7 +54,12 @@
         this.maxConnections = maxConnections;
     }
 
-    /** A connection to this address that takes so many attempts more, opened now if need be. */
+    /**
+     * Returns a connection that accepts this number of further attempts; opens one if none does.
+     *
+     * @param address HOST:PORT of the node
+     * @return empty if the connection limit is reached or the connection can't be opened
+     */
     Optional<NodeConnection> acquire(String address, int attempts) {
         for (NodeConnection connection : byAddress.getOrDefault(address, List.of())) {
             if (connection.hasCapacityFor(attempts, maxAttemptsPerConnection)) {
@@ -78,17 +83,17 @@
         try {
             connection.open(ioThread, RouterConfig.socketAddress(address));
         } catch (RuntimeException e) {
-            LOG.log(System.Logger.Level.ERROR, "no connection to " + address, e);
+            LOG.log(System.Logger.Level.ERROR, "can't open a connection to " + address, e);
             return Optional.empty();
         }
-        // Kept from here on: what failed to open at once has nothing to give back, and its end
-        // comes later.
+        // A connection whose opening throws is not registered and needs no cleanup. Later failures
+        // are reported by connectionClosed.
         byAddress.computeIfAbsent(address, key -> new ArrayList<>()).add(connection);
         connectionCount++;
         return Optional.of(connection);
     }
 
-    /** The connection that the attempt is in flight on, if it is. */
+    /** Returns the connection that the attempt is in flight on; empty if it is not in flight. */
     Optional<NodeConnection> connectionOf(DispatchedAttempt attempt) {
         return Optional.ofNullable(byAttempt.get(attempt));
     }
@@ -123,7 +128,7 @@
 
     // ---- idle connections
 
-    /** Closes idle connections from now on, time and again. */
+    /** Schedules the next sweep, which closes idle connections and schedules the one after it. */
     void startSweeping() {
         long interval =
                 Math.max(MIN_SWEEP_INTERVAL_MILLIS, maxIdle.toMillis() / SWEEPS_PER_IDLE_TIME);
--- a/src/main/java/postbeam/datanodes/DataNodeClient.java
+++ b/src/main/java/postbeam/datanodes/DataNodeClient.java
@@ -10,9 +10,9 @@
 import postbeam.model.AttemptOutcome;
 
 /**
- * Sends attempts and health checks to data nodes and reports how they end. Its methods may be
- * called on any thread unless they say otherwise: all work is handed over to one I/O thread, which
- * the connections and everything in them belong to.
+ * Sends attempts and health checks to data nodes and reports their results to a listener. The
+ * methods may be called on any thread unless they state otherwise. All work is passed to one I/O
+ * thread, which owns the connections and their state.
  */
 public final class DataNodeClient {
     private final XnioIoThread ioThread;
@@ -21,15 +21,15 @@
     private final char probeType;
 
     /**
-     * A client without connections; they are opened as they are needed.
+     * Creates a client without connections; they are opened on demand.
      *
-     * @param ioThread owns all connections
-     * @param listener is told how attempts and health checks end
-     * @param maxAttemptsPerConnection further ones go on another connection
-     * @param connectTimeout after which a connection that is not up has failed
-     * @param maxIdle after which an unused connection is closed
-     * @param maxConnections over all data nodes
-     * @param loadReports whether health checks ask for a load report
+     * @param ioThread runs all reads, writes and timers of the connections
+     * @param listener receives the results of attempts and health checks
+     * @param maxAttemptsPerConnection attempts in flight on a connection; further ones use another
+     * @param connectTimeout time within which a connection has to be established
+     * @param maxIdle time after which an unused connection is closed
+     * @param maxConnections limit over all data nodes
+     * @param loadReports whether health checks request a load report
      */
     public DataNodeClient(
             XnioIoThread ioThread,
@@ -53,7 +53,7 @@
         pool.startSweeping();
     }
 
-    /** Sends these attempts to the node at the address (HOST:PORT), together in one frame. */
+    /** Sends the attempts to the node at the address (HOST:PORT), together in one frame. */
     public void send(String address, List<DispatchedAttempt> attempts) {
         ioThread.execute(
                 () ->
@@ -70,7 +70,7 @@
                         .toList());
     }
 
-    /** Tells the attempt's node that nobody waits for it any more; nothing if it has ended. */
+    /** Cancels the attempt at its node; does nothing if it is not in flight. */
     public void cancel(DispatchedAttempt attempt) {
         ioThread.execute(
                 () ->
@@ -78,7 +78,7 @@
                                 .ifPresent(connection -> connection.cancel(attempt)));
     }
 
-    /** Asks the node at the address (HOST:PORT) how it is. */
+    /** Sends a health check to the node at the address (HOST:PORT). */
     public void probe(String node, String address) {
         ioThread.execute(
                 () -> {
@@ -91,7 +91,7 @@
                 });
     }
 
-    /** How many attempts and connections there are, for the log; to be called on the I/O thread. */
+    /** Describes the counts of attempts and connections for the log. Call on the I/O thread. */
     public String describe() {
         return pool.attemptsInFlight()
                 + " calls on "
--- a/src/main/java/postbeam/datanodes/FrameCodec.java
+++ b/src/main/java/postbeam/datanodes/FrameCodec.java
@@ -10,36 +10,36 @@
 import postbeam.model.AttemptOutcome;
 
 /**
- * Encodes and decodes the frames between a router and a data node: four bytes of length, least
- * significant first, that count what follows; one letter, the frame's type; the payload.
+ * Encodes and decodes the frames between a router and a data node. A frame consists of a four-byte
+ * little-endian length of the rest, one letter for the frame type, and the payload.
  */
 final class FrameCodec {
-    /** From the router: attempts that the node takes as one call. */
+    /** From the router: attempts that the node processes as one call. */
     static final char CALL = 'm';
 
-    /** From the router: nobody waits for this attempt any more. */
+    /** From the router: cancels an attempt. */
     static final char CANCEL = 'n';
 
-    /** Both ways: a health check. */
+    /** From the router: a health check. From the node: its result. */
     static final char PROBE = 'o';
 
-    /** Both ways: a health check that asks for a load report. */
+    /** As {@link #PROBE}, with a load report in the result. */
     static final char LOAD_PROBE = 'p';
 
-    /** From the node: how an attempt ended. */
+    /** From the node: the outcome of an attempt. */
     static final char RESPONSE = 'q';
 
-    /** From the node: a frame could not be used. */
+    /** From the node: it rejects a frame of the router. */
     static final char PROTOCOL_ERROR = 'r';
 
     static final int LENGTH_BYTES = 4;
 
-    /** Bytes of letter and payload: a value may be as large as a client's body, 64 KiB. */
+    /** Limit for letter and payload; a value may be as large as a client's body, 64 KiB. */
     static final int MAX_FRAME_BYTES = (64 << 10) + 1024;
 
     private static final int TYPE_BYTES = 1;
 
-    /** A response's first line: id, how it ended, score, load report. */
+    /** Fields in a response's first line: id, outcome, score, load report. */
     private static final int RESPONSE_FIELDS = 4;
 
     private static final Pattern SCORE = Pattern.compile("-?[0-9]+");
@@ -48,7 +48,7 @@
 
     // ---- encoding
 
-    /** A call of these attempts, each with its text. */
+    /** Encodes a call: the header and the payload of each attempt. */
     static ByteBuffer encodeCall(List<DispatchedAttempt> attempts) {
         byte[][] headers = new byte[attempts.size()][];
         int size = 0;
@@ -63,7 +63,7 @@
         return frame.flip();
     }
 
-    /** A frame whose payload is text. */
+    /** Encodes a frame whose payload is text. */
     static ByteBuffer encode(char type, String payload) {
         byte[] bytes = payload.getBytes(StandardCharsets.UTF_8);
         return allocate(type, bytes.length).put(bytes).flip();
@@ -78,21 +78,26 @@
 
     // ---- decoding
 
-    /** The payload of a response: a line of id, end, score and load report, then the value. */
+    /**
+     * Decodes the payload of a response: a line of id, outcome, score and load report, separated by
+     * spaces, then the value.
+     */
     static ShardResponse decodeResponse(byte[] payload) throws MalformedFrameException {
         int lineEnd = 0;
         while (lineEnd < payload.length && payload[lineEnd] != '\n') {
             lineEnd++;
         }
-        // The report comes last and nothing is read from it: one that can't be read spoils no
-        // response.
+        // The load report is the last field and is not decoded, so a malformed report does not make
+        // the response unusable.
         String[] fields =
                 new String(payload, 0, lineEnd, StandardCharsets.UTF_8).split(" ", RESPONSE_FIELDS);
         if (lineEnd == payload.length
                 || fields.length != RESPONSE_FIELDS
                 || !SCORE.matcher(fields[2]).matches()) {
             throw new MalformedFrameException(
-                    "an answer without its line of id, end, score and report");
+                    "response does not start with a line of id, outcome, score and load report: "
+                            + payload.length
+                            + " bytes");
         }
         byte[] value = Arrays.copyOfRange(payload, lineEnd + 1, payload.length);
         AttemptOutcome outcome = decodeOutcome(fields[1]);
@@ -106,17 +111,21 @@
             case "bad" -> AttemptOutcome.ERROR;
             case "later" -> AttemptOutcome.OVERLOADED;
             case "moved" -> AttemptOutcome.MOVED;
-            default -> throw new MalformedFrameException("an answer that ended in an unknown way");
+            default ->
+                    throw new MalformedFrameException(
+                            "response outcome is not good, bad, later or moved");
         };
     }
 
     /**
-     * A length that reaches into the next frame brings that frame's head along, which is no text.
+     * Rejects control characters. A frame length that is too large makes the value include the
+     * header of the next frame, whose length bytes are control characters.
      */
     private static void checkIsText(byte[] value) throws MalformedFrameException {
         for (byte b : value) {
             if (b >= 0 && b < ' ') {
-                throw new MalformedFrameException("a value that is no text");
+                throw new MalformedFrameException(
+                        "response value holds the control character " + b);
             }
         }
     }
--- a/src/main/java/postbeam/datanodes/FrameReader.java
+++ b/src/main/java/postbeam/datanodes/FrameReader.java
@@ -6,24 +6,27 @@
 import java.nio.channels.ReadableByteChannel;
 import java.time.Duration;
 
-/** Cuts what comes on one connection into frames; on the I/O thread alone. */
+/** Splits the bytes received on one connection into frames. Used only on the I/O thread. */
 final class FrameReader {
-    /** How long the rest of a frame may take: a node sends it together, and a router may stall. */
+    /**
+     * Time allowed for the rest of a frame. A node writes a frame at once; the limit leaves time
+     * for a stall of the router.
+     */
     static final Duration MAX_FRAME_DURATION = Duration.ofMillis(400);
 
-    /** Bytes read at once, and kept while nothing larger comes. */
+    /** Default buffer size; the buffer grows only for a frame that needs more. */
     private static final int BUFFER_BYTES = 4096;
 
-    /** Takes complete frames. */
+    /** Receives complete frames. */
     interface FrameHandler {
-        /** Called for each frame in the order of the bytes. */
+        /** Handles one frame. Called in the order in which the frames were received. */
         void handleFrame(char type, byte[] payload) throws MalformedFrameException;
     }
 
     private ByteBuffer buffer = newBuffer(BUFFER_BYTES);
     private long lastReadNanos = System.nanoTime();
 
-    /** Since when a frame has begun to come; 0 while none has. */
+    /** Time when a frame was first found incomplete; 0 if no frame is incomplete. */
     private long partialSinceNanos;
 
     private static ByteBuffer newBuffer(int bytes) {
@@ -31,17 +34,17 @@
     }
 
     /**
-     * When bytes came last, on the clock of {@link System#nanoTime}; at first, when the reader was
-     * made.
+     * Returns when bytes were last received, on the clock of {@link System#nanoTime}; initially the
+     * time when the reader was created.
      */
     long lastReadNanos() {
         return lastReadNanos;
     }
 
     /**
-     * Reads what the channel has, and hands over each frame that is complete.
+     * Reads all available bytes and passes each complete frame to the handler.
      *
-     * @return false once the channel has ended
+     * @return false at the end of the stream
      */
     boolean read(ReadableByteChannel channel, FrameHandler handler)
             throws IOException, MalformedFrameException {
@@ -59,7 +62,12 @@
         while (buffer.remaining() >= FrameCodec.LENGTH_BYTES) {
             int length = buffer.getInt(buffer.position());
             if (length < 1 || length > FrameCodec.MAX_FRAME_BYTES) {
-                throw new MalformedFrameException("a frame of " + length + " bytes");
+                throw new MalformedFrameException(
+                        "frame length "
+                                + length
+                                + " is not within 1 to "
+                                + FrameCodec.MAX_FRAME_BYTES
+                                + " bytes");
             }
             if (buffer.remaining() < FrameCodec.LENGTH_BYTES + length) {
                 needed = FrameCodec.LENGTH_BYTES + length;
@@ -79,7 +87,9 @@
         handler.handleFrame(type, payload);
     }
 
-    /** Keeps what is left; grows for a frame that needs it, and shrinks again after one. */
+    /**
+     * Keeps the unread bytes; grows the buffer for a larger frame and shrinks it again after it.
+     */
     private void resizeBuffer(int needed) {
         boolean oversized = needed == BUFFER_BYTES && buffer.capacity() > BUFFER_BYTES;
         if (needed > buffer.capacity() || oversized) {
@@ -90,11 +100,12 @@
     }
 
     /**
-     * Guards against lengths that do not fit, noise and values that never end: part of a frame
-     * where no response is expected, or for too long, leads nowhere any more.
+     * Rejects an incomplete frame when no response is expected or when its rest is overdue. This
+     * detects wrong lengths, random bytes and values that never end.
      *
-     * @return whether a frame has just begun to come, so that it is to be checked again after
-     *     {@link #MAX_FRAME_DURATION}
+     * @return whether an incomplete frame was found for the first time, so that the caller has to
+     *     check again after {@link #MAX_FRAME_DURATION}
+     * @throws MalformedFrameException if the incomplete frame is rejected
      */
     boolean checkPartialFrame(boolean responseExpected) throws MalformedFrameException {
         if (buffer.position() == 0) {
@@ -102,14 +113,22 @@
             return false;
         }
         if (!responseExpected) {
-            throw new MalformedFrameException("bytes that belong to nothing");
+            throw new MalformedFrameException(
+                    "received "
+                            + buffer.position()
+                            + " bytes of an incomplete frame while no response was expected");
         }
         if (partialSinceNanos == 0) {
             partialSinceNanos = lastReadNanos;
             return true;
         }
         if (System.nanoTime() - partialSinceNanos > MAX_FRAME_DURATION.toNanos()) {
-            throw new MalformedFrameException("a frame that does not end");
+            throw new MalformedFrameException(
+                    "frame is incomplete after "
+                            + MAX_FRAME_DURATION.toMillis()
+                            + " ms: received "
+                            + buffer.position()
+                            + " bytes");
         }
         return false;
     }
--- a/src/main/java/postbeam/datanodes/FrameWriter.java
+++ b/src/main/java/postbeam/datanodes/FrameWriter.java
@@ -13,27 +13,30 @@
 import postbeam.model.AttemptOutcome;
 
 /**
- * Writes one connection's frames in their order; on the I/O thread alone. Just before a frame of
- * attempts is begun, and again before one that was cut short goes on, it is checked that each may
- * still be sent.
+ * Writes one connection's frames in the order in which they were queued. Used only on the I/O
+ * thread. Checks that each attempt of a frame may still be sent, directly before the frame is
+ * started and before each further write of a partly written frame.
  */
 final class FrameWriter {
-    /** How far writing has come. */
+    /** State of the writer after a call of {@link #write}. */
     enum Progress {
-        /** Nothing is left to write. */
+        /** The queue is empty and no frame is partly written. */
         IDLE,
-        /** The socket takes no more for now. */
+        /** The socket buffer is full; writing continues when the socket is writable again. */
         BLOCKED,
-        /** A frame that was cut short holds an attempt that must not be sent any more. */
+        /**
+         * The partly written frame holds an attempt that must not be sent any more; the connection
+         * has to be closed.
+         */
         ABANDONED
     }
 
-    /** Told what becomes of queued attempts. */
+    /** Receives the progress of queued attempts. */
     interface Listener {
-        /** These will never be written. */
+        /** Reports attempts that are dropped without being written. */
         void attemptsDropped(List<AttemptResult> results);
 
-        /** The frame of these is begun. */
+        /** Reports the attempts of the frame that is written next. */
         void attemptsStarted(List<InFlightAttempt> attempts);
     }
 
@@ -41,12 +44,12 @@
     private final Deque<QueuedFrame> queue = new ArrayDeque<>();
     private int queuedAttempts;
 
-    /** The frame that is being written; null between frames. */
+    /** Rest of the frame that is being written; null between frames. */
     private ByteBuffer currentFrame;
 
     private long currentFrameSinceNanos;
 
-    /** The attempts in that frame. */
+    /** Attempts in {@link #currentFrame}; empty for a frame without attempts. */
     private List<InFlightAttempt> currentAttempts = List.of();
 
     FrameWriter(Listener listener) {
@@ -64,18 +67,18 @@
         return queuedAttempts;
     }
 
-    /** Whether a frame is partly written, or about to be. */
+    /** Returns whether a frame has been started and is not completely written. */
     boolean isWriting() {
         return currentFrame != null;
     }
 
-    /** Whether the frame that is being written was begun longer ago than this. */
+    /** Returns whether the current frame was started longer ago than the timeout. */
     boolean isStalled(Duration timeout) {
         return currentFrame != null
                 && System.nanoTime() - currentFrameSinceNanos > timeout.toNanos();
     }
 
-    /** Whether nobody waits any more for any of the queued attempts. */
+    /** Returns whether all queued attempts are abandoned; true if none is queued. */
     boolean isOnlyAbandonedQueued() {
         for (QueuedFrame frame : queue) {
             if (frame instanceof QueuedFrame.Attempts batch
@@ -86,7 +89,7 @@
         return true;
     }
 
-    /** The attempts whose frames have not been begun. */
+    /** Returns the attempts whose frames have not been started. */
     List<DispatchedAttempt> queuedFrameAttempts() {
         List<DispatchedAttempt> attempts = new ArrayList<>();
         for (QueuedFrame frame : queue) {
@@ -97,7 +100,7 @@
         return attempts;
     }
 
-    /** Writes as much as the channel takes, and has it call again where that is not all. */
+    /** Writes as much as the channel accepts; resumes write notifications if frames are left. */
     Progress write(ConduitStreamSinkChannel channel) throws IOException {
         while (currentFrame != null || beginNextFrame()) {
             if (currentFrame.position() > 0 && isAnyUnsendable()) {
@@ -122,9 +125,10 @@
     }
 
     /**
-     * Guards against a frame that stood half written while its client left, its node began to drain
-     * or its time passed: its last byte would begin the attempt. It costs the other attempts on the
-     * connection of a node that does not read.
+     * Returns whether an attempt of the current frame must not be sent any more. While a frame is
+     * partly written, a client may disconnect, the node may start to drain or a deadline may
+     * expire; the last byte of the frame would start the attempt all the same. The close that
+     * follows also ends the other attempts on the connection, whose node does not read.
      */
     private boolean isAnyUnsendable() {
         DispatchedAttempt.checkClientPresence(
@@ -133,7 +137,7 @@
                 .anyMatch(inFlight -> inFlight.attempt().unsentOutcome() != null);
     }
 
-    /** False if nothing is queued that may be sent. */
+    /** Starts the next frame that may be sent; returns false if there is none. */
     private boolean beginNextFrame() {
         while (!queue.isEmpty()) {
             QueuedFrame next = queue.poll();
@@ -158,7 +162,7 @@
         currentFrameSinceNanos = System.nanoTime();
     }
 
-    /** Those that may still be sent; the others end here. */
+    /** Returns the attempts that may still be sent, and reports the others as dropped. */
     private List<DispatchedAttempt> dequeueSendable(List<DispatchedAttempt> attempts) {
         queuedAttempts -= attempts.size();
         DispatchedAttempt.checkClientPresence(attempts);
--- a/src/main/java/postbeam/datanodes/InFlightAttempt.java
+++ b/src/main/java/postbeam/datanodes/InFlightAttempt.java
@@ -2,7 +2,7 @@
 
 import postbeam.dispatch.DispatchedAttempt;
 
-/** An attempt whose frame is being written or has been, and that has not ended. */
+/** An attempt whose frame has been started or written, and that has not ended. */
 final class InFlightAttempt {
     private final DispatchedAttempt attempt;
     private boolean written;
@@ -16,7 +16,7 @@
         return attempt;
     }
 
-    /** Its frame's last byte has been written: the node may have run it. */
+    /** Records that the last byte of the frame was written; from now on the node may run it. */
     void markWritten(long nowNanos) {
         written = true;
         sinceNanos = nowNanos;
@@ -26,7 +26,7 @@
         return written;
     }
 
-    /** When its frame was written or, before that, begun. */
+    /** Returns when the frame was written or, until then, when it was started. */
     long sinceNanos() {
         return sinceNanos;
     }
--- a/src/main/java/postbeam/datanodes/InFlightTable.java
+++ b/src/main/java/postbeam/datanodes/InFlightTable.java
@@ -7,35 +7,38 @@
 import java.util.Set;
 import postbeam.dispatch.DispatchedAttempt;
 
-/** The attempts in flight on one connection, and the ids of those that ended last. */
+/** The attempts in flight on one connection, and the ids of those that ended recently. */
 final class InFlightTable {
     /**
-     * Ids of ended attempts that are kept: a second response, or one that crossed a cancel, comes
-     * soon.
+     * Limit of remembered ids of ended attempts. A duplicate response, or one that crossed a
+     * cancellation on the wire, arrives soon after the end of its attempt.
      */
     private static final int MAX_REMEMBERED_IDS = 128;
 
     private final Map<String, InFlightAttempt> byId = new LinkedHashMap<>();
 
-    /** The longest ended first. */
+    /** Ids of ended attempts, the oldest first. */
     private final Set<String> recentlyEnded = new LinkedHashSet<>();
 
     void add(InFlightAttempt inFlight) {
         byId.put(inFlight.attempt().id, inFlight);
     }
 
-    /** Null if none of this id is in flight. */
+    /** Returns the attempt with this id; null if none is in flight. */
     InFlightAttempt find(String id) {
         return byId.get(id);
     }
 
-    /** Null if this very attempt is not in flight here. */
+    /**
+     * Returns the entry of this attempt; null if it is not in flight here. An attempt with the same
+     * id that is another object does not count.
+     */
     InFlightAttempt find(DispatchedAttempt attempt) {
         InFlightAttempt inFlight = byId.get(attempt.id);
         return inFlight == null || inFlight.attempt() != attempt ? null : inFlight;
     }
 
-    /** The attempt has ended; late or second responses to it are known from now on. */
+    /** Removes an ended attempt and remembers its id, to recognize late or duplicate responses. */
     void end(DispatchedAttempt attempt) {
         byId.remove(attempt.id);
         recentlyEnded.add(attempt.id);
@@ -48,7 +51,7 @@
         return recentlyEnded.contains(id);
     }
 
-    /** In the order in which they were begun. */
+    /** Returns the attempts in flight, in the order in which their frames were started. */
     Collection<InFlightAttempt> all() {
         return byId.values();
     }
--- a/src/main/java/postbeam/datanodes/NodeConnection.java
+++ b/src/main/java/postbeam/datanodes/NodeConnection.java
@@ -23,15 +23,19 @@
 import postbeam.model.AttemptOutcome;
 
 /**
- * One connection to a data node, from its opening to its close; on the I/O thread alone. Every
- * attempt and probe given to it ends exactly once: by a response, a cancel, or the close.
+ * One connection to a data node, from opening to close. Used only on the I/O thread. Every attempt
+ * and probe passed to it ends exactly once: by a response, by a cancellation or when the connection
+ * closes.
  */
 final class NodeConnection implements FrameWriter.Listener {
     private static final System.Logger LOG = System.getLogger(NodeConnection.class.getName());
 
-    /** From the end of the connect timeout until the connection is given up. */
+    /** Time between the connect timeout and the close of a connection that is still not up. */
     private static final Duration CONNECT_TIMEOUT_GRACE = Duration.ofMillis(10);
 
+    /** Limit for the part of a node's protocol error text that is logged. */
+    private static final int MAX_LOGGED_BYTES = 200;
+
     private final ConnectionPool pool;
     private final AttemptListener listener;
     private final String address;
@@ -42,18 +46,18 @@
     private final FrameReader reader = new FrameReader();
     private final FrameWriter writer = new FrameWriter(this);
 
-    /** Names of the nodes whose probe is queued or sent, in order. */
+    /** Names of the nodes whose probe is queued or awaits its result, in the order of sending. */
     private final Deque<String> pendingProbes = new ArrayDeque<>();
 
-    /** Null until the connection is up. */
+    /** Null until the connection is established. */
     private StreamConnection channel;
 
     private XnioExecutor.Key connectTimer;
     private long lastEnqueuedNanos = System.nanoTime();
 
     /**
-     * It was silent where a response was due: it takes no more, and closes once nothing is in
-     * flight.
+     * Whether the node stayed silent when a response was due. A suspect connection accepts no
+     * further attempts and closes once nothing is in flight.
      */
     private boolean suspect;
 
@@ -76,9 +80,9 @@
         return address;
     }
 
-    // ---- opening
+    // ---- connecting
 
-    /** Begins to connect; what is sent meanwhile waits. */
+    /** Starts to connect. Frames that are enqueued before the connection is up are written then. */
     void open(XnioIoThread ioThread, InetSocketAddress target) {
         IoFuture<StreamConnection> connectFuture =
                 ioThread.openStreamConnection(
@@ -88,12 +92,13 @@
                         () -> closeAfterGracePeriod(ioThread, connectFuture),
                         connectTimeout.toMillis(),
                         TimeUnit.MILLISECONDS);
-        connectFuture.addNotifier((future, none) -> ioThread.execute(() -> handleConnectResult(future)), null);
+        connectFuture.addNotifier(
+                (future, none) -> ioThread.execute(() -> handleConnectResult(future)), null);
     }
 
     /**
-     * Gives up a connection that is not up at a second look. Where the thread is late, the first
-     * one comes before the sockets that are ready were seen to.
+     * Closes a connection that is still not up after a grace period. When the I/O thread is late,
+     * the connect timer fires before the thread has processed the sockets that are ready.
      */
     private void closeAfterGracePeriod(
             XnioIoThread ioThread, IoFuture<? extends StreamConnection> connectFuture) {
@@ -101,7 +106,7 @@
                 ioThread.executeAfter(
                         () -> {
                             connectFuture.cancel();
-                            close("no connection in time");
+                            close("not connected within " + connectTimeout.toMillis() + " ms");
                         },
                         CONNECT_TIMEOUT_GRACE.toMillis(),
                         TimeUnit.MILLISECONDS);
@@ -110,7 +115,7 @@
     private void handleConnectResult(IoFuture<? extends StreamConnection> future) {
         try {
             if (future.getStatus() != IoFuture.Status.DONE) {
-                close("no connection: " + connectFailure(future));
+                close("connect failed: " + connectFailure(future));
                 return;
             }
             StreamConnection connected = future.get();
@@ -126,7 +131,7 @@
             channel.getSinkChannel().setWriteListener(sink -> write());
             write();
         } catch (IOException e) {
-            close("no connection: " + e.getMessage());
+            close("connect failed: " + e.getMessage());
         }
     }
 
@@ -137,7 +142,11 @@
 
     // ---- sending
 
-    /** Whether it takes so many attempts more, where at most the number given may be on it. */
+    /**
+     * Returns whether the connection accepts this number of further attempts.
+     *
+     * @param maxAttempts limit of attempts in flight or queued; an unused connection accepts more
+     */
     boolean hasCapacityFor(int attempts, int maxAttempts) {
         int load = inFlight.size() + writer.queuedAttempts();
         return !closed
@@ -147,27 +156,26 @@
                 && !writer.isStalled(connectTimeout);
     }
 
-    /** Sends these together in one frame. */
+    /** Queues the attempts to be sent together in one frame. */
     void send(List<DispatchedAttempt> attempts) {
         enqueue(new QueuedFrame.Attempts(attempts));
     }
 
-    /** Asks the node how it is, by a frame of this type. */
+    /** Sends the node a health check, as a frame of this type. */
     void probe(String node, char type) {
         pendingProbes.add(node);
         enqueue(new QueuedFrame.Encoded(FrameCodec.encode(type, "")));
     }
 
-    /** Tells the node that nobody waits for this attempt any more. */
+    /** Cancels the attempt at the node; does nothing if the attempt is not in flight here. */
     void cancel(DispatchedAttempt attempt) {
         InFlightAttempt inFlightAttempt = inFlight.find(attempt);
         if (inFlightAttempt == null) {
             return;
         }
         endAttempt(attempt);
-        // Guards against a connection that leads nowhere any more, which nothing tells: the machine
-        // vanished or was cut off. Further attempts go on a new one, which comes up or fails in
-        // time.
+        // Detects a half-open connection: the machine vanished or was cut off, and TCP reports no
+        // error. Further attempts use a new connection, which comes up or fails within the timeout.
         suspect |=
                 reader.lastReadNanos() < inFlightAttempt.sinceNanos()
                         && wouldHaveConnectedSince(inFlightAttempt.sinceNanos());
@@ -175,7 +183,7 @@
         closeIfSuspectAndDone();
     }
 
-    /** Whether a new connection begun then would be up by now. */
+    /** Returns whether a connection opened at that time would be up or have failed by now. */
     private boolean wouldHaveConnectedSince(long nanos) {
         return System.nanoTime() - nanos > connectTimeout.toNanos();
     }
@@ -194,7 +202,7 @@
     private void write() {
         try {
             if (writer.write(channel.getSinkChannel()) == FrameWriter.Progress.ABANDONED) {
-                close("a frame that can't go on, as part of it is not wanted any more");
+                close("a partly written frame holds an attempt that must not be sent any more");
             }
         } catch (IOException | RuntimeException e) {
             close("write failed: " + e);
@@ -226,7 +234,7 @@
         try {
             boolean open =
                     reader.read(source, (type, payload) -> handleFrame(type, payload, results));
-            failure = open ? null : "closed by the node";
+            failure = open ? null : "the node closed the connection";
             checkPartialFrame();
         } catch (MalformedFrameException e) {
             failure = e.getMessage();
@@ -262,9 +270,16 @@
             case FrameCodec.PROBE, FrameCodec.LOAD_PROBE -> handleProbeResult(payload);
             case FrameCodec.PROTOCOL_ERROR ->
                     throw new MalformedFrameException(
-                            "the node could not use a frame: "
-                                    + new String(payload, StandardCharsets.UTF_8));
-            default -> throw new MalformedFrameException("a frame of an unknown letter");
+                            "the node reported a protocol error: "
+                                    + new String(
+                                                    payload,
+                                                    0,
+                                                    Math.min(payload.length, MAX_LOGGED_BYTES),
+                                                    StandardCharsets.UTF_8)
+                                            .replaceAll("\\p{Cc}", "?"));
+            default ->
+                    throw new MalformedFrameException(
+                            "unknown frame type 0x" + Integer.toHexString(type));
         }
     }
 
@@ -278,14 +293,15 @@
                     new AttemptResult(
                             inFlightAttempt.attempt(), response.outcome(), response.value()));
         } else if (!inFlight.hasEndedRecently(response.attemptId())) {
-            throw new MalformedFrameException("an answer to nothing that was sent on it");
+            throw new MalformedFrameException(
+                    "response to an attempt id that was not sent on this connection");
         }
     }
 
     private void handleProbeResult(byte[] payload) throws MalformedFrameException {
         String node = pendingProbes.poll();
         if (node == null) {
-            throw new MalformedFrameException("an answer to no probe");
+            throw new MalformedFrameException("health check result without a pending probe");
         }
         listener.onHealthCheck(node, !"bad".equals(new String(payload, StandardCharsets.UTF_8)));
     }
@@ -297,7 +313,7 @@
 
     // ---- closing
 
-    /** Closes it if nothing is on it and nothing was for the idle time. */
+    /** Closes the connection if it has been unused for the maximum idle time. */
     void closeIfIdle() {
         if (channel != null
                 && inFlight.isEmpty()
@@ -327,11 +343,12 @@
     }
 
     /**
-     * Closes the socket and ends everything that is in flight or queued. A node that sent something
-     * malformed is alive: attempts that were written then end as failed, as they may have run,
-     * rather than as lost with their connection.
+     * Closes the socket and ends everything that is in flight or queued. A node that sent a
+     * malformed frame is alive, so attempts whose frame was written end with ERROR, as they may
+     * have run, instead of RESET.
      *
-     * @param reason null where nothing is wrong
+     * @param reason for the log; null for a regular close
+     * @param malformed whether the node sent a malformed frame
      */
     private void close(String reason, boolean malformed) {
         if (closed) {
@@ -347,10 +364,11 @@
         if (reason != null && (!results.isEmpty() || !pendingProbes.isEmpty())) {
             LOG.log(
                     System.Logger.Level.DEBUG,
-                    "connection to {0}: {1}; {2} calls end",
+                    "connection to {0} closed: {1}; attempts ended: {2}, probes failed: {3}",
                     address,
                     reason,
-                    results.size());
+                    results.size(),
+                    pendingProbes.size());
         }
         if (!results.isEmpty()) {
             listener.onAttemptResults(results);
--- a/src/main/java/postbeam/datanodes/QueuedFrame.java
+++ b/src/main/java/postbeam/datanodes/QueuedFrame.java
@@ -4,13 +4,14 @@
 import java.util.List;
 import postbeam.dispatch.DispatchedAttempt;
 
-/** A frame that waits to be written. */
+/** A frame that is queued for writing. */
 sealed interface QueuedFrame {
     /**
-     * Attempts that travel together; encoded when they are written, as the time left is in them.
+     * Attempts that share one frame. They are encoded when they are written, as the frame states
+     * the time left until each deadline.
      */
     record Attempts(List<DispatchedAttempt> attempts) implements QueuedFrame {}
 
-    /** Bytes that do not change while they wait. */
+    /** A frame that is encoded when it is queued, as its bytes do not depend on the time. */
     record Encoded(ByteBuffer bytes) implements QueuedFrame {}
 }
--- a/src/main/java/postbeam/datanodes/ShardResponse.java
+++ b/src/main/java/postbeam/datanodes/ShardResponse.java
@@ -3,11 +3,11 @@
 import postbeam.model.AttemptOutcome;
 
 /**
- * What a data node answered to one attempt.
+ * A data node's response to one attempt.
  *
- * @param attemptId id that the attempt was sent with
- * @param outcome how it ended
- * @param value text that the node gave; empty unless it succeeded
+ * @param attemptId id of the attempt
+ * @param outcome outcome of the attempt
+ * @param value result text in UTF-8; empty unless the attempt succeeded
  */
-@SuppressWarnings("ArrayRecordComponent") // Never compared; the value is handed on as it came.
+@SuppressWarnings("ArrayRecordComponent") // Never compared; the value is passed on unchanged.
 record ShardResponse(String attemptId, AttemptOutcome outcome, byte[] value) {}
--- a/src/main/java/postbeam/datanodes/package-info.java
+++ b/src/main/java/postbeam/datanodes/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The network side towards data nodes: {@link postbeam.datanodes.DataNodeClient} sends attempts in
- * frames over pooled connections and reports each outcome to the listener exactly once. Which node
- * an attempt goes to, and whether it is retried, is not decided here.
+ * The connections to data nodes. {@link postbeam.datanodes.DataNodeClient} sends attempts in frames
+ * over pooled connections and reports each outcome to its listener exactly once. The choice of the
+ * node and the decision to retry are made by the callers.
  *
- * <p>Everything but the client's public methods runs on one I/O thread, without locks.
+ * <p>All code except the public methods of the client runs on one I/O thread and needs no locks.
  */
 package postbeam.datanodes;
--- a/src/test/java/postbeam/datanodes/DataNodeClientTest.java
+++ b/src/test/java/postbeam/datanodes/DataNodeClientTest.java
@@ -20,7 +20,7 @@
 import postbeam.dispatch.AttemptResult;
 import postbeam.testbed.fakes.ScriptedDataNode;
 
-/** Connections to a node on loopback, where the router's I/O thread is late. */
+/** Tests connections to a node on loopback while the router's I/O thread is late. */
 @Timeout(30)
 class DataNodeClientTest {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(250);
@@ -72,12 +72,15 @@
         return Boolean.TRUE.equals(healthChecks.poll(10, TimeUnit.SECONDS));
     }
 
-    /** Guards against a connection that is up and is given up, so that one more is opened. */
+    /**
+     * The connect timeout expires while the I/O thread is blocked. A connection that was
+     * established in time must not be closed, which would open a second one.
+     */
     @Test
     void connectionEstablishedWhileIoThreadIsLateIsUsed() throws Exception {
         client.probe("n1", node.dialAddress());
         delayIoThread();
-        assertTrue(nextHealthCheck(), "the node was reached in time");
+        assertTrue(nextHealthCheck(), "the connection was established in time");
         client.probe("n1", node.dialAddress());
         assertTrue(nextHealthCheck());
         assertEquals(1, node.sockets.size());
--- a/src/test/java/postbeam/datanodes/FrameSamplesTest.java
+++ b/src/test/java/postbeam/datanodes/FrameSamplesTest.java
@@ -45,8 +45,8 @@
 import postbeam.slices.SliceTranslator;
 
 /**
- * Each kind of frame between a router and a data node, as bytes that an earlier build wrote and
- * read.
+ * Compares each type of frame between a router and a data node with recorded bytes, which an
+ * earlier build wrote or read.
  */
 @Timeout(30)
 class FrameSamplesTest {
@@ -55,8 +55,8 @@
     private static final String ID = "9b1f03aa5c7e2d41";
 
     /**
-     * Four digits of milliseconds for as long as a test lasts, so that a frame's length does not
-     * change.
+     * The milliseconds left keep four digits throughout a test, so that the length of a frame does
+     * not change.
      */
     private static final Duration DEADLINE = Duration.ofMillis(9999);
 
@@ -110,7 +110,7 @@
                                     executor.awaitBackgroundActions();
                                 }
                             } catch (InterruptedException e) {
-                                // The test is over.
+                                // The test has ended.
                             }
                         });
         backgroundThread.setDaemon(true);
@@ -125,8 +125,7 @@
                                         new ClientRequest.RequestedShard(
                                                 shard, 1.0 / shards.length, null))
                         .toList();
-        return executor
-                .accept(
+        return executor.accept(
                         new ClientRequest(
                                 ID, "search", null, DEADLINE, parts, PREDICATE, 0, false, page),
                         Duration.ZERO)
@@ -137,7 +136,7 @@
         return assertInstanceOf(QueryAction.Send.class, executor.awaitAction(query));
     }
 
-    /** The time left is the one part of a frame that differs from run to run. */
+    /** Replaces the time left, the only part of a frame that differs between runs. */
     private static byte[] withFixedDeadline(byte[] frame) {
         return new String(frame, StandardCharsets.ISO_8859_1)
                 .replaceAll(" d=[0-9]{4}", " d=9999")
@@ -150,7 +149,7 @@
         return bytes;
     }
 
-    /** What follows the letter of a frame, whose length must be right. */
+    /** Returns the payload of a frame and checks the frame's length and letter. */
     private static byte[] payload(char letter, byte[] frame) {
         ByteBuffer in = ByteBuffer.wrap(frame).order(ByteOrder.LITTLE_ENDIAN);
         assertEquals(frame.length - FrameCodec.LENGTH_BYTES, in.getInt());
@@ -163,7 +162,8 @@
         startRouter(null, null);
         SampleFile.assertSame(
                 TO_NODE + "call.bin",
-                withFixedDeadline(array(FrameCodec.encodeCall(send(accept(null, 3, 9)).attempts()))));
+                withFixedDeadline(
+                        array(FrameCodec.encodeCall(send(accept(null, 3, 9)).attempts()))));
     }
 
     @Test
@@ -171,7 +171,8 @@
         startRouter(new SliceTranslator(), null);
         SampleFile.assertSame(
                 TO_NODE + "call-slices.bin",
-                withFixedDeadline(array(FrameCodec.encodeCall(send(accept(null, 0, 1)).attempts()))));
+                withFixedDeadline(
+                        array(FrameCodec.encodeCall(send(accept(null, 0, 1)).attempts()))));
     }
 
     @Test
@@ -182,7 +183,8 @@
                         new SortOrder(List.of(new SortKey("price", true, false))), 10, null);
         SampleFile.assertSame(
                 TO_NODE + "call-page.bin",
-                withFixedDeadline(array(FrameCodec.encodeCall(send(accept(page, 0, 1)).attempts()))));
+                withFixedDeadline(
+                        array(FrameCodec.encodeCall(send(accept(page, 0, 1)).attempts()))));
     }
 
     @Test
@@ -241,7 +243,7 @@
         return ByteBuffer.allocate(head.length + rest.length).put(head).put(rest).array();
     }
 
-    /** A whole exchange on one connection: the router writes and takes the bytes of the samples. */
+    /** Covers a call, a probe and their responses on one connection. */
     @Test
     void connectionWritesAndReadsSampleFrames() throws Exception {
         startRouter(null, null);
@@ -272,7 +274,7 @@
         }
     }
 
-    /** A frame that the node could not use, or an answer to nothing, ends the connection. */
+    /** Covers a protocol error frame and a health check result without a probe. */
     @ParameterizedTest
     @ValueSource(strings = {"unusable.bin", "probe-good.bin"})
     void unexpectedOrProtocolErrorFrameClosesConnection(String sample) throws Exception {
--- a/src/test/java/postbeam/datanodes/NodeConnectionTest.java
+++ b/src/test/java/postbeam/datanodes/NodeConnectionTest.java
@@ -30,7 +30,7 @@
 import postbeam.router.InFlightQuery;
 import postbeam.router.PolicyExecutor;
 
-/** Calls on their way to a node that accepts connections and says nothing. */
+/** Tests calls to a node that accepts connections and does not respond. */
 @Timeout(30)
 class NodeConnectionTest {
     private final ServerSocket node = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -67,7 +67,7 @@
                                 executor().awaitBackgroundActions();
                             }
                         } catch (InterruptedException e) {
-                            // The test is over.
+                            // The test has ended.
                         }
                     });
 
@@ -98,8 +98,7 @@
     }
 
     private InFlightQuery accept(String id) throws Exception {
-        return executor
-                .accept(
+        return executor.accept(
                         new ClientRequest(
                                 id,
                                 "lookup",
@@ -112,11 +111,12 @@
     }
 
     private void send(InFlightQuery query) throws InterruptedException {
-        QueryAction.Send send = assertInstanceOf(QueryAction.Send.class, executor.awaitAction(query));
+        QueryAction.Send send =
+                assertInstanceOf(QueryAction.Send.class, executor.awaitAction(query));
         dataNodeClient.send(send.address(), send.attempts());
     }
 
-    /** The I/O thread stands until it is let on; returns once it does. */
+    /** Blocks the I/O thread until the returned latch is released; returns once it is blocked. */
     private CountDownLatch blockIoThread() throws InterruptedException {
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
@@ -140,8 +140,8 @@
     }
 
     /**
-     * Its call is decided on and handed over; before its turn comes its client has closed, which
-     * nobody has read yet.
+     * The client disconnects after its attempt was queued and before the attempt is written. The
+     * disconnect is found only by the check directly before the write.
      */
     @Test
     void attemptIsNotWrittenOnceItsClientHasDisconnected() throws Exception {
