--- a/src/main/java/postbeam/discovery/DeadlineInput.java
+++ b/src/main/java/postbeam/discovery/DeadlineInput.java
@@ -9,19 +9,19 @@
 import java.time.Duration;
 
 /**
- * Buffered input of one connection at a time, with a deadline for a whole response and earlier ones
- * for its parts. Used by one thread.
+ * Buffered input of one connection at a time, with a deadline for the complete response and earlier
+ * deadlines for its parts. Used by one thread.
  *
- * <p>What has come is read before time is judged, as the thread may have waited for its core
- * meanwhile: past a deadline a limited number of reads is left, of which each may still wait 1 ms.
+ * <p>Received bytes are read even after a deadline, as the thread may have waited for a core while
+ * they arrived. After a deadline a limited number of reads is allowed, each of which may wait 1 ms.
  */
 final class DeadlineInput {
     private static final int BUFFER_BYTES = 4 << 10;
 
     /**
-     * Late reads for a head, the parts of a response, and its end; there are as many more as the
-     * longest body fills the buffer. A response that trickles in faster than a read a millisecond
-     * is given up that much late: some 70 ms for 256 KiB.
+     * Reads allowed after a deadline for the head, the parts and the end of a response. One more is
+     * allowed for each buffer that the longest body fills. A response that trickles in faster than
+     * one read per millisecond times out late by the duration of these reads: 70 ms for 256 KiB.
      */
     private static final int MIN_LATE_READS = 6;
 
@@ -31,15 +31,15 @@
     private Socket socket;
     private InputStream input;
 
-    /** By when the complete response has to be there, on the clock of {@link System#nanoTime}. */
+    /** Deadline for the complete response, on the clock of {@link System#nanoTime}. */
     private long totalDeadlineNanos;
 
-    /** By when what is read next has to be there. */
+    /** Deadline for the part of the response that is read next. */
     private long readDeadlineNanos;
 
     private int lateReadsLeft;
 
-    /** Reads from this connection from now on. */
+    /** Switches to a new connection and discards the buffer. */
     void attach(Socket connected) throws IOException {
         socket = connected;
         input = connected.getInputStream();
@@ -47,49 +47,54 @@
         limit = 0;
     }
 
-    /** A new response is due, of at most so many bytes of body. */
+    /** Starts a new response: sets its total deadline and the number of late reads. */
     void begin(Duration total, int maxBodyBytes) {
         totalDeadlineNanos = System.nanoTime() + total.toNanos();
         lateReadsLeft = MIN_LATE_READS + maxBodyBytes / BUFFER_BYTES;
     }
 
-    /** What is read next has to be there by then, and before the complete response's deadline. */
+    /** Sets the timeout for the next part, limited by the deadline for the complete response. */
     void setTimeout(Duration timeout) {
         readDeadlineNanos = Math.min(totalDeadlineNanos, System.nanoTime() + timeout.toNanos());
     }
 
-    /** Until the deadline of what is read next, in ms; at least 1, also when it has passed. */
+    /** Returns the milliseconds until the deadline for the next part; at least 1, even after it. */
     int millisLeft() {
         return (int) Math.max(1, (readDeadlineNanos - System.nanoTime()) / 1_000_000 + 1);
     }
 
-    /** Whether nothing that was read is still to be taken. */
+    /** Returns whether all bytes that were read have been consumed. */
     boolean isBufferEmpty() {
         return position == limit;
     }
 
-    /** Waits for a byte; false at the end of the input. */
+    /** Waits until a byte is available; returns false at the end of the input. */
     boolean hasMore() throws IOException {
         return position < limit || fill();
     }
 
-    /** The next byte, or -1 at the end. */
+    /** Returns the next byte, or -1 at the end of the input. */
     int next() throws IOException {
         return hasMore() ? buffer[position++] & 0xff : -1;
     }
 
-    /** Moves exactly so many bytes to the output. */
+    /** Copies exactly this number of bytes to the output. */
     void copyTo(OutputStream output, int count) throws IOException {
         int missing = count;
         while (missing > 0) {
             if (!hasMore()) {
-                throw new EOFException("closed before the answer's end");
+                throw new EOFException(
+                        "connection closed after "
+                                + (count - missing)
+                                + " of "
+                                + count
+                                + " bytes of the body or chunk");
             }
             missing -= copyBuffered(output, missing);
         }
     }
 
-    /** Moves what is buffered to the output, at most so many bytes; how many it was. */
+    /** Copies buffered bytes, at most this number, to the output and returns how many. */
     private int copyBuffered(OutputStream output, int max) throws IOException {
         int count = Math.min(max, buffered());
         output.write(buffer, position, count);
@@ -97,7 +102,7 @@
         return count;
     }
 
-    /** Bytes that can be taken without reading. */
+    /** Returns the number of bytes that are available without reading from the socket. */
     int buffered() {
         return limit - position;
     }
--- a/src/main/java/postbeam/discovery/EndpointListCodec.java
+++ b/src/main/java/postbeam/discovery/EndpointListCodec.java
@@ -12,13 +12,17 @@
 import postbeam.json.MalformedJsonException;
 import postbeam.model.Readiness;
 
-/** Decodes endpoint lists, and changes of one, in discovery's form. */
+/** Decodes complete endpoint lists and changes in the JSON format of discovery. */
 public final class EndpointListCodec {
-    /** Four numbers up to 255 and a port. */
+    /** Four numbers up to 255 and a port of up to five digits. */
     private static final Pattern IPV4_ADDRESS =
             Pattern.compile("((25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])(\\.|(?=:))){4}:[0-9]{1,5}");
 
     private static final int MAX_PORT = 65_535;
+
+    /** Limit for the part of a received value that a message quotes. */
+    private static final int MAX_QUOTED_CHARS = 100;
+
     private static final int MICROS_PER_MILLI = 1000;
 
     private EndpointListCodec() {}
@@ -26,15 +30,16 @@
     /**
      * Decodes a complete list or changes.
      *
-     * @param cells that endpoints may be in, numbered from 0
-     * @throws IOException if any part of it can't be used; the message says which and why
+     * @param list the response body
+     * @param cells number of cells; endpoints name them from 0
+     * @throws IOException if a member is missing or invalid; the message names the member
      */
     public static EndpointUpdate decode(Map<String, Object> list, int cells) throws IOException {
         List<Endpoint> endpoints = new ArrayList<>();
         Map<String, String> addresses = new LinkedHashMap<>();
         for (Object host : Json.member(list, "hosts", List.class)) {
             if (!(host instanceof Map<?, ?> members)) {
-                throw new MalformedJsonException("hosts holds something else than objects");
+                throw new MalformedJsonException("hosts holds an element that is not an object");
             }
             Endpoint endpoint = decodeEndpoint(members, cells);
             boolean removed = endpoint.readiness() == Readiness.REMOVED;
@@ -54,7 +59,8 @@
         Readiness readiness = decodeReadiness(Json.member(host, "health", String.class));
         int cell = readiness == Readiness.REMOVED ? 0 : Json.member(host, "block", Integer.class);
         if (cell < 0 || cell >= cells) {
-            throw new MalformedJsonException("block is no cell: " + cell);
+            throw new MalformedJsonException(
+                    "block is not within 0 to " + (cells - 1) + ": " + cell);
         }
         long startedMicros =
                 host.get("born_ms") instanceof Number millis
@@ -68,15 +74,23 @@
             case "up" -> Readiness.READY;
             case "draining" -> Readiness.DRAINING;
             case "removed" -> Readiness.REMOVED;
-            default -> throw new MalformedJsonException("health is unknown: " + health);
+            default ->
+                    throw new MalformedJsonException(
+                            "health is not up, draining or removed: "
+                                    + health.substring(
+                                                    0, Math.min(health.length(), MAX_QUOTED_CHARS))
+                                            .replaceAll("\\p{Cc}", "?"));
         };
     }
 
-    /** Numbers alone: a name would have to be looked up, and that blocks. */
+    /** Accepts only numeric addresses, as resolving a host name blocks. */
     private static String decodeAddress(Map<?, ?> host) throws MalformedJsonException {
         String address = Json.member(host, "dial", String.class);
         if (!IPV4_ADDRESS.matcher(address).matches() || port(address) > MAX_PORT) {
-            throw new MalformedJsonException("dial is not an address: " + address);
+            throw new MalformedJsonException(
+                    "dial is not an IPv4 address with a port: "
+                            + address.substring(0, Math.min(address.length(), MAX_QUOTED_CHARS))
+                                    .replaceAll("\\p{Cc}", "?"));
         }
         return address;
     }
--- a/src/main/java/postbeam/discovery/EndpointListWatch.java
+++ b/src/main/java/postbeam/discovery/EndpointListWatch.java
@@ -5,21 +5,21 @@
 import postbeam.endpoints.PollTimings;
 import postbeam.json.Json;
 
-/** The watch of the endpoint list of data nodes. */
+/** Creates watchers of the endpoint list of the data nodes. */
 public final class EndpointListWatch {
     private static final String PATH = "/v1/servers";
 
     /**
-     * Bytes: four times the protocol's limit for a body, as lists may come indented with draining
-     * nodes.
+     * Four times the protocol's limit for a body, as a list may be indented and may include
+     * draining nodes.
      */
     private static final int MAX_LIST_BYTES = 256 << 10;
 
     private EndpointListWatch() {}
 
     /**
-     * As {@link #create(String, int, Consumer, PollTimings, Runnable)}, with nothing run after
-     * polls.
+     * Creates a watcher that runs no action after a poll; see {@link #create(String, int, Consumer,
+     * PollTimings, Runnable)}.
      */
     public static LongPollWatcher<EndpointUpdate> create(
             String address, int cells, Consumer<EndpointUpdate> onUpdate, PollTimings timings) {
@@ -27,10 +27,12 @@
     }
 
     /**
-     * A watcher of the list at the address.
+     * Creates a watcher of the endpoint list at an address.
      *
-     * @param address HOST:PORT of discovery or its agent
-     * @param cells endpoints may be in, numbered from 0
+     * @param address HOST:PORT of the discovery server or its local agent
+     * @param cells number of cells; endpoints name them from 0
+     * @param onUpdate receives each complete list or change
+     * @param timings request timeouts and the pauses between requests
      * @param onPollDone run after each poll, whether it succeeded or failed
      */
     public static LongPollWatcher<EndpointUpdate> create(
--- a/src/main/java/postbeam/discovery/HttpGetClient.java
+++ b/src/main/java/postbeam/discovery/HttpGetClient.java
@@ -11,25 +11,25 @@
 import postbeam.config.RouterConfig;
 
 /**
- * Sends GET requests to one address, one at a time, over a connection that is kept between them.
- * Each has one deadline for connecting, head and body together, and earlier ones for its parts:
- * what stays silent, trickles or never ends is given up then, and its connection with it. Nothing
- * is retried and no redirection is followed.
+ * Sends GET requests to one address, one at a time, over a persistent connection. Each request has
+ * one deadline for connect, head and body together, and earlier deadlines for its parts. A response
+ * that stays silent, trickles or never ends times out, and its connection is closed. Requests are
+ * not retried and redirects are not followed.
  *
- * <p>Written by hand because Undertow's own client bounds no head (its MAX_HEADER_SIZE is the
- * listener's alone): one endless header would fill the heap and hold the thread that serves
- * clients.
+ * <p>Undertow's client is not used because it does not limit the response head; MAX_HEADER_SIZE
+ * applies to listeners only. One endless header would fill the heap and block the thread that
+ * serves clients.
  *
- * <p>One thread sends requests; {@link #close} may be called on any other.
+ * <p>One thread sends requests; {@link #close} may be called on any thread.
  */
 final class HttpGetClient implements Closeable {
     /**
-     * How long a request may take.
+     * Timeouts of a request.
      *
-     * @param connect until the connection is up
-     * @param firstByte from sending the request to the response's first byte
-     * @param remainder from there to its last
-     * @param total all of it
+     * @param connect until the connection is established
+     * @param firstByte from sending the request to the first byte of the response
+     * @param remainder from the first byte to the last byte of the response
+     * @param total for the complete request and response
      */
     record Timeouts(Duration connect, Duration firstByte, Duration remainder, Duration total) {}
 
@@ -37,7 +37,8 @@
     private final DeadlineInput input = new DeadlineInput();
 
     /**
-     * Null between a failure and the next request; written by the requesting thread and by close.
+     * Null between a failure and the next request. Written by the requesting thread and by {@link
+     * #close}.
      */
     private volatile Socket socket;
 
@@ -66,7 +67,7 @@
             connection.getOutputStream().write(request(path));
             input.setTimeout(timeouts.firstByte());
             if (!input.hasMore()) {
-                throw new EOFException("closed before an answer");
+                throw new EOFException("connection closed before the response");
             }
             input.setTimeout(timeouts.remainder());
             HttpResponseReader reader = new HttpResponseReader(input, maxBytes);
@@ -74,7 +75,7 @@
             reusable = reader.isConnectionReusable();
             return body;
         } catch (SocketTimeoutException e) {
-            throw new IOException("no whole answer in time", e);
+            throw new IOException("response not complete before its deadline", e);
         } finally {
             if (!reusable) {
                 closeConnection();
@@ -91,7 +92,7 @@
         Socket newSocket = new Socket(Proxy.NO_PROXY);
         synchronized (this) {
             if (closed) {
-                throw new IOException("closed");
+                throw new IOException("the HTTP client is closed");
             }
             socket = newSocket;
         }
@@ -100,7 +101,7 @@
         return newSocket;
     }
 
-    /** The next request opens a new one. */
+    /** Closes the connection; the next request opens a new one. */
     private void closeConnection() {
         Socket oldSocket = socket;
         socket = null;
@@ -108,12 +109,12 @@
             try {
                 oldSocket.close();
             } catch (IOException e) {
-                // It is given back all the same.
+                // The socket is released even if its close fails.
             }
         }
     }
 
-    /** Breaks off a request that is under way, and lets none begin. */
+    /** Aborts the request in progress; later requests fail. */
     @Override
     public void close() {
         synchronized (this) {
--- a/src/main/java/postbeam/discovery/HttpResponseReader.java
+++ b/src/main/java/postbeam/discovery/HttpResponseReader.java
@@ -5,9 +5,9 @@
 import java.io.IOException;
 import java.util.Locale;
 
-/** Reads one HTTP/1.1 response, bounded in head and body. */
+/** Reads one HTTP/1.1 response and limits the size of its head and body. */
 final class HttpResponseReader {
-    /** Bytes: a head here holds a hundred or two, and so does a line between chunks. */
+    /** Limit for the head and for each line; usual heads and chunk lines have 100 to 200 bytes. */
     private static final int MAX_HEAD_BYTES = 8 << 10;
 
     private static final String STATUS_OK = "200";
@@ -26,11 +26,11 @@
     }
 
     /**
-     * Reads it to its end.
+     * Reads the complete response.
      *
      * @return the body
-     * @throws IOException if it has another status, breaks off, is malformed or longer than it may
-     *     be
+     * @throws IOException if the status is not 200, or the response is incomplete, malformed or too
+     *     long
      */
     byte[] read() throws IOException {
         readStatus();
@@ -45,7 +45,7 @@
         return body.toByteArray();
     }
 
-    /** Whether the connection may be used again, once the response is read. */
+    /** Returns whether the connection can be reused after the response was read completely. */
     boolean isConnectionReusable() {
         return keepAlive && input.isBufferEmpty();
     }
@@ -53,10 +53,12 @@
     private void readStatus() throws IOException {
         String[] status = readLine().split(" ", 3);
         if (!status[0].startsWith("HTTP/1.") || status.length < 2) {
-            throw new IOException("not an answer of HTTP/1.1");
+            throw new IOException("response does not start with an HTTP/1.x status line");
         }
         if (!status[1].equals(STATUS_OK)) {
-            throw new IOException("status " + status[1]);
+            throw new IOException(
+                    "expected HTTP status 200, received "
+                            + (status[1].matches("[0-9]{3}") ? status[1] : "a malformed status"));
         }
     }
 
@@ -65,7 +67,7 @@
         for (String line = readLine(); !line.isEmpty(); line = readLine()) {
             headBytes += line.length();
             if (headBytes > MAX_HEAD_BYTES) {
-                throw new IOException("a head of over " + MAX_HEAD_BYTES + " bytes");
+                throw new IOException("response head is longer than " + MAX_HEAD_BYTES + " bytes");
             }
             int colon = line.indexOf(':');
             String name = line.substring(0, Math.max(0, colon)).toLowerCase(Locale.ROOT);
@@ -79,7 +81,7 @@
             case "transfer-encoding" -> chunked = value.equalsIgnoreCase("chunked");
             case "connection" -> keepAlive = !value.equalsIgnoreCase("close");
             default -> {
-                // Nothing else matters here.
+                // Other headers do not affect how the response is read.
             }
         }
     }
@@ -89,11 +91,13 @@
         while ((length = readChunkLength()) > 0) {
             readBody(length);
             if (!readLine().isEmpty()) {
-                throw new IOException("a chunk that is longer than it says");
+                throw new IOException(
+                        "chunk of " + length + " bytes is not followed by a line end");
             }
         }
         if (!readLine().isEmpty()) {
-            // Trailers are not read: what follows them could not be told from them.
+            // Trailers are not parsed, so the end of the response is unknown: the connection is
+            // closed.
             keepAlive = false;
         }
     }
@@ -111,7 +115,7 @@
 
     private void readBody(long length) throws IOException {
         if (length > maxBodyBytes - body.size()) {
-            throw new IOException("an answer of over " + maxBodyBytes + " bytes");
+            throw new IOException("response body is longer than " + maxBodyBytes + " bytes");
         }
         input.copyTo(body, (int) length);
     }
@@ -121,10 +125,10 @@
         int next;
         while ((next = input.next()) != '\n') {
             if (next < 0) {
-                throw new EOFException("closed before the answer's end");
+                throw new EOFException("connection closed within the head or before a chunk");
             }
             if (line.length() == MAX_HEAD_BYTES) {
-                throw new IOException("a line of over " + MAX_HEAD_BYTES + " bytes");
+                throw new IOException("response line is longer than " + MAX_HEAD_BYTES + " bytes");
             }
             line.append((char) next);
         }
@@ -138,8 +142,9 @@
                 return length;
             }
         } catch (NumberFormatException e) {
-            // Reported below, as a negative length is.
+            // Reported below, like a negative length.
         }
-        throw new IOException("a length that can't be read");
+        throw new IOException(
+                "content or chunk length is not a non-negative number of base " + radix);
     }
 }
--- a/src/main/java/postbeam/discovery/LongPollWatcher.java
+++ b/src/main/java/postbeam/discovery/LongPollWatcher.java
@@ -8,12 +8,12 @@
 import postbeam.endpoints.PollTimings;
 
 /**
- * Watches a versioned document over HTTP by long polls: fetches all of it, then what is newer, and
- * all of it again after every failure. Runs on a thread of its own, which its owner starts; only
- * {@link #stop} may be called on another. Its lock keeps an update and a stop apart, so that none
- * is delivered after a stop.
+ * Watches a versioned document over HTTP by long polling. It fetches the complete document, then
+ * changes, and the complete document again after every failure. It runs on a thread of its own,
+ * which the owner starts; only {@link #stop} may be called on another thread. The watcher's lock
+ * ensures that no update is delivered after a stop.
  *
- * @param <T> a document, or changes of one
+ * @param <T> type of an update: a complete document or changes of it
  */
 public final class LongPollWatcher<T> implements Runnable {
     private static final System.Logger LOG = System.getLogger(LongPollWatcher.class.getName());
@@ -21,27 +21,28 @@
     private static final long NO_VERSION = -1;
 
     /**
-     * Decodes a response's body.
+     * Decodes response bodies.
      *
-     * @param <T> what it decodes to
+     * @param <T> type of an update
      */
     public interface Decoder<T> {
         /**
          * Decodes a body.
          *
-         * @throws IOException if it can't be used; the message says why
+         * @throws IOException if the body is invalid; the message states the reason
          */
         T decode(byte[] body) throws IOException;
     }
 
     /**
-     * What is watched.
+     * The document to watch.
      *
-     * @param name in the log
-     * @param address HOST:PORT
-     * @param path of the document
-     * @param maxBytes that a response's body may have
-     * @param queryParameters further ones for the next request, name=value, or an empty string
+     * @param name name of the source in the log
+     * @param address HOST:PORT of the server
+     * @param path path of the document
+     * @param maxBytes limit for the body of a response
+     * @param queryParameters supplies further parameters of each request as name=value, or an empty
+     *     string
      */
     public record Source(
             String name,
@@ -49,7 +50,7 @@
             String path,
             int maxBytes,
             Supplier<String> queryParameters) {
-        /** A source whose requests have no further parameters. */
+        /** Creates a source whose requests have no further parameters. */
         public Source(String name, String address, String path, int maxBytes) {
             this(name, address, path, maxBytes, () -> "");
         }
@@ -63,13 +64,13 @@
     private final PollTimings timings;
     private final Runnable onPollDone;
 
-    /** Set under the lock by a stop, or by an interrupt of the polling thread. */
+    /** Set by {@link #stop} under the lock, or when the polling thread is interrupted. */
     private volatile boolean stopped;
 
     private long version = NO_VERSION;
     private int consecutiveFailures;
 
-    /** A watcher that runs nothing after a poll. */
+    /** Creates a watcher that runs no action after a poll. */
     public LongPollWatcher(
             Source source,
             Decoder<T> decoder,
@@ -80,11 +81,13 @@
     }
 
     /**
-     * A watcher that polls once it is run.
+     * Creates a watcher; {@link #run} starts to poll.
      *
-     * @param versionOf the version that a response states
-     * @param onUpdate takes each response, changed or not, under the watcher's lock
-     * @param timings how long requests may take, and the pauses between them
+     * @param source the document to watch
+     * @param decoder decodes the response bodies
+     * @param versionOf returns the version that an update states
+     * @param onUpdate receives each update, changed or not; called under the watcher's lock
+     * @param timings request timeouts and the pauses between requests
      * @param onPollDone run after each poll, whether it succeeded or failed
      */
     public LongPollWatcher(
@@ -103,7 +106,7 @@
         this.onPollDone = onPollDone;
     }
 
-    /** Polls until it is stopped. */
+    /** Polls until {@link #stop} is called or the thread is interrupted in a pause. */
     @Override
     public void run() {
         while (!stopped) {
@@ -126,7 +129,7 @@
             return;
         }
         onPollDone.run();
-        // A server that answers at once with nothing new would be polled without end.
+        // Backs off so that a server that responds at once without changes is not polled in a loop.
         boolean unchanged = newVersion == version;
         boolean early = System.nanoTime() - startNanos < timings.longPollWait().toNanos() / 2;
         version = newVersion;
@@ -144,19 +147,23 @@
     }
 
     /**
-     * Changes to something else than what is held are refused; a complete document is taken as it
-     * is.
+     * Rejects changes with a version older than the current one, as they do not apply to it. Any
+     * version of a complete document is accepted, except a negative one.
      */
     private long checkVersion(T update) throws IOException {
         long newVersion = versionOf.applyAsLong(update);
         if (newVersion < Math.max(0, version)) {
             throw new IOException(
-                    "version " + newVersion + (version < 0 ? "" : " after " + version));
+                    "version "
+                            + newVersion
+                            + (version < 0
+                                    ? " is negative"
+                                    : " is older than the current version " + version));
         }
         return newVersion;
     }
 
-    /** False if it has been stopped. */
+    /** Delivers an update; returns false if the watcher is stopped. */
     private synchronized boolean deliver(T update) {
         if (stopped) {
             return false;
@@ -175,7 +182,7 @@
                     failure.toString());
         }
         onPollDone.run();
-        // All of it again, so that what half a response would have brought is not lost.
+        // Fetches the complete document next, as the failed response may have held changes.
         version = NO_VERSION;
         backOff(consecutiveFailures);
     }
@@ -211,7 +218,7 @@
         return decoder.decode(http.get(path, source.maxBytes(), timeouts));
     }
 
-    /** Once it returns no update is delivered any more; a request that waits is broken off. */
+    /** Stops polling and aborts a pending request. No update is delivered after the return. */
     public void stop() {
         synchronized (this) {
             stopped = true;
--- a/src/main/java/postbeam/discovery/package-info.java
+++ b/src/main/java/postbeam/discovery/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The network side towards discovery: long polls for the endpoint list, their HTTP client with a
- * deadline for every part of a response, and the list's codec. The HTTP client and the watcher
- * serve the layout watch too.
+ * The connection to discovery: long polling of the endpoint list, an HTTP client with deadlines for
+ * each part of a response, and the codec of the list. The layout watch uses the same HTTP client
+ * and watcher.
  *
- * <p>When to poll is decided in {@link postbeam.endpoints.PollSchedule}; each watcher runs on one
- * thread of its own.
+ * <p>{@link postbeam.endpoints.PollSchedule} decides when to poll. Each watcher runs on one thread
+ * of its own.
  */
 package postbeam.discovery;
--- a/src/test/java/postbeam/discovery/DiscoverySamplesTest.java
+++ b/src/test/java/postbeam/discovery/DiscoverySamplesTest.java
@@ -26,8 +26,8 @@
 import postbeam.samples.SampleFile;
 
 /**
- * Discovery's lists and changes as an earlier build read them, and the requests that it sent for
- * them.
+ * Compares the decoding of recorded lists and changes, and the requests for them, with an earlier
+ * build.
  */
 @Timeout(30)
 class DiscoverySamplesTest {
@@ -77,12 +77,13 @@
 
     @Test
     void emptyChangesAreDecoded() throws IOException {
-        assertEquals(new EndpointUpdate(41, false, List.of(), Map.of()), decode("changes-none.json"));
+        assertEquals(
+                new EndpointUpdate(41, false, List.of(), Map.of()), decode("changes-none.json"));
     }
 
     /**
-     * Each request that a watch sends, with the port of this test's discovery in place of the
-     * agent's.
+     * Covers both requests of a watcher. The address in the sample stands for the address of the
+     * test's server.
      */
     @ParameterizedTest
     @ValueSource(strings = {"agent", "server"})
--- a/src/test/java/postbeam/discovery/FakeDiscoveryAgent.java
+++ b/src/test/java/postbeam/discovery/FakeDiscoveryAgent.java
@@ -19,14 +19,14 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A discovery on loopback whose calls the test takes and answers itself, one by one, or leaves
- * without an answer.
+ * A discovery agent on loopback. The test receives each request, and responds to it or leaves it
+ * without a response.
  */
 final class FakeDiscoveryAgent implements Closeable {
-    /** Far more than any call may be late by its limits. */
+    /** Far longer than the time limits of any request. */
     private static final long REQUEST_TIMEOUT_SECONDS = 30;
 
-    /** A call that has arrived. */
+    /** A received request. */
     record Request(Socket socket, String path, long receivedAtNanos) {
         void send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
@@ -42,14 +42,14 @@
         }
 
         /**
-         * A byte of an answer again and again, until its asker has enough; returns once some have
-         * gone out.
+         * Sends the body one byte at a time until the client closes the connection. Returns once
+         * some bytes have been sent.
          */
         void trickle(long intervalNanos) throws InterruptedException {
             CountDownLatch started = new CountDownLatch(10);
             startDaemonThread(
                     () -> {
-                        // Or the machine would keep bytes back for those before them.
+                        // Nagle's algorithm would delay bytes until earlier ones are acknowledged.
                         socket.setTcpNoDelay(true);
                         send("HTTP/1.1 200 OK\r\nContent-Length: 260000\r\n\r\n");
                         while (true) {
@@ -84,7 +84,7 @@
                             try {
                                 task.run();
                             } catch (Exception e) {
-                                // Its peer or the test has ended.
+                                // The client or the test has closed the socket.
                             }
                         });
         thread.setDaemon(true);
@@ -100,7 +100,7 @@
         return sockets.size();
     }
 
-    /** The next call, as soon as it is there. */
+    /** Waits for the next request. */
     Request nextRequest() throws InterruptedException {
         Request request = requests.poll(REQUEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (request == null) {
@@ -109,7 +109,7 @@
         return request;
     }
 
-    /** From now on connects are refused. */
+    /** Closes the listening socket, so that connections are refused. */
     void refuseConnections() throws IOException {
         server.close();
     }
@@ -121,7 +121,7 @@
             try {
                 reopened.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
             } catch (BindException e) {
-                // The last of the old one is still on its way out.
+                // The previous listening socket is not released yet.
                 Thread.onSpinWait();
             }
         }
@@ -148,7 +148,7 @@
         while ((line = in.readLine()) != null) {
             String path = line.split(" ", -1)[1];
             while (!in.readLine().isEmpty()) {
-                // Headers say nothing here.
+                // The headers are not checked.
             }
             requests.add(new Request(socket, path, System.nanoTime()));
         }
--- a/src/test/java/postbeam/discovery/HttpGetClientTest.java
+++ b/src/test/java/postbeam/discovery/HttpGetClientTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A thread that comes late: each limit has passed before it reads, while the whole answer was there
- * in time.
+ * Tests a requesting thread that is late: a deadline has passed before the thread reads. A response
+ * that was received in time must be accepted, and any other must time out at once.
  */
 @Timeout(60)
 class HttpGetClientTest {
@@ -51,7 +51,10 @@
         };
     }
 
-    /** The connection on which the next question is asked, with nothing left on it. */
+    /**
+     * Completes a first request and returns it. The next request uses its connection, which has no
+     * unread bytes.
+     */
     private FakeDiscoveryAgent.Request idleConnection() throws Exception {
         BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
         FakeDiscoveryAgent.startDaemonThread(
@@ -67,8 +70,8 @@
     }
 
     /**
-     * The answer stands in the socket before the question: a write on loopback returns once it is
-     * there.
+     * The response is in the socket's receive buffer before the request is sent, as a write on
+     * loopback returns once the bytes are there.
      */
     @ParameterizedTest
     @ValueSource(strings = {"firstByte", "remainder", "total"})
@@ -76,7 +79,10 @@
         String body = "1234567".repeat(5_000);
         idleConnection().respond(body);
         assertEquals(
-                body, new String(http.get("/", MAX_BYTES, timeoutsWithExpired(limit)), StandardCharsets.UTF_8));
+                body,
+                new String(
+                        http.get("/", MAX_BYTES, timeoutsWithExpired(limit)),
+                        StandardCharsets.UTF_8));
         assertEquals(1, agent.connections());
     }
 
@@ -89,7 +95,10 @@
         request.send("HTTP/1.1 200 OK\r\n\r\n" + body);
         request.socket().shutdownOutput();
         assertEquals(
-                body, new String(http.get("/", MAX_BYTES, timeoutsWithExpired(limit)), StandardCharsets.UTF_8));
+                body,
+                new String(
+                        http.get("/", MAX_BYTES, timeoutsWithExpired(limit)),
+                        StandardCharsets.UTF_8));
     }
 
     @ParameterizedTest
@@ -97,8 +106,10 @@
     void missingResponseTimesOutAtOnceAfterItsDeadline(String limit) throws Exception {
         idleConnection();
         IOException e =
-                assertThrows(IOException.class, () -> http.get("/", MAX_BYTES, timeoutsWithExpired(limit)));
-        assertEquals("no whole answer in time", e.getMessage());
+                assertThrows(
+                        IOException.class,
+                        () -> http.get("/", MAX_BYTES, timeoutsWithExpired(limit)));
+        assertEquals("response not complete before its deadline", e.getMessage());
     }
 
     @ParameterizedTest
@@ -112,22 +123,26 @@
     void partialResponseTimesOutAtOnceAfterItsDeadline(String part) throws Exception {
         idleConnection().send(part);
         IOException e =
-                assertThrows(IOException.class, () -> http.get("/", MAX_BYTES, timeoutsWithExpired("total")));
-        assertEquals("no whole answer in time", e.getMessage());
+                assertThrows(
+                        IOException.class,
+                        () -> http.get("/", MAX_BYTES, timeoutsWithExpired("total")));
+        assertEquals("response not complete before its deadline", e.getMessage());
     }
 
     /**
-     * Each read finds a byte: so many reads and no more, or the answer would go on for as long as
-     * 260,000 of them.
+     * Each read finds a byte. Without a limit on the reads after the deadline, the response would
+     * take 260,000 of them.
      */
     @Test
     void responseThatTricklesFasterThanItIsReadTimesOut() throws Exception {
         idleConnection().trickle(0);
         long startNanos = System.nanoTime();
         IOException e =
-                assertThrows(IOException.class, () -> http.get("/", MAX_BYTES, timeoutsWithExpired("total")));
+                assertThrows(
+                        IOException.class,
+                        () -> http.get("/", MAX_BYTES, timeoutsWithExpired("total")));
         long elapsedMillis = (System.nanoTime() - startNanos) / 1_000_000;
-        assertEquals("no whole answer in time", e.getMessage());
+        assertEquals("response not complete before its deadline", e.getMessage());
         assertTrue(elapsedMillis <= 1_000, "timed out after " + elapsedMillis + " ms");
     }
 }
--- a/src/test/java/postbeam/discovery/LongPollWatcherStopTest.java
+++ b/src/test/java/postbeam/discovery/LongPollWatcherStopTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import postbeam.endpoints.PollTimings;
 
-/** Stopped wherever it stands, by waits so long that only the stop can end them. */
+/** Stops a watcher in each of its waits, with timeouts so long that only the stop ends them. */
 @Timeout(60)
 class LongPollWatcherStopTest {
     private static final Duration LONG = Duration.ofMinutes(5);
@@ -60,7 +60,7 @@
         assertNull(updates.peek());
     }
 
-    /** A full queue of connections: the next one never comes up. */
+    /** The server's backlog is full, so the watcher's connection is never established. */
     @Test
     void stopsWhileConnecting() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -70,7 +70,8 @@
                     Socket socket = new Socket();
                     waiting.add(socket);
                     socket.connect(
-                            new InetSocketAddress(server.getInetAddress(), server.getLocalPort()), 500);
+                            new InetSocketAddress(server.getInetAddress(), server.getLocalPort()),
+                            500);
                 }
             } catch (SocketTimeoutException e) {
                 assertTrue(waiting.size() > 1);
@@ -90,7 +91,8 @@
     @ValueSource(strings = {"", "HTTP/1.1 200 OK\r\nContent-", "HTTP/1.1 200 OK\r\n\r\n12"})
     void stopsWhileReadingAResponse(String start) throws Exception {
         try (FakeDiscoveryAgent agent = new FakeDiscoveryAgent()) {
-            LongPollWatcher<Long> watcher = createWatcher(agent.address(), body -> 1L, updates::add);
+            LongPollWatcher<Long> watcher =
+                    createWatcher(agent.address(), body -> 1L, updates::add);
             Thread watcherThread = FakeDiscoveryAgent.startDaemonThread(watcher::run);
             agent.nextRequest().send(start);
             awaitMethodOnStack(watcherThread, "timedRead");
@@ -129,7 +131,7 @@
         }
     }
 
-    /** The stop doesn't wait for a list that is decoded, and what comes of it isn't updates. */
+    /** The stop does not wait for the decoder, and the decoded list is not delivered. */
     @Test
     void stopsWhileDecoding() throws Exception {
         CountDownLatch decoding = new CountDownLatch(1);
@@ -158,8 +160,8 @@
     }
 
     /**
-     * What is being updates when it is stopped has been updates once the stop returns, and nothing
-     * after it.
+     * An update that is being delivered when the watcher is stopped is complete once the stop
+     * returns, and none is delivered after it.
      */
     @Test
     void stopWaitsForAnUpdateThatIsBeingDelivered() throws Exception {
@@ -185,8 +187,7 @@
             delivering.await();
             Thread stopThread = FakeDiscoveryAgent.startDaemonThread(watcher::stop);
             while (stopThread.getState() != Thread.State.BLOCKED) {
-                assertTrue(
-                        stopThread.isAlive(), "stop returned during the delivery");
+                assertTrue(stopThread.isAlive(), "stop returned during the delivery");
                 Thread.onSpinWait();
             }
             release.countDown();
--- a/src/test/java/postbeam/discovery/LongPollWatcherTest.java
+++ b/src/test/java/postbeam/discovery/LongPollWatcherTest.java
@@ -33,13 +33,14 @@
 import postbeam.endpoints.PollTimings;
 
 /**
- * Against a discovery on loopback that answers as it is updates to: the body of a list is its
- * version alone.
+ * Tests the watcher against a server on loopback with scripted responses. The body of a list is
+ * only its version.
  */
 @Timeout(60)
 class LongPollWatcherTest {
     /**
-     * Between "must be given up by then" and what it would take unbounded: never, or 22 s and more.
+     * Longer than the deadlines under test and shorter than a request without them, which would
+     * take 22 s or never end.
      */
     private static final long TIMEOUT_SECONDS = 10;
 
@@ -97,7 +98,7 @@
                             try {
                                 task.run();
                             } catch (Exception e) {
-                                // Its peer or the test has ended.
+                                // The client or the test has closed the socket.
                             }
                         });
         thread.setDaemon(true);
@@ -115,7 +116,7 @@
             while ((line = in.readLine()) != null) {
                 String path = line.split(" ", -1)[1];
                 while (!in.readLine().isEmpty()) {
-                    // Headers say nothing here.
+                    // The headers are not checked.
                 }
                 requests.add(path);
                 responder.respond(path, socket.getOutputStream());
@@ -135,7 +136,7 @@
         send(out, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    /** Until its asker closes it. */
+    /** Sends nothing for longer than the test lasts. */
     private static void staySilent() throws InterruptedException {
         Thread.sleep(Duration.ofMinutes(2).toMillis());
     }
@@ -157,7 +158,10 @@
         }
     }
 
-    /** The first answer is bad in this responder, the ones after it are good. */
+    /**
+     * Uses the responder for the first request. Later fetches receive version 8, and long polls no
+     * response.
+     */
     private void respondOnceThenNormally(Responder first) {
         responder =
                 (path, out) -> {
@@ -212,8 +216,8 @@
     }
 
     /**
-     * At the agent, which costs nothing to ask: nodes that drain meanwhile are known before it
-     * counts.
+     * With the timings for a local agent, where a request costs little, the watcher fetches the
+     * list again soon enough to notice nodes that start to drain.
      */
     @Test
     void silentLongPollTimesOutAndTheListIsFetchedOnANewConnection() throws Exception {
@@ -230,7 +234,7 @@
         assertTrue(sockets.size() >= 2);
     }
 
-    /** The rest of an answer that has begun is not waited for as long as its beginning. */
+    /** The timeout for the rest of a response is shorter than the long poll's wait. */
     @Test
     void longPollStalledWithinResponseTimesOutBeforeItsWaitEnds() throws Exception {
         responder =
@@ -265,7 +269,7 @@
         assertEquals(8L, nextUpdate());
     }
 
-    /** Such an answer begins in time and brings something with each read. */
+    /** The response starts in time and each read returns bytes, so no timeout ends it. */
     @ParameterizedTest
     @ValueSource(strings = {"a", "a: b\r\n", "\r\n"})
     void endlessHeadIsRejected(String more) throws Exception {
@@ -280,7 +284,10 @@
         assertEquals(8L, nextUpdate());
     }
 
-    /** A loop asks thousands of times in that second; a slow machine only asks less often. */
+    /**
+     * Without a pause the watcher would send thousands of requests in that second. A slow machine
+     * only sends fewer.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"7", "-1"})
     void immediateUnchangedResponsesArePolledWithBackoff(String version) throws Exception {
@@ -308,7 +315,7 @@
         assertEquals("/v1/servers", requests.poll());
     }
 
-    /** 200 nodes and the 100 that they replace, each value on a line of its own. */
+    /** The list has 200 nodes and the 100 that they replace, with one JSON value on each line. */
     @Test
     void indentedListOfLargeClusterDuringRolloutIsDecoded() throws Exception {
         String host =
@@ -354,7 +361,7 @@
         assertEquals(300, update == null ? 0 : update.endpoints().size(), list.length() + " bytes");
     }
 
-    /** Where it is read from is what the configuration names, and nothing else. */
+    /** The list is fetched only from the address in the configuration. */
     @Test
     void redirectionsAreNotFollowed() throws Exception {
         respondOnceThenNormally(
@@ -433,7 +440,7 @@
         assertTrue(sockets.size() >= 2);
     }
 
-    /** Refused at first, then back at the same address. */
+    /** The server stops listening and later listens again at the same address. */
     @Test
     void refusedConnectionsAreRetriedUntilTheServerListensAgain() throws Exception {
         int port = server.getLocalPort();
@@ -445,7 +452,7 @@
                 try {
                     reopened.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
                 } catch (BindException e) {
-                    // The last of the old one is still on its responder out.
+                    // The previous listening socket is not released yet.
                     Thread.onSpinWait();
                 }
             }
@@ -457,7 +464,9 @@
         }
     }
 
-    /** A new configuration stops it wherever its answer stands, and waits for nothing. */
+    /**
+     * A new configuration stops the watcher at any point of a response, and must not wait for it.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -479,7 +488,7 @@
         assertEquals(1L, nextUpdate());
         assertEquals("/v1/servers", requests.take());
         requests.take();
-        // Until what has come of it is read, and the next read waits for a while.
+        // Waits until the received bytes are read and the thread stays in the next read.
         for (int waits = 0; waits < 1000; waits++) {
             waits = watcherThread.getStackTrace()[0].getMethodName().equals("poll") ? waits : 0;
         }
--- a/src/test/java/postbeam/discovery/UpdateDeadlineTest.java
+++ b/src/test/java/postbeam/discovery/UpdateDeadlineTest.java
@@ -21,19 +21,19 @@
 import postbeam.endpoints.PollTimings;
 
 /**
- * What discovery had and could be reached for counts as updates 6 s later, whatever calls were out,
- * had failed or had been refused. Each moment is forced: the call that crosses it has arrived when
- * discovery comes back, and is unanswered.
+ * Tests the rule that a change must be delivered within 6 s after discovery has it and can be
+ * reached, whatever requests were pending, had failed or had been refused. Each test takes the
+ * worst moment: when discovery recovers, a request has already arrived there and gets no response.
  */
 @Timeout(120)
 class UpdateDeadlineTest {
-    /** The 6 s, less what is left for a router that is late. */
+    /** The limit of 6 s, less 500 ms for a router that is late. */
     private static final long UPDATE_MILLIS = 5_500;
 
-    /** A grace of 500 ms, and 100 ms for a machine with other work. */
+    /** A grace time of 500 ms, and 100 ms for a busy machine. */
     private static final long MAX_RECOVERY_MILLIS = 600;
 
-    /** How a call ends that is not answered. */
+    /** How a request fails. */
     private enum FailureMode {
         SILENT,
         RESET,
@@ -84,7 +84,8 @@
         return PollTimings.discoveryServer(Duration.ofSeconds(10), new Random(5));
     }
 
-    private static void fail(FakeDiscoveryAgent.Request request, FailureMode mode) throws Exception {
+    private static void fail(FakeDiscoveryAgent.Request request, FailureMode mode)
+            throws Exception {
         switch (mode) {
             case SILENT -> {}
             case RESET -> request.reset();
@@ -93,13 +94,14 @@
         }
     }
 
-    /** The watch that is out once the first list has been updates. */
+    /** Responds to the first fetch and returns the long poll that follows its update. */
     private FakeDiscoveryAgent.Request awaitLongPoll(long version) throws Exception {
         agent.nextRequest().respond(String.valueOf(version));
         assertEquals(version, updates.take());
         FakeDiscoveryAgent.Request longPoll = agent.nextRequest();
         assertTrue(
-                longPoll.path().startsWith("/v1/servers?index=" + version + "&wait="), longPoll.path());
+                longPoll.path().startsWith("/v1/servers?index=" + version + "&wait="),
+                longPoll.path());
         return longPoll;
     }
 
@@ -111,12 +113,13 @@
     }
 
     /**
-     * Discovery has the change right after the watch began, which stays silent; the next call fails
-     * all the same.
+     * Discovery gets the change right after the long poll has arrived, which gets no response. The
+     * fetch that follows fails, too.
      */
     @ParameterizedTest
     @EnumSource
-    void updateIsInTimeAfterASilentLongPollAndAFailedFetchAtTheAgent(FailureMode mode) throws Exception {
+    void updateIsInTimeAfterASilentLongPollAndAFailedFetchAtTheAgent(FailureMode mode)
+            throws Exception {
         startWatching(PollTimings.LOCAL_AGENT);
         FakeDiscoveryAgent.Request silent = awaitLongPoll(1);
         FakeDiscoveryAgent.Request failed = agent.nextRequest();
@@ -129,8 +132,8 @@
     }
 
     /**
-     * Both calls end as late as they may: the watch silent, the list shortly before it would be
-     * given up.
+     * Both requests end as late as possible: the long poll times out, and the list arrives shortly
+     * before its deadline.
      */
     @Test
     void updateIsInTimeAfterASilentLongPollAtTheServer() throws Exception {
@@ -141,8 +144,7 @@
     }
 
     /**
-     * Discovery is back right after a call began that ends in this way, the last of so many that
-     * did.
+     * Discovery recovers right after the last of three fetches, all of which fail in the same way.
      */
     @ParameterizedTest
     @EnumSource
@@ -159,7 +161,7 @@
 
     private static void respondLate(FakeDiscoveryAgent.Request request) throws Exception {
         request.send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n");
-        // What discovery may take to answer, less what a busy machine may add.
+        // The time allowed for a response, less a margin for a busy machine.
         Thread.sleep(1_700);
         request.send("2");
     }
@@ -179,7 +181,8 @@
     }
 
     /**
-     * Back right after a call began that the agent never answers: what it has then counts at once.
+     * The agent recovers right after a fetch that it never responds to. Its list must be delivered
+     * after the grace time.
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 5})
@@ -193,7 +196,7 @@
         assertUpdated(2, unanswered.receivedAtNanos(), MAX_RECOVERY_MILLIS);
     }
 
-    /** An agent that is slow to begin is heard, if not at once. */
+    /** An agent that responds late delivers an update after some retries, as timeouts grow. */
     @Test
     void updateArrivesFromAnAgentThatAlwaysRespondsLate() throws Exception {
         startWatching(PollTimings.LOCAL_AGENT);
@@ -209,8 +212,8 @@
     }
 
     /**
-     * Slowly, and so fast that each read finds something: a limit that has passed is no reason to
-     * read on for ever.
+     * The intervals range from slow to so fast that each read finds a byte. The deadline must end
+     * the reading in each case.
      */
     @ParameterizedTest
     @ValueSource(longs = {20_000_000, 1_000_000, 1_000})
@@ -220,14 +223,15 @@
         trickling.trickle(intervalNanos);
         FakeDiscoveryAgent.Request refetch = agent.nextRequest();
         long elapsedMillis =
-                TimeUnit.NANOSECONDS.toMillis(refetch.receivedAtNanos() - trickling.receivedAtNanos());
+                TimeUnit.NANOSECONDS.toMillis(
+                        refetch.receivedAtNanos() - trickling.receivedAtNanos());
         assertTrue(elapsedMillis <= 1_500, "fetched again after " + elapsedMillis + " ms");
         assertEquals("/v1/servers", refetch.path());
         refetch.respond("2");
         assertEquals(2L, updates.take());
     }
 
-    /** A reset is no end, also where what came until then could be read as a list. */
+    /** A reset does not end a body, even if the bytes received so far are a valid list. */
     @ParameterizedTest
     @ValueSource(
             strings = {"HTTP/1.1 200 OK\r\n\r\n8", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n8"})
@@ -243,7 +247,7 @@
         assertEquals(9L, updates.take());
     }
 
-    /** Nor in the middle of a watch, whose end in order is one. */
+    /** In a long poll, a regular close ends a body without a length, and a reset does not. */
     @Test
     void bodyWithoutLengthIsAcceptedOnCloseAndDiscardedOnReset() throws Exception {
         startWatching(PollTimings.LOCAL_AGENT);
