--- a/src/main/java/postbeam/clients/PageQueryCodec.java
+++ b/src/main/java/postbeam/clients/PageQueryCodec.java
@@ -41,12 +41,12 @@
         return new PageRequest(order, rows, (String) cursor);
     }
 
-    static void encode(JsonGenerator json, PageResult given) throws IOException {
+    static void encode(JsonGenerator json, PageResult result) throws IOException {
         json.writeObjectFieldStart("page");
-        RowCodec.writeRows(json, given.page().rows());
-        json.writeBooleanField("short", given.page().truncated());
+        RowCodec.writeRows(json, result.page().rows());
+        json.writeBooleanField("short", result.page().truncated());
         json.writeArrayFieldStart("missing");
-        for (KeyRange keys : given.page().missingRanges()) {
+        for (KeyRange keys : result.page().missingRanges()) {
             json.writeStartObject();
             json.writeNumberField("from", keys.from());
             json.writeNumberField("to", keys.to());
@@ -54,8 +54,8 @@
         }
         json.writeEndArray();
         json.writeEndObject();
-        if (given.cursor() != null) {
-            json.writeStringField("cursor", given.cursor());
+        if (result.cursor() != null) {
+            json.writeStringField("cursor", result.cursor());
         }
     }
 }
--- a/src/main/java/postbeam/clients/QueryCodec.java
+++ b/src/main/java/postbeam/clients/QueryCodec.java
@@ -75,14 +75,14 @@
                         ? PageQueryCodec.decode(query, maxPageRows)
                         : null;
         boolean followUpPage = page != null && page.cursor() != null;
-        List<ClientRequest.RequestedShard> parts = followUpPage ? List.of() : decodeParts(query);
-        byte[] text =
+        List<ClientRequest.RequestedShard> requestedShards = followUpPage ? List.of() : decodeRequestedShards(query);
+        byte[] payload =
                 Json.member(query, "predicate", String.class).getBytes(StandardCharsets.UTF_8);
         Duration timeout =
                 decodeTimeout(header(exchange, DEADLINE), defaultTimeouts.get(queryClass));
         long layout = decodeLayoutVersion(header(exchange, LAYOUT));
         boolean retry = "1".equals(exchange.getRequestHeaders().getFirst(RETRY));
-        return new ClientRequest(id, queryClass, tenant, timeout, parts, text, layout, retry, page);
+        return new ClientRequest(id, queryClass, tenant, timeout, requestedShards, payload, layout, retry, page);
     }
 
     private static String decodeId(HttpServerExchange exchange) throws BadRequestException {
@@ -108,33 +108,33 @@
         return tenant;
     }
 
-    private List<ClientRequest.RequestedShard> decodeParts(Map<String, Object> query)
+    private List<ClientRequest.RequestedShard> decodeRequestedShards(Map<String, Object> query)
             throws IOException {
-        Set<Integer> shards = new HashSet<>();
-        List<ClientRequest.RequestedShard> parts = new ArrayList<>();
+        Set<Integer> shardNumbers = new HashSet<>();
+        List<ClientRequest.RequestedShard> requestedShards = new ArrayList<>();
         for (Object range : Json.member(query, "ranges", List.class)) {
             if (!(range instanceof Map<?, ?> members)) {
                 throw new BadRequestException("ranges holds something else than objects");
             }
-            ClientRequest.RequestedShard part = decodePart(members);
-            if (!shards.add(part.shard())) {
-                throw unusablePart(part.shard(), part.weight());
+            ClientRequest.RequestedShard requestedShard = decodeRequestedShard(members);
+            if (!shardNumbers.add(requestedShard.shard())) {
+                throw invalidShardOrWeight(requestedShard.shard(), requestedShard.weight());
             }
-            parts.add(part);
+            requestedShards.add(requestedShard);
         }
-        double sum = parts.stream().mapToDouble(ClientRequest.RequestedShard::weight).sum();
+        double sum = requestedShards.stream().mapToDouble(ClientRequest.RequestedShard::weight).sum();
         if (Math.abs(sum - 1) > WEIGHT_SUM_TOLERANCE) {
             throw new BadRequestException("the portions of ranges add up to " + sum + ", not 1");
         }
-        return parts;
+        return requestedShards;
     }
 
-    private ClientRequest.RequestedShard decodePart(Map<?, ?> members) throws IOException {
+    private ClientRequest.RequestedShard decodeRequestedShard(Map<?, ?> members) throws IOException {
         int shard = Json.member(members, "range", Integer.class);
         double weight = Json.member(members, "portion", Number.class).doubleValue();
         boolean weightFits = weight > 0 && weight <= 1 + WEIGHT_SUM_TOLERANCE;
         if (shard < 0 || shard >= shardCount || !weightFits) {
-            throw unusablePart(shard, weight);
+            throw invalidShardOrWeight(shard, weight);
         }
         Duration estimatedWork =
                 members.get("price") instanceof Integer micros && micros > 0
@@ -143,7 +143,7 @@
         return new ClientRequest.RequestedShard(shard, weight, estimatedWork);
     }
 
-    private static BadRequestException unusablePart(int shard, double weight) {
+    private static BadRequestException invalidShardOrWeight(int shard, double weight) {
         return new BadRequestException("range or portion can't be used: " + shard + ", " + weight);
     }
 
@@ -225,12 +225,12 @@
     }
 
     /** Which keys the value is for, and which of the named slices they lie in. */
-    private static void encode(JsonGenerator json, QueryAction.KeyCoverage cover)
+    private static void encode(JsonGenerator json, QueryAction.KeyCoverage coverage)
             throws IOException {
-        json.writeNumberField("from", cover.from());
-        json.writeNumberField("to", cover.to());
+        json.writeNumberField("from", coverage.from());
+        json.writeNumberField("to", coverage.to());
         json.writeArrayFieldStart("named");
-        for (int slice : cover.sliceNumbers()) {
+        for (int slice : coverage.sliceNumbers()) {
             json.writeNumber(slice);
         }
         json.writeEndArray();
--- a/src/main/java/postbeam/clients/QueryExchange.java
+++ b/src/main/java/postbeam/clients/QueryExchange.java
@@ -185,9 +185,9 @@
                 ResponseWriter.setRetryAfter(exchange, reject.retryAfter());
             }
             ResponseWriter.sendText(exchange, 503, "rejected; asking again is harmless");
-        } else if (result instanceof QueryAction.RejectWithReason refused) {
-            LOG.log(System.Logger.Level.WARNING, refused.reason().message());
-            ResponseWriter.sendText(exchange, 503, refused.reason().message());
+        } else if (result instanceof QueryAction.RejectWithReason rejection) {
+            LOG.log(System.Logger.Level.WARNING, rejection.reason().message());
+            ResponseWriter.sendText(exchange, 503, rejection.reason().message());
         } else {
             ResponseWriter.sendText(exchange, 504, "aborted");
         }
--- a/src/main/java/postbeam/clients/QueryServer.java
+++ b/src/main/java/postbeam/clients/QueryServer.java
@@ -44,7 +44,7 @@
     private static final int POOLED_BUFFERS = 64;
 
     /** A look at the connections that is later than this is late. */
-    private static final Duration MAX_LOOK_DELAY = Duration.ofMillis(50);
+    private static final Duration MAX_CHECK_DELAY = Duration.ofMillis(50);
 
     /** How long a query's thread is kept for the next. */
     private static final Duration THREAD_KEEP_ALIVE = Duration.ofSeconds(30);
@@ -85,8 +85,8 @@
     private final RequestDispatcher dispatcher;
 
     /** On the I/O thread alone. */
-    private final BacklogDrain backlog =
-            new BacklogDrain(ClientConnections.REAP_INTERVAL.plus(MAX_LOOK_DELAY));
+    private final BacklogDrain backlogDrain =
+            new BacklogDrain(ClientConnections.REAP_INTERVAL.plus(MAX_CHECK_DELAY));
 
     /** On the I/O thread alone: no connection is left that is between requests. */
     private boolean idleConnectionsClosed;
@@ -237,7 +237,7 @@
      */
     private void closeIdleConnections() {
         if (listener.isOpen()) {
-            closeListenerIfQuiet();
+            closeListenerIfBacklogEmpty();
         }
         boolean noneIdle = connections.closeAllIdle();
         idleConnectionsClosed = noneIdle && !listener.isOpen();
@@ -254,9 +254,9 @@
         }
     }
 
-    private void closeListenerIfQuiet() {
+    private void closeListenerIfBacklogEmpty() {
         listener.acceptWaiting();
-        if (backlog.isEmpty(System.nanoTime(), listener.acceptedCount(), connections.isFull())) {
+        if (backlogDrain.isEmpty(System.nanoTime(), listener.acceptedCount(), connections.isFull())) {
             listener.close();
         }
     }
--- a/src/main/java/postbeam/clients/RequestDispatcher.java
+++ b/src/main/java/postbeam/clients/RequestDispatcher.java
@@ -45,7 +45,7 @@
             return;
         }
         if (path.equals(HEALTH_PATH)) {
-            checkHealth(exchange);
+            respondToHealthCheck(exchange);
             return;
         }
         QueryServer.RequestHandler handler = handlersByPath.get(path);
@@ -56,7 +56,7 @@
         }
     }
 
-    private void checkHealth(HttpServerExchange exchange) {
+    private void respondToHealthCheck(HttpServerExchange exchange) {
         boolean ready = context.queries().isReady() && !context.lifecycle().isDraining();
         if (!ready) {
             // It is checked again and again, each time on a new connection: none is kept beside the
@@ -80,8 +80,8 @@
             byte[] json = handler.handle(body);
             response = () -> ResponseWriter.sendJson(exchange, json);
         } catch (IOException | OperatorErrorException e) {
-            String problem = firstLine(String.valueOf(e.getMessage()));
-            response = () -> ResponseWriter.sendText(exchange, 400, problem);
+            String message = firstLine(String.valueOf(e.getMessage()));
+            response = () -> ResponseWriter.sendText(exchange, 400, message);
         }
         exchange.dispatch(exchange.getIoThread(), response);
     }
--- a/src/main/java/postbeam/clients/RequestReader.java
+++ b/src/main/java/postbeam/clients/RequestReader.java
@@ -53,14 +53,14 @@
             } else if (count < 0) {
                 onComplete.accept(body.toByteArray());
             } else {
-                readOnWhenMoreComes(channel);
+                resumeWhenReadable(channel);
             }
         } catch (IOException e) {
             ClientConnection.of(exchange).rejectAndClose(400, "the body can't be read");
         }
     }
 
-    private void readOnWhenMoreComes(StreamSourceChannel channel) {
+    private void resumeWhenReadable(StreamSourceChannel channel) {
         channel.getReadSetter()
                 .set(
                         readable -> {
--- a/src/main/java/postbeam/clients/ResponseWriter.java
+++ b/src/main/java/postbeam/clients/ResponseWriter.java
@@ -14,7 +14,7 @@
 
     /** One line of text. */
     static void sendText(HttpServerExchange exchange, int status, String line) {
-        if (!exchange.isRequestComplete() && !isRestShort(exchange)) {
+        if (!exchange.isRequestComplete() && !isRemainderWithinLimit(exchange)) {
             // The library would read the rest of the request first, however much it is.
             ClientConnection.of(exchange).rejectAndClose(status, line);
             return;
@@ -25,7 +25,7 @@
     }
 
     /** Whether what is left of the request has a stated length within the limit. */
-    private static boolean isRestShort(HttpServerExchange exchange) {
+    private static boolean isRemainderWithinLimit(HttpServerExchange exchange) {
         return RequestReader.lengthFits(exchange) && exchange.getRequestContentLength() >= 0;
     }
 
--- a/src/test/java/postbeam/clients/BacklogDrainTest.java
+++ b/src/test/java/postbeam/clients/BacklogDrainTest.java
@@ -15,36 +15,36 @@
     }
 
     @Test
-    void oneLookIsNotEnough() {
+    void backlogIsNotEmptyAtTheFirstCheck() {
         assertFalse(isEmpty(1000, 7, false));
         assertTrue(isEmpty(1100, 7, false));
     }
 
     @Test
-    void acceptedConnectionMeansThatMoreMayWait() {
+    void backlogIsNotEmptyAfterAnIntervalWithAnAcceptedConnection() {
         assertFalse(isEmpty(0, 7, false));
         assertFalse(isEmpty(100, 8, false));
         assertTrue(isEmpty(200, 8, false));
     }
 
     @Test
-    void lateLookShowsNothing() {
+    void backlogIsNotEmptyAtALateCheck() {
         assertFalse(isEmpty(0, 7, false));
         assertFalse(isEmpty(151, 7, false));
         assertTrue(isEmpty(300, 7, false));
     }
 
     @Test
-    void withoutRoomNothingIsKnown() {
+    void backlogIsNotEmptyAtTheConnectionLimit() {
         assertFalse(isEmpty(0, 7, true));
         assertFalse(isEmpty(100, 7, true));
         assertTrue(isEmpty(200, 7, false));
     }
 
     @Test
-    void clientsThatConnectForEverAreLeft() {
-        for (int look = 0; look < 4; look++) {
-            assertFalse(isEmpty(100L * look, look, false));
+    void backlogCountsAsEmptyAfterFiveChecksWithNewConnections() {
+        for (int check = 0; check < 4; check++) {
+            assertFalse(isEmpty(100L * check, check, false));
         }
         assertTrue(isEmpty(400, 4, false));
     }
--- a/src/test/java/postbeam/clients/HttpSamplesTest.java
+++ b/src/test/java/postbeam/clients/HttpSamplesTest.java
@@ -48,16 +48,16 @@
     private static final byte[] VALUE = "5be2a07c19f04d63".getBytes(StandardCharsets.UTF_8);
 
     /** How queries end, by id. */
-    private static final Map<String, QueryAction> ENDS = new HashMap<>();
+    private static final Map<String, QueryAction> RESULTS = new HashMap<>();
 
     static {
         List<QueryAction.ShardValue> values =
                 List.of(
                         new QueryAction.ShardValue(3, VALUE, null),
                         new QueryAction.ShardValue(9, VALUE, null));
-        ENDS.put("total", new QueryAction.Answer(true, values, 0, null));
-        ENDS.put("partial", new QueryAction.Answer(false, values.subList(0, 1), 0, null));
-        ENDS.put(
+        RESULTS.put("total", new QueryAction.Answer(true, values, 0, null));
+        RESULTS.put("partial", new QueryAction.Answer(false, values.subList(0, 1), 0, null));
+        RESULTS.put(
                 "slices",
                 new QueryAction.Answer(
                         true,
@@ -71,7 +71,7 @@
                         null));
         Row first = new Row(new RowPosition(Arrays.asList(7L, "tea", null), 5, 1), "first \u00e4");
         Row second = new Row(new RowPosition(Arrays.asList(8L, "", null), 6, 2), "");
-        ENDS.put(
+        RESULTS.put(
                 "page",
                 new QueryAction.Answer(
                         true,
@@ -85,7 +85,7 @@
                         new PageResult(
                                 new Page(List.of(first, second), List.of(), List.of(), false, 2),
                                 "Y3Vyc29y")));
-        ENDS.put(
+        RESULTS.put(
                 "page-last",
                 new QueryAction.Answer(
                         false,
@@ -99,10 +99,10 @@
                                         true,
                                         1),
                                 null)));
-        ENDS.put("rejected", new QueryAction.Reject(Duration.ZERO));
-        ENDS.put("rejected-retry-after", new QueryAction.Reject(Duration.ofMillis(350)));
-        ENDS.put("aborted", new QueryAction.Abort());
-        ENDS.put(
+        RESULTS.put("rejected", new QueryAction.Reject(Duration.ZERO));
+        RESULTS.put("rejected-retry-after", new QueryAction.Reject(Duration.ofMillis(350)));
+        RESULTS.put("aborted", new QueryAction.Abort());
+        RESULTS.put(
                 "refused",
                 new QueryAction.RejectWithReason(
                         new OperatorError() {
@@ -119,10 +119,10 @@
     }
 
     /** A query whose end is known from the start. */
-    private record EndedQuery(QueryAction end) implements PendingQuery {
+    private record CompletedQuery(QueryAction result) implements PendingQuery {
         @Override
         public QueryAction serve() {
-            return end;
+            return result;
         }
 
         @Override
@@ -138,7 +138,7 @@
     private QueryServer server;
 
     @BeforeEach
-    void open() throws IOException {
+    void setUp() throws IOException {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         server =
                 new QueryServer(
@@ -167,7 +167,7 @@
                                                     "no slice 7");
                                     default -> {}
                                 }
-                                return new EndedQuery(ENDS.get(query.id()));
+                                return new CompletedQuery(RESULTS.get(query.id()));
                             }
 
                             @Override
@@ -198,31 +198,31 @@
     }
 
     /** The answer's bytes, whose length is stated, or all until the connection ends. */
-    private byte[] answer(byte[] request) throws IOException {
+    private byte[] exchange(byte[] request) throws IOException {
         try (Socket client =
                 new Socket(
                         InetAddress.getLoopbackAddress(),
                         Integer.parseInt(server.address().replaceAll(".*:", "")))) {
             client.getOutputStream().write(request);
-            StringBuilder answer = new StringBuilder();
+            StringBuilder head = new StringBuilder();
             int next;
-            while (!answer.toString().contains("\r\n\r\n")
+            while (!head.toString().contains("\r\n\r\n")
                     && (next = client.getInputStream().read()) >= 0) {
-                answer.append((char) next);
+                head.append((char) next);
             }
             int length =
                     Integer.parseInt(
-                            answer.toString().replaceAll("(?s).*Content-Length: ([0-9]+).*", "$1"));
+                            head.toString().replaceAll("(?s).*Content-Length: ([0-9]+).*", "$1"));
             byte[] body = client.getInputStream().readNBytes(length);
-            return (answer + new String(body, StandardCharsets.ISO_8859_1))
+            return (head + new String(body, StandardCharsets.ISO_8859_1))
                     .getBytes(StandardCharsets.ISO_8859_1);
         }
     }
 
-    private void assertAnswered(String sample) throws IOException {
+    private void assertResponseEqualsSample(String sample) throws IOException {
         SampleFile.assertSame(
                 "http/" + sample + ".response",
-                answer(SampleFile.bytes("http/" + sample + ".request")));
+                exchange(SampleFile.bytes("http/" + sample + ".request")));
     }
 
     @ParameterizedTest
@@ -256,19 +256,19 @@
                 "get",
                 "too-large"
             })
-    void requestIsAnsweredAsInTheSample(String sample) throws IOException {
-        assertAnswered(sample);
+    void responseEqualsSample(String sample) throws IOException {
+        assertResponseEqualsSample(sample);
     }
 
     @Test
-    void healthCheckOfARouterThatIsNotReadyIsAnsweredAsInTheSample() throws IOException {
+    void healthCheckResponseOfUnreadyRouterEqualsSample() throws IOException {
         ready = false;
-        assertAnswered("not-ready");
+        assertResponseEqualsSample("not-ready");
     }
 
     @Test
-    void everyHeaderAndMemberOfAQueryIsRead() throws IOException {
-        answer(SampleFile.bytes("http/total.request"));
+    void headersAndMembersOfAQueryAreDecoded() throws IOException {
+        exchange(SampleFile.bytes("http/total.request"));
         ClientRequest query = requests.get("total");
         assertEquals("search", query.queryClass());
         assertEquals("acme", query.tenant());
@@ -284,8 +284,8 @@
     }
 
     @Test
-    void layoutRetryPageOrderAndCursorOfAQueryAreRead() throws IOException {
-        answer(SampleFile.bytes("http/page.request"));
+    void layoutRetryPageOrderAndCursorOfAQueryAreDecoded() throws IOException {
+        exchange(SampleFile.bytes("http/page.request"));
         ClientRequest query = requests.get("page");
         assertEquals(11, query.layoutVersion());
         assertTrue(query.clientRetry());
@@ -295,7 +295,7 @@
                 "[price descending, missing first, name ascending, missing last]",
                 page.order().keys().toString());
         assertNull(page.cursor());
-        answer(SampleFile.bytes("http/page-last.request"));
+        exchange(SampleFile.bytes("http/page-last.request"));
         assertEquals("Y3Vyc29y", requests.get("page-last").pageRequest().cursor());
         assertEquals(Duration.ofSeconds(9), requests.get("page-last").timeout());
         assertEquals(List.of(), requests.get("page-last").requestedShards());
--- a/src/test/java/postbeam/clients/QueryServerTest.java
+++ b/src/test/java/postbeam/clients/QueryServerTest.java
@@ -98,25 +98,25 @@
 
     /** The router is late: the request has come, and is unread when the server closes. */
     @Test
-    void requestReceivedBeforeTheServerClosedIsAnsweredAndIsTheLast() throws Exception {
+    void requestReceivedBeforeCloseIsAnsweredAndEndsTheConnection() throws Exception {
         sendRequest();
         assertEquals("HTTP/1.1 200 OK", readResponse().get(0));
-        CountDownLatch late = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         worker.getIoThread()
                 .execute(
                         () -> {
                             try {
-                                late.await();
+                                release.await();
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
                         });
         server.close();
         sendRequest();
-        late.countDown();
-        List<String> answer = readResponse();
-        assertTrue(!answer.isEmpty() && answer.get(0).equals("HTTP/1.1 200 OK"), answer.toString());
-        assertTrue(answer.contains("Connection: close"), answer.toString());
+        release.countDown();
+        List<String> response = readResponse();
+        assertTrue(!response.isEmpty() && response.get(0).equals("HTTP/1.1 200 OK"), response.toString());
+        assertTrue(response.contains("Connection: close"), response.toString());
         assertEquals(-1, responses.read());
     }
 
@@ -125,75 +125,75 @@
      * told to close.
      */
     @Test
-    void connectionsInTheBacklogAreServedWhenTheServerCloses() throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch late = new CountDownLatch(1);
+    void connectionsInTheBacklogAreServedAfterClose() throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         worker.getIoThread()
                 .execute(
                         () -> {
-                            held.countDown();
+                            blocked.countDown();
                             try {
-                                late.await();
+                                release.await();
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
                         });
-        held.await();
+        blocked.await();
         client.close();
-        List<Socket> waiting = new ArrayList<>();
+        List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             client =
                     new Socket(
                             InetAddress.getLoopbackAddress(),
                             Integer.parseInt(server.address().replaceAll(".*:", "")));
-            waiting.add(client);
+            clients.add(client);
             sendRequest();
         }
         server.close();
-        late.countDown();
-        for (Socket one : waiting) {
+        release.countDown();
+        for (Socket socket : clients) {
             responses =
                     new BufferedReader(
-                            new InputStreamReader(one.getInputStream(), StandardCharsets.US_ASCII));
-            List<String> answer = readResponse();
+                            new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+            List<String> response = readResponse();
             assertTrue(
-                    !answer.isEmpty() && answer.get(0).equals("HTTP/1.1 200 OK"),
-                    answer.toString());
+                    !response.isEmpty() && response.get(0).equals("HTTP/1.1 200 OK"),
+                    response.toString());
             assertEquals(-1, responses.read());
-            one.close();
+            socket.close();
         }
     }
 
     /** Guards against a reset of what the accepting thread takes over after the close. */
     @Test
-    void connectionsThatAreTakenFromTheBacklogLateAreServedWhenTheServerCloses() throws Exception {
+    void connectionsAcceptedLateFromTheBacklogAreServedAfterClose() throws Exception {
         client.close();
         CountDownLatch release = new CountDownLatch(1);
-        hold(acceptingThread(), release);
-        List<Socket> waiting = new ArrayList<>();
+        block(acceptingThread(), release);
+        List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             client =
                     new Socket(
                             InetAddress.getLoopbackAddress(),
                             Integer.parseInt(server.address().replaceAll(".*:", "")));
-            waiting.add(client);
+            clients.add(client);
             sendRequest();
         }
         server.close();
         awaitIoThread();
         Thread.sleep(30);
         release.countDown();
-        for (Socket one : waiting) {
+        for (Socket socket : clients) {
             responses =
                     new BufferedReader(
-                            new InputStreamReader(one.getInputStream(), StandardCharsets.US_ASCII));
-            List<String> answer = readResponse();
+                            new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+            List<String> response = readResponse();
             assertTrue(
-                    !answer.isEmpty() && answer.get(0).equals("HTTP/1.1 200 OK"),
-                    answer.toString());
-            assertTrue(answer.contains("Connection: close"), answer.toString());
+                    !response.isEmpty() && response.get(0).equals("HTTP/1.1 200 OK"),
+                    response.toString());
+            assertTrue(response.contains("Connection: close"), response.toString());
             assertEquals(-1, responses.read());
-            one.close();
+            socket.close();
         }
     }
 
@@ -207,25 +207,25 @@
                 .orElseThrow();
     }
 
-    private static void hold(XnioIoThread thread, CountDownLatch release)
+    private static void block(XnioIoThread thread, CountDownLatch release)
             throws InterruptedException {
-        CountDownLatch held = new CountDownLatch(1);
+        CountDownLatch blocked = new CountDownLatch(1);
         thread.execute(
                 () -> {
-                    held.countDown();
+                    blocked.countDown();
                     try {
                         release.await();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-        held.await();
+        blocked.await();
     }
 
     private void awaitIoThread() throws Exception {
-        FutureTask<Boolean> asked = new FutureTask<>(() -> true);
-        worker.getIoThread().execute(asked);
-        asked.get();
+        FutureTask<Boolean> task = new FutureTask<>(() -> true);
+        worker.getIoThread().execute(task);
+        task.get();
     }
 
     @Test
@@ -234,11 +234,11 @@
         readResponse();
         server.close();
         assertEquals(-1, responses.read());
-        boolean idle = false;
-        while (!idle) {
-            FutureTask<Boolean> asked = new FutureTask<>(server::isDrained);
-            worker.getIoThread().execute(asked);
-            idle = asked.get();
+        boolean drained = false;
+        while (!drained) {
+            FutureTask<Boolean> task = new FutureTask<>(server::isDrained);
+            worker.getIoThread().execute(task);
+            drained = task.get();
         }
     }
 }
