--- a/src/main/java/postbeam/clients/BadRequestException.java
+++ b/src/main/java/postbeam/clients/BadRequestException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A request that can't be used; its message is sent to the client with status 400. */
+/** Thrown for an invalid request. The message is sent to the client with status 400. */
 final class BadRequestException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/postbeam/clients/ClientConnection.java
+++ b/src/main/java/postbeam/clients/ClientConnection.java
@@ -22,35 +22,36 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * A client's socket, on the I/O thread alone, with a lingering close: closing a socket while its
- * client still sends would have the client's machine throw away a response that it has not read
- * yet. So whatever closes the connection, what the client still sends is read and dropped for a
- * while before the socket is closed, which only {@link #closeImmediately} does.
+ * A client's connection with a lingering close. Used only on the I/O thread. Closing a socket while
+ * its client still sends resets the connection, and the client's machine then discards a response
+ * that the client has not read yet. Therefore a close first ends the output, then reads and
+ * discards input for a while. Only {@link #closeImmediately} closes the socket.
  */
 final class ClientConnection extends StreamConnection {
     /**
-     * How long what still comes is dropped: enough to read a response, within what a bad client is
-     * owed.
+     * Time for which input is discarded after a close: enough for a client to read its response,
+     * and within the protocol's 3 s for cutting off a misbehaving client.
      */
     private static final Duration LINGER = Duration.ofSeconds(2);
 
-    /** Bytes dropped in one read: a body of the protocol's size and its head take three. */
+    /** Bytes discarded per read; a head and a body of the maximum size take three reads. */
     private static final int DRAIN_CHUNK_BYTES = 32 << 10;
 
     /**
-     * Bytes dropped at full speed; beyond, reads are paced: sending without end must not take the
-     * core.
+     * Bytes discarded without a pause. Further reads are paced, so that a client that sends without
+     * end does not use up the I/O thread's core.
      */
     private static final int UNPACED_DRAIN_BYTES = 1 << 20;
 
     /**
-     * Between paced reads: some 3 MB a second, so that the end of what was sent at once is seen
-     * soon.
+     * Interval between paced reads. It allows about 3 MB/s, so that the end of the input is found
+     * soon after a client has sent everything at once.
      */
     private static final Duration DRAIN_INTERVAL = Duration.ofMillis(10);
 
     /**
-     * Shared by all connections, as what is in it is thrown away; direct, for the I/O thread alone.
+     * Shared by all connections, as its content is never used. Direct, as only the I/O thread uses
+     * it.
      */
     private static final ByteBuffer DISCARD_BUFFER = ByteBuffer.allocateDirect(DRAIN_CHUNK_BYTES);
 
@@ -63,15 +64,15 @@
     private int drainedBytes;
     private long nextDrainAtNanos = System.nanoTime();
 
-    /** Bytes came after a complete request and before its response: what they ask for is lost. */
+    /** Whether bytes were received, and discarded, between a request and its response. */
     private boolean pipelined;
 
-    /** Its query is served, and the socket alone shows that the client disconnects. */
+    /** Whether a query is being served, during which the socket is read to detect a disconnect. */
     private boolean watched;
 
     private long idleSinceNanos = System.nanoTime();
 
-    /** It was found idle too long at the last look. */
+    /** Whether the last check found the connection idle; the next one closes it. */
     private boolean markedForClose;
 
     private boolean sentRequest;
@@ -86,7 +87,7 @@
         setSinkConduit(new OutputUntilClosed());
     }
 
-    /** The connection that a request came on. */
+    /** Returns the connection that a request was received on. */
     static ClientConnection of(HttpServerExchange exchange) {
         return (ClientConnection) ((HttpServerConnection) exchange.getConnection()).getChannel();
     }
@@ -94,8 +95,8 @@
     // ---- requests
 
     /**
-     * The head of a request has been read: the client has so long again for the rest of it, unless
-     * it is the first.
+     * Records that the head of a request was read. This restarts the idle time for the rest of the
+     * request, except for the first request of the connection.
      */
     void headReceived(long nowNanos) {
         markedForClose = false;
@@ -104,13 +105,13 @@
         }
     }
 
-    /** A complete request has been read. */
+    /** Records that a complete request was read. */
     void requestStarted() {
         requestInProgress = true;
         sentRequest = true;
     }
 
-    /** Its response is out, to the last byte. */
+    /** Records that the last byte of the response was written. */
     void requestFinished() {
         requestInProgress = false;
         idleSinceNanos = System.nanoTime();
@@ -120,36 +121,40 @@
         return requestInProgress;
     }
 
-    /** Whether a complete request has ever come on it. */
+    /** Returns whether the client has ever sent a complete request. */
     boolean hasSentRequest() {
         return sentRequest;
     }
 
-    /** Whether it has been without a complete request since before this moment. */
+    /** Returns whether the connection has been idle since before this time. */
     boolean isIdleSince(long nanos) {
         return !requestInProgress && idleSinceNanos - nanos < 0;
     }
 
-    /** Marks it as to be closed, until its next request; true if it was marked already. */
+    /**
+     * Marks the connection to be closed; the head of a further request removes the mark.
+     *
+     * @return whether it was already marked
+     */
     boolean markForClose() {
         boolean marked = markedForClose;
         markedForClose = true;
         return marked;
     }
 
-    /** Whether bytes came after a request and before its response. */
+    /** Returns whether bytes were received and discarded between a request and its response. */
     boolean hasPipelined() {
         return pipelined;
     }
 
-    /** Whether its query is being served, so that whatever comes is dropped. */
+    /** Sets whether a query is being served, during which input is read and discarded. */
     void setWatched(boolean watched) {
         this.watched = watched;
     }
 
     // ---- closing
 
-    /** Closes the socket; no bytes are owed on it any more. */
+    /** Closes the socket without lingering. */
     void closeImmediately() {
         if (lingerTimer != null) {
             lingerTimer.remove();
@@ -159,8 +164,8 @@
     }
 
     /**
-     * Responds in place of the HTTP library, which would wait for the rest of the request, and
-     * closes.
+     * Sends an error response and closes. Bypasses the HTTP library, which would wait for the rest
+     * of the request.
      */
     void rejectAndClose(int status, String reason) {
         String response =
@@ -177,8 +182,8 @@
                         + reason
                         + "\n";
         try {
-            // Nothing else is in the socket's buffer, so this fits; if not, the close alone has to
-            // tell.
+            // The socket buffer is empty, so the response fits. Otherwise it is truncated and the
+            // client notices only the close.
             output.write(ByteBuffer.wrap(response.getBytes(StandardCharsets.ISO_8859_1)));
         } catch (IOException e) {
             closeImmediately();
@@ -186,7 +191,10 @@
         IoUtils.safeClose(this);
     }
 
-    /** Lingers once this event is over: until then the HTTP library may still set up. */
+    /**
+     * Starts to linger after the current event, as the HTTP library may still register listeners
+     * during it.
+     */
     @Override
     protected void closeAction() {
         closing = true;
@@ -226,18 +234,18 @@
         }
     }
 
-    // closeAction closes reading and writing, each when all of it is done.
+    // closeAction closes both directions, so the notifications for one direction do nothing.
     @Override
     protected void notifyReadClosed() {}
 
     @Override
     protected void notifyWriteClosed() {}
 
-    // ---- dropping input
+    // ---- discarding input
 
     /**
-     * Whether the client has closed or reset the connection, by a look at the socket; drops what
-     * has come.
+     * Reads and discards the available input, and returns whether the client has closed or reset
+     * the connection.
      */
     boolean isDisconnected() {
         try {
@@ -247,12 +255,12 @@
             }
             return count < 0;
         } catch (IOException e) {
-            // It is reset, or was closed before.
+            // The connection was reset or is already closed.
             return true;
         }
     }
 
-    /** Reads what has come and drops it: how many bytes, or -1 at the end. */
+    /** Reads and discards input; returns the number of bytes, or -1 at the end of the input. */
     private int drain() throws IOException {
         if (drainedBytes > UNPACED_DRAIN_BYTES && !isNextDrainDue()) {
             return 0;
@@ -263,7 +271,7 @@
         return count;
     }
 
-    /** Whether a paced read may happen now; if not, reading is suspended until then. */
+    /** Returns whether a paced read is due; if not, suspends reading until it is. */
     private boolean isNextDrainDue() {
         long waitNanos = nextDrainAtNanos - System.nanoTime();
         if (waitNanos > 0) {
@@ -283,8 +291,8 @@
     }
 
     /**
-     * The input for the HTTP library: once closed it brings nothing more, and the socket's stays
-     * open.
+     * Input for the HTTP library. After a close it returns no more bytes, while the input of the
+     * socket stays open.
      */
     private final class InputUntilClosed extends AbstractStreamSourceConduit<StreamSourceConduit> {
         InputUntilClosed() {
@@ -316,9 +324,7 @@
         public void terminateReads() {}
     }
 
-    /**
-     * The output for the HTTP library: once closed, whatever the library would still write is late.
-     */
+    /** Output for the HTTP library. After a close every write of the library fails. */
     private final class OutputUntilClosed extends AbstractStreamSinkConduit<StreamSinkConduit> {
         OutputUntilClosed() {
             super(output);
@@ -355,7 +361,7 @@
         }
     }
 
-    // ---- the socket's own
+    // ---- delegated to the socket
 
     @Override
     public SocketAddress getPeerAddress() {
--- a/src/main/java/postbeam/clients/ClientConnections.java
+++ b/src/main/java/postbeam/clients/ClientConnections.java
@@ -13,27 +13,27 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Owner of the open client connections: registers them, reaps idle ones, and closes those between
- * requests at shutdown. All of it runs on the I/O thread alone.
+ * Owns the open client connections: registers them, closes idle ones, and at shutdown closes those
+ * between requests. Used only on the I/O thread.
  *
- * <p>A connection is closed only at the second look that finds it idle: a request that has come but
- * was not read yet, because the router itself is late, is read between the two looks.
+ * <p>A connection is closed only when two consecutive checks find it idle. If the router is late, a
+ * request may have been received and not yet read; it is then read between the two checks.
  */
 final class ClientConnections {
-    /** Between two looks of the reaper. */
+    /** Interval between two checks for idle connections. */
     static final Duration REAP_INTERVAL = Duration.ofMillis(100);
 
     /**
-     * How long a connection may be without a whole request, from its opening or its last answer.
-     * The protocol has clients let go after 2 s, and a bad client be cut off within 3 s of its
-     * connecting.
+     * Time for which a connection may be without a complete request, after its opening or its last
+     * response. By the protocol, clients close idle connections after 2 s, and a misbehaving client
+     * is cut off within 3 s after it connected.
      */
     private static final Duration MAX_IDLE = Duration.ofMillis(2200);
 
-    /** Connections kept free, so that a client soon finds room while others stand idle. */
+    /** Connections kept free, so that new clients are accepted while others are idle. */
     private static final int RESERVED_CONNECTIONS = 8;
 
-    /** Every client is left this long to send, however many connect. */
+    /** Time that every client has to send a request, however many clients connect. */
     private static final Duration MIN_IDLE = Duration.ofMillis(200);
 
     private final XnioIoThread ioThread;
@@ -41,7 +41,7 @@
     private final ServerLifecycle lifecycle;
     private final int maxConnections;
 
-    /** The longest idle first. */
+    /** Open connections; those in the longest time without a response come first. */
     private final Set<ClientConnection> open = new LinkedHashSet<>();
 
     ClientConnections(
@@ -55,7 +55,7 @@
         this.maxConnections = maxConnections;
     }
 
-    /** Takes over an accepted socket and has HTTP spoken on it. */
+    /** Registers an accepted socket and passes it to the HTTP listener. */
     void register(StreamConnection socket) {
         ClientConnection connection = new ClientConnection(socket);
         open.add(connection);
@@ -67,7 +67,7 @@
         httpListener.handleEvent(connection);
     }
 
-    /** Counts the request as in progress until the last byte of its response is written. */
+    /** Marks a request as in progress until the last byte of its response is written. */
     void trackRequest(HttpServerExchange exchange) {
         ClientConnection connection = ClientConnection.of(exchange);
         connection.requestStarted();
@@ -77,8 +77,8 @@
                     moveToEnd(connection);
                     next.proceed();
                     if (lifecycle.isClosing()) {
-                        // Nothing looks at it any more; a response that said it is kept was sent
-                        // before the close.
+                        // No later check closes this connection. Its response may have announced a
+                        // persistent connection if it was sent before the server was closed.
                         IoUtils.safeClose(connection);
                     }
                 });
@@ -94,7 +94,7 @@
         return open.isEmpty();
     }
 
-    /** Whether further clients have to wait until a connection is closed. */
+    /** Returns whether the connection limit is reached, so that further clients have to wait. */
     boolean isFull() {
         return open.size() >= maxConnections;
     }
@@ -103,16 +103,16 @@
         return open.stream().anyMatch(ClientConnection::isRequestInProgress);
     }
 
-    /** Reaps from now on, every {@link #REAP_INTERVAL}. */
+    /** Schedules the next check, which schedules the one after it. */
     void startReaping() {
         ioThread.executeAfter(this::reap, REAP_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Guards against clients that take connections and do not use them, by the hundred or one by
-     * one for good. Where few are free, those that never sent a request go sooner, then as many of
-     * the others as are needed, the longest idle first. Where all are in use, further clients wait
-     * to be accepted.
+     * Closes idle connections, so that clients that open connections without using them can't use
+     * up the limit. If fewer than {@link #RESERVED_CONNECTIONS} are free, connections that never
+     * sent a request are closed earlier, then as many others as needed, the longest idle first. If
+     * all connections are in use, further clients wait to be accepted.
      */
     private void reap() {
         startReaping();
@@ -126,7 +126,11 @@
         }
     }
 
-    /** Closes at most so many that have been idle for so long, the longest idle first. */
+    /**
+     * Marks or closes connections that have been idle for a time, the longest idle first.
+     *
+     * @param limit number of connections to handle at most; may be negative
+     */
     private void closeIdle(int limit, Duration idleTime, Predicate<ClientConnection> eligible) {
         long idleBefore = System.nanoTime() - idleTime.toNanos();
         List<ClientConnection> due =
@@ -145,8 +149,7 @@
     }
 
     /**
-     * Closes the connections between requests that an earlier call has marked, and marks the
-     * others.
+     * Closes the connections between requests that an earlier call marked, and marks the others.
      *
      * @return whether no connection is left between requests
      */
--- a/src/main/java/postbeam/clients/ClientListener.java
+++ b/src/main/java/postbeam/clients/ClientListener.java
@@ -12,13 +12,13 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * Owner of the listening socket. At the connection limit it stops accepting, and the machine's
- * backlog holds further clients until one leaves.
+ * Owns the listening socket. At the connection limit it stops accepting, and further clients wait
+ * in the kernel's backlog until a connection is closed.
  */
 final class ClientListener {
     private static final System.Logger LOG = System.getLogger(ClientListener.class.getName());
 
-    /** Connections that the machine holds until they are accepted. */
+    /** Size of the kernel's backlog of connections that are not accepted yet. */
     private static final int BACKLOG = 1000;
 
     private final XnioWorker worker;
@@ -27,7 +27,7 @@
     private final ClientConnections connections;
     private AcceptingChannel<StreamConnection> server;
 
-    /** On the I/O thread alone. */
+    /** Used only on the I/O thread. */
     private long accepted;
 
     ClientListener(
@@ -41,7 +41,11 @@
         this.connections = connections;
     }
 
-    /** Starts to listen; an IOException tells why it can't. */
+    /**
+     * Starts to listen.
+     *
+     * @throws IOException if the address can't be bound
+     */
     void open() throws IOException {
         ChannelListener<AcceptingChannel<StreamConnection>> acceptListener = this::accept;
         server =
@@ -58,13 +62,13 @@
         server.resumeAccepts();
     }
 
-    /** HOST:PORT that it listens on, with the port that the machine chose for port 0. */
+    /** Returns the bound address as HOST:PORT, with the actual port if port 0 was requested. */
     String address() {
         InetSocketAddress local = server.getLocalAddress(InetSocketAddress.class);
         return local.getAddress().getHostAddress() + ":" + local.getPort();
     }
 
-    /** True if a connection was waiting. */
+    /** Accepts one connection; returns false if none is waiting or it can't be accepted. */
     private boolean accept(AcceptingChannel<StreamConnection> channel) {
         try {
             StreamConnection socket = channel.accept();
@@ -74,22 +78,22 @@
                 return true;
             }
         } catch (ClosedChannelException e) {
-            // The notification of a connection that was accepted before the socket was closed.
+            // A late notification: the listening socket was closed after it was sent.
             return false;
         } catch (IOException e) {
-            LOG.log(System.Logger.Level.WARNING, "a client can''t be accepted: {0}", e);
+            LOG.log(System.Logger.Level.WARNING, "can''t accept a client connection: {0}", e);
         }
         return false;
     }
 
-    /** How many connections were accepted; to be called on the I/O thread. */
+    /** Returns the number of accepted connections. Call on the I/O thread. */
     long acceptedCount() {
         return accepted;
     }
 
     /**
-     * Accepts the connections that XNIO has taken from the backlog. Bounded, as clients may connect
-     * without end.
+     * Accepts the connections that XNIO has taken from the backlog. The number is limited, as
+     * clients may connect without end.
      */
     void acceptWaiting() {
         int taken = 0;
@@ -102,7 +106,7 @@
         return server.isOpen();
     }
 
-    /** Stops listening; what still waits in the backlog is reset. */
+    /** Stops listening; connections that are still in the backlog are reset. */
     void close() {
         IoUtils.safeClose(server);
         acceptWaiting();
--- a/src/main/java/postbeam/clients/PageQueryCodec.java
+++ b/src/main/java/postbeam/clients/PageQueryCodec.java
@@ -12,14 +12,18 @@
 import postbeam.pages.SortOrder;
 import postbeam.slices.KeyRange;
 
-/** What ordered pages add to requests (order, page, cursor) and responses (page, cursor). */
+/**
+ * Codec for the members of ordered pages: order, page and cursor in requests, page and cursor in
+ * responses.
+ */
 final class PageQueryCodec {
     private PageQueryCodec() {}
 
     /**
-     * Decodes the page that a query asks for.
+     * Decodes the page request of a query.
      *
-     * @throws BadRequestException naming the member that can't be used
+     * @param maxRows largest number of rows that a request may state
+     * @throws BadRequestException if a member is invalid; the message names it
      */
     static PageRequest decode(Map<String, Object> query, int maxRows) throws BadRequestException {
         if (!(query.get("page") instanceof Integer rows) || rows < 1 || rows > maxRows) {
--- a/src/main/java/postbeam/clients/QueryCodec.java
+++ b/src/main/java/postbeam/clients/QueryCodec.java
@@ -17,7 +17,7 @@
 import postbeam.json.Json;
 import postbeam.pages.PageRequest;
 
-/** Decodes requests of the clients' protocol and encodes its responses. */
+/** Decodes requests of the client protocol and encodes its responses. */
 final class QueryCodec {
     private static final HttpString REQUEST_ID = new HttpString("Req-Id");
     private static final HttpString TENANT = new HttpString("Req-Owner");
@@ -25,13 +25,13 @@
     private static final HttpString RETRY = new HttpString("Req-Retry");
     private static final HttpString LAYOUT = new HttpString("Req-Layout");
 
-    /** Characters: an id travels in each frame. */
+    /** Limit in characters, as each frame to a data node includes the id. */
     private static final int MAX_ID_LENGTH = 64;
 
-    /** Milliseconds: a day; no client waits so long. */
+    /** One day; no client waits longer. */
     private static final long MAX_TIMEOUT_MILLIS = 86_400_000;
 
-    /** Of the sum of weights, which is 1: what is lost where they are written with few digits. */
+    /** Tolerance for the sum of weights, which clients may send rounded to a few digits. */
     private static final double WEIGHT_SUM_TOLERANCE = 0.005;
 
     private static final int NANOS_PER_MICRO = 1000;
@@ -40,7 +40,7 @@
     private final Set<String> tenants;
     private final int shardCount;
 
-    /** 0 where no pages are given. */
+    /** 0 if ordered pages are disabled. */
     private int maxPageRows;
 
     QueryCodec(Map<String, Duration> defaultTimeouts, Set<String> tenants, int shardCount) {
@@ -49,7 +49,7 @@
         this.shardCount = shardCount;
     }
 
-    /** To be called before the first request comes. */
+    /** Enables ordered pages of at most this number of rows. Call before the first request. */
     void enablePages(int maxRows) {
         maxPageRows = maxRows;
     }
@@ -63,7 +63,7 @@
     /**
      * Decodes a query.
      *
-     * @throws IOException if it can't be used; the message is for the client
+     * @throws IOException if the request is invalid; the message is sent to the client
      */
     ClientRequest decode(HttpServerExchange exchange, byte[] body, String queryClass)
             throws IOException {
@@ -75,14 +75,16 @@
                         ? PageQueryCodec.decode(query, maxPageRows)
                         : null;
         boolean followUpPage = page != null && page.cursor() != null;
-        List<ClientRequest.RequestedShard> requestedShards = followUpPage ? List.of() : decodeRequestedShards(query);
+        List<ClientRequest.RequestedShard> requestedShards =
+                followUpPage ? List.of() : decodeRequestedShards(query);
         byte[] payload =
                 Json.member(query, "predicate", String.class).getBytes(StandardCharsets.UTF_8);
         Duration timeout =
                 decodeTimeout(header(exchange, DEADLINE), defaultTimeouts.get(queryClass));
         long layout = decodeLayoutVersion(header(exchange, LAYOUT));
         boolean retry = "1".equals(exchange.getRequestHeaders().getFirst(RETRY));
-        return new ClientRequest(id, queryClass, tenant, timeout, requestedShards, payload, layout, retry, page);
+        return new ClientRequest(
+                id, queryClass, tenant, timeout, requestedShards, payload, layout, retry, page);
     }
 
     private static String decodeId(HttpServerExchange exchange) throws BadRequestException {
@@ -95,7 +97,7 @@
         return id;
     }
 
-    /** A dot separates the id from the shard in the ids of attempts. */
+    /** Excludes the dot, which separates the request id from the shard in attempt ids. */
     private static boolean isAllowedInId(int character) {
         return character > ' ' && character < 127 && character != '.';
     }
@@ -122,14 +124,16 @@
             }
             requestedShards.add(requestedShard);
         }
-        double sum = requestedShards.stream().mapToDouble(ClientRequest.RequestedShard::weight).sum();
+        double sum =
+                requestedShards.stream().mapToDouble(ClientRequest.RequestedShard::weight).sum();
         if (Math.abs(sum - 1) > WEIGHT_SUM_TOLERANCE) {
             throw new BadRequestException("the portions of ranges add up to " + sum + ", not 1");
         }
         return requestedShards;
     }
 
-    private ClientRequest.RequestedShard decodeRequestedShard(Map<?, ?> members) throws IOException {
+    private ClientRequest.RequestedShard decodeRequestedShard(Map<?, ?> members)
+            throws IOException {
         int shard = Json.member(members, "range", Integer.class);
         double weight = Json.member(members, "portion", Number.class).doubleValue();
         boolean weightFits = weight > 0 && weight <= 1 + WEIGHT_SUM_TOLERANCE;
@@ -147,7 +151,7 @@
         return new BadRequestException("range or portion can't be used: " + shard + ", " + weight);
     }
 
-    /** The version by which slices are named; 0 where none is stated. */
+    /** Returns the layout version that the slice numbers refer to; 0 if none is stated. */
     private static long decodeLayoutVersion(String header) throws BadRequestException {
         try {
             long version = header == null ? 0 : Long.parseLong(header);
@@ -155,7 +159,7 @@
                 return version;
             }
         } catch (NumberFormatException e) {
-            // Reported below, as a negative version is.
+            // Reported below, like a negative version.
         }
         throw new BadRequestException("Req-Layout can't be used");
     }
@@ -171,12 +175,14 @@
                 return Duration.ofMillis(millis);
             }
         } catch (NumberFormatException e) {
-            // Reported below, as a number out of range is.
+            // Reported below, like a number out of range.
         }
         throw new BadRequestException("Req-Deadline-Ms is missing or can't be used");
     }
 
-    /** Null where it is missing; which of two was meant nobody can tell. */
+    /**
+     * Returns the value of a header; null if it is missing. Rejects repeated headers as ambiguous.
+     */
     private static String header(HttpServerExchange exchange, HttpString name)
             throws BadRequestException {
         HeaderValues values = exchange.getRequestHeaders().get(name);
@@ -188,7 +194,7 @@
 
     // ---- responses
 
-    /** The body of a served query's response. */
+    /** Encodes the response body of a query. */
     static byte[] encode(QueryAction.Answer answer) {
         return Json.encode(json -> encode(json, answer));
     }
@@ -224,7 +230,7 @@
         json.writeEndObject();
     }
 
-    /** Which keys the value is for, and which of the named slices they lie in. */
+    /** Encodes the key range of a value and the requested slices that the range overlaps. */
     private static void encode(JsonGenerator json, QueryAction.KeyCoverage coverage)
             throws IOException {
         json.writeNumberField("from", coverage.from());
--- a/src/main/java/postbeam/clients/QueryExchange.java
+++ b/src/main/java/postbeam/clients/QueryExchange.java
@@ -12,16 +12,16 @@
 import postbeam.slices.UnroutableQueryException;
 
 /**
- * One query, from the last byte of its request to the first of its response. It is submitted and
- * answered on the I/O thread and served on a query thread in between, while the I/O thread watches
- * whether its client disconnects.
+ * One query, from the last byte of its request to the first byte of its response. It is submitted
+ * on the I/O thread, served on a query thread, and its response is sent on the I/O thread. While it
+ * is served, the I/O thread monitors the connection for a disconnect of the client.
  */
 final class QueryExchange {
     private static final System.Logger LOG = System.getLogger(QueryExchange.class.getName());
 
     /**
-     * When a client may retry that is ahead of the layout known here: its watch mostly tells it
-     * sooner.
+     * Time after which a client may retry that uses a newer layout than this router. The router
+     * usually receives the layout sooner.
      */
     private static final Duration LAYOUT_RETRY_AFTER = Duration.ofMillis(200);
 
@@ -30,7 +30,12 @@
     private final long receivedAtNanos;
     private final ClientConnection client;
 
-    /** The moment is that of the request's head, on the clock of {@link System#nanoTime}. */
+    /**
+     * Creates the exchange of one query.
+     *
+     * @param receivedAtNanos when the request's head was read, on the clock of {@link
+     *     System#nanoTime}
+     */
     QueryExchange(ServerContext context, HttpServerExchange exchange, long receivedAtNanos) {
         this.context = context;
         this.exchange = exchange;
@@ -40,7 +45,7 @@
 
     // ---- submitting
 
-    /** Decodes the request and submits the query to the handler, on this thread. */
+    /** Decodes the request and submits the query to the handler on the calling thread. */
     void submit(byte[] body, String queryClass) {
         ClientRequest request;
         try {
@@ -50,14 +55,14 @@
             return;
         }
         if (client.isDisconnected()) {
-            // Its client sent it and left before the router, being late, came to it: nothing of it
-            // is to begin.
+            // The client disconnected before the router, being late, read the request. No attempt
+            // may be started for it.
             client.closeImmediately();
             exchange.endExchange();
             return;
         }
         if (context.lifecycle().isDraining()) {
-            // What is still open when the process ends would be lost.
+            // Queries that are open when the process ends would be lost.
             request = request.withTimeoutAtMost(context.lifecycle().drainTimeLeft(receivedAtNanos));
         }
         PendingQuery query;
@@ -77,8 +82,8 @@
     }
 
     /**
-     * Nothing of it has run: the client may retry, by the layout that the response names, or after
-     * a wait.
+     * Rejects a query whose slices can't be translated. No attempt was started, so the client may
+     * retry with the layout that the response names or after the Retry-After time.
      */
     private void respondUnroutable(UnroutableQueryException e) {
         if (e.reason == UnroutableQueryException.Reason.LAYOUT_UNKNOWN) {
@@ -101,15 +106,15 @@
                         abandon(query);
                     }
                 });
-        // Once this event is over: until then Undertow sets up and stops reading by itself. And
-        // before the query can end, which is told by the same queue.
+        // Runs after the current event, during which Undertow itself changes the read listener and
+        // suspends reads, and before the end of the query, which is dispatched to the same queue.
         context.ioThread().execute(() -> watchForDisconnect(query));
         exchange.dispatch(context.queryThreads(), () -> serve(query));
     }
 
     // ---- while it is served
 
-    /** Its client has disconnected. */
+    /** Closes the connection and cancels the query, as the client has disconnected. */
     private void abandon(PendingQuery query) {
         client.closeImmediately();
         query.clientDisconnected();
@@ -124,8 +129,9 @@
             query.clientDisconnected();
             return;
         }
-        // The socket itself: the channel over it ends with the request's body, and then tells no
-        // more.
+        // Reads the socket itself, as the HTTP library's channel ends with the request body and
+        // does
+        // not report a disconnect afterwards.
         StreamSourceConduit socket = connection.getOriginalSourceConduit();
         client.setWatched(true);
         connection
@@ -145,13 +151,16 @@
         return (HttpServerConnection) exchange.getConnection();
     }
 
-    /** On a query thread. */
+    /** Serves the query on a query thread and sends the result on the I/O thread. */
     private void serve(PendingQuery query) {
         QueryAction lastAction;
         try {
             lastAction = query.serve();
         } catch (InterruptedException | RuntimeException | Error e) {
-            LOG.log(System.Logger.Level.ERROR, "serving a query failed", e);
+            LOG.log(
+                    System.Logger.Level.ERROR,
+                    "serving a query failed; its response is an abort",
+                    e);
             query.clientDisconnected();
             lastAction = new QueryAction.Abort();
         }
@@ -169,8 +178,8 @@
             exchange.endExchange();
             return;
         }
-        // A request sent before this one's response can't be kept in order: the connection is
-        // closed after it.
+        // Pipelined requests have been discarded while monitoring the connection, so the connection
+        // is closed after this response.
         if (context.lifecycle().isClosing() || client.hasPipelined()) {
             exchange.setPersistent(false);
         }
@@ -198,7 +207,7 @@
         try {
             json = QueryCodec.encode(answer);
         } catch (UncheckedIOException e) {
-            LOG.log(System.Logger.Level.ERROR, "an answer can't be encoded", e);
+            LOG.log(System.Logger.Level.ERROR, "can't encode the response of a query", e);
             ResponseWriter.sendText(exchange, 500, "the answer can't be encoded");
             return;
         }
--- a/src/main/java/postbeam/clients/QueryServer.java
+++ b/src/main/java/postbeam/clients/QueryServer.java
@@ -26,51 +26,52 @@
 import postbeam.slices.UnroutableQueryException;
 
 /**
- * The HTTP server that clients send queries to, on Undertow. It wires and owns its parts: the
- * listening socket ({@link ClientListener}), the open connections ({@link ClientConnections}), the
- * query threads.
+ * The HTTP server for clients, based on Undertow. It creates and owns the listening socket ({@link
+ * ClientListener}), the open connections ({@link ClientConnections}) and the query threads.
  *
- * <p>Connections are read and written on the worker's I/O thread alone; each query is served on a
- * thread of its own, of which there are at most two for each connection.
+ * <p>Connections are read and written only on the worker's I/O thread. Each query is served on a
+ * thread of its own; there are at most two threads per connection.
  */
 public final class QueryServer {
-    /** Bytes in a buffer of the HTTP library: a usual head or response fits into one. */
+    /** Size of the HTTP library's buffers; a usual head or response fits into one. */
     static final int BUFFER_BYTES = 1024;
 
-    /** Bytes: heads here hold a few hundred; what is longer is no query. */
+    /** Limit for a request head; heads of queries have a few hundred bytes. */
     private static final int MAX_HEAD_BYTES = 8 << 10;
 
-    /** Buffers kept for the next request; one is held only while bytes of a request are in it. */
+    /** Pooled buffers; a connection uses one only while it holds bytes of a request. */
     private static final int POOLED_BUFFERS = 64;
 
-    /** A look at the connections that is later than this is late. */
+    /** Delay after which a check of the connections counts as late. */
     private static final Duration MAX_CHECK_DELAY = Duration.ofMillis(50);
 
-    /** How long a query's thread is kept for the next. */
+    /** Time after which an unused query thread ends. */
     private static final Duration THREAD_KEEP_ALIVE = Duration.ofSeconds(30);
 
     /** Accepts queries. */
     public interface QueryHandler {
         /**
-         * Accepts a query whose head was read so long ago. Called on the I/O thread.
+         * Accepts a query. Called on the I/O thread.
          *
-         * @return null if a query of its id is open
-         * @throws UnroutableQueryException if it names slices that can't be turned into those in
-         *     force
+         * @param age time since the head of the request was read
+         * @return null if a query with the same id is open
+         * @throws UnroutableQueryException if the requested slices can't be translated to the
+         *     current layout
          */
         PendingQuery submit(ClientRequest request, Duration age) throws UnroutableQueryException;
 
-        /** Whether queries can be served: the answer to health checks. */
+        /** Returns whether queries can be served; reported to health checks. */
         boolean isReady();
     }
 
-    /** Handles requests that are no queries, on a query thread. */
+    /** Handles requests other than queries. Runs on a query thread. */
     public interface RequestHandler {
         /**
-         * The response's JSON.
+         * Handles a request and returns the JSON body of the response.
          *
-         * @throws IOException if the body can't be used; the message is sent with status 400
-         * @throws OperatorErrorException for the same, with an error of the subsystem's own
+         * @throws IOException if the body is invalid; the message is sent with status 400
+         * @throws OperatorErrorException if the subsystem rejects the request; the message is sent
+         *     with status 400
          */
         byte[] handle(byte[] body) throws IOException, OperatorErrorException;
     }
@@ -84,24 +85,24 @@
     private final ClientListener listener;
     private final RequestDispatcher dispatcher;
 
-    /** On the I/O thread alone. */
+    /** Used only on the I/O thread. */
     private final BacklogDrain backlogDrain =
             new BacklogDrain(ClientConnections.REAP_INTERVAL.plus(MAX_CHECK_DELAY));
 
-    /** On the I/O thread alone: no connection is left that is between requests. */
+    /** Whether no connection is left between requests. Used only on the I/O thread. */
     private boolean idleConnectionsClosed;
 
     /**
-     * A server that does not listen yet.
+     * Creates a server that does not listen yet.
      *
-     * @param worker has the one I/O thread that all connections are on
+     * @param worker provides the single I/O thread of all connections
      * @param listenAddress null for a server that is only warmed up and never started
      * @param queries serves the queries
-     * @param defaultTimeouts by query class, for requests that state none; the value is null where
-     *     the settings state none either
-     * @param tenants that requests may name; empty if there are none to tell apart
-     * @param shardCount shards that requests may name, from 0
-     * @param maxConnections open at once; further clients wait in the machine's backlog
+     * @param defaultTimeouts timeouts by query class for requests that state none; a value is null
+     *     if the settings state none either
+     * @param tenants tenants that requests may name; empty if tenants are not distinguished
+     * @param shardCount number of shards; requests name them from 0
+     * @param maxConnections limit of open connections; further clients wait in the kernel's backlog
      */
     public QueryServer(
             XnioWorker worker,
@@ -126,8 +127,8 @@
     }
 
     /**
-     * One thread for each connection, and as many again that are just ending: no query ever waits
-     * for a thread.
+     * Creates the pool with one thread per connection and the same number for threads that are just
+     * ending, so that no query waits for a thread.
      */
     private static ExecutorService newQueryThreads(int maxConnections) {
         return new ThreadPoolExecutor(
@@ -150,12 +151,12 @@
                         .getMap());
     }
 
-    /** Lets clients ask for pages of at most so many rows; to be called before it starts. */
+    /** Enables ordered pages of at most this number of rows. Call before the server starts. */
     public void enablePages(int maxRows) {
         codec.enablePages(maxRows);
     }
 
-    /** Has requests to this path answered by the handler; to be called before it starts. */
+    /** Adds a handler for requests to a path. Call before the server starts. */
     public void addHandler(String path, RequestHandler handler) {
         dispatcher.addHandler(path, handler);
     }
@@ -163,24 +164,25 @@
     /**
      * Starts to listen.
      *
-     * @throws IOException if it can't; the message says why
+     * @throws IOException if the address can't be bound
      */
     public void start() throws IOException {
         listener.open();
         connections.startReaping();
     }
 
-    /** HOST:PORT that it listens on. */
+    /** Returns the bound address as HOST:PORT. */
     public String address() {
         return listener.address();
     }
 
     /**
-     * Sends requests through a pipe within the process, one after the other, so that the code that
-     * serves clients is compiled before the first of them comes. Returns early when the time is
-     * over.
+     * Sends requests through a pipe within the process, one after the other, so that the JIT
+     * compiler has compiled the serving code before the first client connects.
      *
-     * @param request makes the bytes of a request with the id given
+     * @param request creates the bytes of a request with a given id
+     * @param count number of requests
+     * @param maxTime time after which no further request is sent
      */
     public void warmUp(Function<String, byte[]> request, int count, Duration maxTime)
             throws IOException {
@@ -204,27 +206,29 @@
 
     // ---- shutdown
 
-    /** From now on health checks fail, and no query is to be open for longer than this from now. */
+    /**
+     * Makes health checks fail and limits the timeouts of further queries to this time from now.
+     */
     public void beginDraining(Duration timeout) {
         lifecycle.beginDraining(timeout);
     }
 
-    /** Whether no client is connected; to be called on the I/O thread. */
+    /** Returns whether no client is connected. Call on the I/O thread. */
     public boolean hasNoConnections() {
         return connections.isEmpty();
     }
 
     /**
-     * Whether it is closed and all requests are answered to their last byte; to be called on the
-     * I/O thread.
+     * Returns whether the server is closed and the last byte of each response was written. Call on
+     * the I/O thread.
      */
     public boolean isDrained() {
         return idleConnectionsClosed && !connections.hasRequestInProgress();
     }
 
     /**
-     * Stops listening once no connection waits to be accepted, and closes those between requests;
-     * the others after their response.
+     * Stops listening once no connection waits to be accepted. Closes connections between requests
+     * at once and the others after their response.
      */
     public void close() {
         lifecycle.beginClosing();
@@ -232,7 +236,7 @@
     }
 
     /**
-     * Looks every {@link ClientConnections#REAP_INTERVAL}, until the listening socket and the
+     * Checks every {@link ClientConnections#REAP_INTERVAL} until the listening socket and the
      * connections between requests are closed.
      */
     private void closeIdleConnections() {
@@ -242,8 +246,8 @@
         boolean noneIdle = connections.closeAllIdle();
         idleConnectionsClosed = noneIdle && !listener.isOpen();
         if (!idleConnectionsClosed) {
-            // In two steps: where the thread is so late that the first is due at once, it has read
-            // by the second.
+            // Waits in two steps. If the thread is so late that the first step is due at once, it
+            // reads the sockets that are ready before the second step.
             long half = ClientConnections.REAP_INTERVAL.toMillis() / 2;
             ioThread.executeAfter(
                     () ->
@@ -256,12 +260,13 @@
 
     private void closeListenerIfBacklogEmpty() {
         listener.acceptWaiting();
-        if (backlogDrain.isEmpty(System.nanoTime(), listener.acceptedCount(), connections.isFull())) {
+        if (backlogDrain.isEmpty(
+                System.nanoTime(), listener.acceptedCount(), connections.isFull())) {
             listener.close();
         }
     }
 
-    /** Ends the query threads; to be called once all is answered. */
+    /** Shuts down the query threads. Call once the server is drained. */
     public void stop() {
         queryThreads.shutdown();
     }
--- a/src/main/java/postbeam/clients/RequestDispatcher.java
+++ b/src/main/java/postbeam/clients/RequestDispatcher.java
@@ -10,22 +10,23 @@
 import postbeam.errors.OperatorErrorException;
 
 /**
- * Looks at each request's path and method on the I/O thread: health checks are answered there,
- * handlers run on a query thread, and queries become {@link QueryExchange}s.
+ * Dispatches each request by its path and method. Runs on the I/O thread, which also responds to
+ * health checks. Handlers run on a query thread, and each query is passed to a {@link
+ * QueryExchange}.
  */
 final class RequestDispatcher implements HttpHandler {
     private static final String HEALTH_PATH = "/healthz";
 
     private final ServerContext context;
 
-    /** Empty unless our own settings switch a subsystem on. */
+    /** Handlers of the subsystems that the settings enable. */
     private Map<String, QueryServer.RequestHandler> handlersByPath = Map.of();
 
     RequestDispatcher(ServerContext context) {
         this.context = context;
     }
 
-    /** To be called before the server starts. */
+    /** Adds a handler for requests to a path. Call before the server starts. */
     void addHandler(String path, QueryServer.RequestHandler handler) {
         Map<String, QueryServer.RequestHandler> handlers = new LinkedHashMap<>(handlersByPath);
         handlers.put(path, handler);
@@ -59,8 +60,8 @@
     private void respondToHealthCheck(HttpServerExchange exchange) {
         boolean ready = context.queries().isReady() && !context.lifecycle().isDraining();
         if (!ready) {
-            // It is checked again and again, each time on a new connection: none is kept beside the
-            // clients'.
+            // Health checks are repeated until the router is ready. Their connections are closed so
+            // that they do not use up the connection limit for clients.
             exchange.setPersistent(false);
         }
         ResponseWriter.sendText(exchange, ready ? 200 : 503, ready ? "ready" : "not ready");
@@ -72,7 +73,7 @@
         exchange.dispatch(context.queryThreads(), () -> respondFrom(exchange, handler, body));
     }
 
-    /** On a query thread: the response is sent on the I/O thread. */
+    /** Runs the handler on a query thread and sends the response on the I/O thread. */
     private static void respondFrom(
             HttpServerExchange exchange, QueryServer.RequestHandler handler, byte[] body) {
         Runnable response;
@@ -101,13 +102,13 @@
         }
     }
 
-    /** The first part of the path. */
+    /** Returns the first segment of the path, which names the query class. */
     private static String queryClass(String path) {
         int end = path.indexOf('/', 1);
         return path.isEmpty() ? "" : path.substring(1, end < 0 ? path.length() : end);
     }
 
-    /** Error texts are sent as one line, whatever the message holds. */
+    /** Returns the first line of a message, as error responses are a single line. */
     static String firstLine(String message) {
         return message.lines().findFirst().orElse("");
     }
--- a/src/main/java/postbeam/clients/RequestReader.java
+++ b/src/main/java/postbeam/clients/RequestReader.java
@@ -7,9 +7,9 @@
 import java.util.function.Consumer;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Reads one request's body on the I/O thread, as it comes, up to the protocol's limit. */
+/** Reads one request's body without blocking, on the I/O thread, up to the protocol's limit. */
 final class RequestReader {
-    /** Bytes: the protocol's limit for a body. */
+    /** The protocol's limit for a request body. */
     private static final long MAX_BODY_BYTES = 64 << 10;
 
     static final String BODY_TOO_LARGE = "the body is over 64 KiB";
@@ -23,23 +23,27 @@
         this.onComplete = onComplete;
     }
 
-    /** Whether the stated length, if any, is within the limit. */
+    /** Returns whether the Content-Length is within the limit; true if none is stated. */
     static boolean lengthFits(HttpServerExchange exchange) {
         try {
             return exchange.getRequestContentLength() <= MAX_BODY_BYTES;
         } catch (NumberFormatException e) {
-            // Only digits get so far: more of them than any number here has.
+            // Undertow accepts only digits, so the number is too large for a long.
             return false;
         }
     }
 
-    /** Hands the body over once its last byte is in; a body that can't be read is answered here. */
+    /**
+     * Reads the body and passes it to the consumer once it is complete. If it is too large or can't
+     * be read, sends an error response instead.
+     */
     static void readBody(HttpServerExchange exchange, Consumer<byte[]> onComplete) {
         new RequestReader(exchange, onComplete).read(exchange.getRequestChannel());
     }
 
     /**
-     * Counts by itself: the HTTP library's own limit would print a trace for each body beyond it.
+     * Reads what is available. The size is checked here because the HTTP library logs a stack trace
+     * for each body over its own limit.
      */
     private void read(StreamSourceChannel channel) {
         ByteBuffer buffer = ByteBuffer.allocate(QueryServer.BUFFER_BYTES);
--- a/src/main/java/postbeam/clients/ResponseWriter.java
+++ b/src/main/java/postbeam/clients/ResponseWriter.java
@@ -6,16 +6,16 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 
-/** Writes responses, on the I/O thread alone. */
+/** Writes responses. Used only on the I/O thread. */
 final class ResponseWriter {
     private static final double MILLIS_PER_SECOND = 1000.0;
 
     private ResponseWriter() {}
 
-    /** One line of text. */
+    /** Sends a plain-text response of one line. */
     static void sendText(HttpServerExchange exchange, int status, String line) {
         if (!exchange.isRequestComplete() && !isRemainderWithinLimit(exchange)) {
-            // The library would read the rest of the request first, however much it is.
+            // The HTTP library would first read the rest of the request, without a limit.
             ClientConnection.of(exchange).rejectAndClose(status, line);
             return;
         }
@@ -24,18 +24,18 @@
         exchange.getResponseSender().send(line + "\n", StandardCharsets.UTF_8);
     }
 
-    /** Whether what is left of the request has a stated length within the limit. */
+    /** Returns whether the request states a length, and the length is within the limit. */
     private static boolean isRemainderWithinLimit(HttpServerExchange exchange) {
         return RequestReader.lengthFits(exchange) && exchange.getRequestContentLength() >= 0;
     }
 
-    /** A body of JSON, with status 200. */
+    /** Sends a JSON response with status 200. */
     static void sendJson(HttpServerExchange exchange, byte[] json) {
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
         exchange.getResponseSender().send(ByteBuffer.wrap(json));
     }
 
-    /** Adds Retry-After, in decimal seconds; to be called before the response is sent. */
+    /** Sets Retry-After in decimal seconds. Call before the response is sent. */
     static void setRetryAfter(HttpServerExchange exchange, Duration delay) {
         exchange.getResponseHeaders()
                 .put(Headers.RETRY_AFTER, String.valueOf(delay.toMillis() / MILLIS_PER_SECOND));
--- a/src/main/java/postbeam/clients/RouterExtension.java
+++ b/src/main/java/postbeam/clients/RouterExtension.java
@@ -1,13 +1,13 @@
 package postbeam.clients;
 
-/** A subsystem that the settings add to a router, which starts and stops it. */
+/** A subsystem that the settings enable and that the router starts and stops. */
 public interface RouterExtension {
-    /** Adds its handlers to the server; called before that listens. */
+    /** Adds request handlers to the server. Called before the server listens. */
     void registerHandlers(QueryServer server);
 
-    /** Starts once the router listens. */
+    /** Starts the subsystem. Called once the router listens. */
     void start();
 
-    /** Stops before the router closes its server. */
+    /** Stops the subsystem. Called before the router closes its server. */
     void stop();
 }
--- a/src/main/java/postbeam/clients/ServerContext.java
+++ b/src/main/java/postbeam/clients/ServerContext.java
@@ -4,14 +4,14 @@
 import org.xnio.XnioIoThread;
 
 /**
- * What the parts of one {@link QueryServer} share.
+ * Components that the classes of one {@link QueryServer} share.
  *
  * @param queries accepts the queries
- * @param codec reads requests and writes responses
- * @param lifecycle how far the shutdown has come
+ * @param codec decodes requests and encodes responses
+ * @param lifecycle state of the shutdown
  * @param connections the open connections
- * @param ioThread the one thread that reads and writes on connections
- * @param queryThreads run queries and handlers; never makes one wait
+ * @param ioThread the only thread that reads and writes connections
+ * @param queryThreads runs queries and handlers without queueing them
  */
 record ServerContext(
         QueryServer.QueryHandler queries,
--- a/src/main/java/postbeam/clients/ServerLifecycle.java
+++ b/src/main/java/postbeam/clients/ServerLifecycle.java
@@ -3,21 +3,23 @@
 import java.time.Duration;
 
 /**
- * How far the shutdown of a {@link QueryServer} has come: serving, draining, closing. Set by the
- * thread that shuts down, read on the I/O thread; each step is taken once and never undone.
+ * State of a {@link QueryServer}: serving, draining or closing. The thread that shuts down sets it,
+ * and the I/O thread reads it. Each transition happens once and is never undone.
  */
 final class ServerLifecycle {
     private volatile boolean draining;
     private volatile long drainDeadlineNanos;
     private volatile boolean closing;
 
-    /** Health checks fail from now on, and no query may be open for longer than the time given. */
+    /**
+     * Makes health checks fail and limits the timeouts of further queries to this time from now.
+     */
     void beginDraining(Duration timeout) {
         drainDeadlineNanos = System.nanoTime() + timeout.toNanos();
         draining = true;
     }
 
-    /** No new connection is taken, and each connection ends with its current answer. */
+    /** Starts to close: no connection is accepted, and each closes after its current response. */
     void beginClosing() {
         closing = true;
     }
@@ -30,7 +32,7 @@
         return closing;
     }
 
-    /** What is left until the drain deadline, counted from the moment given; never negative. */
+    /** Returns the time from {@code nowNanos} to the drain deadline; never negative. */
     Duration drainTimeLeft(long nowNanos) {
         return Duration.ofNanos(Math.max(0, drainDeadlineNanos - nowNanos));
     }
--- a/src/main/java/postbeam/clients/package-info.java
+++ b/src/main/java/postbeam/clients/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The HTTP side towards clients: {@link postbeam.clients.QueryServer} accepts connections, reads
- * queries, has each served on a thread of its own and writes the response. It knows no data node
- * and decides nothing about a query; that is its {@link
- * postbeam.clients.QueryServer.QueryHandler}'s.
+ * The HTTP server for clients. {@link postbeam.clients.QueryServer} accepts connections, reads
+ * queries, serves each on a thread of its own and writes the response. Its {@link
+ * postbeam.clients.QueryServer.QueryHandler} makes all decisions about a query and sends the
+ * attempts to data nodes.
  *
- * <p>Connections and everything in them belong to the worker's one I/O thread.
+ * <p>The worker's single I/O thread owns the connections and their state.
  */
 package postbeam.clients;
--- a/src/test/java/postbeam/clients/HttpSamplesTest.java
+++ b/src/test/java/postbeam/clients/HttpSamplesTest.java
@@ -41,13 +41,14 @@
 import postbeam.slices.UnroutableQueryException;
 
 /**
- * Requests of clients and what they are answered, as bytes that an earlier build read and wrote.
+ * Compares the decoding of recorded client requests and the responses to them with an earlier
+ * build.
  */
 @Timeout(30)
 class HttpSamplesTest {
     private static final byte[] VALUE = "5be2a07c19f04d63".getBytes(StandardCharsets.UTF_8);
 
-    /** How queries end, by id. */
+    /** Results of queries by request id. */
     private static final Map<String, QueryAction> RESULTS = new HashMap<>();
 
     static {
@@ -118,7 +119,7 @@
                         }));
     }
 
-    /** A query whose end is known from the start. */
+    /** A query whose result is known in advance. */
     private record CompletedQuery(QueryAction result) implements PendingQuery {
         @Override
         public QueryAction serve() {
@@ -197,7 +198,7 @@
         worker.shutdownNow();
     }
 
-    /** The answer's bytes, whose length is stated, or all until the connection ends. */
+    /** Sends a request and returns the bytes of the response, which must state its length. */
     private byte[] exchange(byte[] request) throws IOException {
         try (Socket client =
                 new Socket(
--- a/src/test/java/postbeam/clients/QueryServerTest.java
+++ b/src/test/java/postbeam/clients/QueryServerTest.java
@@ -82,7 +82,9 @@
                                 .getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Its lines; what follows the empty one is left but for its one line. */
+    /**
+     * Reads a response and returns the lines of its head, the empty line and one line of its body.
+     */
     private List<String> readResponse() throws IOException {
         List<String> lines = new ArrayList<>();
         String line;
@@ -96,7 +98,7 @@
         return lines;
     }
 
-    /** The router is late: the request has come, and is unread when the server closes. */
+    /** The I/O thread is blocked: a received request is still unread when the server is closed. */
     @Test
     void requestReceivedBeforeCloseIsAnsweredAndEndsTheConnection() throws Exception {
         sendRequest();
@@ -115,14 +117,16 @@
         sendRequest();
         release.countDown();
         List<String> response = readResponse();
-        assertTrue(!response.isEmpty() && response.get(0).equals("HTTP/1.1 200 OK"), response.toString());
+        assertTrue(
+                !response.isEmpty() && response.get(0).equals("HTTP/1.1 200 OK"),
+                response.toString());
         assertTrue(response.contains("Connection: close"), response.toString());
         assertEquals(-1, responses.read());
     }
 
     /**
-     * The router is late: connections that its machine has accepted wait for it when the server is
-     * told to close.
+     * The I/O thread is blocked: established connections wait in the backlog when the server is
+     * closed.
      */
     @Test
     void connectionsInTheBacklogAreServedAfterClose() throws Exception {
@@ -154,7 +158,8 @@
         for (Socket socket : clients) {
             responses =
                     new BufferedReader(
-                            new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+                            new InputStreamReader(
+                                    socket.getInputStream(), StandardCharsets.US_ASCII));
             List<String> response = readResponse();
             assertTrue(
                     !response.isEmpty() && response.get(0).equals("HTTP/1.1 200 OK"),
@@ -164,7 +169,10 @@
         }
     }
 
-    /** Guards against a reset of what the accepting thread takes over after the close. */
+    /**
+     * Connections that the accepting thread takes from the backlog after the close must not be
+     * reset.
+     */
     @Test
     void connectionsAcceptedLateFromTheBacklogAreServedAfterClose() throws Exception {
         client.close();
@@ -186,7 +194,8 @@
         for (Socket socket : clients) {
             responses =
                     new BufferedReader(
-                            new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
+                            new InputStreamReader(
+                                    socket.getInputStream(), StandardCharsets.US_ASCII));
             List<String> response = readResponse();
             assertTrue(
                     !response.isEmpty() && response.get(0).equals("HTTP/1.1 200 OK"),
@@ -197,7 +206,7 @@
         }
     }
 
-    /** The thread of the I/O library that takes connections from the backlog. */
+    /** Returns the thread of the I/O library that takes connections from the backlog. */
     private XnioIoThread acceptingThread() {
         return Thread.getAllStackTraces().keySet().stream()
                 .filter(thread -> thread instanceof XnioIoThread)
