--- a/src/main/java/postbeam/clients/ClientConnections.java
+++ b/src/main/java/postbeam/clients/ClientConnections.java
@@ -41,7 +41,7 @@
     private final ServerLifecycle lifecycle;
     private final int maxConnections;
 
-    /** Open connections; those in the longest time without a response come first. */
+    /** Open connections, the longest idle first. */
     private final Set<ClientConnection> open = new LinkedHashSet<>();
 
     ClientConnections(
--- a/src/main/java/postbeam/clients/ClientListener.java
+++ b/src/main/java/postbeam/clients/ClientListener.java
@@ -78,7 +78,8 @@
                 return true;
             }
         } catch (ClosedChannelException e) {
-            // A late notification: the listening socket was closed after it was sent.
+            // The notification of a connection that was accepted before the listening socket
+            // closed.
             return false;
         } catch (IOException e) {
             LOG.log(System.Logger.Level.WARNING, "can''t accept a client connection: {0}", e);
--- a/src/main/java/postbeam/clients/QueryExchange.java
+++ b/src/main/java/postbeam/clients/QueryExchange.java
@@ -130,8 +130,7 @@
             return;
         }
         // Reads the socket itself, as the HTTP library's channel ends with the request body and
-        // does
-        // not report a disconnect afterwards.
+        // does not report a disconnect afterwards.
         StreamSourceConduit socket = connection.getOriginalSourceConduit();
         client.setWatched(true);
         connection
--- a/src/main/java/postbeam/clients/RequestReader.java
+++ b/src/main/java/postbeam/clients/RequestReader.java
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Reads what is available. The size is checked here because the HTTP library logs a stack trace
-     * for each body over its own limit.
+     * Reads the available bytes and continues when more arrive. The size is checked here because
+     * the HTTP library logs a stack trace for each body over its own limit.
      */
     private void read(StreamSourceChannel channel) {
         ByteBuffer buffer = ByteBuffer.allocate(QueryServer.BUFFER_BYTES);
--- a/src/main/java/postbeam/clients/ServerLifecycle.java
+++ b/src/main/java/postbeam/clients/ServerLifecycle.java
@@ -19,7 +19,10 @@
         draining = true;
     }
 
-    /** Starts to close: no connection is accepted, and each closes after its current response. */
+    /**
+     * Starts closing. The server stops listening once its backlog is empty, and each connection
+     * closes after its current response.
+     */
     void beginClosing() {
         closing = true;
     }
--- a/src/main/java/postbeam/datanodes/FrameReader.java
+++ b/src/main/java/postbeam/datanodes/FrameReader.java
@@ -26,7 +26,7 @@
     private ByteBuffer buffer = newBuffer(BUFFER_BYTES);
     private long lastReadNanos = System.nanoTime();
 
-    /** Time when a frame was first found incomplete; 0 if no frame is incomplete. */
+    /** Receive time of the incomplete frame when first checked; 0 if no frame is incomplete. */
     private long partialSinceNanos;
 
     private static ByteBuffer newBuffer(int bytes) {
--- a/src/main/java/postbeam/datanodes/NodeConnection.java
+++ b/src/main/java/postbeam/datanodes/NodeConnection.java
@@ -143,8 +143,10 @@
     // ---- sending
 
     /**
-     * Returns whether the connection accepts this number of further attempts.
+     * Returns whether the connection accepts this number of further attempts: it is open, has room
+     * for them, is not idle for too long and its writes are not stalled.
      *
+     * @param attempts number of further attempts
      * @param maxAttempts limit of attempts in flight or queued; an unused connection accepts more
      */
     boolean hasCapacityFor(int attempts, int maxAttempts) {
--- a/src/main/java/postbeam/discovery/HttpGetClient.java
+++ b/src/main/java/postbeam/discovery/HttpGetClient.java
@@ -50,10 +50,13 @@
     }
 
     /**
-     * The body of a response with status 200.
+     * Sends a GET request and returns the body of the response.
      *
-     * @param maxBytes that the body may have
-     * @throws IOException if there is none within these limits; the message says why
+     * @param path path and query of the request
+     * @param maxBytes limit for the body
+     * @param timeouts timeouts of the request
+     * @throws IOException if no response with status 200 arrives within the limits; the message
+     *     states the reason
      */
     byte[] get(String path, int maxBytes, Timeouts timeouts) throws IOException {
         input.begin(timeouts.total(), maxBytes);
--- a/src/main/java/postbeam/discovery/HttpResponseReader.java
+++ b/src/main/java/postbeam/discovery/HttpResponseReader.java
@@ -125,7 +125,7 @@
         int next;
         while ((next = input.next()) != '\n') {
             if (next < 0) {
-                throw new EOFException("connection closed within the head or before a chunk");
+                throw new EOFException("connection closed within a header or chunk line");
             }
             if (line.length() == MAX_HEAD_BYTES) {
                 throw new IOException("response line is longer than " + MAX_HEAD_BYTES + " bytes");
--- a/src/test/java/postbeam/discovery/HttpGetClientTest.java
+++ b/src/test/java/postbeam/discovery/HttpGetClientTest.java
@@ -55,7 +55,7 @@
      * Completes a first request and returns it. The next request uses its connection, which has no
      * unread bytes.
      */
-    private FakeDiscoveryAgent.Request idleConnection() throws Exception {
+    private FakeDiscoveryAgent.Request completeFirstRequest() throws Exception {
         BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
         FakeDiscoveryAgent.startDaemonThread(
                 () ->
@@ -77,7 +77,7 @@
     @ValueSource(strings = {"firstByte", "remainder", "total"})
     void responseReceivedInTimeIsAcceptedWhenReadAfterItsDeadline(String limit) throws Exception {
         String body = "1234567".repeat(5_000);
-        idleConnection().respond(body);
+        completeFirstRequest().respond(body);
         assertEquals(
                 body,
                 new String(
@@ -91,7 +91,7 @@
     void responseEndedByConnectionCloseIsAcceptedWhenReadAfterItsDeadline(String limit)
             throws Exception {
         String body = "1234567".repeat(5_000);
-        FakeDiscoveryAgent.Request request = idleConnection();
+        FakeDiscoveryAgent.Request request = completeFirstRequest();
         request.send("HTTP/1.1 200 OK\r\n\r\n" + body);
         request.socket().shutdownOutput();
         assertEquals(
@@ -104,7 +104,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"firstByte", "total"})
     void missingResponseTimesOutAtOnceAfterItsDeadline(String limit) throws Exception {
-        idleConnection();
+        completeFirstRequest();
         IOException e =
                 assertThrows(
                         IOException.class,
@@ -121,7 +121,7 @@
                 "HTTP/1.1 200 OK\r\nContent-"
             })
     void partialResponseTimesOutAtOnceAfterItsDeadline(String part) throws Exception {
-        idleConnection().send(part);
+        completeFirstRequest().send(part);
         IOException e =
                 assertThrows(
                         IOException.class,
@@ -135,7 +135,7 @@
      */
     @Test
     void responseThatTricklesFasterThanItIsReadTimesOut() throws Exception {
-        idleConnection().trickle(0);
+        completeFirstRequest().trickle(0);
         long startNanos = System.nanoTime();
         IOException e =
                 assertThrows(
--- a/src/test/java/postbeam/discovery/LongPollWatcherTest.java
+++ b/src/test/java/postbeam/discovery/LongPollWatcherTest.java
@@ -489,8 +489,11 @@
         assertEquals("/v1/servers", requests.take());
         requests.take();
         // Waits until the received bytes are read and the thread stays in the next read.
-        for (int waits = 0; waits < 1000; waits++) {
-            waits = watcherThread.getStackTrace()[0].getMethodName().equals("poll") ? waits : 0;
+        for (int blockedSamples = 0; blockedSamples < 1000; blockedSamples++) {
+            blockedSamples =
+                    watcherThread.getStackTrace()[0].getMethodName().equals("poll")
+                            ? blockedSamples
+                            : 0;
         }
         Thread stopThread = startDaemonThread(watcher::stop);
         stopThread.join(TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
--- a/src/test/java/postbeam/discovery/UpdateDeadlineTest.java
+++ b/src/test/java/postbeam/discovery/UpdateDeadlineTest.java
@@ -151,7 +151,7 @@
     void updateIsInTimeAfterFailedFetchesAtTheServer(FailureMode mode) throws Exception {
         startWatching(discoveryServer());
         FakeDiscoveryAgent.Request failed = null;
-        for (int calls = 0; calls < 3; calls++) {
+        for (int requestCount = 0; requestCount < 3; requestCount++) {
             failed = agent.nextRequest();
             fail(failed, mode);
         }
@@ -189,7 +189,7 @@
     void updateIsInTimeAfterUnansweredFetchesAtTheAgent(int silent) throws Exception {
         startWatching(PollTimings.LOCAL_AGENT);
         FakeDiscoveryAgent.Request unanswered = null;
-        for (int calls = 0; calls < silent; calls++) {
+        for (int requestCount = 0; requestCount < silent; requestCount++) {
             unanswered = agent.nextRequest();
         }
         agent.nextRequest().respond("2");
