--- a/src/main/java/postbeam/clients/QueryExchange.java
+++ b/src/main/java/postbeam/clients/QueryExchange.java
@@ -78,7 +78,7 @@
             ResponseWriter.sendText(exchange, 400, "a query of this Req-Id is open");
             return;
         }
-        begin(query);
+        startServing(query);
     }
 
     /**
@@ -98,7 +98,7 @@
         ResponseWriter.sendText(exchange, status, e.getMessage());
     }
 
-    private void begin(PendingQuery query) {
+    private void startServing(PendingQuery query) {
         context.connections().trackRequest(exchange);
         query.setClientCheck(
                 () -> {
--- a/src/main/java/postbeam/discovery/HttpResponseReader.java
+++ b/src/main/java/postbeam/discovery/HttpResponseReader.java
@@ -96,8 +96,8 @@
             }
         }
         if (!readLine().isEmpty()) {
-            // Trailers are not parsed, so the end of the response is unknown: the connection is
-            // closed.
+            // Trailers are not parsed, so the connection is closed: the end of the response is
+            // unknown.
             keepAlive = false;
         }
     }
--- a/src/test/java/postbeam/datanodes/FrameSamplesTest.java
+++ b/src/test/java/postbeam/datanodes/FrameSamplesTest.java
@@ -83,7 +83,8 @@
         node.close();
     }
 
-    private void startRouter(SliceTranslator translator, PagingService paging) throws IOException {
+    private void startExecutor(SliceTranslator translator, PagingService paging)
+            throws IOException {
         executor =
                 new PolicyExecutor(
                         new InstanceSettings(
@@ -143,7 +144,7 @@
                 .getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private static byte[] array(ByteBuffer frame) {
+    private static byte[] toArray(ByteBuffer frame) {
         byte[] bytes = new byte[frame.remaining()];
         frame.duplicate().get(bytes);
         return bytes;
@@ -159,42 +160,42 @@
 
     @Test
     void callFrameEqualsSample() throws Exception {
-        startRouter(null, null);
+        startExecutor(null, null);
         SampleFile.assertSame(
                 TO_NODE + "call.bin",
                 withFixedDeadline(
-                        array(FrameCodec.encodeCall(send(accept(null, 3, 9)).attempts()))));
+                        toArray(FrameCodec.encodeCall(send(accept(null, 3, 9)).attempts()))));
     }
 
     @Test
     void callFrameOfSlicesEqualsSample() throws Exception {
-        startRouter(new SliceTranslator(), null);
+        startExecutor(new SliceTranslator(), null);
         SampleFile.assertSame(
                 TO_NODE + "call-slices.bin",
                 withFixedDeadline(
-                        array(FrameCodec.encodeCall(send(accept(null, 0, 1)).attempts()))));
+                        toArray(FrameCodec.encodeCall(send(accept(null, 0, 1)).attempts()))));
     }
 
     @Test
     void callFrameForPageEqualsSample() throws Exception {
-        startRouter(new SliceTranslator(), new PagingService("0a".repeat(32), null, 100));
+        startExecutor(new SliceTranslator(), new PagingService("0a".repeat(32), null, 100));
         PageRequest page =
                 new PageRequest(
                         new SortOrder(List.of(new SortKey("price", true, false))), 10, null);
         SampleFile.assertSame(
                 TO_NODE + "call-page.bin",
                 withFixedDeadline(
-                        array(FrameCodec.encodeCall(send(accept(page, 0, 1)).attempts()))));
+                        toArray(FrameCodec.encodeCall(send(accept(page, 0, 1)).attempts()))));
     }
 
     @Test
     void cancelAndProbeFramesEqualSamples() throws IOException {
         SampleFile.assertSame(
-                TO_NODE + "give-up.bin", array(FrameCodec.encode(FrameCodec.CANCEL, ID + ".3")));
+                TO_NODE + "give-up.bin", toArray(FrameCodec.encode(FrameCodec.CANCEL, ID + ".3")));
         SampleFile.assertSame(
-                TO_NODE + "probe.bin", array(FrameCodec.encode(FrameCodec.PROBE, "")));
+                TO_NODE + "probe.bin", toArray(FrameCodec.encode(FrameCodec.PROBE, "")));
         SampleFile.assertSame(
-                TO_NODE + "load-probe.bin", array(FrameCodec.encode(FrameCodec.LOAD_PROBE, "")));
+                TO_NODE + "load-probe.bin", toArray(FrameCodec.encode(FrameCodec.LOAD_PROBE, "")));
     }
 
     @ParameterizedTest
@@ -246,7 +247,7 @@
     /** Covers a call, a probe and their responses on one connection. */
     @Test
     void connectionWritesAndReadsSampleFrames() throws Exception {
-        startRouter(null, null);
+        startExecutor(null, null);
         DataNodeClient dataNodeClient =
                 new DataNodeClient(
                         worker.getIoThread(),
@@ -278,7 +279,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"unusable.bin", "probe-good.bin"})
     void unexpectedOrProtocolErrorFrameClosesConnection(String sample) throws Exception {
-        startRouter(null, null);
+        startExecutor(null, null);
         DataNodeClient dataNodeClient =
                 new DataNodeClient(
                         worker.getIoThread(),
