--- a/src/main/java/postbeam/config/SettingsValidator.java
+++ b/src/main/java/postbeam/config/SettingsValidator.java
@@ -143,7 +143,12 @@
             if (minimum != null && minimum > (complete == null ? 1 : complete) + ROUNDING) {
                 throw settings.invalid(
                         "domain.leastShare",
-                        "must not be above domain.classNeed, but is at entry " + i);
+                        "must not be above domain.classNeed, but is "
+                                + minimum
+                                + " at entry "
+                                + i
+                                + " (counted from 0), where domain.classNeed is "
+                                + complete);
             }
             settings.listEntry("domain.shortWorth", i);
             settings.listEntry("domain.followUp", i);
@@ -158,7 +163,8 @@
                     "must contain fractions above 0 and up to 1, not "
                             + fraction
                             + " at entry "
-                            + index);
+                            + index
+                            + " (counted from 0)");
         }
         return fraction;
     }
--- a/src/main/java/postbeam/coordination/CoordinationStripe.java
+++ b/src/main/java/postbeam/coordination/CoordinationStripe.java
@@ -101,11 +101,11 @@
         return new SlowStartQuota(parameters, participants, participating);
     }
 
-    // ---- sends
+    // ---- slow-start budget: acquire and release
 
     /**
-     * Acquires work for a send to the node, if that much is available. The work is in flight until
-     * {@link #release} is called.
+     * Reserves part of the work budget of a node that warms up for one request to it, if that much
+     * is left. The work counts as in flight until {@link #release} is called.
      */
     public boolean tryAcquire(
             Duration now, NodeIncarnation node, double amount, SlowStartBudget budget) {
@@ -128,7 +128,7 @@
         return now.compareTo(maySendFrom) >= 0;
     }
 
-    /** Releases acquired work that has been sent or will not be sent. */
+    /** Releases reserved work once its request has been sent or is given up. */
     public void release(NodeIncarnation node, double amount) {
         TrackedNode tracked = nodes.get(node);
         if (tracked != null) {
--- a/src/main/java/postbeam/coordination/LeaseParameters.java
+++ b/src/main/java/postbeam/coordination/LeaseParameters.java
@@ -137,7 +137,8 @@
                             .digest(text.getBytes(StandardCharsets.UTF_8));
             return ByteBuffer.wrap(digest).getLong();
         } catch (NoSuchAlgorithmException e) {
-            throw new AssertionError("every Java has SHA-256", e);
+            throw new AssertionError(
+                    "this Java platform lacks SHA-256, which every Java platform must provide", e);
         }
     }
 }
--- a/src/main/java/postbeam/coordination/QuotaCounters.java
+++ b/src/main/java/postbeam/coordination/QuotaCounters.java
@@ -11,10 +11,11 @@
  * count of each key in each time bucket. The counts of all routers are merged by taking each
  * router's newest entry.
  *
- * <p>The limit holds whichever messages are lost. Every router has an even share of the limit. It
- * may yield part of its share to the others, permanently; each of them may use an even part of the
- * yielded amount once it has received the entry. A router without a received entry is assumed to
- * use its full share (docs/together.md, Counts).
+ * <p>The limit holds whichever messages are lost. The limit is divided by the number of routers;
+ * each router has one such even share. A router may permanently yield part of its share, that is,
+ * give it up for the others: the yielded amount is divided evenly among them, and each may use its
+ * part once it has received the entry. A router without a received entry is assumed to use its full
+ * share (docs/together.md, Counts).
  *
  * <p>A bucket is a number that all routers assign to a span of time. If two routers assign
  * different numbers to the same time, the limit still holds for each number. Not thread-safe.
@@ -34,7 +35,9 @@
     private static final class LocalCounter {
         double count;
 
-        /** The part of the even share that this router has not yielded. */
+        /**
+         * The part of its even share that this router keeps: the share less what it has yielded.
+         */
         double cap;
 
         long version;
@@ -105,8 +108,8 @@
     }
 
     /**
-     * Permanently yields this router's share of a bucket beyond the cap, or beyond its count if
-     * that is higher.
+     * Permanently limits this router's share of a bucket to the cap, or to its count if that is
+     * higher, and yields the rest to the other routers.
      */
     public void capOwnShare(String key, long bucket, double cap, double limit) {
         CounterKey counterKey = new CounterKey(key, bucket);
@@ -138,7 +141,10 @@
         return local.computeIfAbsent(key, absent -> new LocalCounter(limit / maxRouters));
     }
 
-    /** The sum of this router's even parts of what each other router has yielded. */
+    /**
+     * The extra quota of this router: the amounts that the other routers have yielded, each divided
+     * evenly among the routers that did not yield it.
+     */
     private double quotaYieldedByOthers(CounterKey key, double limit) {
         Map<String, QuotaCounterEntry> entries = remoteEntries.getOrDefault(key, Map.of());
         double sum = 0;
@@ -152,7 +158,7 @@
     }
 
     /**
-     * The amount that a router has yielded of its even share.
+     * The part of its even share that a router has yielded to the others.
      *
      * @param entry null if none was received from the router, which then yields nothing
      */
--- a/src/main/java/postbeam/datanodes/FrameCodec.java
+++ b/src/main/java/postbeam/datanodes/FrameCodec.java
@@ -39,6 +39,9 @@
 
     private static final int TYPE_BYTES = 1;
 
+    /** Limit for text of a response that a message quotes. */
+    private static final int MAX_QUOTED_CHARS = 100;
+
     /** Fields in a response's first line: id, outcome, score, load report. */
     private static final int RESPONSE_FIELDS = 4;
 
@@ -113,7 +116,9 @@
             case "moved" -> AttemptOutcome.MOVED;
             default ->
                     throw new MalformedFrameException(
-                            "response outcome is not good, bad, later or moved");
+                            "response outcome is not good, bad, later or moved, but "
+                                    + text.substring(0, Math.min(text.length(), MAX_QUOTED_CHARS))
+                                            .replaceAll("\\p{Cc}", "?"));
         };
     }
 
--- a/src/main/java/postbeam/layoutservice/LayoutRequestHandler.java
+++ b/src/main/java/postbeam/layoutservice/LayoutRequestHandler.java
@@ -73,7 +73,7 @@
             case "POST /v1/plan" -> OperatorResponse.query(plan(Json.parseObject(request.body())));
             case "POST /v1/start" -> start(Json.parseObject(request.body()), now);
             case "POST /v1/abandon" -> abandon(request, now);
-            default -> throw new IllegalArgumentException("unknown method or path");
+            default -> throw new IllegalArgumentException(request.route() + " has no handler");
         };
     }
 
@@ -110,6 +110,8 @@
         if (changes.isEmpty()) {
             return "no change is needed now";
         }
+        // "first" marks a change that can start now, at the current layout; what else the target
+        // needs is planned after these changes.
         return String.join("\n", changes.stream().map(change -> "first: " + change).toList());
     }
 
--- a/src/main/java/postbeam/layoutservice/MoveJournal.java
+++ b/src/main/java/postbeam/layoutservice/MoveJournal.java
@@ -35,7 +35,10 @@
     private final FileChannel lockFile;
     private FileChannel channel;
 
-    /** The number of records since the last compaction, including the first snapshot. */
+    /**
+     * Number of records in the file, compared with {@link #COMPACT_AFTER_RECORDS}. Of the records
+     * that a compaction writes, only the snapshot is counted until the journal is opened again.
+     */
     private int recordCount;
 
     private long tornBytes;
--- a/src/main/java/postbeam/migration/Digests.java
+++ b/src/main/java/postbeam/migration/Digests.java
@@ -16,7 +16,7 @@
             return HexFormat.of().formatHex(digest.digest(text.getBytes(StandardCharsets.UTF_8)));
         } catch (NoSuchAlgorithmException e) {
             throw new AssertionError(
-                    "SHA-256 is missing, which every Java platform must provide", e);
+                    "this Java platform lacks SHA-256, which every Java platform must provide", e);
         }
     }
 }
--- a/src/main/java/postbeam/migration/MigrationError.java
+++ b/src/main/java/postbeam/migration/MigrationError.java
@@ -160,9 +160,9 @@
     record LeadershipLost(long term, String evidence) implements MigrationError {
         @Override
         public String problem() {
-            return "another service has taken over from term "
+            return "another service has taken over the journal from term "
                     + term
-                    + ", as "
+                    + " of this service, as "
                     + evidence
                     + " shows";
         }
--- a/src/main/java/postbeam/migration/TransferProgress.java
+++ b/src/main/java/postbeam/migration/TransferProgress.java
@@ -68,7 +68,10 @@
         return migration.transfers.stream().anyMatch(transfer -> activeMove(transfer).isPresent());
     }
 
-    /** Whether a transfer that is not cut over has no active move, or an abandoned one. */
+    /**
+     * Whether any transfer of the migration that is not cut over has no active move, or only one
+     * that is being abandoned.
+     */
     boolean hasLostMove(Migration migration) {
         return migration.transfers.stream().anyMatch(this::hasLostMove);
     }
--- a/src/main/java/postbeam/model/QueryClass.java
+++ b/src/main/java/postbeam/model/QueryClass.java
@@ -31,8 +31,8 @@
     public final double minimumWeight;
 
     /**
-     * Share of the utility that a partial answer earns; it is multiplied by the ratio of the
-     * answered to the required weight.
+     * Utility of a partial answer as a fraction of the utility of a complete answer; it is
+     * multiplied by the ratio of the answered to the required weight.
      */
     public final double partialUtility;
 
@@ -110,8 +110,8 @@
         }
 
         /**
-         * Sets the utility of a complete answer on time, and the share of it that a late answer
-         * earns.
+         * Sets the utility of a complete answer on time, and the utility of a late answer as a
+         * fraction of it.
          */
         public Builder utility(double onTime, double lateShare) {
             utility = onTime;
@@ -126,7 +126,9 @@
             return this;
         }
 
-        /** Sets the share of the utility that a partial answer earns. */
+        /**
+         * Sets the utility of a partial answer as a fraction of the utility of a complete answer.
+         */
         public Builder partialUtility(double share) {
             partialUtility = share;
             return this;
--- a/src/main/java/postbeam/pages/CursorSigner.java
+++ b/src/main/java/postbeam/pages/CursorSigner.java
@@ -55,7 +55,8 @@
         try {
             return ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(key)).getInt();
         } catch (GeneralSecurityException e) {
-            throw new LinkageError("every Java platform has SHA-256", e);
+            throw new LinkageError(
+                    "this Java platform lacks SHA-256, which every Java platform must provide", e);
         }
     }
 
@@ -90,7 +91,9 @@
             mac.update(bytes, 0, length);
             return Arrays.copyOf(mac.doFinal(), SIGNATURE_BYTES);
         } catch (GeneralSecurityException e) {
-            throw new LinkageError("every Java platform has " + HMAC, e);
+            throw new LinkageError(
+                    "this Java platform lacks " + HMAC + ", which every Java platform must provide",
+                    e);
         }
     }
 }
--- a/src/main/java/postbeam/pages/QueryDigest.java
+++ b/src/main/java/postbeam/pages/QueryDigest.java
@@ -38,7 +38,8 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new LinkageError("every Java platform has SHA-256", e);
+            throw new LinkageError(
+                    "this Java platform lacks SHA-256, which every Java platform must provide", e);
         }
     }
 }
--- a/src/main/java/postbeam/pages/RowDistribution.java
+++ b/src/main/java/postbeam/pages/RowDistribution.java
@@ -20,7 +20,8 @@
     private static final long BUCKET_WIDTH = KeyRange.KEY_SPACE_SIZE / BUCKET_COUNT;
 
     /**
-     * Number of counted rows that the weights sent by the client are worth as prior information.
+     * Weight of the client's estimates (the weights of its ranges) relative to counted rows: they
+     * count as much as this many rows.
      */
     private static final double CLIENT_WEIGHT_ROWS = 200;
 
--- a/src/main/java/postbeam/peers/FleetConfig.java
+++ b/src/main/java/postbeam/peers/FleetConfig.java
@@ -43,7 +43,8 @@
                             .digest(digestedText().getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(digest, 0, DIGEST_BYTES);
         } catch (NoSuchAlgorithmException e) {
-            throw new AssertionError("every Java has SHA-256", e);
+            throw new AssertionError(
+                    "this Java platform lacks SHA-256, which every Java platform must provide", e);
         }
     }
 
--- a/src/main/java/postbeam/peers/PeerCoordinator.java
+++ b/src/main/java/postbeam/peers/PeerCoordinator.java
@@ -96,14 +96,14 @@
     // ---- work for nodes that warm up
 
     /**
-     * Acquires work for a send to a node that warms up, if that much is available. The caller must
-     * {@link #release} it once it is sent.
+     * Reserves part of the work budget of a node that warms up for one request to it, if that much
+     * is left. The caller must {@link #release} it once the request has been sent or is given up.
      */
     boolean tryAcquire(NodeIncarnation node, double work) {
         return stripes.tryAcquire(node, work, now -> budget(now, node));
     }
 
-    /** Releases acquired work that has been sent or will not be sent. */
+    /** Releases reserved work once its request has been sent or is given up. */
     void release(NodeIncarnation node, double work) {
         stripes.release(node, work);
     }
@@ -126,9 +126,9 @@
     // ---- handlers for clients that are not peers
 
     /**
-     * Handles a request of a program that sends to nodes itself and uses this router's quota:
-     * whether it may send that much work now. The work is released at once, as the program does not
-     * report its sends.
+     * Answers a program that sends to nodes itself and uses this router's quota: whether it may
+     * send that much work now. The work is released at once, as the program does not report what it
+     * sends.
      */
     private byte[] handleAcquire(byte[] body) throws IOException {
         Map<String, Object> request = Json.parseObject(body);
--- a/src/main/java/postbeam/policy/AdmissionControl.java
+++ b/src/main/java/postbeam/policy/AdmissionControl.java
@@ -88,10 +88,10 @@
 
     /**
      * Counts a query of the tenant and returns whether it exceeds the tenant's quota. The query
-     * exceeds it if the tenant is over its even share of the quota at this router and also further
-     * ahead of its quota than this router's tenants are on average. Without the second condition, a
-     * router that has more clients than other routers would see every tenant over quota. Returns
-     * false for a null tenant or one without a quota.
+     * exceeds it if the tenant is over its even share of the quota at this router, and its ratio of
+     * queries to quota is at least that of all tenants of this router together. Without the second
+     * condition, a router that has more clients than other routers would see every tenant over
+     * quota. Returns false for a null tenant or one without a quota.
      */
     boolean recordAndCheckQuota(Duration now, Tenant tenant) {
         if (tenant == null
--- a/src/main/java/postbeam/policy/SlowStart.java
+++ b/src/main/java/postbeam/policy/SlowStart.java
@@ -8,9 +8,11 @@
 
 /**
  * Limits the work sent to a data node that is warming up. The budget for a window is divided evenly
- * among all routers. If a router's share is less than one request, the router rounds it at random
- * by the sampling threshold of the node. The sum over all routers then stays within the budget on
- * average, with the square root of the budget, in requests, as its standard deviation.
+ * among all routers. With many routers, a share can be less than one request; each router then
+ * rounds its share to whole requests at random. Once for each node, it draws a random number from 0
+ * to 1, the sampling threshold, and sends the last request only if its share covers at least that
+ * fraction of it. The sum over all routers then stays within the budget on average. Its standard
+ * deviation is at most the square root of the budget, both counted in requests.
  */
 public final class SlowStart {
     /** Capacity of a warm node, in seconds of work per second; a node has at least two cores. */
--- a/src/main/java/postbeam/router/PagingService.java
+++ b/src/main/java/postbeam/router/PagingService.java
@@ -232,9 +232,12 @@
                         .toList());
     }
 
-    /** Runs a follow-up query. */
+    /** Runs further queries that fetch rows still missing from a page after the first answers. */
     interface FollowUpFetcher {
-        /** Runs the query to its end; returns empty if a follow-up is not allowed. */
+        /**
+         * Runs a follow-up query for these rows to its end; returns empty if a follow-up is not
+         * allowed.
+         */
         Optional<PagedQuery> fetch(List<RowFetch> fetches) throws InterruptedException;
     }
 
--- a/src/main/java/postbeam/router/Router.java
+++ b/src/main/java/postbeam/router/Router.java
@@ -330,8 +330,9 @@
     }
 
     /**
-     * Whether a changed path needs no warning: it takes effect at once, is only used at the start,
-     * or is compared with the settings.
+     * Whether a changed configuration path is left out of the restart warning: it takes effect at
+     * once, is only used at startup, or belongs to the settings, whose changes the caller adds
+     * separately.
      */
     private static boolean isExcludedFromRestartWarning(String path) {
         return path.equals("discovery")
--- a/src/main/java/postbeam/slices/MoveStateMachine.java
+++ b/src/main/java/postbeam/slices/MoveStateMachine.java
@@ -72,7 +72,12 @@
     private void copy(ActionList actions, Move move) {
         Optional<String> gone = goneNode(move);
         if (isLate(actions, move)) {
-            abandon(actions, move, "the copy is stuck");
+            abandon(
+                    actions,
+                    move,
+                    "the copy is stuck: not complete within "
+                            + limits.copyTimeout().toMillis()
+                            + " ms");
         } else if (gone.isPresent()) {
             abandon(actions, move, goneReason(gone.get()));
         } else if (approval.permits(move, MoveState.REPLICATING)
@@ -125,7 +130,9 @@
             abandon(
                     actions,
                     move,
-                    "not all nodes acknowledged FENCE and SERVE within "
+                    (fenced
+                                    ? "not all destinations acknowledged SERVE within "
+                                    : "not all old holders acknowledged FENCE within ")
                             + limits.stepTimeout().toMillis()
                             + " ms");
         } else if (gone.isPresent()) {
--- a/src/test/java/postbeam/config/SettingsValidatorTest.java
+++ b/src/test/java/postbeam/config/SettingsValidatorTest.java
@@ -322,7 +322,7 @@
                                 path
                                         + " must contain fractions above 0 and up to 1, not "
                                         + bad
-                                        + " at entry 1",
+                                        + " at entry 1 (counted from 0)",
                                 path,
                                 List.of(0.75, bad)));
             }
@@ -343,8 +343,9 @@
         }
         cases.add(
                 rejectedCase(
-                        "settings.domain.leastShare must not be above domain.classNeed, but is at"
-                                + " entry 0",
+                        "settings.domain.leastShare must not be above domain.classNeed, but is 0.8"
+                                + " at entry 0 (counted from 0), where domain.classNeed is"
+                                + " 0.75",
                         "settings.domain.leastShare",
                         List.of(0.8, 1)));
         assertRejected(cases.toArray(Object[][]::new));
--- a/src/test/java/postbeam/layoutservice/StoredMoveRecordsTest.java
+++ b/src/test/java/postbeam/layoutservice/StoredMoveRecordsTest.java
@@ -233,8 +233,8 @@
     }
 
     /**
-     * Writes a journal of all records; its term starts between the move records and the migration
-     * records.
+     * Writes a journal of the sample records: the move records, then the start of a term, then the
+     * migration records.
      */
     private Path written() throws IOException {
         Path file = dir.resolve("written.bin");
--- a/src/test/java/postbeam/slices/MoveFailureTest.java
+++ b/src/test/java/postbeam/slices/MoveFailureTest.java
@@ -19,7 +19,9 @@
         assertEquals(MoveState.COPYING, coordinator.state().move(id).state());
         runFor(Duration.ofSeconds(10));
         assertEquals(MoveState.ABANDONED, finishedMove(id).state());
-        assertEquals("the copy is stuck", finishedMove(id).abandonReason());
+        assertEquals(
+                "the copy is stuck: not complete within 10000 ms",
+                finishedMove(id).abandonReason());
         assertEquals(2, layout().version);
         assertEquals(List.of("a", "b"), layout().slice(0).nodes());
     }
