--- a/src/test/java/postbeam/clients/BacklogDrainTest.java
+++ b/src/test/java/postbeam/clients/BacklogDrainTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void backlogCountsAsEmptyAfterFiveChecksWithNewConnections() {
+    void backlogCountsAsEmptyAtFifthCheckAlthoughConnectionsKeepArriving() {
         for (int check = 0; check < 4; check++) {
             assertFalse(isEmpty(100L * check, check, false));
         }
--- a/src/test/java/postbeam/layoutservice/StoredMoveRecordsTest.java
+++ b/src/test/java/postbeam/layoutservice/StoredMoveRecordsTest.java
@@ -287,7 +287,7 @@
     }
 
     @Test
-    void recordsOfEveryKindMatchTheSample() {
+    void writingRecordsOfEveryKindProducesRecordedLines() {
         List<String> written = new ArrayList<>();
         List<JournalRecord> records = new ArrayList<>(List.of(snapshot()));
         records.addAll(moveRecords());
@@ -306,12 +306,12 @@
     }
 
     @Test
-    void journalIsWrittenWithTheSameBytes() throws IOException {
+    void writingJournalProducesRecordedBytes() throws IOException {
         Samples.assertSameBytes("move-journal.bin", Files.readAllBytes(written()));
     }
 
     @Test
-    void storedJournalIsReadToTheSameState() throws IOException {
+    void readingStoredJournalRestoresRecordedState() throws IOException {
         MoveJournalState journalState = emptyState();
         try (MoveJournal journal =
                 MoveJournal.open(sample("move-journal.bin"), journalState, null)) {
@@ -321,7 +321,7 @@
     }
 
     @Test
-    void storedJournalIsCompactedToTheSameBytes() throws IOException {
+    void compactingStoredJournalWritesRecordedBytes() throws IOException {
         Path file = sample("move-journal.bin");
         MoveJournalState journalState = emptyState();
         try (MoveJournal journal = MoveJournal.open(file, journalState, null)) {
@@ -335,7 +335,7 @@
     }
 
     @Test
-    void storedCompactedJournalIsReadToTheSameState() throws IOException {
+    void readingStoredCompactedJournalRestoresRecordedStateInNextTerm() throws IOException {
         MoveJournalState journalState = emptyState();
         MoveJournal.open(sample("move-journal-compacted.bin"), journalState, null).close();
         List<String> state =
--- a/src/test/java/postbeam/migration/MigrationRunSamplesTest.java
+++ b/src/test/java/postbeam/migration/MigrationRunSamplesTest.java
@@ -23,7 +23,7 @@
     private final MigrationScenario scenario =
             new MigrationScenario(MigrationScenario.limits(2, 2), RANGE_BYTES);
 
-    private void assertTraceMatchesSample(String sample) throws IOException {
+    private void assertTraceEqualsRecordedTrace(String sample) throws IOException {
         scenario.manager
                 .journalState()
                 .migrations()
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void runThroughAllStatesMatchesSample() throws Exception {
+    void traceOfRunThroughAllStatesEqualsRecordedTrace() throws Exception {
         scenario.createMigration("acme", SLICE_0_A_TO_E, SLICE_1_B_TO_E);
         scenario.createMigration("other", new SliceTransfer(2, "c", "b"));
         scenario.runFor(Duration.ofSeconds(10));
@@ -52,11 +52,11 @@
         scenario.runFor(Duration.ofSeconds(3));
         assertEquals(MigrationState.RETIRED, scenario.migration(1).state());
         assertEquals(MigrationState.RETIRED, scenario.migration(2).state());
-        assertTraceMatchesSample("run-through-all-states.txt");
+        assertTraceEqualsRecordedTrace("run-through-all-states.txt");
     }
 
     @Test
-    void rollbackAcrossRestartsMatchesSample() throws Exception {
+    void traceOfRollbackAcrossRestartsEqualsRecordedTrace() throws Exception {
         scenario.createMigration("acme", SLICE_0_A_TO_E, SLICE_1_B_TO_E);
         scenario.runFor(Duration.ofSeconds(8));
         scenario.passCheckpoint(1);
@@ -68,11 +68,11 @@
         scenario.restart();
         scenario.runFor(Duration.ofSeconds(12));
         assertEquals(MigrationState.ROLLED_BACK, scenario.migration(1).state());
-        assertTraceMatchesSample("run-rolled-back-across-restarts.txt");
+        assertTraceEqualsRecordedTrace("run-rolled-back-across-restarts.txt");
     }
 
     @Test
-    void digestMismatchAndSecondCopyMatchSample() throws Exception {
+    void traceOfMigrationResumedAfterDigestMismatchEqualsRecordedTrace() throws Exception {
         scenario.differingNodes.add("e");
         scenario.createMigration("acme", SLICE_0_A_TO_E);
         scenario.runFor(Duration.ofSeconds(20));
@@ -83,11 +83,11 @@
         assertEquals(MigrationState.SWITCH_CHECKPOINT, scenario.migration(1).state());
         scenario.rollBack(1, "by an operator");
         scenario.runFor(Duration.ofSeconds(3));
-        assertTraceMatchesSample("run-with-digest-mismatch.txt");
+        assertTraceEqualsRecordedTrace("run-with-digest-mismatch.txt");
     }
 
     @Test
-    void pauseForEachReasonMatchesSample() throws Exception {
+    void traceOfPauseForEachReasonEqualsRecordedTrace() throws Exception {
         scenario.manager.updateUtility("acme", 0.9);
         scenario.createMigration("acme", SLICE_0_A_TO_E, SLICE_1_B_TO_E);
         scenario.runFor(Duration.ofMillis(500));
@@ -119,6 +119,6 @@
         scenario.setReadiness("e", Readiness.READY);
         scenario.resume(1);
         scenario.runFor(Duration.ofSeconds(10));
-        assertTraceMatchesSample("run-with-each-pause-reason.txt");
+        assertTraceEqualsRecordedTrace("run-with-each-pause-reason.txt");
     }
 }
--- a/src/test/java/postbeam/pages/RowMergerPropertyTest.java
+++ b/src/test/java/postbeam/pages/RowMergerPropertyTest.java
@@ -13,7 +13,7 @@
 
 class RowMergerPropertyTest {
     @Property(tries = 300, seed = "1")
-    void mergeReturnsTheFirstSortedRowsBeforeTheBound(
+    void mergeReturnsFirstRowsInSortOrderBeforeExclusiveBoundPosition(
             @ForAll long seed,
             @ForAll @IntRange(max = 12) int parts,
             @ForAll @IntRange(max = 60) int maxRows) {
--- a/src/test/java/postbeam/policy/AdmissionControlTest.java
+++ b/src/test/java/postbeam/policy/AdmissionControlTest.java
@@ -14,7 +14,7 @@
 
 class AdmissionControlTest {
     @Test
-    void tenantIsOverQuotaOnlyIfFurtherAheadOfItsQuotaThanTheAverage() {
+    void tenantIsOverQuotaOnlyIfItsUsageRelativeToItsQuotaIsAtLeastAverage() {
         AdmissionControl admission = new AdmissionControl(100, 1, 0.1, null);
         Tenant smallQuota = new Tenant(1.0);
         Tenant largeQuota = new Tenant(9.0);
--- a/src/test/java/postbeam/slices/NodeReconciliationTest.java
+++ b/src/test/java/postbeam/slices/NodeReconciliationTest.java
@@ -76,7 +76,7 @@
 
     /** Guards against a copy that is never deleted after a rollback. */
     @Test
-    void unresponsiveDestinationDropsCopyAfterRollback() {
+    void destinationUnresponsiveWhileMoveIsAbandonedDropsItsCopyOnceItResponds() {
         long move = plan(new LayoutChange.Transfer(0, "a", "c"));
         advanceTo(move, MoveState.COPYING);
         unresponsiveNodes.add("c");
