--- a/src/main/java/postbeam/testbed/simulation/CoordinationSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/CoordinationSimulation.java
@@ -24,15 +24,16 @@
 import postbeam.coordination.VoteRequest;
 
 /**
- * The shared decisions of several routers on a clock that jumps: messages are lost, late, doubled
- * and overtaken, ways are cut in one direction or both, processes crash, come back under their
- * name, are stopped anywhere and wake, and their clocks run apart. A referee with the only true
- * clock sums what cold nodes were sent.
+ * Simulates the coordination of several routers on a simulated clock. Messages are lost, delayed,
+ * duplicated and reordered; links are cut in one or both directions; processes crash and restart
+ * under their name, or are suspended at any point and resumed; their clocks run at different rates.
+ * A checker with the only true clock sums the work that cold nodes were sent.
  */
 public final class CoordinationSimulation {
     /**
-     * How large, how long and how rough; troubles come while the load does, but for the last part
-     * of it.
+     * The size, length and faults of a run. Faults are injected until {@link #CALM} before the end.
+     *
+     * @param cutOff the number of routers that are cut off from the others for the whole run
      */
     public record Plan(
             int routers,
@@ -45,40 +46,55 @@
             ElectionTimeouts offices,
             DefectiveCoordination.Defect defect) {}
 
-    /** What the routers sent of what they might: figures of a run. */
+    /**
+     * How much of the slow-start budgets was used.
+     *
+     * @param used the work that was sent
+     * @param budget the work that the budgets allowed
+     * @param won how often a router became leader of a stripe
+     * @param sends the number of attempts sent
+     * @param evenAt the age of a node when a window first used more than half of its budget; null
+     *     if none did
+     */
     public record Use(double used, double budget, int won, int sends, Duration evenAt) {}
 
     private static final Duration TICK = Duration.ofMillis(20);
 
-    /** Calm at the end, for keepers to be found and leases to be granted again. */
+    /**
+     * The span without faults at the end, in which leaders are elected and leases are granted
+     * again.
+     */
     static final Duration CALM = Duration.ofSeconds(8);
 
     /**
-     * How far the clocks run apart, as a share: over the longest span less than the drift of the
-     * terms.
+     * The largest deviation of a clock's rate. Over the longest lease span it stays below the clock
+     * drift that the lease parameters allow for.
      */
     private static final double RATES = 0.004;
 
     private static final double FIRST_BUDGET = 4;
 
-    /** The ramp at whose end the budget is so many times the first. */
+    /** The age at which the budget has grown to {@link #RISES_TO} times the first budget. */
     private static final Duration RAMP = Duration.ofSeconds(30);
 
     private static final double RISES_TO = 2;
 
-    /** As one router sends them, to any node: more than the budgets hold. */
+    /**
+     * The mean interval between the bursts of one router, to any node: more work than the budgets
+     * allow.
+     */
     private static final Duration BETWEEN_BURSTS = Duration.ofMillis(6);
 
     private static final int BURST_MOST = 12;
     private static final Duration STARVED = Duration.ofMillis(600);
     private static final double STOPPED_IN_A_BURST = 0.001;
 
-    /** Bursts that wait for a process that was stopped. */
+    /** Bursts that are queued for a process while it is suspended. */
     private static final int QUEUED = 40;
 
     private record Event(Duration at, long number, Runnable what) {}
 
-    /** One process after the other under one name. */
+    /** A router name and its current process; a restart replaces the process. */
     private final class Router {
         final String name;
         final double rate = 1 + RATES * (2 * chance.nextDouble() - 1);
@@ -86,16 +102,19 @@
         ProcessIdentity who;
         List<CoordinationStripe> stripes;
 
-        /** Its threads get little time: sends follow their checks late. */
+        /**
+         * Whether its threads get little CPU time, so that attempts are sent long after they were
+         * admitted.
+         */
         final boolean starved = chance.nextDouble() < 0.3;
 
         boolean stopped;
         boolean crashed;
 
-        /** What came while it was stopped. */
+        /** Events that arrived while the process was suspended. */
         final List<Runnable> held = new ArrayList<>();
 
-        /** By node: the incarnation it knows, and when it heard of it. */
+        /** The newest known incarnation by node name. */
         final Map<String, NodeIncarnation> knows = new LinkedHashMap<>();
 
         final Map<NodeIncarnation, Duration> heardAt = new LinkedHashMap<>();
@@ -139,7 +158,10 @@
             }
         }
 
-        /** Runs this now, once it goes on, or never, if this process is over by then. */
+        /**
+         * Runs the action now, or on resume if the process is suspended; never if the process has
+         * ended by then.
+         */
         void run(Runnable what) {
             ProcessIdentity mine = who;
             Runnable still =
@@ -177,7 +199,7 @@
             while (!all.isEmpty()) {
                 all.remove(chance.nextInt(all.size())).run();
             }
-            // What queued up before it.
+            // Bursts that queued up during the suspension.
             for (int i = 0; i < QUEUED; i++) {
                 later(upTo(TICK.multipliedBy(5)), this::sendAny);
             }
@@ -189,7 +211,7 @@
             stopped = false;
         }
 
-        // ---- what the process does
+        // ---- actions of the process
 
         void tick() {
             later(TICK, this::tick);
@@ -250,7 +272,7 @@
         }
 
         void nextSend() {
-            // Some routers have most of the work.
+            // Every third router sends most of the work.
             double busy = routers.indexOf(this) % 3 == 2 ? 1 : plan.faults() ? 2 : 40;
             later(
                     Duration.ofNanos(
@@ -269,7 +291,7 @@
                 for (int i = chance.nextInt(BURST_MOST); i >= 0; i--) {
                     send(key);
                 }
-                // Just there, between checks and sends.
+                // Suspends the process between the admission and the sending of its attempts.
                 if (troubled && chance.nextDouble() < STOPPED_IN_A_BURST) {
                     halt(this, upTo(Duration.ofSeconds(4)));
                 }
@@ -279,7 +301,7 @@
         private void send(NodeIncarnation key) {
             CoordinationStripe stripe = stripes.get(stripeOf(key.name()));
             double amount = plan.leases().maxAttemptWork() * (0.2 + 0.8 * chance.nextDouble());
-            // Its age as heard, by its own clock, is never above the true one.
+            // The node's age, as estimated by the router's own clock, never exceeds the true one.
             Duration age =
                     Duration.ofNanos(
                             (long) (clock().minus(heardAt.get(key)).toNanos() * (1 - 2 * RATES)));
@@ -289,7 +311,7 @@
             if (plan.defect() == DefectiveCoordination.Defect.CHECKS_NOT_HELD_DOWN) {
                 stripe.release(key, amount);
             }
-            // The thread goes on to its send: at once, or whenever the process does.
+            // The thread sends the attempt after a delay, or on resume if the process is suspended.
             later(
                     troubled && starved
                             ? upTo(STARVED)
@@ -328,7 +350,7 @@
     private double measured;
     private Duration carriesAt;
 
-    /** Prepares a run, in which the seed decides every choice. */
+    /** Prepares a run in which the seed decides every random choice. */
     public CoordinationSimulation(Plan plan, long seed) {
         this.plan = plan;
         this.chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
@@ -339,7 +361,7 @@
 
     // ---- the run
 
-    /** What broke, a line each; empty where all held. */
+    /** Runs the simulation. Returns the violations, one per line; empty if there are none. */
     public List<String> run() {
         IntStream.range(0, plan.nodes()).forEach(i -> restart("n" + i));
         routers.forEach(Router::start);
@@ -367,7 +389,7 @@
         return broken;
     }
 
-    /** How much of the budgets was used. */
+    /** Returns how much of the budgets was used. */
     public Use use() {
         double budget = 0;
         for (NodeIncarnation key : nodes.values()) {
@@ -380,7 +402,10 @@
         return new Use(used, budget, won, sends, carriesAt);
     }
 
-    /** Once all is well for a while each stripe has a keeper, and what can be leased is. */
+    /**
+     * Checks that after the span without faults each stripe has a leader, and at least half of the
+     * leasable budget is leased.
+     */
     private void settled() {
         for (int i = 0; i < plan.stripes(); i++) {
             int stripe = i;
@@ -390,9 +415,9 @@
                 broken.add(
                         "stripe "
                                 + i
-                                + " has no keeper "
+                                + " has no leader that can grant leases "
                                 + CALM.toMillis()
-                                + " ms after the last trouble");
+                                + " ms after the last fault");
             }
         }
         double leased =
@@ -413,8 +438,7 @@
         if (leased < least) {
             broken.add(
                     String.format(
-                            "leases of %.3f are held after the calm, of at least %.3f that are"
-                                    + " wanted",
+                            "leases of %.3f are held at the end, expected at least %.3f",
                             leased, least));
         }
     }
@@ -463,7 +487,7 @@
         }
     }
 
-    /** An answer is for the process that asked. */
+    /** Sends a response, which is dropped if the requesting process has been replaced. */
     private void message(Router from, Router to, CoordinationStripe asker, Runnable arrives) {
         message(
                 from,
@@ -479,7 +503,7 @@
         return Math.floorMod(node.hashCode(), plan.stripes());
     }
 
-    // ---- troubles
+    // ---- faults
 
     private void nextTrouble() {
         if (!troubled) {
@@ -496,7 +520,8 @@
             case 5 -> cutOff(chance.nextInt(3), upTo(Duration.ofSeconds(2)));
             case 6 -> restart("n" + chance.nextInt(plan.nodes()));
             default -> {
-                // All at once, or so many that a majority of voters has no memory.
+                // Crashes all routers, or about half of them, so that often a majority of voters
+                // has no memory.
                 double share = chance.nextDouble() < 0.3 ? 1 : 0.5;
                 routers.stream()
                         .filter(one -> chance.nextDouble() < share)
@@ -550,8 +575,7 @@
     }
 
     /**
-     * Some are cut off from the others, both ways, or heard and not hearing, or the other way
-     * round.
+     * Cuts a random set of routers off from the others: in both directions, or in one of them only.
      */
     private void cutOff(int how, Duration away) {
         boolean[] aside = new boolean[plan.routers()];
@@ -573,7 +597,7 @@
         }
     }
 
-    /** A node starts (again), cold; routers hear of it at different times. */
+    /** Starts or restarts a node, cold. Routers learn of it at different times. */
     private void restart(String node) {
         NodeIncarnation key = new NodeIncarnation(node, ++incarnations);
         nodes.put(node, key);
@@ -590,9 +614,9 @@
         }
     }
 
-    // ---- the referee
+    // ---- checks
 
-    /** As of a window's start, for one that ends at this age of the node. */
+    /** Returns the budget at the start of a window that ends at this age of the node. */
     private SlowStartBudget budget(Duration age) {
         double risen =
                 Math.max(
@@ -626,12 +650,15 @@
         }
     }
 
-    /** The largest share of a budget that was sent in any window. */
+    /** Returns the largest share of a budget that was sent in any window. */
     public double fullest() {
         return measured;
     }
 
-    /** Also of those that are stopped: by their clocks their office is over, or it is not. */
+    /**
+     * Checks that at most one process leads the stripe. Suspended processes count as leaders while
+     * their own clocks say that they lead.
+     */
     private void oneKeeper(int stripe) {
         List<String> in =
                 routers.stream()
@@ -646,12 +673,7 @@
                         .toList();
         if (in.size() > 1) {
             broken.add(
-                    "at "
-                            + now.toMillis()
-                            + " ms "
-                            + in
-                            + " are all in office for stripe "
-                            + stripe);
+                    "at " + now.toMillis() + " ms " + in + " are all leaders of stripe " + stripe);
         }
     }
 }
--- a/src/main/java/postbeam/testbed/simulation/DefectiveCoordination.java
+++ b/src/main/java/postbeam/testbed/simulation/DefectiveCoordination.java
@@ -13,27 +13,32 @@
 import postbeam.coordination.ProcessIdentity;
 import postbeam.coordination.SlowStartQuota;
 
-/** A router's shared decisions with one defect, which the trial must catch. */
+/** A coordination stripe with one planted defect, which the trial must detect. */
 public final class DefectiveCoordination extends CoordinationStripe {
-    /** What can be planted. */
+    /** The defects that can be planted. */
     enum Defect {
-        /** A lease's end is looked at when answers come, not when it is used. */
+        /**
+         * The expiry of a lease is checked against the time of the last grant, not the time of use.
+         */
         LEASE_USED_AFTER_STOP,
-        /** Half of the configured routers, or fewer, make a keeper. */
+        /** Fewer votes than a majority of the configured routers elect a leader. */
         KEEPER_WITHOUT_MAJORITY,
-        /** A new keeper does not wait for its predecessors' leases. */
+        /** A new leader grants leases before those of its predecessors have expired. */
         SUCCESSOR_GRANTS_AT_ONCE,
-        /** Whoever came back votes at once. */
+        /** A restarted router votes at once, although it has forgotten its earlier votes. */
         FORGETFUL_VOTER,
-        /** Whoever came back uses its part of the reserve at once. */
+        /**
+         * A restarted router uses its share of the reserve at once, although it has forgotten its
+         * earlier attempts.
+         */
         FORGETFUL_SENDER,
-        /** A send is told to be out when it is checked. */
+        /** The reservation of an attempt is released when it is admitted, not when it is sent. */
         CHECKS_NOT_HELD_DOWN,
-        /** Who was not heard of is taken to have given up its share. */
+        /** A router that has not been heard of is assumed to have yielded its share. */
         UNHEARD_AS_NOTHING,
-        /** News of a router is added to what was known of it. */
+        /** A newer counter entry is added to the known one instead of replacing it. */
         COUNT_MERGED_TWICE,
-        /** What one router says of a node is enough. */
+        /** The report of a single router marks a node as unhealthy. */
         ONE_REPORTER_BELIEVED;
 
         String argumentName() {
@@ -41,7 +46,10 @@
         }
     }
 
-    /** The stripe's own, set before its constructor makes its parts. */
+    /**
+     * The defect of the stripe under construction. The constructor of the superclass calls the
+     * factory methods before the field is assigned.
+     */
     private static final ThreadLocal<Defect> MAKING = new ThreadLocal<>();
 
     private final Defect defect;
@@ -58,12 +66,12 @@
         defect = MAKING.get();
     }
 
-    /** The defects, as trials take them as arguments. */
+    /** Returns the defect names that trials take as arguments. */
     public static List<String> names() {
         return Stream.of(Defect.values()).map(Defect::argumentName).toList();
     }
 
-    /** Null where the name is null. */
+    /** Returns the defect with this argument name; null if the name is null. */
     public static Defect defect(String name) {
         return name == null
                 ? null
--- a/src/main/java/postbeam/testbed/simulation/DefectiveMigration.java
+++ b/src/main/java/postbeam/testbed/simulation/DefectiveMigration.java
@@ -7,15 +7,15 @@
 import postbeam.slices.Coordinator;
 import postbeam.slices.Move;
 
-/** A migration manager with one defect, which the migration trial must catch. */
+/** A migration manager with one planted defect, which the migration trial must detect. */
 public final class DefectiveMigration extends MigrationManager {
-    /** The defects; their names, in lower case and with dashes, are arguments of the trial. */
+    /** The defects. Their names, in lower case and with dashes, are arguments of the trial. */
     public enum Defect {
-        /** The switch is over at once, whatever layout version routers still use. */
+        /** The switch ends at once, whatever layout version routers still use. */
         SWITCH_BEFORE_ALL_TOLD,
-        /** Nothing is compared before the switch. */
+        /** The replicas are not compared before the switch. */
         VERIFY_SKIPPED,
-        /** After a rollback the old holder serves without the rows written since the switch. */
+        /** After a rollback the source serves without the rows written since the switch. */
         ROLLBACK_LOSES
     }
 
@@ -27,7 +27,7 @@
         this.defect = defect;
     }
 
-    /** A manager with the defect, or a correct one where the defect is null. */
+    /** Creates a manager with the defect, or a correct one if the defect is null. */
     static MigrationManager create(
             Defect defect, Coordinator coordinator, MigrationJournalState journal, Duration now) {
         return defect == null
--- a/src/main/java/postbeam/testbed/simulation/DefectivePageAssembly.java
+++ b/src/main/java/postbeam/testbed/simulation/DefectivePageAssembly.java
@@ -10,24 +10,25 @@
 import postbeam.pages.SortOrder;
 import postbeam.slices.KeyRange;
 
-/** Pages with a defect put in, to show that trials catch it. */
+/** A page assembler with one planted defect, which the trial must detect. */
 public final class DefectivePageAssembly extends PageAssembler {
-    /** The defects; each must be caught by the trial. */
+    /** The defects that can be planted. */
     public enum Defect {
-        /** Rows that are alike in their sort keys come as their parts came. */
+        /** Rows with equal sort values are ordered by the arrival of their partial pages. */
         TIES_BY_ARRIVAL,
         /**
-         * A range whose slice was cut goes on from what was fetched of it, not from what was given.
+         * A range whose slice was split continues after the last row fetched, not the last row
+         * returned.
          */
         SPLIT_SKIPS,
-        /** A range that was missing goes on with the others. */
+        /** A range that was missing from a page continues at the position of the others. */
         OWED_FORGOTTEN,
-        /** Rows are given though a part that ran out may have earlier ones. */
+        /** Rows are returned although a truncated partial page may have earlier ones. */
         BOUND_PASSED,
-        /** Rows out of order are merged. */
+        /** Partial pages whose rows are out of order are merged. */
         SPOILT_MERGED;
 
-        /** The defect, as the trial takes it as an argument. */
+        /** Returns the name of the defect as an argument of the trial. */
         public String argumentName() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
@@ -45,7 +46,7 @@
         this.defect = defect;
     }
 
-    /** Sound where the defect is null. */
+    /** Creates an assembler with the defect, or a correct one if the defect is null. */
     static PageAssembler of(
             SortOrder order,
             int size,
--- a/src/main/java/postbeam/testbed/simulation/DefectiveSlicing.java
+++ b/src/main/java/postbeam/testbed/simulation/DefectiveSlicing.java
@@ -9,17 +9,26 @@
 import postbeam.slices.LayoutCompleteness;
 import postbeam.slices.SliceTranslator;
 
-/** A router's slicing with one defect, which the referee must catch. */
+/** A slice translator with one planted defect, which the invariant checker must detect. */
 public final class DefectiveSlicing extends SliceTranslator {
-    /** What can be planted. */
+    /** The defects that can be planted. */
     public enum Defect {
-        /** A part of a slice that was re-cut begins with a clean past. */
+        /**
+         * A shard request for a slice that was split or merged inherits nothing from its
+         * predecessor.
+         */
         LINEAGE,
-        /** It keeps its calls, but not that one of them may have run. */
+        /**
+         * A shard request inherits the attempts of its predecessor, but not the fact that one may
+         * have run.
+         */
         RESEND,
-        /** Weights are added over the parts as they are, whichever layouts they come of. */
+        /**
+         * Weights of shard requests are summed as they are, even if they stem from different
+         * layouts.
+         */
         MIXED_FLOOR,
-        /** A layout that goes back is believed. */
+        /** A layout with an older version than the current one is accepted. */
         BACK
     }
 
@@ -29,7 +38,7 @@
         this.defect = defect;
     }
 
-    /** Null where nothing is planted. */
+    /** Creates a translator with the defect, or a correct one if the defect is null. */
     public static SliceTranslator of(Defect defect) {
         return defect == null ? new SliceTranslator() : new DefectiveSlicing(defect);
     }
--- a/src/main/java/postbeam/testbed/simulation/GossipSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/GossipSimulation.java
@@ -16,20 +16,21 @@
 import postbeam.coordination.QuotaCounters;
 
 /**
- * Counts and judgements of several routers in steps: each step one counts, gives up, tells, hears
- * something old or new, or comes back without memory. What was truly counted is summed apart; one
- * router lies about data nodes.
+ * Simulates the quota counters and health gossip of several routers in steps. In each step one
+ * router counts attempts, caps its own share, sends its entries, merges an old or new message, or
+ * restarts without memory. The true totals are kept separately and compared. In the health part,
+ * one router sends false reports about data nodes.
  */
 public final class GossipSimulation {
     private static final int STEPS = 600;
     private static final double LIMIT = 30;
 
-    /** Steps of one bucket. */
+    /** Steps per quota bucket. */
     private static final int BUCKET = 40;
 
     private static final List<String> KEYS = List.of("acme", "globex");
 
-    /** Messages that may still come. */
+    /** The most undelivered messages kept; beyond it a random one is dropped. */
     private static final int WAITING = 30;
 
     private final UniformRandomProvider chance;
@@ -42,7 +43,7 @@
     private long runs;
     private long countedAttempts;
 
-    /** Prepares a run, in which the seed decides every choice. */
+    /** Prepares a run in which the seed decides every random choice. */
     public GossipSimulation(int routers, DefectiveCoordination.Defect defect, long seed) {
         this.chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         this.defect = defect;
@@ -77,7 +78,7 @@
         };
     }
 
-    /** Runs it. Returns the violations, a line each; empty where there is none. */
+    /** Runs the simulation. Returns the violations, one per line; empty if there are none. */
     public List<String> run() {
         for (int step = 0; step < STEPS && broken.isEmpty(); step++) {
             long bucket = step / BUCKET;
@@ -110,7 +111,10 @@
         return broken;
     }
 
-    /** Any message that waits, in any order, and it may come again. */
+    /**
+     * Merges a random pending message. It stays pending, so messages arrive out of order and
+     * repeatedly.
+     */
     private void hear(QuotaCounters one) {
         if (!waiting.isEmpty()) {
             one.merge(waiting.get(chance.nextInt(waiting.size())));
@@ -126,7 +130,8 @@
                 if (sum > LIMIT + 1e-6) {
                     broken.add(
                             String.format(
-                                    "%.3f of %s were counted in bucket %d, over the limit of %.0f",
+                                    "%.3f of key %s were counted in bucket %d, over the limit of"
+                                            + " %.0f",
                                     sum, key, bucket, LIMIT));
                 }
             }
@@ -139,19 +144,21 @@
         if (known > sum + 1e-6) {
             broken.add(
                     String.format(
-                            "%.3f of %s are known in bucket %d, where %.3f were counted",
+                            "a router knows of %.3f of key %s in bucket %d, but only %.3f were"
+                                    + " counted",
                             known, key, bucket, sum));
         }
     }
 
-    /** Attempts that were counted in the run. */
+    /** Returns the number of attempts that were counted in the run. */
     public long countedAttempts() {
         return countedAttempts;
     }
 
     /**
-     * One router says of all nodes that they are silent, again and again; two of its zone are truly
-     * cut off from one.
+     * One router repeatedly reports random nodes as unresponsive, while two routers of one zone are
+     * in fact cut off from one node. The false reports must not make other nodes unhealthy or
+     * reduce the traffic of more than half of the nodes.
      */
     private void lie() {
         HealthGossip mine =
@@ -188,7 +195,7 @@
                             99,
                             upTo(Duration.ofSeconds(4))));
             if (holders.stream().skip(1).anyMatch(other -> mine.isUnhealthy(now, other))) {
-                broken.add("a node is condemned on the word of one router");
+                broken.add("a node is unhealthy on the reports of a single router");
                 return;
             }
             long marked =
@@ -196,7 +203,12 @@
                             .filter(share -> share < 1)
                             .count();
             if (marked > 2) {
-                broken.add(marked + " of " + holders.size() + " holders are held back by hearsay");
+                broken.add(
+                        marked
+                                + " of "
+                                + holders.size()
+                                + " nodes have their traffic reduced by remote reports; the limit"
+                                + " is 2");
                 return;
             }
         }
--- a/src/main/java/postbeam/testbed/simulation/MigrationFinalChecks.java
+++ b/src/main/java/postbeam/testbed/simulation/MigrationFinalChecks.java
@@ -16,7 +16,7 @@
 import postbeam.slices.MoveJournalState;
 import postbeam.slices.Slice;
 
-/** What must hold at the end of a simulated run: progress, holders, rows and the journal. */
+/** Checks the end of a simulated migration run: progress, replicas, rows and the journal. */
 final class MigrationFinalChecks {
     private final MigrationSimulation run;
 
@@ -42,7 +42,12 @@
                 if (one.state() == MigrationState.RETIRED
                         ? !fresh
                         : one.state() == MigrationState.ROLLED_BACK && !old) {
-                    run.breaks(one + " left slice " + hop.slice() + " with " + slice.nodes());
+                    run.breaks(
+                            one
+                                    + " left slice "
+                                    + hop.slice()
+                                    + " on the wrong nodes "
+                                    + slice.nodes());
                 }
             }
         }
@@ -61,7 +66,8 @@
                 if (slice.heldBy(node.name)) {
                     checkCopy(slice, node, copy, ran);
                 } else if (copy != null) {
-                    run.breaks("node " + node.name + " still has slice " + slice.number());
+                    run.breaks(
+                            "node " + node.name + " still has a copy of slice " + slice.number());
                 }
             }
         }
@@ -88,13 +94,13 @@
                             + node.name
                             + " serves slice "
                             + slice.number()
-                            + " without "
+                            + " without the rows of holds "
                             + missing
-                            + (acknowledged ? ", of which clients were told" : ""));
+                            + (acknowledged ? ", some of which were acknowledged to clients" : ""));
         }
     }
 
-    /** What is on disk adds up to what the coordinator has. */
+    /** Checks that the log replays to the state that the coordinator has. */
     private void checkReplay() {
         MoveJournalState moves = new MoveJournalState(50);
         MigrationJournalState again = new MigrationJournalState();
@@ -122,7 +128,7 @@
                             MoveRecordCodec.write(there.get(i)));
         }
         if (!same) {
-            run.breaks("the log adds up to something else than the coordinator has");
+            run.breaks("replaying the log gives another state than the coordinator has");
         }
     }
 }
--- a/src/main/java/postbeam/testbed/simulation/MigrationLoad.java
+++ b/src/main/java/postbeam/testbed/simulation/MigrationLoad.java
@@ -17,7 +17,7 @@
 import postbeam.slices.Layout;
 import postbeam.slices.Slice;
 
-/** The routers of a simulated run and the holds that clients send through them. */
+/** The routers of a simulated migration run and the holds that clients send through them. */
 final class MigrationLoad {
     private static final int ROUTERS = 3;
     private static final Duration POLL = Duration.ofMillis(150);
@@ -25,7 +25,7 @@
     private static final Duration SLO = Duration.ofMillis(100);
     private static final Duration HOLD_EVERY = Duration.ofMillis(12);
 
-    /** A router: its layout, until when it may go by it, and how long nothing reaches it. */
+    /** A router: its layout, the end of the layout's lease, and the end of a network partition. */
     private static final class Router {
         final String name;
         Layout layout;
@@ -38,7 +38,10 @@
         }
     }
 
-    /** Holds of a member at a time: how many, how many in time, and their times. */
+    /**
+     * Counts the holds of one group and phase: all, those answered within the SLO, and their
+     * latencies.
+     */
     static final class Tally {
         int asked;
         int good;
@@ -83,7 +86,7 @@
         return routers.get(run.chance.nextInt(routers.size()));
     }
 
-    /** A router starts anew, without a layout. */
+    /** Restarts a random router, which loses its layout. */
     void restartRouter() {
         Router router = anyRouter();
         router.life++;
@@ -91,7 +94,7 @@
         router.leaseUntil = Duration.ZERO;
     }
 
-    /** Nothing reaches a router for some time. */
+    /** Cuts a random router off from the network for some time. */
     void cutRouterOff() {
         Router router = anyRouter();
         router.cutUntil = run.now.plus(run.upTo(Duration.ofMillis(1500)));
@@ -101,7 +104,7 @@
         routers.forEach(router -> router.cutUntil = Duration.ZERO);
     }
 
-    /** Once a switch is over, no router may use a layout older than this version. */
+    /** Checks that no router uses a layout older than this version once a switch is over. */
     void checkNoneUsesOlder(long version) {
         for (Router router : routers) {
             if (router.layout != null
@@ -110,9 +113,9 @@
                 run.breaks(
                         "the switch is over, but "
                                 + router.name
-                                + " goes by layout "
+                                + " still uses layout "
                                 + router.layout.version
-                                + ", not "
+                                + ", expected at least "
                                 + version);
             }
         }
@@ -198,7 +201,7 @@
         if (router.layout == null
                 || run.now.compareTo(router.leaseUntil) >= 0
                 || run.now.minus(from).compareTo(PATIENCE) > 0) {
-            // It never ran: each that was asked said so.
+            // The hold did not run: each node that was asked rejected it.
             rejected.add(id);
             return;
         }
@@ -246,7 +249,7 @@
         }
     }
 
-    /** Utility and latency by the phase of the migration. */
+    /** Returns utility and latency by phase of the migration. */
     String figures() {
         StringBuilder line = new StringBuilder();
         tallies.forEach(
--- a/src/main/java/postbeam/testbed/simulation/MigrationOperator.java
+++ b/src/main/java/postbeam/testbed/simulation/MigrationOperator.java
@@ -13,8 +13,8 @@
 import postbeam.slices.Slice;
 
 /**
- * The operator of a simulated run: passes checkpoints, resumes what is paused, rolls back at a
- * state drawn by chance, and tries commands that must be rejected.
+ * The simulated operator: approves checkpoints, resumes paused migrations, rolls each back at a
+ * randomly drawn state, and issues commands that must be refused.
  */
 final class MigrationOperator {
     private static final List<MigrationState> STATES = List.of(MigrationState.values());
@@ -49,7 +49,11 @@
                                                                             .Standing.SERVING))
                             .count();
             if (away > 1) {
-                run.breaks(away + " holders of slice " + slice.number() + " do not serve it");
+                run.breaks(
+                        away
+                                + " replicas of slice "
+                                + slice.number()
+                                + " do not serve it at the same time");
             }
         }
         for (Migration one : List.copyOf(run.chief.migrations.journalState().activeMigrations())) {
@@ -97,7 +101,9 @@
                     run.chief.ordered(
                             migrations -> () -> migrations.passCheckpoint(one.id, right, run.now));
             if (failed != null) {
-                run.breaks("the right order was refused: " + failed.getMessage());
+                run.breaks(
+                        "the command that names the open checkpoint was refused: "
+                                + failed.getMessage());
             }
             if (run.chief.works()) {
                 refused(one.id, right, MigrationError.CheckpointAlreadyPassed.class);
@@ -118,7 +124,11 @@
                 run.chief.ordered(
                         migrations -> () -> migrations.passCheckpoint(id, named, run.now));
         if (refused == null || refused.error().getClass() != as) {
-            run.breaks("an order that is " + as.getSimpleName() + " was taken as " + refused);
+            run.breaks(
+                    "expected the error "
+                            + as.getSimpleName()
+                            + " for a checkpoint command, got "
+                            + refused);
         }
     }
 }
--- a/src/main/java/postbeam/testbed/simulation/MigrationSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/MigrationSimulation.java
@@ -26,9 +26,9 @@
 import postbeam.testbed.verification.TrialResult;
 
 /**
- * Two members' migrations in one thread on a clock that jumps, every choice from one seed:
- * coordinators, nodes, routers that send holds, an operator. It knows what ran, and checks what it
- * sees against that.
+ * Simulates the migrations of two members in one thread on a simulated clock: coordinators, data
+ * nodes, routers that send holds, and an operator. The seed decides every random choice. The
+ * simulation records which holds ran and checks the results against that.
  */
 public final class MigrationSimulation {
     private static final int NODES = 7;
@@ -39,7 +39,10 @@
     private static final double LOST_MESSAGES = 0.03;
     private static final double SPOILT_COPIES = 0.03;
 
-    /** Records that most runs write: the one to die at goes round through them. */
+    /**
+     * The number of log records that most runs write. The record after which the coordinator dies
+     * cycles through them with the seed.
+     */
     private static final int RECORDS = 90;
 
     private record Event(Duration at, long number, Runnable what) {}
@@ -57,7 +60,7 @@
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparing(Event::at).thenComparingLong(Event::number));
 
-    /** The slice that a move is about. */
+    /** The slice of each move, by move id. */
     private final Map<Long, Integer> slicesOf = new HashMap<>();
 
     private final Map<Integer, Long> lastCut = new HashMap<>();
@@ -74,7 +77,7 @@
     boolean calm;
 
     /**
-     * Prepares a run, in which the seed decides every choice.
+     * Prepares a run in which the seed decides every random choice.
      *
      * @param defect null for none
      * @param faults whether processes die and messages are lost
@@ -138,7 +141,7 @@
         return chance.nextDouble() < probability;
     }
 
-    /** Whether a message between coordinator and node is lost. */
+    /** Whether the next message between coordinator and node is lost. */
     boolean lost() {
         return !calm && with(LOST_MESSAGES);
     }
@@ -155,7 +158,7 @@
         return nodes.get(Integer.parseInt(name.substring(1)));
     }
 
-    /** A copy comes out wrong now and then: a row is missing. */
+    /** Removes a random row from a copy with a small probability, as a faulty copy would. */
     void spoil(SortedMap<Long, SimulatedMigrationNode.Row> rows) {
         if (!calm && !rows.isEmpty() && with(SPOILT_COPIES)) {
             rows.remove(new ArrayList<>(rows.keySet()).get(chance.nextInt(rows.size())));
@@ -173,7 +176,7 @@
 
     // ---- the run
 
-    /** Runs it, and checks what it left. */
+    /** Runs the simulation and checks its final state. */
     public TrialResult run() {
         chief = new SimulatedMigrationCoordinator(this);
         load.start();
@@ -201,7 +204,7 @@
         return new TrialResult(List.of(figures()), List.copyOf(broken));
     }
 
-    /** The load is over, and all that it left. */
+    /** Whether the load has ended, and all migrations and moves with it. */
     private boolean atRest() {
         return now.compareTo(LOAD.plusSeconds(2)) > 0
                 && chief.works()
@@ -238,7 +241,7 @@
         }
     }
 
-    // ---- what coordinators write
+    // ---- records of coordinators
 
     void written(SimulatedMigrationCoordinator by, JournalRecord record) {
         if (record instanceof JournalRecord.Planned planned) {
@@ -270,7 +273,10 @@
                         : record.getClass().getSimpleName();
     }
 
-    /** As it stands in what the trials count, whatever the types are called. */
+    /**
+     * Returns the name of the record kind that trials count, which does not depend on the names of
+     * types.
+     */
     private static String kind(MigrationRecord record) {
         if (record instanceof MigrationRecord.StateEntered entered) {
             return "Entered " + entered.state().wireName();
@@ -295,7 +301,10 @@
                                                                 : "Standing";
     }
 
-    /** The coordinator dies at this record; in turn a router or a source dies along with it. */
+    /**
+     * Handles the death of the coordinator at this record. Depending on the seed a router or a
+     * source node dies with it.
+     */
     void killedAtRecord(JournalRecord record) {
         diedAt.add(kind(record));
         if (seed % 3 == 1) {
@@ -323,7 +332,7 @@
         chief.listed(node, up);
     }
 
-    // ---- troubles
+    // ---- faults
 
     private void trouble() {
         if (calm) {
@@ -332,8 +341,8 @@
         after(upTo(Duration.ofSeconds(2)), this::trouble);
         switch (chance.nextInt(6)) {
             case 0 -> {
-                // One at a time: what all who hold a slice lose is lost with or without a
-                // migration.
+                // Only one node is down at a time: rows that all replicas of a slice lose are lost
+                // with or without a migration.
                 if (nodes.stream().allMatch(node -> node.alive)) {
                     nodes.get(chance.nextInt(NODES))
                             .die(Duration.ofMillis(50).plus(upTo(Duration.ofMillis(900))));
@@ -353,7 +362,10 @@
         }
     }
 
-    /** One is stopped, its lock ends, a successor goes on, and the first wakes beside it. */
+    /**
+     * Suspends the coordinator until its lock expires and a successor takes over, and then resumes
+     * it beside the successor.
+     */
     private void twoCoordinators() {
         SimulatedMigrationCoordinator old = chief;
         if (!old.works()) {
@@ -376,7 +388,7 @@
                 new StringBuilder(
                         String.format(
                                 Locale.ROOT,
-                                "seed %d: %d holds, %d done, %d rejected, " + "%d records; ",
+                                "seed %d: %d holds, %d done, %d rejected, %d records; ",
                                 seed,
                                 load.keys.size(),
                                 load.done.size(),
--- a/src/main/java/postbeam/testbed/simulation/OperatorCommand.java
+++ b/src/main/java/postbeam/testbed/simulation/OperatorCommand.java
@@ -4,13 +4,13 @@
 import postbeam.errors.OperatorErrorException;
 import postbeam.migration.MigrationAction;
 
-/** An operator's command to a migration coordinator. */
+/** A command of an operator to a migration coordinator. */
 interface OperatorCommand {
     /**
      * Runs the command.
      *
-     * @return what the coordinator has to do for it
-     * @throws OperatorErrorException if the coordinator refuses it
+     * @return the actions that the coordinator has to carry out
+     * @throws OperatorErrorException if the coordinator refuses the command
      */
     List<MigrationAction> run() throws OperatorErrorException;
 }
--- a/src/main/java/postbeam/testbed/simulation/PagingSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/PagingSimulation.java
@@ -37,22 +37,26 @@
 import postbeam.testbed.fakes.SortedRows;
 
 /**
- * One chain of pages over random rows, by routers that share nothing but the key that signs, while
- * slices are re-cut, ranges are missing and nodes spoil answers; every choice from one seed. What
- * comes is held against a plain sort.
+ * Simulates one query whose result is read page by page through routers that share only the keys
+ * that sign cursors. Meanwhile slices are split, moved and merged, ranges are missing and nodes
+ * return rows out of order. The seed decides every random choice. The pages are compared with a
+ * plain sort of the rows.
  */
 public final class PagingSimulation {
     private static final List<String> NODES = List.of("a", "b", "c", "d");
     private static final int ROUTERS = 3;
     private static final int FURTHER_ROUNDS = 2;
 
-    /** Pages after which nothing is missing any more, so that the chain ends. */
+    /** The number of pages with faults. After them no range is missing, so that the result ends. */
     private static final int TROUBLED_PAGES = 25;
 
     private static final int PAGES_MOST = 3000;
     private static final List<String> KEYS = List.of("1d".repeat(32), "e9".repeat(32));
 
-    /** A router: what it has learnt, how it signs, and which layout it has heard of. */
+    /**
+     * A router: the row distribution that it has learnt, its cursor codec, and the index of its
+     * layout.
+     */
     private static final class Reader {
         final RowDistribution shares = new RowDistribution();
         final CursorCodec seal;
@@ -84,7 +88,7 @@
     private int maxCursorLength;
 
     /**
-     * Prepares a run, in which the seed decides every choice.
+     * Prepares a run in which the seed decides every random choice.
      *
      * @param defect null for none
      */
@@ -129,8 +133,8 @@
     }
 
     /**
-     * Few values, so that there are many ties; some missing, some texts beside numbers; keys even
-     * or in a heap.
+     * Generates the rows. Sort values are few, so that there are many ties; some are null, and some
+     * are texts beside numbers. Keys are spread evenly or concentrated at the low end.
      */
     private void makeRows() {
         int count = 20 + chance.nextInt(600);
@@ -144,7 +148,8 @@
                 sort.add(kind < 2 ? null : kind < 5 ? "v" + value : (Object) value);
             }
             long key = (long) (Math.pow(chance.nextDouble(), heap) * KeyRange.KEY_SPACE_SIZE);
-            // Some keys have several rows: then the sequence tells them apart.
+            // Some rows share the sort values and key of the previous one and differ in the
+            // sequence only.
             RowPosition before =
                     i > 0 && chance.nextInt(4) == 0 ? rows.get(i - 1).position() : null;
             rows.add(
@@ -157,9 +162,9 @@
         }
     }
 
-    // ---- the chain
+    // ---- reading the pages
 
-    /** What was found, a line each. */
+    /** Runs the simulation. Returns the violations, one per line. */
     public List<String> run() {
         List<Row> chain = new ArrayList<>();
         Set<Long> excused = new HashSet<>();
@@ -170,7 +175,7 @@
         String text = null;
         do {
             if (++pages > PAGES_MOST) {
-                broken.add("the chain does not end");
+                broken.add("the result does not end within " + PAGES_MOST + " pages");
                 return broken;
             }
             recut();
@@ -226,14 +231,15 @@
             maxCursorLength = Math.max(maxCursorLength, text.length());
             return text;
         } catch (OperatorErrorException e) {
-            broken.add("no cursor: " + e.getMessage());
+            broken.add("a cursor can't be encoded: " + e.getMessage());
             return null;
         }
     }
 
     /**
-     * Null where it is told to be too old, as it is: the chain is over. One that is ahead waits for
-     * the layout.
+     * Decodes a cursor. Returns null if its layout is rightly refused as no longer kept, which ends
+     * the result. If the cursor's layout is newer than the router's, the router first learns the
+     * newest layout.
      */
     private Cursor opened(Reader reader, String text, long digest) {
         while (true) {
@@ -247,7 +253,7 @@
                 } else {
                     if (!(e.error() instanceof PageError.LayoutNoLongerKept old)
                             || old.layoutVersion() >= held.oldestVersion()) {
-                        broken.add("refused: " + e.getMessage());
+                        broken.add("a cursor was refused: " + e.getMessage());
                     }
                     return null;
                 }
@@ -264,7 +270,7 @@
             int bytes = chance.nextInt(6) == 0 ? 1 + chance.nextInt(5) : Integer.MAX_VALUE;
             List<PartialPage> came = came(asks, bytes);
             if (round == 0 && came.isEmpty()) {
-                // Nothing at all: the query would have been turned away, and asked again.
+                // Without any partial page a router rejects the query, and the client retries it.
                 came = came(asks, bytes);
             }
             came.forEach(assembly::add);
@@ -284,8 +290,8 @@
     }
 
     /**
-     * Parts in the order in which they come: any. They are cut by the newest layout, as a router's
-     * are by then.
+     * Returns the partial pages in a random order. They are split by the newest layout, as those of
+     * a router are by the time they are sent.
      */
     private List<PartialPage> came(List<RowFetch> asks, int bytes) {
         List<Fragment> fragments = new ArrayList<>();
@@ -318,7 +324,7 @@
         try {
             return RowCodec.decodePartialPage(partial.range(), RowCodec.encodePartialPage(partial));
         } catch (IOException e) {
-            broken.add("rows that can't be read: " + e.getMessage());
+            broken.add("a partial page can't be decoded: " + e.getMessage());
             return partial;
         }
     }
@@ -363,12 +369,13 @@
                         layout.withChange(
                                 change, births, layout.version + 1, Duration.ZERO, history));
             } catch (IllegalArgumentException e) {
-                // Not every change is possible: then nothing has changed.
+                // Not every random change is possible; an impossible one leaves the layout as it
+                // is.
             }
         }
     }
 
-    /** Hears of the newest layout, or is a little behind; never back. */
+    /** Moves the router to the newest layout or one up to two versions behind, never back. */
     private LayoutHistory heard(Reader reader) {
         reader.layout = Math.max(reader.layout, layouts.size() - 1 - chance.nextInt(3));
         return lineage(reader);
@@ -378,9 +385,12 @@
         return new LayoutLineage(layouts.get(reader.layout));
     }
 
-    // ---- what must hold
+    // ---- checks
 
-    /** Ascending, and before an earlier page's rows only what was told to be missing there. */
+    /**
+     * Checks that rows ascend, and that rows that precede those of earlier pages are of ranges that
+     * were reported missing there.
+     */
     private void ordered(Page page, RowPosition furthest, Set<Long> excused) {
         RowPosition last = null;
         for (Row row : page.rows()) {
@@ -396,14 +406,14 @@
                                 + pages
                                 + ": "
                                 + row
-                                + " comes late, and its range was never missing");
+                                + " precedes rows of earlier pages, but its range was never"
+                                + " reported missing");
             }
         }
     }
 
     /**
-     * Another router that is asked the same with nothing in its way gives the same rows, as far as
-     * this page goes.
+     * Checks that another router without faults returns the same rows, as far as this page goes.
      */
     private void alike(Page page, List<RangeProgress> standings, int size) {
         if (!page.missingRanges().isEmpty() || defect != null) {
@@ -433,7 +443,7 @@
         if (length > same.size()
                 || !written(page.rows()).equals(written(same.subList(0, length)))
                 || (length < same.size() && !page.truncated())) {
-            broken.add("page " + pages + " differs from another router's");
+            broken.add("page " + pages + " differs from the page of another router");
         }
     }
 
@@ -457,60 +467,60 @@
         times.forEach(
                 (row, count) -> {
                     if (count > 1) {
-                        broken.add(row + " was given " + count + " times");
+                        broken.add(row + " was returned " + count + " times");
                     }
                 });
         expected.stream()
                 .filter(row -> !times.containsKey(row))
-                .forEach(row -> broken.add(row + " was never given"));
+                .forEach(row -> broken.add(row + " was never returned"));
         if (!everMissing && broken.isEmpty() && !written(chain).equals(written(expected))) {
-            broken.add("nothing was missing, and the chain is not the plain sort");
+            broken.add("no range was missing, but the pages differ from the plain sort");
         }
     }
 
     // ---- figures
 
-    /** Rows that there are. */
+    /** Returns the number of rows in the data set. */
     public int rows() {
         return rows.size();
     }
 
-    /** Pages that were given. */
+    /** Returns the number of pages that were read. */
     public int pages() {
         return pages;
     }
 
-    /** Pages that were given without some ranges. */
+    /** Returns the number of pages from which ranges were missing. */
     public int pagesWithMissingRanges() {
         return pagesWithMissingRanges;
     }
 
-    /** Pages that were not full although rows were left. */
+    /** Returns the number of pages that were not full although rows remained. */
     public int truncatedPages() {
         return truncatedPages;
     }
 
-    /** Rows on all pages. */
+    /** Returns the number of rows on all pages. */
     public int rowsGiven() {
         return rowsGiven;
     }
 
-    /** Rows that shards sent for all pages. */
+    /** Returns the number of rows that data nodes sent for all pages. */
     public int rowsFetched() {
         return rowsFetched;
     }
 
-    /** Calls to shards for all pages. */
+    /** Returns the number of requests to data nodes for all pages. */
     public int calls() {
         return calls;
     }
 
-    /** Versions of the layout. */
+    /** Returns the number of layout versions. */
     public int layouts() {
         return layouts.size();
     }
 
-    /** Characters of the longest cursor. */
+    /** Returns the length of the longest cursor in characters. */
     public int maxCursorLength() {
         return maxCursorLength;
     }
--- a/src/main/java/postbeam/testbed/simulation/SimulatedCluster.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedCluster.java
@@ -19,13 +19,20 @@
 import postbeam.testbed.verification.InvariantChecker;
 
 /**
- * Routers, nodes, clients and the one who moves slices in one thread on a clock that jumps, every
- * choice from one seed. The decisions are the product's own; nodes, network and clients are
- * stand-ins. What it is for is rare meetings: answers that cross a re-cut, moves abandoned half
- * way, a coordinator that dies at any record.
+ * Simulates query routers, data nodes, clients and the coordinator of moves in one thread on a
+ * simulated clock; the seed decides every random choice. The decisions are those of the production
+ * code; nodes, network and clients are simulated. It serves to find rare interleavings: responses
+ * that cross a split or merge, moves abandoned half way, a coordinator that crashes at any log
+ * record.
  */
 public final class SimulatedCluster {
-    /** How large, how long and how rough. */
+    /**
+     * The size, length and faults of a run.
+     *
+     * @param holders replicas of each slice
+     * @param recutEvery the mean interval between layout changes
+     * @param defect null for none
+     */
     public record Plan(
             int nodes,
             int routers,
@@ -41,10 +48,10 @@
     private static final Duration PATIENCE = Duration.ofSeconds(3);
     static final Duration REPEAT_WINDOW = Duration.ofMillis(1500);
 
-    /** After the load, for what is open to end and moves to come to rest. */
+    /** The span after the load in which open queries end and moves settle. */
     private static final Duration SETTLE = Duration.ofSeconds(40);
 
-    /** The ways that messages take: mostly this and up to twice it. */
+    /** The shortest delay of a message; the longest is twice as much. */
     private static final Duration HOP = Duration.ofMillis(1);
 
     private static final InvariantChecker.Rules RULES =
@@ -60,8 +67,8 @@
                     REPEAT_WINDOW);
 
     /**
-     * Any-n searches with a floor, lookups that need every part, keyed bookings, and holds that may
-     * run once.
+     * Searches that need 75 % of the weight, lookups that need every shard request but accept half
+     * of the weight as a partial answer, deduplicated bookings, and holds that may run only once.
      */
     private static final List<Kind> KINDS =
             List.of(
@@ -91,10 +98,11 @@
                             1));
 
     /**
-     * A kind of queries that clients send.
+     * A kind of query that clients send.
      *
-     * @param need the weight of answers that a query needs
-     * @param floor the weight below which a partial answer is none
+     * @param promise the side effects that the invariant checker allows
+     * @param need the weight of answers that a complete answer needs
+     * @param floor the weight below which a partial answer is a failure
      */
     public record Kind(
             String name,
@@ -131,7 +139,7 @@
     private int queriesSent;
     private int answeredInTime;
 
-    /** Prepares a run, in which the seed decides every choice. */
+    /** Prepares a run in which the seed decides every random choice. */
     public SimulatedCluster(Plan plan, long seed) {
         this.plan = plan;
         this.chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
@@ -160,7 +168,7 @@
         return RULES;
     }
 
-    /** The kinds of queries that clients send. */
+    /** Returns the kinds of queries that clients send. */
     public static List<Kind> kinds() {
         return KINDS;
     }
@@ -175,7 +183,7 @@
         events.add(new Event(now.plus(wait), eventCount++, what));
     }
 
-    /** A message's way, and then this. */
+    /** Runs the action after the delay of one message. */
     void hop(Runnable what) {
         after(HOP.plusNanos((long) (chance.nextDouble() * HOP.toNanos())), what);
     }
@@ -188,20 +196,23 @@
         return chance.nextDouble() < probability;
     }
 
-    /** Troubles come while the load does. */
+    /** Whether faults are injected: only while there is load. */
     boolean faultsActive() {
         return faultsActive;
     }
 
     // ---- the run
 
-    /** The same with the one who moves slices away for so long, from soon after the start. */
+    /**
+     * Runs the simulation with the coordinator of moves down for this time, from two seconds after
+     * the start.
+     */
     public List<String> runWithoutMoves(Duration away) {
         after(Duration.ofSeconds(2), () -> moves.crash(away));
         return run();
     }
 
-    /** What was found, a line each; empty where all rules held. */
+    /** Runs the simulation. Returns the violations, one per line; empty if all rules were kept. */
     public List<String> run() {
         faultsActive = plan.faults();
         publishNodeList();
@@ -235,7 +246,7 @@
         return found;
     }
 
-    /** No new trouble, and the old ones end. */
+    /** Stops the injection of faults and ends those that last. */
     private void endFaults() {
         faultsActive = false;
         nodes.forEach(SimulatedDataNode::recover);
@@ -243,19 +254,19 @@
         publishNodeList();
     }
 
-    /** Queries sent. */
+    /** Returns the number of queries sent. */
     public int queriesSent() {
         return queriesSent;
     }
 
-    /** Queries answered in time. */
+    /** Returns the number of queries answered within their SLO. */
     public int answeredInTime() {
         return answeredInTime;
     }
 
-    // ---- the list
+    // ---- node list
 
-    /** Tells all routers and the coordinator of the nodes, each on its own way. */
+    /** Sends the node list to all routers and the coordinator of moves, each with its own delay. */
     void publishNodeList() {
         List<Endpoint> entries =
                 nodes.stream()
@@ -308,7 +319,8 @@
         List<Slice> slices = layout.slices();
         int first = chance.nextInt(slices.size());
         int count = Math.min(slices.size() - first, 1 + chance.nextInt(8));
-        // Sometimes with a hole, so that neighbours of what is asked stay unasked.
+        // Some queries leave out a slice in the middle, so that a neighbour of a requested slice is
+        // not requested.
         List<Slice> named = new ArrayList<>(slices.subList(first, first + count));
         if (named.size() > 2 && with(0.3)) {
             named.remove(1 + chance.nextInt(named.size() - 2));
@@ -340,12 +352,12 @@
         hop(() -> router.take(id, kind, layout.version, wanted, until));
     }
 
-    /** A query is over for its client, in time for its SLO or not. */
+    /** Counts a query that has ended for its client, if it was answered within its SLO. */
     void over(boolean answered, Duration askedAt) {
         answeredInTime += answered && now.minus(askedAt).compareTo(SLO) <= 0 ? 1 : 0;
     }
 
-    // ---- re-cuts and troubles
+    // ---- layout changes and faults
 
     private void nextRecut() {
         if (now.compareTo(plan.length()) > 0) {
@@ -376,7 +388,7 @@
         }
     }
 
-    /** A key somewhere in the middle of these. */
+    /** Returns a random key of the range, other than its first. */
     long within(KeyRange keys) {
         return keys.from() + 1 + (long) (chance.nextDouble() * (keys.size() - 1));
     }
@@ -385,7 +397,7 @@
         return nodes.stream().filter(node -> node.name.equals(name)).findFirst().orElse(null);
     }
 
-    /** Nodes that are there and want work. */
+    /** Returns the names of the nodes that are ready. */
     List<String> ready() {
         return nodes.stream()
                 .filter(node -> node.readiness == Readiness.READY)
--- a/src/main/java/postbeam/testbed/simulation/SimulatedDataNode.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedDataNode.java
@@ -16,28 +16,34 @@
 import postbeam.testbed.verification.InvariantChecker;
 
 /**
- * A data node that holds slices by version, on the jumping clock: slow, hanging, dying, draining or
- * sound.
+ * A data node on the simulated clock that holds slices by layout version. It may be slow, hang,
+ * crash or drain.
  */
 final class SimulatedDataNode {
-    /** Parts it works on at once, and parts that wait before it turns more away. */
+    /**
+     * Attempts that the node executes at once. Up to {@link #QUEUE} more wait; further ones are
+     * rejected.
+     */
     private static final int CORES = 2;
 
     private static final int QUEUE = 40;
     private static final Duration WORK = Duration.ofMillis(6);
 
-    /** Answers are sometimes on their way for long: past a fence, a cut and a new version. */
+    /**
+     * The probability that a response is delayed by up to {@link #LATE_MOST}: past a fence, a split
+     * and a new layout version.
+     */
     private static final double LATE_ANSWERS = 0.03;
 
     private static final Duration LATE_MOST = Duration.ofMillis(900);
     private static final double BAD_ANSWERS = 0.03;
 
-    /** Share of deaths that take the disk along. */
+    /** The probability that a crash loses the disk. */
     private static final double LOST_DISKS = 0.1;
 
     private static final Duration COPY_MOST = Duration.ofMillis(300);
 
-    /** A call that has come, and how its end is told. */
+    /** An accepted attempt and the callback for its outcome. */
     private record Work(
             String query,
             String part,
@@ -59,7 +65,7 @@
     private boolean hanging;
     private int slowness = 1;
 
-    /** Counts its starts: what was begun before one ends nowhere. */
+    /** Incremented by each crash: work begun before a crash does not finish after it. */
     private int life;
 
     SimulatedDataNode(SimulatedCluster cluster, String name, String zone) {
@@ -68,9 +74,9 @@
         this.zone = zone;
     }
 
-    // ---- calls
+    // ---- attempts
 
-    /** A frame's part has come whole. */
+    /** Handles an attempt that has been received completely. */
     void called(
             String query,
             String part,
@@ -141,16 +147,20 @@
         work();
     }
 
-    // ---- orders
+    // ---- commands
 
-    /** Whether what it was told is done; silent where it is not there. */
+    /**
+     * Executes a command and acknowledges it once it is complete. Sends no answer while the node is
+     * down or hangs.
+     */
     void ordered(CoordinatorAction.SendCommand tell, Runnable done) {
         if (!alive || hanging) {
             return;
         }
         boolean copied = false;
         if (tell.command() == HandoffCommand.COPY) {
-            // Its own data need no copying; the rest takes its time from the first order on.
+            // The node's own data need no copying. Other data take a random time from the first
+            // command on.
             boolean own = name.equals(tell.source());
             SimulatedDataNode source = cluster.node(tell.source());
             Duration ready =
@@ -170,10 +180,11 @@
         return one != null && one.state == FakeSliceStore.SliceState.SERVING;
     }
 
-    // ---- troubles
+    // ---- faults
 
     /**
-     * Dies, with all that it had taken; is back after this time, cold, and holds what it is told.
+     * Crashes and loses all attempts that it had accepted. After this time it is back, cold, and
+     * holds the slices that it is commanded to hold.
      */
     void crash(Duration back) {
         if (!alive) {
@@ -183,7 +194,7 @@
         life++;
         List<Work> lost = new ArrayList<>(working);
         lost.addAll(waiting);
-        // What it had begun has run, perhaps.
+        // Of the attempts that were executing, a random half has run.
         for (Work work : working) {
             if (cluster.with(0.5)
                     && !(work.repeatsDropped && cluster.moves.repeated(work.query, work.keys))) {
@@ -261,7 +272,7 @@
         }
     }
 
-    /** All troubles are over. */
+    /** Ends all faults. */
     void recover() {
         slowness = 1;
         hanging = false;
--- a/src/main/java/postbeam/testbed/simulation/SimulatedMigrationCoordinator.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedMigrationCoordinator.java
@@ -28,8 +28,8 @@
 import postbeam.slices.TargetLayout;
 
 /**
- * One coordinator's process on the jumping clock: dies at a record, is stopped and woken, and has a
- * successor.
+ * A process of the migration coordinator on the simulated clock. It may die after a log record, be
+ * suspended and resumed, and be replaced by a successor.
  */
 public final class SimulatedMigrationCoordinator {
     static final MoveLimits MOVES =
@@ -60,12 +60,12 @@
                     Duration.ofMillis(20));
     private static final Duration LOOK = Duration.ofMillis(20);
 
-    /** A record and the term that it was written in, as they stand in the log. */
-    // The bytes are written once and only read: identity is enough.
+    /** An encoded log record and the term in which it was written. */
+    // The array is never modified and records are not compared by value.
     @SuppressWarnings("ArrayRecordComponent")
     record Stored(long term, byte[] bytes) {}
 
-    /** Thrown where the process ends in the middle of what it does. */
+    /** Ends the process in the middle of an action. */
     private static final class Ended extends RuntimeException {
         private static final long serialVersionUID = 1L;
     }
@@ -76,7 +76,9 @@
     private final MigrationJournalState book = new MigrationJournalState();
     private final long term;
 
-    /** Records in the log when it last looked: a longer one has another owner. */
+    /**
+     * The log length that this process last saw. If the log is longer, a successor has taken over.
+     */
     private int seen;
 
     private boolean dead;
@@ -151,7 +153,7 @@
         world.after(LOOK, this::look);
     }
 
-    /** Something comes to it: at once, later where it is stopped, never where it is dead. */
+    /** Handles an event: at once, on resume if the process is suspended, never if it is dead. */
     private void happens(Runnable what) {
         if (dead) {
             return;
@@ -197,14 +199,15 @@
                     && of.action() instanceof CoordinatorAction.SendCommand tell) {
                 tell(tell);
             }
-            // A layout is told to routers when they ask.
+            // Layouts need no action: routers poll for them.
         }
     }
 
     private void write(JournalRecord record) {
         Stored stored = new Stored(term, MoveRecordCodec.write(record, term));
         if (world.log.size() != seen) {
-            // It may have looked just before the successor wrote: then its record slips in behind.
+            // The process may have checked for a successor just before that one wrote: then its
+            // record is appended after the successor's.
             if (world.with(0.5)) {
                 world.log.add(stored);
                 world.slipped++;
@@ -224,7 +227,8 @@
         if (world.lost()) {
             return;
         }
-        // One connection a node: what was told first comes first.
+        // There is one connection per node, so commands arrive in the order in which they were
+        // sent.
         Duration at = world.now.plus(Duration.ofMillis(1)).plus(world.upTo(Duration.ofMillis(2)));
         Duration last = lastTold.get(tell.node());
         at = last != null && last.compareTo(at) > 0 ? last : at;
@@ -270,7 +274,7 @@
                 .isPresent();
     }
 
-    // ---- what comes to it
+    // ---- events
 
     void listed(SimulatedMigrationNode node, boolean up) {
         happens(
@@ -282,7 +286,7 @@
                 });
     }
 
-    /** A router asks for the layout; null where nothing answers. */
+    /** Handles a layout request of a router; returns null if the process does not answer. */
     Layout asked(String router, long version) {
         if (!works()) {
             return null;
@@ -293,7 +297,7 @@
         return layout;
     }
 
-    /** An operator's order; the error where it was refused, else null. */
+    /** Runs the command of an operator; returns the error if it was refused, else null. */
     OperatorErrorException ordered(
             java.util.function.Function<MigrationManager, OperatorCommand> order) {
         OperatorErrorException[] refused = new OperatorErrorException[1];
@@ -308,7 +312,7 @@
         return refused[0];
     }
 
-    // ---- troubles
+    // ---- faults
 
     void kill() {
         dead = true;
@@ -318,7 +322,7 @@
         stopped = true;
     }
 
-    /** Goes on where it was: what had come to it meanwhile comes now. */
+    /** Resumes the process, which first handles the events that arrived during the suspension. */
     void wake() {
         stopped = false;
         while (!whileStopped.isEmpty()) {
--- a/src/main/java/postbeam/testbed/simulation/SimulatedMigrationNode.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedMigrationNode.java
@@ -16,11 +16,13 @@
 import postbeam.slices.KeyRange;
 
 /**
- * A data node that holds rows by slice and runs holds, on the jumping clock; it may die and be
- * slow.
+ * A data node on the simulated clock that stores rows by slice and executes holds. It may die and
+ * be slow.
  */
 final class SimulatedMigrationNode {
-    /** A row: which hold made it, and its mark, which goes up with each that is made anywhere. */
+    /**
+     * A row: the hold that wrote it, and a mark that increases with every row written on any node.
+     */
     record Row(long key, String hold, long mark) {}
 
     enum Standing {
@@ -30,12 +32,12 @@
         FENCED
     }
 
-    /** What it has of one slice. */
+    /** The node's copy of one slice. */
     static final class Copy {
         final KeyRange keys;
         final TreeMap<Long, Row> rows = new TreeMap<>();
 
-        /** Holds taken and not over, by key. */
+        /** The keys of the holds that were accepted and have not ended. */
         final List<Long> open = new ArrayList<>();
 
         Standing standing;
@@ -44,8 +46,8 @@
         boolean copied;
 
         /**
-         * By the count of fences and serves: a holder tells its writes to those fenced after it
-         * began to serve.
+         * The global sequence number of the last fence or serve. A replica sends its writes to
+         * those that were fenced after it began to serve.
          */
         long turn;
 
@@ -55,7 +57,7 @@
         }
     }
 
-    /** Says whether a hold ran: 'done', 'moved' (it never ran) or 'lost'. */
+    /** Receives the outcome of a hold: "done", "moved" (it did not run) or "lost". */
     interface Ended {
         void ended(String outcome);
     }
@@ -100,7 +102,10 @@
                 });
     }
 
-    /** Runs it and tells all that hold the slice with it; over once each that is there has it. */
+    /**
+     * Executes a hold and replicates its row to the other copies of the slice. The hold ends once
+     * each live one has the row.
+     */
     private void run(Copy copy, int slice, Row row, Ended ended) {
         world.load.ran(row.hold);
         copy.rows.put(row.key, row);
@@ -133,11 +138,11 @@
         one.run();
     }
 
-    // ---- orders and questions
+    // ---- commands and digest requests
 
     /**
-     * Whether the order is done; 'stale' is told to a coordinator of an older term, silence to one
-     * while it is dead.
+     * Executes a command and answers "done" once it is complete. Answers "stale" to a coordinator
+     * of an older term, and nothing while the node is dead.
      */
     void ordered(
             CoordinatorAction.SendCommand tell,
@@ -233,7 +238,7 @@
         world.hop(() -> answer.accept(said));
     }
 
-    /** What a node says of a range of its rows. */
+    /** Returns the digest of a range of the copy's rows. */
     static RangeDigest said(Copy copy, KeyRange range) {
         int open =
                 (int)
@@ -264,11 +269,11 @@
         }
     }
 
-    // ---- troubles
+    // ---- faults
 
     /**
-     * Dies with what it had taken; a copy that it did not serve yet is lost, the rest is on its
-     * disk.
+     * Dies and loses the holds that it had accepted. Copies that it did not serve yet are lost, the
+     * others are on its disk.
      */
     void die(Duration away) {
         if (!alive) {
@@ -295,7 +300,9 @@
         world.after(away, this::back);
     }
 
-    /** Is back, fetches what it missed from those who serve, and is listed. */
+    /**
+     * Restarts, fetches the rows that it missed from the replicas that serve, and is listed again.
+     */
     void back() {
         if (alive) {
             return;
--- a/src/main/java/postbeam/testbed/simulation/SimulatedMoveCoordinator.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedMoveCoordinator.java
@@ -24,8 +24,8 @@
 import postbeam.slices.TargetLayout;
 
 /**
- * The one who moves slices, on the jumping clock: dies at a record or at any time, and comes back
- * from its log.
+ * The coordinator of moves on the simulated clock. It may crash after a log record or at any time,
+ * and recovers from its log.
  */
 public final class SimulatedMoveCoordinator {
     static final MoveLimits LIMITS =
@@ -45,7 +45,7 @@
 
     private final SimulatedCluster cluster;
 
-    /** What is on disk. */
+    /** The encoded log records on disk. */
     private final List<byte[]> records = new ArrayList<>();
 
     private final Map<String, Map<KeyRange, Boolean>> runs = new HashMap<>();
@@ -55,7 +55,7 @@
     private long listVersion;
     private int life;
 
-    /** Records that it may still write before it dies; below 0: as many as it likes. */
+    /** Log records until it crashes; below 0 if no crash is scheduled. */
     private int recordsLeft = -1;
 
     private Duration awayFor = Duration.ZERO;
@@ -171,8 +171,9 @@
     }
 
     /**
-     * Whether the keys of a deduplicated query have run anywhere: what nodes hand over with a
-     * slice, reckoned in one.
+     * Whether any key of the range has already run for the deduplicated query; records the range as
+     * run. Models the deduplication state that nodes hand over with a slice, kept in one place for
+     * all nodes.
      */
     boolean repeated(String query, KeyRange keys) {
         Map<KeyRange, Boolean> ran = runs.computeIfAbsent(query, key -> new LinkedHashMap<>());
@@ -181,7 +182,7 @@
         return before;
     }
 
-    // ---- what operators do
+    // ---- actions of operators
 
     void recut() {
         if (coordinator == null) {
@@ -207,7 +208,7 @@
                             slice.nodes().get(cluster.chance.nextInt(slice.nodes().size())),
                             ready.get(cluster.chance.nextInt(ready.size())));
         }
-        // Now and then an operator takes a node that is gone for dead.
+        // Sometimes the operator declares a removed node dead and repairs its slices.
         List<LayoutChange> mends = cluster.with(0.3) ? coordinator.repairs() : List.of();
         if (!mends.isEmpty()) {
             movesStarted++;
@@ -216,7 +217,8 @@
             movesStarted++;
             carryOut(coordinator.plan(change, cluster.now()));
         } else if (change instanceof LayoutChange.Merge) {
-            // Neighbours that other nodes hold are first brought together.
+            // Adjacent slices on different nodes are first moved to the same nodes, so that a later
+            // merge is possible.
             Slice other = slices.get(at + 1);
             for (String node : slice.nodes()) {
                 String off =
@@ -251,9 +253,9 @@
         }
     }
 
-    // ---- troubles
+    // ---- faults
 
-    /** Dies now, and comes back from its log after this time. */
+    /** Crashes now and recovers from the log after this time. */
     void crash(Duration away) {
         if (coordinator == null) {
             return;
@@ -269,7 +271,10 @@
                 });
     }
 
-    /** Dies right after so many records more are on disk, before it does what they are about. */
+    /**
+     * Crashes after this many further records are on disk, before the action that the last one is
+     * about.
+     */
     void crashAtARecord(int count, Duration away) {
         recordsLeft = count;
         awayFor = away;
@@ -282,22 +287,22 @@
         }
     }
 
-    /** Moves that were cut over. */
+    /** Returns the number of moves that were cut over. */
     public int movesCutOver() {
         return movesCutOver;
     }
 
-    /** Moves that were abandoned. */
+    /** Returns the number of moves that were rolled back. */
     public int movesAbandoned() {
         return movesAbandoned;
     }
 
-    /** Moves that were started. */
+    /** Returns the number of moves that were started. */
     public int movesStarted() {
         return movesStarted;
     }
 
-    /** What has not come to rest long after the last trouble. */
+    /** Returns what has not settled long after the last fault, one line each. */
     List<String> unsettled() {
         List<String> found = new ArrayList<>();
         for (Move move : coordinator.state().activeMoves()) {
@@ -312,7 +317,7 @@
                                     + node
                                     + " does not serve slice "
                                     + slice.number()
-                                    + " which the layout gives it");
+                                    + " that the layout assigns to it");
                 }
             }
         }
--- a/src/main/java/postbeam/testbed/simulation/SimulatedQueryRouter.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedQueryRouter.java
@@ -32,9 +32,12 @@
 import postbeam.slices.UnroutableQueryException;
 import postbeam.testbed.verification.InvariantChecker;
 
-/** The product's decisions and slicing behind a door of the jumping clock. */
+/**
+ * Runs the production routing policy and slice translation on the simulated clock. Implements the
+ * policy's actions by simulated messages.
+ */
 final class SimulatedQueryRouter implements PolicyActions {
-    /** Hears how a call ended. */
+    /** Receives the outcome of an attempt. */
     interface Ended {
         void ended(AttemptOutcome outcome, String value);
     }
@@ -94,9 +97,12 @@
                                 null));
     }
 
-    // ---- what happens
+    // ---- events
 
-    /** Lists come in order, as over one connection: one that was overtaken is not heard. */
+    /**
+     * Updates the endpoint list. Lists arrive in order, as over one connection: a list with an
+     * older version than the current one is ignored.
+     */
     void listed(long version, List<Endpoint> entries) {
         if (version < listVersion) {
             return;
@@ -179,17 +185,17 @@
         }
     }
 
-    /** Queries and calls that nothing will end any more. */
+    /** Returns the queries and attempts that are still open at the end of the run, one per line. */
     List<String> leftOver() {
         List<String> left = new ArrayList<>();
         open.values().forEach(q -> left.add("rule 1, query " + q.id + ": still open at the end"));
         if (!out.isEmpty()) {
-            left.add("router " + name + " still waits for " + out.size() + " calls");
+            left.add("router " + name + " still has " + out.size() + " attempts in flight");
         }
         return left;
     }
 
-    // ---- what is decided
+    // ---- actions of the policy
 
     @Override
     public void send(Attempt attempt) {
@@ -291,6 +297,6 @@
 
     @Override
     public void log(String text) {
-        // Nothing is logged in a trial.
+        // The simulation writes no log.
     }
 }
--- a/src/main/java/postbeam/testbed/simulation/package-info.java
+++ b/src/main/java/postbeam/testbed/simulation/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Runs of the decisions on a simulated clock, in one thread, every choice from one seed; and parts
- * with defects that the trials must catch.
+ * Deterministic simulations of routing, resharding, migration, coordination and paging: one thread,
+ * a simulated clock and a seed that decides every random choice. The Defective classes plant known
+ * faults that the trials must detect.
  */
 package postbeam.testbed.simulation;
--- a/src/test/java/postbeam/testbed/simulation/MixedWorkloadsTest.java
+++ b/src/test/java/postbeam/testbed/simulation/MixedWorkloadsTest.java
@@ -33,8 +33,8 @@
 import postbeam.testbed.fakes.ScriptedDataNode;
 
 /**
- * Instances in the old shape and in the new, on loopback, before the same data nodes, one of which
- * hangs.
+ * Routers with the old and with the new kind of settings run on loopback in front of the same data
+ * nodes, of which one hangs and one is drained.
  */
 class MixedWorkloadsTest {
     private static final int WORK_MS = 15;
@@ -44,7 +44,7 @@
     private static final HttpClient HTTP =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-    /** One kind of instance: its settings, and how many clients ask it at once. */
+    /** A kind of router: its settings, and the number of concurrent clients. */
     private record Shape(String name, String settings, int clients) {}
 
     private static final String OLD =
@@ -59,10 +59,7 @@
                 + "\"maxStreams\":100,\"connectTimeout\":250000,\"keepalive\":15000000},"
                 + "\"report\":{\"how\":\"answers\",\"columns\":\"svc_ms\"}";
 
-    /**
-     * A data node with two cores; queries' ids begin with the name of the shape that they were
-     * asked of.
-     */
+    /** A data node with two cores. Query ids begin with the name of the router's kind. */
     private static final class Node implements AutoCloseable {
         final ScriptedDataNode frames = new ScriptedDataNode();
         final ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
@@ -138,7 +135,7 @@
         }
     }
 
-    /** What the nodes saw of each part, and what clients got. */
+    /** What the nodes observed of each shard request, and what clients received. */
     private static final class Seen {
         private final Map<String, Integer> out = new ConcurrentHashMap<>();
         private final Map<String, Integer> runs = new ConcurrentHashMap<>();
@@ -148,20 +145,21 @@
         void called(String part, boolean drained) {
             out.merge(part, 1, Integer::sum);
             if (drained) {
-                broken.add(part + " went to a node after its grace");
+                broken.add(part + " went to a node after the grace period of its draining");
             }
         }
 
         /**
-         * Before the answer: a call given up before this one was sent is told to its node by then
-         * or soon, whichever connection is read first; a copy's other call is given up only after
-         * this answer.
+         * Waits until no other attempt of the shard request is in flight, before its answer is
+         * sent. A cancellation that was sent before this attempt arrives by then or soon after,
+         * whichever connection is read first; a hedged attempt is cancelled only after this answer.
          */
         void alone(String part) throws InterruptedException {
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(1);
             while (part.startsWith("new") && out.getOrDefault(part, 0) > 1) {
                 if (System.nanoTime() > end) {
-                    broken.add("two calls of " + part + " are out, where copies are barred");
+                    broken.add(
+                            "two attempts of " + part + " are in flight, but hedging is disabled");
                     return;
                 }
                 Thread.sleep(5);
@@ -201,8 +199,8 @@
     }
 
     /**
-     * Plays both shapes side by side; by shape how many queries were answered whole, in time, of
-     * those asked.
+     * Runs the routers side by side. Returns, by kind, the share of queries that were answered
+     * completely and in time.
      */
     private static Map<String, Double> play(Seen seen, Shape... shapes) throws Exception {
         List<Node> nodes = new ArrayList<>();
@@ -320,11 +318,12 @@
                             HttpResponse.BodyHandlers.ofString());
             Duration took = Duration.ofNanos(System.nanoTime() - begun);
             if (took.compareTo(PATIENCE.plusMillis(200)) > 0) {
-                seen.broken.add("an answer came after " + took);
+                seen.broken.add("an answer took " + took + ", limit " + PATIENCE.plusMillis(200));
             }
             boolean whole = answer.statusCode() == 200 && answer.body().contains("\"total\":true");
             if (whole && answer.body().split("\"range\"").length - 1 != parts) {
-                seen.broken.add("marked whole: " + answer.body());
+                seen.broken.add(
+                        "marked complete with other than " + parts + " ranges: " + answer.body());
             }
             if (whole && took.toMillis() <= 1000) {
                 seen.served.get(shape.name).incrementAndGet();
@@ -333,7 +332,7 @@
         return null;
     }
 
-    /** Names the shape that gets far less than the other; empty where none does. */
+    /** Returns the kinds that get less than 75 % of the best share; empty if there are none. */
     private static List<String> starved(Map<String, Double> shares) {
         double best = shares.values().stream().mapToDouble(share -> share).max().orElse(0);
         return shares.entrySet().stream()
@@ -360,7 +359,7 @@
                 new Shape(
                         "new", NEW.replace("\"mayDuplicate\":false", "\"mayDuplicate\":true"), 4));
         assertTrue(
-                seen.broken.stream().anyMatch(what -> what.startsWith("two calls of new")),
+                seen.broken.stream().anyMatch(what -> what.startsWith("two attempts of new")),
                 seen.broken.toString());
     }
 
