--- a/src/main/java/postbeam/testbed/simulation/CoordinationSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/CoordinationSimulation.java
@@ -31,7 +31,8 @@
  */
 public final class CoordinationSimulation {
     /**
-     * The size, length and faults of a run. Faults are injected until {@link #CALM} before the end.
+     * The size, length and faults of a run. Faults are injected until {@link #FAULT_FREE_SPAN}
+     * before the end.
      *
      * @param cutOff the number of routers that are cut off from the others for the whole run
      */
@@ -43,20 +44,25 @@
             boolean faults,
             int cutOff,
             LeaseParameters leases,
-            ElectionTimeouts offices,
+            ElectionTimeouts electionTimeouts,
             DefectiveCoordination.Defect defect) {}
 
     /**
      * How much of the slow-start budgets was used.
      *
-     * @param used the work that was sent
+     * @param usedWork the work that was sent
      * @param budget the work that the budgets allowed
-     * @param won how often a router became leader of a stripe
-     * @param sends the number of attempts sent
-     * @param evenAt the age of a node when a window first used more than half of its budget; null
-     *     if none did
+     * @param leadershipsWon how often a router became leader of a stripe
+     * @param attemptsSent the number of attempts sent
+     * @param halfUsedAge the age of a node when a window first used more than half of its budget;
+     *     null if none did
      */
-    public record Use(double used, double budget, int won, int sends, Duration evenAt) {}
+    public record BudgetUsage(
+            double usedWork,
+            double budget,
+            int leadershipsWon,
+            int attemptsSent,
+            Duration halfUsedAge) {}
 
     private static final Duration TICK = Duration.ofMillis(20);
 
@@ -64,60 +70,60 @@
      * The span without faults at the end, in which leaders are elected and leases are granted
      * again.
      */
-    static final Duration CALM = Duration.ofSeconds(8);
+    static final Duration FAULT_FREE_SPAN = Duration.ofSeconds(8);
 
     /**
      * The largest deviation of a clock's rate. Over the longest lease span it stays below the clock
      * drift that the lease parameters allow for.
      */
-    private static final double RATES = 0.004;
+    private static final double MAX_RATE_DEVIATION = 0.004;
 
     private static final double FIRST_BUDGET = 4;
 
-    /** The age at which the budget has grown to {@link #RISES_TO} times the first budget. */
+    /** The age at which the budget has grown to {@link #RAMP_FACTOR} times the first budget. */
     private static final Duration RAMP = Duration.ofSeconds(30);
 
-    private static final double RISES_TO = 2;
+    private static final double RAMP_FACTOR = 2;
 
     /**
      * The mean interval between the bursts of one router, to any node: more work than the budgets
      * allow.
      */
-    private static final Duration BETWEEN_BURSTS = Duration.ofMillis(6);
+    private static final Duration BURST_INTERVAL = Duration.ofMillis(6);
 
-    private static final int BURST_MOST = 12;
-    private static final Duration STARVED = Duration.ofMillis(600);
-    private static final double STOPPED_IN_A_BURST = 0.001;
+    private static final int MAX_BURST = 12;
+    private static final Duration MAX_STARVATION = Duration.ofMillis(600);
+    private static final double SUSPENDED_IN_BURST = 0.001;
 
     /** Bursts that are queued for a process while it is suspended. */
-    private static final int QUEUED = 40;
+    private static final int QUEUED_BURSTS = 40;
 
-    private record Event(Duration at, long number, Runnable what) {}
+    private record Event(Duration at, long number, Runnable action) {}
 
     /** A router name and its current process; a restart replaces the process. */
     private final class Router {
         final String name;
-        final double rate = 1 + RATES * (2 * chance.nextDouble() - 1);
-        final Duration offset = Duration.ofNanos((long) (chance.nextDouble() * 1e12));
-        ProcessIdentity who;
+        final double rate = 1 + MAX_RATE_DEVIATION * (2 * random.nextDouble() - 1);
+        final Duration offset = Duration.ofNanos((long) (random.nextDouble() * 1e12));
+        ProcessIdentity process;
         List<CoordinationStripe> stripes;
 
         /**
          * Whether its threads get little CPU time, so that attempts are sent long after they were
          * admitted.
          */
-        final boolean starved = chance.nextDouble() < 0.3;
+        final boolean starved = random.nextDouble() < 0.3;
 
-        boolean stopped;
+        boolean suspended;
         boolean crashed;
 
         /** Events that arrived while the process was suspended. */
-        final List<Runnable> held = new ArrayList<>();
+        final List<Runnable> deferredEvents = new ArrayList<>();
 
         /** The newest known incarnation by node name. */
-        final Map<String, NodeIncarnation> knows = new LinkedHashMap<>();
+        final Map<String, NodeIncarnation> knownNodes = new LinkedHashMap<>();
 
-        final Map<NodeIncarnation, Duration> heardAt = new LinkedHashMap<>();
+        final Map<NodeIncarnation, Duration> learntAt = new LinkedHashMap<>();
 
         Router(String name) {
             this.name = name;
@@ -129,8 +135,8 @@
 
         void start() {
             crashed = false;
-            who = new ProcessIdentity(name, ++incarnations);
-            knows.clear();
+            process = new ProcessIdentity(name, ++incarnations);
+            knownNodes.clear();
             stripes =
                     IntStream.range(0, plan.stripes())
                             .mapToObj(
@@ -138,23 +144,23 @@
                                             DefectiveCoordination.of(
                                                     plan.defect(),
                                                     i,
-                                                    who,
+                                                    process,
                                                     names,
                                                     plan.leases(),
-                                                    plan.offices(),
+                                                    plan.electionTimeouts(),
                                                     clock(),
-                                                    new Random(chance.nextLong())))
+                                                    new Random(random.nextLong())))
                             .toList();
-            nodes.forEach((node, key) -> hears(key));
+            nodes.forEach((node, key) -> learn(key));
             run(this::tick);
-            run(this::nextSend);
+            run(this::nextBurst);
         }
 
-        void hears(NodeIncarnation key) {
-            NodeIncarnation known = knows.get(key.name());
+        void learn(NodeIncarnation key) {
+            NodeIncarnation known = knownNodes.get(key.name());
             if (known == null || known.incarnation() < key.incarnation()) {
-                knows.put(key.name(), key);
-                heardAt.put(key, clock());
+                knownNodes.put(key.name(), key);
+                learntAt.put(key, clock());
             }
         }
 
@@ -162,149 +168,156 @@
          * Runs the action now, or on resume if the process is suspended; never if the process has
          * ended by then.
          */
-        void run(Runnable what) {
-            ProcessIdentity mine = who;
-            Runnable still =
+        void run(Runnable action) {
+            ProcessIdentity scheduledBy = process;
+            Runnable ifSameProcess =
                     () -> {
-                        if (mine.equals(who) && !crashed) {
-                            what.run();
+                        if (scheduledBy.equals(process) && !crashed) {
+                            action.run();
                         }
                     };
-            if (stopped) {
-                held.add(still);
+            if (suspended) {
+                deferredEvents.add(ifSameProcess);
             } else {
-                still.run();
+                ifSameProcess.run();
             }
         }
 
-        void later(Duration wait, Runnable what) {
-            ProcessIdentity mine = who;
+        void afterDelay(Duration wait, Runnable action) {
+            ProcessIdentity scheduledBy = process;
             after(
                     wait,
                     () -> {
-                        if (mine.equals(who)) {
-                            run(what);
+                        if (scheduledBy.equals(process)) {
+                            run(action);
                         }
                     });
         }
 
-        void stop() {
-            stopped = true;
+        void suspend() {
+            suspended = true;
         }
 
-        void wake() {
-            stopped = false;
-            List<Runnable> all = new ArrayList<>(held);
-            held.clear();
+        void resume() {
+            suspended = false;
+            List<Runnable> all = new ArrayList<>(deferredEvents);
+            deferredEvents.clear();
             while (!all.isEmpty()) {
-                all.remove(chance.nextInt(all.size())).run();
+                all.remove(random.nextInt(all.size())).run();
             }
             // Bursts that queued up during the suspension.
-            for (int i = 0; i < QUEUED; i++) {
-                later(upTo(TICK.multipliedBy(5)), this::sendAny);
+            for (int i = 0; i < QUEUED_BURSTS; i++) {
+                afterDelay(randomDuration(TICK.multipliedBy(5)), this::sendBurst);
             }
         }
 
         void crash() {
             crashed = true;
-            held.clear();
-            stopped = false;
+            deferredEvents.clear();
+            suspended = false;
         }
 
         // ---- actions of the process
 
         void tick() {
-            later(TICK, this::tick);
+            afterDelay(TICK, this::tick);
             for (int i = 0; i < stripes.size(); i++) {
                 CoordinationStripe stripe = stripes.get(i);
-                boolean was = stripe.election().isLeader(clock());
+                boolean wasLeader = stripe.election().isLeader(clock());
                 CoordinationStripe.OutgoingMessages due = stripe.pollMessages(clock());
                 if (due.voteRequest() != null) {
                     routers.stream()
                             .filter(other -> other != this)
-                            .forEach(other -> ask(other, due.voteRequest()));
+                            .forEach(other -> sendVoteRequest(other, due.voteRequest()));
                 }
                 int at = i;
                 due.leaseRequests()
                         .forEach(
-                                asked ->
+                                request ->
                                         routers.stream()
                                                 .filter(
                                                         other ->
                                                                 other.name.equals(
                                                                         due.leader().name()))
-                                                .forEach(other -> ask(other, at, asked)));
-                won += !was && stripe.election().isLeader(clock()) ? 1 : 0;
+                                                .forEach(
+                                                        other ->
+                                                                sendLeaseRequest(
+                                                                        other, at, request)));
+                leadershipsWon += !wasLeader && stripe.election().isLeader(clock()) ? 1 : 0;
             }
         }
 
-        private void ask(Router other, VoteRequest ballot) {
-            CoordinationStripe mine = stripes.get(ballot.stripe());
-            message(
+        private void sendVoteRequest(Router other, VoteRequest request) {
+            CoordinationStripe ownStripe = stripes.get(request.stripe());
+            sendMessage(
                     this,
                     other,
                     () -> {
-                        var vote = other.stripes.get(ballot.stripe()).handle(other.clock(), ballot);
-                        message(
+                        var vote =
+                                other.stripes.get(request.stripe()).handle(other.clock(), request);
+                        sendMessage(
                                 other,
                                 this,
-                                mine,
+                                ownStripe,
                                 () -> {
-                                    boolean was = mine.election().isLeader(clock());
-                                    mine.onVote(clock(), vote);
-                                    if (!was && mine.election().isLeader(clock())) {
-                                        won++;
-                                        oneKeeper(ballot.stripe());
+                                    boolean wasLeader = ownStripe.election().isLeader(clock());
+                                    ownStripe.onVote(clock(), vote);
+                                    if (!wasLeader && ownStripe.election().isLeader(clock())) {
+                                        leadershipsWon++;
+                                        checkSingleLeader(request.stripe());
                                     }
                                 });
                     });
         }
 
-        private void ask(Router other, int stripe, LeaseRequest asked) {
-            CoordinationStripe mine = stripes.get(stripe);
-            message(
+        private void sendLeaseRequest(Router other, int stripe, LeaseRequest request) {
+            CoordinationStripe ownStripe = stripes.get(stripe);
+            sendMessage(
                     this,
                     other,
                     () -> {
-                        var grant = other.stripes.get(stripe).handle(other.clock(), asked);
-                        message(other, this, mine, () -> mine.onGrant(clock(), grant));
+                        var grant = other.stripes.get(stripe).handle(other.clock(), request);
+                        sendMessage(
+                                other, this, ownStripe, () -> ownStripe.onGrant(clock(), grant));
                     });
         }
 
-        void nextSend() {
+        void nextBurst() {
             // Every third router sends most of the work.
-            double busy = routers.indexOf(this) % 3 == 2 ? 1 : plan.faults() ? 2 : 40;
-            later(
+            double intervalFactor = routers.indexOf(this) % 3 == 2 ? 1 : plan.faults() ? 2 : 40;
+            afterDelay(
                     Duration.ofNanos(
                             (long)
-                                    (-Math.log(1 - chance.nextDouble())
-                                            * BETWEEN_BURSTS.toNanos()
-                                            * busy)),
-                    this::nextSend);
-            sendAny();
+                                    (-Math.log(1 - random.nextDouble())
+                                            * BURST_INTERVAL.toNanos()
+                                            * intervalFactor)),
+                    this::nextBurst);
+            sendBurst();
         }
 
-        private void sendAny() {
-            if (!knows.isEmpty()) {
+        private void sendBurst() {
+            if (!knownNodes.isEmpty()) {
                 NodeIncarnation key =
-                        new ArrayList<>(knows.values()).get(chance.nextInt(knows.size()));
-                for (int i = chance.nextInt(BURST_MOST); i >= 0; i--) {
+                        new ArrayList<>(knownNodes.values()).get(random.nextInt(knownNodes.size()));
+                for (int i = random.nextInt(MAX_BURST); i >= 0; i--) {
                     send(key);
                 }
                 // Suspends the process between the admission and the sending of its attempts.
-                if (troubled && chance.nextDouble() < STOPPED_IN_A_BURST) {
-                    halt(this, upTo(Duration.ofSeconds(4)));
+                if (faultsActive && random.nextDouble() < SUSPENDED_IN_BURST) {
+                    suspendFor(this, randomDuration(Duration.ofSeconds(4)));
                 }
             }
         }
 
         private void send(NodeIncarnation key) {
             CoordinationStripe stripe = stripes.get(stripeOf(key.name()));
-            double amount = plan.leases().maxAttemptWork() * (0.2 + 0.8 * chance.nextDouble());
+            double amount = plan.leases().maxAttemptWork() * (0.2 + 0.8 * random.nextDouble());
             // The node's age, as estimated by the router's own clock, never exceeds the true one.
             Duration age =
                     Duration.ofNanos(
-                            (long) (clock().minus(heardAt.get(key)).toNanos() * (1 - 2 * RATES)));
+                            (long)
+                                    (clock().minus(learntAt.get(key)).toNanos()
+                                            * (1 - 2 * MAX_RATE_DEVIATION)));
             if (!stripe.tryAcquire(clock(), key, amount, budget(age))) {
                 return;
             }
@@ -312,15 +325,15 @@
                 stripe.release(key, amount);
             }
             // The thread sends the attempt after a delay, or on resume if the process is suspended.
-            later(
-                    troubled && starved
-                            ? upTo(STARVED)
+            afterDelay(
+                    faultsActive && starved
+                            ? randomDuration(MAX_STARVATION)
                             : Duration.ofNanos(
                                     (long)
-                                            (chance.nextDouble()
-                                                    * (chance.nextDouble() < 0.1 ? 3e7 : 1e6))),
+                                            (random.nextDouble()
+                                                    * (random.nextDouble() < 0.1 ? 3e7 : 1e6))),
                     () -> {
-                        sent(key, amount);
+                        onSent(key, amount);
                         if (plan.defect() != DefectiveCoordination.Defect.CHECKS_NOT_HELD_DOWN) {
                             stripe.release(key, amount);
                         }
@@ -329,31 +342,31 @@
     }
 
     private final Plan plan;
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final List<String> names;
     private final List<Router> routers = new ArrayList<>();
     private final Map<String, NodeIncarnation> nodes = new LinkedHashMap<>();
     private final Map<NodeIncarnation, Duration> startedAt = new LinkedHashMap<>();
-    private final Map<NodeIncarnation, Deque<Map.Entry<Duration, Double>>> sent =
+    private final Map<NodeIncarnation, Deque<Map.Entry<Duration, Double>>> sentWork =
             new LinkedHashMap<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparing(Event::at).thenComparingLong(Event::number));
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private final boolean[][] cut;
     private long eventCount;
     private long incarnations;
     private Duration now = Duration.ZERO;
-    private boolean troubled;
-    private int won;
-    private int sends;
-    private double used;
-    private double measured;
-    private Duration carriesAt;
+    private boolean faultsActive;
+    private int leadershipsWon;
+    private int attemptsSent;
+    private double usedWork;
+    private double fullestWindow;
+    private Duration halfUsedAge;
 
     /** Prepares a run in which the seed decides every random choice. */
     public CoordinationSimulation(Plan plan, long seed) {
         this.plan = plan;
-        this.chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
+        this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         this.names = IntStream.range(0, plan.routers()).mapToObj(i -> "r" + i).toList();
         this.cut = new boolean[plan.routers()][plan.routers()];
         names.forEach(name -> routers.add(new Router(name)));
@@ -365,32 +378,32 @@
     public List<String> run() {
         IntStream.range(0, plan.nodes()).forEach(i -> restart("n" + i));
         routers.forEach(Router::start);
-        troubled = plan.faults();
+        faultsActive = plan.faults();
         for (int i = 0; i < plan.cutOff(); i++) {
             for (int j = plan.cutOff(); j < plan.routers(); j++) {
                 cut[i][j] = true;
                 cut[j][i] = true;
             }
         }
-        after(Duration.ofMillis(200), this::nextTrouble);
-        boolean calm = false;
-        while (broken.isEmpty() && events.peek().at().compareTo(plan.length()) < 0) {
+        after(Duration.ofMillis(200), this::injectNextFault);
+        boolean faultsEnded = false;
+        while (violations.isEmpty() && events.peek().at().compareTo(plan.length()) < 0) {
             Event next = events.poll();
             now = next.at();
-            if (!calm && now.compareTo(plan.length().minus(CALM)) > 0) {
-                calm = true;
-                calm();
+            if (!faultsEnded && now.compareTo(plan.length().minus(FAULT_FREE_SPAN)) > 0) {
+                faultsEnded = true;
+                endFaults();
             }
-            next.what().run();
+            next.action().run();
         }
-        if (broken.isEmpty() && plan.faults()) {
-            settled();
+        if (violations.isEmpty() && plan.faults()) {
+            checkSettled();
         }
-        return broken;
+        return violations;
     }
 
     /** Returns how much of the budgets was used. */
-    public Use use() {
+    public BudgetUsage budgetUsage() {
         double budget = 0;
         for (NodeIncarnation key : nodes.values()) {
             for (Duration at = startedAt.get(key);
@@ -399,24 +412,24 @@
                 budget += budget(at.minus(startedAt.get(key))).current();
             }
         }
-        return new Use(used, budget, won, sends, carriesAt);
+        return new BudgetUsage(usedWork, budget, leadershipsWon, attemptsSent, halfUsedAge);
     }
 
     /**
      * Checks that after the span without faults each stripe has a leader, and at least half of the
      * leasable budget is leased.
      */
-    private void settled() {
+    private void checkSettled() {
         for (int i = 0; i < plan.stripes(); i++) {
             int stripe = i;
             if (routers.stream()
                     .noneMatch(
                             one -> one.stripes.get(stripe).leaseIssuer().canGrant(one.clock()))) {
-                broken.add(
+                violations.add(
                         "stripe "
                                 + i
                                 + " has no leader that can grant leases "
-                                + CALM.toMillis()
+                                + FAULT_FREE_SPAN.toMillis()
                                 + " ms after the last fault");
             }
         }
@@ -434,17 +447,17 @@
                         .filter(entry -> nodes.containsValue(entry.getKey()))
                         .mapToDouble(Map.Entry::getValue)
                         .sum();
-        double least = plan.nodes() * plan.leases().leasable(FIRST_BUDGET) / 2;
-        if (leased < least) {
-            broken.add(
+        double minimum = plan.nodes() * plan.leases().leasable(FIRST_BUDGET) / 2;
+        if (leased < minimum) {
+            violations.add(
                     String.format(
                             "leases of %.3f are held at the end, expected at least %.3f",
-                            leased, least));
+                            leased, minimum));
         }
     }
 
-    private void calm() {
-        troubled = false;
+    private void endFaults() {
+        faultsActive = false;
         for (boolean[] row : cut) {
             if (plan.cutOff() == 0) {
                 Arrays.fill(row, false);
@@ -452,8 +465,8 @@
         }
         routers.forEach(
                 router -> {
-                    if (router.stopped) {
-                        router.wake();
+                    if (router.suspended) {
+                        router.resume();
                     }
                     if (router.crashed) {
                         router.start();
@@ -461,24 +474,26 @@
                 });
     }
 
-    private void after(Duration wait, Runnable what) {
-        events.add(new Event(now.plus(wait), eventCount++, what));
+    private void after(Duration wait, Runnable action) {
+        events.add(new Event(now.plus(wait), eventCount++, action));
     }
 
     // ---- the network
 
-    private Duration way() {
-        double kind = chance.nextDouble();
-        double most = !troubled || kind < 0.9 ? 2e6 : kind < 0.98 ? 3e8 : 4e9;
-        return Duration.ofNanos((long) (5e5 + chance.nextDouble() * most));
+    private Duration networkDelay() {
+        double kind = random.nextDouble();
+        double max = !faultsActive || kind < 0.9 ? 2e6 : kind < 0.98 ? 3e8 : 4e9;
+        return Duration.ofNanos((long) (5e5 + random.nextDouble() * max));
     }
 
-    private void message(Router from, Router to, Runnable arrives) {
+    private void sendMessage(Router from, Router to, Runnable arrives) {
         int copies =
-                troubled ? chance.nextDouble() < 0.05 ? 0 : chance.nextDouble() < 0.05 ? 2 : 1 : 1;
+                faultsActive
+                        ? random.nextDouble() < 0.05 ? 0 : random.nextDouble() < 0.05 ? 2 : 1
+                        : 1;
         for (int i = 0; i < copies && !cut[routers.indexOf(from)][routers.indexOf(to)]; i++) {
             after(
-                    way(),
+                    networkDelay(),
                     () -> {
                         if (to.stripes != null && !to.crashed) {
                             to.run(arrives);
@@ -488,12 +503,13 @@
     }
 
     /** Sends a response, which is dropped if the requesting process has been replaced. */
-    private void message(Router from, Router to, CoordinationStripe asker, Runnable arrives) {
-        message(
+    private void sendMessage(
+            Router from, Router to, CoordinationStripe requester, Runnable arrives) {
+        sendMessage(
                 from,
                 to,
                 () -> {
-                    if (to.stripes.contains(asker)) {
+                    if (to.stripes.contains(requester)) {
                         arrives.run();
                     }
                 });
@@ -505,37 +521,46 @@
 
     // ---- faults
 
-    private void nextTrouble() {
-        if (!troubled) {
+    private void injectNextFault() {
+        if (!faultsActive) {
             return;
         }
-        after(upTo(Duration.ofMillis(1200)), this::nextTrouble);
-        Router router = routers.get(chance.nextInt(routers.size()));
-        switch (chance.nextInt(8)) {
-            case 0 -> crash(router, upTo(Duration.ofMillis(1500)));
-            case 1 -> keepers().forEach(keeper -> crash(keeper, upTo(Duration.ofMillis(500))));
-            case 2 -> halt(router, upTo(Duration.ofSeconds(4)));
-            case 3 -> keepers().forEach(keeper -> halt(keeper, upTo(Duration.ofSeconds(4))));
-            case 4 -> cutOff(chance.nextInt(3), upTo(Duration.ofSeconds(5)));
-            case 5 -> cutOff(chance.nextInt(3), upTo(Duration.ofSeconds(2)));
-            case 6 -> restart("n" + chance.nextInt(plan.nodes()));
+        after(randomDuration(Duration.ofMillis(1200)), this::injectNextFault);
+        Router router = routers.get(random.nextInt(routers.size()));
+        switch (random.nextInt(8)) {
+            case 0 -> crash(router, randomDuration(Duration.ofMillis(1500)));
+            case 1 ->
+                    leaders()
+                            .forEach(
+                                    leader ->
+                                            crash(leader, randomDuration(Duration.ofMillis(500))));
+            case 2 -> suspendFor(router, randomDuration(Duration.ofSeconds(4)));
+            case 3 ->
+                    leaders()
+                            .forEach(
+                                    leader ->
+                                            suspendFor(
+                                                    leader, randomDuration(Duration.ofSeconds(4))));
+            case 4 -> cutOff(random.nextInt(3), randomDuration(Duration.ofSeconds(5)));
+            case 5 -> cutOff(random.nextInt(3), randomDuration(Duration.ofSeconds(2)));
+            case 6 -> restart("n" + random.nextInt(plan.nodes()));
             default -> {
                 // Crashes all routers, or about half of them, so that often a majority of voters
                 // has no memory.
-                double share = chance.nextDouble() < 0.3 ? 1 : 0.5;
+                double share = random.nextDouble() < 0.3 ? 1 : 0.5;
                 routers.stream()
-                        .filter(one -> chance.nextDouble() < share)
-                        .forEach(one -> crash(one, upTo(Duration.ofMillis(40))));
+                        .filter(one -> random.nextDouble() < share)
+                        .forEach(one -> crash(one, randomDuration(Duration.ofMillis(40))));
             }
         }
     }
 
-    private List<Router> keepers() {
+    private List<Router> leaders() {
         return routers.stream()
                 .filter(
                         one ->
                                 !one.crashed
-                                        && !one.stopped
+                                        && !one.suspended
                                         && one.stripes.stream()
                                                 .anyMatch(
                                                         stripe ->
@@ -544,15 +569,15 @@
                 .toList();
     }
 
-    private Duration upTo(Duration most) {
-        return Duration.ofNanos((long) (chance.nextDouble() * most.toNanos()));
+    private Duration randomDuration(Duration max) {
+        return Duration.ofNanos((long) (random.nextDouble() * max.toNanos()));
     }
 
-    private void crash(Router router, Duration away) {
+    private void crash(Router router, Duration span) {
         if (!router.crashed) {
             router.crash();
             after(
-                    away,
+                    span,
                     () -> {
                         if (router.crashed) {
                             router.start();
@@ -561,37 +586,40 @@
         }
     }
 
-    private void halt(Router router, Duration away) {
-        if (!router.crashed && !router.stopped) {
-            router.stop();
+    private void suspendFor(Router router, Duration span) {
+        if (!router.crashed && !router.suspended) {
+            router.suspend();
             after(
-                    away,
+                    span,
                     () -> {
-                        if (router.stopped) {
-                            router.wake();
+                        if (router.suspended) {
+                            router.resume();
                         }
                     });
         }
     }
 
     /**
-     * Cuts a random set of routers off from the others: in both directions, or in one of them only.
+     * Cuts a random set of routers off from the others.
+     *
+     * @param direction 0 for both directions, 1 for messages to the cut-off routers only, 2 for
+     *     messages from them only
      */
-    private void cutOff(int how, Duration away) {
-        boolean[] aside = new boolean[plan.routers()];
-        for (int i = 0; i < aside.length; i++) {
-            aside[i] = chance.nextDouble() < 0.4;
+    private void cutOff(int direction, Duration span) {
+        boolean[] isolated = new boolean[plan.routers()];
+        for (int i = 0; i < isolated.length; i++) {
+            isolated[i] = random.nextDouble() < 0.4;
         }
-        set(aside, how, true);
-        after(away, () -> set(aside, how, false));
+        setLinks(isolated, direction, true);
+        after(span, () -> setLinks(isolated, direction, false));
     }
 
-    private void set(boolean[] aside, int how, boolean to) {
-        for (int i = 0; i < aside.length; i++) {
-            for (int j = 0; j < aside.length; j++) {
-                if (aside[i] && !aside[j]) {
-                    cut[i][j] = how != 1 ? to : cut[i][j];
-                    cut[j][i] = how != 2 ? to : cut[j][i];
+    private void setLinks(boolean[] isolated, int direction, boolean to) {
+        for (int i = 0; i < isolated.length; i++) {
+            for (int j = 0; j < isolated.length; j++) {
+                if (isolated[i] && !isolated[j]) {
+                    cut[i][j] = direction != 1 ? to : cut[i][j];
+                    cut[j][i] = direction != 2 ? to : cut[j][i];
                 }
             }
         }
@@ -602,13 +630,13 @@
         NodeIncarnation key = new NodeIncarnation(node, ++incarnations);
         nodes.put(node, key);
         startedAt.put(key, now);
-        sent.put(key, new ArrayDeque<>());
+        sentWork.put(key, new ArrayDeque<>());
         for (Router router : routers) {
             after(
-                    upTo(Duration.ofMillis(200)),
+                    randomDuration(Duration.ofMillis(200)),
                     () -> {
                         if (router.stripes != null) {
-                            router.run(() -> router.hears(key));
+                            router.run(() -> router.learn(key));
                         }
                     });
         }
@@ -625,25 +653,25 @@
                                 1,
                                 (double) age.minus(plan.leases().window()).toNanos()
                                         / RAMP.toNanos()));
-        return new SlowStartBudget(FIRST_BUDGET, FIRST_BUDGET * (1 + (RISES_TO - 1) * risen));
+        return new SlowStartBudget(FIRST_BUDGET, FIRST_BUDGET * (1 + (RAMP_FACTOR - 1) * risen));
     }
 
-    private void sent(NodeIncarnation key, double amount) {
-        sends++;
-        used += amount;
-        Deque<Map.Entry<Duration, Double>> all = sent.get(key);
+    private void onSent(NodeIncarnation key, double amount) {
+        attemptsSent++;
+        usedWork += amount;
+        Deque<Map.Entry<Duration, Double>> all = sentWork.get(key);
         all.add(Map.entry(now, amount));
         while (all.peek().getKey().compareTo(now.minus(plan.leases().window())) < 0) {
             all.poll();
         }
         double sum = all.stream().mapToDouble(Map.Entry::getValue).sum();
         double limit = budget(now.minus(startedAt.get(key))).current();
-        measured = Math.max(measured, sum / limit);
-        if (carriesAt == null && sum > limit / 2) {
-            carriesAt = now.minus(startedAt.get(key));
+        fullestWindow = Math.max(fullestWindow, sum / limit);
+        if (halfUsedAge == null && sum > limit / 2) {
+            halfUsedAge = now.minus(startedAt.get(key));
         }
         if (sum > limit + 1e-6) {
-            broken.add(
+            violations.add(
                     String.format(
                             "at %d ms node %s was sent %.4f within %d ms, over its budget of %.4f",
                             now.toMillis(), key, sum, plan.leases().window().toMillis(), limit));
@@ -651,16 +679,16 @@
     }
 
     /** Returns the largest share of a budget that was sent in any window. */
-    public double fullest() {
-        return measured;
+    public double fullestShare() {
+        return fullestWindow;
     }
 
     /**
      * Checks that at most one process leads the stripe. Suspended processes count as leaders while
      * their own clocks say that they lead.
      */
-    private void oneKeeper(int stripe) {
-        List<String> in =
+    private void checkSingleLeader(int stripe) {
+        List<String> leaders =
                 routers.stream()
                         .filter(
                                 one ->
@@ -671,9 +699,14 @@
                                                         .isLeader(one.clock()))
                         .map(one -> one.name)
                         .toList();
-        if (in.size() > 1) {
-            broken.add(
-                    "at " + now.toMillis() + " ms " + in + " are all leaders of stripe " + stripe);
+        if (leaders.size() > 1) {
+            violations.add(
+                    "at "
+                            + now.toMillis()
+                            + " ms "
+                            + leaders
+                            + " are all leaders of stripe "
+                            + stripe);
         }
     }
 }
--- a/src/main/java/postbeam/testbed/simulation/DefectiveCoordination.java
+++ b/src/main/java/postbeam/testbed/simulation/DefectiveCoordination.java
@@ -50,7 +50,7 @@
      * The defect of the stripe under construction. The constructor of the superclass calls the
      * factory methods before the field is assigned.
      */
-    private static final ThreadLocal<Defect> MAKING = new ThreadLocal<>();
+    private static final ThreadLocal<Defect> DEFECT_UNDER_CONSTRUCTION = new ThreadLocal<>();
 
     private final Defect defect;
 
@@ -58,12 +58,12 @@
             int stripe,
             ProcessIdentity self,
             List<String> fleet,
-            LeaseParameters terms,
-            ElectionTimeouts offices,
+            LeaseParameters parameters,
+            ElectionTimeouts timeouts,
             Duration now,
-            Random chance) {
-        super(stripe, self, fleet, terms, offices, now, chance);
-        defect = MAKING.get();
+            Random random) {
+        super(stripe, self, fleet, parameters, timeouts, now, random);
+        defect = DEFECT_UNDER_CONSTRUCTION.get();
     }
 
     /** Returns the defect names that trials take as arguments. */
@@ -83,15 +83,15 @@
             int stripe,
             ProcessIdentity self,
             List<String> fleet,
-            LeaseParameters terms,
-            ElectionTimeouts offices,
+            LeaseParameters parameters,
+            ElectionTimeouts timeouts,
             Duration now,
-            Random chance) {
+            Random random) {
         if (defect == null) {
-            return new CoordinationStripe(stripe, self, fleet, terms, offices, now, chance);
+            return new CoordinationStripe(stripe, self, fleet, parameters, timeouts, now, random);
         }
-        MAKING.set(defect);
-        return new DefectiveCoordination(stripe, self, fleet, terms, offices, now, chance);
+        DEFECT_UNDER_CONSTRUCTION.set(defect);
+        return new DefectiveCoordination(stripe, self, fleet, parameters, timeouts, now, random);
     }
 
     @Override
@@ -99,11 +99,11 @@
             int stripe,
             ProcessIdentity process,
             List<String> routers,
-            ElectionTimeouts offices,
+            ElectionTimeouts timeouts,
             Duration start,
-            Random chance) {
-        Defect planted = MAKING.get();
-        return new LeaderElection(process, stripe, routers, offices, start, chance) {
+            Random random) {
+        Defect planted = DEFECT_UNDER_CONSTRUCTION.get();
+        return new LeaderElection(process, stripe, routers, timeouts, start, random) {
             @Override
             protected int quorum() {
                 return planted == Defect.KEEPER_WITHOUT_MAJORITY
@@ -119,9 +119,9 @@
     }
 
     @Override
-    protected LeaseIssuer createLeaseIssuer(LeaderElection of, LeaseParameters leaseTerms) {
-        Defect planted = MAKING.get();
-        return new LeaseIssuer(of, leaseTerms) {
+    protected LeaseIssuer createLeaseIssuer(LeaderElection of, LeaseParameters leaseParameters) {
+        Defect planted = DEFECT_UNDER_CONSTRUCTION.get();
+        return new LeaseIssuer(of, leaseParameters) {
             @Override
             protected boolean waitedOutPredecessors(Duration now, Duration wonAt) {
                 return planted == Defect.SUCCESSOR_GRANTS_AT_ONCE
@@ -136,21 +136,22 @@
     }
 
     @Override
-    protected SlowStartQuota createQuota(LeaseParameters leaseTerms, int sharers, boolean drawn) {
+    protected SlowStartQuota createQuota(
+            LeaseParameters leaseParameters, int sharers, boolean drawn) {
         return defect != Defect.LEASE_USED_AFTER_STOP
-                ? super.createQuota(leaseTerms, sharers, drawn)
-                : new SlowStartQuota(leaseTerms, sharers, drawn) {
-                    private Duration lookedAt = Duration.ZERO;
+                ? super.createQuota(leaseParameters, sharers, drawn)
+                : new SlowStartQuota(leaseParameters, sharers, drawn) {
+                    private Duration lastGrantAt = Duration.ZERO;
 
                     @Override
                     public void onGrant(Duration now, long ofNumber, double amount) {
-                        lookedAt = now;
+                        lastGrantAt = now;
                         super.onGrant(now, ofNumber, amount);
                     }
 
                     @Override
                     protected boolean isExpired(Duration now, Duration end) {
-                        return super.isExpired(lookedAt, end);
+                        return super.isExpired(lastGrantAt, end);
                     }
                 };
     }
--- a/src/main/java/postbeam/testbed/simulation/DefectivePageAssembly.java
+++ b/src/main/java/postbeam/testbed/simulation/DefectivePageAssembly.java
@@ -21,7 +21,10 @@
          * returned.
          */
         SPLIT_SKIPS,
-        /** A range that was missing from a page continues at the position of the others. */
+        /**
+         * A range that was missing from a page continues at the position of the last row returned,
+         * as if it had not been missing.
+         */
         OWED_FORGOTTEN,
         /** Rows are returned although a truncated partial page may have earlier ones. */
         BOUND_PASSED,
@@ -39,10 +42,10 @@
     private DefectivePageAssembly(
             SortOrder order,
             int size,
-            List<RangeProgress> standings,
-            RowDistribution shares,
+            List<RangeProgress> progress,
+            RowDistribution distribution,
             Defect defect) {
-        super(order, size, standings, shares);
+        super(order, size, progress, distribution);
         this.defect = defect;
     }
 
@@ -50,42 +53,44 @@
     static PageAssembler of(
             SortOrder order,
             int size,
-            List<RangeProgress> standings,
-            RowDistribution shares,
+            List<RangeProgress> progress,
+            RowDistribution distribution,
             Defect defect) {
         if (defect == null) {
-            return new PageAssembler(order, size, standings, shares);
+            return new PageAssembler(order, size, progress, distribution);
         }
-        return new DefectivePageAssembly(order, size, standings, shares, defect);
+        return new DefectivePageAssembly(order, size, progress, distribution, defect);
     }
 
     @Override
-    protected Comparator<RowPosition> mergeOrder(SortOrder by) {
-        return (one, other) ->
+    protected Comparator<RowPosition> mergeOrder(SortOrder order) {
+        return (first, second) ->
                 defect == Defect.TIES_BY_ARRIVAL
-                        ? by.compare(bare(one), bare(other))
-                        : by.compare(one, other);
+                        ? order.compare(withoutTieBreakers(first), withoutTieBreakers(second))
+                        : order.compare(first, second);
     }
 
-    private static RowPosition bare(RowPosition mark) {
-        return new RowPosition(mark.sortValues(), 0, 0);
+    private static RowPosition withoutTieBreakers(RowPosition position) {
+        return new RowPosition(position.sortValues(), 0, 0);
     }
 
     @Override
     public RowPosition positionAfterPage(
-            RangeProgress before, KeyRange keys, RowPosition reached, RowPosition given) {
-        RowPosition stands = super.positionAfterPage(before, keys, reached, given);
+            RangeProgress before, KeyRange keys, RowPosition fetched, RowPosition returned) {
+        RowPosition position = super.positionAfterPage(before, keys, fetched, returned);
         return defect == Defect.SPLIT_SKIPS
                         && !keys.equals(before.range())
-                        && reached != null
-                        && sortOrder().compare(reached, stands) > 0
-                ? reached
-                : stands;
+                        && fetched != null
+                        && sortOrder().compare(fetched, position) > 0
+                ? fetched
+                : position;
     }
 
     @Override
-    public RowPosition positionOfMissing(RowPosition before, RowPosition given) {
-        return defect == Defect.OWED_FORGOTTEN ? given : super.positionOfMissing(before, given);
+    public RowPosition positionOfMissing(RowPosition before, RowPosition returned) {
+        return defect == Defect.OWED_FORGOTTEN
+                ? returned
+                : super.positionOfMissing(before, returned);
     }
 
     @Override
--- a/src/main/java/postbeam/testbed/simulation/DefectiveSlicing.java
+++ b/src/main/java/postbeam/testbed/simulation/DefectiveSlicing.java
@@ -44,50 +44,50 @@
     }
 
     @Override
-    protected void inherit(KeyRangeRequest young, ShardRequest old) {
+    protected void inherit(KeyRangeRequest successor, ShardRequest predecessor) {
         if (defect == Defect.RESEND) {
-            young.inheritAttempts(old);
+            successor.inheritAttempts(predecessor);
         } else if (defect != Defect.LINEAGE) {
-            super.inherit(young, old);
+            super.inherit(successor, predecessor);
         }
     }
 
     @Override
-    protected boolean isSuccessor(Layout held, Layout next) {
+    protected boolean isSuccessor(Layout current, Layout next) {
         return defect == Defect.BACK
-                ? held == null || held.version != next.version
-                : super.isSuccessor(held, next);
+                ? current == null || current.version != next.version
+                : super.isSuccessor(current, next);
     }
 
     @Override
     protected CompletenessRule completenessRule(LayoutCompleteness completeness) {
-        return defect == Defect.MIXED_FLOOR ? new Mixed(completeness) : completeness;
+        return defect == Defect.MIXED_FLOOR ? new UnscaledWeights(completeness) : completeness;
     }
 
     @Override
     public LayoutCompleteness completenessOf(Query query) {
-        return query.completenessRule() instanceof Mixed mixed
-                ? mixed.pin
+        return query.completenessRule() instanceof UnscaledWeights mixed
+                ? mixed.completeness
                 : super.completenessOf(query);
     }
 
-    private record Mixed(LayoutCompleteness pin) implements CompletenessRule {
+    private record UnscaledWeights(LayoutCompleteness completeness) implements CompletenessRule {
         @Override
-        public double weight(Query query, Predicate<ShardRequest> which) {
+        public double weight(Query query, Predicate<ShardRequest> filter) {
             return query.shardRequests.stream()
-                    .filter(which)
+                    .filter(filter)
                     .mapToDouble(request -> request.weight)
                     .sum();
         }
 
         @Override
         public double totalWeight() {
-            return pin.totalWeight();
+            return completeness.totalWeight();
         }
 
         @Override
         public int weightCount() {
-            return pin.weightCount();
+            return completeness.weightCount();
         }
     }
 }
--- a/src/main/java/postbeam/testbed/simulation/GossipSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/GossipSimulation.java
@@ -26,33 +26,34 @@
     private static final double LIMIT = 30;
 
     /** Steps per quota bucket. */
-    private static final int BUCKET = 40;
+    private static final int STEPS_PER_BUCKET = 40;
 
     private static final List<String> KEYS = List.of("acme", "globex");
 
     /** The most undelivered messages kept; beyond it a random one is dropped. */
-    private static final int WAITING = 30;
+    private static final int MAX_PENDING = 30;
 
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final DefectiveCoordination.Defect defect;
     private final List<String> names;
-    private final List<QuotaCounters> counts = new ArrayList<>();
-    private final List<List<QuotaCounterEntry>> waiting = new ArrayList<>();
-    private final Map<String, Double> truth = new TreeMap<>();
-    private final List<String> broken = new ArrayList<>();
-    private long runs;
+    private final List<QuotaCounters> counters = new ArrayList<>();
+    private final List<List<QuotaCounterEntry>> pending = new ArrayList<>();
+    private final Map<String, Double> trueTotals = new TreeMap<>();
+    private final List<String> violations = new ArrayList<>();
+    private long incarnations;
     private long countedAttempts;
 
     /** Prepares a run in which the seed decides every random choice. */
     public GossipSimulation(int routers, DefectiveCoordination.Defect defect, long seed) {
-        this.chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
+        this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         this.defect = defect;
         this.names = IntStream.range(0, routers).mapToObj(i -> "r" + i).toList();
-        names.forEach(name -> counts.add(started(name, -3)));
+        names.forEach(name -> counters.add(start(name, -3)));
     }
 
-    private QuotaCounters started(String name, long bucket) {
-        return new QuotaCounters(new ProcessIdentity(name, ++runs), names, names.size(), bucket) {
+    private QuotaCounters start(String name, long bucket) {
+        return new QuotaCounters(
+                new ProcessIdentity(name, ++incarnations), names, names.size(), bucket) {
             @Override
             protected double yielded(QuotaCounterEntry entry, double even) {
                 return entry == null && defect == DefectiveCoordination.Defect.UNHEARD_AS_NOTHING
@@ -62,10 +63,10 @@
 
             @Override
             protected QuotaCounterEntry newer(QuotaCounterEntry known, QuotaCounterEntry next) {
-                boolean twice =
+                boolean addsCounts =
                         defect == DefectiveCoordination.Defect.COUNT_MERGED_TWICE
                                 && next.process().incarnation() >= known.process().incarnation();
-                return twice
+                return addsCounts
                         ? new QuotaCounterEntry(
                                 next.process(),
                                 next.key(),
@@ -80,73 +81,73 @@
 
     /** Runs the simulation. Returns the violations, one per line; empty if there are none. */
     public List<String> run() {
-        for (int step = 0; step < STEPS && broken.isEmpty(); step++) {
-            long bucket = step / BUCKET;
-            int i = chance.nextInt(names.size());
-            QuotaCounters one = counts.get(i);
-            one.startBucket(bucket);
-            String key = KEYS.get(chance.nextInt(KEYS.size()));
-            switch (chance.nextInt(8)) {
+        for (int step = 0; step < STEPS && violations.isEmpty(); step++) {
+            long bucket = step / STEPS_PER_BUCKET;
+            int i = random.nextInt(names.size());
+            QuotaCounters current = counters.get(i);
+            current.startBucket(bucket);
+            String key = KEYS.get(random.nextInt(KEYS.size()));
+            switch (random.nextInt(8)) {
                 case 0 ->
-                        one.capOwnShare(
+                        current.capOwnShare(
                                 key,
-                                bucket + chance.nextInt(2),
-                                chance.nextDouble() * LIMIT / names.size(),
+                                bucket + random.nextInt(2),
+                                random.nextDouble() * LIMIT / names.size(),
                                 LIMIT);
-                case 1 -> waiting.add(one.entriesToSend());
-                case 2, 3 -> hear(one);
+                case 1 -> pending.add(current.entriesToSend());
+                case 2, 3 -> mergePending(current);
                 case 4 -> {
-                    if (chance.nextDouble() < 0.2) {
-                        counts.set(i, started(names.get(i), bucket));
+                    if (random.nextDouble() < 0.2) {
+                        counters.set(i, start(names.get(i), bucket));
                     }
                 }
-                default -> count(one, key, bucket);
+                default -> count(current, key, bucket);
             }
-            if (waiting.size() > WAITING) {
-                waiting.remove(chance.nextInt(waiting.size()));
+            if (pending.size() > MAX_PENDING) {
+                pending.remove(random.nextInt(pending.size()));
             }
-            look(one, key, bucket);
+            checkKnownTotal(current, key, bucket);
         }
-        lie();
-        return broken;
+        simulateFalseReports();
+        return violations;
     }
 
     /**
      * Merges a random pending message. It stays pending, so messages arrive out of order and
      * repeatedly.
      */
-    private void hear(QuotaCounters one) {
-        if (!waiting.isEmpty()) {
-            one.merge(waiting.get(chance.nextInt(waiting.size())));
+    private void mergePending(QuotaCounters current) {
+        if (!pending.isEmpty()) {
+            current.merge(pending.get(random.nextInt(pending.size())));
         }
     }
 
-    private void count(QuotaCounters one, String key, long bucket) {
-        double amount = 0.2 + chance.nextDouble();
+    private void count(QuotaCounters current, String key, long bucket) {
+        double amount = 0.2 + random.nextDouble();
         for (int i = 0; i < 8; i++) {
-            if (one.tryCount(key, bucket, amount, LIMIT)) {
+            if (current.tryCount(key, bucket, amount, LIMIT)) {
                 countedAttempts++;
-                double sum = truth.merge(key + bucket, amount, Double::sum);
-                if (sum > LIMIT + 1e-6) {
-                    broken.add(
+                double total = trueTotals.merge(key + bucket, amount, Double::sum);
+                if (total > LIMIT + 1e-6) {
+                    violations.add(
                             String.format(
                                     "%.3f of key %s were counted in bucket %d, over the limit of"
                                             + " %.0f",
-                                    sum, key, bucket, LIMIT));
+                                    total, key, bucket, LIMIT));
                 }
             }
         }
     }
 
-    private void look(QuotaCounters one, String key, long bucket) {
-        double known = one.knownTotal(key, bucket);
-        double sum = truth.getOrDefault(key + bucket, 0.0);
-        if (known > sum + 1e-6) {
-            broken.add(
+    private void checkKnownTotal(QuotaCounters current, String key, long bucket) {
+        double known = current.knownTotal(key, bucket);
+        double total = trueTotals.getOrDefault(key + bucket, 0.0);
+        if (known > total + 1e-6) {
+            violations.add(
                     String.format(
                             "a router knows of %.3f of key %s in bucket %d, but only %.3f were"
                                     + " counted",
-                            known, key, bucket, sum));
+                            known, key, bucket, total));
         }
     }
 
@@ -160,8 +161,8 @@
      * in fact cut off from one node. The false reports must not make other nodes unhealthy or
      * reduce the traffic of more than half of the nodes.
      */
-    private void lie() {
-        HealthGossip mine =
+    private void simulateFalseReports() {
+        HealthGossip gossip =
                 new HealthGossip("r0", Math.max(4, names.size()), 3) {
                     @Override
                     protected boolean isCorroborated(int reporters, int ofZones) {
@@ -169,44 +170,44 @@
                                 || super.isCorroborated(reporters, ofZones);
                     }
                 };
-        List<NodeIncarnation> holders =
+        List<NodeIncarnation> nodes =
                 IntStream.range(0, 4).mapToObj(i -> new NodeIncarnation("n" + i, 1)).toList();
         for (int step = 0; step < 40; step++) {
             Duration now = Duration.ofMillis(100L * step);
-            NodeIncarnation node = holders.get(chance.nextInt(holders.size()));
-            mine.recordRemote(
+            NodeIncarnation node = nodes.get(random.nextInt(nodes.size()));
+            gossip.recordRemote(
                     now,
                     new HealthReport(
                             "liar",
-                            "z" + chance.nextInt(3),
+                            "z" + random.nextInt(3),
                             node,
                             HealthReport.Kind.UNRESPONSIVE,
                             9,
                             99,
                             Duration.ZERO));
-            mine.recordRemote(
+            gossip.recordRemote(
                     now,
                     new HealthReport(
-                            "r" + (1 + chance.nextInt(2)),
+                            "r" + (1 + random.nextInt(2)),
                             "z1",
-                            holders.get(0),
+                            nodes.get(0),
                             HealthReport.Kind.UNRESPONSIVE,
                             9,
                             99,
-                            upTo(Duration.ofSeconds(4))));
-            if (holders.stream().skip(1).anyMatch(other -> mine.isUnhealthy(now, other))) {
-                broken.add("a node is unhealthy on the reports of a single router");
+                            randomDuration(Duration.ofSeconds(4))));
+            if (nodes.stream().skip(1).anyMatch(other -> gossip.isUnhealthy(now, other))) {
+                violations.add("a node is unhealthy on the reports of a single router");
                 return;
             }
-            long marked =
-                    mine.trafficFractions(now, holders).values().stream()
+            long reduced =
+                    gossip.trafficFractions(now, nodes).values().stream()
                             .filter(share -> share < 1)
                             .count();
-            if (marked > 2) {
-                broken.add(
-                        marked
+            if (reduced > 2) {
+                violations.add(
+                        reduced
                                 + " of "
-                                + holders.size()
+                                + nodes.size()
                                 + " nodes have their traffic reduced by remote reports; the limit"
                                 + " is 2");
                 return;
@@ -214,7 +215,7 @@
         }
     }
 
-    private Duration upTo(Duration most) {
-        return Duration.ofNanos((long) (chance.nextDouble() * most.toNanos()));
+    private Duration randomDuration(Duration max) {
+        return Duration.ofNanos((long) (random.nextDouble() * max.toNanos()));
     }
 }
--- a/src/main/java/postbeam/testbed/simulation/MigrationFinalChecks.java
+++ b/src/main/java/postbeam/testbed/simulation/MigrationFinalChecks.java
@@ -18,34 +18,36 @@
 
 /** Checks the end of a simulated migration run: progress, replicas, rows and the journal. */
 final class MigrationFinalChecks {
-    private final MigrationSimulation run;
+    private final MigrationSimulation simulation;
 
-    MigrationFinalChecks(MigrationSimulation run) {
-        this.run = run;
+    MigrationFinalChecks(MigrationSimulation simulation) {
+        this.simulation = simulation;
     }
 
     void check() {
-        MigrationJournalState migrations = run.chief.migrations.journalState();
-        Layout layout = run.chief.coordinator.state().layout();
-        for (Migration one : migrations.activeMigrations()) {
-            run.breaks("progress: " + one + " does not end");
+        MigrationJournalState migrations = simulation.activeCoordinator.migrations.journalState();
+        Layout layout = simulation.activeCoordinator.coordinator.state().layout();
+        for (Migration migration : migrations.activeMigrations()) {
+            simulation.addViolation("progress: " + migration + " does not end");
         }
-        for (Move move : run.chief.coordinator.state().activeMoves()) {
-            run.breaks("progress: " + move + " does not end");
+        for (Move move : simulation.activeCoordinator.coordinator.state().activeMoves()) {
+            simulation.addViolation("progress: " + move + " does not end");
         }
-        for (Migration one : migrations.migrations()) {
-            run.count("ended " + one.state().wireName());
-            for (SliceTransfer hop : one.transfers) {
-                Slice slice = layout.slice(hop.slice());
-                boolean old = slice.heldBy(hop.source()) && !slice.heldBy(hop.target());
-                boolean fresh = !slice.heldBy(hop.source()) && slice.heldBy(hop.target());
-                if (one.state() == MigrationState.RETIRED
-                        ? !fresh
-                        : one.state() == MigrationState.ROLLED_BACK && !old) {
-                    run.breaks(
-                            one
+        for (Migration migration : migrations.migrations()) {
+            simulation.count("ended " + migration.state().wireName());
+            for (SliceTransfer transfer : migration.transfers) {
+                Slice slice = layout.slice(transfer.slice());
+                boolean onSource =
+                        slice.heldBy(transfer.source()) && !slice.heldBy(transfer.target());
+                boolean onTarget =
+                        !slice.heldBy(transfer.source()) && slice.heldBy(transfer.target());
+                if (migration.state() == MigrationState.RETIRED
+                        ? !onTarget
+                        : migration.state() == MigrationState.ROLLED_BACK && !onSource) {
+                    simulation.addViolation(
+                            migration
                                     + " left slice "
-                                    + hop.slice()
+                                    + transfer.slice()
                                     + " on the wrong nodes "
                                     + slice.nodes());
                 }
@@ -53,20 +55,20 @@
         }
         for (Slice slice : layout.slices()) {
             Set<String> ran = new TreeSet<>();
-            run.load.keys.forEach(
+            simulation.load.keyByHold.forEach(
                     (hold, key) -> {
-                        if (run.load.runs.containsKey(hold)
+                        if (simulation.load.runCounts.containsKey(hold)
                                 && slice.keys().from() <= key
                                 && key < slice.keys().to()) {
                             ran.add(hold);
                         }
                     });
-            for (SimulatedMigrationNode node : run.nodes) {
+            for (SimulatedMigrationNode node : simulation.nodes) {
                 SimulatedMigrationNode.Copy copy = node.copies.get(slice.number());
                 if (slice.heldBy(node.name)) {
                     checkCopy(slice, node, copy, ran);
                 } else if (copy != null) {
-                    run.breaks(
+                    simulation.addViolation(
                             "node " + node.name + " still has a copy of slice " + slice.number());
                 }
             }
@@ -79,17 +81,19 @@
             SimulatedMigrationNode node,
             SimulatedMigrationNode.Copy copy,
             Set<String> ran) {
-        if (copy == null || copy.standing != SimulatedMigrationNode.Standing.SERVING) {
-            run.breaks("node " + node.name + " does not serve slice " + slice.number());
+        if (copy == null || copy.state != SimulatedMigrationNode.CopyState.SERVING) {
+            simulation.addViolation(
+                    "node " + node.name + " does not serve slice " + slice.number());
             return;
         }
-        Set<String> has = new TreeSet<>();
-        copy.rows.values().forEach(row -> has.add(row.hold()));
-        if (!has.equals(ran)) {
+        Set<String> present = new TreeSet<>();
+        copy.rows.values().forEach(row -> present.add(row.hold()));
+        if (!present.equals(ran)) {
             Set<String> missing = new TreeSet<>(ran);
-            missing.removeAll(has);
-            boolean acknowledged = missing.stream().anyMatch(run.load.done::contains);
-            run.breaks(
+            missing.removeAll(present);
+            boolean acknowledged =
+                    missing.stream().anyMatch(simulation.load.acknowledged::contains);
+            simulation.addViolation(
                     "node "
                             + node.name
                             + " serves slice "
@@ -103,32 +107,39 @@
     /** Checks that the log replays to the state that the coordinator has. */
     private void checkReplay() {
         MoveJournalState moves = new MoveJournalState(50);
-        MigrationJournalState again = new MigrationJournalState();
-        moves.setWorkflow(again);
+        MigrationJournalState replayed = new MigrationJournalState();
+        moves.setWorkflow(replayed);
         try {
-            for (SimulatedMigrationCoordinator.Stored stored : run.log) {
+            for (SimulatedMigrationCoordinator.Stored stored : simulation.log) {
                 if (stored.term() == 0 || stored.term() >= moves.term()) {
                     moves.apply(MoveRecordCodec.read(stored.bytes()));
                 }
             }
         } catch (IOException | IllegalArgumentException e) {
-            run.breaks("the log can't be read: " + e.getMessage());
+            simulation.addViolation("the log can't be read: " + e.getMessage());
             return;
         }
-        List<JournalRecord.WorkflowRecord> here =
-                run.chief.migrations.journalState().snapshotRecords();
-        List<JournalRecord.WorkflowRecord> there = again.snapshotRecords();
-        boolean same =
-                here.size() == there.size()
-                        && moves.layout().version == run.chief.coordinator.state().layout().version;
-        for (int i = 0; same && i < here.size(); i++) {
-            same =
+        List<JournalRecord.WorkflowRecord> actual =
+                simulation.activeCoordinator.migrations.journalState().snapshotRecords();
+        List<JournalRecord.WorkflowRecord> expected = replayed.snapshotRecords();
+        boolean equal =
+                actual.size() == expected.size()
+                        && moves.layout().version
+                                == simulation
+                                        .activeCoordinator
+                                        .coordinator
+                                        .state()
+                                        .layout()
+                                        .version;
+        for (int i = 0; equal && i < actual.size(); i++) {
+            equal =
                     Arrays.equals(
-                            MoveRecordCodec.write(here.get(i)),
-                            MoveRecordCodec.write(there.get(i)));
+                            MoveRecordCodec.write(actual.get(i)),
+                            MoveRecordCodec.write(expected.get(i)));
         }
-        if (!same) {
-            run.breaks("replaying the log gives another state than the coordinator has");
+        if (!equal) {
+            simulation.addViolation(
+                    "replaying the log gives another state than the coordinator has");
         }
     }
 }
--- a/src/main/java/postbeam/testbed/simulation/MigrationLoad.java
+++ b/src/main/java/postbeam/testbed/simulation/MigrationLoad.java
@@ -20,18 +20,18 @@
 /** The routers of a simulated migration run and the holds that clients send through them. */
 final class MigrationLoad {
     private static final int ROUTERS = 3;
-    private static final Duration POLL = Duration.ofMillis(150);
-    private static final Duration PATIENCE = Duration.ofSeconds(1);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(150);
+    private static final Duration HOLD_DEADLINE = Duration.ofSeconds(1);
     private static final Duration SLO = Duration.ofMillis(100);
-    private static final Duration HOLD_EVERY = Duration.ofMillis(12);
+    private static final Duration HOLD_INTERVAL = Duration.ofMillis(12);
 
     /** A router: its layout, the end of the layout's lease, and the end of a network partition. */
     private static final class Router {
         final String name;
         Layout layout;
         Duration leaseUntil = Duration.ZERO;
-        Duration cutUntil = Duration.ZERO;
-        int life;
+        Duration partitionedUntil = Duration.ZERO;
+        int incarnation;
 
         Router(String name) {
             this.name = name;
@@ -43,12 +43,12 @@
      * latencies.
      */
     static final class Tally {
-        int asked;
-        int good;
+        int total;
+        int inTime;
         final List<Long> micros = new ArrayList<>();
 
         double utility() {
-            return asked == 0 ? 1 : (double) good / asked;
+            return total == 0 ? 1 : (double) inTime / total;
         }
 
         long percentile(double share) {
@@ -60,16 +60,16 @@
         }
     }
 
-    private final MigrationSimulation run;
+    private final MigrationSimulation simulation;
     private final List<Router> routers = new ArrayList<>();
-    final Map<String, Integer> runs = new HashMap<>();
-    final Map<String, Long> keys = new LinkedHashMap<>();
-    final Set<String> done = new LinkedHashSet<>();
+    final Map<String, Integer> runCounts = new HashMap<>();
+    final Map<String, Long> keyByHold = new LinkedHashMap<>();
+    final Set<String> acknowledged = new LinkedHashSet<>();
     final Set<String> rejected = new LinkedHashSet<>();
     private final Map<String, Tally> tallies = new TreeMap<>();
 
-    MigrationLoad(MigrationSimulation run) {
-        this.run = run;
+    MigrationLoad(MigrationSimulation simulation) {
+        this.simulation = simulation;
         for (int i = 0; i < ROUTERS; i++) {
             routers.add(new Router("r" + i));
         }
@@ -77,19 +77,19 @@
 
     void start() {
         routers.forEach(this::poll);
-        run.after(Duration.ofMillis(100), this::send);
+        simulation.after(Duration.ofMillis(100), this::sendHold);
     }
 
     // ---- routers
 
     private Router anyRouter() {
-        return routers.get(run.chance.nextInt(routers.size()));
+        return routers.get(simulation.random.nextInt(routers.size()));
     }
 
     /** Restarts a random router, which loses its layout. */
     void restartRouter() {
         Router router = anyRouter();
-        router.life++;
+        router.incarnation++;
         router.layout = null;
         router.leaseUntil = Duration.ZERO;
     }
@@ -97,20 +97,21 @@
     /** Cuts a random router off from the network for some time. */
     void cutRouterOff() {
         Router router = anyRouter();
-        router.cutUntil = run.now.plus(run.upTo(Duration.ofMillis(1500)));
+        router.partitionedUntil =
+                simulation.now.plus(simulation.randomDuration(Duration.ofMillis(1500)));
     }
 
     void reconnectRouters() {
-        routers.forEach(router -> router.cutUntil = Duration.ZERO);
+        routers.forEach(router -> router.partitionedUntil = Duration.ZERO);
     }
 
     /** Checks that no router uses a layout older than this version once a switch is over. */
-    void checkNoneUsesOlder(long version) {
+    void checkNoneUsesOlderLayout(long version) {
         for (Router router : routers) {
             if (router.layout != null
                     && router.layout.version < version
-                    && run.now.compareTo(router.leaseUntil) < 0) {
-                run.breaks(
+                    && simulation.now.compareTo(router.leaseUntil) < 0) {
+                simulation.addViolation(
                         "the switch is over, but "
                                 + router.name
                                 + " still uses layout "
@@ -122,20 +123,22 @@
     }
 
     private void poll(Router router) {
-        int life = router.life;
-        Duration asked = run.now;
+        int incarnation = router.incarnation;
+        Duration requestedAt = simulation.now;
         long version = router.layout == null ? 0 : router.layout.version;
-        if (run.now.compareTo(router.cutUntil) >= 0) {
-            run.hop(
+        if (simulation.now.compareTo(router.partitionedUntil) >= 0) {
+            simulation.afterHop(
                     () -> {
-                        Layout layout = run.chief.asked(router.name, version);
-                        run.hop(
+                        Layout layout =
+                                simulation.activeCoordinator.onLayoutRequest(router.name, version);
+                        simulation.afterHop(
                                 () -> {
                                     if (layout != null
-                                            && life == router.life
-                                            && run.now.compareTo(router.cutUntil) >= 0) {
+                                            && incarnation == router.incarnation
+                                            && simulation.now.compareTo(router.partitionedUntil)
+                                                    >= 0) {
                                         router.leaseUntil =
-                                                asked.plus(
+                                                requestedAt.plus(
                                                         SimulatedMigrationCoordinator.LIMITS
                                                                 .routerLease());
                                         router.layout =
@@ -148,34 +151,42 @@
                                 });
                     });
         }
-        run.after(POLL, () -> poll(router));
+        simulation.after(POLL_INTERVAL, () -> poll(router));
     }
 
-    private void send() {
-        if (run.now.compareTo(MigrationSimulation.LOAD) > 0) {
+    private void sendHold() {
+        if (simulation.now.compareTo(MigrationSimulation.LOAD_SPAN) > 0) {
             return;
         }
-        run.after(run.upTo(HOLD_EVERY.multipliedBy(2)), this::send);
-        String id = "h" + keys.size();
-        long key = (long) (run.chance.nextDouble() * KeyRange.KEY_SPACE_SIZE);
-        keys.put(id, key);
-        Router router = routers.get(run.chance.nextInt(routers.size()));
-        int slice = run.first.overlapping(new KeyRange(key, key + 1)).get(0).number();
-        Migration one = run.chief.migrations.journalState().activeMigrationOf(slice).orElse(null);
+        simulation.after(simulation.randomDuration(HOLD_INTERVAL.multipliedBy(2)), this::sendHold);
+        String id = "h" + keyByHold.size();
+        long key = (long) (simulation.random.nextDouble() * KeyRange.KEY_SPACE_SIZE);
+        keyByHold.put(id, key);
+        Router router = routers.get(simulation.random.nextInt(routers.size()));
+        int slice =
+                simulation.initialLayout.overlapping(new KeyRange(key, key + 1)).get(0).number();
+        Migration migration =
+                simulation
+                        .activeCoordinator
+                        .migrations
+                        .journalState()
+                        .activeMigrationOf(slice)
+                        .orElse(null);
         String phase =
-                one == null || one.state() == MigrationState.PLANNED
+                migration == null || migration.state() == MigrationState.PLANNED
                         ? "before or after"
-                        : one.state() == MigrationState.SWITCHING
-                                        || one.state() == MigrationState.ROLLING_BACK
+                        : migration.state() == MigrationState.SWITCHING
+                                        || migration.state() == MigrationState.ROLLING_BACK
                                 ? "switch"
                                 : "during";
-        boolean moves = slice < 5;
+        boolean migrates = slice < 5;
         Tally tally =
                 tallies.computeIfAbsent(
-                        (moves ? "member " : "others ")
-                                + (moves
+                        (migrates ? "member " : "others ")
+                                + (migrates
                                         ? phase
-                                        : run.chief
+                                        : simulation
+                                                        .activeCoordinator
                                                         .migrations
                                                         .journalState()
                                                         .activeMigrations()
@@ -183,69 +194,88 @@
                                                 ? "before or after"
                                                 : "during"),
                         name -> new Tally());
-        tally.asked++;
-        hold(router, router.life, id, key, run.now, tally, new ArrayList<>());
+        tally.total++;
+        attemptHold(router, router.incarnation, id, key, simulation.now, tally, new ArrayList<>());
     }
 
-    private void hold(
+    private void attemptHold(
             Router router,
-            int life,
+            int incarnation,
             String id,
             long key,
-            Duration from,
+            Duration sentAt,
             Tally tally,
-            List<String> left) {
-        if (router.life != life) {
+            List<String> rejectedBy) {
+        if (router.incarnation != incarnation) {
             return;
         }
         if (router.layout == null
-                || run.now.compareTo(router.leaseUntil) >= 0
-                || run.now.minus(from).compareTo(PATIENCE) > 0) {
+                || simulation.now.compareTo(router.leaseUntil) >= 0
+                || simulation.now.minus(sentAt).compareTo(HOLD_DEADLINE) > 0) {
             // The hold did not run: each node that was asked rejected it.
             rejected.add(id);
             return;
         }
         Slice slice = router.layout.overlapping(new KeyRange(key, key + 1)).get(0);
-        List<String> holders = slice.nodes().stream().filter(node -> !left.contains(node)).toList();
-        if (holders.isEmpty()) {
-            run.after(
+        List<String> replicas =
+                slice.nodes().stream().filter(node -> !rejectedBy.contains(node)).toList();
+        if (replicas.isEmpty()) {
+            simulation.after(
                     Duration.ofMillis(15),
-                    () -> hold(router, life, id, key, from, tally, new ArrayList<>()));
+                    () ->
+                            attemptHold(
+                                    router,
+                                    incarnation,
+                                    id,
+                                    key,
+                                    sentAt,
+                                    tally,
+                                    new ArrayList<>()));
             return;
         }
-        String node = holders.get(run.chance.nextInt(holders.size()));
+        String node = replicas.get(simulation.random.nextInt(replicas.size()));
         long version = router.layout.version;
-        run.hop(
+        simulation.afterHop(
                 () ->
-                        run.node(node)
-                                .called(
+                        simulation
+                                .node(node)
+                                .onHold(
                                         id,
                                         slice.number(),
                                         key,
                                         version,
                                         outcome -> {
                                             if (outcome.equals("moved")) {
-                                                left.add(node);
-                                                hold(router, life, id, key, from, tally, left);
+                                                rejectedBy.add(node);
+                                                attemptHold(
+                                                        router,
+                                                        incarnation,
+                                                        id,
+                                                        key,
+                                                        sentAt,
+                                                        tally,
+                                                        rejectedBy);
                                             } else if (outcome.equals("done")
-                                                    && router.life == life) {
-                                                done.add(id);
-                                                tally.good +=
-                                                        run.now.minus(from).compareTo(SLO) <= 0
+                                                    && router.incarnation == incarnation) {
+                                                acknowledged.add(id);
+                                                tally.inTime +=
+                                                        simulation.now.minus(sentAt).compareTo(SLO)
+                                                                        <= 0
                                                                 ? 1
                                                                 : 0;
                                                 tally.micros.add(
-                                                        run.now.minus(from).toNanos() / 1000);
+                                                        simulation.now.minus(sentAt).toNanos()
+                                                                / 1000);
                                             }
                                         }));
     }
 
-    void ran(String hold) {
-        if (runs.merge(hold, 1, Integer::sum) > 1) {
-            run.breaks("hold " + hold + " ran twice");
+    void onHoldRan(String hold) {
+        if (runCounts.merge(hold, 1, Integer::sum) > 1) {
+            simulation.addViolation("hold " + hold + " ran twice");
         }
         if (rejected.contains(hold)) {
-            run.breaks("hold " + hold + " ran though it was rejected");
+            simulation.addViolation("hold " + hold + " ran though it was rejected");
         }
     }
 
@@ -261,7 +291,7 @@
                                         name,
                                         tally.utility(),
                                         tally.percentile(0.99) / 1000.0,
-                                        tally.asked)));
+                                        tally.total)));
         return line.toString();
     }
 }
--- a/src/main/java/postbeam/testbed/simulation/MigrationOperator.java
+++ b/src/main/java/postbeam/testbed/simulation/MigrationOperator.java
@@ -19,116 +19,144 @@
 final class MigrationOperator {
     private static final List<MigrationState> STATES = List.of(MigrationState.values());
 
-    private final MigrationSimulation run;
-    private final Map<Long, MigrationState> goBackAt = new HashMap<>();
+    private final MigrationSimulation simulation;
+    private final Map<Long, MigrationState> rollbackStates = new HashMap<>();
     private final Map<Long, Duration> pausedSince = new HashMap<>();
 
-    MigrationOperator(MigrationSimulation run) {
-        this.run = run;
+    MigrationOperator(MigrationSimulation simulation) {
+        this.simulation = simulation;
     }
 
     void operate() {
-        run.after(Duration.ofMillis(30), this::operate);
-        if (!run.chief.works()) {
-            if (run.chief.dead() && run.with(0.05)) {
-                run.succeed();
+        simulation.after(Duration.ofMillis(30), this::operate);
+        if (!simulation.activeCoordinator.isRunning()) {
+            if (simulation.activeCoordinator.dead() && simulation.withProbability(0.05)) {
+                simulation.startSuccessor();
             }
             return;
         }
-        for (Slice slice : run.chief.coordinator.state().layout().slices()) {
-            long away =
+        for (Slice slice : simulation.activeCoordinator.coordinator.state().layout().slices()) {
+            long unavailable =
                     slice.nodes().stream()
-                            .map(run::node)
+                            .map(simulation::node)
                             .filter(
                                     node ->
                                             node.alive
                                                     && (node.copies.get(slice.number()) == null
-                                                            || node.copies.get(slice.number())
-                                                                            .standing
+                                                            || node.copies.get(slice.number()).state
                                                                     != SimulatedMigrationNode
-                                                                            .Standing.SERVING))
+                                                                            .CopyState.SERVING))
                             .count();
-            if (away > 1) {
-                run.breaks(
-                        away
+            if (unavailable > 1) {
+                simulation.addViolation(
+                        unavailable
                                 + " replicas of slice "
                                 + slice.number()
                                 + " do not serve it at the same time");
             }
         }
-        for (Migration one : List.copyOf(run.chief.migrations.journalState().activeMigrations())) {
-            operate(one);
+        for (Migration migration :
+                List.copyOf(
+                        simulation
+                                .activeCoordinator
+                                .migrations
+                                .journalState()
+                                .activeMigrations())) {
+            operate(migration);
         }
     }
 
-    private void operate(Migration one) {
-        MigrationState back =
-                goBackAt.computeIfAbsent(
-                        one.id,
+    private void operate(Migration migration) {
+        MigrationState rollbackState =
+                rollbackStates.computeIfAbsent(
+                        migration.id,
                         id ->
-                                !run.faults
+                                !simulation.faults
                                         ? MigrationState.RETIRED
-                                        : STATES.get(run.chance.nextInt(STATES.size())));
-        if (one.state() == back && one.state().allowsRollback() && run.with(0.3)) {
-            run.chief.ordered(
-                    migrations -> () -> migrations.rollBack(one.id, "an operator's wish", run.now));
+                                        : STATES.get(simulation.random.nextInt(STATES.size())));
+        if (migration.state() == rollbackState
+                && migration.state().allowsRollback()
+                && simulation.withProbability(0.3)) {
+            simulation.activeCoordinator.execute(
+                    migrations ->
+                            () ->
+                                    migrations.rollBack(
+                                            migration.id,
+                                            "requested by the operator",
+                                            simulation.now));
             return;
         }
-        if (one.isPaused()) {
-            Duration since = pausedSince.computeIfAbsent(one.id, id -> run.now);
-            if (run.now.minus(since).compareTo(Duration.ofMillis(200)) > 0) {
-                pausedSince.remove(one.id);
-                if (one.pauseReason() == PauseReason.DIGEST_MISMATCH
-                        && one.state().allowsRollback()
-                        && run.with(0.5)) {
-                    run.chief.ordered(
+        if (migration.isPaused()) {
+            Duration since = pausedSince.computeIfAbsent(migration.id, id -> simulation.now);
+            if (simulation.now.minus(since).compareTo(Duration.ofMillis(200)) > 0) {
+                pausedSince.remove(migration.id);
+                if (migration.pauseReason() == PauseReason.DIGEST_MISMATCH
+                        && migration.state().allowsRollback()
+                        && simulation.withProbability(0.5)) {
+                    simulation.activeCoordinator.execute(
                             migrations ->
-                                    () -> migrations.rollBack(one.id, one.pauseDetail(), run.now));
+                                    () ->
+                                            migrations.rollBack(
+                                                    migration.id,
+                                                    migration.pauseDetail(),
+                                                    simulation.now));
                 } else {
-                    run.chief.migrations.updateUtility(one.member, 1);
-                    run.chief.ordered(migrations -> () -> migrations.resume(one.id, run.now));
+                    simulation.activeCoordinator.migrations.updateUtility(migration.member, 1);
+                    simulation.activeCoordinator.execute(
+                            migrations -> () -> migrations.resume(migration.id, simulation.now));
                 }
             }
             return;
         }
-        if (one.openCheckpoint() != null && (run.with(0.15) || run.calm)) {
-            Checkpoint right = one.openCheckpoint();
-            refused(
-                    one.id,
-                    new Checkpoint(right.layoutVersion() + 1, right.digest()),
+        if (migration.openCheckpoint() != null
+                && (simulation.withProbability(0.15) || simulation.faultsEnded)) {
+            Checkpoint open = migration.openCheckpoint();
+            expectRefusal(
+                    migration.id,
+                    new Checkpoint(open.layoutVersion() + 1, open.digest()),
                     MigrationError.StaleCheckpoint.class);
-            OperatorErrorException failed =
-                    run.chief.ordered(
-                            migrations -> () -> migrations.passCheckpoint(one.id, right, run.now));
-            if (failed != null) {
-                run.breaks(
+            OperatorErrorException error =
+                    simulation.activeCoordinator.execute(
+                            migrations ->
+                                    () ->
+                                            migrations.passCheckpoint(
+                                                    migration.id, open, simulation.now));
+            if (error != null) {
+                simulation.addViolation(
                         "the command that names the open checkpoint was refused: "
-                                + failed.getMessage());
+                                + error.getMessage());
             }
-            if (run.chief.works()) {
-                refused(one.id, right, MigrationError.CheckpointAlreadyPassed.class);
+            if (simulation.activeCoordinator.isRunning()) {
+                expectRefusal(migration.id, open, MigrationError.CheckpointAlreadyPassed.class);
             }
-        } else if (!run.calm && run.with(0.01)) {
-            run.chief.ordered(
-                    migrations -> () -> migrations.pause(one.id, "an operator's wish", run.now));
-        } else if (!run.calm && run.with(0.004)) {
-            run.chief.migrations.updateUtility(one.member, 0.5);
+        } else if (!simulation.faultsEnded && simulation.withProbability(0.01)) {
+            simulation.activeCoordinator.execute(
+                    migrations ->
+                            () ->
+                                    migrations.pause(
+                                            migration.id,
+                                            "requested by the operator",
+                                            simulation.now));
+        } else if (!simulation.faultsEnded && simulation.withProbability(0.004)) {
+            simulation.activeCoordinator.migrations.updateUtility(migration.member, 0.5);
         }
     }
 
-    private void refused(long id, Checkpoint named, Class<? extends MigrationError> as) {
-        if (!run.chief.works()) {
+    private void expectRefusal(
+            long id, Checkpoint checkpoint, Class<? extends MigrationError> expectedError) {
+        if (!simulation.activeCoordinator.isRunning()) {
             return;
         }
-        OperatorErrorException refused =
-                run.chief.ordered(
-                        migrations -> () -> migrations.passCheckpoint(id, named, run.now));
-        if (refused == null || refused.error().getClass() != as) {
-            run.breaks(
+        OperatorErrorException error =
+                simulation.activeCoordinator.execute(
+                        migrations ->
+                                () -> migrations.passCheckpoint(id, checkpoint, simulation.now));
+        if (error == null || error.error().getClass() != expectedError) {
+            simulation.addViolation(
                     "expected the error "
-                            + as.getSimpleName()
+                            + expectedError.getSimpleName()
                             + " for a checkpoint command, got "
-                            + refused);
+                            + error);
         }
     }
 }
--- a/src/main/java/postbeam/testbed/simulation/MigrationSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/MigrationSimulation.java
@@ -33,48 +33,48 @@
 public final class MigrationSimulation {
     private static final int NODES = 7;
     private static final int SLICES = 6;
-    private static final int HOLDERS = 3;
-    static final Duration LOAD = Duration.ofSeconds(9);
-    private static final Duration END = Duration.ofSeconds(40);
-    private static final double LOST_MESSAGES = 0.03;
-    private static final double SPOILT_COPIES = 0.03;
+    private static final int REPLICAS = 3;
+    static final Duration LOAD_SPAN = Duration.ofSeconds(9);
+    private static final Duration MAX_LENGTH = Duration.ofSeconds(40);
+    private static final double MESSAGE_LOSS = 0.03;
+    private static final double FAULTY_COPIES = 0.03;
 
     /**
      * The number of log records that most runs write. The record after which the coordinator dies
      * cycles through them with the seed.
      */
-    private static final int RECORDS = 90;
+    private static final int TYPICAL_RECORDS = 90;
 
-    private record Event(Duration at, long number, Runnable what) {}
+    private record Event(Duration at, long number, Runnable action) {}
 
-    final UniformRandomProvider chance;
+    final UniformRandomProvider random;
     final DefectiveMigration.Defect defect;
     final List<SimulatedMigrationNode> nodes = new ArrayList<>();
-    final Set<String> gone = new LinkedHashSet<>();
+    final Set<String> removedNodes = new LinkedHashSet<>();
     final List<SimulatedMigrationCoordinator.Stored> log = new ArrayList<>();
     Duration now = Duration.ZERO;
     int recordsLeft;
-    int slipped;
+    int staleAppends;
     private final long seed;
     final boolean faults;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparing(Event::at).thenComparingLong(Event::number));
 
     /** The slice of each move, by move id. */
-    private final Map<Long, Integer> slicesOf = new HashMap<>();
+    private final Map<Long, Integer> sliceByMove = new HashMap<>();
 
-    private final Map<Integer, Long> lastCut = new HashMap<>();
-    private final List<String> broken = new ArrayList<>();
+    private final Map<Integer, Long> lastCutOverVersion = new HashMap<>();
+    private final List<String> violations = new ArrayList<>();
     public final Set<String> diedAt = new TreeSet<>();
-    public final Map<String, Integer> seen = new TreeMap<>();
-    final Layout first;
+    public final Map<String, Integer> eventCounts = new TreeMap<>();
+    final Layout initialLayout;
     final MigrationLoad load;
-    private final List<List<SliceTransfer>> plans = new ArrayList<>();
-    SimulatedMigrationCoordinator chief;
+    private final List<List<SliceTransfer>> plannedTransfers = new ArrayList<>();
+    SimulatedMigrationCoordinator activeCoordinator;
     private long eventCount;
     private long marks;
-    private long turns;
-    boolean calm;
+    private long fenceSequences;
+    boolean faultsEnded;
 
     /**
      * Prepares a run in which the seed decides every random choice.
@@ -86,17 +86,18 @@
         this.seed = seed;
         this.defect = defect;
         this.faults = faults;
-        this.calm = !faults;
-        chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
+        this.faultsEnded = !faults;
+        random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         for (int i = 0; i < NODES; i++) {
             nodes.add(new SimulatedMigrationNode(this, "n" + i));
         }
-        first = Layout.initial(SLICES, nodes.stream().map(node -> node.name).toList(), HOLDERS);
-        for (Slice slice : first.slices()) {
+        initialLayout =
+                Layout.initial(SLICES, nodes.stream().map(node -> node.name).toList(), REPLICAS);
+        for (Slice slice : initialLayout.slices()) {
             for (String node : slice.nodes()) {
                 SimulatedMigrationNode.Copy copy =
                         new SimulatedMigrationNode.Copy(
-                                slice.keys(), SimulatedMigrationNode.Standing.SERVING);
+                                slice.keys(), SimulatedMigrationNode.CopyState.SERVING);
                 copy.copied = true;
                 node(node).copies.put(slice.number(), copy);
             }
@@ -106,52 +107,61 @@
                         0,
                         MoveRecordCodec.write(
                                 new JournalRecord.Snapshot(
-                                        first, 1, 0, SLICES - 1, List.of(), null, List.of()))));
+                                        initialLayout,
+                                        1,
+                                        0,
+                                        SLICES - 1,
+                                        List.of(),
+                                        null,
+                                        List.of()))));
         load = new MigrationLoad(this);
-        plans.add(List.of(hop(0), hop(1), hop(2)));
-        plans.add(List.of(hop(3), hop(4)));
-        recordsLeft = faults ? (int) (1 + seed % RECORDS) : 0;
+        plannedTransfers.add(List.of(randomTransfer(0), randomTransfer(1), randomTransfer(2)));
+        plannedTransfers.add(List.of(randomTransfer(3), randomTransfer(4)));
+        recordsLeft = faults ? (int) (1 + seed % TYPICAL_RECORDS) : 0;
     }
 
-    private SliceTransfer hop(int slice) {
-        List<String> held = first.slice(slice).nodes();
+    private SliceTransfer randomTransfer(int slice) {
+        List<String> replicas = initialLayout.slice(slice).nodes();
         List<String> others =
-                nodes.stream().map(node -> node.name).filter(node -> !held.contains(node)).toList();
+                nodes.stream()
+                        .map(node -> node.name)
+                        .filter(node -> !replicas.contains(node))
+                        .toList();
         return new SliceTransfer(
                 slice,
-                held.get(chance.nextInt(held.size())),
-                others.get(chance.nextInt(others.size())));
+                replicas.get(random.nextInt(replicas.size())),
+                others.get(random.nextInt(others.size())));
     }
 
-    // ---- the clock and chance
+    // ---- the clock and random choices
 
-    void after(Duration wait, Runnable what) {
-        events.add(new Event(now.plus(wait), eventCount++, what));
+    void after(Duration wait, Runnable action) {
+        events.add(new Event(now.plus(wait), eventCount++, action));
     }
 
-    void hop(Runnable what) {
-        after(Duration.ofMillis(1).plus(upTo(Duration.ofMillis(1))), what);
+    void afterHop(Runnable action) {
+        after(Duration.ofMillis(1).plus(randomDuration(Duration.ofMillis(1))), action);
     }
 
-    Duration upTo(Duration most) {
-        return Duration.ofNanos((long) (chance.nextDouble() * most.toNanos()));
+    Duration randomDuration(Duration max) {
+        return Duration.ofNanos((long) (random.nextDouble() * max.toNanos()));
     }
 
-    boolean with(double probability) {
-        return chance.nextDouble() < probability;
+    boolean withProbability(double probability) {
+        return random.nextDouble() < probability;
     }
 
     /** Whether the next message between coordinator and node is lost. */
-    boolean lost() {
-        return !calm && with(LOST_MESSAGES);
+    boolean losesMessage() {
+        return !faultsEnded && withProbability(MESSAGE_LOSS);
     }
 
     long nextMark() {
         return ++marks;
     }
 
-    long nextTurn() {
-        return ++turns;
+    long nextFenceSequence() {
+        return ++fenceSequences;
     }
 
     SimulatedMigrationNode node(String name) {
@@ -159,104 +169,108 @@
     }
 
     /** Removes a random row from a copy with a small probability, as a faulty copy would. */
-    void spoil(SortedMap<Long, SimulatedMigrationNode.Row> rows) {
-        if (!calm && !rows.isEmpty() && with(SPOILT_COPIES)) {
-            rows.remove(new ArrayList<>(rows.keySet()).get(chance.nextInt(rows.size())));
+    void maybeDropRow(SortedMap<Long, SimulatedMigrationNode.Row> rows) {
+        if (!faultsEnded && !rows.isEmpty() && withProbability(FAULTY_COPIES)) {
+            rows.remove(new ArrayList<>(rows.keySet()).get(random.nextInt(rows.size())));
             count("copies spoilt");
         }
     }
 
-    void count(String what) {
-        seen.merge(what, 1, Integer::sum);
+    void count(String event) {
+        eventCounts.merge(event, 1, Integer::sum);
     }
 
-    void breaks(String what) {
-        broken.add("at " + now.toMillis() + " ms: " + what);
+    void addViolation(String violation) {
+        violations.add("at " + now.toMillis() + " ms: " + violation);
     }
 
     // ---- the run
 
     /** Runs the simulation and checks its final state. */
     public TrialResult run() {
-        chief = new SimulatedMigrationCoordinator(this);
+        activeCoordinator = new SimulatedMigrationCoordinator(this);
         load.start();
         after(Duration.ofMillis(300), new MigrationOperator(this)::operate);
-        for (int i = 0; i < plans.size(); i++) {
-            List<SliceTransfer> hops = plans.get(i);
+        for (int i = 0; i < plannedTransfers.size(); i++) {
+            List<SliceTransfer> transfers = plannedTransfers.get(i);
             String member = "m" + i;
-            after(Duration.ofMillis(700 + 300L * i), () -> open(member, hops));
+            after(Duration.ofMillis(700 + 300L * i), () -> openMigration(member, transfers));
         }
         if (faults) {
-            after(upTo(Duration.ofSeconds(2)), this::trouble);
-            after(LOAD, this::calm);
+            after(randomDuration(Duration.ofSeconds(2)), this::injectFault);
+            after(LOAD_SPAN, this::endFaults);
         }
         while (!events.isEmpty()
-                && events.peek().at.compareTo(END) < 0
-                && broken.isEmpty()
-                && !atRest()) {
+                && events.peek().at.compareTo(MAX_LENGTH) < 0
+                && violations.isEmpty()
+                && !isSettled()) {
             Event next = events.poll();
             now = next.at;
-            next.what.run();
+            next.action.run();
         }
-        if (broken.isEmpty()) {
+        if (violations.isEmpty()) {
             new MigrationFinalChecks(this).check();
         }
-        return new TrialResult(List.of(figures()), List.copyOf(broken));
+        return new TrialResult(List.of(figures()), List.copyOf(violations));
     }
 
     /** Whether the load has ended, and all migrations and moves with it. */
-    private boolean atRest() {
-        return now.compareTo(LOAD.plusSeconds(2)) > 0
-                && chief.works()
-                && chief.migrations.journalState().activeMigrations().isEmpty()
-                && chief.coordinator.state().activeMoves().isEmpty()
-                && chief.coordinator.state().pendingDrops().isEmpty();
+    private boolean isSettled() {
+        return now.compareTo(LOAD_SPAN.plusSeconds(2)) > 0
+                && activeCoordinator.isRunning()
+                && activeCoordinator.migrations.journalState().activeMigrations().isEmpty()
+                && activeCoordinator.coordinator.state().activeMoves().isEmpty()
+                && activeCoordinator.coordinator.state().pendingDrops().isEmpty();
     }
 
-    private void calm() {
-        calm = true;
+    private void endFaults() {
+        faultsEnded = true;
         recordsLeft = 0;
-        nodes.forEach(SimulatedMigrationNode::back);
+        nodes.forEach(SimulatedMigrationNode::restart);
         load.reconnectRouters();
-        if (chief.dead()) {
-            chief = new SimulatedMigrationCoordinator(this);
+        if (activeCoordinator.dead()) {
+            activeCoordinator = new SimulatedMigrationCoordinator(this);
         }
     }
 
-    private void open(String member, List<SliceTransfer> hops) {
-        if (!chief.works() || now.compareTo(LOAD) > 0) {
+    private void openMigration(String member, List<SliceTransfer> transfers) {
+        if (!activeCoordinator.isRunning() || now.compareTo(LOAD_SPAN) > 0) {
             after(
                     Duration.ofMillis(100),
                     () -> {
-                        if (now.compareTo(LOAD) < 0) {
-                            open(member, hops);
+                        if (now.compareTo(LOAD_SPAN) < 0) {
+                            openMigration(member, transfers);
                         }
                     });
             return;
         }
-        chief.migrations.updateUtility(member, 1);
-        if (chief.ordered(migrations -> () -> migrations.createMigration(member, hops, now))
+        activeCoordinator.migrations.updateUtility(member, 1);
+        if (activeCoordinator.execute(
+                        migrations -> () -> migrations.createMigration(member, transfers, now))
                 != null) {
-            after(Duration.ofMillis(100), () -> open(member, hops));
+            after(Duration.ofMillis(100), () -> openMigration(member, transfers));
         }
     }
 
     // ---- records of coordinators
 
-    void written(SimulatedMigrationCoordinator by, JournalRecord record) {
+    void onRecordAppended(SimulatedMigrationCoordinator coordinator, JournalRecord record) {
         if (record instanceof JournalRecord.Planned planned) {
-            slicesOf.put(planned.id(), planned.change().slices().get(0));
+            sliceByMove.put(planned.id(), planned.change().slices().get(0));
         } else if (record instanceof JournalRecord.CutOver cut) {
-            lastCut.put(slicesOf.get(cut.id()), cut.version());
+            lastCutOverVersion.put(sliceByMove.get(cut.id()), cut.version());
         } else if (record instanceof MigrationRecord.StateEntered entered
                 && entered.state() == MigrationState.OBSERVING) {
-            Migration one = by.migrations.journalState().find(entered.id()).orElseThrow();
+            Migration migration =
+                    coordinator.migrations.journalState().find(entered.id()).orElseThrow();
             long version =
-                    one.transfers.stream()
-                            .mapToLong(hop -> lastCut.getOrDefault(hop.slice(), 0L))
+                    migration.transfers.stream()
+                            .mapToLong(
+                                    transfer ->
+                                            lastCutOverVersion.getOrDefault(transfer.slice(), 0L))
                             .max()
                             .orElse(0);
-            load.checkNoneUsesOlder(version);
+            load.checkNoneUsesOlderLayout(version);
         }
         if (record instanceof MigrationRecord.StateEntered entered) {
             count("entered " + entered.state().wireName());
@@ -265,9 +279,9 @@
         }
     }
 
-    private static String kind(JournalRecord record) {
+    private static String kindName(JournalRecord record) {
         return record instanceof MigrationRecord migration
-                ? kind(migration)
+                ? kindName(migration)
                 : record instanceof JournalRecord.Advanced advanced
                         ? "Advanced " + advanced.state()
                         : record.getClass().getSimpleName();
@@ -277,7 +291,7 @@
      * Returns the name of the record kind that trials count, which does not depend on the names of
      * types.
      */
-    private static String kind(MigrationRecord record) {
+    private static String kindName(MigrationRecord record) {
         if (record instanceof MigrationRecord.StateEntered entered) {
             return "Entered " + entered.state().wireName();
         }
@@ -305,58 +319,61 @@
      * Handles the death of the coordinator at this record. Depending on the seed a router or a
      * source node dies with it.
      */
-    void killedAtRecord(JournalRecord record) {
-        diedAt.add(kind(record));
+    void onCoordinatorDied(JournalRecord record) {
+        diedAt.add(kindName(record));
         if (seed % 3 == 1) {
             load.restartRouter();
         } else if (seed % 3 == 2) {
-            List<SliceTransfer> hops = plans.get(chance.nextInt(plans.size()));
-            node(hops.get(chance.nextInt(hops.size())).source())
-                    .die(Duration.ofMillis(100).plus(upTo(Duration.ofSeconds(1))));
+            List<SliceTransfer> transfers =
+                    plannedTransfers.get(random.nextInt(plannedTransfers.size()));
+            node(transfers.get(random.nextInt(transfers.size())).source())
+                    .crash(Duration.ofMillis(100).plus(randomDuration(Duration.ofSeconds(1))));
         }
-        after(upTo(Duration.ofMillis(700)), this::succeed);
+        after(randomDuration(Duration.ofMillis(700)), this::startSuccessor);
     }
 
-    void succeed() {
-        if (chief.dead()) {
-            chief = new SimulatedMigrationCoordinator(this);
+    void startSuccessor() {
+        if (activeCoordinator.dead()) {
+            activeCoordinator = new SimulatedMigrationCoordinator(this);
         }
     }
 
-    void listed(SimulatedMigrationNode node, boolean up) {
+    void onNodeListed(SimulatedMigrationNode node, boolean up) {
         if (up) {
-            gone.remove(node.name);
+            removedNodes.remove(node.name);
         } else {
-            gone.add(node.name);
+            removedNodes.add(node.name);
         }
-        chief.listed(node, up);
+        activeCoordinator.onNodeListed(node, up);
     }
 
     // ---- faults
 
-    private void trouble() {
-        if (calm) {
+    private void injectFault() {
+        if (faultsEnded) {
             return;
         }
-        after(upTo(Duration.ofSeconds(2)), this::trouble);
-        switch (chance.nextInt(6)) {
+        after(randomDuration(Duration.ofSeconds(2)), this::injectFault);
+        switch (random.nextInt(6)) {
             case 0 -> {
                 // Only one node is down at a time: rows that all replicas of a slice lose are lost
                 // with or without a migration.
                 if (nodes.stream().allMatch(node -> node.alive)) {
-                    nodes.get(chance.nextInt(NODES))
-                            .die(Duration.ofMillis(50).plus(upTo(Duration.ofMillis(900))));
+                    nodes.get(random.nextInt(NODES))
+                            .crash(
+                                    Duration.ofMillis(50)
+                                            .plus(randomDuration(Duration.ofMillis(900))));
                 }
             }
             case 1 ->
-                    nodes.get(chance.nextInt(NODES)).slowUntil =
-                            now.plus(upTo(Duration.ofSeconds(1)));
+                    nodes.get(random.nextInt(NODES)).slowUntil =
+                            now.plus(randomDuration(Duration.ofSeconds(1)));
             case 2 -> load.cutRouterOff();
             case 3 -> load.restartRouter();
-            case 4 -> twoCoordinators();
+            case 4 -> overlapCoordinators();
             default -> {
                 if (recordsLeft == 0) {
-                    recordsLeft = 1 + chance.nextInt(12);
+                    recordsLeft = 1 + random.nextInt(12);
                 }
             }
         }
@@ -366,21 +383,21 @@
      * Suspends the coordinator until its lock expires and a successor takes over, and then resumes
      * it beside the successor.
      */
-    private void twoCoordinators() {
-        SimulatedMigrationCoordinator old = chief;
-        if (!old.works()) {
+    private void overlapCoordinators() {
+        SimulatedMigrationCoordinator old = activeCoordinator;
+        if (!old.isRunning()) {
             return;
         }
-        old.stop();
+        old.suspend();
         after(
-                upTo(Duration.ofMillis(300)),
+                randomDuration(Duration.ofMillis(300)),
                 () -> {
-                    if (chief == old) {
-                        chief = new SimulatedMigrationCoordinator(this);
+                    if (activeCoordinator == old) {
+                        activeCoordinator = new SimulatedMigrationCoordinator(this);
                         count("successors beside a stopped one");
                     }
                 });
-        after(Duration.ofMillis(200).plus(upTo(Duration.ofMillis(900))), old::wake);
+        after(Duration.ofMillis(200).plus(randomDuration(Duration.ofMillis(900))), old::resume);
     }
 
     private String figures() {
@@ -390,11 +407,11 @@
                                 Locale.ROOT,
                                 "seed %d: %d holds, %d done, %d rejected, %d records; ",
                                 seed,
-                                load.keys.size(),
-                                load.done.size(),
+                                load.keyByHold.size(),
+                                load.acknowledged.size(),
                                 load.rejected.size(),
                                 log.size()));
         line.append(load.figures());
-        return line + "slipped " + slipped + ", died at " + diedAt + " " + seen;
+        return line + "slipped " + staleAppends + ", died at " + diedAt + " " + eventCounts;
     }
 }
--- a/src/main/java/postbeam/testbed/simulation/PagingSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/PagingSimulation.java
@@ -45,44 +45,44 @@
 public final class PagingSimulation {
     private static final List<String> NODES = List.of("a", "b", "c", "d");
     private static final int ROUTERS = 3;
-    private static final int FURTHER_ROUNDS = 2;
+    private static final int FOLLOW_UP_ROUNDS = 2;
 
     /** The number of pages with faults. After them no range is missing, so that the result ends. */
-    private static final int TROUBLED_PAGES = 25;
+    private static final int FAULTY_PAGES = 25;
 
-    private static final int PAGES_MOST = 3000;
+    private static final int MAX_PAGES = 3000;
     private static final List<String> KEYS = List.of("1d".repeat(32), "e9".repeat(32));
 
     /**
      * A router: the row distribution that it has learnt, its cursor codec, and the index of its
      * layout.
      */
-    private static final class Reader {
-        final RowDistribution shares = new RowDistribution();
-        final CursorCodec seal;
+    private static final class PagingRouter {
+        final RowDistribution distribution = new RowDistribution();
+        final CursorCodec cursorCodec;
         int layout;
 
-        Reader(CursorCodec seal) {
-            this.seal = seal;
+        PagingRouter(CursorCodec cursorCodec) {
+            this.cursorCodec = cursorCodec;
         }
     }
 
-    private final Random chance;
+    private final Random random;
     private final DefectivePageAssembly.Defect defect;
     private final List<Row> rows = new ArrayList<>();
     private final SortOrder order;
     private final List<Layout> layouts = new ArrayList<>();
-    private final List<Reader> readers = new ArrayList<>();
-    private final List<RangeProgress> asked = new ArrayList<>();
-    private final long history;
-    private final double missing;
-    private final double spoilt;
-    private final List<String> broken = new ArrayList<>();
+    private final List<PagingRouter> routers = new ArrayList<>();
+    private final List<RangeProgress> requestedRanges = new ArrayList<>();
+    private final long keptVersions;
+    private final double missingProbability;
+    private final double misorderProbability;
+    private final List<String> violations = new ArrayList<>();
     private int nextSlice;
     private int pages;
     private int pagesWithMissingRanges;
     private int truncatedPages;
-    private int rowsGiven;
+    private int rowsReturned;
     private int rowsFetched;
     private int calls;
     private int maxCursorLength;
@@ -93,19 +93,19 @@
      * @param defect null for none
      */
     public PagingSimulation(long seed, DefectivePageAssembly.Defect defect) {
-        chance = new Random(seed);
+        random = new Random(seed);
         this.defect = defect;
         order = order();
-        makeRows();
-        nextSlice = 2 + chance.nextInt(20);
+        generateRows();
+        nextSlice = 2 + random.nextInt(20);
         layouts.add(Layout.initial(nextSlice, NODES, 2));
-        history = chance.nextInt(4) == 0 ? 4 : 1000;
-        missing = chance.nextInt(2) * 0.2 * chance.nextDouble();
-        spoilt = chance.nextInt(2) * 0.1 * chance.nextDouble();
+        keptVersions = random.nextInt(4) == 0 ? 4 : 1000;
+        missingProbability = random.nextInt(2) * 0.2 * random.nextDouble();
+        misorderProbability = random.nextInt(2) * 0.1 * random.nextDouble();
         for (int i = 0; i < ROUTERS; i++) {
             try {
-                readers.add(
-                        new Reader(
+                routers.add(
+                        new PagingRouter(
                                 i % 2 == 0
                                         ? new CursorCodec(KEYS.get(0), KEYS.get(1))
                                         : new CursorCodec(KEYS.get(1), KEYS.get(0))));
@@ -115,19 +115,19 @@
         }
         List<Slice> slices = layouts.get(0).slices();
         for (Slice slice : slices) {
-            if (slices.size() < 4 || chance.nextInt(5) > 0) {
-                asked.add(new RangeProgress(slice.keys(), 1.0 / slices.size(), null));
+            if (slices.size() < 4 || random.nextInt(5) > 0) {
+                requestedRanges.add(new RangeProgress(slice.keys(), 1.0 / slices.size(), null));
             }
         }
-        if (asked.isEmpty()) {
-            asked.add(new RangeProgress(slices.get(0).keys(), 1, null));
+        if (requestedRanges.isEmpty()) {
+            requestedRanges.add(new RangeProgress(slices.get(0).keys(), 1, null));
         }
     }
 
     private SortOrder order() {
         List<SortKey> keys = new ArrayList<>();
-        for (int i = 0; i <= chance.nextInt(3); i++) {
-            keys.add(new SortKey("k" + i, chance.nextBoolean(), chance.nextBoolean()));
+        for (int i = 0; i <= random.nextInt(3); i++) {
+            keys.add(new SortKey("k" + i, random.nextBoolean(), random.nextBoolean()));
         }
         return new SortOrder(keys);
     }
@@ -136,22 +136,22 @@
      * Generates the rows. Sort values are few, so that there are many ties; some are null, and some
      * are texts beside numbers. Keys are spread evenly or concentrated at the low end.
      */
-    private void makeRows() {
-        int count = 20 + chance.nextInt(600);
-        int values = 1 + chance.nextInt(30);
-        double heap = chance.nextBoolean() ? 1 : 1 + 4 * chance.nextDouble();
+    private void generateRows() {
+        int count = 20 + random.nextInt(600);
+        int values = 1 + random.nextInt(30);
+        double skew = random.nextBoolean() ? 1 : 1 + 4 * random.nextDouble();
         for (int i = 0; i < count; i++) {
             List<Object> sort = new ArrayList<>();
             for (int j = 0; j < order.keys().size(); j++) {
-                long value = chance.nextInt(values);
-                int kind = chance.nextInt(10);
+                long value = random.nextInt(values);
+                int kind = random.nextInt(10);
                 sort.add(kind < 2 ? null : kind < 5 ? "v" + value : (Object) value);
             }
-            long key = (long) (Math.pow(chance.nextDouble(), heap) * KeyRange.KEY_SPACE_SIZE);
+            long key = (long) (Math.pow(random.nextDouble(), skew) * KeyRange.KEY_SPACE_SIZE);
             // Some rows share the sort values and key of the previous one and differ in the
             // sequence only.
             RowPosition before =
-                    i > 0 && chance.nextInt(4) == 0 ? rows.get(i - 1).position() : null;
+                    i > 0 && random.nextInt(4) == 0 ? rows.get(i - 1).position() : null;
             rows.add(
                     new Row(
                             new RowPosition(
@@ -166,36 +166,36 @@
 
     /** Runs the simulation. Returns the violations, one per line. */
     public List<String> run() {
-        List<Row> chain = new ArrayList<>();
-        Set<Long> excused = new HashSet<>();
-        RowPosition furthest = null;
-        boolean everMissing = false;
+        List<Row> returnedRows = new ArrayList<>();
+        Set<Long> reportedMissing = new HashSet<>();
+        RowPosition lastReturned = null;
+        boolean anyMissing = false;
         long digest = QueryDigest.of("search", "acme", "x".getBytes(StandardCharsets.UTF_8), order);
-        int size = 1 + chance.nextInt(60);
+        int size = 1 + random.nextInt(60);
         String text = null;
         do {
-            if (++pages > PAGES_MOST) {
-                broken.add("the result does not end within " + PAGES_MOST + " pages");
-                return broken;
+            if (++pages > MAX_PAGES) {
+                violations.add("the result does not end within " + MAX_PAGES + " pages");
+                return violations;
             }
-            recut();
-            Reader reader = readers.get(chance.nextInt(ROUTERS));
-            LayoutHistory lineage = heard(reader);
-            List<RangeProgress> standings = asked;
+            changeLayout();
+            PagingRouter router = routers.get(random.nextInt(ROUTERS));
+            LayoutHistory lineage = learnLayout(router);
+            List<RangeProgress> progress = requestedRanges;
             if (text != null) {
-                Cursor cursor = opened(reader, text, digest);
+                Cursor cursor = decodeCursor(router, text, digest);
                 if (cursor == null) {
-                    return broken;
+                    return violations;
                 }
-                lineage = lineage(reader);
-                standings = cursor.ranges();
+                lineage = lineage(router);
+                progress = cursor.ranges();
             }
-            Page page = page(reader, lineage, standings, size);
+            Page page = page(router, lineage, progress, size);
             if (page == null) {
-                return broken;
+                return violations;
             }
-            everMissing |= !page.missingRanges().isEmpty();
-            ordered(page, furthest, excused);
+            anyMissing |= !page.missingRanges().isEmpty();
+            checkOrder(page, lastReturned, reportedMissing);
             page.missingRanges()
                     .forEach(
                             keys ->
@@ -206,32 +206,34 @@
                                                                     && row.position().key()
                                                                             < keys.to())
                                             .forEach(
-                                                    row -> excused.add(row.position().sequence())));
-            chain.addAll(page.rows());
+                                                    row ->
+                                                            reportedMissing.add(
+                                                                    row.position().sequence())));
+            returnedRows.addAll(page.rows());
             for (Row row : page.rows()) {
-                furthest =
-                        furthest == null || order.compare(furthest, row.position()) < 0
+                lastReturned =
+                        lastReturned == null || order.compare(lastReturned, row.position()) < 0
                                 ? row.position()
-                                : furthest;
+                                : lastReturned;
             }
             text =
                     page.remaining().isEmpty()
                             ? null
-                            : sealed(
-                                    reader,
+                            : encodeCursor(
+                                    router,
                                     new Cursor(lineage.currentVersion(), digest, page.remaining()));
-        } while (text != null && broken.isEmpty());
-        whole(chain, everMissing);
-        return broken;
+        } while (text != null && violations.isEmpty());
+        checkAllRows(returnedRows, anyMissing);
+        return violations;
     }
 
-    private String sealed(Reader reader, Cursor cursor) {
+    private String encodeCursor(PagingRouter router, Cursor cursor) {
         try {
-            String text = reader.seal.encode(cursor);
+            String text = router.cursorCodec.encode(cursor);
             maxCursorLength = Math.max(maxCursorLength, text.length());
             return text;
         } catch (OperatorErrorException e) {
-            broken.add("a cursor can't be encoded: " + e.getMessage());
+            violations.add("a cursor can't be encoded: " + e.getMessage());
             return null;
         }
     }
@@ -241,19 +243,19 @@
      * the result. If the cursor's layout is newer than the router's, the router first learns the
      * newest layout.
      */
-    private Cursor opened(Reader reader, String text, long digest) {
+    private Cursor decodeCursor(PagingRouter router, String text, long digest) {
         while (true) {
-            LayoutHistory held = lineage(reader);
+            LayoutHistory known = lineage(router);
             try {
-                return reader.seal.decode(text, digest, held);
+                return router.cursorCodec.decode(text, digest, known);
             } catch (OperatorErrorException e) {
                 if (e.error() instanceof PageError.LayoutNotYetKnown ahead
-                        && ahead.layoutVersion() > held.currentVersion()) {
-                    reader.layout = layouts.size() - 1;
+                        && ahead.layoutVersion() > known.currentVersion()) {
+                    router.layout = layouts.size() - 1;
                 } else {
                     if (!(e.error() instanceof PageError.LayoutNoLongerKept old)
-                            || old.layoutVersion() >= held.oldestVersion()) {
-                        broken.add("a cursor was refused: " + e.getMessage());
+                            || old.layoutVersion() >= known.oldestVersion()) {
+                        violations.add("a cursor was refused: " + e.getMessage());
                     }
                     return null;
                 }
@@ -262,30 +264,30 @@
     }
 
     private Page page(
-            Reader reader, LayoutHistory lineage, List<RangeProgress> standings, int size) {
+            PagingRouter router, LayoutHistory lineage, List<RangeProgress> progress, int size) {
         PageAssembler assembly =
-                DefectivePageAssembly.of(order, size, standings, reader.shares, defect);
-        List<RowFetch> asks = assembly.initialFetches(lineage);
-        for (int round = 0; round <= FURTHER_ROUNDS && !asks.isEmpty(); round++) {
-            int bytes = chance.nextInt(6) == 0 ? 1 + chance.nextInt(5) : Integer.MAX_VALUE;
-            List<PartialPage> came = came(asks, bytes);
-            if (round == 0 && came.isEmpty()) {
+                DefectivePageAssembly.of(order, size, progress, router.distribution, defect);
+        List<RowFetch> fetches = assembly.initialFetches(lineage);
+        for (int round = 0; round <= FOLLOW_UP_ROUNDS && !fetches.isEmpty(); round++) {
+            int bytes = random.nextInt(6) == 0 ? 1 + random.nextInt(5) : Integer.MAX_VALUE;
+            List<PartialPage> partials = execute(fetches, bytes);
+            if (round == 0 && partials.isEmpty()) {
                 // Without any partial page a router rejects the query, and the client retries it.
-                came = came(asks, bytes);
+                partials = execute(fetches, bytes);
             }
-            came.forEach(assembly::add);
-            asks = assembly.followUpFetches();
+            partials.forEach(assembly::add);
+            fetches = assembly.followUpFetches();
         }
         Page page = assembly.finish();
         pagesWithMissingRanges += page.missingRanges().isEmpty() ? 0 : 1;
         truncatedPages += page.truncated() ? 1 : 0;
-        rowsGiven += page.rows().size();
+        rowsReturned += page.rows().size();
         rowsFetched += page.rowsFetched();
         if (page.rows().size() > size) {
-            broken.add(
+            violations.add(
                     "a page of " + page.rows().size() + " rows where " + size + " were asked for");
         }
-        alike(page, standings, size);
+        checkAgainstOtherRouter(page, progress, size);
         return page;
     }
 
@@ -293,50 +295,53 @@
      * Returns the partial pages in a random order. They are split by the newest layout, as those of
      * a router are by the time they are sent.
      */
-    private List<PartialPage> came(List<RowFetch> asks, int bytes) {
+    private List<PartialPage> execute(List<RowFetch> fetches, int bytes) {
         List<Fragment> fragments = new ArrayList<>();
         Layout newest = layouts.get(layouts.size() - 1);
-        asks.forEach(ask -> fragments.addAll(Fragment.split(newest, ask.range())));
-        List<PartialPage> came = new ArrayList<>();
-        for (Fragment one : Fragment.merged(fragments)) {
+        fetches.forEach(fetch -> fragments.addAll(Fragment.split(newest, fetch.range())));
+        List<PartialPage> partials = new ArrayList<>();
+        for (Fragment fragment : Fragment.merged(fragments)) {
             calls++;
-            boolean troubled = pages < TROUBLED_PAGES;
-            if (troubled && chance.nextDouble() < missing) {
+            boolean faultsActive = pages < FAULTY_PAGES;
+            if (faultsActive && random.nextDouble() < missingProbability) {
                 continue;
             }
             PartialPage partial =
-                    travelled(SortedRows.answer(order, asks, rows, one.keys(), bytes));
-            if (troubled && chance.nextDouble() < spoilt && partial.rows().size() > 1) {
-                List<Row> turned = new ArrayList<>(partial.rows());
-                Collections.swap(turned, 0, 1 + chance.nextInt(turned.size() - 1));
-                partial = new PartialPage(partial.range(), turned, partial.nextPosition());
+                    encodeAndDecode(
+                            SortedRows.answer(order, fetches, rows, fragment.keys(), bytes));
+            if (faultsActive
+                    && random.nextDouble() < misorderProbability
+                    && partial.rows().size() > 1) {
+                List<Row> swapped = new ArrayList<>(partial.rows());
+                Collections.swap(swapped, 0, 1 + random.nextInt(swapped.size() - 1));
+                partial = new PartialPage(partial.range(), swapped, partial.nextPosition());
             }
-            if (partial.findProblem(order, asks).isEmpty()
+            if (partial.findProblem(order, fetches).isEmpty()
                     || defect == DefectivePageAssembly.Defect.SPOILT_MERGED) {
-                came.add(partial);
+                partials.add(partial);
             }
         }
-        Collections.shuffle(came, chance);
-        return came;
+        Collections.shuffle(partials, random);
+        return partials;
     }
 
-    private PartialPage travelled(PartialPage partial) {
+    private PartialPage encodeAndDecode(PartialPage partial) {
         try {
             return RowCodec.decodePartialPage(partial.range(), RowCodec.encodePartialPage(partial));
         } catch (IOException e) {
-            broken.add("a partial page can't be decoded: " + e.getMessage());
+            violations.add("a partial page can't be decoded: " + e.getMessage());
             return partial;
         }
     }
 
     // ---- layouts
 
-    private void recut() {
-        for (int i = chance.nextInt(3); i > 0; i--) {
+    private void changeLayout() {
+        for (int i = random.nextInt(3); i > 0; i--) {
             Layout layout = layouts.get(layouts.size() - 1);
-            Slice slice = layout.slices().get(chance.nextInt(layout.slices().size()));
+            Slice slice = layout.slices().get(random.nextInt(layout.slices().size()));
             LayoutChange change =
-                    switch (chance.nextInt(3)) {
+                    switch (random.nextInt(3)) {
                         case 0 ->
                                 new LayoutChange.Split(
                                         slice.number(),
@@ -344,30 +349,34 @@
                                                 slice.keys().from()
                                                         + 1
                                                         + (long)
-                                                                (chance.nextDouble()
+                                                                (random.nextDouble()
                                                                         * (slice.keys().size()
                                                                                 - 1))));
                         case 1 ->
                                 new LayoutChange.Transfer(
                                         slice.number(),
                                         slice.nodes().get(0),
-                                        NODES.get(chance.nextInt(NODES.size())));
+                                        NODES.get(random.nextInt(NODES.size())));
                         default ->
                                 new LayoutChange.Merge(
                                         layout.slices().stream()
                                                 .map(Slice::number)
-                                                .skip(chance.nextInt(layout.slices().size()))
+                                                .skip(random.nextInt(layout.slices().size()))
                                                 .limit(2)
                                                 .toList());
                     };
-            List<Integer> births = new ArrayList<>();
+            List<Integer> newSliceNumbers = new ArrayList<>();
             for (int j = 0; j < change.newSliceCount(); j++) {
-                births.add(nextSlice++);
+                newSliceNumbers.add(nextSlice++);
             }
             try {
                 layouts.add(
                         layout.withChange(
-                                change, births, layout.version + 1, Duration.ZERO, history));
+                                change,
+                                newSliceNumbers,
+                                layout.version + 1,
+                                Duration.ZERO,
+                                keptVersions));
             } catch (IllegalArgumentException e) {
                 // Not every random change is possible; an impossible one leaves the layout as it
                 // is.
@@ -376,13 +385,13 @@
     }
 
     /** Moves the router to the newest layout or one up to two versions behind, never back. */
-    private LayoutHistory heard(Reader reader) {
-        reader.layout = Math.max(reader.layout, layouts.size() - 1 - chance.nextInt(3));
-        return lineage(reader);
+    private LayoutHistory learnLayout(PagingRouter router) {
+        router.layout = Math.max(router.layout, layouts.size() - 1 - random.nextInt(3));
+        return lineage(router);
     }
 
-    private LayoutHistory lineage(Reader reader) {
-        return new LayoutLineage(layouts.get(reader.layout));
+    private LayoutHistory lineage(PagingRouter router) {
+        return new LayoutLineage(layouts.get(router.layout));
     }
 
     // ---- checks
@@ -391,17 +400,17 @@
      * Checks that rows ascend, and that rows that precede those of earlier pages are of ranges that
      * were reported missing there.
      */
-    private void ordered(Page page, RowPosition furthest, Set<Long> excused) {
+    private void checkOrder(Page page, RowPosition lastReturned, Set<Long> reportedMissing) {
         RowPosition last = null;
         for (Row row : page.rows()) {
             if (last != null && order.compare(last, row.position()) >= 0) {
-                broken.add("page " + pages + ": " + row + " does not follow " + last);
+                violations.add("page " + pages + ": " + row + " does not follow " + last);
             }
             last = row.position();
-            if (furthest != null
-                    && order.compare(row.position(), furthest) < 0
-                    && !excused.contains(row.position().sequence())) {
-                broken.add(
+            if (lastReturned != null
+                    && order.compare(row.position(), lastReturned) < 0
+                    && !reportedMissing.contains(row.position().sequence())) {
+                violations.add(
                         "page "
                                 + pages
                                 + ": "
@@ -415,66 +424,69 @@
     /**
      * Checks that another router without faults returns the same rows, as far as this page goes.
      */
-    private void alike(Page page, List<RangeProgress> standings, int size) {
+    private void checkAgainstOtherRouter(Page page, List<RangeProgress> progress, int size) {
         if (!page.missingRanges().isEmpty() || defect != null) {
             return;
         }
-        PageAssembler other = new PageAssembler(order, size, standings, new RowDistribution());
+        PageAssembler other = new PageAssembler(order, size, progress, new RowDistribution());
         Layout newest = layouts.get(layouts.size() - 1);
-        List<RowFetch> asks = other.initialFetches(new LayoutLineage(newest));
-        while (!asks.isEmpty()) {
-            List<RowFetch> now = asks;
+        List<RowFetch> fetches = other.initialFetches(new LayoutLineage(newest));
+        while (!fetches.isEmpty()) {
+            List<RowFetch> currentFetches = fetches;
             List<Fragment> fragments = new ArrayList<>();
-            now.forEach(ask -> fragments.addAll(Fragment.split(newest, ask.range())));
+            currentFetches.forEach(
+                    fetch -> fragments.addAll(Fragment.split(newest, fetch.range())));
             Fragment.merged(fragments)
                     .forEach(
                             one ->
                                     other.add(
                                             SortedRows.answer(
                                                     order,
-                                                    now,
+                                                    currentFetches,
                                                     rows,
                                                     one.keys(),
                                                     Integer.MAX_VALUE)));
-            asks = other.followUpFetches();
+            fetches = other.followUpFetches();
         }
-        List<Row> same = other.finish().rows();
+        List<Row> expectedRows = other.finish().rows();
         int length = page.rows().size();
-        if (length > same.size()
-                || !written(page.rows()).equals(written(same.subList(0, length)))
-                || (length < same.size() && !page.truncated())) {
-            broken.add("page " + pages + " differs from the page of another router");
+        if (length > expectedRows.size()
+                || !encoded(page.rows()).equals(encoded(expectedRows.subList(0, length)))
+                || (length < expectedRows.size() && !page.truncated())) {
+            violations.add("page " + pages + " differs from the page of another router");
         }
     }
 
-    private static String written(List<Row> rows) {
+    private static String encoded(List<Row> rows) {
         return new String(
                 RowCodec.encodePartialPage(new PartialPage(KeyRange.ALL, rows, null)),
                 StandardCharsets.UTF_8);
     }
 
-    private void whole(List<Row> chain, boolean everMissing) {
+    private void checkAllRows(List<Row> returnedRows, boolean anyMissing) {
         List<Row> expected = new ArrayList<>();
         for (Row row : SortedRows.sorted(order, rows, KeyRange.ALL)) {
             long key = row.position().key();
-            if (asked.stream()
+            if (requestedRanges.stream()
                     .anyMatch(one -> one.range().from() <= key && key < one.range().to())) {
                 expected.add(row);
             }
         }
-        Map<Row, Integer> times = new LinkedHashMap<>();
-        chain.forEach(row -> times.merge(row, 1, Integer::sum));
-        times.forEach(
+        Map<Row, Integer> returnCounts = new LinkedHashMap<>();
+        returnedRows.forEach(row -> returnCounts.merge(row, 1, Integer::sum));
+        returnCounts.forEach(
                 (row, count) -> {
                     if (count > 1) {
-                        broken.add(row + " was returned " + count + " times");
+                        violations.add(row + " was returned " + count + " times");
                     }
                 });
         expected.stream()
-                .filter(row -> !times.containsKey(row))
-                .forEach(row -> broken.add(row + " was never returned"));
-        if (!everMissing && broken.isEmpty() && !written(chain).equals(written(expected))) {
-            broken.add("no range was missing, but the pages differ from the plain sort");
+                .filter(row -> !returnCounts.containsKey(row))
+                .forEach(row -> violations.add(row + " was never returned"));
+        if (!anyMissing
+                && violations.isEmpty()
+                && !encoded(returnedRows).equals(encoded(expected))) {
+            violations.add("no range was missing, but the pages differ from the plain sort");
         }
     }
 
@@ -501,8 +513,8 @@
     }
 
     /** Returns the number of rows on all pages. */
-    public int rowsGiven() {
-        return rowsGiven;
+    public int rowsReturned() {
+        return rowsReturned;
     }
 
     /** Returns the number of rows that data nodes sent for all pages. */
--- a/src/main/java/postbeam/testbed/simulation/SimulatedCluster.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedCluster.java
@@ -29,30 +29,30 @@
     /**
      * The size, length and faults of a run.
      *
-     * @param holders replicas of each slice
-     * @param recutEvery the mean interval between layout changes
+     * @param replicas replicas of each slice
+     * @param layoutChangeInterval the mean interval between layout changes
      * @param defect null for none
      */
     public record Plan(
             int nodes,
             int routers,
             int slices,
-            int holders,
+            int replicas,
             Duration length,
-            double queriesASecond,
-            Duration recutEvery,
+            double queriesPerSecond,
+            Duration layoutChangeInterval,
             boolean faults,
             DefectiveSlicing.Defect defect) {}
 
     private static final Duration SLO = Duration.ofSeconds(1);
-    private static final Duration PATIENCE = Duration.ofSeconds(3);
-    static final Duration REPEAT_WINDOW = Duration.ofMillis(1500);
+    private static final Duration QUERY_DEADLINE = Duration.ofSeconds(3);
+    static final Duration DEDUPLICATION_WINDOW = Duration.ofMillis(1500);
 
     /** The span after the load in which open queries end and moves settle. */
-    private static final Duration SETTLE = Duration.ofSeconds(40);
+    private static final Duration SETTLE_SPAN = Duration.ofSeconds(40);
 
     /** The shortest delay of a message; the longest is twice as much. */
-    private static final Duration HOP = Duration.ofMillis(1);
+    private static final Duration HOP_DELAY = Duration.ofMillis(1);
 
     private static final InvariantChecker.Rules RULES =
             new InvariantChecker.Rules(
@@ -64,7 +64,7 @@
                     20,
                     0.3,
                     Duration.ofSeconds(2),
-                    REPEAT_WINDOW);
+                    DEDUPLICATION_WINDOW);
 
     /**
      * Searches that need 75 % of the weight, lookups that need every shard request but accept half
@@ -110,9 +110,9 @@
             InvariantChecker.Kind promise,
             double need,
             double floor) {
-        QueryClass vertical() {
+        QueryClass queryClass() {
             return QueryClass.builder(SLO, effect)
-                    .deduplicationWindow(REPEAT_WINDOW)
+                    .deduplicationWindow(DEDUPLICATION_WINDOW)
                     .utility(1, 0.1)
                     .weights(need, floor)
                     .partialUtility(0.9)
@@ -120,10 +120,10 @@
         }
     }
 
-    private record Event(Duration at, long number, Runnable what) {}
+    private record Event(Duration at, long number, Runnable action) {}
 
     final Plan plan;
-    final UniformRandomProvider chance;
+    final UniformRandomProvider random;
     public final InvariantChecker checker =
             new InvariantChecker(RULES, Duration.ofMillis(500), Duration.ofMillis(60));
     final List<SimulatedDataNode> nodes = new ArrayList<>();
@@ -142,7 +142,7 @@
     /** Prepares a run in which the seed decides every random choice. */
     public SimulatedCluster(Plan plan, long seed) {
         this.plan = plan;
-        this.chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
+        this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         for (int i = 0; i < plan.nodes(); i++) {
             nodes.add(new SimulatedDataNode(this, "n" + i, "z" + i % 3));
         }
@@ -152,7 +152,7 @@
                         Layout.initial(
                                 plan.slices(),
                                 nodes.stream().map(node -> node.name).toList(),
-                                plan.holders()));
+                                plan.replicas()));
         for (int i = 0; i < plan.routers(); i++) {
             routers.add(
                     new SimulatedQueryRouter(
@@ -179,21 +179,21 @@
         return now;
     }
 
-    void after(Duration wait, Runnable what) {
-        events.add(new Event(now.plus(wait), eventCount++, what));
+    void after(Duration wait, Runnable action) {
+        events.add(new Event(now.plus(wait), eventCount++, action));
     }
 
     /** Runs the action after the delay of one message. */
-    void hop(Runnable what) {
-        after(HOP.plusNanos((long) (chance.nextDouble() * HOP.toNanos())), what);
+    void afterHop(Runnable action) {
+        after(HOP_DELAY.plusNanos((long) (random.nextDouble() * HOP_DELAY.toNanos())), action);
     }
 
-    Duration upTo(Duration most) {
-        return Duration.ofNanos((long) (chance.nextDouble() * most.toNanos()));
+    Duration randomDuration(Duration max) {
+        return Duration.ofNanos((long) (random.nextDouble() * max.toNanos()));
     }
 
-    boolean with(double probability) {
-        return chance.nextDouble() < probability;
+    boolean withProbability(double probability) {
+        return random.nextDouble() < probability;
     }
 
     /** Whether faults are injected: only while there is load. */
@@ -207,8 +207,8 @@
      * Runs the simulation with the coordinator of moves down for this time, from two seconds after
      * the start.
      */
-    public List<String> runWithoutMoves(Duration away) {
-        after(Duration.ofSeconds(2), () -> moves.crash(away));
+    public List<String> runWithoutMoves(Duration downtime) {
+        after(Duration.ofSeconds(2), () -> moves.crash(downtime));
         return run();
     }
 
@@ -218,20 +218,20 @@
         publishNodeList();
         moves.start();
         after(Duration.ofMillis(300), this::nextQuery);
-        after(plan.recutEvery(), this::nextRecut);
+        after(plan.layoutChangeInterval(), this::changeNextLayout);
         if (faultsActive) {
-            after(upTo(Duration.ofSeconds(2)), this::nextTrouble);
+            after(randomDuration(Duration.ofSeconds(2)), this::injectNextFault);
         }
-        Duration end = plan.length().plus(SETTLE);
-        boolean calm = false;
+        Duration end = plan.length().plus(SETTLE_SPAN);
+        boolean faultsEnded = false;
         while (!events.isEmpty() && events.peek().at().compareTo(end) < 0) {
             Event next = events.poll();
             now = next.at();
-            if (!calm && now.compareTo(plan.length()) > 0) {
-                calm = true;
+            if (!faultsEnded && now.compareTo(plan.length()) > 0) {
+                faultsEnded = true;
                 endFaults();
             }
-            next.what().run();
+            next.action().run();
             if (!checker.violations().isEmpty()) {
                 return checker.violations();
             }
@@ -241,7 +241,7 @@
         List<String> found = new ArrayList<>(checker.violations());
         found.addAll(moves.unsettled());
         for (SimulatedQueryRouter router : routers) {
-            found.addAll(router.leftOver());
+            found.addAll(router.unfinished());
         }
         return found;
     }
@@ -283,21 +283,26 @@
                                                 node.readiness))
                         .toList();
         long version = ++listVersion;
-        routers.forEach(router -> hop(() -> router.listed(version, entries)));
-        hop(() -> moves.listed(version, entries));
+        routers.forEach(router -> afterHop(() -> router.onNodeList(version, entries)));
+        afterHop(() -> moves.onNodeList(version, entries));
     }
 
     // ---- layouts
 
-    void published(Layout layout) {
+    void publishLayout(Layout layout) {
         publishedLayouts.add(layout);
         checker.onLayout(layout);
         for (SimulatedQueryRouter router : routers) {
-            Duration late = with(0.1) ? upTo(Duration.ofSeconds(2)) : upTo(Duration.ofMillis(40));
-            after(late, () -> router.laidOut(layout));
-            if (publishedLayouts.size() > 2 && with(0.1)) {
-                Layout old = publishedLayouts.get(chance.nextInt(publishedLayouts.size() - 1));
-                after(late.plus(upTo(Duration.ofSeconds(1))), () -> router.laidOut(old));
+            Duration delay =
+                    withProbability(0.1)
+                            ? randomDuration(Duration.ofSeconds(2))
+                            : randomDuration(Duration.ofMillis(40));
+            after(delay, () -> router.onLayout(layout));
+            if (publishedLayouts.size() > 2 && withProbability(0.1)) {
+                Layout old = publishedLayouts.get(random.nextInt(publishedLayouts.size() - 1));
+                after(
+                        delay.plus(randomDuration(Duration.ofSeconds(1))),
+                        () -> router.onLayout(old));
             }
         }
     }
@@ -310,25 +315,29 @@
         }
         after(
                 Duration.ofNanos(
-                        (long) (-Math.log(1 - chance.nextDouble()) / plan.queriesASecond() * 1e9)),
+                        (long)
+                                (-Math.log(1 - random.nextDouble())
+                                        / plan.queriesPerSecond()
+                                        * 1e9)),
                 this::nextQuery);
-        SimulatedQueryRouter router = routers.get(chance.nextInt(routers.size()));
-        Kind kind = KINDS.get(chance.nextInt(KINDS.size()));
-        int back = with(0.4) ? 0 : chance.nextInt(8);
-        Layout layout = publishedLayouts.get(Math.max(0, publishedLayouts.size() - 1 - back));
+        SimulatedQueryRouter router = routers.get(random.nextInt(routers.size()));
+        Kind kind = KINDS.get(random.nextInt(KINDS.size()));
+        int versionsBehind = withProbability(0.4) ? 0 : random.nextInt(8);
+        Layout layout =
+                publishedLayouts.get(Math.max(0, publishedLayouts.size() - 1 - versionsBehind));
         List<Slice> slices = layout.slices();
-        int first = chance.nextInt(slices.size());
-        int count = Math.min(slices.size() - first, 1 + chance.nextInt(8));
+        int first = random.nextInt(slices.size());
+        int count = Math.min(slices.size() - first, 1 + random.nextInt(8));
         // Some queries leave out a slice in the middle, so that a neighbour of a requested slice is
         // not requested.
-        List<Slice> named = new ArrayList<>(slices.subList(first, first + count));
-        if (named.size() > 2 && with(0.3)) {
-            named.remove(1 + chance.nextInt(named.size() - 2));
+        List<Slice> chosen = new ArrayList<>(slices.subList(first, first + count));
+        if (chosen.size() > 2 && withProbability(0.3)) {
+            chosen.remove(1 + random.nextInt(chosen.size() - 2));
         }
         Map<Slice, Double> weights = new LinkedHashMap<>();
-        named.forEach(slice -> weights.put(slice, 0.2 + chance.nextDouble()));
+        chosen.forEach(slice -> weights.put(slice, 0.2 + random.nextDouble()));
         double sum = weights.values().stream().mapToDouble(Double::doubleValue).sum();
-        List<InvariantChecker.RequestedSlice> wanted =
+        List<InvariantChecker.RequestedSlice> requested =
                 weights.entrySet().stream()
                         .map(
                                 entry ->
@@ -338,7 +347,7 @@
                                                 entry.getValue() / sum))
                         .toList();
         String id = router.name + "q" + queriesSent++;
-        Duration until = now.plus(PATIENCE);
+        Duration deadline = now.plus(QUERY_DEADLINE);
         checker.querySent(
                 now,
                 id,
@@ -347,50 +356,53 @@
                 kind.need(),
                 kind.floor(),
                 layout.version,
-                wanted,
-                until);
-        hop(() -> router.take(id, kind, layout.version, wanted, until));
+                requested,
+                deadline);
+        afterHop(() -> router.onQuery(id, kind, layout.version, requested, deadline));
     }
 
     /** Counts a query that has ended for its client, if it was answered within its SLO. */
-    void over(boolean answered, Duration askedAt) {
-        answeredInTime += answered && now.minus(askedAt).compareTo(SLO) <= 0 ? 1 : 0;
+    void onQueryEnded(boolean answered, Duration sentAt) {
+        answeredInTime += answered && now.minus(sentAt).compareTo(SLO) <= 0 ? 1 : 0;
     }
 
     // ---- layout changes and faults
 
-    private void nextRecut() {
+    private void changeNextLayout() {
         if (now.compareTo(plan.length()) > 0) {
             return;
         }
-        after(upTo(plan.recutEvery().multipliedBy(2)), this::nextRecut);
-        moves.recut();
+        after(randomDuration(plan.layoutChangeInterval().multipliedBy(2)), this::changeNextLayout);
+        moves.changeLayout();
     }
 
-    private void nextTrouble() {
+    private void injectNextFault() {
         if (!faultsActive) {
             return;
         }
-        after(upTo(Duration.ofSeconds(3)), this::nextTrouble);
-        SimulatedDataNode node = nodes.get(chance.nextInt(nodes.size()));
-        switch (chance.nextInt(7)) {
+        after(randomDuration(Duration.ofSeconds(3)), this::injectNextFault);
+        SimulatedDataNode node = nodes.get(random.nextInt(nodes.size()));
+        switch (random.nextInt(7)) {
             case 0 ->
                     node.crash(
-                            with(0.2)
-                                    ? Duration.ofSeconds(4).plus(upTo(Duration.ofSeconds(8)))
-                                    : upTo(Duration.ofSeconds(3)));
-            case 1 -> node.slow(1 + chance.nextInt(30), upTo(Duration.ofSeconds(2)));
-            case 2 -> node.hang(upTo(Duration.ofSeconds(2)));
-            case 3 -> node.drain(upTo(Duration.ofSeconds(4)));
-            case 4 -> moves.crash(upTo(Duration.ofSeconds(3)));
-            case 5 -> moves.crashAtARecord(1 + chance.nextInt(6), upTo(Duration.ofMillis(800)));
-            default -> moves.abandonOne();
+                            withProbability(0.2)
+                                    ? Duration.ofSeconds(4)
+                                            .plus(randomDuration(Duration.ofSeconds(8)))
+                                    : randomDuration(Duration.ofSeconds(3)));
+            case 1 -> node.slow(1 + random.nextInt(30), randomDuration(Duration.ofSeconds(2)));
+            case 2 -> node.hang(randomDuration(Duration.ofSeconds(2)));
+            case 3 -> node.drain(randomDuration(Duration.ofSeconds(4)));
+            case 4 -> moves.crash(randomDuration(Duration.ofSeconds(3)));
+            case 5 ->
+                    moves.crashAfterRecords(
+                            1 + random.nextInt(6), randomDuration(Duration.ofMillis(800)));
+            default -> moves.abandonRandomMove();
         }
     }
 
     /** Returns a random key of the range, other than its first. */
-    long within(KeyRange keys) {
-        return keys.from() + 1 + (long) (chance.nextDouble() * (keys.size() - 1));
+    long randomKey(KeyRange keys) {
+        return keys.from() + 1 + (long) (random.nextDouble() * (keys.size() - 1));
     }
 
     SimulatedDataNode node(String name) {
--- a/src/main/java/postbeam/testbed/simulation/SimulatedDataNode.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedDataNode.java
@@ -21,36 +21,36 @@
  */
 final class SimulatedDataNode {
     /**
-     * Attempts that the node executes at once. Up to {@link #QUEUE} more wait; further ones are
-     * rejected.
+     * Attempts that the node executes at once. Up to {@link #MAX_QUEUED} more wait; further ones
+     * are rejected.
      */
     private static final int CORES = 2;
 
-    private static final int QUEUE = 40;
-    private static final Duration WORK = Duration.ofMillis(6);
+    private static final int MAX_QUEUED = 40;
+    private static final Duration WORK_TIME = Duration.ofMillis(6);
 
     /**
-     * The probability that a response is delayed by up to {@link #LATE_MOST}: past a fence, a split
+     * The probability that a response is delayed by up to {@link #MAX_DELAY}: past a fence, a split
      * and a new layout version.
      */
-    private static final double LATE_ANSWERS = 0.03;
+    private static final double DELAYED_RESPONSES = 0.03;
 
-    private static final Duration LATE_MOST = Duration.ofMillis(900);
-    private static final double BAD_ANSWERS = 0.03;
+    private static final Duration MAX_DELAY = Duration.ofMillis(900);
+    private static final double FAILED_RESPONSES = 0.03;
 
     /** The probability that a crash loses the disk. */
     private static final double LOST_DISKS = 0.1;
 
-    private static final Duration COPY_MOST = Duration.ofMillis(300);
+    private static final Duration MAX_COPY_TIME = Duration.ofMillis(300);
 
     /** An accepted attempt and the callback for its outcome. */
     private record Work(
             String query,
-            String part,
+            String attemptId,
             KeyRange keys,
             FakeSliceStore.HeldSlice held,
-            boolean repeatsDropped,
-            SimulatedQueryRouter.Ended ended) {}
+            boolean deduplicated,
+            SimulatedQueryRouter.AttemptListener listener) {}
 
     final String name;
     final String zone;
@@ -60,13 +60,13 @@
     private final FakeSliceStore held = new FakeSliceStore();
     private final Deque<Work> waiting = new ArrayDeque<>();
     private final List<Work> working = new ArrayList<>();
-    private final Map<Integer, Duration> copies = new HashMap<>();
+    private final Map<Integer, Duration> copyReadyAt = new HashMap<>();
     private boolean alive = true;
     private boolean hanging;
     private int slowness = 1;
 
     /** Incremented by each crash: work begun before a crash does not finish after it. */
-    private int life;
+    private int incarnation;
 
     SimulatedDataNode(SimulatedCluster cluster, String name, String zone) {
         this.cluster = cluster;
@@ -77,32 +77,33 @@
     // ---- attempts
 
     /** Handles an attempt that has been received completely. */
-    void called(
+    void onAttempt(
             String query,
-            String part,
+            String attemptId,
             int slice,
             KeyRange keys,
             long version,
-            boolean repeatsDropped,
-            SimulatedQueryRouter.Ended ended) {
+            boolean deduplicated,
+            SimulatedQueryRouter.AttemptListener listener) {
         if (!alive) {
-            cluster.hop(() -> ended.ended(AttemptOutcome.UNREACHABLE, null));
+            cluster.afterHop(() -> listener.onEnded(AttemptOutcome.UNREACHABLE, null));
             return;
         }
-        cluster.checker.called(cluster.now(), name, query, part, keys, version, WORK);
-        FakeSliceStore.HeldSlice one = held.tryAccept(slice, version, keys);
-        if (one == null
-                || waiting.size() >= QUEUE
-                || (readiness == Readiness.DRAINING && cluster.with(0.5))) {
-            if (one != null) {
-                held.completeCall(one);
+        cluster.checker.called(cluster.now(), name, query, attemptId, keys, version, WORK_TIME);
+        FakeSliceStore.HeldSlice heldSlice = held.tryAccept(slice, version, keys);
+        if (heldSlice == null
+                || waiting.size() >= MAX_QUEUED
+                || (readiness == Readiness.DRAINING && cluster.withProbability(0.5))) {
+            if (heldSlice != null) {
+                held.completeCall(heldSlice);
             }
-            cluster.checker.callEnded(query, part);
-            AttemptOutcome outcome = one == null ? AttemptOutcome.MOVED : AttemptOutcome.OVERLOADED;
-            cluster.hop(() -> ended.ended(outcome, null));
+            cluster.checker.callEnded(query, attemptId);
+            AttemptOutcome outcome =
+                    heldSlice == null ? AttemptOutcome.MOVED : AttemptOutcome.OVERLOADED;
+            cluster.afterHop(() -> listener.onEnded(outcome, null));
             return;
         }
-        waiting.add(new Work(query, part, keys, one, repeatsDropped, ended));
+        waiting.add(new Work(query, attemptId, keys, heldSlice, deduplicated, listener));
         work();
     }
 
@@ -110,37 +111,39 @@
         while (!hanging && working.size() < CORES && !waiting.isEmpty()) {
             Work work = waiting.poll();
             working.add(work);
-            int before = life;
+            int startIncarnation = incarnation;
             cluster.after(
-                    WORK.multipliedBy(slowness).plus(cluster.upTo(WORK)),
+                    WORK_TIME.multipliedBy(slowness).plus(cluster.randomDuration(WORK_TIME)),
                     () -> {
-                        if (life == before) {
-                            finished(work);
+                        if (incarnation == startIncarnation) {
+                            finish(work);
                         }
                     });
         }
     }
 
-    private void finished(Work work) {
+    private void finish(Work work) {
         working.remove(work);
         held.completeCall(work.held);
-        if (!work.repeatsDropped || !cluster.moves.repeated(work.query, work.keys)) {
-            cluster.checker.ran(cluster.now(), work.query, work.part, work.keys);
+        if (!work.deduplicated || !cluster.moves.alreadyRan(work.query, work.keys)) {
+            cluster.checker.ran(cluster.now(), work.query, work.attemptId, work.keys);
         }
-        cluster.checker.callEnded(work.query, work.part);
-        boolean bad = cluster.faultsActive() && cluster.with(BAD_ANSWERS);
-        Duration late =
-                cluster.faultsActive() && cluster.with(LATE_ANSWERS)
-                        ? cluster.upTo(LATE_MOST)
+        cluster.checker.callEnded(work.query, work.attemptId);
+        boolean failed = cluster.faultsActive() && cluster.withProbability(FAILED_RESPONSES);
+        Duration delay =
+                cluster.faultsActive() && cluster.withProbability(DELAYED_RESPONSES)
+                        ? cluster.randomDuration(MAX_DELAY)
                         : Duration.ZERO;
         cluster.after(
-                late,
+                delay,
                 () ->
-                        cluster.hop(
+                        cluster.afterHop(
                                 () ->
-                                        work.ended.ended(
-                                                bad ? AttemptOutcome.ERROR : AttemptOutcome.SUCCESS,
-                                                bad
+                                        work.listener.onEnded(
+                                                failed
+                                                        ? AttemptOutcome.ERROR
+                                                        : AttemptOutcome.SUCCESS,
+                                                failed
                                                         ? null
                                                         : InvariantChecker.valueOf(
                                                                 work.query, work.keys))));
@@ -153,31 +156,37 @@
      * Executes a command and acknowledges it once it is complete. Sends no answer while the node is
      * down or hangs.
      */
-    void ordered(CoordinatorAction.SendCommand tell, Runnable done) {
+    void execute(CoordinatorAction.SendCommand command, Runnable done) {
         if (!alive || hanging) {
             return;
         }
         boolean copied = false;
-        if (tell.command() == HandoffCommand.COPY) {
+        if (command.command() == HandoffCommand.COPY) {
             // The node's own data need no copying. Other data take a random time from the first
             // command on.
-            boolean own = name.equals(tell.source());
-            SimulatedDataNode source = cluster.node(tell.source());
+            boolean isSource = name.equals(command.source());
+            SimulatedDataNode source = cluster.node(command.source());
             Duration ready =
-                    copies.computeIfAbsent(
-                            tell.slice(), key -> cluster.now().plus(cluster.upTo(COPY_MOST)));
-            copied = own || (source != null && source.alive && cluster.now().compareTo(ready) >= 0);
-        } else if (tell.command() == HandoffCommand.DROP) {
-            copies.remove(tell.slice());
+                    copyReadyAt.computeIfAbsent(
+                            command.slice(),
+                            key -> cluster.now().plus(cluster.randomDuration(MAX_COPY_TIME)));
+            copied =
+                    isSource
+                            || (source != null
+                                    && source.alive
+                                    && cluster.now().compareTo(ready) >= 0);
+        } else if (command.command() == HandoffCommand.DROP) {
+            copyReadyAt.remove(command.slice());
         }
-        if (held.ordered(tell.command(), tell.slice(), tell.keys(), tell.version(), copied)) {
-            cluster.hop(done);
+        if (held.ordered(
+                command.command(), command.slice(), command.keys(), command.version(), copied)) {
+            cluster.afterHop(done);
         }
     }
 
     boolean serves(int slice) {
-        FakeSliceStore.HeldSlice one = held.find(slice);
-        return one != null && one.state == FakeSliceStore.SliceState.SERVING;
+        FakeSliceStore.HeldSlice heldSlice = held.find(slice);
+        return heldSlice != null && heldSlice.state == FakeSliceStore.SliceState.SERVING;
     }
 
     // ---- faults
@@ -186,46 +195,46 @@
      * Crashes and loses all attempts that it had accepted. After this time it is back, cold, and
      * holds the slices that it is commanded to hold.
      */
-    void crash(Duration back) {
+    void crash(Duration downtime) {
         if (!alive) {
             return;
         }
         alive = false;
-        life++;
+        incarnation++;
         List<Work> lost = new ArrayList<>(working);
         lost.addAll(waiting);
         // Of the attempts that were executing, a random half has run.
         for (Work work : working) {
-            if (cluster.with(0.5)
-                    && !(work.repeatsDropped && cluster.moves.repeated(work.query, work.keys))) {
-                cluster.checker.ran(cluster.now(), work.query, work.part, work.keys);
+            if (cluster.withProbability(0.5)
+                    && !(work.deduplicated && cluster.moves.alreadyRan(work.query, work.keys))) {
+                cluster.checker.ran(cluster.now(), work.query, work.attemptId, work.keys);
             }
         }
         working.clear();
         waiting.clear();
-        copies.clear();
-        if (cluster.with(LOST_DISKS)) {
+        copyReadyAt.clear();
+        if (cluster.withProbability(LOST_DISKS)) {
             held.forgetAll();
         } else {
             held.restarted();
         }
         lost.forEach(
                 work -> {
-                    cluster.checker.callEnded(work.query, work.part);
-                    cluster.hop(() -> work.ended.ended(AttemptOutcome.RESET, null));
+                    cluster.checker.callEnded(work.query, work.attemptId);
+                    cluster.afterHop(() -> work.listener.onEnded(AttemptOutcome.RESET, null));
                 });
         cluster.after(
-                cluster.upTo(Duration.ofSeconds(1)),
+                cluster.randomDuration(Duration.ofSeconds(1)),
                 () -> {
                     if (!alive) {
                         readiness = Readiness.REMOVED;
                         cluster.publishNodeList();
                     }
                 });
-        cluster.after(back, this::back);
+        cluster.after(downtime, this::restart);
     }
 
-    private void back() {
+    private void restart() {
         if (!alive) {
             alive = true;
             readiness = Readiness.READY;
@@ -236,8 +245,8 @@
         }
     }
 
-    void slow(int times, Duration span) {
-        slowness = times;
+    void slow(int factor, Duration span) {
+        slowness = factor;
         cluster.after(span, () -> slowness = 1);
     }
 
@@ -276,7 +285,7 @@
     void recover() {
         slowness = 1;
         hanging = false;
-        back();
+        restart();
         if (readiness != Readiness.READY) {
             readiness = Readiness.READY;
             cluster.checker.onDrainingChanged(cluster.now(), name, false);
--- a/src/main/java/postbeam/testbed/simulation/SimulatedMigrationCoordinator.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedMigrationCoordinator.java
@@ -32,7 +32,7 @@
  * suspended and resumed, and be replaced by a successor.
  */
 public final class SimulatedMigrationCoordinator {
-    static final MoveLimits MOVES =
+    static final MoveLimits MOVE_LIMITS =
             new MoveLimits(
                     4,
                     4,
@@ -58,7 +58,7 @@
                     1L << 40,
                     Duration.ofMillis(600),
                     Duration.ofMillis(20));
-    private static final Duration LOOK = Duration.ofMillis(20);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
 
     /** An encoded log record and the term in which it was written. */
     // The array is never modified and records are not compared by value.
@@ -66,45 +66,47 @@
     record Stored(long term, byte[] bytes) {}
 
     /** Ends the process in the middle of an action. */
-    private static final class Ended extends RuntimeException {
+    private static final class ProcessEndedException extends RuntimeException {
         private static final long serialVersionUID = 1L;
     }
 
     final Coordinator coordinator;
     final MigrationManager migrations;
-    private final MigrationSimulation world;
-    private final MigrationJournalState book = new MigrationJournalState();
+    private final MigrationSimulation simulation;
+    private final MigrationJournalState migrationJournal = new MigrationJournalState();
     private final long term;
 
     /**
      * The log length that this process last saw. If the log is longer, a successor has taken over.
      */
-    private int seen;
+    private int seenLogLength;
 
     private boolean dead;
-    private boolean stopped;
-    private final Deque<Runnable> whileStopped = new ArrayDeque<>();
-    private final Map<String, Duration> lastTold = new HashMap<>();
+    private boolean suspended;
+    private final Deque<Runnable> deferredEvents = new ArrayDeque<>();
+    private final Map<String, Duration> lastArrival = new HashMap<>();
 
-    SimulatedMigrationCoordinator(MigrationSimulation world) {
-        this.world = world;
+    SimulatedMigrationCoordinator(MigrationSimulation simulation) {
+        this.simulation = simulation;
         MoveJournalState moves = new MoveJournalState(50);
-        moves.setWorkflow(book);
-        for (Stored stored : world.log) {
+        moves.setWorkflow(migrationJournal);
+        for (Stored stored : simulation.log) {
             JournalRecord record = read(stored);
             if (stored.term == 0 || stored.term >= moves.term()) {
                 moves.apply(record);
             }
         }
-        coordinator = new Coordinator(moves, MOVES);
-        migrations = DefectiveMigration.create(world.defect, coordinator, book, world.now);
+        coordinator = new Coordinator(moves, MOVE_LIMITS);
+        migrations =
+                DefectiveMigration.create(
+                        simulation.defect, coordinator, migrationJournal, simulation.now);
         term = moves.term() + 1;
-        JournalRecord.TermStarted office = new JournalRecord.TermStarted(term);
-        moves.apply(office);
-        world.log.add(new Stored(term, MoveRecordCodec.write(office, term)));
-        seen = world.log.size();
-        coordinator.onNodesListed(list(), List.of());
-        world.after(LOOK, this::look);
+        JournalRecord.TermStarted termStarted = new JournalRecord.TermStarted(term);
+        moves.apply(termStarted);
+        simulation.log.add(new Stored(term, MoveRecordCodec.write(termStarted, term)));
+        seenLogLength = simulation.log.size();
+        coordinator.onNodesListed(nodeList(), List.of());
+        simulation.after(TICK_INTERVAL, this::tick);
     }
 
     private static JournalRecord read(Stored stored) {
@@ -115,160 +117,168 @@
         }
     }
 
-    private Map<String, TargetLayout.NodeInfo> list() {
-        Map<String, TargetLayout.NodeInfo> list = new LinkedHashMap<>();
-        world.nodes.forEach(
+    private Map<String, TargetLayout.NodeInfo> nodeList() {
+        Map<String, TargetLayout.NodeInfo> nodeList = new LinkedHashMap<>();
+        simulation.nodes.forEach(
                 node ->
-                        list.put(
+                        nodeList.put(
                                 node.name,
                                 new TargetLayout.NodeInfo(
                                         "z",
-                                        world.gone.contains(node.name)
+                                        simulation.removedNodes.contains(node.name)
                                                 ? Readiness.REMOVED
                                                 : Readiness.READY)));
-        return list;
+        return nodeList;
     }
 
-    boolean works() {
-        return !dead && !stopped;
+    boolean isRunning() {
+        return !dead && !suspended;
     }
 
     boolean dead() {
         return dead;
     }
 
-    private void look() {
+    private void tick() {
         if (dead) {
             return;
         }
-        happens(
+        handle(
                 () -> {
-                    carryOut(migrations.tick(world.now));
+                    carryOut(migrations.tick(simulation.now));
                     List<MigrationAction> moves = new ArrayList<>();
                     coordinator
-                            .tick(world.now)
-                            .forEach(act -> moves.add(new MigrationAction.Delegated(act)));
+                            .tick(simulation.now)
+                            .forEach(action -> moves.add(new MigrationAction.Delegated(action)));
                     carryOut(moves);
                 });
-        world.after(LOOK, this::look);
+        simulation.after(TICK_INTERVAL, this::tick);
     }
 
     /** Handles an event: at once, on resume if the process is suspended, never if it is dead. */
-    private void happens(Runnable what) {
+    private void handle(Runnable event) {
         if (dead) {
             return;
         }
-        if (stopped) {
-            if (whileStopped.size() < 64) {
-                whileStopped.add(what);
+        if (suspended) {
+            if (deferredEvents.size() < 64) {
+                deferredEvents.add(event);
             }
             return;
         }
         try {
-            what.run();
-        } catch (Ended e) {
+            event.run();
+        } catch (ProcessEndedException e) {
             dead = true;
         }
     }
 
-    private void carryOut(List<MigrationAction> doings) {
-        for (MigrationAction doing : doings) {
-            if (doing instanceof MigrationAction.RequestDigests ask) {
-                if (!world.lost()) {
-                    world.hop(
+    private void carryOut(List<MigrationAction> actions) {
+        for (MigrationAction action : actions) {
+            if (action instanceof MigrationAction.RequestDigests request) {
+                if (!simulation.losesMessage()) {
+                    simulation.afterHop(
                             () ->
-                                    world.node(ask.node())
-                                            .asked(
-                                                    ask,
-                                                    said ->
-                                                            happens(
+                                    simulation
+                                            .node(request.node())
+                                            .answerDigests(
+                                                    request,
+                                                    digests ->
+                                                            handle(
                                                                     () ->
                                                                             migrations
                                                                                     .onRangeDigests(
-                                                                                            ask
+                                                                                            request
                                                                                                     .requestId(),
-                                                                                            ask
+                                                                                            request
                                                                                                     .node(),
-                                                                                            said,
-                                                                                            world.now))));
+                                                                                            digests,
+                                                                                            simulation
+                                                                                                    .now))));
                 }
-            } else if (doing instanceof MigrationAction.Delegated of
-                    && of.action() instanceof CoordinatorAction.AppendRecord write) {
-                write(write.record());
-            } else if (doing instanceof MigrationAction.Delegated of
-                    && of.action() instanceof CoordinatorAction.SendCommand tell) {
-                tell(tell);
+            } else if (action instanceof MigrationAction.Delegated delegated
+                    && delegated.action() instanceof CoordinatorAction.AppendRecord append) {
+                appendToLog(append.record());
+            } else if (action instanceof MigrationAction.Delegated delegated
+                    && delegated.action() instanceof CoordinatorAction.SendCommand command) {
+                sendCommand(command);
             }
             // Layouts need no action: routers poll for them.
         }
     }
 
-    private void write(JournalRecord record) {
+    private void appendToLog(JournalRecord record) {
         Stored stored = new Stored(term, MoveRecordCodec.write(record, term));
-        if (world.log.size() != seen) {
+        if (simulation.log.size() != seenLogLength) {
             // The process may have checked for a successor just before that one wrote: then its
             // record is appended after the successor's.
-            if (world.with(0.5)) {
-                world.log.add(stored);
-                world.slipped++;
+            if (simulation.withProbability(0.5)) {
+                simulation.log.add(stored);
+                simulation.staleAppends++;
             }
-            throw new Ended();
+            throw new ProcessEndedException();
         }
-        world.log.add(stored);
-        seen = world.log.size();
-        world.written(this, record);
-        if (world.recordsLeft > 0 && --world.recordsLeft == 0) {
-            world.killedAtRecord(record);
-            throw new Ended();
+        simulation.log.add(stored);
+        seenLogLength = simulation.log.size();
+        simulation.onRecordAppended(this, record);
+        if (simulation.recordsLeft > 0 && --simulation.recordsLeft == 0) {
+            simulation.onCoordinatorDied(record);
+            throw new ProcessEndedException();
         }
     }
 
-    private void tell(CoordinatorAction.SendCommand tell) {
-        if (world.lost()) {
+    private void sendCommand(CoordinatorAction.SendCommand command) {
+        if (simulation.losesMessage()) {
             return;
         }
         // There is one connection per node, so commands arrive in the order in which they were
         // sent.
-        Duration at = world.now.plus(Duration.ofMillis(1)).plus(world.upTo(Duration.ofMillis(2)));
-        Duration last = lastTold.get(tell.node());
+        Duration at =
+                simulation
+                        .now
+                        .plus(Duration.ofMillis(1))
+                        .plus(simulation.randomDuration(Duration.ofMillis(2)));
+        Duration last = lastArrival.get(command.node());
         at = last != null && last.compareTo(at) > 0 ? last : at;
-        lastTold.put(tell.node(), at);
-        boolean keepsOld =
-                world.defect == DefectiveMigration.Defect.ROLLBACK_LOSES
-                        && tell.command() == HandoffCommand.COPY
-                        && goesBack(tell.move());
-        world.after(
-                at.minus(world.now),
+        lastArrival.put(command.node(), at);
+        boolean keepsOldRows =
+                simulation.defect == DefectiveMigration.Defect.ROLLBACK_LOSES
+                        && command.command() == HandoffCommand.COPY
+                        && isReverseOfTransfer(command.move());
+        simulation.after(
+                at.minus(simulation.now),
                 () ->
-                        world.node(tell.node())
-                                .ordered(
-                                        tell,
+                        simulation
+                                .node(command.node())
+                                .execute(
+                                        command,
                                         term,
-                                        keepsOld,
-                                        said -> {
-                                            if (!world.lost()) {
-                                                happens(
+                                        keepsOldRows,
+                                        answer -> {
+                                            if (!simulation.losesMessage()) {
+                                                handle(
                                                         () -> {
-                                                            if (said.equals("stale")) {
-                                                                throw new Ended();
+                                                            if (answer.equals("stale")) {
+                                                                throw new ProcessEndedException();
                                                             }
                                                             coordinator.acknowledged(
-                                                                    tell.move(),
-                                                                    tell.node(),
-                                                                    tell.command(),
-                                                                    tell.slice());
+                                                                    command.move(),
+                                                                    command.node(),
+                                                                    command.command(),
+                                                                    command.slice());
                                                         });
                                             }
                                         }));
     }
 
-    private boolean goesBack(long id) {
+    private boolean isReverseOfTransfer(long id) {
         Move move = coordinator.state().move(id);
         if (move == null) {
             return false;
         }
         int slice = move.change.slices().get(0);
-        return book.activeMigrationOf(slice)
+        return migrationJournal
+                .activeMigrationOf(slice)
                 .flatMap(migration -> migration.transferOf(slice))
                 .filter(transfer -> move.change.equals(transfer.reverseChange()))
                 .isPresent();
@@ -276,35 +286,35 @@
 
     // ---- events
 
-    void listed(SimulatedMigrationNode node, boolean up) {
-        happens(
+    void onNodeListed(SimulatedMigrationNode node, boolean up) {
+        handle(
                 () -> {
-                    coordinator.onNodesListed(list(), up ? List.of(node.name) : List.of());
+                    coordinator.onNodesListed(nodeList(), up ? List.of(node.name) : List.of());
                     if (up) {
-                        carryOut(migrations.onNodesStarted(List.of(node.name), world.now));
+                        carryOut(migrations.onNodesStarted(List.of(node.name), simulation.now));
                     }
                 });
     }
 
     /** Handles a layout request of a router; returns null if the process does not answer. */
-    Layout asked(String router, long version) {
-        if (!works()) {
+    Layout onLayoutRequest(String router, long version) {
+        if (!isRunning()) {
             return null;
         }
-        migrations.routerAcknowledgements().onRequest(router, version, world.now);
+        migrations.routerAcknowledgements().onRequest(router, version, simulation.now);
         Layout layout = coordinator.state().layout();
-        migrations.routerAcknowledgements().onResponse(router, layout.version, world.now);
+        migrations.routerAcknowledgements().onResponse(router, layout.version, simulation.now);
         return layout;
     }
 
     /** Runs the command of an operator; returns the error if it was refused, else null. */
-    OperatorErrorException ordered(
-            java.util.function.Function<MigrationManager, OperatorCommand> order) {
+    OperatorErrorException execute(
+            java.util.function.Function<MigrationManager, OperatorCommand> command) {
         OperatorErrorException[] refused = new OperatorErrorException[1];
-        happens(
+        handle(
                 () -> {
                     try {
-                        carryOut(order.apply(migrations).run());
+                        carryOut(command.apply(migrations).run());
                     } catch (OperatorErrorException e) {
                         refused[0] = e;
                     }
@@ -318,15 +328,15 @@
         dead = true;
     }
 
-    void stop() {
-        stopped = true;
+    void suspend() {
+        suspended = true;
     }
 
     /** Resumes the process, which first handles the events that arrived during the suspension. */
-    void wake() {
-        stopped = false;
-        while (!whileStopped.isEmpty()) {
-            happens(whileStopped.poll());
+    void resume() {
+        suspended = false;
+        while (!deferredEvents.isEmpty()) {
+            handle(deferredEvents.poll());
         }
     }
 }
