--- a/src/main/java/postbeam/testbed/simulation/SimulatedMigrationNode.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedMigrationNode.java
@@ -25,7 +25,7 @@
      */
     record Row(long key, String hold, long mark) {}
 
-    enum Standing {
+    enum CopyState {
         COPYING,
         HOLDING,
         SERVING,
@@ -38,10 +38,10 @@
         final TreeMap<Long, Row> rows = new TreeMap<>();
 
         /** The keys of the holds that were accepted and have not ended. */
-        final List<Long> open = new ArrayList<>();
+        final List<Long> openHolds = new ArrayList<>();
 
-        Standing standing;
-        long from;
+        CopyState state;
+        long servedFromVersion;
         Duration readyAt;
         boolean copied;
 
@@ -49,55 +49,56 @@
          * The global sequence number of the last fence or serve. A replica sends its writes to
          * those that were fenced after it began to serve.
          */
-        long turn;
+        long fenceSequence;
 
-        Copy(KeyRange keys, Standing standing) {
+        Copy(KeyRange keys, CopyState state) {
             this.keys = keys;
-            this.standing = standing;
+            this.state = state;
         }
     }
 
     /** Receives the outcome of a hold: "done", "moved" (it did not run) or "lost". */
-    interface Ended {
-        void ended(String outcome);
+    interface HoldListener {
+        void onEnded(String outcome);
     }
 
     final String name;
     final Map<Integer, Copy> copies = new TreeMap<>();
     boolean alive = true;
     Duration slowUntil = Duration.ZERO;
-    private final MigrationSimulation world;
+    private final MigrationSimulation simulation;
     private long term;
-    private int life;
-    private final List<Ended> waiting = new ArrayList<>();
+    private int incarnation;
+    private final List<HoldListener> pendingHolds = new ArrayList<>();
 
-    SimulatedMigrationNode(MigrationSimulation world, String name) {
-        this.world = world;
+    SimulatedMigrationNode(MigrationSimulation simulation, String name) {
+        this.simulation = simulation;
         this.name = name;
     }
 
     // ---- holds
 
-    void called(String hold, int slice, long key, long version, Ended ended) {
+    void onHold(String hold, int slice, long key, long version, HoldListener listener) {
         Copy copy = copies.get(slice);
         if (!alive) {
-            world.hop(() -> ended.ended("moved"));
+            simulation.afterHop(() -> listener.onEnded("moved"));
             return;
         }
-        if (copy == null || copy.standing != Standing.SERVING || version < copy.from) {
-            world.hop(() -> ended.ended("moved"));
+        if (copy == null || copy.state != CopyState.SERVING || version < copy.servedFromVersion) {
+            simulation.afterHop(() -> listener.onEnded("moved"));
             return;
         }
-        copy.open.add(key);
-        waiting.add(ended);
-        int mine = life;
-        Duration work =
-                world.upTo(Duration.ofMillis(world.now.compareTo(slowUntil) < 0 ? 300 : 12));
-        world.after(
-                work,
+        copy.openHolds.add(key);
+        pendingHolds.add(listener);
+        int startIncarnation = incarnation;
+        Duration workTime =
+                simulation.randomDuration(
+                        Duration.ofMillis(simulation.now.compareTo(slowUntil) < 0 ? 300 : 12));
+        simulation.after(
+                workTime,
                 () -> {
-                    if (mine == life) {
-                        run(copy, slice, new Row(key, hold, world.nextMark()), ended);
+                    if (startIncarnation == incarnation) {
+                        run(copy, slice, new Row(key, hold, simulation.nextMark()), listener);
                     }
                 });
     }
@@ -106,36 +107,37 @@
      * Executes a hold and replicates its row to the other copies of the slice. The hold ends once
      * each live one has the row.
      */
-    private void run(Copy copy, int slice, Row row, Ended ended) {
-        world.load.ran(row.hold);
+    private void run(Copy copy, int slice, Row row, HoldListener listener) {
+        simulation.load.onHoldRan(row.hold);
         copy.rows.put(row.key, row);
-        int[] left = {1};
-        int mine = life;
-        Runnable one =
+        int[] pending = {1};
+        int startIncarnation = incarnation;
+        Runnable onReplicated =
                 () -> {
-                    if (--left[0] == 0 && mine == life) {
-                        copy.open.remove(row.key);
-                        waiting.remove(ended);
-                        world.hop(() -> ended.ended("done"));
+                    if (--pending[0] == 0 && startIncarnation == incarnation) {
+                        copy.openHolds.remove(row.key);
+                        pendingHolds.remove(listener);
+                        simulation.afterHop(() -> listener.onEnded("done"));
                     }
                 };
-        for (SimulatedMigrationNode other : world.nodes) {
-            Copy theirs = other.copies.get(slice);
+        for (SimulatedMigrationNode other : simulation.nodes) {
+            Copy otherCopy = other.copies.get(slice);
             if (other != this
                     && other.alive
-                    && theirs != null
-                    && (theirs.standing != Standing.FENCED || copy.turn <= theirs.turn)) {
-                left[0]++;
-                world.hop(
+                    && otherCopy != null
+                    && (otherCopy.state != CopyState.FENCED
+                            || copy.fenceSequence <= otherCopy.fenceSequence)) {
+                pending[0]++;
+                simulation.afterHop(
                         () -> {
-                            if (other.copies.get(slice) == theirs) {
-                                theirs.rows.put(row.key, row);
+                            if (other.copies.get(slice) == otherCopy) {
+                                otherCopy.rows.put(row.key, row);
                             }
-                            one.run();
+                            onReplicated.run();
                         });
             }
         }
-        one.run();
+        onReplicated.run();
     }
 
     // ---- commands and digest requests
@@ -144,51 +146,51 @@
      * Executes a command and answers "done" once it is complete. Answers "stale" to a coordinator
      * of an older term, and nothing while the node is dead.
      */
-    void ordered(
-            CoordinatorAction.SendCommand tell,
-            long by,
-            boolean keepsOld,
+    void execute(
+            CoordinatorAction.SendCommand command,
+            long commandTerm,
+            boolean keepsOldRows,
             Consumer<String> answer) {
         if (!alive) {
             return;
         }
-        if (by < term) {
-            world.hop(() -> answer.accept("stale"));
+        if (commandTerm < term) {
+            simulation.afterHop(() -> answer.accept("stale"));
             return;
         }
-        term = by;
-        if (done(tell, keepsOld)) {
-            world.hop(() -> answer.accept("done"));
+        term = commandTerm;
+        if (carryOut(command, keepsOldRows)) {
+            simulation.afterHop(() -> answer.accept("done"));
         }
     }
 
-    private boolean done(CoordinatorAction.SendCommand tell, boolean keepsOld) {
-        Copy copy = copies.get(tell.slice());
-        switch (tell.command()) {
+    private boolean carryOut(CoordinatorAction.SendCommand command, boolean keepsOldRows) {
+        Copy copy = copies.get(command.slice());
+        switch (command.command()) {
             case COPY -> {
-                if (keepsOld && copy != null) {
-                    copy.standing =
-                            copy.standing == Standing.FENCED ? Standing.HOLDING : copy.standing;
+                if (keepsOldRows && copy != null) {
+                    copy.state = copy.state == CopyState.FENCED ? CopyState.HOLDING : copy.state;
                     copy.copied = true;
                     return true;
                 }
                 if (copy == null
-                        || copy.standing == Standing.FENCED
-                        || copy.standing == Standing.SERVING) {
-                    copy = new Copy(tell.keys(), Standing.COPYING);
-                    copy.readyAt = world.now.plus(world.upTo(Duration.ofMillis(250)));
-                    copies.put(tell.slice(), copy);
+                        || copy.state == CopyState.FENCED
+                        || copy.state == CopyState.SERVING) {
+                    copy = new Copy(command.keys(), CopyState.COPYING);
+                    copy.readyAt =
+                            simulation.now.plus(simulation.randomDuration(Duration.ofMillis(250)));
+                    copies.put(command.slice(), copy);
                 }
-                SimulatedMigrationNode source = world.node(tell.source());
-                Copy theirs = source.copies.get(tell.slice());
+                SimulatedMigrationNode source = simulation.node(command.source());
+                Copy otherCopy = source.copies.get(command.slice());
                 if (!copy.copied
                         && source.alive
-                        && theirs != null
-                        && theirs.standing == Standing.SERVING
-                        && world.now.compareTo(copy.readyAt) >= 0) {
-                    copy.rows.putAll(theirs.rows);
+                        && otherCopy != null
+                        && otherCopy.state == CopyState.SERVING
+                        && simulation.now.compareTo(copy.readyAt) >= 0) {
+                    copy.rows.putAll(otherCopy.rows);
                     copy.copied = true;
-                    world.spoil(copy.rows);
+                    simulation.maybeDropRow(copy.rows);
                 }
                 return copy.copied;
             }
@@ -196,69 +198,72 @@
                 if (copy == null || !copy.copied) {
                     return false;
                 }
-                copy.standing =
-                        copy.standing == Standing.COPYING ? Standing.HOLDING : copy.standing;
+                copy.state = copy.state == CopyState.COPYING ? CopyState.HOLDING : copy.state;
                 return true;
             }
             case FENCE -> {
                 if (copy == null) {
                     return true;
                 }
-                if (copy.standing == Standing.SERVING) {
-                    copy.standing = Standing.FENCED;
-                    copy.turn = world.nextTurn();
+                if (copy.state == CopyState.SERVING) {
+                    copy.state = CopyState.FENCED;
+                    copy.fenceSequence = simulation.nextFenceSequence();
                 }
-                return copy.standing != Standing.SERVING && copy.open.isEmpty();
+                return copy.state != CopyState.SERVING && copy.openHolds.isEmpty();
             }
             case SERVE -> {
-                if (copy == null || copy.standing == Standing.COPYING) {
+                if (copy == null || copy.state == CopyState.COPYING) {
                     return false;
                 }
-                copy.from =
-                        copy.standing == Standing.SERVING
-                                ? Math.max(copy.from, tell.version())
-                                : tell.version();
-                copy.turn = copy.standing == Standing.SERVING ? copy.turn : world.nextTurn();
-                copy.standing = Standing.SERVING;
+                copy.servedFromVersion =
+                        copy.state == CopyState.SERVING
+                                ? Math.max(copy.servedFromVersion, command.version())
+                                : command.version();
+                copy.fenceSequence =
+                        copy.state == CopyState.SERVING
+                                ? copy.fenceSequence
+                                : simulation.nextFenceSequence();
+                copy.state = CopyState.SERVING;
                 return true;
             }
             default -> {
-                copies.remove(tell.slice());
+                copies.remove(command.slice());
                 return true;
             }
         }
     }
 
-    void asked(MigrationAction.RequestDigests ask, Consumer<List<RangeDigest>> answer) {
-        Copy copy = copies.get(ask.slice());
+    void answerDigests(MigrationAction.RequestDigests request, Consumer<List<RangeDigest>> answer) {
+        Copy copy = copies.get(request.slice());
         if (!alive || copy == null) {
             return;
         }
-        List<RangeDigest> said = ask.ranges().stream().map(range -> said(copy, range)).toList();
-        world.hop(() -> answer.accept(said));
+        List<RangeDigest> digests =
+                request.ranges().stream().map(range -> digestOf(copy, range)).toList();
+        simulation.afterHop(() -> answer.accept(digests));
     }
 
     /** Returns the digest of a range of the copy's rows. */
-    static RangeDigest said(Copy copy, KeyRange range) {
-        int open =
+    static RangeDigest digestOf(Copy copy, KeyRange range) {
+        int openHolds =
                 (int)
-                        copy.open.stream()
+                        copy.openHolds.stream()
                                 .filter(key -> range.from() <= key && key < range.to())
                                 .count();
         long mark = 0;
-        MessageDigest sum = sha256();
+        MessageDigest digest = sha256();
         var rows = copy.rows.subMap(range.from(), range.to()).values();
         for (Row row : rows) {
             mark = Math.max(mark, row.mark);
-            sum.update((row.key + " " + row.hold + "\n").getBytes(StandardCharsets.UTF_8));
+            digest.update((row.key + " " + row.hold + "\n").getBytes(StandardCharsets.UTF_8));
         }
         return new RangeDigest(
                 range,
-                open,
+                openHolds,
                 mark,
                 rows.size(),
                 100L * rows.size(),
-                HexFormat.of().formatHex(sum.digest()));
+                HexFormat.of().formatHex(digest.digest()));
     }
 
     private static MessageDigest sha256() {
@@ -275,42 +280,40 @@
      * Dies and loses the holds that it had accepted. Copies that it did not serve yet are lost, the
      * others are on its disk.
      */
-    void die(Duration away) {
+    void crash(Duration downtime) {
         if (!alive) {
             return;
         }
         alive = false;
-        life++;
+        incarnation++;
         copies.values()
                 .removeIf(
-                        copy ->
-                                copy.standing == Standing.COPYING
-                                        || copy.standing == Standing.HOLDING);
-        copies.values().forEach(copy -> copy.open.clear());
-        List<Ended> lost = List.copyOf(waiting);
-        waiting.clear();
-        lost.forEach(ended -> world.hop(() -> ended.ended("lost")));
-        world.after(
-                Duration.ofMillis(100).plus(world.upTo(Duration.ofMillis(200))),
+                        copy -> copy.state == CopyState.COPYING || copy.state == CopyState.HOLDING);
+        copies.values().forEach(copy -> copy.openHolds.clear());
+        List<HoldListener> lost = List.copyOf(pendingHolds);
+        pendingHolds.clear();
+        lost.forEach(listener -> simulation.afterHop(() -> listener.onEnded("lost")));
+        simulation.after(
+                Duration.ofMillis(100).plus(simulation.randomDuration(Duration.ofMillis(200))),
                 () -> {
                     if (!alive) {
-                        world.listed(this, false);
+                        simulation.onNodeListed(this, false);
                     }
                 });
-        world.after(away, this::back);
+        simulation.after(downtime, this::restart);
     }
 
     /**
      * Restarts, fetches the rows that it missed from the replicas that serve, and is listed again.
      */
-    void back() {
+    void restart() {
         if (alive) {
             return;
         }
         alive = true;
         copies.forEach(
                 (slice, copy) ->
-                        world.nodes.stream()
+                        simulation.nodes.stream()
                                 .filter(
                                         other ->
                                                 other != this
@@ -318,11 +321,12 @@
                                                         && other.copies.containsKey(slice))
                                 .map(other -> other.copies.get(slice))
                                 .filter(
-                                        theirs ->
-                                                theirs.standing == Standing.SERVING
-                                                        && (copy.standing != Standing.FENCED
-                                                                || theirs.turn <= copy.turn))
-                                .forEach(theirs -> copy.rows.putAll(theirs.rows)));
-        world.listed(this, true);
+                                        otherCopy ->
+                                                otherCopy.state == CopyState.SERVING
+                                                        && (copy.state != CopyState.FENCED
+                                                                || otherCopy.fenceSequence
+                                                                        <= copy.fenceSequence))
+                                .forEach(otherCopy -> copy.rows.putAll(otherCopy.rows)));
+        simulation.onNodeListed(this, true);
     }
 }
--- a/src/main/java/postbeam/testbed/simulation/SimulatedMoveCoordinator.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedMoveCoordinator.java
@@ -40,25 +40,25 @@
                     2,
                     2);
     private static final long HISTORY = 12;
-    private static final Duration LOOK = Duration.ofMillis(20);
-    private static final double LOST_MESSAGES = 0.05;
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
+    private static final double MESSAGE_LOSS = 0.05;
 
     private final SimulatedCluster cluster;
 
     /** The encoded log records on disk. */
     private final List<byte[]> records = new ArrayList<>();
 
-    private final Map<String, Map<KeyRange, Boolean>> runs = new HashMap<>();
+    private final Map<String, Map<KeyRange, Boolean>> ranKeys = new HashMap<>();
     private Coordinator coordinator;
-    private Map<String, TargetLayout.NodeInfo> list = new LinkedHashMap<>();
+    private Map<String, TargetLayout.NodeInfo> nodeList = new LinkedHashMap<>();
     private final Map<String, Long> startedMicros = new HashMap<>();
     private long listVersion;
-    private int life;
+    private int incarnation;
 
     /** Log records until it crashes; below 0 if no crash is scheduled. */
     private int recordsLeft = -1;
 
-    private Duration awayFor = Duration.ZERO;
+    private Duration crashDowntime = Duration.ZERO;
     private int movesStarted;
     private int movesCutOver;
     private int movesAbandoned;
@@ -87,63 +87,64 @@
             }
         }
         coordinator = new Coordinator(journalState, LIMITS);
-        coordinator.onNodesListed(list, List.of());
-        cluster.published(journalState.layout());
-        int now = ++life;
-        cluster.after(LOOK, () -> look(now));
+        coordinator.onNodesListed(nodeList, List.of());
+        cluster.publishLayout(journalState.layout());
+        int current = ++incarnation;
+        cluster.after(TICK_INTERVAL, () -> tick(current));
     }
 
-    private void look(int mine) {
-        if (mine != life) {
+    private void tick(int startIncarnation) {
+        if (startIncarnation != incarnation) {
             return;
         }
         carryOut(coordinator.tick(cluster.now()));
-        cluster.after(LOOK, () -> look(mine));
+        cluster.after(TICK_INTERVAL, () -> tick(startIncarnation));
     }
 
-    private void carryOut(List<CoordinatorAction> acts) {
-        for (CoordinatorAction act : acts) {
-            if (act instanceof CoordinatorAction.AppendRecord write) {
-                records.add(MoveRecordCodec.write(write.record()));
-                movesCutOver += write.record() instanceof JournalRecord.CutOver ? 1 : 0;
-                movesAbandoned += write.record() instanceof JournalRecord.RolledBack ? 1 : 0;
+    private void carryOut(List<CoordinatorAction> actions) {
+        for (CoordinatorAction action : actions) {
+            if (action instanceof CoordinatorAction.AppendRecord append) {
+                records.add(MoveRecordCodec.write(append.record()));
+                movesCutOver += append.record() instanceof JournalRecord.CutOver ? 1 : 0;
+                movesAbandoned += append.record() instanceof JournalRecord.RolledBack ? 1 : 0;
                 if (recordsLeft > 0 && --recordsLeft == 0) {
                     recordsLeft = -1;
-                    crash(awayFor);
+                    crash(crashDowntime);
                     return;
                 }
-            } else if (act instanceof CoordinatorAction.SendCommand tell) {
-                tell(tell);
-            } else if (act instanceof CoordinatorAction.PublishLayout publish) {
-                cluster.published(publish.layout());
+            } else if (action instanceof CoordinatorAction.SendCommand command) {
+                sendCommand(command);
+            } else if (action instanceof CoordinatorAction.PublishLayout publish) {
+                cluster.publishLayout(publish.layout());
             }
         }
     }
 
-    private void tell(CoordinatorAction.SendCommand tell) {
-        if (cluster.faultsActive() && cluster.with(LOST_MESSAGES)) {
+    private void sendCommand(CoordinatorAction.SendCommand command) {
+        if (cluster.faultsActive() && cluster.withProbability(MESSAGE_LOSS)) {
             return;
         }
-        int mine = life;
-        cluster.hop(
+        int startIncarnation = incarnation;
+        cluster.afterHop(
                 () ->
-                        cluster.node(tell.node())
-                                .ordered(
-                                        tell,
+                        cluster.node(command.node())
+                                .execute(
+                                        command,
                                         () -> {
-                                            if (mine == life
+                                            if (startIncarnation == incarnation
                                                     && !(cluster.faultsActive()
-                                                            && cluster.with(LOST_MESSAGES))) {
+                                                            && cluster.withProbability(
+                                                                    MESSAGE_LOSS))) {
                                                 coordinator.acknowledged(
-                                                        tell.move(),
-                                                        tell.node(),
-                                                        tell.command(),
-                                                        tell.slice());
+                                                        command.move(),
+                                                        command.node(),
+                                                        command.command(),
+                                                        command.slice());
                                             }
                                         }));
     }
 
-    void listed(long version, List<Endpoint> entries) {
+    void onNodeList(long version, List<Endpoint> entries) {
         if (version < listVersion) {
             return;
         }
@@ -159,14 +160,14 @@
                                 })
                         .map(Endpoint::name)
                         .toList();
-        list = new LinkedHashMap<>();
+        nodeList = new LinkedHashMap<>();
         entries.forEach(
                 endpoint ->
-                        list.put(
+                        nodeList.put(
                                 endpoint.name(),
                                 new TargetLayout.NodeInfo(endpoint.zone(), endpoint.readiness())));
         if (coordinator != null) {
-            coordinator.onNodesListed(list, started);
+            coordinator.onNodesListed(nodeList, started);
         }
     }
 
@@ -175,8 +176,8 @@
      * run. Models the deduplication state that nodes hand over with a slice, kept in one place for
      * all nodes.
      */
-    boolean repeated(String query, KeyRange keys) {
-        Map<KeyRange, Boolean> ran = runs.computeIfAbsent(query, key -> new LinkedHashMap<>());
+    boolean alreadyRan(String query, KeyRange keys) {
+        Map<KeyRange, Boolean> ran = ranKeys.computeIfAbsent(query, key -> new LinkedHashMap<>());
         boolean before = ran.keySet().stream().anyMatch(keys::overlaps);
         ran.put(keys, true);
         return before;
@@ -184,19 +185,21 @@
 
     // ---- actions of operators
 
-    void recut() {
+    void changeLayout() {
         if (coordinator == null) {
             return;
         }
         Layout layout = coordinator.state().layout();
         List<Slice> slices = layout.slices();
-        int at = cluster.chance.nextInt(slices.size());
+        int at = cluster.random.nextInt(slices.size());
         Slice slice = slices.get(at);
         List<String> ready = cluster.ready();
         LayoutChange change;
-        int kind = cluster.chance.nextInt(slices.size() > 3 * cluster.plan.slices() ? 2 : 3);
+        int kind = cluster.random.nextInt(slices.size() > 3 * cluster.plan.slices() ? 2 : 3);
         if (kind == 2 && slice.keys().size() > 1000) {
-            change = new LayoutChange.Split(slice.number(), List.of(cluster.within(slice.keys())));
+            change =
+                    new LayoutChange.Split(
+                            slice.number(), List.of(cluster.randomKey(slice.keys())));
         } else if (kind == 1 && at + 1 < slices.size()) {
             change = new LayoutChange.Merge(List.of(slice.number(), slices.get(at + 1).number()));
         } else if (ready.isEmpty()) {
@@ -205,14 +208,15 @@
             change =
                     new LayoutChange.Transfer(
                             slice.number(),
-                            slice.nodes().get(cluster.chance.nextInt(slice.nodes().size())),
-                            ready.get(cluster.chance.nextInt(ready.size())));
+                            slice.nodes().get(cluster.random.nextInt(slice.nodes().size())),
+                            ready.get(cluster.random.nextInt(ready.size())));
         }
         // Sometimes the operator declares a removed node dead and repairs its slices.
-        List<LayoutChange> mends = cluster.with(0.3) ? coordinator.repairs() : List.of();
-        if (!mends.isEmpty()) {
+        List<LayoutChange> repairs =
+                cluster.withProbability(0.3) ? coordinator.repairs() : List.of();
+        if (!repairs.isEmpty()) {
             movesStarted++;
-            carryOut(coordinator.plan(mends.get(0), cluster.now()));
+            carryOut(coordinator.plan(repairs.get(0), cluster.now()));
         } else if (coordinator.rejectionReason(change).isEmpty()) {
             movesStarted++;
             carryOut(coordinator.plan(change, cluster.now()));
@@ -221,25 +225,25 @@
             // merge is possible.
             Slice other = slices.get(at + 1);
             for (String node : slice.nodes()) {
-                String off =
+                String surplusNode =
                         other.nodes().stream()
                                 .filter(held -> !slice.heldBy(held))
                                 .findFirst()
                                 .orElse(null);
-                LayoutChange near =
-                        other.heldBy(node) || off == null
+                LayoutChange coLocation =
+                        other.heldBy(node) || surplusNode == null
                                 ? null
-                                : new LayoutChange.Transfer(other.number(), off, node);
-                if (near != null && coordinator.rejectionReason(near).isEmpty()) {
+                                : new LayoutChange.Transfer(other.number(), surplusNode, node);
+                if (coLocation != null && coordinator.rejectionReason(coLocation).isEmpty()) {
                     movesStarted++;
-                    carryOut(coordinator.plan(near, cluster.now()));
+                    carryOut(coordinator.plan(coLocation, cluster.now()));
                     return;
                 }
             }
         }
     }
 
-    void abandonOne() {
+    void abandonRandomMove() {
         if (coordinator == null) {
             return;
         }
@@ -248,22 +252,22 @@
                         .filter(move -> move.abandonReason() == null && !move.reverseWhenDone())
                         .toList();
         if (!moves.isEmpty()) {
-            Move move = moves.get(cluster.chance.nextInt(moves.size()));
-            carryOut(coordinator.abandon(move.id, "an operator's wish", cluster.now()));
+            Move move = moves.get(cluster.random.nextInt(moves.size()));
+            carryOut(coordinator.abandon(move.id, "requested by the operator", cluster.now()));
         }
     }
 
     // ---- faults
 
     /** Crashes now and recovers from the log after this time. */
-    void crash(Duration away) {
+    void crash(Duration downtime) {
         if (coordinator == null) {
             return;
         }
-        life++;
+        incarnation++;
         coordinator = null;
         cluster.after(
-                away,
+                downtime,
                 () -> {
                     if (coordinator == null) {
                         start();
@@ -272,12 +276,12 @@
     }
 
     /**
-     * Crashes after this many further records are on disk, before the action that the last one is
-     * about.
+     * Schedules a crash right after this many further records are on disk, before the action that
+     * the last one is about.
      */
-    void crashAtARecord(int count, Duration away) {
+    void crashAfterRecords(int count, Duration downtime) {
         recordsLeft = count;
-        awayFor = away;
+        crashDowntime = downtime;
     }
 
     void recover() {
--- a/src/main/java/postbeam/testbed/simulation/SimulatedQueryRouter.java
+++ b/src/main/java/postbeam/testbed/simulation/SimulatedQueryRouter.java
@@ -38,50 +38,50 @@
  */
 final class SimulatedQueryRouter implements PolicyActions {
     /** Receives the outcome of an attempt. */
-    interface Ended {
-        void ended(AttemptOutcome outcome, String value);
+    interface AttemptListener {
+        void onEnded(AttemptOutcome outcome, String value);
     }
 
-    private static final class Open {
+    private static final class OpenQuery {
         final String id;
-        final Duration askedAt;
+        final Duration sentAt;
         final IdentityHashMap<ShardRequest, String> values = new IdentityHashMap<>();
 
-        Open(String id, Duration askedAt) {
+        OpenQuery(String id, Duration sentAt) {
             this.id = id;
-            this.askedAt = askedAt;
+            this.sentAt = sentAt;
         }
     }
 
     final String name;
     private final SimulatedCluster cluster;
-    private final SliceTranslator slicing;
+    private final SliceTranslator translator;
     private final EndpointRegistry registry;
     private final RoutingPolicy policy;
-    private final Map<String, QueryClass> verticals = new LinkedHashMap<>();
-    private final IdentityHashMap<Query, Open> open = new IdentityHashMap<>();
-    private final IdentityHashMap<Attempt, Boolean> out = new IdentityHashMap<>();
-    private final List<Attempt> calledOff = new ArrayList<>();
+    private final Map<String, QueryClass> queryClasses = new LinkedHashMap<>();
+    private final IdentityHashMap<Query, OpenQuery> openQueries = new IdentityHashMap<>();
+    private final IdentityHashMap<Attempt, Boolean> openAttempts = new IdentityHashMap<>();
+    private final List<Attempt> cancelledAttempts = new ArrayList<>();
     private long listVersion;
 
     SimulatedQueryRouter(
             SimulatedCluster cluster,
             String name,
             String zone,
-            SliceTranslator slicing,
+            SliceTranslator translator,
             long seed) {
         this.cluster = cluster;
         this.name = name;
-        this.slicing = slicing;
+        this.translator = translator;
         this.registry = new EndpointRegistry(zone);
-        SimulatedCluster.kinds().forEach(kind -> verticals.put(kind.name(), kind.vertical()));
-        slicing.placement().configure(registry::nameOf, at -> at);
+        SimulatedCluster.kinds().forEach(kind -> queryClasses.put(kind.name(), kind.queryClass()));
+        translator.placement().configure(registry::nameOf, at -> at);
         InvariantChecker.Rules rules = SimulatedCluster.rules();
         policy =
                 new RoutingPolicy(
                         this,
                         new Random(seed),
-                        new Cluster(slicing.placement()),
+                        new Cluster(translator.placement()),
                         new AdmissionControl(
                                 400, cluster.plan.routers(), null, Duration.ofMillis(500)),
                         new AttemptLimits(3, true, true, true, 16),
@@ -103,67 +103,67 @@
      * Updates the endpoint list. Lists arrive in order, as over one connection: a list with an
      * older version than the current one is ignored.
      */
-    void listed(long version, List<Endpoint> entries) {
+    void onNodeList(long version, List<Endpoint> entries) {
         if (version < listVersion) {
             return;
         }
         listVersion = version;
         registry.update(
                 cluster.now(), entries, true, micros -> Duration.ofNanos(micros * 1000), policy);
-        turnEnded();
+        endBatch();
     }
 
-    void laidOut(Layout layout) {
-        if (slicing.onUpdate(layout)) {
-            open.keySet().forEach(slicing::remapStaleRequests);
+    void onLayout(Layout layout) {
+        if (translator.onUpdate(layout)) {
+            openQueries.keySet().forEach(translator::remapStaleRequests);
         }
-        turnEnded();
+        endBatch();
     }
 
-    void take(
+    void onQuery(
             String id,
             SimulatedCluster.Kind kind,
             long version,
-            List<InvariantChecker.RequestedSlice> wanted,
-            Duration until) {
+            List<InvariantChecker.RequestedSlice> requested,
+            Duration deadline) {
         Duration now = cluster.now();
-        Query query = new Query(verticals.get(kind.name()), null, now, until);
+        Query query = new Query(queryClasses.get(kind.name()), null, now, deadline);
         try {
-            slicing.assignShardRequests(
+            translator.assignShardRequests(
                     query,
                     version,
-                    wanted.stream()
-                            .map(one -> new SliceRequest(one.slice(), one.weight(), null))
+                    requested.stream()
+                            .map(slice -> new SliceRequest(slice.slice(), slice.weight(), null))
                             .toList());
         } catch (UnroutableQueryException e) {
             cluster.checker.rejected(now, id);
             return;
         }
-        open.put(query, new Open(id, now));
+        openQueries.put(query, new OpenQuery(id, now));
         policy.onQuery(now, query);
         query.shardRequests.forEach(request -> policy.onShardRequest(now, request));
-        turnEnded();
+        endBatch();
     }
 
-    private void turnEnded() {
+    private void endBatch() {
         while (true) {
             policy.onBatchEnd(cluster.now());
-            if (calledOff.isEmpty()) {
+            if (cancelledAttempts.isEmpty()) {
                 return;
             }
-            List<Attempt> over = List.copyOf(calledOff);
-            calledOff.clear();
-            over.forEach(attempt -> ended(attempt, AttemptOutcome.CANCELLED, null));
+            List<Attempt> cancelled = List.copyOf(cancelledAttempts);
+            cancelledAttempts.clear();
+            cancelled.forEach(attempt -> onAttemptEnded(attempt, AttemptOutcome.CANCELLED, null));
         }
     }
 
-    private void ended(Attempt attempt, AttemptOutcome outcome, String value) {
-        if (out.remove(attempt) == null) {
+    private void onAttemptEnded(Attempt attempt, AttemptOutcome outcome, String value) {
+        if (openAttempts.remove(attempt) == null) {
             return;
         }
-        Open q = open.get(attempt.shardRequest.query);
-        if (q != null && outcome == AttemptOutcome.SUCCESS) {
-            q.values.putIfAbsent(attempt.shardRequest, value);
+        OpenQuery openQuery = openQueries.get(attempt.shardRequest.query);
+        if (openQuery != null && outcome == AttemptOutcome.SUCCESS) {
+            openQuery.values.putIfAbsent(attempt.shardRequest, value);
         }
         policy.onAttemptEnded(
                 cluster.now(),
@@ -172,103 +172,116 @@
                 cluster.now().minus(attempt.sentAt),
                 attempt.shardRequest.query.hasEnded());
         if (outcome == AttemptOutcome.MOVED) {
-            slicing.excludeReplica(attempt.shardRequest, attempt.node);
+            translator.excludeReplica(attempt.shardRequest, attempt.node);
             cluster.after(
                     SliceTranslator.EXCLUSION_TIME,
                     () -> {
-                        slicing.readmitReplica(attempt.shardRequest.shard, attempt.node);
-                        turnEnded();
+                        translator.readmitReplica(attempt.shardRequest.shard, attempt.node);
+                        endBatch();
                     });
         }
-        if (q != null) {
-            slicing.remapStaleRequests(attempt.shardRequest.query);
+        if (openQuery != null) {
+            translator.remapStaleRequests(attempt.shardRequest.query);
         }
     }
 
     /** Returns the queries and attempts that are still open at the end of the run, one per line. */
-    List<String> leftOver() {
-        List<String> left = new ArrayList<>();
-        open.values().forEach(q -> left.add("rule 1, query " + q.id + ": still open at the end"));
-        if (!out.isEmpty()) {
-            left.add("router " + name + " still has " + out.size() + " attempts in flight");
+    List<String> unfinished() {
+        List<String> unfinished = new ArrayList<>();
+        openQueries
+                .values()
+                .forEach(
+                        openQuery ->
+                                unfinished.add(
+                                        "rule 1, query "
+                                                + openQuery.id
+                                                + ": still open at the end"));
+        if (!openAttempts.isEmpty()) {
+            unfinished.add(
+                    "router " + name + " still has " + openAttempts.size() + " attempts in flight");
         }
-        return left;
+        return unfinished;
     }
 
     // ---- actions of the policy
 
     @Override
     public void send(Attempt attempt) {
-        out.put(attempt, true);
-        KeyRangeRequest piece = (KeyRangeRequest) attempt.shardRequest;
-        String query = open.get(piece.query).id;
+        openAttempts.put(attempt, true);
+        KeyRangeRequest request = (KeyRangeRequest) attempt.shardRequest;
+        String query = openQueries.get(request.query).id;
         SimulatedDataNode node = cluster.node(registry.nameOf(attempt.node));
-        long version = slicing.currentLayout().version;
-        String part =
+        long version = translator.currentLayout().version;
+        String attemptId =
                 query
                         + "."
-                        + piece.shard
+                        + request.shard
                         + "-"
-                        + Long.toHexString(piece.keys.from())
+                        + Long.toHexString(request.keys.from())
                         + "#"
                         + attempt.index;
-        KeyRange keys = piece.keys;
-        boolean dropped = piece.query.queryClass().sideEffects == SideEffects.DEDUPLICATED;
-        cluster.hop(
+        KeyRange keys = request.keys;
+        boolean deduplicated = request.query.queryClass().sideEffects == SideEffects.DEDUPLICATED;
+        cluster.afterHop(
                 () ->
-                        node.called(
+                        node.onAttempt(
                                 query,
-                                part,
-                                piece.shard,
+                                attemptId,
+                                request.shard,
                                 keys,
                                 version,
-                                dropped,
+                                deduplicated,
                                 (outcome, value) -> {
-                                    ended(attempt, outcome, value);
-                                    turnEnded();
+                                    onAttemptEnded(attempt, outcome, value);
+                                    endBatch();
                                 }));
-        Duration until = piece.query.deadline;
-        if (attempt.timeout != null && attempt.sentAt.plus(attempt.timeout).compareTo(until) < 0) {
-            until = attempt.sentAt.plus(attempt.timeout);
+        Duration timeoutAt = request.query.deadline;
+        if (attempt.timeout != null
+                && attempt.sentAt.plus(attempt.timeout).compareTo(timeoutAt) < 0) {
+            timeoutAt = attempt.sentAt.plus(attempt.timeout);
         }
         cluster.after(
-                until.minus(cluster.now()),
+                timeoutAt.minus(cluster.now()),
                 () -> {
-                    if (out.containsKey(attempt)) {
-                        ended(attempt, AttemptOutcome.TIMEOUT, null);
-                        turnEnded();
+                    if (openAttempts.containsKey(attempt)) {
+                        onAttemptEnded(attempt, AttemptOutcome.TIMEOUT, null);
+                        endBatch();
                     }
                 });
     }
 
     @Override
     public void cancel(Attempt attempt) {
-        if (out.containsKey(attempt)) {
-            calledOff.add(attempt);
+        if (openAttempts.containsKey(attempt)) {
+            cancelledAttempts.add(attempt);
         }
     }
 
     @Override
-    public void answer(Query query, boolean whole) {
-        Open q = open.remove(query);
-        LayoutCompleteness.CompleteRequests counted =
-                slicing.completenessOf(query).completeRequests(query);
+    public void answer(Query query, boolean complete) {
+        OpenQuery openQuery = openQueries.remove(query);
+        LayoutCompleteness.CompleteRequests completeRequests =
+                translator.completenessOf(query).completeRequests(query);
         List<InvariantChecker.Value> values =
-                counted.requests().stream()
-                        .map(piece -> new InvariantChecker.Value(piece.keys, q.values.get(piece)))
+                completeRequests.requests().stream()
+                        .map(
+                                request ->
+                                        new InvariantChecker.Value(
+                                                request.keys, openQuery.values.get(request)))
                         .toList();
-        cluster.checker.answered(cluster.now(), q.id, whole, counted.version(), values);
-        cluster.over(true, q.askedAt);
+        cluster.checker.answered(
+                cluster.now(), openQuery.id, complete, completeRequests.version(), values);
+        cluster.onQueryEnded(true, openQuery.sentAt);
     }
 
     @Override
-    public void reject(Query query, Duration comeBack) {
-        cluster.checker.rejected(cluster.now(), open.remove(query).id);
+    public void reject(Query query, Duration retryAfter) {
+        cluster.checker.rejected(cluster.now(), openQueries.remove(query).id);
     }
 
     @Override
     public void abort(Query query) {
-        cluster.checker.failed(cluster.now(), open.remove(query).id);
+        cluster.checker.failed(cluster.now(), openQueries.remove(query).id);
     }
 
     @Override
@@ -277,7 +290,7 @@
                 wait,
                 () -> {
                     policy.onWakeUp(cluster.now());
-                    turnEnded();
+                    endBatch();
                 });
     }
 
@@ -291,7 +304,7 @@
                             cluster.now(),
                             node,
                             probed.readiness != postbeam.model.Readiness.REMOVED);
-                    turnEnded();
+                    endBatch();
                 });
     }
 
--- a/src/main/java/postbeam/testbed/trials/CoordinationTrial.java
+++ b/src/main/java/postbeam/testbed/trials/CoordinationTrial.java
@@ -81,7 +81,7 @@
                 new GossipSimulation(routers, DefectiveCoordination.defect(defect), seed);
         List<String> broken = new ArrayList<>(hearsay.run());
         broken.addAll(world.run());
-        CoordinationSimulation.Use use = world.use();
+        CoordinationSimulation.BudgetUsage use = world.budgetUsage();
         return new TrialResult(
                 List.of(
                         String.format(
@@ -91,10 +91,10 @@
                                     + " counted",
                                 seed,
                                 routers,
-                                use.sends(),
-                                use.used() / use.budget(),
-                                world.fullest(),
-                                use.won(),
+                                use.attemptsSent(),
+                                use.usedWork() / use.budget(),
+                                world.fullestShare(),
+                                use.leadershipsWon(),
                                 hearsay.countedAttempts())),
                 broken);
     }
--- a/src/main/java/postbeam/testbed/trials/SlowStartUsageTrial.java
+++ b/src/main/java/postbeam/testbed/trials/SlowStartUsageTrial.java
@@ -75,7 +75,7 @@
                                 null),
                         seed);
         broken.addAll(world.run());
-        CoordinationSimulation.Use of = world.use();
+        CoordinationSimulation.BudgetUsage of = world.budgetUsage();
         figures.add(
                 String.format(
                         Locale.ROOT,
@@ -83,7 +83,7 @@
                                 + "ms",
                         seed,
                         name,
-                        of.used() / of.budget(),
-                        of.evenAt() == null ? -1 : of.evenAt().toMillis()));
+                        of.usedWork() / of.budget(),
+                        of.halfUsedAge() == null ? -1 : of.halfUsedAge().toMillis()));
     }
 }
--- a/src/test/java/postbeam/testbed/simulation/MixedWorkloadsTest.java
+++ b/src/test/java/postbeam/testbed/simulation/MixedWorkloadsTest.java
@@ -40,12 +40,12 @@
     private static final int WORK_MS = 15;
     private static final int CORES = 2;
     private static final int QUERIES = 60;
-    private static final Duration PATIENCE = Duration.ofSeconds(3);
+    private static final Duration CLIENT_DEADLINE = Duration.ofSeconds(3);
     private static final HttpClient HTTP =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
     /** A kind of router: its settings, and the number of concurrent clients. */
-    private record Shape(String name, String settings, int clients) {}
+    private record RouterKind(String name, String settings, int clients) {}
 
     private static final String OLD =
             "\"domain\":{\"cells\":1,\"reach\":1,\"shards\":4,\"partsACall\":16,\"callCost\":5000,"
@@ -65,12 +65,12 @@
         final ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         final Semaphore cores = new Semaphore(CORES, true);
         final ExecutorService threads = Executors.newCachedThreadPool();
-        final Seen seen;
+        final Observations observations;
         volatile boolean hangs;
-        volatile long drainedAt = Long.MAX_VALUE;
+        volatile long drainGraceEnd = Long.MAX_VALUE;
 
-        Node(Seen seen) throws IOException {
-            this.seen = seen;
+        Node(Observations observations) throws IOException {
+            this.observations = observations;
             Future<?> unused =
                     threads.submit(
                             () -> {
@@ -91,14 +91,14 @@
                 if (text.charAt(0) == 'o') {
                     send(socket, "ogood");
                 } else if (text.charAt(0) == 'n') {
-                    seen.over(text.substring(1).trim());
+                    observations.onAttemptEnded(text.substring(1).trim());
                 }
                 for (String rest = text.charAt(0) == 'm' ? text.substring(1) : "";
                         !rest.isEmpty(); ) {
                     int end = rest.indexOf('\n');
                     String[] words = rest.substring(0, end).split(" ", 0);
                     rest = rest.substring(end + 1 + Integer.parseInt(words[3]));
-                    seen.called(words[0], System.nanoTime() > drainedAt);
+                    observations.onAttempt(words[0], System.nanoTime() > drainGraceEnd);
                     if (!hangs) {
                         Future<?> unused = threads.submit(() -> work(socket, words[0]));
                     }
@@ -106,13 +106,13 @@
             }
         }
 
-        private Void work(Socket socket, String part) throws Exception {
+        private Void work(Socket socket, String requestId) throws Exception {
             cores.acquire();
             Thread.sleep(WORK_MS);
             cores.release();
-            seen.alone(part);
-            seen.ran(part);
-            send(socket, "q" + part + " good 0 -\nv" + part);
+            observations.awaitSingleAttempt(requestId);
+            observations.onRan(requestId);
+            send(socket, "q" + requestId + " good 0 -\nv" + requestId);
             return null;
         }
 
@@ -136,16 +136,17 @@
     }
 
     /** What the nodes observed of each shard request, and what clients received. */
-    private static final class Seen {
-        private final Map<String, Integer> out = new ConcurrentHashMap<>();
+    private static final class Observations {
+        private final Map<String, Integer> inFlight = new ConcurrentHashMap<>();
         private final Map<String, Integer> runs = new ConcurrentHashMap<>();
-        final List<String> broken = new CopyOnWriteArrayList<>();
-        final Map<String, AtomicInteger> served = new ConcurrentHashMap<>();
+        final List<String> violations = new CopyOnWriteArrayList<>();
+        final Map<String, AtomicInteger> servedInTime = new ConcurrentHashMap<>();
 
-        void called(String part, boolean drained) {
-            out.merge(part, 1, Integer::sum);
-            if (drained) {
-                broken.add(part + " went to a node after the grace period of its draining");
+        void onAttempt(String requestId, boolean afterGrace) {
+            inFlight.merge(requestId, 1, Integer::sum);
+            if (afterGrace) {
+                violations.add(
+                        requestId + " went to a node after the grace period of its draining");
             }
         }
 
@@ -154,43 +155,45 @@
          * sent. A cancellation that was sent before this attempt arrives by then or soon after,
          * whichever connection is read first; a hedged attempt is cancelled only after this answer.
          */
-        void alone(String part) throws InterruptedException {
+        void awaitSingleAttempt(String requestId) throws InterruptedException {
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(1);
-            while (part.startsWith("new") && out.getOrDefault(part, 0) > 1) {
+            while (requestId.startsWith("new") && inFlight.getOrDefault(requestId, 0) > 1) {
                 if (System.nanoTime() > end) {
-                    broken.add(
-                            "two attempts of " + part + " are in flight, but hedging is disabled");
+                    violations.add(
+                            "two attempts of "
+                                    + requestId
+                                    + " are in flight, but hedging is disabled");
                     return;
                 }
                 Thread.sleep(5);
             }
         }
 
-        void over(String part) {
-            out.computeIfPresent(part, (p, calls) -> calls > 1 ? calls - 1 : null);
+        void onAttemptEnded(String requestId) {
+            inFlight.computeIfPresent(requestId, (p, calls) -> calls > 1 ? calls - 1 : null);
         }
 
-        void ran(String part) {
-            over(part);
-            if (runs.merge(part, 1, Integer::sum) > 1 && part.contains("hold")) {
-                broken.add("the side-effecting " + part + " ran twice");
+        void onRan(String requestId) {
+            onAttemptEnded(requestId);
+            if (runs.merge(requestId, 1, Integer::sum) > 1 && requestId.contains("hold")) {
+                violations.add("the side-effecting " + requestId + " ran twice");
             }
         }
     }
 
-    private static Router router(Shape shape, String address, FakeDiscovery discovery)
+    private static Router router(RouterKind kind, String address, FakeDiscovery discovery)
             throws IOException {
         return new Router(
                 RouterConfig.parse(
                         ("{\"name\":\""
-                                        + shape.name
+                                        + kind.name
                                         + "\",\"listen\":\""
                                         + address
                                         + "\",\"discovery\":\""
                                         + discovery.address()
                                         + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"memory_mb\":192,\"sockets\":1024},"
                                         + "\"settings\":{\"zone\":\"a\",\"nInstances\":2,"
-                                        + shape.settings
+                                        + kind.settings
                                         + ",\"obligations\":{"
                                         + "\"stopSendingWithin\":2000000,\"askEvery\":10000000},\"classes\":["
                                         + "{\"name\":\"look\",\"promise\":1000000,\"deadline\":3000000,\"effect\":\"retryable\",\"lateWorth\":0.1},"
@@ -202,51 +205,52 @@
      * Runs the routers side by side. Returns, by kind, the share of queries that were answered
      * completely and in time.
      */
-    private static Map<String, Double> play(Seen seen, Shape... shapes) throws Exception {
+    private static Map<String, Double> run(Observations observations, RouterKind... kinds)
+            throws Exception {
         List<Node> nodes = new ArrayList<>();
         List<Router> routers = new ArrayList<>();
         ExecutorService clients = Executors.newCachedThreadPool();
         FakeDiscovery discovery = null;
         try {
             for (int i = 0; i < 4; i++) {
-                nodes.add(new Node(seen));
+                nodes.add(new Node(observations));
             }
-            discovery = new FakeDiscovery(list(nodes, "up"));
+            discovery = new FakeDiscovery(nodeList(nodes, "up"));
             Map<String, AtomicInteger> asked = new ConcurrentHashMap<>();
-            List<java.util.concurrent.Future<?>> ends = new ArrayList<>();
-            for (Shape shape : shapes) {
+            List<java.util.concurrent.Future<?>> clientRuns = new ArrayList<>();
+            for (RouterKind kind : kinds) {
                 String address;
                 try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
                     address = "127.0.0.1:" + free.getLocalPort();
                 }
-                Router router = router(shape, address, discovery);
+                Router router = router(kind, address, discovery);
                 router.start();
                 routers.add(router);
-                seen.served.put(shape.name, new AtomicInteger());
-                asked.put(shape.name, new AtomicInteger());
-                for (int c = 0; c < shape.clients; c++) {
+                observations.servedInTime.put(kind.name, new AtomicInteger());
+                asked.put(kind.name, new AtomicInteger());
+                for (int c = 0; c < kind.clients; c++) {
                     int client = c;
-                    ends.add(
+                    clientRuns.add(
                             clients.submit(
                                     () ->
                                             client(
-                                                    shape,
+                                                    kind,
                                                     address,
                                                     client,
-                                                    seen,
-                                                    asked.get(shape.name))));
+                                                    observations,
+                                                    asked.get(kind.name))));
                 }
             }
             Thread.sleep(600);
             nodes.get(0).hangs = true;
             Thread.sleep(600);
-            nodes.get(3).drainedAt = System.nanoTime() + TimeUnit.SECONDS.toNanos(2);
-            discovery.tell(list(nodes, "draining"));
-            for (var end : ends) {
+            nodes.get(3).drainGraceEnd = System.nanoTime() + TimeUnit.SECONDS.toNanos(2);
+            discovery.tell(nodeList(nodes, "draining"));
+            for (var end : clientRuns) {
                 end.get(60, TimeUnit.SECONDS);
             }
             Map<String, Double> shares = new TreeMap<>();
-            seen.served.forEach(
+            observations.servedInTime.forEach(
                     (name, count) ->
                             shares.put(name, count.get() / (double) asked.get(name).get()));
             return shares;
@@ -264,7 +268,7 @@
         }
     }
 
-    private static String list(List<Node> nodes, String lastHealth) {
+    private static String nodeList(List<Node> nodes, String lastHealth) {
         StringBuilder hosts = new StringBuilder();
         for (int i = 0; i < nodes.size(); i++) {
             hosts.append(i == 0 ? "" : ",")
@@ -274,7 +278,11 @@
     }
 
     private static Void client(
-            Shape shape, String address, int client, Seen seen, AtomicInteger asked)
+            RouterKind kind,
+            String address,
+            int client,
+            Observations observations,
+            AtomicInteger asked)
             throws Exception {
         for (int i = 0; i < QUERIES; i++) {
             boolean hold = i % 5 == 4;
@@ -288,7 +296,7 @@
                         .append(1.0 / parts)
                         .append('}');
             }
-            long begun = System.nanoTime();
+            long startedAt = System.nanoTime();
             asked.incrementAndGet();
             HttpResponse<String> answer =
                     HTTP.send(
@@ -300,14 +308,14 @@
                                                             + (hold ? "hold" : "look")))
                                     .header(
                                             "Req-Id",
-                                            shape.name
+                                            kind.name
                                                     + "-"
                                                     + (hold ? "hold" : "look")
                                                     + client
                                                     + "-"
                                                     + i)
                                     .header("Req-Owner", "acme")
-                                    .header("Req-Deadline-Ms", "" + PATIENCE.toMillis())
+                                    .header("Req-Deadline-Ms", "" + CLIENT_DEADLINE.toMillis())
                                     .timeout(Duration.ofSeconds(10))
                                     .POST(
                                             HttpRequest.BodyPublishers.ofString(
@@ -316,24 +324,26 @@
                                                             + "],\"predicate\":\"c41e77d0\"}"))
                                     .build(),
                             HttpResponse.BodyHandlers.ofString());
-            Duration took = Duration.ofNanos(System.nanoTime() - begun);
-            if (took.compareTo(PATIENCE.plusMillis(200)) > 0) {
-                seen.broken.add("an answer took " + took + ", limit " + PATIENCE.plusMillis(200));
+            Duration took = Duration.ofNanos(System.nanoTime() - startedAt);
+            if (took.compareTo(CLIENT_DEADLINE.plusMillis(200)) > 0) {
+                observations.violations.add(
+                        "an answer took " + took + ", limit " + CLIENT_DEADLINE.plusMillis(200));
             }
-            boolean whole = answer.statusCode() == 200 && answer.body().contains("\"total\":true");
-            if (whole && answer.body().split("\"range\"").length - 1 != parts) {
-                seen.broken.add(
+            boolean complete =
+                    answer.statusCode() == 200 && answer.body().contains("\"total\":true");
+            if (complete && answer.body().split("\"range\"").length - 1 != parts) {
+                observations.violations.add(
                         "marked complete with other than " + parts + " ranges: " + answer.body());
             }
-            if (whole && took.toMillis() <= 1000) {
-                seen.served.get(shape.name).incrementAndGet();
+            if (complete && took.toMillis() <= 1000) {
+                observations.servedInTime.get(kind.name).incrementAndGet();
             }
         }
         return null;
     }
 
     /** Returns the kinds that get less than 75 % of the best share; empty if there are none. */
-    private static List<String> starved(Map<String, Double> shares) {
+    private static List<String> starvedKinds(Map<String, Double> shares) {
         double best = shares.values().stream().mapToDouble(share -> share).max().orElse(0);
         return shares.entrySet().stream()
                 .filter(e -> e.getValue() < 0.75 * best)
@@ -342,35 +352,38 @@
     }
 
     @Test
-    void bothShapesKeepTheRulesAndNeitherStarvesTheOther() throws Exception {
-        Seen seen = new Seen();
-        Map<String, Double> shares = play(seen, new Shape("old", OLD, 4), new Shape("new", NEW, 4));
-        assertEquals(List.of(), seen.broken);
-        assertEquals(List.of(), starved(shares), shares.toString());
+    void routersOfBothKindsKeepTheRulesAndGetSimilarShares() throws Exception {
+        Observations observations = new Observations();
+        Map<String, Double> shares =
+                run(observations, new RouterKind("old", OLD, 4), new RouterKind("new", NEW, 4));
+        assertEquals(List.of(), observations.violations);
+        assertEquals(List.of(), starvedKinds(shares), shares.toString());
         assertTrue(shares.values().stream().allMatch(share -> share > 0.6), shares.toString());
     }
 
     @Test
-    void anInstanceThatCopiesWhereTheNewShapeBarsItIsCaught() throws Exception {
-        Seen seen = new Seen();
-        play(
-                seen,
-                new Shape("old", OLD, 4),
-                new Shape(
+    void routerThatHedgesDespiteDisabledHedgingIsDetected() throws Exception {
+        Observations observations = new Observations();
+        run(
+                observations,
+                new RouterKind("old", OLD, 4),
+                new RouterKind(
                         "new", NEW.replace("\"mayDuplicate\":false", "\"mayDuplicate\":true"), 4));
         assertTrue(
-                seen.broken.stream().anyMatch(what -> what.startsWith("two attempts of new")),
-                seen.broken.toString());
+                observations.violations.stream()
+                        .anyMatch(text -> text.startsWith("two attempts of new")),
+                observations.violations.toString());
     }
 
     @Test
-    void anInstanceWhoseWorkIsAllowedForNoMoreThanOneCallIsSeenToStarve() throws Exception {
-        Seen seen = new Seen();
+    void routerThatMaySendNoAttemptsIsReportedAsStarved() throws Exception {
+        Observations observations = new Observations();
         Map<String, Double> shares =
-                play(
-                        seen,
-                        new Shape("old", OLD.replace("\"maxAttempts\":3", "\"maxAttempts\":0"), 4),
-                        new Shape("new", NEW, 4));
-        assertEquals(List.of("old"), starved(shares), shares.toString());
+                run(
+                        observations,
+                        new RouterKind(
+                                "old", OLD.replace("\"maxAttempts\":3", "\"maxAttempts\":0"), 4),
+                        new RouterKind("new", NEW, 4));
+        assertEquals(List.of("old"), starvedKinds(shares), shares.toString());
     }
 }
--- a/src/test/java/postbeam/testbed/trials/MigrationTrialTest.java
+++ b/src/test/java/postbeam/testbed/trials/MigrationTrialTest.java
@@ -31,7 +31,7 @@
         worlds.forEach(
                 world -> {
                     died.addAll(world.diedAt);
-                    seen.addAll(world.seen.keySet());
+                    seen.addAll(world.eventCounts.keySet());
                 });
         assertTrue(
                 died.containsAll(
