--- a/src/main/java/postbeam/testbed/simulation/MigrationLoad.java
+++ b/src/main/java/postbeam/testbed/simulation/MigrationLoad.java
@@ -212,7 +212,7 @@
         if (router.layout == null
                 || simulation.now.compareTo(router.leaseUntil) >= 0
                 || simulation.now.minus(sentAt).compareTo(HOLD_DEADLINE) > 0) {
-            // The hold did not run: each node that was asked rejected it.
+            // The hold did not run: each node that received it rejected it.
             rejected.add(id);
             return;
         }
--- a/src/main/java/postbeam/testbed/simulation/PagingSimulation.java
+++ b/src/main/java/postbeam/testbed/simulation/PagingSimulation.java
@@ -285,7 +285,11 @@
         rowsFetched += page.rowsFetched();
         if (page.rows().size() > size) {
             violations.add(
-                    "a page of " + page.rows().size() + " rows where " + size + " were asked for");
+                    "a page of "
+                            + page.rows().size()
+                            + " rows, but at most "
+                            + size
+                            + " were requested");
         }
         checkAgainstOtherRouter(page, progress, size);
         return page;
--- a/src/test/java/postbeam/testbed/simulation/MixedWorkloadsTest.java
+++ b/src/test/java/postbeam/testbed/simulation/MixedWorkloadsTest.java
@@ -216,7 +216,7 @@
                 nodes.add(new Node(observations));
             }
             discovery = new FakeDiscovery(nodeList(nodes, "up"));
-            Map<String, AtomicInteger> asked = new ConcurrentHashMap<>();
+            Map<String, AtomicInteger> queriesSent = new ConcurrentHashMap<>();
             List<java.util.concurrent.Future<?>> clientRuns = new ArrayList<>();
             for (RouterKind kind : kinds) {
                 String address;
@@ -227,7 +227,7 @@
                 router.start();
                 routers.add(router);
                 observations.servedInTime.put(kind.name, new AtomicInteger());
-                asked.put(kind.name, new AtomicInteger());
+                queriesSent.put(kind.name, new AtomicInteger());
                 for (int c = 0; c < kind.clients; c++) {
                     int client = c;
                     clientRuns.add(
@@ -238,7 +238,7 @@
                                                     address,
                                                     client,
                                                     observations,
-                                                    asked.get(kind.name))));
+                                                    queriesSent.get(kind.name))));
                 }
             }
             Thread.sleep(600);
@@ -252,7 +252,7 @@
             Map<String, Double> shares = new TreeMap<>();
             observations.servedInTime.forEach(
                     (name, count) ->
-                            shares.put(name, count.get() / (double) asked.get(name).get()));
+                            shares.put(name, count.get() / (double) queriesSent.get(name).get()));
             return shares;
         } finally {
             clients.shutdownNow();
@@ -282,7 +282,7 @@
             String address,
             int client,
             Observations observations,
-            AtomicInteger asked)
+            AtomicInteger queriesSent)
             throws Exception {
         for (int i = 0; i < QUERIES; i++) {
             boolean hold = i % 5 == 4;
@@ -297,7 +297,7 @@
                         .append('}');
             }
             long startedAt = System.nanoTime();
-            asked.incrementAndGet();
+            queriesSent.incrementAndGet();
             HttpResponse<String> answer =
                     HTTP.send(
                             HttpRequest.newBuilder(
