--- a/src/main/java/postbeam/coordination/CoordinationStripe.java
+++ b/src/main/java/postbeam/coordination/CoordinationStripe.java
@@ -16,10 +16,16 @@
  * readings of the router's own monotonic clock; amounts are work in the unit of a node's budget.
  */
 public class CoordinationStripe {
-    /** Bounds the memory; more nodes than any fleet warms up at the same time. */
+    /**
+     * Maximum number of nodes for which state is kept; bounds the memory and is more than any fleet
+     * warms up at the same time.
+     */
     private static final int MAX_NODES = 10_000;
 
-    /** Lease requests in one message to a leader; further ones follow in later messages. */
+    /**
+     * Maximum number of lease requests in one message to a leader; further ones follow in later
+     * messages.
+     */
     private static final int MAX_REQUESTS_PER_MESSAGE = 64;
 
     /**
@@ -58,7 +64,7 @@
     private long lastRequestNumber;
 
     /**
-     * Creates a stripe that has no record of leases or sends of an earlier process.
+     * Creates a stripe that has no record of the leases or sent work of an earlier process.
      *
      * @param members names of all configured routers, including this one
      */
@@ -128,7 +134,9 @@
         return now.compareTo(maySendFrom) >= 0;
     }
 
-    /** Releases reserved work once its request has been sent or is given up. */
+    /**
+     * Releases work reserved for a request; called once the request has been sent or is given up.
+     */
     public void release(NodeIncarnation node, double amount) {
         TrackedNode tracked = nodes.get(node);
         if (tracked != null) {
--- a/src/main/java/postbeam/coordination/HealthGossip.java
+++ b/src/main/java/postbeam/coordination/HealthGossip.java
@@ -27,16 +27,28 @@
     /** The age up to which this router's own evidence overrides gossip. */
     private static final Duration LOCAL_MAX_AGE = Duration.ofSeconds(5);
 
-    /** Attempts that a report must be based on, as a single failure is weak evidence. */
+    /**
+     * Minimum number of attempts that a report must be based on, as a single failure is weak
+     * evidence.
+     */
     private static final int MIN_ATTEMPTS = 3;
 
-    /** Routers that must report a node as unhealthy, in a fleet with that many other routers. */
+    /**
+     * Number of routers that must report a node as unhealthy before it is marked, in a fleet with
+     * that many other routers.
+     */
     private static final int MIN_REPORTERS = 3;
 
-    /** Routers that must report a node as unhealthy, in any smaller fleet. */
+    /**
+     * Number of routers that must report a node as unhealthy before it is marked, in any smaller
+     * fleet.
+     */
     private static final int MIN_REPORTERS_IN_SMALL_FLEET = 2;
 
-    /** Zones that the reporting routers must be in, in a fleet with that many zones. */
+    /**
+     * Number of zones that the reporting routers must be in before a node is marked, in a fleet
+     * with that many zones.
+     */
     private static final int MIN_ZONES = 2;
 
     /**
@@ -66,7 +78,7 @@
             return report.kind() == HealthReport.Kind.HEALTHY;
         }
 
-        /** Whether it is based on enough attempts and younger than this. */
+        /** Whether this report is based on enough attempts and younger than this age. */
         boolean isUsable(Duration now, Duration maxAge) {
             return age(now).compareTo(maxAge) < 0 && report.attempts() >= MIN_ATTEMPTS;
         }
--- a/src/main/java/postbeam/coordination/HealthReport.java
+++ b/src/main/java/postbeam/coordination/HealthReport.java
@@ -6,10 +6,10 @@
  * The health of a data node as one router's own attempts show it.
  *
  * @param router name of the reporting router
- * @param zone of the reporting router
+ * @param zone name of the zone of the reporting router
  * @param slowness latency as a multiple of the usual latency
  * @param attempts number of attempts that the report is based on
- * @param age of the report when it was sent
+ * @param age time since the report was made, at the moment it was sent
  */
 public record HealthReport(
         String router,
--- a/src/main/java/postbeam/coordination/LeaseIssuer.java
+++ b/src/main/java/postbeam/coordination/LeaseIssuer.java
@@ -12,7 +12,10 @@
  * <p>Not thread-safe; {@link StripedCoordinator} guards it with the stripe's lock.
  */
 public class LeaseIssuer {
-    /** Bounds the memory; more nodes than any fleet warms up at the same time. */
+    /**
+     * Maximum number of nodes with a lease table; bounds the memory and is more than any fleet
+     * warms up at the same time.
+     */
     private static final int MAX_NODES = 10_000;
 
     private final LeaderElection election;
--- a/src/main/java/postbeam/coordination/LeaseTable.java
+++ b/src/main/java/postbeam/coordination/LeaseTable.java
@@ -27,10 +27,13 @@
     /** The latest request of a router. */
     private record Demand(double amount, Duration retainedUntil) {}
 
-    /** Bounds the memory; a router requests a lease at most every third of a lease's duration. */
+    /**
+     * Maximum number of leases; bounds the memory. A router requests a lease at most every third of
+     * a lease's duration.
+     */
     private static final int MAX_LEASES = 4096;
 
-    /** By process and request number. */
+    /** Granted leases, by router process and request number. */
     private final Map<String, IssuedLease> leases = new LinkedHashMap<>();
 
     /** The latest request of each router, for fair shares of a budget that does not suffice. */
@@ -85,8 +88,8 @@
     }
 
     /**
-     * The router's max-min fair share: routers that request less than an even share leave the rest
-     * to the others.
+     * The router's max-min fair share: what a router requests less than an equal portion of the
+     * budget is available to the others.
      */
     private double fairShare(String router, double leasable) {
         List<Map.Entry<String, Demand>> ascending = new ArrayList<>(demands.entrySet());
--- a/src/main/java/postbeam/coordination/QuotaCounters.java
+++ b/src/main/java/postbeam/coordination/QuotaCounters.java
@@ -12,22 +12,27 @@
  * router's newest entry.
  *
  * <p>The limit holds whichever messages are lost. The limit is divided by the number of routers;
- * each router has one such even share. A router may permanently yield part of its share, that is,
- * give it up for the others: the yielded amount is divided evenly among them, and each may use its
- * part once it has received the entry. A router without a received entry is assumed to use its full
- * share (docs/together.md, Counts).
+ * each router's share is the limit divided by that number. A router may permanently give up part of
+ * its share: the given-up amount is divided evenly among the other routers, and each may use its
+ * portion once it has received the entry. A router without a received entry is assumed to use its
+ * full share (docs/together.md, Counts).
  *
  * <p>A bucket is a number that all routers assign to a span of time. If two routers assign
  * different numbers to the same time, the limit still holds for each number. Not thread-safe.
  */
 public class QuotaCounters {
-    /** Buckets that are kept: the newest and those before it. Entries of older ones are ignored. */
+    /**
+     * Number of buckets that are kept: the newest and those before it. Entries of older ones are
+     * ignored.
+     */
     static final int BUCKETS_KEPT = 4;
 
-    /** Keys in each kept bucket for which there is room; nothing is counted for further keys. */
+    /**
+     * Maximum number of keys that are counted in each bucket; nothing is counted for further keys.
+     */
     static final int MAX_KEYS = 256;
 
-    /** An entry takes about 100 bytes. */
+    /** Maximum number of entries in one message; an entry takes about 100 bytes. */
     static final int MAX_ENTRIES_PER_MESSAGE = 256;
 
     private static final int MAX_COUNTERS = MAX_KEYS * BUCKETS_KEPT;
@@ -36,7 +41,8 @@
         double count;
 
         /**
-         * The part of its even share that this router keeps: the share less what it has yielded.
+         * The part of its share of the limit that this router keeps: the share less the amount that
+         * it has given up.
          */
         double cap;
 
@@ -56,7 +62,10 @@
     /** The first bucket in which this process counts. */
     private final long firstBucket;
 
-    /** By key and bucket, then by router: the newest entry of the router's newest process. */
+    /**
+     * Received entries by key and bucket, then by router: the newest entry of the router's newest
+     * process.
+     */
     private final Map<CounterKey, Map<String, QuotaCounterEntry>> remoteEntries =
             new LinkedHashMap<>();
 
@@ -68,7 +77,7 @@
 
     /**
      * Creates counters that are empty. They count nothing in the current bucket and the next one:
-     * an earlier process of this router may have counted in the current bucket and yielded its
+     * an earlier process of this router may have counted in the current bucket and given up its
      * share of the next.
      *
      * @param members names of all configured routers, including this one
@@ -109,7 +118,7 @@
 
     /**
      * Permanently limits this router's share of a bucket to the cap, or to its count if that is
-     * higher, and yields the rest to the other routers.
+     * higher, and gives up the rest to the other routers.
      */
     public void capOwnShare(String key, long bucket, double cap, double limit) {
         CounterKey counterKey = new CounterKey(key, bucket);
@@ -126,7 +135,7 @@
     }
 
     /**
-     * Whether no earlier process of this router can have counted in the bucket or yielded its
+     * Whether no earlier process of this router can have counted in the bucket or given up its
      * share.
      */
     protected boolean mayCount(long bucket) {
@@ -142,8 +151,8 @@
     }
 
     /**
-     * The extra quota of this router: the amounts that the other routers have yielded, each divided
-     * evenly among the routers that did not yield it.
+     * The extra quota of this router: the amounts that the other routers have given up, each
+     * divided evenly among all routers but the one that gave it up.
      */
     private double quotaYieldedByOthers(CounterKey key, double limit) {
         Map<String, QuotaCounterEntry> entries = remoteEntries.getOrDefault(key, Map.of());
@@ -158,9 +167,10 @@
     }
 
     /**
-     * The part of its even share that a router has yielded to the others.
+     * The part of its share of the limit that a router has given up to the others.
      *
-     * @param entry null if none was received from the router, which then yields nothing
+     * @param entry null if none was received from the router, which then counts as having given up
+     *     nothing
      */
     protected double yielded(QuotaCounterEntry entry, double evenShare) {
         return entry == null ? 0 : Math.max(0, evenShare - entry.cap());
--- a/src/main/java/postbeam/coordination/SlowStartQuota.java
+++ b/src/main/java/postbeam/coordination/SlowStartQuota.java
@@ -31,13 +31,22 @@
         }
     }
 
-    /** Leases at the same time; one is requested every third of a lease's duration. */
+    /**
+     * Maximum number of leases at the same time; one is requested every third of a lease's
+     * duration.
+     */
     private static final int MAX_LEASES = 4;
 
-    /** Buckets in a window; the bucket in which the window starts is counted as a whole. */
+    /**
+     * Number of buckets that a window is divided into; the bucket in which the window starts is
+     * counted as a whole.
+     */
     private static final int WINDOW_BUCKETS = 32;
 
-    /** The request as a multiple of the last window's demand, so that demand can grow meanwhile. */
+    /**
+     * The requested lease amount as a multiple of the last window's demand, so that demand can grow
+     * meanwhile.
+     */
     private static final double REQUEST_HEADROOM = 1.5;
 
     private final LeaseParameters parameters;
@@ -45,10 +54,10 @@
     private final boolean participating;
     private final List<Lease> leases = new ArrayList<>();
 
-    /** Work that was acquired. */
+    /** Work that callers acquired within the window. */
     private final SlidingWindowCounter admitted;
 
-    /** Work that callers tried to acquire, whether it was available or not. */
+    /** Work that callers tried to acquire within the window, whether it was available or not. */
     private final SlidingWindowCounter demanded;
 
     /** Work that was acquired and not yet released. */
@@ -120,7 +129,7 @@
         return leases.stream().mapToDouble(lease -> lease.amount).max().orElse(0);
     }
 
-    // ---- sends
+    // ---- acquire and release work
 
     /**
      * The work that may be acquired now.
@@ -155,7 +164,9 @@
         inFlight = Math.max(0, inFlight - amount);
     }
 
-    /** Whether it can be discarded: no work in flight, no lease and no demand in the window. */
+    /**
+     * Whether this quota can be discarded: no work in flight, no lease and no demand in the window.
+     */
     public boolean isIdle(Duration now) {
         expire(now);
         return inFlight == 0
--- a/src/main/java/postbeam/coordination/SlowStartRamp.java
+++ b/src/main/java/postbeam/coordination/SlowStartRamp.java
@@ -7,7 +7,7 @@
  *
  * @param initial the budget at the start of the ramp, as work in a window
  * @param peakFactor the budget at the end of the ramp as a multiple of the initial one
- * @param duration of the ramp
+ * @param duration length of the ramp
  * @param window the span of time that a budget is for
  */
 public record SlowStartRamp(double initial, double peakFactor, Duration duration, Duration window) {
--- a/src/main/java/postbeam/dispatch/ClientRequest.java
+++ b/src/main/java/postbeam/dispatch/ClientRequest.java
@@ -49,8 +49,8 @@
     public record RequestedShard(int shard, double weight, Duration estimatedWork) {}
 
     /**
-     * Returns the request for a follow-up query that fetches more of the same page. Its id is one
-     * that no client can choose.
+     * Returns the request for a further query that fetches rows still missing from the same page.
+     * Its id is one that no client can choose.
      */
     public ClientRequest followUp(int round) {
         return new ClientRequest(
--- a/src/main/java/postbeam/endpoints/PollSchedule.java
+++ b/src/main/java/postbeam/endpoints/PollSchedule.java
@@ -12,13 +12,13 @@
 public final class PollSchedule {
     private final boolean pollRequired;
 
-    /** Null if the settings define none. */
+    /** Longest mean pause between polls; null if the settings define none. */
     private final Duration pollInterval;
 
     private final Random random;
     private int consecutiveFailures;
 
-    /** Null while no poll is scheduled. */
+    /** Time at which the next poll is due; null while no poll is scheduled. */
     private Duration nextPollAt;
 
     /**
--- a/src/main/java/postbeam/endpoints/PollTimings.java
+++ b/src/main/java/postbeam/endpoints/PollTimings.java
@@ -36,12 +36,15 @@
         IntFunction<Duration> backoff,
         Duration maxBackoff) {
 
-    /** Defined by the protocol. */
+    /**
+     * Time after which changes that discovery had count as known to the router; defined by the
+     * protocol.
+     */
     private static final Duration MAX_PROPAGATION_DELAY = Duration.ofSeconds(6);
 
     /**
-     * Part of that time that is reserved for a router that is scheduled late and for decoding the
-     * list.
+     * Part of {@link #MAX_PROPAGATION_DELAY} that is reserved for a router that is scheduled late
+     * and for decoding the list.
      */
     private static final Duration SCHEDULING_MARGIN = Duration.ofMillis(500);
 
@@ -75,7 +78,7 @@
 
     private static final Duration AGENT_GRACE = Duration.ofMillis(500);
 
-    // ---- polling the discovery server, for which the requests of every router are work
+    // ---- polling the discovery server, which the requests of all routers load
 
     /** The server rejects requests that it could not answer within this time. */
     private static final Duration SERVER_RESPONSE_TIMEOUT = Duration.ofSeconds(2);
--- a/src/main/java/postbeam/json/Json.java
+++ b/src/main/java/postbeam/json/Json.java
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Returns what the writer writes, in UTF-8. */
+    /** Encodes the JSON value that the writer produces, in UTF-8. */
     public static byte[] encode(Writer writer) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator json = FACTORY.createGenerator(bytes)) {
--- a/src/main/java/postbeam/json/JsonTreeReader.java
+++ b/src/main/java/postbeam/json/JsonTreeReader.java
@@ -26,7 +26,10 @@
 
     private final JsonParser parser;
 
-    /** Null if positions are not needed; pointers are not built then. */
+    /**
+     * Listener for the positions of values; null if positions are not needed, in which case no
+     * pointers are built.
+     */
     private final PositionListener listener;
 
     /** Creates a reader that reports no positions. */
--- a/src/main/java/postbeam/model/Attempt.java
+++ b/src/main/java/postbeam/model/Attempt.java
@@ -29,7 +29,7 @@
 
     /**
      * Creates an attempt and registers it as in flight with its shard request and its node. A null
-     * timeout means until the client's deadline.
+     * timeout means that the outcome is awaited until the client's deadline.
      */
     public Attempt(ShardRequest shardRequest, DataNode node, Duration sentAt, Duration timeout) {
         this.shardRequest = shardRequest;
--- a/src/main/java/postbeam/model/CellPlacement.java
+++ b/src/main/java/postbeam/model/CellPlacement.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /**
- * Fixed placement of shards on cells of data nodes: a shard is held by the nodes of its own cell
+ * Fixed placement of shards on cells of data nodes: a shard is stored on the nodes of its own cell
  * and of the cells that follow it.
  */
 public final class CellPlacement implements ReplicaPlacement {
--- a/src/main/java/postbeam/model/Query.java
+++ b/src/main/java/postbeam/model/Query.java
@@ -191,9 +191,9 @@
     }
 
     /**
-     * Returns whether the requests that match the condition make up this share of the total weight.
-     * A share of 1 requires all requests, whatever their weights. The weight for a smaller share
-     * may fall short only by a floating-point error.
+     * Returns whether the weight of the requests that match the condition is at least this fraction
+     * of the total weight. A share of 1 requires all requests, whatever their weights. The weight
+     * for a smaller share may fall short only by a floating-point error.
      */
     public boolean isCoveredBy(Predicate<ShardRequest> condition, double share) {
         return requiresAllRequests(share)
--- a/src/main/java/postbeam/model/QueryClass.java
+++ b/src/main/java/postbeam/model/QueryClass.java
@@ -21,7 +21,10 @@
     /** Utility of a complete answer that is on time. */
     public final double utility;
 
-    /** Share of the utility that an answer after the latency objective earns. */
+    /**
+     * Utility of an answer after the latency objective, as a fraction of the utility of an answer
+     * on time.
+     */
     public final double lateUtility;
 
     /** Share of the total weight that a complete answer requires, from 0 to 1. */
@@ -84,7 +87,7 @@
 
     /**
      * Builder of query classes. By default, all requests are required, and late or partial answers
-     * earn nothing.
+     * have no utility.
      */
     public static final class Builder {
         private final Duration latencyObjective;
--- a/src/main/java/postbeam/peers/PeerClient.java
+++ b/src/main/java/postbeam/peers/PeerClient.java
@@ -30,7 +30,10 @@
 final class PeerClient {
     private static final System.Logger LOG = System.getLogger(PeerClient.class.getName());
 
-    /** Short compared to the time between renewals of a lease, which is a third of the lease. */
+    /**
+     * Interval at which the stripes are polled for messages to send; short compared to the time
+     * between renewals of a lease, which is a third of the lease.
+     */
     private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
 
     /**
@@ -39,12 +42,18 @@
      */
     private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(500);
 
-    /** Requests in flight to one router; further requests are dropped, as if they were lost. */
+    /**
+     * Maximum number of requests in flight to one router; further requests are dropped, as if they
+     * were lost.
+     */
     private static final int MAX_REQUESTS_IN_FLIGHT = 4;
 
     private static final int MAX_RESPONSE_BYTES = 64 << 10;
 
-    /** A router is logged as unresponsive after each such number of consecutive failures. */
+    /**
+     * Number of consecutive failed requests to a router after which, and after each further such
+     * number, it is logged as unresponsive.
+     */
     private static final int UNRESPONSIVE_AFTER = 50;
 
     private static final int RESPONSE_THREADS = 2;
--- a/src/main/java/postbeam/peers/PeerCoordinator.java
+++ b/src/main/java/postbeam/peers/PeerCoordinator.java
@@ -29,7 +29,7 @@
     private static final String STATE_PATH = "/together/v1/state";
     private static final String ACQUIRE_PATH = "/together/v1/take";
 
-    /** Bounds {@link #firstUsedAt}; the age of further nodes counts as 0. */
+    /** Maximum number of nodes in {@link #firstUsedAt}; the age of further nodes counts as 0. */
     private static final int MAX_NODES = 10_000;
 
     private final FleetConfig config;
@@ -93,7 +93,7 @@
         client.stop();
     }
 
-    // ---- work for nodes that warm up
+    // ---- slow-start budget of nodes that warm up
 
     /**
      * Reserves part of the work budget of a node that warms up for one request to it, if that much
@@ -103,14 +103,16 @@
         return stripes.tryAcquire(node, work, now -> budget(now, node));
     }
 
-    /** Releases reserved work once its request has been sent or is given up. */
+    /**
+     * Releases work reserved for a request; called once the request has been sent or is given up.
+     */
     void release(NodeIncarnation node, double work) {
         stripes.release(node, work);
     }
 
     /**
-     * The budget by the time since this router first used the node. That is never more than the
-     * node's real age, so the budget is never too high.
+     * The work budget of a warming node, computed from the time since this router first used the
+     * node. That time is never more than the node's real age, so the budget is never too high.
      */
     private SlowStartBudget budget(Duration now, NodeIncarnation node) {
         return config.slowStartRamp().budgetAt(age(now, node));
--- a/src/main/java/postbeam/policy/AdmissionControl.java
+++ b/src/main/java/postbeam/policy/AdmissionControl.java
@@ -47,8 +47,8 @@
      * @param maxInFlight maximum number of queries and shard requests that the router may have in
      *     flight
      * @param routerCount number of routers among which quotas are divided
-     * @param overQuotaUtility share of its utility that a query over its tenant's quota earns; at 1
-     *     or above, quotas are not checked
+     * @param overQuotaUtility utility of answering a query over its tenant's quota, as a fraction
+     *     of the utility of the same query within the quota; at 1 or above, quotas are not checked
      * @param maxRetryAfter maximum Retry-After; null if rejections must not carry one
      */
     public AdmissionControl(
@@ -88,10 +88,11 @@
 
     /**
      * Counts a query of the tenant and returns whether it exceeds the tenant's quota. The query
-     * exceeds it if the tenant is over its even share of the quota at this router, and its ratio of
-     * queries to quota is at least that of all tenants of this router together. Without the second
-     * condition, a router that has more clients than other routers would see every tenant over
-     * quota. Returns false for a null tenant or one without a quota.
+     * exceeds it if the tenant has sent this router more queries than the quota divided by the
+     * number of routers plus a burst allowance, and the tenant's ratio of queries to quota is at
+     * least that of all tenants of this router together. Without the second condition, a router
+     * that has more clients than other routers would see every tenant over quota. Returns false for
+     * a null tenant or one without a quota.
      */
     boolean recordAndCheckQuota(Duration now, Tenant tenant) {
         if (tenant == null
--- a/src/main/java/postbeam/policy/AttemptSender.java
+++ b/src/main/java/postbeam/policy/AttemptSender.java
@@ -8,8 +8,8 @@
 import postbeam.model.ShardRequest;
 
 /**
- * Sends attempts and reports each of them to the modules that track attempts in flight, work and
- * retries.
+ * Sends attempts and reports each of them to the modules that track attempts in flight, the work
+ * (estimated processing time) sent to each node, and retries.
  */
 final class AttemptSender {
     private final PolicyActions actions;
--- a/src/main/java/postbeam/policy/ClientRetryEstimator.java
+++ b/src/main/java/postbeam/policy/ClientRetryEstimator.java
@@ -11,15 +11,15 @@
 
 /**
  * Estimates when the first request of a client retry was sent, as the latency objective counts from
- * there. Without the estimate, work would be spent on retries whose objective has already passed. A
- * retry whose timeout is shorter than that of first requests is assumed to have the rest of the
- * client's total timeout. The estimate is wrong for clients that use a shorter timeout for retries
- * for any other reason.
+ * there. Without the estimate, data nodes would process retries whose latency objective has already
+ * passed. A retry whose timeout is shorter than that of first requests is assumed to have the rest
+ * of the client's total timeout. The estimate is wrong for clients that use a shorter timeout for
+ * retries for any other reason.
  */
 final class ClientRetryEstimator {
     /**
-     * Smoothing factor for a sample that is longer than the estimate. A shorter sample replaces the
-     * estimate.
+     * Smoothing factor for an observed client timeout that is longer than the estimate. A shorter
+     * one replaces the estimate.
      */
     private static final double SMOOTHING = 0.25;
 
--- a/src/main/java/postbeam/policy/ConcurrencyWindow.java
+++ b/src/main/java/postbeam/policy/ConcurrencyWindow.java
@@ -28,8 +28,8 @@
     private static final int LATE_ANSWER_DECREASE = 2;
 
     /**
-     * Multiple of the typical latency that must also exceed the limit for late answers, for a late
-     * answer to narrow the window.
+     * A late answer narrows the window only if this multiple of the typical latency also exceeds
+     * the latency above which answers count as late.
      */
     private static final double LATE_TYPICAL_LATENCY_FACTOR = 2;
 
@@ -90,8 +90,8 @@
 
     /**
      * Called when a node that is not ejected has rejected an attempt as overloaded. Rejections of
-     * attempts that were sent before the last halving are ignored, so that one batch of rejections
-     * halves the window once.
+     * attempts that were sent before the last halving are ignored, so that several rejections of
+     * attempts sent at about the same time halve the window only once.
      */
     void onOverloaded(Duration now, Duration sentAt) {
         if (halvedAt == null || sentAt.compareTo(halvedAt) > 0) {
@@ -124,8 +124,9 @@
     }
 
     /**
-     * Returns this router's share of a few attempts per data node. A smaller window would leave
-     * nodes idle while queries wait.
+     * Returns the minimum size of this router's window, in attempts: its share of the minimum for
+     * all routers together, but at least {@link #MIN_SIZE}. A smaller window would leave nodes idle
+     * while queries wait.
      */
     private double minimumSize() {
         return Math.max(MIN_SIZE, MIN_ATTEMPTS_PER_NODE * cluster.size() / routerCount);
--- a/src/main/java/postbeam/policy/HealthRecord.java
+++ b/src/main/java/postbeam/policy/HealthRecord.java
@@ -38,7 +38,8 @@
     }
 
     /**
-     * Returns whether the recent failures reach both this number and this share of all outcomes.
+     * Returns whether the recent failures reach both this number and this fraction of all recent
+     * outcomes.
      */
     boolean isFailing(Duration now, int minFailures, double minShare) {
         double failed = failures.upperBoundSum(now, OUTCOME_WINDOW);
--- a/src/main/java/postbeam/policy/LatencyEstimator.java
+++ b/src/main/java/postbeam/policy/LatencyEstimator.java
@@ -24,10 +24,10 @@
     /** Time for which the last answer of a node is taken into account. */
     static final Duration RECENT_ANSWER_WINDOW = Duration.ofSeconds(4);
 
-    /** Smoothing factor for a sample below the baseline. */
+    /** Smoothing factor for an observed latency below the baseline. */
     private static final double BASELINE_FALL_SMOOTHING = 0.2;
 
-    /** Maximum smoothing factor for a sample above the baseline. */
+    /** Maximum smoothing factor for an observed latency above the baseline. */
     private static final double MAX_BASELINE_RISE_SMOOTHING = 0.01;
 
     /**
@@ -46,13 +46,14 @@
     private static final double TYPICAL_QUANTILE = 0.5;
 
     /**
-     * Quantile that counts as typical instead if the median is much higher; allows up to two thirds
-     * of the nodes to be slow.
+     * Quantile of the nodes' slowdowns that counts as typical instead if the median is much higher;
+     * allows up to two thirds of the nodes to be slow.
      */
     private static final double LOWER_QUANTILE = 0.33;
 
     /**
-     * Ratio of the median to the lower quantile above which the lower quantile counts as typical.
+     * Ratio of the median slowdown to the lower quantile above which the lower quantile counts as
+     * typical.
      */
     private static final double MAX_QUANTILE_RATIO = 2;
 
@@ -74,7 +75,10 @@
         this.cluster = cluster;
     }
 
-    /** Returns the latency of the class at an idle node, or a guess before the first answer. */
+    /**
+     * Returns the latency of the class at an idle node; before the first answer, a fraction of the
+     * latency objective.
+     */
     Duration baseline(QueryClass queryClass) {
         Baseline baseline = baselines.get(queryClass);
         return baseline == null
@@ -149,9 +153,9 @@
     }
 
     /**
-     * Updates the baseline with a sample. The first sample of a class is divided by the typical
-     * slowdown: it may come from a slow node, and in a class with few queries the next sample may
-     * come much later.
+     * Updates the baseline with an observed latency. The first one of a class is divided by the
+     * typical slowdown: it may come from a slow node, and in a class with few queries the next
+     * latency may be observed much later.
      */
     private void updateBaseline(Duration now, QueryClass queryClass, Duration latency) {
         Baseline baseline = baselines.get(queryClass);
--- a/src/main/java/postbeam/policy/NodeLatency.java
+++ b/src/main/java/postbeam/policy/NodeLatency.java
@@ -13,7 +13,7 @@
 
     /**
      * Returns the smoothed ratio of the node's latencies to the baselines of their classes; 0
-     * before the first sample.
+     * before the first answer.
      */
     double slowdown() {
         return slowdown;
--- a/src/main/java/postbeam/policy/NodeWarmUp.java
+++ b/src/main/java/postbeam/policy/NodeWarmUp.java
@@ -6,13 +6,13 @@
 import postbeam.model.SlidingWindowCounter;
 
 /**
- * Work recently sent to one data node, in seconds, and the time since which the node may be warming
- * up.
+ * Work (estimated processing time) recently sent to one data node, in seconds, and the time since
+ * which the node may be warming up.
  */
 final class NodeWarmUp {
     /**
-     * Random number from 0 to 1, drawn once per router and node. It decides at which routers a
-     * share of less than one request is rounded up.
+     * Random number from 0 to 1, drawn once per router and node. A router whose remaining share of
+     * the slow start budget covers at least this fraction of a request may send the whole request.
      */
     final double samplingThreshold;
 
--- a/src/main/java/postbeam/policy/OutlierDetector.java
+++ b/src/main/java/postbeam/policy/OutlierDetector.java
@@ -17,19 +17,19 @@
  * to the typical node, so that no node is an outlier if all are slow.
  */
 final class OutlierDetector {
-    /** Minimum share of failed outcomes for the ejection of a node. */
+    /** Minimum fraction of failed attempts for the ejection of a node. */
     private static final double NODE_FAILURE_SHARE = 0.3;
 
-    /** Minimum number of failures for the ejection of a node. */
+    /** Minimum number of failed attempts for the ejection of a node. */
     private static final int NODE_MIN_FAILURES = 2;
 
     /**
-     * Minimum share of failed outcomes for the ejection of a zone. The nodes of a zone fail
-     * together only if the network path to the zone fails.
+     * Minimum fraction of failed or overdue attempts for the ejection of a zone. The nodes of a
+     * zone fail together only if the network path to the zone fails.
      */
     private static final double ZONE_FAILURE_SHARE = 0.5;
 
-    /** Minimum number of failures for the ejection of a zone. */
+    /** Minimum number of failed or overdue attempts for the ejection of a zone. */
     private static final int ZONE_MIN_FAILURES = 4;
 
     /**
--- a/src/main/java/postbeam/policy/PolicyActions.java
+++ b/src/main/java/postbeam/policy/PolicyActions.java
@@ -11,8 +11,8 @@
  */
 public interface PolicyActions {
     /**
-     * Sends an attempt. Attempts that are sent to the same node within one batch of events share a
-     * call.
+     * Sends an attempt. Attempts that are sent to the same node within one call of {@link
+     * RoutingPolicy#onBatchEnd} may share a call to the node.
      */
     void send(Attempt attempt);
 
--- a/src/main/java/postbeam/policy/QueryCompletion.java
+++ b/src/main/java/postbeam/policy/QueryCompletion.java
@@ -124,8 +124,8 @@
     }
 
     /**
-     * Returns whether the latency objective is about to pass and a partial answer now earns more
-     * than a late complete one.
+     * Returns whether the latency objective is about to pass and a partial answer now has a higher
+     * utility than a late complete one.
      */
     private static boolean isPartialAnswerBest(Duration now, Query query) {
         QueryClass queryClass = query.queryClass();
@@ -142,9 +142,10 @@
     }
 
     /**
-     * Returns whether a query that will be late should be ended. It is ended if late answers earn
-     * nothing, or if the router is near its capacity and the query has unsent requests or is far
-     * past its objective. Otherwise it is kept, as ending it would waste the work in flight.
+     * Returns whether a query that will be late should be ended. It is ended if late answers have
+     * no utility, or if the router is near its capacity and the query has unsent requests or is far
+     * past its objective. Otherwise it is kept, as ending it would waste the processing of its
+     * attempts in flight.
      */
     private boolean shouldDropLateQuery(Duration now, Query query) {
         return forecast.isTooLate(now, query, 1)
--- a/src/main/java/postbeam/policy/QueryPriority.java
+++ b/src/main/java/postbeam/policy/QueryPriority.java
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Returns whether enough of the query's requests have a healthy replica. Otherwise the work on
-     * the other requests would probably be wasted.
+     * Returns whether enough of the query's requests have a healthy replica. Otherwise data nodes
+     * would probably process the other requests in vain.
      */
     private boolean isPlaceable(Duration now, Query query) {
         replicas.chooseOffset(now, query);
--- a/src/main/java/postbeam/policy/ReplicaSelector.java
+++ b/src/main/java/postbeam/policy/ReplicaSelector.java
@@ -23,14 +23,14 @@
  */
 final class ReplicaSelector {
     /**
-     * Number of batches in flight that is added to the load of a suspect node; more than a healthy
-     * node normally has.
+     * Number added to the batches in flight (attempts that were sent to a node together) of a
+     * suspect node; more than a healthy node normally has in flight.
      */
     private static final int SUSPECT_BATCHES = 4;
 
     /**
-     * Cost of a request to another zone, in batches in flight; small enough to matter only between
-     * equal loads.
+     * Cost of a request to another zone, expressed as a number of batches (attempts sent together)
+     * in flight at the node; small enough to matter only between equal loads.
      */
     private static final double REMOTE_ZONE_COST = 0.01;
 
@@ -133,7 +133,8 @@
     }
 
     /**
-     * Returns the number of batches that the node has in flight, increased if the node is suspect.
+     * Returns the number of batches (attempts sent together) that the node has in flight, increased
+     * if the node is suspect.
      */
     int effectiveBatches(Duration now, DataNode node, Query query) {
         return node.batchesInFlight()
@@ -180,8 +181,8 @@
 
     /**
      * Returns the work of the request that is checked against the slow start budget: at least that
-     * of a typical request. Every router has some requests with little work, and together these
-     * would exceed the budget.
+     * of a typical request. Every router has some requests with a short processing time, and
+     * together these would exceed the budget.
      */
     private Duration admissionWork(ShardRequest request) {
         return max(
--- a/src/main/java/postbeam/policy/RetryBudget.java
+++ b/src/main/java/postbeam/policy/RetryBudget.java
@@ -8,7 +8,9 @@
  * upper bound and requests by a lower bound, so that the budget is kept in every window.
  */
 public final class RetryBudget {
-    /** Window of the counters if retries are not limited; the counters are not read then. */
+    /**
+     * Arbitrary window of the counters if retries are not limited; the counters are not read then.
+     */
     private static final Duration UNUSED_WINDOW = Duration.ofSeconds(4);
 
     private final double baseAllowance;
--- a/src/main/java/postbeam/policy/SlotScheduler.java
+++ b/src/main/java/postbeam/policy/SlotScheduler.java
@@ -16,8 +16,8 @@
  */
 final class SlotScheduler {
     /**
-     * Maximum number of queries that are considered, the oldest first; bounds the cost of one batch
-     * of events.
+     * Maximum number of queries that are considered, the oldest first; bounds the computing time of
+     * one scheduling pass.
      */
     private static final int MAX_CANDIDATES = 48;
 
@@ -170,8 +170,9 @@
     /**
      * Returns the rank of a request at a node, the lowest being sent first. First attempts come
      * before hedged ones. The requests of a query that needs only a subset are ordered by the
-     * batches of their nodes. Those of a query that may be answered in part are ordered by the load
-     * of their nodes, so that requests to congested shards are sent last.
+     * number of batches that their nodes have in flight. Those of a query that may be answered in
+     * part are ordered by the load of their nodes, so that requests to congested shards are sent
+     * last.
      */
     private double rank(Duration now, Query query, ShardRequest request, DataNode node) {
         double rank = request.attemptsInFlight.isEmpty() ? 0 : HEDGE_RANK;
--- a/src/main/java/postbeam/policy/SlowStart.java
+++ b/src/main/java/postbeam/policy/SlowStart.java
@@ -7,24 +7,36 @@
 import postbeam.model.ShardRequest;
 
 /**
- * Limits the work sent to a data node that is warming up. The budget for a window is divided evenly
- * among all routers. With many routers, a share can be less than one request; each router then
- * rounds its share to whole requests at random. Once for each node, it draws a random number from 0
- * to 1, the sampling threshold, and sends the last request only if its share covers at least that
- * fraction of it. The sum over all routers then stays within the budget on average. Its standard
- * deviation is at most the square root of the budget, both counted in requests.
+ * Limits the work sent to a data node that is warming up. Work is the estimated processing time of
+ * requests at the data node. The budget for a window is divided evenly among all routers. With many
+ * routers, a share can be less than one request; each router then rounds its share to whole
+ * requests at random. Once for each node, it draws a random number from 0 to 1, the sampling
+ * threshold, and sends the last request only if its share covers at least that fraction of it. The
+ * sum over all routers then stays within the budget on average. Its standard deviation is at most
+ * the square root of the budget, both counted in requests.
  */
 public final class SlowStart {
-    /** Capacity of a warm node, in seconds of work per second; a node has at least two cores. */
+    /**
+     * Capacity of a warm node, in seconds of processing time per second; a node has at least two
+     * cores.
+     */
     private static final double WARM_WORK_RATE = 2.0;
 
-    /** Fraction of the budget that is used; the rest is reserved for requests in transit. */
+    /**
+     * Fraction of the work budget that this class lets routers use; the rest is reserved for
+     * requests in transit.
+     */
     private static final double BUDGET_UTILIZATION = 0.9;
 
-    /** Minimum number of routers for which shares are rounded at random. */
+    /**
+     * Minimum number of routers for which each router's share of the budget is rounded to whole
+     * requests at random.
+     */
     private static final int SAMPLING_MIN_ROUTERS = 9;
 
-    /** Window of the counters if work is not limited; the counters are not read then. */
+    /**
+     * Window of the work counters if no work limit is configured; the counters are not read then.
+     */
     private static final Duration UNUSED_WINDOW = Duration.ofSeconds(4);
 
     private final double initialCapacityShare;
@@ -74,12 +86,18 @@
         return new NodeWarmUp(samplingThreshold, window == null ? UNUSED_WINDOW : countedWindow());
     }
 
-    /** Returns the window, extended by the maximum delay until a request is sent. */
+    /**
+     * Returns the span over which sent work is counted: the window, extended by the maximum delay
+     * between the decision to send a request and its sending.
+     */
     private Duration countedWindow() {
         return window.plus(connectTimeout);
     }
 
-    /** Returns the estimated work of the request; the baseline if the client gave no estimate. */
+    /**
+     * Returns the estimated processing time of the request at a data node, including the overhead
+     * of the call; {@code baseline} if the client gave no estimate.
+     */
     Duration estimateWork(ShardRequest request, Duration baseline) {
         return request.estimatedWork == null ? baseline : request.estimatedWork.plus(callOverhead);
     }
@@ -113,9 +131,10 @@
     }
 
     /**
-     * Returns whether the node may be sent this work. The capacity at the beginning of the window
-     * counts, so that the work in every window is within the budget. A shard that the node has
-     * recently acquired has a budget of its own, as its data is not yet cached at the node.
+     * Returns whether a request with this work may be sent to the node without exceeding this
+     * router's budget. The budget follows from the node's capacity at the beginning of the window,
+     * so that the work in every window is within it. A shard that the node has recently acquired
+     * has a budget of its own, as its data is not yet cached at the node.
      */
     boolean allows(Duration now, DataNode node, Duration acquiredAt, Duration work) {
         NodeWarmUp warmUp = NodeState.of(node).warmUp;
@@ -166,8 +185,8 @@
     }
 
     /**
-     * Returns this router's even share of the work that the node may be sent within a window, in
-     * seconds.
+     * Returns the work that this router may send to the node within a window, in seconds: the
+     * node's budget divided by the number of routers.
      */
     private double routerBudgetSeconds(Duration now, Duration warmingUpSince) {
         double rampFraction =
--- a/src/main/java/postbeam/router/DecisionPacer.java
+++ b/src/main/java/postbeam/router/DecisionPacer.java
@@ -15,7 +15,10 @@
      */
     private static final int PAUSE_FACTOR = 3;
 
-    /** Two ticks of the simulator; a longer pause would delay queries. */
+    /**
+     * Maximum pause between decisions, equal to two ticks of the simulator; a longer pause would
+     * delay queries.
+     */
     private static final Duration MAX_PAUSE = Duration.ofMillis(10);
 
     private final MonotonicClock clock;
--- a/src/main/java/postbeam/router/DiscoveryFreshness.java
+++ b/src/main/java/postbeam/router/DiscoveryFreshness.java
@@ -9,10 +9,16 @@
  * than {@link #MAX_WAIT}.
  */
 final class DiscoveryFreshness {
-    /** Longer than a poll and the pause after it can take while the process is running. */
+    /**
+     * Time since the last poll after which the endpoint list counts as out of date; longer than a
+     * poll and the pause after it can take while the process is running.
+     */
     private static final Duration STALE_AFTER = Duration.ofSeconds(5);
 
-    /** Long enough for the pause before a poll and the poll itself. */
+    /**
+     * Maximum time for which queries wait for a poll; long enough for the pause before a poll and
+     * the poll itself.
+     */
     private static final Duration MAX_WAIT = Duration.ofSeconds(1);
 
     /** When the last poll ended, by {@link System#nanoTime}; null if discovery is not polled. */
--- a/src/main/java/postbeam/router/InFlightQuery.java
+++ b/src/main/java/postbeam/router/InFlightQuery.java
@@ -30,7 +30,10 @@
     private final List<InFlightQuery> followUps = new ArrayList<>(0);
     private boolean clientGone;
 
-    /** Reports the client if it has disconnected; run on the I/O thread of its connection. */
+    /**
+     * Check that ends the query if its client has disconnected; run on the I/O thread of its
+     * connection.
+     */
     private volatile Runnable clientCheck = () -> {};
 
     /**
@@ -61,7 +64,7 @@
         return pagedQuery != null;
     }
 
-    /** Null if no page is requested. */
+    /** The paging state of the query; null if no page is requested. */
     PagedQuery pagedQuery() {
         return pagedQuery;
     }
--- a/src/main/java/postbeam/router/PagingService.java
+++ b/src/main/java/postbeam/router/PagingService.java
@@ -32,14 +32,20 @@
 import postbeam.slices.UnroutableQueryException;
 
 /**
- * Serves pages: decodes cursors before anything is sent, fetches missing rows by follow-up queries
- * and completes the page. Thread-safe.
+ * Serves pages: decodes cursors before anything is sent, fetches rows that are missing after the
+ * first answers by follow-up queries and completes the page. Thread-safe.
  */
 public final class PagingService {
-    /** If rows are still missing after this many rounds, the page is returned short. */
+    /**
+     * Maximum number of rounds of further fetches for a page; if rows are still missing after them,
+     * the page is returned with fewer rows than requested.
+     */
     private static final int MAX_FOLLOW_UP_ROUNDS = 2;
 
-    /** Enough for a few round trips and the usual processing time of a node. */
+    /**
+     * Minimum time allowed for a round of further fetches; enough for a few round trips and the
+     * usual processing time of a node.
+     */
     private static final Duration MIN_ROUND_TIME = Duration.ofMillis(200);
 
     private final CursorCodec cursorCodec;
@@ -235,8 +241,8 @@
     /** Runs further queries that fetch rows still missing from a page after the first answers. */
     interface FollowUpFetcher {
         /**
-         * Runs a follow-up query for these rows to its end; returns empty if a follow-up is not
-         * allowed.
+         * Runs a query for these missing rows to its end; returns empty if the retry budget or the
+         * deadline does not allow another query.
          */
         Optional<PagedQuery> fetch(List<RowFetch> fetches) throws InterruptedException;
     }
--- a/src/main/java/postbeam/router/PolicyActionHandler.java
+++ b/src/main/java/postbeam/router/PolicyActionHandler.java
@@ -140,7 +140,8 @@
     }
 
     /**
-     * Values whose keys overlap, as after slices moved, are included for one layout version only.
+     * Collects the values of the answer. Values whose keys overlap, as after slices moved, are
+     * included for one layout version only.
      */
     private QueryAction answerBySlices(InFlightQuery inFlight, boolean complete) {
         LayoutCompleteness completeness = slicing.completenessOf(inFlight.query());
--- a/src/main/java/postbeam/router/QueryTable.java
+++ b/src/main/java/postbeam/router/QueryTable.java
@@ -9,7 +9,7 @@
 
 /** The queries in flight. Guarded by the lock of {@link PolicyExecutor}. */
 final class QueryTable {
-    /** In order of arrival. */
+    /** Queries in flight by id, in order of arrival. */
     private final Map<String, InFlightQuery> byId = new LinkedHashMap<>();
 
     private final IdentityHashMap<Query, InFlightQuery> byQuery = new IdentityHashMap<>();
--- a/src/main/java/postbeam/router/RouterLimits.java
+++ b/src/main/java/postbeam/router/RouterLimits.java
@@ -9,7 +9,8 @@
  */
 record RouterLimits(int maxClientConnections, int maxNodeConnections) {
     /**
-     * Descriptors reserved for the program itself: jars, standard streams, selectors, discovery.
+     * Number of file descriptors reserved for the program itself: jars, standard streams,
+     * selectors, discovery.
      */
     private static final int RESERVED_DESCRIPTORS = 64;
 
--- a/src/main/java/postbeam/router/ShutdownDeadlines.java
+++ b/src/main/java/postbeam/router/ShutdownDeadlines.java
@@ -15,7 +15,8 @@
  */
 record ShutdownDeadlines(Duration servingEnds, Duration finalAnswersBy, Duration readsDrainedBy) {
     /**
-     * Clients may connect for up to 0.4 s after a shutdown is requested; the other 0.2 s are spare.
+     * Time for which a router goes on accepting queries after a shutdown is requested: clients may
+     * connect for up to 0.4 s, and 0.2 s are a safety margin.
      */
     static final Duration LATE_CONNECT_WINDOW = Duration.ofMillis(600);
 
