--- a/src/main/java/postbeam/policy/PolicyTiming.java
+++ b/src/main/java/postbeam/policy/PolicyTiming.java
@@ -8,8 +8,8 @@
     static final Duration REVIEW_INTERVAL = Duration.ofMillis(20);
 
     /**
-     * Time before the deadline of its client at which a query is ended: two review intervals, and a
-     * third as a safety margin.
+     * Time before the deadline of its client at which a query is ended: three review intervals, of
+     * which one is a safety margin.
      */
     static final Duration FINAL_ANSWER_MARGIN = REVIEW_INTERVAL.multipliedBy(3);
 
--- a/src/main/java/postbeam/router/ActionRunner.java
+++ b/src/main/java/postbeam/router/ActionRunner.java
@@ -16,7 +16,7 @@
     private final PolicyExecutor executor;
     private final DataNodeClient dataNodes;
 
-    /** Null if pages are disabled. */
+    /** Service that answers page requests; null if pages are disabled. */
     private final PagingService paging;
 
     ActionRunner(PolicyExecutor executor, DataNodeClient dataNodes, PagingService paging) {
--- a/src/main/java/postbeam/router/DecisionLoop.java
+++ b/src/main/java/postbeam/router/DecisionLoop.java
@@ -21,7 +21,7 @@
 
     private final RoutingPolicy policy;
 
-    /** Null if shards have fixed replicas. */
+    /** Resolves slices by the layout in force; null if shards have fixed replicas. */
     private final SliceTranslator slicing;
 
     private final MonotonicClock clock;
--- a/src/main/java/postbeam/router/PolicyActionHandler.java
+++ b/src/main/java/postbeam/router/PolicyActionHandler.java
@@ -40,7 +40,7 @@
     private final NodeDirectory nodes;
     private final ActionOutbox outbox;
 
-    /** Null if shards have fixed replicas. */
+    /** Resolves slices by the layout in force; null if shards have fixed replicas. */
     private final SliceTranslator slicing;
 
     private final Duration healthCheckTimeout;
--- a/src/main/java/postbeam/router/PolicyExecutor.java
+++ b/src/main/java/postbeam/router/PolicyExecutor.java
@@ -55,7 +55,7 @@
     private final RoutingPolicy policy;
     private final DecisionLoop decisionLoop;
 
-    /** Null if shards have fixed replicas. */
+    /** Resolves slices by the layout in force; null if shards have fixed replicas. */
     private final SliceTranslator slicing;
 
     private final boolean servesPages;
--- a/src/main/java/postbeam/router/QueryFactory.java
+++ b/src/main/java/postbeam/router/QueryFactory.java
@@ -27,10 +27,10 @@
     private final Map<String, QueryClass> queryClasses;
     private final Map<String, Tenant> tenants;
 
-    /** Null if shards have fixed replicas. */
+    /** Resolves slices by the layout in force; null if shards have fixed replicas. */
     private final SliceTranslator slicing;
 
-    /** Null if pages are disabled. */
+    /** Service that answers page requests; null if pages are disabled. */
     private final PagingService paging;
 
     private final Supplier<Condition> conditionFactory;
