--- a/src/test/java/postbeam/clients/HttpSamplesTest.java
+++ b/src/test/java/postbeam/clients/HttpSamplesTest.java
@@ -262,7 +262,7 @@
     }
 
     @Test
-    void healthCheckResponseOfUnreadyRouterEqualsSample() throws IOException {
+    void healthCheckResponseOfUnreadyRouterEqualsTheRecordedResponse() throws IOException {
         ready = false;
         assertResponseEqualsSample("not-ready");
     }
--- a/src/test/java/postbeam/clients/QueryServerTest.java
+++ b/src/test/java/postbeam/clients/QueryServerTest.java
@@ -170,8 +170,8 @@
     }
 
     /**
-     * Connections that the accepting thread takes from the backlog after the close must not be
-     * reset.
+     * Connections that the accepting thread takes from the backlog after the server was closed must
+     * not be reset.
      */
     @Test
     void connectionsAcceptedLateFromTheBacklogAreServedAfterClose() throws Exception {
--- a/src/test/java/postbeam/config/ConfigurationSamplesTest.java
+++ b/src/test/java/postbeam/config/ConfigurationSamplesTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void configurationIsFlattenedToTheSamplePairs() throws IOException {
+    void configurationIsFlattenedToTheRecordedPairs() throws IOException {
         SampleFile.assertSame("config/configuration-settings.txt", pairs(configuration().settings));
     }
 
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void configurationIsWrittenLikeTheSample() throws IOException {
+    void configurationIsWrittenAsRecorded() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (var json = Json.FACTORY.createGenerator(bytes)) {
             Json.write(json, Json.parseObject(SampleFile.bytes("config/configuration.json")));
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void subsystemSettingsAreFlattenedToTheSamplePairs() throws IOException {
+    void subsystemSettingsAreFlattenedToTheRecordedPairs() throws IOException {
         SampleFile.assertSame(
                 "config/settings.txt",
                 pairs(
--- a/src/test/java/postbeam/config/RunScriptTest.java
+++ b/src/test/java/postbeam/config/RunScriptTest.java
@@ -15,7 +15,9 @@
 class RunScriptTest {
     @TempDir Path dir;
 
-    /** Returns the virtual machine's arguments, as printed by a script in its place. */
+    /**
+     * Returns the arguments that the start script passes to a script that replaces {@code java}.
+     */
     private String javaArguments(String config) throws IOException, InterruptedException {
         Path java = dir.resolve("java");
         Files.writeString(java, "#!/bin/sh\necho \"$@\"\n");
--- a/src/test/java/postbeam/config/SettingsValidatorTest.java
+++ b/src/test/java/postbeam/config/SettingsValidatorTest.java
@@ -28,7 +28,7 @@
 
 /** Checks which settings a router rejects at startup and on reload, and which it must accept. */
 class SettingsValidatorTest {
-    /** Marks a member to remove. */
+    /** Value that marks a settings member to be removed. */
     private static final Object ABSENT = new Object();
 
     private static final String[] EXAMPLES = {"deploy/example.json", "deploy/rehearsal.json"};
@@ -66,7 +66,7 @@
         return RouterConfig.parse(bytes.toByteArray());
     }
 
-    /** Reports all failures together, so that one run shows each case. */
+    /** Reports the failures of all cases together, so that one run shows each of them. */
     private static void assertRejected(Object[]... cases) throws IOException {
         List<String> failures = new ArrayList<>();
         for (Object[] rejected : cases) {
@@ -388,7 +388,8 @@
     }
 
     /**
-     * The settings have the form that the simulator's protocol documents; no deployment uses them.
+     * Settings in the form that the simulator's protocol documents. No deployment uses these
+     * settings.
      */
     @Test
     void validSettingsAreAccepted() throws IOException {
--- a/src/test/java/postbeam/coordination/CoordinationErrorTextTest.java
+++ b/src/test/java/postbeam/coordination/CoordinationErrorTextTest.java
@@ -20,7 +20,7 @@
                     new CoordinationError.NotAMember("r1"));
 
     @Test
-    void messageOfEachErrorMatchesTheSampleFile() throws IOException {
+    void messageOfEachErrorEqualsTheRecordedMessage() throws IOException {
         assertEquals(CoordinationError.class.getPermittedSubclasses().length, ERRORS.size());
         assertEquals(
                 SampleFile.lines("errors/coordination.txt"),
--- a/src/test/java/postbeam/coordination/CoordinationIT.java
+++ b/src/test/java/postbeam/coordination/CoordinationIT.java
@@ -28,8 +28,8 @@
     private static final int SHARDS = 8;
 
     /**
-     * Cold starts of a node after which the test fails, as the machine is then too busy to exceed
-     * the node's budget.
+     * Number of cold starts of a node after which the test fails: the machine is then too busy for
+     * the routers to exceed the node's budget.
      */
     private static final int MAX_COLD_STARTS = 10;
 
@@ -56,8 +56,8 @@
 
     /**
      * Two nodes restart under their names while two routers are cut off. The routers exchange no
-     * messages: each uses its even share of a cold node's budget, whether it is cut off or not, so
-     * the sum stays within the budget.
+     * messages: each uses a cold node's budget divided by the number of routers, whether it is cut
+     * off or not, so the sum stays within the budget.
      */
     @Test
     void nodesRestartWhileTwoOfFiveRoutersAreCutOffAndNoRuleIsViolated() throws Exception {
@@ -129,10 +129,11 @@
     }
 
     /**
-     * Whether the node was sent more than its budget in any second since its last start, by the
-     * node's own record alone. The budget at the end of a second is twice the work that the node
-     * does in a second when this warm; a warm node does the work of two cores. One request is
-     * subtracted as a tolerance.
+     * Whether the routers sent the node more than its budget in any second since its last start,
+     * judged only by the calls that the node recorded. The budget at the end of a second is twice
+     * the execution time that the node can serve per second at its warmth at that time; a fully
+     * warm node serves two seconds of execution time per second, as it has two cores. One request
+     * is subtracted as a tolerance.
      */
     private boolean budgetExceeded(String node) throws IOException {
         List<Double> callTimes = new ArrayList<>();
--- a/src/test/java/postbeam/coordination/HealthGossipTest.java
+++ b/src/test/java/postbeam/coordination/HealthGossipTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void oneReporterOrOneZoneMarksNoNode() {
+    void reportsOfOneRouterOrOneZoneMarkNoNodeUnhealthy() {
         report(0, N1, HealthReport.Kind.UNRESPONSIVE, 0, "r1", "a", "r1", "b", "r1", "c");
         assertFalse(gossip.isUnhealthy(seconds(0), N1));
         report(0, N1, HealthReport.Kind.UNRESPONSIVE, 0, "r2", "b", "r3", "b", "r1", "b");
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void onlyAFractionOfReplicasIsMarkedAndNeverTheOnlyOne() {
+    void onlyAFractionOfReplicasIsMarkedUnhealthyAndNeverTheOnlyReplica() {
         for (NodeIncarnation node : REPLICAS) {
             report(0, node, HealthReport.Kind.UNRESPONSIVE, 0, "r1", "a", "r2", "b", "r3", "c");
         }
--- a/src/test/java/postbeam/coordination/LeaderElectionIT.java
+++ b/src/test/java/postbeam/coordination/LeaderElectionIT.java
@@ -17,17 +17,17 @@
 import postbeam.testbed.verification.SlowStartUsage;
 
 /**
- * Router processes lease a cold node's budget from an elected leader. The work that they acquire
- * together must stay within the budget in every window.
+ * Router processes lease a cold node's budget from an elected leader. The quota that they acquire
+ * together must stay within the node's budget in every window.
  */
 @Timeout(value = 150, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class LeaderElectionIT {
     private static final int ROUTERS = 5;
 
-    /** The node's budget: seconds of work in a window. */
+    /** The node's budget: estimated execution time of the requests that may be sent in a window. */
     private static final double BUDGET_SECONDS = 0.4;
 
-    /** Seconds of work that a client acquires at a time. */
+    /** Estimated execution time that a client acquires at a time. */
     private static final double REQUEST_SECONDS = 0.005;
 
     private static final Duration WINDOW = Duration.ofSeconds(1);
@@ -39,7 +39,7 @@
     private ProcessCluster cluster;
 
     /**
-     * Starts the routers, each with a client that acquires work.
+     * Starts the routers, each with a client that acquires quota of the cold node's budget.
      *
      * @param configuredAlone whether each router's settings list no other router
      */
@@ -99,7 +99,7 @@
                 + ", risesTo: 1, rampMs: 60000}}";
     }
 
-    /** Acquires as much work from the router as it admits. */
+    /** Acquires quota from the router repeatedly until the test stops the clients. */
     private void acquireUntilStopped(int router) {
         while (!stopRequested) {
             try {
@@ -159,7 +159,7 @@
         return found[0];
     }
 
-    /** Waits until each of the routers has admitted some more work. */
+    /** Waits until each of these routers has granted its client further quota. */
     private void awaitAcquisitions(int... routers) throws Exception {
         for (int router : routers) {
             AtomicInteger before = new AtomicInteger(acquisitionsByRouter.get(router));
@@ -216,7 +216,8 @@
                         .set(FaultProxy.Direction.FROM_TARGET, FaultProxy.Fault.CUT, Duration.ZERO);
             }
         }
-        // The routers that are cut off use their reserve; the others have a leader and its leases.
+        // The routers that are cut off use their reserved quota; the others have a leader and its
+        // leases.
         awaitAcquisitions(0, 1, 2, 3, 4);
         cluster.healAll();
         awaitAcquisitions(0, 1, 2, 3, 4);
--- a/src/test/java/postbeam/coordination/LeaderElectionTest.java
+++ b/src/test/java/postbeam/coordination/LeaderElectionTest.java
@@ -39,7 +39,8 @@
     /**
      * Polls the candidate until it requests votes, and hands it the responses of the voters.
      *
-     * @return the time in milliseconds at which it got them, 1 ms after its request
+     * @return the time in milliseconds at which the candidate received the responses, 1 ms after
+     *     its request
      */
     private long runCandidacy(LeaderElection candidate, long from, LeaderElection... voters) {
         VoteRequest request = null;
--- a/src/test/java/postbeam/coordination/QuotaCountersTest.java
+++ b/src/test/java/postbeam/coordination/QuotaCountersTest.java
@@ -20,14 +20,14 @@
     }
 
     @Test
-    void routerWithoutReceivedEntriesMayCountItsEvenShare() {
+    void routerThatReceivedNoEntriesMayCountTheQuotaDividedByTheNumberOfRouters() {
         assertTrue(a.tryCount("m", 10, 2, 6));
         assertFalse(a.tryCount("m", 10, 0.1, 6));
         assertTrue(a.tryCount("m", 11, 2, 6));
     }
 
     @Test
-    void yieldedShareIsSplitEvenlyAmongTheOthers() {
+    void quotaGivenUpByARouterIsDividedEvenlyAmongTheOthers() {
         b.startBucket(9);
         b.capOwnShare("m", 10, 0, 6);
         a.startBucket(10);
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void restartedRouterCountsNothingInBucketsOfItsEarlierProcess() {
+    void restartedRouterMayNotCountInBucketsOfItsEarlierProcess() {
         QuotaCounters restarted = counters("a", 2);
         assertFalse(restarted.tryCount("m", 9, 1, 6));
         assertTrue(restarted.tryCount("m", 10, 1, 6));
--- a/src/test/java/postbeam/coordination/SlowStartQuotaTest.java
+++ b/src/test/java/postbeam/coordination/SlowStartQuotaTest.java
@@ -14,8 +14,8 @@
     private static final double BUDGET = 8;
 
     /**
-     * For the budget of 8: the reserve is 2, of which this router has 1; the in-flight limit is 4,
-     * of which this router has 2; 2 may be leased.
+     * Parameters for two routers and a budget of 8: 2 are reserved, of which this router has 1; the
+     * in-flight limit is 4, of which this router has 2; 2 may be leased.
      */
     private final LeaseParameters parameters =
             new LeaseParameters(ms(600), ms(1000), ms(10), 0.25, 0.5, 2, 0);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void leaseAllowsItsAmountPerWindowAndExpiresFromItsRequest() {
+    void leaseAllowsItsAmountPerWindowAndItsDurationCountsFromItsRequest() {
         quota.tryAcquire(ms(0), 5, BUDGET);
         assertTrue(quota.requestAmount(ms(0), BUDGET, 1) > 0);
         acquireAndRelease(1, 1);
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void workInFlightIsLimited() {
+    void quotaBeyondTheInFlightLimitIsRefusedUntilSomeIsReleased() {
         quota.tryAcquire(ms(0), 5, BUDGET);
         quota.requestAmount(ms(0), BUDGET, 1);
         quota.onGrant(ms(1), 1, 2);
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void nodeWithASmallBudgetIsSharedByFewRoutersAndAllRoutersAgreeWhich() {
+    void smallBudgetOfANodeIsSharedByFewRoutersOnWhichAllRoutersAgree() {
         LeaseParameters forManyRouters =
                 new LeaseParameters(ms(600), ms(1000), ms(10), 0.25, 0.25, 100, 0.1);
         List<String> names = IntStream.range(0, 100).mapToObj(i -> "r" + i).toList();
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void leaseTableGrantsWhatIsLeftAndRepeatsTheGrantForARepeatedRequest() {
+    void leaseTableGrantsTheUnleasedBudgetAndRepeatsTheGrantForARepeatedRequest() {
         assertEquals(
                 4, leaseTable.grant(ms(0), process("a"), 1, 4, 6, parameters.leaseRetention()));
         assertEquals(
--- a/src/test/java/postbeam/datanodes/FrameSamplesTest.java
+++ b/src/test/java/postbeam/datanodes/FrameSamplesTest.java
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void callFrameEqualsSample() throws Exception {
+    void callFrameEqualsTheRecordedFrame() throws Exception {
         startExecutor(null, null);
         SampleFile.assertSame(
                 TO_NODE + "call.bin",
@@ -168,7 +168,7 @@
     }
 
     @Test
-    void callFrameOfSlicesEqualsSample() throws Exception {
+    void callFrameOfSlicesEqualsTheRecordedFrame() throws Exception {
         startExecutor(new SliceTranslator(), null);
         SampleFile.assertSame(
                 TO_NODE + "call-slices.bin",
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void callFrameForPageEqualsSample() throws Exception {
+    void callFrameForPageEqualsTheRecordedFrame() throws Exception {
         startExecutor(new SliceTranslator(), new PagingService("0a".repeat(32), null, 100));
         PageRequest page =
                 new PageRequest(
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void cancelAndProbeFramesEqualSamples() throws IOException {
+    void cancelAndProbeFramesEqualTheRecordedFrames() throws IOException {
         SampleFile.assertSame(
                 TO_NODE + "give-up.bin", toArray(FrameCodec.encode(FrameCodec.CANCEL, ID + ".3")));
         SampleFile.assertSame(
@@ -217,7 +217,7 @@
     }
 
     @Test
-    void otherNodeFrameSamplesHaveTheirTypeLetters() throws IOException {
+    void recordedFramesOfOtherTypesHaveTheirTypeLetters() throws IOException {
         assertEquals(
                 "good",
                 new String(
@@ -246,7 +246,7 @@
 
     /** Covers a call, a probe and their responses on one connection. */
     @Test
-    void connectionWritesAndReadsSampleFrames() throws Exception {
+    void connectionWritesAndReadsTheRecordedFrames() throws Exception {
         startExecutor(null, null);
         DataNodeClient dataNodeClient =
                 new DataNodeClient(
--- a/src/test/java/postbeam/discovery/DiscoverySamplesTest.java
+++ b/src/test/java/postbeam/discovery/DiscoverySamplesTest.java
@@ -82,12 +82,12 @@
     }
 
     /**
-     * Covers both requests of a watcher. The address in the sample stands for the address of the
-     * test's server.
+     * Covers both requests of a watcher. The address in the recorded requests is replaced by that
+     * of the test's server.
      */
     @ParameterizedTest
     @ValueSource(strings = {"agent", "server"})
-    void requestsEqualSamples(String server) throws Exception {
+    void requestsEqualTheRecordedRequests(String server) throws Exception {
         PollTimings timings =
                 server.equals("agent")
                         ? PollTimings.LOCAL_AGENT
--- a/src/test/java/postbeam/discovery/HttpGetClientTest.java
+++ b/src/test/java/postbeam/discovery/HttpGetClientTest.java
@@ -131,7 +131,7 @@
 
     /**
      * Each read finds a byte. Without a limit on the reads after the deadline, the response would
-     * take 260,000 of them.
+     * take 260,000 reads.
      */
     @Test
     void responseThatTricklesFasterThanItIsReadTimesOut() throws Exception {
--- a/src/test/java/postbeam/discovery/LongPollWatcherStopTest.java
+++ b/src/test/java/postbeam/discovery/LongPollWatcherStopTest.java
@@ -62,7 +62,7 @@
 
     /** The server's backlog is full, so the watcher's connection is never established. */
     @Test
-    void stopsWhileConnecting() throws Exception {
+    void stopDuringAConnectEndsTheWatcher() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<Socket> waiting = new ArrayList<>();
             try {
@@ -89,7 +89,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "HTTP/1.1 200 OK\r\nContent-", "HTTP/1.1 200 OK\r\n\r\n12"})
-    void stopsWhileReadingAResponse(String start) throws Exception {
+    void stopDuringTheReadOfAResponseEndsTheWatcher(String start) throws Exception {
         try (FakeDiscoveryAgent agent = new FakeDiscoveryAgent()) {
             LongPollWatcher<Long> watcher =
                     createWatcher(agent.address(), body -> 1L, updates::add);
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void stopsWhileBackingOff() throws Exception {
+    void stopDuringABackoffPauseEndsTheWatcher() throws Exception {
         try (FakeDiscoveryAgent agent = new FakeDiscoveryAgent()) {
             CountDownLatch backingOff = new CountDownLatch(1);
             PollTimings timings =
@@ -133,7 +133,7 @@
 
     /** The stop does not wait for the decoder, and the decoded list is not delivered. */
     @Test
-    void stopsWhileDecoding() throws Exception {
+    void stopDuringDecodingEndsTheWatcher() throws Exception {
         CountDownLatch decoding = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         try (FakeDiscoveryAgent agent = new FakeDiscoveryAgent()) {
--- a/src/test/java/postbeam/discovery/LongPollWatcherTest.java
+++ b/src/test/java/postbeam/discovery/LongPollWatcherTest.java
@@ -39,8 +39,8 @@
 @Timeout(60)
 class LongPollWatcherTest {
     /**
-     * Longer than the deadlines under test and shorter than a request without them, which would
-     * take 22 s or never end.
+     * Time limit of a test: longer than the deadlines under test and shorter than a request without
+     * these deadlines, which would take 22 s or never end.
      */
     private static final long TIMEOUT_SECONDS = 10;
 
@@ -136,7 +136,7 @@
         send(out, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    /** Sends nothing for longer than the test lasts. */
+    /** Leaves a request without a response for longer than the test lasts. */
     private static void staySilent() throws InterruptedException {
         Thread.sleep(Duration.ofMinutes(2).toMillis());
     }
@@ -285,8 +285,8 @@
     }
 
     /**
-     * Without a pause the watcher would send thousands of requests in that second. A slow machine
-     * only sends fewer.
+     * Without a pause between requests the watcher would send thousands of requests in one second.
+     * A slow machine only sends fewer, so it can't fail the test.
      */
     @ParameterizedTest
     @ValueSource(strings = {"7", "-1"})
--- a/src/test/java/postbeam/discovery/UpdateDeadlineTest.java
+++ b/src/test/java/postbeam/discovery/UpdateDeadlineTest.java
@@ -27,10 +27,12 @@
  */
 @Timeout(120)
 class UpdateDeadlineTest {
-    /** The limit of 6 s, less 500 ms for a router that is late. */
+    /** Time limit for an update: 6 s, less 500 ms for a router that is scheduled late. */
     private static final long UPDATE_MILLIS = 5_500;
 
-    /** A grace time of 500 ms, and 100 ms for a busy machine. */
+    /**
+     * Time limit for a recovered agent: the grace time of 500 ms plus 100 ms for a busy machine.
+     */
     private static final long MAX_RECOVERY_MILLIS = 600;
 
     /** How a request fails. */
@@ -113,8 +115,8 @@
     }
 
     /**
-     * Discovery gets the change right after the long poll has arrived, which gets no response. The
-     * fetch that follows fails, too.
+     * Discovery receives the change right after the long poll has arrived. The long poll gets no
+     * response, and the fetch after it fails, too.
      */
     @ParameterizedTest
     @EnumSource
@@ -161,7 +163,7 @@
 
     private static void respondLate(FakeDiscoveryAgent.Request request) throws Exception {
         request.send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n");
-        // The time allowed for a response, less a margin for a busy machine.
+        // The pause is the time allowed for a response, less a margin for a busy machine.
         Thread.sleep(1_700);
         request.send("2");
     }
--- a/src/test/java/postbeam/endpoints/PollScheduleTest.java
+++ b/src/test/java/postbeam/endpoints/PollScheduleTest.java
@@ -190,7 +190,8 @@
     }
 
     /**
-     * Worst cycle in the simulator: a poll without a response, a pause, and a poll that takes 2 s.
+     * Longest poll cycle in the simulator: a poll without a response, a pause, and a poll that
+     * takes 2 s.
      */
     @Test
     void scheduleStaysWithinMaxPollCycleForAllSettings() {
--- a/src/test/java/postbeam/layoutservice/HandoffClientMessagesTest.java
+++ b/src/test/java/postbeam/layoutservice/HandoffClientMessagesTest.java
@@ -24,7 +24,7 @@
 import postbeam.slices.KeyRange;
 
 /**
- * Compares the frames that {@link HandoffClient} sends with a stored sample, and checks that it
+ * Compares the frames that {@link HandoffClient} sends with recorded frames, and checks that it
  * understands responses from older versions of data nodes.
  */
 class HandoffClientMessagesTest {
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void sentFramesMatchTheSampleAndResponsesAreReported() throws Exception {
+    void sentFramesEqualTheRecordedFramesAndResponsesAreReported() throws Exception {
         List<String> responses = Samples.lines("node-order-answers.txt");
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 HandoffClient client =
--- a/src/test/java/postbeam/layoutservice/LayoutServiceIT.java
+++ b/src/test/java/postbeam/layoutservice/LayoutServiceIT.java
@@ -208,7 +208,8 @@
             assertTrue(query(listen, 1, 0).startsWith("200 {\"total\":true,\"layout\":1,"));
             layouts("start", "--change", "{\"split\": 0, \"at\": [100]}");
             awaitCondition(() -> query(listen, 2, 4).startsWith("200"));
-            // A search is complete with three quarters of its weight; a hold needs all keys.
+            // A query of class search is complete with three quarters of its weight; one of class
+            // hold needs all keys.
             String holdResponse = query(listen, "/hold?obj=1", 1, 0);
             assertTrue(holdResponse.startsWith("200 {\"total\":true,"), holdResponse);
             assertTrue(
@@ -218,7 +219,8 @@
             assertEquals("400 layout 2 has no slice 0", query(listen, 2, 0));
             assertEquals("503 0.2 layout 9 is not known yet; 2 is", query(listen, 9, 0));
             assertEquals("400 Req-Layout can't be used", query(listen, -1, 0));
-            // The history has one version: the third layout removes the first.
+            // The service keeps one earlier layout version: publishing the third layout removes the
+            // first.
             layouts(
                     "start",
                     "--change",
--- a/src/test/java/postbeam/layoutservice/LayoutServiceResponsesTest.java
+++ b/src/test/java/postbeam/layoutservice/LayoutServiceResponsesTest.java
@@ -25,8 +25,8 @@
 import postbeam.slices.MoveLimits;
 
 /**
- * Compares the responses to a fixed sequence of requests with a stored sample: status, content type
- * and text.
+ * Compares the responses to a fixed sequence of requests with recorded responses: status, content
+ * type and text.
  */
 class LayoutServiceResponsesTest {
     private static final Duration NEVER = Duration.ofDays(1);
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void responsesToAFixedRequestSequenceMatchTheSample() throws Exception {
+    void responsesToAFixedRequestSequenceEqualTheRecordedResponses() throws Exception {
         get("/v1/layout");
         get("/v1/status");
         listNodes(
--- a/src/test/java/postbeam/layoutservice/Samples.java
+++ b/src/test/java/postbeam/layoutservice/Samples.java
@@ -10,7 +10,7 @@
 import java.util.List;
 
 /**
- * Reads samples of stored data and messages of earlier versions, from {@code
+ * Reads the recorded files with stored data and messages of earlier versions, from {@code
  * samples/layoutservice}.
  */
 final class Samples {
@@ -28,13 +28,13 @@
         return new String(bytes(name), StandardCharsets.UTF_8).lines().toList();
     }
 
-    /** Compares all lines with those of a sample. */
+    /** Compares all lines with those of a recorded file. */
     static void assertSameLines(String name, List<String> actual) {
         assertEquals(String.join("\n", lines(name)), String.join("\n", actual));
     }
 
     static void assertSameBytes(String name, byte[] actual) {
-        // Compared as text first, for a readable message.
+        // The texts are compared before the bytes, so that a failure shows a readable message.
         assertEquals(
                 new String(bytes(name), StandardCharsets.ISO_8859_1),
                 new String(actual, StandardCharsets.ISO_8859_1));
--- a/src/test/java/postbeam/layoutservice/StoredMoveRecordsTest.java
+++ b/src/test/java/postbeam/layoutservice/StoredMoveRecordsTest.java
@@ -233,8 +233,8 @@
     }
 
     /**
-     * Writes a journal of the sample records: the move records, then the start of a term, then the
-     * migration records.
+     * Writes a journal of the recorded move records, the start of a term and the recorded migration
+     * records, in this order.
      */
     private Path written() throws IOException {
         Path file = dir.resolve("written.bin");
--- a/src/test/java/postbeam/migration/MigrationErrorTextTest.java
+++ b/src/test/java/postbeam/migration/MigrationErrorTextTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import postbeam.samples.SampleFile;
 
-/** Operators see these messages: a change of wording must be made in the sample file too. */
+/** Operators see these messages: a reworded message must be changed in the recorded file, too. */
 class MigrationErrorTextTest {
     private static final Checkpoint REQUESTED = new Checkpoint(4, "ab12");
     private static final Checkpoint OPEN = new Checkpoint(5, "cd34");
@@ -29,7 +29,7 @@
                     new MigrationError.MigrationsDisabled());
 
     @Test
-    void errorMessagesMatchSampleFile() throws IOException {
+    void messageOfEachErrorEqualsTheRecordedMessage() throws IOException {
         assertEquals(
                 SampleFile.lines("errors/migration.txt"),
                 ALL_ERRORS.stream().map(MigrationError::message).toList());
--- a/src/test/java/postbeam/migration/MigrationIT.java
+++ b/src/test/java/postbeam/migration/MigrationIT.java
@@ -40,7 +40,7 @@
  * successor runs; no query may take effect twice.
  */
 class MigrationIT {
-    /** Also the slack of the checker's time rules, which this test is not about. */
+    /** Limit of a wait; also the tolerance of the checker's time rules, not tested here. */
     private static final Duration CONDITION_TIMEOUT = Duration.ofSeconds(60);
 
     private static final Duration QUERY_DEADLINE = Duration.ofSeconds(6);
@@ -210,7 +210,7 @@
         }
     }
 
-    /** Sends holds for slices 0 to 3, one after the other, until the test ends. */
+    /** Sends queries of class hold for slices 0 to 3 in turn until the test ends. */
     private Thread startHoldQueries(String routerAddress) {
         checker.onLayout(Layout.initial(4, List.of("n0", "n1"), 2));
         Thread thread =
@@ -351,8 +351,8 @@
     }
 
     /**
-     * Kills the service as soon as its journal has grown this many times and starts it again, until
-     * the test ends or the service was killed 12 times.
+     * Kills the layout service as soon as its journal has grown this many times and starts it
+     * again, until the test ends or the service has been killed 12 times.
      */
     private Thread startServiceKiller(
             int appendsBeforeKill, AtomicInteger kills, Process[] running) {
--- a/src/test/java/postbeam/migration/MigrationScenario.java
+++ b/src/test/java/postbeam/migration/MigrationScenario.java
@@ -113,7 +113,7 @@
                 Duration.ofSeconds(1));
     }
 
-    // ---- the cluster
+    // ---- simulated cluster
 
     void setReadiness(String node, Readiness readiness) {
         nodes.put(node, new TargetLayout.NodeInfo("z", readiness));
@@ -176,7 +176,7 @@
                 MigrationError.class, assertThrows(OperatorErrorException.class, command).error());
     }
 
-    // ---- time
+    // ---- simulated time
 
     void runFor(Duration span) {
         Duration end = now.plus(span);
@@ -205,7 +205,7 @@
                                         command.slice()));
     }
 
-    // ---- carrying out and tracing actions
+    // ---- execution and trace of the manager's actions
 
     void trace(String line) {
         traceLines.add(now.toMillis() + " " + line);
--- a/src/test/java/postbeam/migration/MoveVerifierTest.java
+++ b/src/test/java/postbeam/migration/MoveVerifierTest.java
@@ -30,7 +30,8 @@
         assertTrue(
                 smallest <= MigrationScenario.LIMITS.minRangeSize(),
                 "smallest requested range has " + smallest + " keys");
-        // A resume does not skip the mismatch: the slice is copied and compared again.
+        // Resuming the migration does not skip the mismatch: the slice is copied and compared
+        // again.
         scenario.resume(1);
         scenario.runFor(Duration.ofSeconds(20));
         assertEquals(PauseReason.DIGEST_MISMATCH, scenario.migration(1).pauseReason());
--- a/src/test/java/postbeam/model/QueryWeightsPropertyTest.java
+++ b/src/test/java/postbeam/model/QueryWeightsPropertyTest.java
@@ -90,8 +90,8 @@
             answerSome(query);
             BigDecimal required = new BigDecimal(share).multiply(exactWeightSum(query, true));
             BigDecimal missing = required.subtract(exactWeightSum(query, false));
-            // Twice the error that the query allows for, as the error occurs once before and once
-            // after the allowance is subtracted.
+            // The tolerance is twice the rounding error that the query allows for: the error occurs
+            // once before and once after the query subtracts its allowance.
             double roundingError = 2 * (count + 2) * Math.ulp(1.0);
             if (missing.signum() <= 0) {
                 assertTrue(isComplete(query), () -> "expected complete, missing weight " + missing);
@@ -106,7 +106,7 @@
     @Test
     void shareOfRequestsWithEqualWeightsIsReachedByTheirNumber() {
         for (int count : new int[] {1, 2, 3, 7, 9, 12, 100, 1000, MANY_REQUESTS}) {
-            // The weight written with as few digits as the codec accepts.
+            // This is the weight, written with as few digits as the codec accepts.
             double weight = Math.round(1e8 / count) / 1e8;
             for (int needed = 1; needed <= count; needed += 1 + count / 50) {
                 Query query = query((double) needed / count, equalWeights(count, weight));
--- a/src/test/java/postbeam/pages/FollowUpFetchBudgetPropertyTest.java
+++ b/src/test/java/postbeam/pages/FollowUpFetchBudgetPropertyTest.java
@@ -15,11 +15,12 @@
     private static final double ROUNDING = 1e-9;
 
     /**
-     * Follow-ups raise the budget for extra attempts as queries do. The test guards against a
-     * budget that is exceeded because they raise it in some window by more than was reserved.
+     * Follow-up fetches of a page raise the budget for extra attempts as queries do. The test
+     * guards against a budget that is exceeded because these fetches raise it in some window by
+     * more than was reserved.
      */
     @Property(tries = 200, seed = "1")
-    void followUpsStayWithinTheReservedAttemptsInEveryWindow(@ForAll long seed) {
+    void followUpFetchesStayWithinTheReservedAttemptsInEveryWindow(@ForAll long seed) {
         Random random = new Random(seed);
         double freeAttempts = random.nextInt(60);
         double budgetShare = 0.1 + random.nextDouble() / 2;
--- a/src/test/java/postbeam/pages/PageCostReport.java
+++ b/src/test/java/postbeam/pages/PageCostReport.java
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Runs chains of pages one after the other through one router, each over other rows. If skewed,
-     * the first of 20 shards has about a third of the rows.
+     * Fetches chains of consecutive pages, one chain after the other, through one router; each
+     * chain has its own rows. If skewed, the first of 20 shards has about a third of the rows.
      */
     private static void run(int shards, boolean skewed, int pageSize) {
         Random random = new Random(1);
--- a/src/test/java/postbeam/pages/PageErrorTextTest.java
+++ b/src/test/java/postbeam/pages/PageErrorTextTest.java
@@ -9,7 +9,8 @@
 import postbeam.samples.SampleFile;
 
 /**
- * Clients and operators see these messages; a reworded message must be changed in the sample too.
+ * Clients and operators see these messages; a reworded message must be changed in the recorded
+ * file, too.
  */
 class PageErrorTextTest {
     private static final List<PageError> ERRORS =
@@ -27,7 +28,7 @@
                     new PageError.InvalidSigningKey("pages.key"));
 
     @Test
-    void messageOfEachErrorEqualsTheSample() throws IOException {
+    void messageOfEachErrorEqualsTheRecordedMessage() throws IOException {
         assertEquals(
                 SampleFile.lines("errors/pages.txt"),
                 ERRORS.stream().map(PageError::message).toList());
--- a/src/test/java/postbeam/pages/PagesIT.java
+++ b/src/test/java/postbeam/pages/PagesIT.java
@@ -357,7 +357,7 @@
     void missingRangeIsReportedAndItsRowsAreReturnedOnceOnLaterPages() throws Exception {
         List<Row> chain = new ArrayList<>();
         Map<String, Object> page = fetchPage(0, firstPageMembers(50), chain);
-        // These two are the only holders of one slice.
+        // These two data nodes are the only holders of one slice.
         nodes.get(0).crash();
         nodes.get(1).crash();
         page = fetchPage(1, nextPageMembers(50, (String) page.get("cursor")), chain);
--- a/src/test/java/postbeam/pages/RowMergerBenchmark.java
+++ b/src/test/java/postbeam/pages/RowMergerBenchmark.java
@@ -102,7 +102,7 @@
         return valid;
     }
 
-    /** Encodes one cursor; the time is that of the cursor, not of a row. */
+    /** Encodes one cursor; the reported time is for one cursor, not for one row. */
     @Benchmark
     public String encodeCursor() throws OperatorErrorException {
         return cursorCodec.encode(cursor);
--- a/src/test/java/postbeam/pages/SortOrderPropertyTest.java
+++ b/src/test/java/postbeam/pages/SortOrderPropertyTest.java
@@ -16,7 +16,7 @@
             List.of((int) 'a', 0xE9, 0xFFFD, 0xE000, 0x10000, 0x1F600);
 
     @Property(tries = 500, seed = "1")
-    void orderIsTotal(@ForAll long seed) {
+    void sortOrderIsTotal(@ForAll long seed) {
         Random random = new Random(seed);
         SortOrder order = RandomRows.order(random);
         RowPosition a = RandomRows.position(random, order.keys().size());
--- a/src/test/java/postbeam/peers/PeerSamplesTest.java
+++ b/src/test/java/postbeam/peers/PeerSamplesTest.java
@@ -36,9 +36,9 @@
 import postbeam.json.Json;
 
 /**
- * Checks that messages between peers have not changed since the build that wrote the samples. JSON
- * members have no fixed order, so objects are compared, not bytes. The incarnation ("run") in the
- * responses of a running peer is a start time, and is replaced by 0.
+ * Checks that messages between peers have not changed since the build whose messages were recorded.
+ * JSON members have no fixed order, so objects are compared, not bytes. The incarnation ("run") in
+ * the responses of a running peer is a start time, and is replaced by 0.
  */
 @Timeout(30)
 class PeerSamplesTest {
@@ -69,8 +69,8 @@
                                     new LeaseGrant(NODE, R2, 6, 0))));
 
     /**
-     * One of two routers. Its timeouts are so long that it neither votes nor sends before the test
-     * is over.
+     * Settings of one of two routers. Its timeouts are so long that it neither votes nor sends a
+     * message before the test is over.
      */
     private static PeerCoordinator peer() throws Exception {
         Duration window = Duration.ofSeconds(60);
@@ -95,13 +95,13 @@
     }
 
     @Test
-    void requestSampleIsDecodedAndEncodedWithoutChange() throws IOException {
+    void recordedRequestIsDecodedAndEncodedWithoutChange() throws IOException {
         assertEquals(REQUEST, PeerMessageCodec.decodeRequest(sample("request.json")));
         assertSample("request.json", PeerMessageCodec.encode(REQUEST));
     }
 
     @Test
-    void responseSampleIsDecodedAndEncodedWithoutChange() throws IOException {
+    void recordedResponseIsDecodedAndEncodedWithoutChange() throws IOException {
         assertEquals(RESPONSE, PeerMessageCodec.decodeResponse(sample("response.json"), R2));
         assertSample("response.json", PeerMessageCodec.encode(RESPONSE));
     }
@@ -111,7 +111,7 @@
      * parameters must not change.
      */
     @Test
-    void responsesOfARunningPeerMatchTheSamples() throws Exception {
+    void responsesOfARunningPeerEqualTheRecordedResponses() throws Exception {
         XnioWorker worker =
                 Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         QueryServer server =
--- a/src/test/java/postbeam/policy/AnswerCompletenessTest.java
+++ b/src/test/java/postbeam/policy/AnswerCompletenessTest.java
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Guards against an answer that is marked complete without a request whose weight is below a
-     * tolerance.
+     * Guards against an answer that is marked complete although a shard request is unanswered,
+     * because its weight is so small that a tolerance in the comparison of weights covers it.
      */
     @ParameterizedTest
     @ValueSource(doubles = {4e-5, 1e-5, 1e-9, 1e-12, 1e-15})
@@ -68,8 +68,9 @@
     }
 
     /**
-     * Guards against an answer that is marked complete without a request of small weight if a lower
-     * share is enough for a partial answer.
+     * Guards against an answer that is marked complete although a shard request of small weight is
+     * unanswered, in a query class where a lower share of the weight is enough for a partial
+     * answer.
      */
     @Test
     void answerAboveMinimumWeightWithoutARequestOfSmallWeightIsNotComplete() {
@@ -79,8 +80,8 @@
     }
 
     /**
-     * Guards against an answer that is marked complete without one of so many requests that each of
-     * them has a small weight.
+     * Guards against an answer that is marked complete although one shard request is unanswered,
+     * when a query has so many that each has a small weight.
      */
     @Test
     void answerWithoutOneOfManyRequestsIsNotComplete() {
--- a/src/test/java/postbeam/policy/CanaryPolicyTest.java
+++ b/src/test/java/postbeam/policy/CanaryPolicyTest.java
@@ -16,8 +16,8 @@
     private final QueryClass idempotent = PolicyFixture.idempotent();
 
     /**
-     * Returns a policy whose endpoint list has just reported the removal of the last two of its
-     * ready nodes.
+     * Returns a policy that has just learned from the endpoint list that the last two of its ready
+     * nodes were removed.
      */
     private static PolicyFixture withCrashes(int nodeCount) {
         PolicyFixture fixture = new PolicyFixture(nodeCount, true);
--- a/src/test/java/postbeam/policy/ConcurrencyWindowTest.java
+++ b/src/test/java/postbeam/policy/ConcurrencyWindowTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void rejectionsOfOneBatchHalveTheWindowOnce() {
+    void rejectionsOfAttemptsSentInOneBatchHalveTheWindowOnce() {
         PolicyFixture fixture = new PolicyFixture(3, true);
         fixture.start(PolicyFixture.idempotent(), 40);
         assertEquals(32, fixture.sent.size());
--- a/src/test/java/postbeam/policy/QueryCompletionTest.java
+++ b/src/test/java/postbeam/policy/QueryCompletionTest.java
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void queryWithoutAUsableNodeIsRejectedAtTheLowPriorityLimit() {
+    void queryWithoutAUsableNodeIsRejectedAtATenthOfItsLatencyObjective() {
         fixture.nodes.forEach(
                 node -> fixture.policy.onNodeUpdate(ms(0), node, Readiness.DRAINING, null));
         fixture.arrive(ms(0), idempotent, 1);
--- a/src/test/java/postbeam/policy/SlowStartTest.java
+++ b/src/test/java/postbeam/policy/SlowStartTest.java
@@ -48,8 +48,8 @@
         assertTrue(slowStart.allows(ms(10), node, null, ms(150)));
         slowStart.recordSent(ms(10), node, null, ms(300));
         assertFalse(slowStart.allows(ms(900), node, null, ms(150)));
-        // Work for which the decision was made at 10 ms may have been sent 250 ms later, once a
-        // connection was open.
+        // A request that was decided on at 10 ms may have been sent 250 ms later, once a connection
+        // was open, so it counts that much longer.
         assertFalse(slowStart.allows(ms(1200), node, null, ms(150)));
         assertTrue(slowStart.allows(ms(1400), node, null, ms(150)));
         assertTrue(slowStart.allows(ms(11_000), node, null, ms(5000)));
@@ -57,7 +57,7 @@
 
     /**
      * Guards against a router that, after its own restart, sends a node that is warming up its
-     * whole share again: it has lost the record of the work that it sent before.
+     * whole share again: it has lost the record of the requests that it sent before.
      */
     @Test
     void routerThatHasJustStartedSendsNothingToNodesWarmingUp() {
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void recentlyAcquiredShardHasABudgetOfItsOwn() {
+    void requestsForARecentlyAcquiredShardAreLimitedByABudgetOfItsOwn() {
         SlowStart slowStart = slowStart(2);
         DataNode node = startedNode(slowStart, null, 0);
         assertTrue(slowStart.allows(ms(10), node, ms(0), ms(150)));
@@ -80,8 +80,9 @@
     }
 
     /**
-     * Returns the work in seconds that this number of routers can send to a node that is warming up
-     * within a window, with requests of different work.
+     * Returns the estimated execution time in seconds of the requests that this number of routers
+     * can send to a node that is warming up within a window; the requests have different execution
+     * times.
      */
     private static double maxWorkInAWindow(Random random, int routers, double loadFactor) {
         List<SlowStart> slowStarts = new ArrayList<>();
@@ -141,7 +142,7 @@
     }
 
     @Test
-    void manyRoutersRoundTheirShareByTheSamplingThreshold() {
+    void shareBelowOneRequestIsRoundedUpOrDownByTheRandomNumberOfTheNode() {
         SlowStart slowStart = slowStart(100);
         DataNode lowThreshold = startedNode(slowStart, ms(0), 0.01);
         assertTrue(slowStart.allows(ms(10), lowThreshold, null, ms(80)));
--- a/src/test/java/postbeam/router/PagingServiceTest.java
+++ b/src/test/java/postbeam/router/PagingServiceTest.java
@@ -42,8 +42,8 @@
 import postbeam.slices.UnroutableQueryException;
 
 /**
- * Serves pages with the test in the role of the data nodes; checks what is sent and how attempts
- * are counted.
+ * Serves pages with the test in the role of the data nodes; checks which shard requests are sent
+ * and how attempts are counted.
  */
 class PagingServiceTest {
     private static final SortOrder ORDER = new SortOrder(List.of(new SortKey("k", false, false)));
@@ -214,7 +214,7 @@
     }
 
     @Test
-    void followUpsFillPageAndCursorContinuesAfterIt() throws Exception {
+    void followUpQueriesFillThePageAndItsCursorContinuesAfterIt() throws Exception {
         createRouter(3, 50);
         PageResult first = page(null, 8);
         assertEquals(List.of(0L, 1L, 2L, 3L, 4L, 5L, 6L, 7L), values(first));
@@ -225,11 +225,11 @@
     }
 
     /**
-     * A shard request that has used up its attempts gets no more from a follow-up: the page ends at
-     * the last row that was returned.
+     * A shard request that has used up its attempts gets no further attempt from a follow-up query:
+     * the page ends at the last row that was returned.
      */
     @Test
-    void attemptLimitAppliesToFirstQueryAndFollowUpsTogether() throws Exception {
+    void attemptLimitAppliesToTheFirstQueryAndItsFollowUpQueriesTogether() throws Exception {
         createRouter(2, 50);
         PageResult page = page(null, 12);
         assertEquals(
@@ -242,7 +242,7 @@
     }
 
     @Test
-    void noFollowUpIsSentWithoutRetryBudget() throws Exception {
+    void noFollowUpQueryIsSentIfTheRetryBudgetIsZero() throws Exception {
         createRouter(3, 0);
         PageResult page = page(null, 8);
         assertEquals(2, attemptsByKeys.values().stream().mapToInt(attempts -> attempts).sum());
@@ -251,11 +251,11 @@
     }
 
     /**
-     * Half of the 4 spare attempts is reserved for follow-ups, so the retry budget leaves 2 retries
-     * and rejects a third.
+     * Half of the 4 spare attempts is reserved for follow-up queries, so the retry budget leaves 2
+     * retries and rejects a third.
      */
     @Test
-    void followUpsAndRetriesShareTheRetryBudget() throws Exception {
+    void followUpQueriesAndRetriesShareTheRetryBudget() throws Exception {
         createRouter(9, 4);
         maxRowsPerFetch = 1;
         String cursor = null;
--- a/src/test/java/postbeam/router/RouterIT.java
+++ b/src/test/java/postbeam/router/RouterIT.java
@@ -193,7 +193,7 @@
                     return;
                 }
             } catch (IOException e) {
-                // Not reachable yet: try again.
+                // The program does not accept connections yet: try again.
             }
             Thread.sleep(10);
         }
@@ -589,7 +589,7 @@
         node.frames.clear();
         node.mode = "silent";
         try (Socket pendingClient = connect()) {
-            // A deadline longer than all waits of this test together.
+            // The query's deadline is longer than all waits of this test together.
             write(pendingClient, query("hold", "q1", 10 * TIMEOUT_SECONDS * 1000, 0));
             awaitFrame("m q1.0");
             for (String invalidConfig :
@@ -754,7 +754,7 @@
             assertEquals("closed", readResponse(socket));
         }
         assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(5));
-        // Also connections that send one request and stay open.
+        // The connections that send one request and then stay open must be closed, too.
         for (int i = 0; i < 300; i++) {
             Socket client = connect();
             assertAnswer(client, "200", query("lookup", "s" + i, 3000, 0));
@@ -1235,7 +1235,7 @@
         startProgram(config, "serve", "--config", pipe.toString());
         try (var pipeOutput = Files.newOutputStream(pipe)) {
             sendSignal("HUP");
-            // Long enough for the signal to end a program that has no handler for it.
+            // This pause is long enough for the signal to end a program that has no handler for it.
             assertFalse(program.waitFor(500, TimeUnit.MILLISECONDS), "ended by SIGHUP");
             // Replaces the pipe by a file for the next read; the program has already opened the
             // pipe for this one.
--- a/src/test/java/postbeam/simulator/RecordedSessionTest.java
+++ b/src/test/java/postbeam/simulator/RecordedSessionTest.java
@@ -24,7 +24,7 @@
      * unreachable nodes.
      */
     @Test
-    void tenantsAndRestartMatchTheRecording() throws IOException {
+    void replayWithTenantQuotasAndARestartGivesTheRecordedOutput() throws IOException {
         assertMatchesRecording("tenants-and-restart");
     }
 
@@ -33,19 +33,19 @@
      * capacity, aborted queries.
      */
     @Test
-    void sideEffectsAndFullNodesMatchTheRecording() throws IOException {
+    void replayWithSideEffectsAndFullNodesGivesTheRecordedOutput() throws IOException {
         assertMatchesRecording("side-effects-and-full-nodes");
     }
 
     /** Covers hedged requests within a retry budget, resets, timeouts and health probes. */
     @Test
-    void hedgedRequestsAndResetsMatchTheRecording() throws IOException {
+    void replayWithHedgedRequestsAndResetsGivesTheRecordedOutput() throws IOException {
         assertMatchesRecording("hedged-requests-and-resets");
     }
 
     /** Covers queries that crash nodes, clients that disconnect, partial answers and rejections. */
     @Test
-    void partialAnswersAndLostClientsMatchTheRecording() throws IOException {
+    void replayWithPartialAnswersAndLostClientsGivesTheRecordedOutput() throws IOException {
         assertMatchesRecording("partial-answers-and-lost-clients");
     }
 
--- a/src/test/java/postbeam/simulator/SimulatorSessionTest.java
+++ b/src/test/java/postbeam/simulator/SimulatorSessionTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void emptyBatchIsAnsweredWithDone() throws IOException {
+    void emptyBatchOfEventsIsAnsweredWithDone() throws IOException {
         assertEquals("DONE\n", reply(batch(5)));
     }
 
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void routerCanStopAndRestartInOneBatch() throws IOException {
+    void routerCanStopAndRestartInOneBatchOfEvents() throws IOException {
         String input = batch(5, CREATE, LIST) + batch(10, "DETACH\t3\n", CREATE, LIST, QUERY);
         assertTrue(reply(input).contains("ATTEMPT\t3\tp-id"));
     }
--- a/src/test/java/postbeam/slices/MoveFailureTest.java
+++ b/src/test/java/postbeam/slices/MoveFailureTest.java
@@ -103,7 +103,7 @@
     }
 
     /**
-     * Repeats a run and crashes the coordinator after a different record each time, so that the
+     * Repeats a move and crashes the coordinator after a different record each time, so that the
      * actions between two records are lost in one run and executed in the next.
      */
     @Test
--- a/src/test/java/postbeam/slices/TranslationBenchmark.java
+++ b/src/test/java/postbeam/slices/TranslationBenchmark.java
@@ -22,9 +22,9 @@
 import postbeam.model.SideEffects;
 
 /**
- * Measures the translation of a query for 100 slices over a layout of 10,000 slices, requested by
- * the current version and by a version before 100 splits. After {@code mvn -q test-compile
- * dependency:build-classpath -Dmdep.outputFile=target/cp} run it with {@code java -cp
+ * Measures the translation of a query for 100 slices over a layout of 10,000 slices, whose request
+ * names the current layout version or a version from before 100 splits. After {@code mvn -q
+ * test-compile dependency:build-classpath -Dmdep.outputFile=target/cp} run it with {@code java -cp
  * target/classes:target/test-classes:$(cat target/cp) postbeam.slices.TranslationBenchmark}.
  */
 @State(Scope.Benchmark)
@@ -97,7 +97,9 @@
         return query;
     }
 
-    /** Includes the answered weight, which the routing policy computes several times per batch. */
+    /**
+     * Includes the answered weight, which the policy computes several times per batch of events.
+     */
     @Benchmark
     public double answeredWeightAcrossSplits() throws UnroutableQueryException {
         Query query = query();
