--- a/src/main/java/postbeam/config/PolicyFactory.java
+++ b/src/main/java/postbeam/config/PolicyFactory.java
@@ -172,8 +172,8 @@
     }
 
     /**
-     * Creates the schedule for polling discovery. It never polls in the default mode, in which
-     * discovery sends updates without being polled.
+     * Creates the schedule for polling discovery. The schedule never polls in the default mode, in
+     * which discovery sends updates without being polled.
      */
     public static PollSchedule pollSchedule(InstanceSettings settings, Random random) {
         String mode = settings.text("discovery");
--- a/src/main/java/postbeam/layoutservice/HandoffConnection.java
+++ b/src/main/java/postbeam/layoutservice/HandoffConnection.java
@@ -30,7 +30,7 @@
     /** A request frame, the limit for its response in bytes, and the reader of the response. */
     record Request(String frame, int maxResponseBytes, ResponseReader reader) {}
 
-    /** Checks a response and decides how it is delivered. */
+    /** Checks a node's response and decides how its result is delivered. */
     interface ResponseReader {
         /**
          * Checks that the response belongs to the request.
--- a/src/main/java/postbeam/layoutservice/JournalWriteException.java
+++ b/src/main/java/postbeam/layoutservice/JournalWriteException.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * A record could not be written, and it is not known whether it is on disk. The service makes no
- * further decisions in this process; a restart continues from what is on disk.
+ * Thrown if a journal record could not be written; it is not known whether the record is on disk.
+ * The service makes no further decisions in this process; a restart continues from what is on disk.
  */
 final class JournalWriteException extends IOException {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/postbeam/layoutservice/LayoutService.java
+++ b/src/main/java/postbeam/layoutservice/LayoutService.java
@@ -68,7 +68,7 @@
     private final Thread endpointThread;
     private final Thread movesThread;
 
-    /** Creates a service; it does nothing until it is started. */
+    /** Creates a service, which does nothing until it is started. */
     public LayoutService(Config config) {
         this(config, layout -> {});
     }
--- a/src/main/java/postbeam/layoutservice/MoveJournal.java
+++ b/src/main/java/postbeam/layoutservice/MoveJournal.java
@@ -177,10 +177,10 @@
     // ---- writing
 
     /**
-     * Appends a record; once this returns the record is on disk.
+     * Appends a record. The record is on disk when the method returns.
      *
-     * @throws IOException it is not known whether the record is on disk; no further record may be
-     *     written
+     * @throws IOException if the write failed; it is not known whether the record is on disk, and
+     *     no further record may be written
      */
     void append(JournalRecord record) throws IOException {
         ByteBuffer frame = frame(record);
--- a/src/main/java/postbeam/layoutservice/MoveRecordCodec.java
+++ b/src/main/java/postbeam/layoutservice/MoveRecordCodec.java
@@ -264,7 +264,7 @@
                 readOldHolders(object, "owed"));
     }
 
-    /** Returns null if there is no target. */
+    /** Reads the target layout; null if the record has none. */
     private static TargetLayout readOptionalTarget(Map<?, ?> object) throws IOException {
         return object.containsKey("target")
                 ? LayoutChangeCodec.readTarget(JsonFields.object(object, "target"))
--- a/src/main/java/postbeam/migration/Migration.java
+++ b/src/main/java/postbeam/migration/Migration.java
@@ -72,7 +72,10 @@
         return since;
     }
 
-    /** Whether it is paused: it makes no progress until an operator resumes it or rolls it back. */
+    /**
+     * Whether the migration is paused: a paused migration makes no progress until an operator
+     * resumes it or rolls it back.
+     */
     public boolean isPaused() {
         return pauseReason != null;
     }
--- a/src/main/java/postbeam/migration/MigrationManager.java
+++ b/src/main/java/postbeam/migration/MigrationManager.java
@@ -233,7 +233,7 @@
                 && move.state() != MoveState.PLANNED;
     }
 
-    /** Updates a member's utility, which measures how well it is served, from 0 to 1. */
+    /** Updates a member's utility, a measure from 0 to 1 of how well the member is served. */
     public void updateUtility(String member, double utility) {
         pauseDetector.updateUtility(member, utility);
     }
--- a/src/main/java/postbeam/migration/MigrationRecord.java
+++ b/src/main/java/postbeam/migration/MigrationRecord.java
@@ -57,8 +57,8 @@
     record RollbackStarted(long id, String reason, Duration at) implements MigrationRecord {}
 
     /**
-     * The complete state of a migration. The fields of the pause, the checkpoints and the rollback
-     * are null if there is none.
+     * The complete state of a migration. The fields of the pause, of the checkpoints and of the
+     * rollback are null if the migration has no pause, no checkpoint or no rollback.
      */
     record Snapshot(
             long id,
--- a/src/main/java/postbeam/migration/MigrationStateMachine.java
+++ b/src/main/java/postbeam/migration/MigrationStateMachine.java
@@ -7,7 +7,10 @@
 import postbeam.slices.Move;
 import postbeam.slices.MoveState;
 
-/** Advances one migration through its states, and pauses it if there is a reason to. */
+/**
+ * Advances one migration through its states, and pauses it if the {@link PauseDetector} finds a
+ * reason.
+ */
 final class MigrationStateMachine {
     private final TransferProgress progress;
     private final MigrationJournalState journalState;
--- a/src/main/java/postbeam/migration/RouterAcknowledgements.java
+++ b/src/main/java/postbeam/migration/RouterAcknowledgements.java
@@ -7,9 +7,9 @@
 
 /**
  * Tracks which layout version each router has acknowledged, and until when it may still use an
- * older one. A router counts its lease from its request, by its own clock; here the lease is
- * counted from the response, which is later and thus on the safe side. Times are durations since
- * the Unix epoch.
+ * older one. A router counts its lease from its request, by its own clock. This class counts the
+ * lease from the response, which is later, so it never assumes that a lease is over too early.
+ * Times are durations since the Unix epoch.
  */
 public final class RouterAcknowledgements {
     /** Maximum number of routers that are tracked; further routers count as unknown. */
@@ -21,7 +21,7 @@
     private static final class RouterStatus {
         private long version;
 
-        /** Time of the last response, or of the first request while there was none. */
+        /** Time of the last response, or of the first request while no response was sent. */
         private Duration respondedAt;
 
         RouterStatus(Duration respondedAt) {
@@ -47,7 +47,10 @@
         this.unknownRoutersUntil = createdAt.plus(leaseWithDrift);
     }
 
-    /** Handles a router's request for a layout; it holds this version, or none if it is 0. */
+    /**
+     * Handles a router's request for a layout. The router has the given version; 0 if it has no
+     * layout.
+     */
     public void onRequest(String router, long version, Duration now) {
         RouterStatus status = routers.get(router);
         if (status == null) {
@@ -62,8 +65,8 @@
     }
 
     /**
-     * Handles a response with this version to a router. The router then holds this version or, if
-     * the response is lost, the one that it held before; the older of both counts.
+     * Handles a response with this version to a router. The router then has this version or, if the
+     * response is lost, its previous one; the older of both is assumed.
      */
     public void onResponse(String router, long version, Duration now) {
         RouterStatus status = routers.get(router);
--- a/src/main/java/postbeam/migration/SliceSizes.java
+++ b/src/main/java/postbeam/migration/SliceSizes.java
@@ -46,7 +46,7 @@
         List<String> holders = requested.nodes();
         String holder =
                 holders.stream().filter(progress::isReady).findFirst().orElse(holders.get(0));
-        // Responses to earlier requests for the slice are ignored from here on.
+        // From now on, responses to earlier requests for the slice are ignored.
         sliceByRequest.values().removeIf(other -> other == slice);
         long requestId = requestIds.next();
         sliceByRequest.put(requestId, slice);
--- a/src/main/java/postbeam/pages/FollowUpFetchBudget.java
+++ b/src/main/java/postbeam/pages/FollowUpFetchBudget.java
@@ -5,9 +5,9 @@
 
 /**
  * Limits the follow-up fetches in a window of the budget for extra attempts (rule 6 of the
- * protocol). That budget counts a follow-up as a query of its own, so follow-ups would raise the
- * budget that they use. To make up for this, {@link #reservedAttempts} is subtracted from the
- * budget beforehand.
+ * protocol). A follow-up fetch requests rows that a page still lacks after the first answers. The
+ * budget counts it as a query of its own, so follow-up fetches would raise the budget that they
+ * use. To make up for this, {@link #reservedAttempts} is subtracted from the budget beforehand.
  *
  * <p>Thread-safe; no method blocks while it holds the lock.
  */
--- a/src/main/java/postbeam/pages/RowDistribution.java
+++ b/src/main/java/postbeam/pages/RowDistribution.java
@@ -40,7 +40,7 @@
     /** Maximum safety margin above the expected rows, in standard deviations. */
     private static final double MAX_DEVIATIONS = 2.5;
 
-    /** Cost of a follow-up fetch, in rows. */
+    /** Cost of a follow-up fetch, as the number of fetched rows that cost as much. */
     private static final double FETCH_COST_ROWS = 8;
 
     /** Weight of a new page in the moving average of the dispersion. */
@@ -154,8 +154,8 @@
     }
 
     /**
-     * Returns how many rows a follow-up fetches of a range that is expected to have this many more
-     * rows on the page.
+     * Returns how many rows a follow-up fetch requests from a range that is expected to have this
+     * many more rows on the page.
      */
     int followUpRows(double expected, int pageSize) {
         return clampRows(1 + expected + Math.sqrt(expected), pageSize);
--- a/src/main/java/postbeam/simulator/ActionWriter.java
+++ b/src/main/java/postbeam/simulator/ActionWriter.java
@@ -14,7 +14,10 @@
         this.out = out;
     }
 
-    /** Sends an attempt of a shard request to a node; null means the client's timeout. */
+    /**
+     * Writes the action that sends an attempt of a shard request to a node; a null timeout stands
+     * for the client's timeout.
+     */
     void attempt(String requestId, String node, Duration timeout) {
         write("ATTEMPT", requestId, node, microsOrZero(timeout));
     }
--- a/src/main/java/postbeam/slices/ActionList.java
+++ b/src/main/java/postbeam/slices/ActionList.java
@@ -6,7 +6,8 @@
 
 /**
  * The actions that one call of the {@link Coordinator} decides on, in the order in which they are
- * to be executed. A record is applied to the state as soon as it is appended.
+ * to be executed. A journal record is applied to the {@link MoveJournalState} as soon as it is
+ * added to this list.
  */
 final class ActionList {
     private final MoveJournalState state;
--- a/src/main/java/postbeam/slices/ChangePlanner.java
+++ b/src/main/java/postbeam/slices/ChangePlanner.java
@@ -9,7 +9,7 @@
 
 /** Checks whether a layout change can be made now, and plans it. */
 final class ChangePlanner {
-    /** History, in versions, of a layout that is only computed to check a change. */
+    /** Number of earlier versions that a layout keeps if it is only computed to check a change. */
     private static final long DRY_RUN_HISTORY = 1;
 
     private final MoveJournalState state;
@@ -115,7 +115,10 @@
                 : Optional.of("slice " + transfer.slice() + " has no holder left to copy from");
     }
 
-    /** A split or merge needs every holder of the slice, since each re-registers its own data. */
+    /**
+     * A split or merge is planned only if no holder of the slice has been removed from the node
+     * list, since each holder registers its data under the new slice numbers.
+     */
     private Optional<String> goneHolderProblem(int slice) {
         return state.layout().slice(slice).nodes().stream()
                 .filter(nodes::isGone)
@@ -130,8 +133,8 @@
     }
 
     /**
-     * The node to copy a slice from: the holder that gives it up if that is ready, else another
-     * ready holder, else any listed holder; empty if no holder is listed.
+     * The node to copy a slice from: the holder that the transfer removes if that one is ready,
+     * else another ready holder, else any listed holder; empty if no holder is listed.
      */
     private Optional<String> copySource(LayoutChange.Transfer transfer) {
         if (transfer.from() != null && nodes.isReady(transfer.from())) {
@@ -184,8 +187,8 @@
     }
 
     /**
-     * Transfers that replace holders that are gone, without those that can't be planned now. At
-     * most twice as many as moves may run at once.
+     * Transfers that replace holders whose nodes are no longer listed, without those that can't be
+     * planned now. At most twice as many are returned as moves may run at once.
      */
     List<LayoutChange> repairs() {
         List<LayoutChange> repairs =
--- a/src/main/java/postbeam/slices/CommandDeliveries.java
+++ b/src/main/java/postbeam/slices/CommandDeliveries.java
@@ -29,7 +29,7 @@
 
     /**
      * Sends the command unless it is acknowledged, was sent less than {@code resendInterval} ago,
-     * or its node is gone.
+     * or its node is no longer listed.
      *
      * @return whether the command is acknowledged
      */
@@ -72,7 +72,10 @@
         deliveries.keySet().removeIf(key -> !wanted.test(key.node(), key.slice()));
     }
 
-    /** Forgets the commands sent to a node, which may have lost them. */
+    /**
+     * Forgets the commands sent to a node that restarted or reappeared and may have lost them, so
+     * that they are sent again.
+     */
     void forgetNode(String node) {
         deliveries.keySet().removeIf(key -> key.node().equals(node));
     }
--- a/src/main/java/postbeam/slices/Coordinator.java
+++ b/src/main/java/postbeam/slices/Coordinator.java
@@ -40,7 +40,9 @@
         return state;
     }
 
-    /** Sets the workflow that permits each move to go on, in place of the one before. */
+    /**
+     * Sets the workflow that decides whether each move may go on; it replaces the one set before.
+     */
     public void setAdmission(MoveAdmission admission) {
         approval.setAdmission(admission);
     }
@@ -158,8 +160,8 @@
     }
 
     /**
-     * Transfers that replace holders that are gone. They are only proposed to operators, since the
-     * coordinator can't know whether a node that is no longer listed is dead.
+     * Transfers that replace holders whose nodes are no longer listed. They are only proposed to
+     * operators, since the coordinator can't know whether a node that is no longer listed is dead.
      */
     public List<LayoutChange> repairs() {
         return planner.repairs();
@@ -181,8 +183,8 @@
     }
 
     /**
-     * Plans changes until twice as many moves wait or run as may run at once. The next tick finds
-     * the remaining changes again.
+     * Plans changes towards the target until the moves that wait or run are twice as many as may
+     * run at once. The next tick finds the remaining changes again.
      */
     private void planTowardsTarget(ActionList actions) {
         for (LayoutChange change :
--- a/src/main/java/postbeam/slices/CoordinatorAction.java
+++ b/src/main/java/postbeam/slices/CoordinatorAction.java
@@ -14,8 +14,8 @@
      * @param move the move's id; 0 if the command belongs to no move
      * @param version for {@link HandoffCommand#SERVE}, the first layout version whose calls are to
      *     be served
-     * @param source for {@link HandoffCommand#COPY}, the node to copy the data from; null for a
-     *     command to an old holder or of no move
+     * @param source for {@link HandoffCommand#COPY}, the node to copy the data from; null if the
+     *     command goes to an old holder or belongs to no move
      */
     record SendCommand(
             long move,
--- a/src/main/java/postbeam/slices/Fragment.java
+++ b/src/main/java/postbeam/slices/Fragment.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Keys within one slice of the current layout, requested by a query. */
+/** A range of keys that a query requests, within one slice of the current layout. */
 public record Fragment(int slice, KeyRange keys) implements Comparable<Fragment> {
     /** Splits a key range at the slice boundaries of a layout. */
     public static List<Fragment> split(Layout layout, KeyRange keys) {
--- a/src/main/java/postbeam/slices/Layout.java
+++ b/src/main/java/postbeam/slices/Layout.java
@@ -213,7 +213,7 @@
      * The layout with a change, under a higher version.
      *
      * @param newSliceNumbers the numbers of the slices that the change creates
-     * @param acquiredAt when a new holder acquires its slice, since the Unix epoch
+     * @param acquiredAt when a new holder acquires its slice, as a duration since the Unix epoch
      * @param historyVersions how many versions back slices can still be resolved
      * @throws IllegalArgumentException if the change can't be made; the message says why
      */
--- a/src/main/java/postbeam/slices/LayoutCompleteness.java
+++ b/src/main/java/postbeam/slices/LayoutCompleteness.java
@@ -47,7 +47,10 @@
     private final double requestedWeight;
     private final Supplier<Layout> currentLayout;
 
-    /** Whether shard requests no longer correspond one to one to the requested slices. */
+    /**
+     * Whether the shard requests no longer correspond one to one to the slices that the client
+     * requested.
+     */
     private boolean remapped;
 
     LayoutCompleteness(
@@ -146,7 +149,7 @@
         return requested.size();
     }
 
-    /** The answered shard requests that go into the answer. */
+    /** The answered shard requests whose rows are part of the query's answer. */
     public CompleteRequests completeRequests(Query query) {
         Predicate<ShardRequest> answered = ShardRequest::isAnswered;
         if (!remapped) {
@@ -174,7 +177,10 @@
         return requestsOfCompleteSlices(query, condition, currentLayout.get()::overlapping);
     }
 
-    /** The shard requests all of whose slices are complete: all requests for these match. */
+    /**
+     * The shard requests all of whose slices are complete: every request for keys of these slices
+     * satisfies the condition.
+     */
     private static List<KeyRangeRequest> requestsOfCompleteSlices(
             Query query, Predicate<ShardRequest> condition, SliceLookup lookup) {
         Map<Object, Boolean> completeSlices = new LinkedHashMap<>();
--- a/src/main/java/postbeam/slices/LayoutReplicaPlacement.java
+++ b/src/main/java/postbeam/slices/LayoutReplicaPlacement.java
@@ -29,8 +29,8 @@
     /**
      * Sets how nodes and times are translated.
      *
-     * @param nodeNames from a node to its name in the layout
-     * @param toRouterTime from a time since the Unix epoch to the router's time
+     * @param nodeNames function from a node to its name in the layout
+     * @param toRouterTime function from a duration since the Unix epoch to the router's clock
      */
     public void configure(
             Function<DataNode, String> nodeNames, Function<Duration, Duration> toRouterTime) {
@@ -68,7 +68,10 @@
         cachedReplicas.remove(slice);
     }
 
-    /** Ends an exclusion, for example because the node's report is too old to rely on. */
+    /**
+     * Lets a node be a replica of the slice again, for example because its report is too old to
+     * rely on.
+     */
     void readmit(int slice, DataNode node) {
         Set<DataNode> nodes = excluded.get(slice);
         if (nodes != null && nodes.remove(node)) {
--- a/src/main/java/postbeam/slices/Move.java
+++ b/src/main/java/postbeam/slices/Move.java
@@ -97,7 +97,10 @@
         }
     }
 
-    /** Each holder registers its own data under the numbers of the new slices. */
+    /**
+     * Destinations of a split or merge: each holder registers the data that it has under the
+     * numbers of the new slices, so nothing is copied between nodes.
+     */
     private static void planSplitOrMerge(
             JournalRecord.Planned planned,
             Layout layout,
--- a/src/main/java/postbeam/slices/MoveAdmission.java
+++ b/src/main/java/postbeam/slices/MoveAdmission.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 
 /**
- * A workflow over several moves that decides whether each of them may go on. The coordinator asks
- * at each tick and does not remember the answers.
+ * A workflow over several moves that decides whether each of them may go on. The coordinator calls
+ * it at each tick and does not store the results.
  */
 public interface MoveAdmission {
     /** Admits all moves, for a coordinator without a workflow. */
--- a/src/main/java/postbeam/slices/MoveApproval.java
+++ b/src/main/java/postbeam/slices/MoveApproval.java
@@ -4,7 +4,7 @@
 
 /**
  * Holds the current {@link MoveAdmission}, which can be set after the coordinator's classes were
- * wired, and forwards questions to it.
+ * wired, and forwards calls to it.
  */
 final class MoveApproval {
     private MoveAdmission admission = MoveAdmission.UNRESTRICTED;
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Whether the move waits only for the workflow. Its nodes then do no more than keep copies up
-     * to date and serve, so it does not count towards the limits on moves.
+     * Whether the move waits only for the permission of the workflow. Its nodes then only serve and
+     * keep copies up to date, so the move does not count towards the limits on moves.
      */
     boolean isAwaitingApproval(Move move) {
         return switch (move.state()) {
--- a/src/main/java/postbeam/slices/MoveCommands.java
+++ b/src/main/java/postbeam/slices/MoveCommands.java
@@ -38,7 +38,8 @@
     /**
      * Sends the command to each destination.
      *
-     * @return whether all have acknowledged it; DROP also counts as done if the destination is gone
+     * @return whether all have acknowledged it; DROP also counts as acknowledged if the destination
+     *     is no longer listed
      */
     boolean sendToDestinations(ActionList actions, Move move, HandoffCommand command) {
         return evaluateAll(
@@ -52,7 +53,7 @@
     /**
      * Sends the command to each old holder.
      *
-     * @return whether all that are not gone have acknowledged it
+     * @return whether all old holders that are still listed have acknowledged it
      */
     boolean sendToOldHolders(ActionList actions, Move move, HandoffCommand command) {
         return evaluateAll(
@@ -105,8 +106,8 @@
     }
 
     /**
-     * Whether all elements match. Unlike {@code allMatch}, it tests every element, since the test
-     * itself sends the command.
+     * Whether the command to each element is acknowledged. Unlike {@code allMatch}, it tests every
+     * element, since the test itself sends the command.
      */
     private static <T> boolean evaluateAll(List<T> list, Predicate<T> predicate) {
         boolean all = true;
--- a/src/main/java/postbeam/slices/MoveJournalState.java
+++ b/src/main/java/postbeam/slices/MoveJournalState.java
@@ -41,7 +41,10 @@
          */
         void apply(JournalRecord.WorkflowRecord record);
 
-        /** Records that lead to the current state and replace all earlier ones. */
+        /**
+         * Records that restore the current state; compaction writes them in place of all earlier
+         * workflow records.
+         */
         List<JournalRecord.WorkflowRecord> snapshotRecords();
     }
 
@@ -86,7 +89,7 @@
         return finishedMoves;
     }
 
-    /** The slices whose data nodes have yet to drop. */
+    /** The slices that nodes no longer hold but whose data they have not yet dropped. */
     public Collection<Move.OldHolder> pendingDrops() {
         return pendingDrops;
     }
--- a/src/main/java/postbeam/slices/MoveLimits.java
+++ b/src/main/java/postbeam/slices/MoveLimits.java
@@ -10,7 +10,7 @@
  * @param maxMovesPerZone maximum number of these that need nodes of the same zone
  * @param copyTimeout how long copying may take before the move is abandoned
  * @param stepTimeout how long any other step may wait for nodes before it is given up
- * @param nodeCooldown how long after it acquired a slice a node gets no other
+ * @param nodeCooldown how long a node that acquired a slice gets no further slice
  * @param resendInterval how often an unacknowledged command is sent again
  * @param minHolders minimum number of holders of a slice
  * @param minZones minimum number of zones that the holders of a slice are in
--- a/src/main/java/postbeam/slices/MoveStateMachine.java
+++ b/src/main/java/postbeam/slices/MoveStateMachine.java
@@ -52,7 +52,7 @@
             case CUT_OVER -> dropOldCopies(actions, move);
             case ABANDONING -> rollBack(actions, move);
             default -> {
-                // The move is finished.
+                // The move is finished, so no further step follows.
             }
         }
     }
@@ -105,8 +105,8 @@
 
     /**
      * Fences the old holders first, then lets the destinations serve, then cuts over: at no time do
-     * nodes accept calls of both layout versions for the slice. An old holder that is gone after it
-     * was fenced does not stop the move.
+     * nodes accept calls of both layout versions for the slice. An old holder that is no longer
+     * listed after it was fenced does not stop the move.
      */
     private void fenceAndCutOver(ActionList actions, Move move) {
         boolean fenced = true;
@@ -114,8 +114,8 @@
             boolean acknowledged = commands.send(actions, move, HandoffCommand.FENCE, holder);
             boolean gone = nodes.isGone(holder.node());
             if (!acknowledged && gone && !canSkipFencing(move, holder.node())) {
-                // The node may only be unreachable from here and still accept calls of the old
-                // version.
+                // The unlisted node may only be unreachable for the coordinator and still accept
+                // calls of the old layout version.
                 abandon(actions, move, goneReason(holder.node()) + " before it was fenced");
                 return;
             }
@@ -144,9 +144,9 @@
     }
 
     /**
-     * Whether the move may cut over although this old holder, which is gone, was not fenced. That
-     * is so for a transfer that copies from another node or copies nothing: it was planned without
-     * the data of this holder.
+     * Whether the move may cut over although this old holder, which is no longer listed, was not
+     * fenced. That is so for a transfer that copies from another node or copies nothing: it was
+     * planned without the data of this holder.
      */
     private static boolean canSkipFencing(Move move, String node) {
         return move.change instanceof LayoutChange.Transfer
@@ -165,7 +165,8 @@
         } else if (approval.permits(move, MoveState.COMPLETED)
                 && (commands.sendToOldHolders(actions, move, HandoffCommand.DROP)
                         || isLate(actions, move))) {
-            // A holder that does not acknowledge drops its data when it is back; until then it is
+            // An old holder that does not acknowledge DROP drops its data when it is listed again;
+            // until then it is
             // fenced and accepts no calls.
             appendPendingDrops(actions, move, move.oldHolders);
             complete(actions, move);
@@ -205,7 +206,7 @@
                 !move.mayBeFenced()
                         || commands.sendToOldHolders(actions, move, HandoffCommand.SERVE);
         if (served && dropped) {
-            // A destination that does not acknowledge drops its copy when it is back.
+            // A destination that does not acknowledge DROP drops its copy when it is listed again.
             appendPendingDrops(
                     actions,
                     move,
@@ -273,8 +274,8 @@
     }
 
     /**
-     * A destination or source that is gone. Old holders don't matter here: a move that copies from
-     * another node can replace an old holder that is gone.
+     * A destination or source that is no longer listed. Old holders are not considered: a move that
+     * copies from another node can replace an old holder that is no longer listed.
      */
     private Optional<String> goneNode(Move move) {
         for (Move.Destination destination : move.destinations) {
--- a/src/main/java/postbeam/slices/NodeReconciliation.java
+++ b/src/main/java/postbeam/slices/NodeReconciliation.java
@@ -7,7 +7,7 @@
 /**
  * Brings nodes back in line with the layout, outside of moves: a node that reappears may have lost
  * the knowledge of which slices it serves, or still have data of slices that were moved off it
- * while it was gone.
+ * while it was not listed.
  */
 final class NodeReconciliation {
     /** The move id of commands that belong to no move. */
@@ -16,7 +16,7 @@
     /** Maximum number of unacknowledged SERVE commands per node, whose command queue is bounded. */
     private static final int MAX_SERVES_IN_FLIGHT = 64;
 
-    /** The version in DROP commands, which apply whatever the layout version. */
+    /** The version in DROP commands, which apply regardless of the layout version. */
     private static final long ANY_VERSION = 0;
 
     private final MoveJournalState state;
@@ -55,8 +55,9 @@
     }
 
     /**
-     * Sends DROP to nodes that did not acknowledge it during the move. A node that was gone while a
-     * slice was moved off it would otherwise serve old data to a router with an equally old layout.
+     * Sends DROP to nodes that did not acknowledge it during the move. A node that was not listed
+     * while a slice was moved off it would otherwise serve old data to a router with an equally old
+     * layout.
      */
     void sendPendingDrops(ActionList actions) {
         forgetCancelledDrops();
@@ -92,8 +93,8 @@
     }
 
     /**
-     * Sends SERVE to nodes that reappeared, for each slice that the layout assigns to them and that
-     * is not moving.
+     * Sends SERVE to nodes that appeared, reappeared or restarted, for each slice that the layout
+     * assigns to them and that is not moving.
      */
     void sendServeCommands(ActionList actions) {
         serveDeliveries
@@ -115,7 +116,8 @@
             if (!slice.heldBy(node) || inFlight >= MAX_SERVES_IN_FLIGHT) {
                 continue;
             }
-            // A moving slice counts as unacknowledged, so its SERVE is sent after the move.
+            // A slice that a move changes counts as unacknowledged, so its SERVE is sent after the
+            // move.
             boolean acknowledged =
                     !isMoving(slice.number())
                             && deliveries.send(
--- a/src/main/java/postbeam/slices/NodeStates.java
+++ b/src/main/java/postbeam/slices/NodeStates.java
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Whether the node was listed once and is no longer. A node that was never listed is not gone,
-     * but expected to appear.
+     * Whether the node was listed once and is no longer. False for a node that was never listed,
+     * since it is expected to appear.
      */
     boolean isGone(String node) {
         TargetLayout.NodeInfo info = nodes.get(node);
--- a/src/main/java/postbeam/slices/Planner.java
+++ b/src/main/java/postbeam/slices/Planner.java
@@ -55,7 +55,7 @@
     }
 
     /**
-     * The boundaries of the target strictly inside a slice.
+     * The boundaries between slices of the target that are strictly inside a slice of the layout.
      *
      * @param first index of the desired slice in which the slice begins
      */
--- a/src/main/java/postbeam/slices/SlicePlacement.java
+++ b/src/main/java/postbeam/slices/SlicePlacement.java
@@ -41,12 +41,12 @@
     }
 
     /**
-     * Transfers that replace holders that are gone. Each goes to a ready node, preferably in a zone
-     * without a holder of the slice, and among these to the node that holds the fewest slices.
-     * Slices with the fewest listed holders come first. A slice without a listed holder is left
-     * out, since no node has its data.
+     * Transfers that replace holders whose nodes are no longer listed. Each goes to a ready node,
+     * preferably in a zone without a holder of the slice, and among these to the node that holds
+     * the fewest slices. Slices with the fewest listed holders come first. A slice without a listed
+     * holder is left out, since no node has its data.
      *
-     * @param gone names of the nodes that are gone
+     * @param gone names of the nodes that were listed once and are no longer
      * @param busy the slices that moves under way concern; they are left out
      * @param maxRepairs the maximum number of transfers
      */
@@ -79,8 +79,8 @@
     }
 
     /**
-     * Slices with at least one holder that is gone and one that is listed, those with the fewest
-     * listed holders first.
+     * Slices with at least one holder that is no longer listed and one that is listed, those with
+     * the fewest listed holders first.
      */
     private static List<Slice> repairableSlices(
             Layout layout,
--- a/src/main/java/postbeam/slices/SliceTranslator.java
+++ b/src/main/java/postbeam/slices/SliceTranslator.java
@@ -28,7 +28,7 @@
     /** The maximum number of shard requests that a query may be translated into. */
     private static final int MAX_SHARD_REQUESTS = 2048;
 
-    /** The version by which a client refers to the current layout. */
+    /** The version number that stands for the current layout in a client's query. */
     private static final long CURRENT_VERSION = 0;
 
     private final LayoutReplicaPlacement placement = new LayoutReplicaPlacement();
@@ -199,7 +199,10 @@
         fragments.forEach(fragment -> newRequest(query, completeness, fragment));
     }
 
-    /** A query that is not idempotent must not run by a layout that may be out of date. */
+    /**
+     * Rejects a query that is not idempotent if the lease is over: it must not run by a layout that
+     * may be out of date.
+     */
     private void requireLease(Query query) throws UnroutableQueryException {
         if (leaseDuration != null
                 && query.queryClass().sideEffects == SideEffects.NON_IDEMPOTENT
@@ -225,7 +228,10 @@
                 completeness.estimatedWorkOf(fragment.keys()));
     }
 
-    /** The rule by which the weights of the query's answer count. */
+    /**
+     * The rule that computes the completeness of a query's answer from the weights of its shard
+     * requests.
+     */
     protected CompletenessRule completenessRule(LayoutCompleteness completeness) {
         return completeness;
     }
--- a/src/main/java/postbeam/slices/UnroutableQueryException.java
+++ b/src/main/java/postbeam/slices/UnroutableQueryException.java
@@ -11,7 +11,7 @@
     public enum Reason {
         /** The client names a layout version that this router no longer keeps. */
         LAYOUT_EXPIRED,
-        /** The router does not know the layout version yet, or must not use the one that it has. */
+        /** The router does not know the layout version yet, or its lease on the layout is over. */
         LAYOUT_UNKNOWN,
         /** The layout version has no such slice, or the query names too many slices. */
         UNKNOWN_SLICE
--- a/src/main/java/postbeam/slices/package-info.java
+++ b/src/main/java/postbeam/slices/package-info.java
@@ -15,7 +15,7 @@
  *   <li>{@link postbeam.slices.Coordinator} decides on moves; only one process at a time moves
  *       slices, and its layout service owns the coordinator. {@code MoveStateMachine} advances a
  *       move, {@code ChangePlanner} checks and plans changes, {@code NodeReconciliation} brings
- *       nodes that were gone back in line with the layout.
+ *       nodes that reappeared or restarted back in line with the layout.
  *   <li>{@link postbeam.slices.MoveJournalState} is the state that must survive a restart; it
  *       results from applying the {@link postbeam.slices.JournalRecord}s in order.
  * </ul>
