--- a/src/main/java/postbeam/cli/RehearseCommand.java
+++ b/src/main/java/postbeam/cli/RehearseCommand.java
@@ -19,7 +19,7 @@
                 "Start on a free loopback port, answer a few queries and exit; the build records"
                         + " which classes this loads, so that serve starts faster")
 final class RehearseCommand implements Command {
-    /** After this number of queries, no further classes are loaded. */
+    /** Number of queries to send: later ones load no further classes. */
     private static final int QUERIES = 5;
 
     private static final byte[] BODY =
--- a/src/main/java/postbeam/cli/ServeCommand.java
+++ b/src/main/java/postbeam/cli/ServeCommand.java
@@ -24,7 +24,8 @@
     @Override
     public int run() throws InterruptedException {
         LogRateLimiter.install();
-        // Installed before the file is first read, as an unhandled SIGHUP ends the process.
+        // The SIGHUP handler is installed before the file is first read, as an unhandled SIGHUP
+        // ends the process.
         ConfigurationReloader reloader = ConfigurationReloader.install(config);
         Router router;
         try {
@@ -35,9 +36,8 @@
             return 1;
         }
         reloader.attach(router);
-        // Added before the router listens; otherwise a signal in between would end the process
-        // without
-        // answering the queries that it has accepted.
+        // The shutdown hook is added before the router listens; otherwise a signal in between would
+        // end the process without answering the queries that it has accepted.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(router), "stop"));
         try {
             router.start();
--- a/src/main/java/postbeam/clients/ClientConnections.java
+++ b/src/main/java/postbeam/clients/ClientConnections.java
@@ -33,7 +33,7 @@
     /** Connections kept free, so that new clients are accepted while others are idle. */
     private static final int RESERVED_CONNECTIONS = 8;
 
-    /** Time that every client has to send a request, however many clients connect. */
+    /** Minimum time that each client has to send a request, however many clients connect. */
     private static final Duration MIN_IDLE = Duration.ofMillis(200);
 
     private final XnioIoThread ioThread;
--- a/src/main/java/postbeam/clients/ClientListener.java
+++ b/src/main/java/postbeam/clients/ClientListener.java
@@ -78,7 +78,7 @@
                 return true;
             }
         } catch (ClosedChannelException e) {
-            // The notification of a connection that was accepted before the listening socket
+            // A late notification: its connection was accepted before the listening socket was
             // closed.
             return false;
         } catch (IOException e) {
--- a/src/main/java/postbeam/clients/QueryCodec.java
+++ b/src/main/java/postbeam/clients/QueryCodec.java
@@ -97,7 +97,7 @@
         return id;
     }
 
-    /** Excludes the dot, which separates the request id from the shard in attempt ids. */
+    /** Ids must not contain a dot, which separates the request id from the shard in attempt ids. */
     private static boolean isAllowedInId(int character) {
         return character > ' ' && character < 127 && character != '.';
     }
--- a/src/main/java/postbeam/clients/QueryExchange.java
+++ b/src/main/java/postbeam/clients/QueryExchange.java
@@ -20,8 +20,8 @@
     private static final System.Logger LOG = System.getLogger(QueryExchange.class.getName());
 
     /**
-     * Time after which a client may retry that uses a newer layout than this router. The router
-     * usually receives the layout sooner.
+     * Retry-After for a client that uses a newer layout than this router, which usually receives
+     * that layout sooner.
      */
     private static final Duration LAYOUT_RETRY_AFTER = Duration.ofMillis(200);
 
@@ -129,8 +129,8 @@
             query.clientDisconnected();
             return;
         }
-        // Reads the socket itself, as the HTTP library's channel ends with the request body and
-        // does not report a disconnect afterwards.
+        // Reads the socket directly: the channel of the HTTP library ends with the request body
+        // and does not report a later disconnect.
         StreamSourceConduit socket = connection.getOriginalSourceConduit();
         client.setWatched(true);
         connection
--- a/src/main/java/postbeam/clients/RequestReader.java
+++ b/src/main/java/postbeam/clients/RequestReader.java
@@ -28,7 +28,8 @@
         try {
             return exchange.getRequestContentLength() <= MAX_BODY_BYTES;
         } catch (NumberFormatException e) {
-            // Undertow accepts only digits, so the number is too large for a long.
+            // Undertow accepts only digits in Content-Length, so the number is too large for a
+            // long.
             return false;
         }
     }
--- a/src/main/java/postbeam/config/InstanceSettings.java
+++ b/src/main/java/postbeam/config/InstanceSettings.java
@@ -173,7 +173,8 @@
         } catch (NumberFormatException e) {
             throw invalid(path, "is not a number: " + value);
         }
-        // Range checks don't work with NaN and infinity, and a duration of NaN would become 0.
+        // Rejects NaN and infinity: range checks don't work with them, and a duration of NaN would
+        // become 0.
         if (!Double.isFinite(number)) {
             throw invalid(path, "is not a finite number: " + value);
         }
--- a/src/main/java/postbeam/config/PolicyFactory.java
+++ b/src/main/java/postbeam/config/PolicyFactory.java
@@ -25,16 +25,19 @@
     // Defaults of absent settings. The simulator's protocol defines them; none is taken from a
     // particular deployment.
 
-    /** The strictest value, so that no shard request is executed twice. */
+    /**
+     * Default side effects of a query class: the strictest value, so that no shard request is
+     * executed twice.
+     */
     private static final SideEffects DEFAULT_SIDE_EFFECTS = SideEffects.NON_IDEMPOTENT;
 
-    /** Utility of a complete answer in time: by default, all query classes have the same. */
+    /** Default utility of a complete answer in time, the same for all query classes. */
     private static final double DEFAULT_UTILITY = 1;
 
-    /** Fraction of the utility that a late answer keeps: none by default. */
+    /** Default fraction of an answer's utility that remains if the answer is late. */
     private static final double DEFAULT_LATE_UTILITY = 0;
 
-    /** Fraction of the utility that a partial answer keeps: none by default. */
+    /** Default fraction of an answer's utility that remains if the answer is partial. */
     private static final double DEFAULT_PARTIAL_UTILITY = 0;
 
     /**
--- a/src/main/java/postbeam/config/RouterConfig.java
+++ b/src/main/java/postbeam/config/RouterConfig.java
@@ -23,7 +23,7 @@
 
     private static final String MEMORY_MB = "memory_mb";
 
-    /** Limits that apply if the file sets none: file descriptors and MB. */
+    /** Limits that apply if the file sets none: a number of file descriptors, and memory in MB. */
     private static final Map<String, Integer> DEFAULT_LIMITS =
             Map.of("sockets", 1024, MEMORY_MB, 192);
 
--- a/src/main/java/postbeam/config/SettingsValidator.java
+++ b/src/main/java/postbeam/config/SettingsValidator.java
@@ -11,15 +11,15 @@
  * members are ignored, so that later versions can add settings.
  */
 public final class SettingsValidator {
-    /** No timeout or interval of clients, connections or the protocol is longer. */
+    /** Upper bound for timeouts and intervals of clients, connections and the protocol. */
     private static final Duration MAX_DURATION = Duration.ofDays(1);
 
     /** Data nodes may keep request ids for deduplication longer than any client waits. */
     private static final Duration MAX_REPEAT_WINDOW = Duration.ofDays(366);
 
     /**
-     * More cells than there can be nodes in an endpoint list of 256 KiB, and few enough to allocate
-     * state for each.
+     * Upper bound for the number of cells: more than there can be nodes in an endpoint list of 256
+     * KiB, and few enough to allocate state for each.
      */
     private static final int MAX_CELLS = 1 << 16;
 
--- a/src/main/java/postbeam/datanodes/FrameWriter.java
+++ b/src/main/java/postbeam/datanodes/FrameWriter.java
@@ -128,7 +128,8 @@
      * Returns whether an attempt of the current frame must not be sent any more. While a frame is
      * partly written, a client may disconnect, the node may start to drain or a deadline may
      * expire; the last byte of the frame would start the attempt all the same. The close that
-     * follows also ends the other attempts on the connection, whose node does not read.
+     * follows also ends the other attempts on the connection, whose node does not read from its
+     * socket.
      */
     private boolean isAnyUnsendable() {
         DispatchedAttempt.checkClientPresence(
--- a/src/main/java/postbeam/datanodes/NodeConnection.java
+++ b/src/main/java/postbeam/datanodes/NodeConnection.java
@@ -30,7 +30,9 @@
 final class NodeConnection implements FrameWriter.Listener {
     private static final System.Logger LOG = System.getLogger(NodeConnection.class.getName());
 
-    /** Time between the connect timeout and the close of a connection that is still not up. */
+    /**
+     * Time between the connect timeout and the close of a connection that is still not established.
+     */
     private static final Duration CONNECT_TIMEOUT_GRACE = Duration.ofMillis(10);
 
     /** Limit for the part of a node's protocol error text that is logged. */
@@ -56,7 +58,7 @@
     private long lastEnqueuedNanos = System.nanoTime();
 
     /**
-     * Whether the node stayed silent when a response was due. A suspect connection accepts no
+     * Whether the node sent nothing although a response was due. A suspect connection accepts no
      * further attempts and closes once nothing is in flight.
      */
     private boolean suspect;
@@ -82,7 +84,10 @@
 
     // ---- connecting
 
-    /** Starts to connect. Frames that are enqueued before the connection is up are written then. */
+    /**
+     * Starts to connect. Frames that are queued before the connection is established are written
+     * once it is.
+     */
     void open(XnioIoThread ioThread, InetSocketAddress target) {
         IoFuture<StreamConnection> connectFuture =
                 ioThread.openStreamConnection(
@@ -97,8 +102,8 @@
     }
 
     /**
-     * Closes a connection that is still not up after a grace period. When the I/O thread is late,
-     * the connect timer fires before the thread has processed the sockets that are ready.
+     * Closes a connection that is still not established after a grace period. When the I/O thread
+     * is late, the connect timer fires before the thread has processed the sockets that are ready.
      */
     private void closeAfterGracePeriod(
             XnioIoThread ioThread, IoFuture<? extends StreamConnection> connectFuture) {
--- a/src/main/java/postbeam/discovery/DeadlineInput.java
+++ b/src/main/java/postbeam/discovery/DeadlineInput.java
@@ -19,9 +19,10 @@
     private static final int BUFFER_BYTES = 4 << 10;
 
     /**
-     * Reads allowed after a deadline for the head, the parts and the end of a response. One more is
-     * allowed for each buffer that the longest body fills. A response that trickles in faster than
-     * one read per millisecond times out late by the duration of these reads: 70 ms for 256 KiB.
+     * Number of reads allowed after a deadline for the head, the parts and the end of a response.
+     * One more is allowed for each buffer that the longest body fills. A response that trickles in
+     * faster than one read per millisecond times out late by the duration of these reads: 70 ms for
+     * 256 KiB.
      */
     private static final int MIN_LATE_READS = 6;
 
@@ -47,7 +48,10 @@
         limit = 0;
     }
 
-    /** Starts a new response: sets its total deadline and the number of late reads. */
+    /**
+     * Starts a new response: sets the deadline of the complete response and the number of reads
+     * allowed after a deadline.
+     */
     void begin(Duration total, int maxBodyBytes) {
         totalDeadlineNanos = System.nanoTime() + total.toNanos();
         lateReadsLeft = MIN_LATE_READS + maxBodyBytes / BUFFER_BYTES;
--- a/src/main/java/postbeam/discovery/EndpointListCodec.java
+++ b/src/main/java/postbeam/discovery/EndpointListCodec.java
@@ -14,7 +14,7 @@
 
 /** Decodes complete endpoint lists and changes in the JSON format of discovery. */
 public final class EndpointListCodec {
-    /** Four numbers up to 255 and a port of up to five digits. */
+    /** IPv4 address of four numbers up to 255, and a port of up to five digits. */
     private static final Pattern IPV4_ADDRESS =
             Pattern.compile("((25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])(\\.|(?=:))){4}:[0-9]{1,5}");
 
--- a/src/main/java/postbeam/discovery/HttpGetClient.java
+++ b/src/main/java/postbeam/discovery/HttpGetClient.java
@@ -13,8 +13,8 @@
 /**
  * Sends GET requests to one address, one at a time, over a persistent connection. Each request has
  * one deadline for connect, head and body together, and earlier deadlines for its parts. A response
- * that stays silent, trickles or never ends times out, and its connection is closed. Requests are
- * not retried and redirects are not followed.
+ * that does not arrive, arrives too slowly or never ends times out, and its connection is closed.
+ * Requests are not retried and redirects are not followed.
  *
  * <p>Undertow's client is not used because it does not limit the response head; MAX_HEADER_SIZE
  * applies to listeners only. One endless header would fill the heap and block the thread that
--- a/src/main/java/postbeam/layoutservice/HandoffClient.java
+++ b/src/main/java/postbeam/layoutservice/HandoffClient.java
@@ -103,7 +103,8 @@
                             command.move(), command.node(), command.command(), command.slice());
             case STALE_TERM -> onSuperseded.run();
             default -> {
-                // The node is still working; the coordinator resends the command later.
+                // The node has not completed the command yet; the coordinator resends the command
+                // later.
             }
         }
     }
--- a/src/main/java/postbeam/layoutservice/JournalReader.java
+++ b/src/main/java/postbeam/layoutservice/JournalReader.java
@@ -81,8 +81,8 @@
 
     /**
      * Returns whether a valid record begins at or after this position. Also returns true if the
-     * rest of the file is longer than a record can be, without a search: a torn last record does
-     * not explain it.
+     * rest of the file is longer than a record can be, without a search: a torn last record is
+     * never that long.
      */
     private boolean validRecordFollows(long start, long size) throws IOException {
         if (size - start > JournalFrames.MAX_RECORD_BYTES) {
--- a/src/main/java/postbeam/layoutservice/LayoutRequest.java
+++ b/src/main/java/postbeam/layoutservice/LayoutRequest.java
@@ -27,8 +27,8 @@
         void sendUnavailable(String reason);
 
         /**
-         * Rejects the request because too many are waiting; asks the requester to retry after one
-         * second.
+         * Rejects the request because too many are waiting; the response tells the client to retry
+         * after one second.
          */
         void sendOverloaded(String reason);
     }
--- a/src/main/java/postbeam/layoutservice/LayoutServiceSettings.java
+++ b/src/main/java/postbeam/layoutservice/LayoutServiceSettings.java
@@ -44,7 +44,7 @@
                 settings.integerAtLeast(LIMITS + "zones", 1));
     }
 
-    /** Returns null if migrations are switched off. */
+    /** Reads the limits of migrations; null if migrations are switched off. */
     private static MigrationLimits migrationLimits(InstanceSettings settings) {
         if (!Boolean.TRUE.equals(settings.flag(MIGRATION + "enabled"))) {
             return null;
--- a/src/main/java/postbeam/migration/Migration.java
+++ b/src/main/java/postbeam/migration/Migration.java
@@ -67,7 +67,10 @@
         return state;
     }
 
-    /** When it entered its state or was last resumed, as a duration since the Unix epoch. */
+    /**
+     * When the migration entered its current state or was last resumed, as a duration since the
+     * Unix epoch.
+     */
     public Duration since() {
         return since;
     }
--- a/src/main/java/postbeam/migration/MigrationAction.java
+++ b/src/main/java/postbeam/migration/MigrationAction.java
@@ -20,7 +20,7 @@
      */
     record RequestDigests(long requestId, String node, int slice, List<KeyRange> ranges)
             implements MigrationAction {
-        /** Copies the ranges. */
+        /** Makes an immutable copy of the ranges. */
         public RequestDigests {
             ranges = List.copyOf(ranges);
         }
--- a/src/main/java/postbeam/migration/MigrationRecord.java
+++ b/src/main/java/postbeam/migration/MigrationRecord.java
@@ -27,7 +27,7 @@
             double utility,
             Duration at)
             implements MigrationRecord {
-        /** Copies the transfers. */
+        /** Makes an immutable copy of the transfers. */
         public Created {
             transfers = List.copyOf(transfers);
         }
--- a/src/main/java/postbeam/migration/MigrationStateMachine.java
+++ b/src/main/java/postbeam/migration/MigrationStateMachine.java
@@ -43,7 +43,10 @@
         this.limits = limits;
     }
 
-    /** Takes steps until one leaves the migration in its state or ends it. */
+    /**
+     * Advances the migration state by state until a step leaves its state unchanged or ends the
+     * migration.
+     */
     void advance(ActionBatch batch, Migration migration, Duration now) {
         MigrationState before;
         do {
--- a/src/main/java/postbeam/migration/MigrationThrottle.java
+++ b/src/main/java/postbeam/migration/MigrationThrottle.java
@@ -8,7 +8,8 @@
 /**
  * Limits the rate at which copies start, over all migrations. After the start of a copy, the next
  * one may start once the time has passed that one move or the copy's bytes take at the configured
- * rates, whichever is longer. Also counts the bytes by member, which gives a fair order of members.
+ * rates, whichever is longer. Also counts the bytes of the copies that each member has started, so
+ * that members with fewer bytes can come first.
  */
 final class MigrationThrottle {
     private static final double NANOS_PER_SECOND = 1e9;
--- a/src/main/java/postbeam/migration/PauseDetector.java
+++ b/src/main/java/postbeam/migration/PauseDetector.java
@@ -72,7 +72,10 @@
 
     // ---- reasons that a resume does not clear
 
-    /** A reason that keeps the migration paused while its condition holds; empty if none does. */
+    /**
+     * A reason that keeps the migration paused for as long as its condition holds; empty if there
+     * is no such reason.
+     */
     Optional<MigrationRecord.Paused> persistentReason(Migration migration, Duration now) {
         if (migration.state() == MigrationState.PLANNED || !migration.state().allowsRollback()) {
             return Optional.empty();
--- a/src/main/java/postbeam/migration/ReplicaComparison.java
+++ b/src/main/java/postbeam/migration/ReplicaComparison.java
@@ -35,7 +35,10 @@
     private static final class UnmatchedRange {
         private RangeDigest lastSourceDigest;
 
-        /** Number of consecutive mismatches with the source unchanged. */
+        /**
+         * Number of consecutive rounds in which the range differed although the source had not
+         * changed.
+         */
         private int mismatches;
 
         private int rounds;
@@ -101,8 +104,8 @@
     }
 
     /**
-     * Returns requests to both nodes under this id; none if the comparison is finished or the last
-     * requests were sent less than the request interval ago.
+     * Returns digest requests to both nodes under this request id; none if the comparison is
+     * finished or the last requests were sent less than the request interval ago.
      */
     List<MigrationAction.RequestDigests> nextRequests(long nextRequestId, Duration now) {
         if (isFinished() || isRequestPending(now)) {
--- a/src/main/java/postbeam/pages/CursorBody.java
+++ b/src/main/java/postbeam/pages/CursorBody.java
@@ -24,7 +24,10 @@
 
     // ---- write
 
-    /** Numbers the distinct positions of the cursor from 1 on, in the order of their first use. */
+    /**
+     * Assigns numbers from 1 on to the distinct positions of the cursor, in the order of their
+     * first use.
+     */
     static Map<RowPosition, Integer> numberPositions(Cursor cursor) {
         Map<RowPosition, Integer> numbers = new LinkedHashMap<>();
         for (RangeProgress progress : cursor.ranges()) {
--- a/src/main/java/postbeam/pages/FetchPlanner.java
+++ b/src/main/java/postbeam/pages/FetchPlanner.java
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Returns which parts are behind the furthest range, because they were missing on an earlier
-     * page.
+     * Returns which ranges continue from an earlier position than the furthest range, because they
+     * were missing on an earlier page.
      */
     private boolean[] areBehind(List<RangeProgress> parts) {
         RowPosition furthest = null;
--- a/src/main/java/postbeam/pages/RowDistribution.java
+++ b/src/main/java/postbeam/pages/RowDistribution.java
@@ -26,14 +26,14 @@
     private static final double CLIENT_WEIGHT_ROWS = 200;
 
     /**
-     * Number of counted rows above which all counts are halved, so that they follow changes in
-     * queries.
+     * Number of counted rows above which all counts are halved, so that the estimates adapt when
+     * queries change.
      */
     private static final double MAX_COUNTED_ROWS = 4096;
 
     /**
      * Maximum ratio of rows fetched to rows returned that the safety margin may cause while each
-     * part has many rows on a page.
+     * range has many rows on a page.
      */
     private static final double MAX_FETCH_RATIO = 1.3;
 
@@ -49,10 +49,13 @@
     /** Lower bound of the dispersion, and of the binomial variance that it is computed with. */
     private static final double MIN_DISPERSION = 0.25;
 
-    /** Upper bound of what one page may contribute to the dispersion. */
+    /** Upper bound of the dispersion value that one page adds to the moving average. */
     private static final double MAX_DISPERSION = 9;
 
-    /** Pages with fewer rows do not update the dispersion, as they say too little about it. */
+    /**
+     * Minimum number of rows of a page that updates the dispersion; smaller pages say too little
+     * about it.
+     */
     private static final int MIN_SAMPLE_ROWS = 10;
 
     /**
--- a/src/main/java/postbeam/simulator/ActionWriter.java
+++ b/src/main/java/postbeam/simulator/ActionWriter.java
@@ -42,7 +42,9 @@
         write("REPORT_FAILURE", queryId);
     }
 
-    /** Sets a timer; its expiry event carries the cookie. */
+    /**
+     * Writes the action that sets a timer; the expiry event of the timer carries the same cookie.
+     */
     void setTimer(Duration wait, int cookie) {
         write("DEFER", wait.toNanos() / NANOS_PER_MICRO, cookie);
     }
--- a/src/main/java/postbeam/simulator/RouterEvent.java
+++ b/src/main/java/postbeam/simulator/RouterEvent.java
@@ -117,7 +117,7 @@
     record Ignored() implements RouterEvent {
         @Override
         public void deliverTo(SimulatedRouter router, Duration now) {
-            // Nothing to do.
+            // The event needs no action.
         }
     }
 }
--- a/src/main/java/postbeam/simulator/SimulatedRouter.java
+++ b/src/main/java/postbeam/simulator/SimulatedRouter.java
@@ -18,10 +18,10 @@
 
 /** A simulated router: passes events to its routing policy, and writes the policy's actions. */
 final class SimulatedRouter implements PolicyActions {
-    /** Cookie of the policy's timer. */
+    /** Cookie that identifies the timer of the routing policy in expiry events. */
     private static final int WAKE_UP_TIMER = 0;
 
-    /** Cookie of the timer for polling discovery. */
+    /** Cookie that identifies the timer for polling discovery in expiry events. */
     private static final int POLL_TIMER = 1;
 
     private static final long NANOS_PER_MICRO = 1000;
--- a/src/main/java/postbeam/slices/MoveStateMachine.java
+++ b/src/main/java/postbeam/slices/MoveStateMachine.java
@@ -166,8 +166,7 @@
                 && (commands.sendToOldHolders(actions, move, HandoffCommand.DROP)
                         || isLate(actions, move))) {
             // An old holder that does not acknowledge DROP drops its data when it is listed again;
-            // until then it is
-            // fenced and accepts no calls.
+            // until then it is fenced and accepts no calls.
             appendPendingDrops(actions, move, move.oldHolders);
             complete(actions, move);
         }
