--- a/src/main/java/postbeam/cli/ExtendedClassPathLauncher.java
+++ b/src/main/java/postbeam/cli/ExtendedClassPathLauncher.java
@@ -47,7 +47,8 @@
         } catch (IOException | URISyntaxException | ReflectiveOperationException e) {
             Throwable cause = e instanceof InvocationTargetException ? e.getCause() : e;
             throw new IllegalStateException(
-                    "can't use the libraries in lib and more beside the jar, or the program failed",
+                    "can't load the libraries in the directories lib and more beside the jar, or"
+                            + " the program itself failed",
                     cause);
         }
     }
--- a/src/main/java/postbeam/cli/RehearseCommand.java
+++ b/src/main/java/postbeam/cli/RehearseCommand.java
@@ -59,7 +59,9 @@
         connection.getOutputStream().write(BODY);
         // The query is rejected, as the configuration has no data nodes.
         if (connection.getResponseCode() != HttpURLConnection.HTTP_UNAVAILABLE) {
-            throw new IOException("expected status 503, got " + connection.getResponseCode());
+            throw new IOException(
+                    "expected HTTP status 503 for a query while there are no data nodes, got "
+                            + connection.getResponseCode());
         }
         connection.disconnect();
     }
--- a/src/main/java/postbeam/config/InstanceSettings.java
+++ b/src/main/java/postbeam/config/InstanceSettings.java
@@ -130,7 +130,14 @@
     public Integer integer(String path) {
         Double value = number(path);
         if (value != null && Math.abs(value) > Integer.MAX_VALUE) {
-            throw invalid(path, "is too large: " + text(path));
+            throw invalid(
+                    path,
+                    "must be from -"
+                            + Integer.MAX_VALUE
+                            + " to "
+                            + Integer.MAX_VALUE
+                            + ", not "
+                            + text(path));
         }
         return value == null ? null : (int) Math.round(value);
     }
--- a/src/main/java/postbeam/config/SettingsValidator.java
+++ b/src/main/java/postbeam/config/SettingsValidator.java
@@ -179,7 +179,9 @@
             String namePath = path + "." + i + ".name";
             String name = settings.required(namePath);
             if (!names.add(name)) {
-                throw settings.invalid(namePath, "is a duplicate: " + name);
+                throw settings.invalid(
+                        namePath,
+                        "must be unique, but an earlier entry has the same name: " + name);
             }
         }
     }
--- a/src/main/java/postbeam/datanodes/FrameCodec.java
+++ b/src/main/java/postbeam/datanodes/FrameCodec.java
@@ -130,7 +130,8 @@
         for (byte b : value) {
             if (b >= 0 && b < ' ') {
                 throw new MalformedFrameException(
-                        "response value holds the control character " + b);
+                        "response value must be text, but contains the control character 0x"
+                                + Integer.toHexString(b));
             }
         }
     }
--- a/src/main/java/postbeam/datanodes/NodeConnection.java
+++ b/src/main/java/postbeam/datanodes/NodeConnection.java
@@ -301,14 +301,24 @@
                             inFlightAttempt.attempt(), response.outcome(), response.value()));
         } else if (!inFlight.hasEndedRecently(response.attemptId())) {
             throw new MalformedFrameException(
-                    "response to an attempt id that was not sent on this connection");
+                    "response to attempt id "
+                            + response.attemptId()
+                                    .substring(
+                                            0,
+                                            Math.min(
+                                                    response.attemptId().length(),
+                                                    MAX_LOGGED_BYTES))
+                                    .replaceAll("\\p{Cc}", "?")
+                            + ", which was not sent on this connection");
         }
     }
 
     private void handleProbeResult(byte[] payload) throws MalformedFrameException {
         String node = pendingProbes.poll();
         if (node == null) {
-            throw new MalformedFrameException("health check result without a pending probe");
+            throw new MalformedFrameException(
+                    "health check result received while no health check was pending on this"
+                            + " connection");
         }
         listener.onHealthCheck(node, !"bad".equals(new String(payload, StandardCharsets.UTF_8)));
     }
--- a/src/main/java/postbeam/discovery/EndpointListCodec.java
+++ b/src/main/java/postbeam/discovery/EndpointListCodec.java
@@ -39,7 +39,10 @@
         Map<String, String> addresses = new LinkedHashMap<>();
         for (Object host : Json.member(list, "hosts", List.class)) {
             if (!(host instanceof Map<?, ?> members)) {
-                throw new MalformedJsonException("hosts holds an element that is not an object");
+                throw new MalformedJsonException(
+                        "hosts must contain only objects, but element "
+                                + endpoints.size()
+                                + " (counted from 0) is not an object");
             }
             Endpoint endpoint = decodeEndpoint(members, cells);
             boolean removed = endpoint.readiness() == Readiness.REMOVED;
@@ -60,7 +63,10 @@
         int cell = readiness == Readiness.REMOVED ? 0 : Json.member(host, "block", Integer.class);
         if (cell < 0 || cell >= cells) {
             throw new MalformedJsonException(
-                    "block is not within 0 to " + (cells - 1) + ": " + cell);
+                    "block, the cell of a host, must be from 0 to "
+                            + (cells - 1)
+                            + ", not "
+                            + cell);
         }
         long startedMicros =
                 host.get("born_ms") instanceof Number millis
--- a/src/main/java/postbeam/discovery/HttpGetClient.java
+++ b/src/main/java/postbeam/discovery/HttpGetClient.java
@@ -70,7 +70,10 @@
             connection.getOutputStream().write(request(path));
             input.setTimeout(timeouts.firstByte());
             if (!input.hasMore()) {
-                throw new EOFException("connection closed before the response");
+                throw new EOFException(
+                        "connection to "
+                                + address
+                                + " closed before the first byte of the response");
             }
             input.setTimeout(timeouts.remainder());
             HttpResponseReader reader = new HttpResponseReader(input, maxBytes);
@@ -78,7 +81,19 @@
             reusable = reader.isConnectionReusable();
             return body;
         } catch (SocketTimeoutException e) {
-            throw new IOException("response not complete before its deadline", e);
+            throw new IOException(
+                    "response from "
+                            + address
+                            + " not complete in time: limits are "
+                            + timeouts.connect().toMillis()
+                            + " ms to connect, "
+                            + timeouts.firstByte().toMillis()
+                            + " ms to the first byte, "
+                            + timeouts.remainder().toMillis()
+                            + " ms for the rest, "
+                            + timeouts.total().toMillis()
+                            + " ms in all",
+                    e);
         } finally {
             if (!reusable) {
                 closeConnection();
--- a/src/main/java/postbeam/discovery/HttpResponseReader.java
+++ b/src/main/java/postbeam/discovery/HttpResponseReader.java
@@ -10,6 +10,9 @@
     /** Limit for the head and for each line; usual heads and chunk lines have 100 to 200 bytes. */
     private static final int MAX_HEAD_BYTES = 8 << 10;
 
+    /** Limit for the part of a malformed value that an error message quotes. */
+    private static final int MAX_QUOTED_CHARS = 40;
+
     private static final String STATUS_OK = "200";
     private static final int UNKNOWN_LENGTH = -1;
 
@@ -53,7 +56,11 @@
     private void readStatus() throws IOException {
         String[] status = readLine().split(" ", 3);
         if (!status[0].startsWith("HTTP/1.") || status.length < 2) {
-            throw new IOException("response does not start with an HTTP/1.x status line");
+            throw new IOException(
+                    "response must start with an HTTP/1.x status line, but its first word is "
+                            + status[0]
+                                    .substring(0, Math.min(status[0].length(), MAX_QUOTED_CHARS))
+                                    .replaceAll("\\p{Cc}", "?"));
         }
         if (!status[1].equals(STATUS_OK)) {
             throw new IOException(
@@ -145,6 +152,10 @@
             // Reported below, like a negative length.
         }
         throw new IOException(
-                "content or chunk length is not a non-negative number of base " + radix);
+                "content or chunk length must be an integer of 0 or more in base "
+                        + radix
+                        + ", not "
+                        + digits.substring(0, Math.min(digits.length(), MAX_QUOTED_CHARS))
+                                .replaceAll("\\p{Cc}", "?"));
     }
 }
--- a/src/main/java/postbeam/layoutservice/JsonFields.java
+++ b/src/main/java/postbeam/layoutservice/JsonFields.java
@@ -93,7 +93,13 @@
         List<T> list = new ArrayList<>();
         for (Object element : Json.member(object, name, List.class)) {
             if (!elementType.isInstance(element)) {
-                throw new IOException(name + " must contain only " + elementDescription);
+                throw new IOException(
+                        name
+                                + " must contain only "
+                                + elementDescription
+                                + ", but element "
+                                + list.size()
+                                + " (counted from 0) is of another type");
             }
             list.add(elementType.cast(element));
         }
--- a/src/main/java/postbeam/pages/PartialPage.java
+++ b/src/main/java/postbeam/pages/PartialPage.java
@@ -34,7 +34,7 @@
             return Optional.of(rows.size() + " rows, but at most " + maxRows + " were requested");
         }
         if (nextPosition != null && rows.isEmpty()) {
-            return Optional.of("no rows, but a next position");
+            return Optional.of("it has a next position but no rows");
         }
         RowPosition last = null;
         for (Row row : rows) {
--- a/src/main/java/postbeam/pages/RowCodec.java
+++ b/src/main/java/postbeam/pages/RowCodec.java
@@ -196,7 +196,10 @@
         for (Object element : Json.member(answer, "rows", List.class)) {
             List<?> row = listOf(element, ROW_MEMBERS);
             if (!(row.get(3) instanceof String text)) {
-                throw new IOException("the last element of a row is not a string");
+                throw new IOException(
+                        "the last element of a row must be a string, but is not for row "
+                                + rows.size()
+                                + " (counted from 0)");
             }
             rows.add(new Row(readPosition(row), text));
         }
@@ -237,7 +240,7 @@
     private static RowPosition readPosition(List<?> list) throws IOException {
         if (!(list.get(0) instanceof List<?> values)) {
             throw new IOException(
-                    "the first element of a row or position is not a list of sort values");
+                    "the first element of a row or position must be an array of sort values");
         }
         List<Object> sortValues = new ArrayList<>();
         for (Object value : values) {
@@ -249,7 +252,16 @@
 
     private static List<?> listOf(Object value, int size) throws IOException {
         if (!(value instanceof List<?> list) || list.size() != size) {
-            throw new IOException("expected a list of " + size + " elements");
+            throw new IOException(
+                    "a row, position, fetch or other tuple must be an array of "
+                            + size
+                            + " elements, not "
+                            + (value instanceof List<?> other
+                                    ? "of " + other.size()
+                                    : value == null
+                                            ? "null"
+                                            : "a value of type "
+                                                    + value.getClass().getSimpleName()));
         }
         return list;
     }
@@ -266,7 +278,12 @@
         if (!(value instanceof Number number)
                 || value instanceof Double
                 || value instanceof BigInteger) {
-            throw new IOException("expected a whole number of 64 bits");
+            throw new IOException(
+                    "a key, sequence number, position, row limit or numeric sort value must be an"
+                            + " integer of at most 64 bits, not "
+                            + (value == null
+                                    ? "null"
+                                    : "a value of type " + value.getClass().getSimpleName()));
         }
         return number.longValue();
     }
--- a/src/main/java/postbeam/pages/VarLong.java
+++ b/src/main/java/postbeam/pages/VarLong.java
@@ -38,7 +38,8 @@
                 return value;
             }
         }
-        throw new IllegalArgumentException("expected a number of at most 10 bytes");
+        throw new IllegalArgumentException(
+                "expected a variable-length number of at most 10 bytes, got a longer one");
     }
 
     /**
--- a/src/main/java/postbeam/peers/PeerMessageCodec.java
+++ b/src/main/java/postbeam/peers/PeerMessageCodec.java
@@ -213,7 +213,10 @@
                                 + " must have at most "
                                 + MAX_ITEMS
                                 + " elements, each an array of "
-                                + size);
+                                + size
+                                + " values; element "
+                                + tuples.size()
+                                + " (counted from 0) breaks this rule");
             }
             tuples.add(tuple);
         }
@@ -225,14 +228,25 @@
             return text;
         }
         throw new IOException(
-                "a name must be a string of at most " + MAX_NAME_LENGTH + " characters");
+                "a name must be a string of at most "
+                        + MAX_NAME_LENGTH
+                        + " characters, not "
+                        + (value instanceof String text
+                                ? "one of " + text.length()
+                                : value == null
+                                        ? "null"
+                                        : "a value of type " + value.getClass().getSimpleName()));
     }
 
     static long readLong(Object value) throws IOException {
         if (value instanceof Integer || value instanceof Long) {
             return ((Number) value).longValue();
         }
-        throw new IOException("a number must be an integer of at most 64 bits");
+        throw new IOException(
+                "a number must be an integer of at most 64 bits, not "
+                        + (value == null
+                                ? "null"
+                                : "a value of type " + value.getClass().getSimpleName()));
     }
 
     /** Reads a stripe number; {@link PeerStripes} checks that the stripe exists. */
@@ -251,6 +265,14 @@
                 && number.doubleValue() < MAX_NUMBER) {
             return number.doubleValue();
         }
-        throw new IOException("a number must be 0 or more and less than " + MAX_NUMBER);
+        throw new IOException(
+                "a number must be 0 or more and less than "
+                        + MAX_NUMBER
+                        + ", not "
+                        + (value instanceof Number number
+                                ? number.doubleValue()
+                                : value == null
+                                        ? "null"
+                                        : "a value of type " + value.getClass().getSimpleName()));
     }
 }
--- a/src/main/java/postbeam/router/ActionRunner.java
+++ b/src/main/java/postbeam/router/ActionRunner.java
@@ -33,7 +33,11 @@
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException | Error e) {
-                LOG.log(System.Logger.Level.ERROR, "a background action failed", e);
+                LOG.log(
+                        System.Logger.Level.ERROR,
+                        "a background action of the router failed; the actions after it in the same"
+                                + " list are skipped",
+                        e);
             }
         }
     }
--- a/src/main/java/postbeam/simulator/EventReader.java
+++ b/src/main/java/postbeam/simulator/EventReader.java
@@ -148,7 +148,11 @@
             case 0 -> Readiness.REMOVED;
             case 1 -> Readiness.READY;
             case 2 -> Readiness.DRAINING;
-            default -> throw new InvalidFieldException("unknown readiness " + wireNumber);
+            default ->
+                    throw new InvalidFieldException(
+                            "unknown readiness "
+                                    + wireNumber
+                                    + ": expected 0 (removed), 1 (ready) or 2 (draining)");
         };
     }
 
--- a/src/main/java/postbeam/simulator/LineReader.java
+++ b/src/main/java/postbeam/simulator/LineReader.java
@@ -37,7 +37,7 @@
     /** Returns the next field; null if its value is absent ({@code -}). */
     String nextField() {
         if (!hasMoreFields()) {
-            throw new InvalidFieldException("a field is missing");
+            throw new InvalidFieldException("the line has too few fields");
         }
         int end = line.indexOf(FIELD_SEPARATOR, position);
         if (end < 0) {
@@ -56,7 +56,7 @@
     String requiredText() {
         String value = nextField();
         if (value == null) {
-            throw new InvalidFieldException("a required field is absent");
+            throw new InvalidFieldException("a required field has the value -, which means absent");
         }
         return value;
     }
--- a/src/main/java/postbeam/slices/ChangePlanner.java
+++ b/src/main/java/postbeam/slices/ChangePlanner.java
@@ -129,7 +129,8 @@
                                         + node
                                         + " of slice "
                                         + slice
-                                        + " is gone: move the slice off it first");
+                                        + " is no longer listed by discovery: move the slice off it"
+                                        + " first");
     }
 
     /**
--- a/src/main/java/postbeam/slices/Layout.java
+++ b/src/main/java/postbeam/slices/Layout.java
@@ -320,7 +320,16 @@
         for (long cut : split.cuts()) {
             if (cut <= from || cut >= keys.to()) {
                 throw new IllegalArgumentException(
-                        "slice " + split.slice() + " (keys " + keys + ") can't be cut at " + cut);
+                        "slice "
+                                + split.slice()
+                                + " (keys "
+                                + keys
+                                + ") can't be cut at "
+                                + cut
+                                + ": a cut must be above "
+                                + from
+                                + " and below "
+                                + keys.to());
             }
             ranges.add(new KeyRange(from, cut));
             from = cut;
--- a/src/test/java/postbeam/config/SettingsValidatorTest.java
+++ b/src/test/java/postbeam/config/SettingsValidatorTest.java
@@ -215,7 +215,11 @@
             String key = "settings." + path;
             cases.add(rejectedCase(key + " must be 1 or more, not 0", key, 0));
             cases.add(rejectedCase(key + " must be 1 or more, not -3", key, -3));
-            cases.add(rejectedCase(key + " is too large: 4294967297", key, 4_294_967_297L));
+            cases.add(
+                    rejectedCase(
+                            key + " must be from -2147483647 to 2147483647, not 4294967297",
+                            key,
+                            4_294_967_297L));
         }
         cases.add(
                 rejectedCase(
@@ -224,7 +228,8 @@
                         -3));
         cases.add(
                 rejectedCase(
-                        "settings.caps.maxAttempts is too large: 4294967297",
+                        "settings.caps.maxAttempts must be from -2147483647 to 2147483647, not"
+                                + " 4294967297",
                         "settings.caps.maxAttempts",
                         4_294_967_297L));
         cases.add(
@@ -240,7 +245,7 @@
         assertRejected(
                 rejectedCase("limits.sockets must be 128 or more, not 0", "limits.sockets", 0),
                 rejectedCase(
-                        "limits.sockets is too large: 4294968320",
+                        "limits.sockets must be from -2147483647 to 2147483647, not 4294968320",
                         "limits.sockets",
                         4_294_968_320L),
                 rejectedCase(
@@ -355,7 +360,8 @@
     void duplicateNamesAndNamesWithASlashAreRejected() throws IOException {
         assertRejected(
                 rejectedCase(
-                        "settings.classes.1.name is a duplicate: search",
+                        "settings.classes.1.name must be unique, but an earlier entry has the same"
+                                + " name: search",
                         "settings.classes.1.name",
                         "search"),
                 rejectedCase(
@@ -364,7 +370,8 @@
                         "settings.classes.0.name",
                         "a/b"),
                 rejectedCase(
-                        "settings.tenants.1.name is a duplicate: acme",
+                        "settings.tenants.1.name must be unique, but an earlier entry has the same"
+                                + " name: acme",
                         "settings.tenants",
                         List.of(Map.of("name", "acme"), Map.of("name", "acme"))));
     }
--- a/src/test/java/postbeam/discovery/HttpGetClientTest.java
+++ b/src/test/java/postbeam/discovery/HttpGetClientTest.java
@@ -51,6 +51,20 @@
         };
     }
 
+    private String timeoutMessage(HttpGetClient.Timeouts timeouts) {
+        return "response from "
+                + agent.address()
+                + " not complete in time: limits are "
+                + timeouts.connect().toMillis()
+                + " ms to connect, "
+                + timeouts.firstByte().toMillis()
+                + " ms to the first byte, "
+                + timeouts.remainder().toMillis()
+                + " ms for the rest, "
+                + timeouts.total().toMillis()
+                + " ms in all";
+    }
+
     /**
      * Completes a first request and returns it. The next request uses its connection, which has no
      * unread bytes.
@@ -109,7 +123,7 @@
                 assertThrows(
                         IOException.class,
                         () -> http.get("/", MAX_BYTES, timeoutsWithExpired(limit)));
-        assertEquals("response not complete before its deadline", e.getMessage());
+        assertEquals(timeoutMessage(timeoutsWithExpired(limit)), e.getMessage());
     }
 
     @ParameterizedTest
@@ -126,7 +140,7 @@
                 assertThrows(
                         IOException.class,
                         () -> http.get("/", MAX_BYTES, timeoutsWithExpired("total")));
-        assertEquals("response not complete before its deadline", e.getMessage());
+        assertEquals(timeoutMessage(timeoutsWithExpired("total")), e.getMessage());
     }
 
     /**
@@ -142,7 +156,7 @@
                         IOException.class,
                         () -> http.get("/", MAX_BYTES, timeoutsWithExpired("total")));
         long elapsedMillis = (System.nanoTime() - startNanos) / 1_000_000;
-        assertEquals("response not complete before its deadline", e.getMessage());
+        assertEquals(timeoutMessage(timeoutsWithExpired("total")), e.getMessage());
         assertTrue(elapsedMillis <= 1_000, "timed out after " + elapsedMillis + " ms");
     }
 }
--- a/src/test/java/postbeam/pages/PartialPagePropertyTest.java
+++ b/src/test/java/postbeam/pages/PartialPagePropertyTest.java
@@ -67,7 +67,7 @@
                 new PartialPage(RANGE, List.of(), rows.get(0).position()),
                 order,
                 fetch,
-                "no rows, but a next position");
+                "it has a next position but no rows");
     }
 
     @Example
--- a/src/test/java/postbeam/simulator/SimulatorSessionTest.java
+++ b/src/test/java/postbeam/simulator/SimulatorSessionTest.java
@@ -114,9 +114,9 @@
                         batch(5, CREATE, "RING\t3\tx\n"),
                         "line 3: For input string: \"x\", in: ",
                         batch(5, CREATE, "ABANDONED\t3\n"),
-                        "line 3: a field is missing, in: ",
+                        "line 3: the line has too few fields, in: ",
                         batch(5, CREATE, "ABANDONED\t3\t-\n"),
-                        "line 3: a required field is absent, in: ",
+                        "line 3: a required field has the value -, which means absent, in: ",
                         batch(5, CREATE, LIST.replace("REGISTRY\t3\t0", "REGISTRY\t3\t8")),
                         "line 5: unknown endpoint list 8, in: ");
         problems.forEach(
