--- a/src/main/java/postbeam/slices/JournalRecord.java
+++ b/src/main/java/postbeam/slices/JournalRecord.java
@@ -33,8 +33,8 @@
      *
      * @param newSlices the numbers of the slices that the move creates
      * @param abandonReason null if the move is not abandoned
-     * @param reverseWhenDone whether the reverse move is planned once this one is completed @param
-     *     mayBeFenced whether old holders may have been fenced, so that a rollback must let them
+     * @param reverseWhenDone whether the reverse move is planned once this one is completed
+     * @param mayBeFenced whether old holders may have been fenced, so that a rollback must let them
      *     serve again
      */
     record MoveSnapshot(
